--- a/chooser/chooser.go
+++ b/chooser/chooser.go
@@ -280,10 +280,10 @@
 // Report takes an upstream's lagging word on its load and cache.
 func (c *Chooser) Report(now time.Time, instance string, r masticway.LoadReport) {
 	u := c.upstream(instance)
-	fresh := !r.At.Equal(u.report.At)
+	fresh := !r.ReportedAt.Equal(u.report.ReportedAt)
 	u.report = r
 	if fresh {
-		others := max(0, float64(r.Running+r.Queued-u.ownAt(r.At)))
+		others := max(0, float64(r.Running+r.Queued-u.ownAt(r.ReportedAt)))
 		u.others += othersWeight * (others - u.others)
 	}
 	u.prefixes.learn(now, r.Prefixes)
--- a/chooser/cold.go
+++ b/chooser/cold.go
@@ -27,7 +27,7 @@
 // serve: they are slow, and crash under what a warm one bears.
 func (s *Servers) Warm(now time.Time, servers []masticway.Server, rate float64, owns func(server string) bool) (warm, cold []masticway.Server) {
 	for i, server := range servers {
-		if !server.Cold(now) {
+		if !server.IsCold(now) {
 			if warm != nil {
 				warm = append(warm, server)
 			}
--- a/clock.go
+++ b/clock.go
@@ -23,8 +23,8 @@
 // Now returns the machine's time: that of the process's start and what has passed since, suspensions included.
 func (SystemClock) Now() time.Time { return machine.now() }
 
-// Slept returns how long the machine has been suspended since the process began.
-func (SystemClock) Slept() time.Duration {
+// SuspendedTime returns how long the machine has been suspended since the process began.
+func (SystemClock) SuspendedTime() time.Duration {
 	machine.now()
 	return time.Duration(machine.slept.Load())
 }
--- a/connector/contract_test.go
+++ b/connector/contract_test.go
@@ -150,7 +150,7 @@
 	text   string
 }
 
-func (r *recorder) Counted(n, _ int)        { r.prompt = n }
+func (r *recorder) PromptCounted(n, _ int)  { r.prompt = n }
 func (r *recorder) Chunk(c masticway.Chunk) { r.text += c.Text }
 
 func TestEngineContract(t *testing.T) {
--- a/connector/ended_test.go
+++ b/connector/ended_test.go
@@ -16,7 +16,7 @@
 // unheard is a sink that nothing is expected to come to.
 type unheard struct{}
 
-func (unheard) Counted(int, int) {}
+func (unheard) PromptCounted(int, int) {}
 
 func (unheard) Chunk(masticway.Chunk) {}
 
@@ -36,7 +36,7 @@
 			failure, ok := errors.AsType[*masticway.UpstreamError](err)
 			qt.Assert(t, ok, qt.IsTrue, qt.Commentf("%v", err))
 			qt.Assert(t, failure.Started, qt.IsTrue)
-			qt.Assert(t, failure.Ended, qt.Equals, ends)
+			qt.Assert(t, failure.NotListening, qt.Equals, ends)
 		})
 	}
 }
--- a/connector/slow_test.go
+++ b/connector/slow_test.go
@@ -122,6 +122,6 @@
 	bytes *int
 }
 
-func (l lengths) Counted(int, int) {}
+func (l lengths) PromptCounted(int, int) {}
 
 func (l lengths) Chunk(c masticway.Chunk) { *l.bytes += len(c.Text) }
--- a/connector/upstream.go
+++ b/connector/upstream.go
@@ -67,7 +67,7 @@
 	}
 	outcome, err := run(ctx, c, s)
 	if failure, ok := errors.AsType[*masticway.UpstreamError](err); ok && failure.Started {
-		failure.Ended = u.ended(ctx)
+		failure.NotListening = u.ended(ctx)
 	}
 	return outcome, err
 }
@@ -166,7 +166,7 @@
 			outcome.Usage = e.Usage.Usage
 			if !counted {
 				counted = true
-				s.Counted(e.Usage.Prompt, e.Usage.Details.Cached)
+				s.PromptCounted(e.Usage.Prompt, e.Usage.Details.Cached)
 			}
 		}
 		for _, c := range e.Choices {
--- a/deployment.go
+++ b/deployment.go
@@ -6,45 +6,45 @@
 	"time"
 )
 
-// Repeat says what may be done with a request whose first run failed.
-type Repeat string
+// RetryPolicy says what may be done with a request whose first run failed.
+type RetryPolicy string
 
 // The kinds of repetition that a route allows.
 const (
-	// RepeatFreely marks requests that may run any number of times.
-	RepeatFreely Repeat = "freely"
-	// RepeatNever marks requests that may run at most once.
-	RepeatNever Repeat = "never"
-	// RepeatByResuming marks event streams that may go on at another server after the last event given.
-	RepeatByResuming Repeat = "by_resuming"
+	// RetryUnlimited marks requests that may run any number of times.
+	RetryUnlimited RetryPolicy = "freely"
+	// RetryNever marks requests that may run at most once.
+	RetryNever RetryPolicy = "never"
+	// RetryByResuming marks event streams that may go on at another server after the last event given.
+	RetryByResuming RetryPolicy = "by_resuming"
 )
 
-// Share is one part of a route's traffic.
-type Share struct {
+// TrafficShare is one part of a route's traffic.
+type TrafficShare struct {
 	Pool   string
 	Weight int
 }
 
 // Route says where requests of one host and path prefix go and what may be done with them.
 type Route struct {
-	Name   string
-	Host   string
-	Prefix string
-	Shares []Share
-	Repeat Repeat
-	// Stream tells that answers are event streams.
-	Stream bool
-	// Anonymous routes need no caller key.
-	Anonymous bool
+	Name        string
+	Host        string
+	Prefix      string
+	Shares      []TrafficShare
+	RetryPolicy RetryPolicy
+	// IsStream tells that answers are event streams.
+	IsStream bool
+	// AllowsAnonymous routes need no caller key.
+	AllowsAnonymous bool
 	// MaxServers bounds the servers that one request may run on.
 	MaxServers int
 	// Timeout is the longest time that a caller is kept waiting.
 	Timeout time.Duration
-	// Target is the time to the answer, or to its first event, that earns full credit.
-	Target time.Duration
-	// EventGap is the longest pause between events that is still on time; zero on routes without streams.
-	EventGap time.Duration
-	Priority int
+	// LatencyObjective is the time to the answer, or to its first event, that earns full credit.
+	LatencyObjective time.Duration
+	// MaxEventGap is the longest pause between events that is still on time; zero on routes without streams.
+	MaxEventGap time.Duration
+	Priority    int
 	// Regions are those in which requests may run; none is any.
 	Regions []string
 }
@@ -56,17 +56,17 @@
 	HealthPath string
 	// MaxConnections bounds a server's connections from all routers together.
 	MaxConnections int
-	// Engine tells that the servers are model engines.
-	Engine bool
+	// IsEngine tells that the servers are model engines.
+	IsEngine bool
 	// Slots is the number of requests that an engine runs at once.
 	Slots int
 	// TokensPerEvent is the most output tokens that one event of a stream holds.
 	TokensPerEvent int
-	// Memory is how many tokens an engine keeps, for running requests and cached prompt parts.
-	Memory int
-	// ColdFor is how long a server stays slow once it is cold, and ColdRate how many requests a second it then bears.
-	ColdFor  time.Duration
-	ColdRate float64
+	// TokenCapacity is how many tokens an engine keeps, for running requests and cached prompt parts.
+	TokenCapacity int
+	// RemainingWarmUp is how long a server stays slow once it is cold, and MaxColdRate how many requests a second it then bears.
+	WarmUpTime  time.Duration
+	MaxColdRate float64
 }
 
 // Account is a workspace as the configuration has it: its keys, its rank and the tokens paid for.
@@ -74,22 +74,22 @@
 	Workspace string
 	Keys      []string
 	Priority  int
-	// Ranked tells that Priority goes before the route's.
-	Ranked bool
+	// HasPriority tells that Priority goes before the route's.
+	HasPriority bool
 	// Prepaid is the total that the workspace may consume, in tokens.
 	Prepaid int64
-	// Metered tells that Prepaid is set; workspaces without it are not limited.
-	Metered bool
+	// HasLimit tells that Prepaid is set; workspaces without it are not limited.
+	HasLimit bool
 	// Regions are those in which its requests may run; none is any.
 	Regions []string
 }
 
 // CallerLimits bound what a caller may send and how long it may take.
 type CallerLimits struct {
-	HeaderBytes   int
-	BodyBytes     int64
-	HeaderTimeout time.Duration
-	IdleTimeout   time.Duration
+	MaxHeaderBytes int
+	MaxBodyBytes   int64
+	HeaderTimeout  time.Duration
+	IdleTimeout    time.Duration
 }
 
 // Deployment is one accepted version of a deployment's configuration; it does not change.
@@ -160,16 +160,16 @@
 	Zone    string
 	Slots   int
 	State   ServerState
-	// Born tells the lives of one id apart: when this one began, by its own word. It is zero where servers do not say.
-	Born time.Time
-	// ColdFor is how much longer the server stays slow, as of its registration.
-	ColdFor time.Duration
+	// StartedAt tells the lives of one id apart: when this one began, by its own word. It is zero where servers do not say.
+	StartedAt time.Time
+	// RemainingWarmUp is how much longer the server stays slow, as of its registration.
+	RemainingWarmUp time.Duration
 	// ColdUntil is until when a router takes the server for cold; it is zero for a warm one and no part of a registration.
 	ColdUntil time.Time
 }
 
-// Cold tells that the server is taken for cold at a time: it is slow, and too many requests would crash it.
-func (s Server) Cold(now time.Time) bool { return now.Before(s.ColdUntil) }
+// IsCold tells that the server is taken for cold at a time: it is slow, and too many requests would crash it.
+func (s Server) IsCold(now time.Time) bool { return now.Before(s.ColdUntil) }
 
 // PromptPart is one leading piece of a prompt that other requests may share.
 type PromptPart struct {
@@ -199,14 +199,14 @@
 	Workspace string
 	TimeLeft  time.Duration
 	// Urgency is 0 for the most urgent to 9.
-	Urgency   int
-	HasRank   bool
-	LastEvent string
+	Urgency    int
+	HasUrgency bool
+	LastEvent  string
 }
 
-// RequestLimit is how many requests a second a server takes from all routers together; the zero value is no limit.
-type RequestLimit struct {
-	Named bool    `cbor:"1,keyasint,omitempty"`
+// RateLimit is how many requests a second a server takes from all routers together; the zero value is no limit.
+type RateLimit struct {
+	IsSet bool    `cbor:"1,keyasint,omitempty"`
 	Rate  float64 `cbor:"2,keyasint,omitempty"`
 }
 
@@ -217,13 +217,13 @@
 	Signed bool
 	// NotRun tells that the server certainly did not run the request.
 	NotRun bool
-	// KeepIdle is how long the server keeps an idle connection; zero when it does not say.
-	KeepIdle time.Duration
-	// Limit is the server's present limit, which may be none; LimitUnreadable tells that what it says of it is no rate.
-	Limit           RequestLimit
-	LimitUnreadable bool
-	// Leaving tells that the server takes no new work in this life.
-	Leaving bool
-	// RestFor is how long a server that turned the request away wants nothing from this router; zero when it does not say.
-	RestFor time.Duration
+	// IdleTimeout is how long the server keeps an idle connection; zero when it does not say.
+	IdleTimeout time.Duration
+	// Limit is the server's present limit, which may be none; LimitInvalid tells that what it says of it is no rate.
+	Limit        RateLimit
+	LimitInvalid bool
+	// Draining tells that the server takes no new work in this life.
+	Draining bool
+	// Backoff is how long a server that turned the request away wants nothing from this router; zero when it does not say.
+	Backoff time.Duration
 }
--- a/emulator/engine.go
+++ b/emulator/engine.go
@@ -207,7 +207,7 @@
 	defer e.mu.Unlock()
 	now := time.Now()
 	current := masticway.LoadReport{
-		Running: e.running, Queued: len(e.waiting), At: now, Capacity: e.settings.Capacity,
+		Running: e.running, Queued: len(e.waiting), ReportedAt: now, Capacity: e.settings.Capacity,
 		TokenTime: e.settings.TokenTime.Seconds(), PrefillTime: e.settings.PrefillTime.Seconds(),
 	}
 	if !e.faults.HideCache {
@@ -215,7 +215,7 @@
 	}
 	e.history = append(e.history, current)
 	old := e.history[0]
-	for len(e.history) > 1 && now.Sub(e.history[1].At) >= e.settings.ReportLag {
+	for len(e.history) > 1 && now.Sub(e.history[1].ReportedAt) >= e.settings.ReportLag {
 		e.history = e.history[1:]
 		old = e.history[0]
 	}
--- a/emulator/rows.go
+++ b/emulator/rows.go
@@ -190,12 +190,12 @@
 	s.changed = make(chan struct{})
 }
 
-// Follow returns the changes of a table.
-func (s *Rows) Follow(ctx context.Context, f masticway.Following) (masticway.RowReading, error) {
+// Watch returns the changes of a table.
+func (s *Rows) Watch(ctx context.Context, f masticway.WatchRequest) (masticway.RowReading, error) {
 	if err := s.fault(ctx); err != nil {
 		return masticway.RowReading{}, err
 	}
-	timeout := time.NewTimer(f.Wait)
+	timeout := time.NewTimer(f.MaxWait)
 	defer timeout.Stop()
 	for {
 		out, changed, err := s.changes(f)
@@ -212,7 +212,7 @@
 	}
 }
 
-func (s *Rows) changes(f masticway.Following) (masticway.RowReading, <-chan struct{}, error) {
+func (s *Rows) changes(f masticway.WatchRequest) (masticway.RowReading, <-chan struct{}, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	lost := &masticway.HistoryLostError{Table: f.Table, Since: f.Since}
@@ -225,15 +225,15 @@
 			out.Rows = append(out.Rows, r)
 		}
 	}
-	if f.AtMost > 0 && out.Bytes() > f.AtMost {
-		lost.Large = true
+	if f.MaxBytes > 0 && out.Bytes() > f.MaxBytes {
+		lost.TooLarge = true
 		return masticway.RowReading{}, nil, lost
 	}
 	return out, s.changed, nil
 }
 
 func (s *Rows) reading() masticway.RowReading {
-	return masticway.RowReading{Version: s.version, At: s.now().Sub(s.started)}
+	return masticway.RowReading{Version: s.version, StoreTime: s.now().Sub(s.started)}
 }
 
 // fault does what the faults say of every call.
--- a/emulator/rowserver.go
+++ b/emulator/rowserver.go
@@ -57,7 +57,7 @@
 	query := r.URL.Query()
 	since, _ := strconv.ParseInt(query.Get("since_rev"), 10, 64)
 	wait, _ := strconv.ParseInt(query.Get("wait_ms"), 10, 64)
-	out, err := s.Follow(r.Context(), masticway.Following{Table: query.Get("table"), Since: since, Wait: time.Duration(wait) * time.Millisecond})
+	out, err := s.Watch(r.Context(), masticway.WatchRequest{Table: query.Get("table"), Since: since, MaxWait: time.Duration(wait) * time.Millisecond})
 	answerRows(w, out, false, err)
 }
 
@@ -124,5 +124,5 @@
 			return
 		}
 	}
-	fmt.Fprintf(w, `],"has_more":%t,"row_version":%d,"now_ms":%d}`, more, out.Version, out.At.Milliseconds())
+	fmt.Fprintf(w, `],"has_more":%t,"row_version":%d,"now_ms":%d}`, more, out.Version, out.StoreTime.Milliseconds())
 }
--- a/emulator/service.go
+++ b/emulator/service.go
@@ -62,7 +62,7 @@
 	})
 	handle(mux, "/counts", func(*http.Request, struct{}) (any, error) { return s.Runs(), nil })
 	handle(mux, "/load", func(*http.Request, struct{}) (any, error) {
-		return masticway.LoadReport{At: time.Now(), Capacity: 64}, nil
+		return masticway.LoadReport{ReportedAt: time.Now(), Capacity: 64}, nil
 	})
 	mux.HandleFunc("/", s.serve)
 	return mux
--- a/emulator/table.go
+++ b/emulator/table.go
@@ -297,7 +297,7 @@
 	}
 	version := strconv.Itoa(l.version)
 	if version == known {
-		return masticway.InstanceReading{Version: version, Same: true}, nil
+		return masticway.InstanceReading{Version: version, Unchanged: true}, nil
 	}
 	list := make([]masticway.Instance, 0, len(l.entries))
 	for _, i := range l.entries {
--- a/errors.go
+++ b/errors.go
@@ -17,8 +17,8 @@
 type UnavailableError struct {
 	Service string
 	Reason  string
-	// Busy tells that the call was one too many for the service's rate: it is well, and should be asked less.
-	Busy bool
+	// RateLimited tells that the call was one too many for the service's rate: it is well, and should be asked less.
+	RateLimited bool
 }
 
 // Error describes the outage.
@@ -52,8 +52,8 @@
 	Reason string
 	// Started tells whether the upstream may have begun the work.
 	Started bool
-	// Ended tells that nothing listens at the upstream's address any more.
-	Ended bool
+	// NotListening tells that nothing listens at the upstream's address any more.
+	NotListening bool
 	// Status is the upstream's HTTP status, or zero without one.
 	Status int
 }
@@ -74,7 +74,7 @@
 	Status     int
 	Code       string
 	Message    string
-	Run        Fate
+	Fate       Fate
 	RetryAfter time.Duration
 }
 
--- a/examiner/examiner.go
+++ b/examiner/examiner.go
@@ -87,11 +87,11 @@
 	}
 }
 
-// Quiet tells that there is no suspect.
-func (e *Examiner) Quiet() bool { return e.suspects.Load() == 0 }
+// HasNoSuspects tells that there is no suspect.
+func (e *Examiner) HasNoSuspects() bool { return e.suspects.Load() == 0 }
 
-// Standing returns what is believed of a request.
-func (e *Examiner) Standing(d masticway.RequestDigest) masticway.Standing {
+// Status returns what is believed of a request.
+func (e *Examiner) Status(d masticway.RequestDigest) masticway.SuspectStatus {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.register.Standing(e.Clock.Now(), d)
@@ -104,8 +104,8 @@
 	return e.changed
 }
 
-// Occupied names the servers at which suspects run apart, and those of serious ones.
-func (e *Examiner) Occupied() (all, serious map[masticway.ServerLife]bool) {
+// QuarantineServers names the servers at which suspects run apart, and those of serious ones.
+func (e *Examiner) QuarantineServers() (all, serious map[masticway.ServerIncarnation]bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.register.Occupied(e.Clock.Now())
@@ -141,7 +141,7 @@
 		e.proven[d] = now
 		e.Metrics.Add(metricProven, 1)
 		e.Log.WithFields(logrus.Fields{
-			"event": "request_proven", "digest": d, "path": b.row.Path, "ends": len(s.Ends), "servers": s.Ends, "for_ms": s.For.Milliseconds(),
+			"event": "request_proven", "digest": d, "path": b.row.Path, "ends": len(s.Crashes), "servers": s.Crashes, "for_ms": s.Remaining.Milliseconds(),
 			"row_version": b.version,
 		}).Warn("servers end under a request; it is not sent to any")
 	}
@@ -157,25 +157,25 @@
 	}
 }
 
-// Ended notes the end of a server under a request.
-func (e *Examiner) Ended(d masticway.RequestDigest, path string, end masticway.ServerEnd) {
+// ReportCrash notes the end of a server under a request.
+func (e *Examiner) ReportCrash(d masticway.RequestDigest, path string, end masticway.ServerCrash) {
 	e.Metrics.Add(metricEnds, 1)
 	e.update(func(now time.Time) { e.register.Ended(now, d, path, end) })
 }
 
-// Cleared notes that a server served a suspect well.
-func (e *Examiner) Cleared(d masticway.RequestDigest) {
+// Clear notes that a server served a suspect well.
+func (e *Examiner) Clear(d masticway.RequestDigest) {
 	e.Metrics.Add(metricCleared, 1)
 	e.update(func(time.Time) { e.register.Cleared(d) })
 }
 
-// Released ends a run apart that told nothing.
-func (e *Examiner) Released(d masticway.RequestDigest) {
+// Release ends a run apart that told nothing.
+func (e *Examiner) Release(d masticway.RequestDigest) {
 	e.update(func(time.Time) { e.register.Released(d) })
 }
 
 // Claim makes a run apart this router's. Where the store doesn't answer, it goes by what this router knows.
-func (e *Examiner) Claim(ctx context.Context, d masticway.RequestDigest, server masticway.ServerLife) bool {
+func (e *Examiner) Claim(ctx context.Context, d masticway.RequestDigest, server masticway.ServerIncarnation) bool {
 	var c change
 	var ok bool
 	e.update(func(now time.Time) {
@@ -275,7 +275,7 @@
 
 // turn does what is due and tells whether something is left to do.
 func (e *Examiner) turn(ctx context.Context) bool {
-	if e.Quiet() {
+	if e.HasNoSuspects() {
 		return false
 	}
 	var due, over []change
--- a/examiner/record.go
+++ b/examiner/record.go
@@ -30,15 +30,15 @@
 
 // Run is one run of a suspect apart from all others.
 type Run struct {
-	Router masticway.Incarnation `json:"router"`
-	Server masticway.ServerLife  `json:"server"`
+	Router masticway.Incarnation       `json:"router"`
+	Server masticway.ServerIncarnation `json:"server"`
 }
 
 // Record is what the store holds of one suspect; it does not change.
 type Record struct {
 	// Path is the request's path, for operators.
-	Path string                `json:"path,omitempty"`
-	Ends []masticway.ServerEnd `json:"ends"`
+	Path string                  `json:"path,omitempty"`
+	Ends []masticway.ServerCrash `json:"ends"`
 	// Run is the run apart that is under way, if there is one.
 	Run *Run `json:"run,omitempty"`
 	// Retried is how often it has run apart again after it had been kept from servers.
@@ -64,15 +64,15 @@
 }
 
 // WithEnds returns the record with more ends; what two routers say of one server is joined.
-func (r Record) WithEnds(ends ...masticway.ServerEnd) Record {
+func (r Record) WithEnds(ends ...masticway.ServerCrash) Record {
 	joined := slices.Clone(r.Ends)
 	for _, end := range ends {
-		i := slices.IndexFunc(joined, func(e masticway.ServerEnd) bool { return e.Server == end.Server })
+		i := slices.IndexFunc(joined, func(e masticway.ServerCrash) bool { return e.Server == end.Server })
 		if i < 0 {
 			joined = append(joined, end)
 			continue
 		}
-		joined[i].Apart = joined[i].Apart || end.Apart
+		joined[i].Quarantined = joined[i].Quarantined || end.Quarantined
 		joined[i].Answered = joined[i].Answered && end.Answered
 	}
 	r.Ends = joined[max(0, len(joined)-endsKept):]
@@ -86,25 +86,25 @@
 }
 
 // has tells that the record would not change with an end.
-func (r Record) has(end masticway.ServerEnd) bool {
-	return slices.ContainsFunc(r.Ends, func(e masticway.ServerEnd) bool {
-		return e.Server == end.Server && (e.Apart || !end.Apart) && (!e.Answered || end.Answered)
+func (r Record) has(end masticway.ServerCrash) bool {
+	return slices.ContainsFunc(r.Ends, func(e masticway.ServerCrash) bool {
+		return e.Server == end.Server && (e.Quarantined || !end.Quarantined) && (!e.Answered || end.Answered)
 	})
 }
 
 // endedAt tells that a server has ended under the request.
-func (r Record) endedAt(server masticway.ServerLife) bool {
-	return slices.ContainsFunc(r.Ends, func(e masticway.ServerEnd) bool { return e.Server == server })
+func (r Record) endedAt(server masticway.ServerIncarnation) bool {
+	return slices.ContainsFunc(r.Ends, func(e masticway.ServerCrash) bool { return e.Server == server })
 }
 
 // suspect tells that the request is to run apart: servers hardly ever end twice under one by chance, and one that ends them
 // as it begins has had nothing of its answer.
 func (r Record) suspect() bool {
-	return r.serious() || slices.ContainsFunc(r.Ends, func(e masticway.ServerEnd) bool { return !e.Answered })
+	return r.serious() || slices.ContainsFunc(r.Ends, func(e masticway.ServerCrash) bool { return !e.Answered })
 }
 
 // weightOf is what the end of a server proves against the only suspect there: requests that end servers do so as they begin.
-func weightOf(end masticway.ServerEnd) int {
+func weightOf(end masticway.ServerCrash) int {
 	if end.Answered {
 		return weightBegun
 	}
--- a/examiner/register.go
+++ b/examiner/register.go
@@ -39,7 +39,7 @@
 	// since is when this router learnt of the newest change, by which beliefs end.
 	since time.Time
 	// own are ends that the store is not known to have, since when, and from when on this router writes them.
-	own    []masticway.ServerEnd
+	own    []masticway.ServerCrash
 	ownAt  time.Time
 	due    time.Time
 	toldAt time.Time
@@ -60,7 +60,7 @@
 }
 
 // running tells that the request runs apart at a time, and unreported where it did so for too long.
-func (b *belief) running(now time.Time) (running bool, unreported masticway.ServerLife) {
+func (b *belief) running(now time.Time) (running bool, unreported masticway.ServerIncarnation) {
 	if b.run != nil {
 		return true, ""
 	}
@@ -90,18 +90,18 @@
 func (r *Register) Len() int { return len(r.beliefs) }
 
 // Standing returns what is believed of a request.
-func (r *Register) Standing(now time.Time, d masticway.RequestDigest) masticway.Standing {
+func (r *Register) Standing(now time.Time, d masticway.RequestDigest) masticway.SuspectStatus {
 	b, ok := r.beliefs[d]
 	if !ok || b.cleared {
-		return masticway.Standing{Suspicion: masticway.SuspicionNone}
+		return masticway.SuspectStatus{Suspicion: masticway.SuspicionNone}
 	}
 	record := b.record()
-	s := masticway.Standing{Suspicion: masticway.SuspicionNone, Ends: record.Ends}
-	s.Running, s.Unreported = b.running(now)
+	s := masticway.SuspectStatus{Suspicion: masticway.SuspicionNone, Crashes: record.Ends}
+	s.Running, s.UnreportedServer = b.running(now)
 	if !record.suspect() {
 		return s
 	}
-	s.Suspicion = masticway.SuspicionApart
+	s.Suspicion = masticway.SuspicionQuarantined
 	left := b.since.Add(provenFor(record)).Sub(now)
 	if left <= 0 || !r.proven(d, record) {
 		return s
@@ -111,7 +111,7 @@
 		s.Running = true
 		return s
 	}
-	s.Suspicion, s.For = masticway.SuspicionProven, left
+	s.Suspicion, s.Remaining = masticway.SuspicionProven, left
 	return s
 }
 
@@ -131,7 +131,7 @@
 	}
 	weight := 0
 	for _, end := range record.Ends {
-		if end.Apart && !r.shared(d, end.Server) {
+		if end.Quarantined && !r.shared(d, end.Server) {
 			weight += weightOf(end)
 		}
 	}
@@ -139,12 +139,12 @@
 }
 
 // shared tells that a server ended under another suspect's run apart as well.
-func (r *Register) shared(d masticway.RequestDigest, server masticway.ServerLife) bool {
+func (r *Register) shared(d masticway.RequestDigest, server masticway.ServerIncarnation) bool {
 	for other, b := range r.beliefs {
 		if other == d || b.cleared {
 			continue
 		}
-		if slices.ContainsFunc(b.record().Ends, func(e masticway.ServerEnd) bool { return e.Apart && e.Server == server }) {
+		if slices.ContainsFunc(b.record().Ends, func(e masticway.ServerCrash) bool { return e.Quarantined && e.Server == server }) {
 			return true
 		}
 	}
@@ -152,8 +152,8 @@
 }
 
 // Occupied names the servers at which suspects run apart, and those of serious ones.
-func (r *Register) Occupied(now time.Time) (all, serious map[masticway.ServerLife]bool) {
-	all, serious = map[masticway.ServerLife]bool{}, map[masticway.ServerLife]bool{}
+func (r *Register) Occupied(now time.Time) (all, serious map[masticway.ServerIncarnation]bool) {
+	all, serious = map[masticway.ServerIncarnation]bool{}, map[masticway.ServerIncarnation]bool{}
 	for _, b := range r.beliefs {
 		if running, _ := b.running(now); !running {
 			continue
@@ -171,7 +171,7 @@
 }
 
 // Ended notes the end of a server under a request at this router; it ends a run apart.
-func (r *Register) Ended(now time.Time, d masticway.RequestDigest, path string, end masticway.ServerEnd) {
+func (r *Register) Ended(now time.Time, d masticway.RequestDigest, path string, end masticway.ServerCrash) {
 	b := r.believe(now, d)
 	if b == nil {
 		return
@@ -186,7 +186,7 @@
 
 // Heard takes what another router tells of a request. It tells whether that was new.
 func (r *Register) Heard(now time.Time, told Entry) bool {
-	var unknown []masticway.ServerEnd
+	var unknown []masticway.ServerCrash
 	b, ok := r.beliefs[told.Digest]
 	for _, end := range told.Ends {
 		if !ok || !b.record().has(end) {
@@ -209,7 +209,7 @@
 }
 
 // add takes ends that the store is not known to have.
-func (b *belief) add(now, due time.Time, ends ...masticway.ServerEnd) {
+func (b *belief) add(now, due time.Time, ends ...masticway.ServerCrash) {
 	for _, end := range ends {
 		if b.record().has(end) {
 			continue
@@ -258,9 +258,9 @@
 
 // Claim begins a run apart and returns the record that makes it this router's and the version that it replaces. It is not
 // to run where another run is under way or there is nothing to find out.
-func (r *Register) Claim(now time.Time, d masticway.RequestDigest, server masticway.ServerLife) (record Record, version int64, ok bool) {
+func (r *Register) Claim(now time.Time, d masticway.RequestDigest, server masticway.ServerIncarnation) (record Record, version int64, ok bool) {
 	s := r.Standing(now, d)
-	if s.Suspicion != masticway.SuspicionApart || s.Running {
+	if s.Suspicion != masticway.SuspicionQuarantined || s.Running {
 		return Record{}, 0, false
 	}
 	b := r.beliefs[d]
--- a/examiner/world_test.go
+++ b/examiner/world_test.go
@@ -68,7 +68,7 @@
 	now      time.Time
 	rows     *emulator.Rows
 	routers  []*worldRouter
-	servers  map[masticway.ServerLife][]*worldRun
+	servers  map[masticway.ServerIncarnation][]*worldRun
 	back     []time.Time
 	lives    int
 	requests []*worldRequest
@@ -77,7 +77,7 @@
 }
 
 func newWorld(t *testing.T, seed uint64, routers, servers int) *world {
-	w := &world{t: t, random: rand.New(rand.NewPCG(seed, 1)), now: testTime, servers: map[masticway.ServerLife][]*worldRun{}}
+	w := &world{t: t, random: rand.New(rand.NewPCG(seed, 1)), now: testTime, servers: map[masticway.ServerIncarnation][]*worldRun{}}
 	w.rows = emulator.NewRows(func() time.Time { return w.now })
 	for i := range routers {
 		w.routers = append(w.routers, &worldRouter{Register: NewRegister(masticway.Incarnation(fmt.Sprintf("r%d~1", i)), w.random.Float64)})
@@ -90,7 +90,7 @@
 
 func (w *world) start() {
 	w.lives++
-	w.servers[masticway.ServerLife(fmt.Sprintf("s%03d", w.lives))] = nil
+	w.servers[masticway.ServerIncarnation(fmt.Sprintf("s%03d", w.lives))] = nil
 }
 
 func (w *world) between(least, most time.Duration) time.Duration {
@@ -186,8 +186,8 @@
 	}
 }
 
-func (w *world) lifes() []masticway.ServerLife {
-	var all []masticway.ServerLife
+func (w *world) lifes() []masticway.ServerIncarnation {
+	var all []masticway.ServerIncarnation
 	for life := range w.servers {
 		all = append(all, life)
 	}
@@ -196,7 +196,7 @@
 }
 
 // work has a server go on with what it runs, and end under a request at fault.
-func (w *world) work(life masticway.ServerLife) {
+func (w *world) work(life masticway.ServerIncarnation) {
 	ends := false
 	runs := w.servers[life]
 	for _, run := range slices.Clone(runs) {
@@ -227,13 +227,13 @@
 }
 
 // end ends a server under all that it runs.
-func (w *world) end(life masticway.ServerLife, runs []*worldRun) {
+func (w *world) end(life masticway.ServerIncarnation, runs []*worldRun) {
 	delete(w.servers, life)
 	w.back = append(w.back, w.now.Add(500*time.Millisecond))
 	for _, run := range runs {
 		since := w.now.Sub(run.began)
 		if since < worldAnswer+worldAlone {
-			w.routers[run.router].Ended(w.now, run.digest, "/p", masticway.ServerEnd{Server: life, Apart: run.apart, Answered: since >= worldAnswer})
+			w.routers[run.router].Ended(w.now, run.digest, "/p", masticway.ServerCrash{Server: life, Quarantined: run.apart, Answered: since >= worldAnswer})
 		}
 		run.ends = append(run.ends, w.now)
 		// What was not at fault goes on at once, at the same router; the other comes again anywhere.
@@ -254,7 +254,7 @@
 	q.waits = false
 	switch {
 	case s.Suspicion == masticway.SuspicionProven:
-		qt.Assert(w.t, q.fault || !w.broken.IsZero(), qt.IsTrue, qt.Commentf("%s is not at fault: %+v", q.digest, s.Ends))
+		qt.Assert(w.t, q.fault || !w.broken.IsZero(), qt.IsTrue, qt.Commentf("%s is not at fault: %+v", q.digest, s.Crashes))
 		q.next = w.now.Add(w.between(50*time.Millisecond, 400*time.Millisecond))
 		return
 	case s.Suspicion == masticway.SuspicionNone:
@@ -274,7 +274,7 @@
 }
 
 // claim has a request run apart, unless another router has it do so.
-func (w *world) claim(q *worldRequest, r *worldRouter, life masticway.ServerLife) {
+func (w *world) claim(q *worldRequest, r *worldRouter, life masticway.ServerIncarnation) {
 	if record, version, ok := r.Claim(w.now, q.digest, life); ok {
 		err := w.write(r, []change{{digest: q.digest, record: record, version: version}})
 		if _, conflict := errors.AsType[*masticway.RowConflictError](err); !conflict {
@@ -286,15 +286,15 @@
 }
 
 // pick draws a server that is not among some.
-func (w *world) pick(without map[masticway.ServerLife]bool) masticway.ServerLife {
-	free := slices.DeleteFunc(w.lifes(), func(l masticway.ServerLife) bool { return without[l] })
+func (w *world) pick(without map[masticway.ServerIncarnation]bool) masticway.ServerIncarnation {
+	free := slices.DeleteFunc(w.lifes(), func(l masticway.ServerIncarnation) bool { return without[l] })
 	if len(free) == 0 {
 		return ""
 	}
 	return free[w.random.IntN(len(free))]
 }
 
-func (w *world) send(q *worldRequest, life masticway.ServerLife, apart bool) {
+func (w *world) send(q *worldRequest, life masticway.ServerIncarnation, apart bool) {
 	if life == "" {
 		q.next = w.now.Add(worldTick)
 		return
--- a/examiner/writes.go
+++ b/examiner/writes.go
@@ -105,7 +105,7 @@
 type Entry struct {
 	Digest masticway.RequestDigest `cbor:"1,keyasint"`
 	Path   string                  `cbor:"2,keyasint,omitempty"`
-	Ends   []masticway.ServerEnd   `cbor:"3,keyasint"`
+	Ends   []masticway.ServerCrash `cbor:"3,keyasint"`
 	// Retried is how often it has run apart again after it had been kept from servers.
 	Retried int `cbor:"4,keyasint,omitempty"`
 }
--- a/follower/beliefs.go
+++ b/follower/beliefs.go
@@ -33,11 +33,11 @@
 func (b Beliefs) Ready() bool { return b.Known && b.Listed }
 
 // Lives names the servers that may get new work, in their present lives.
-func (b Beliefs) Lives() map[masticway.ServerLife]bool {
-	lives := map[masticway.ServerLife]bool{}
+func (b Beliefs) Lives() map[masticway.ServerIncarnation]bool {
+	lives := map[masticway.ServerIncarnation]bool{}
 	for _, servers := range b.Servers {
 		for _, s := range servers {
-			lives[s.Life()] = true
+			lives[s.Incarnation()] = true
 		}
 	}
 	return lives
@@ -171,11 +171,11 @@
 		delete(r.entries, row.Key)
 		return ok, &EntryError{Key: row.Key, Version: row.Version, Cause: err}
 	}
-	if ok && s.Born.Before(known.server.Born) {
+	if ok && s.StartedAt.Before(known.server.StartedAt) {
 		// The word of a life that is over, which came late.
 		return false, nil
 	}
-	if ok && known.server.State == masticway.ServerDraining && s.Born.Equal(known.server.Born) {
+	if ok && known.server.State == masticway.ServerDraining && s.StartedAt.Equal(known.server.StartedAt) {
 		// A server that is leaving never comes back in the same life.
 		s.State = masticway.ServerDraining
 	}
@@ -183,9 +183,9 @@
 		s.State = masticway.ServerDraining
 	}
 	e := entry{server: s, version: row.Version}
-	if s.ColdFor > 0 {
+	if s.RemainingWarmUp > 0 {
 		// It was written before it arrived here, so the server is warm by then.
-		e.coldUntil = now.Add(s.ColdFor)
+		e.coldUntil = now.Add(s.RemainingWarmUp)
 	}
 	r.entries[row.Key] = e
 	return !ok || known.server != s || !known.lapsedAt.IsZero(), nil
--- a/follower/beliefs_test.go
+++ b/follower/beliefs_test.go
@@ -22,7 +22,7 @@
 }
 func (decoder) ServerTable() string { return "upstreams" }
 
-func (decoder) Evacuated(key masticway.RowKey) (zone string, ok bool) {
+func (decoder) EvacuatedZone(key masticway.RowKey) (zone string, ok bool) {
 	zone, ok = strings.CutPrefix(key.Key, "empty/")
 	return zone, ok && key.Table == "operator"
 }
@@ -211,7 +211,7 @@
 
 // life is a server's registration in one of its lives, as a row of some version.
 func life(version int64, born time.Time, state masticway.ServerState) masticway.StoredRow {
-	value, _ := json.Marshal(masticway.Server{ID: "i-1", Pool: "p", State: state, Born: born})
+	value, _ := json.Marshal(masticway.Server{ID: "i-1", Pool: "p", State: state, StartedAt: born})
 	return masticway.StoredRow{RowKey: masticway.RowKey{Table: "servers", Key: "i-1"}, Version: version, Value: value}
 }
 
@@ -239,7 +239,7 @@
 			}
 			var got []time.Time
 			for _, s := range r.Beliefs().Servers["p"] {
-				got = append(got, s.Born.In(time.UTC))
+				got = append(got, s.StartedAt.In(time.UTC))
 			}
 			qt.Assert(t, got, qt.DeepEquals, tc.want)
 		})
--- a/follower/cold.go
+++ b/follower/cold.go
@@ -20,7 +20,7 @@
 	if !ok || e.version > back.version {
 		return e.coldUntil, coldByServer
 	}
-	unheard := back.at.Add(r.deployment.Pools[e.server.Pool].ColdFor)
+	unheard := back.at.Add(r.deployment.Pools[e.server.Pool].WarmUpTime)
 	if unheard.After(e.coldUntil) {
 		return unheard, coldByZone
 	}
--- a/follower/departures.go
+++ b/follower/departures.go
@@ -13,15 +13,15 @@
 
 // departure is a server's own word that one of its lives takes no new work.
 type departure struct {
-	life masticway.ServerLife
+	life masticway.ServerIncarnation
 	at   time.Time
 }
 
 // Leaves takes a server's own word that one of its lives leaves, and tells whether that takes it out of use now. A life without a row may have
 // lapsed only, and is not used either when its row is back; one that is not the registered one is over.
-func (r *Register) Leaves(now time.Time, id string, life masticway.ServerLife) bool {
+func (r *Register) Leaves(now time.Time, id string, life masticway.ServerIncarnation) bool {
 	e, registered := r.entries[id]
-	if registered && e.server.Life() != life {
+	if registered && e.server.Incarnation() != life {
 		return false
 	}
 	r.left[id] = departure{life: life, at: now}
@@ -36,7 +36,7 @@
 // hasLeft tells that a registered life has said that it leaves. The next life of the id takes new work.
 func (r *Register) hasLeft(s masticway.Server) bool {
 	d, ok := r.left[s.ID]
-	if ok && d.life != s.Life() {
+	if ok && d.life != s.Incarnation() {
 		delete(r.left, s.ID)
 		return false
 	}
@@ -56,7 +56,7 @@
 // not heard of it, and whatever the store says of that life later.
 func (f *Follower) Leaves(s masticway.Server) {
 	f.update(func(now time.Time) bool {
-		if !f.register.Leaves(now, s.ID, s.Life()) {
+		if !f.register.Leaves(now, s.ID, s.Incarnation()) {
 			return false
 		}
 		f.log.WithFields(logrus.Fields{
--- a/follower/departures_test.go
+++ b/follower/departures_test.go
@@ -20,7 +20,7 @@
 	gone := func(version int64) masticway.StoredRow {
 		return masticway.StoredRow{RowKey: masticway.RowKey{Table: "servers", Key: "i-1"}, Version: version, Deleted: true}
 	}
-	life := masticway.Server{ID: "i-1", Born: time.UnixMilli(1000)}.Life()
+	life := masticway.Server{ID: "i-1", StartedAt: time.UnixMilli(1000)}.Incarnation()
 	cases := map[string]struct {
 		before, after []masticway.StoredRow
 		used          bool
--- a/follower/evacuations.go
+++ b/follower/evacuations.go
@@ -20,7 +20,7 @@
 func (r *Register) Evacuate(now time.Time, whole bool, reading masticway.RowReading) (emptied, back []string) {
 	present := map[string]bool{}
 	for _, row := range reading.Rows {
-		zone, ok := r.decoder.Evacuated(row.RowKey)
+		zone, ok := r.decoder.EvacuatedZone(row.RowKey)
 		if !ok {
 			continue
 		}
--- a/follower/evacuations_test.go
+++ b/follower/evacuations_test.go
@@ -20,7 +20,7 @@
 
 // heartbeat is a server's word, in a version of its row.
 func heartbeat(id, zone string, version int64, cold time.Duration) masticway.StoredRow {
-	value, _ := json.Marshal(masticway.Server{ID: id, Pool: "p", Zone: zone, State: masticway.ServerReady, ColdFor: cold})
+	value, _ := json.Marshal(masticway.Server{ID: id, Pool: "p", Zone: zone, State: masticway.ServerReady, RemainingWarmUp: cold})
 	return masticway.StoredRow{RowKey: masticway.RowKey{Table: "upstreams", Key: id}, Version: version, Value: value}
 }
 
@@ -97,7 +97,7 @@
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
 			r := follower.NewRegister(decoder{})
-			value, _ := json.Marshal(masticway.Deployment{Version: 1, Pools: map[string]masticway.Pool{"p": {Name: "p", ColdFor: coldFor}}})
+			value, _ := json.Marshal(masticway.Deployment{Version: 1, Pools: map[string]masticway.Pool{"p": {Name: "p", WarmUpTime: coldFor}}})
 			_, err := r.Configure(masticway.StoredRow{RowKey: decoder{}.ConfigurationKey(), Version: 1, Value: value})
 			qt.Assert(t, err, qt.IsNil)
 			r.Update(epoch, []masticway.StoredRow{heartbeat("i", "z", 3, 0)})
@@ -106,8 +106,8 @@
 				r.Update(epoch.Add(soon), []masticway.StoredRow{*tc.later})
 			}
 			s := r.Beliefs().Servers["p"][0]
-			qt.Assert(t, s.Cold(epoch.Add(tc.cold-time.Millisecond)), qt.Equals, tc.cold > 0)
-			qt.Assert(t, s.Cold(epoch.Add(tc.cold)), qt.IsFalse)
+			qt.Assert(t, s.IsCold(epoch.Add(tc.cold-time.Millisecond)), qt.Equals, tc.cold > 0)
+			qt.Assert(t, s.IsCold(epoch.Add(tc.cold)), qt.IsFalse)
 		})
 	}
 }
--- a/follower/follower_test.go
+++ b/follower/follower_test.go
@@ -77,10 +77,10 @@
 	return h.RowStore.Read(ctx, table, part)
 }
 
-func (h hasty) Follow(ctx context.Context, f masticway.Following) (masticway.RowReading, error) {
+func (h hasty) Watch(ctx context.Context, f masticway.WatchRequest) (masticway.RowReading, error) {
 	ctx, cancel := context.WithTimeout(ctx, h.limit)
 	defer cancel()
-	return h.RowStore.Follow(ctx, f)
+	return h.RowStore.Watch(ctx, f)
 }
 
 // TestChangesComeThroughAFullLink has a router whose link of 10 Mbit/s a workspace fills: each call takes longer than the
--- a/follower/mirror.go
+++ b/follower/mirror.go
@@ -95,13 +95,13 @@
 	ctx, end := m.turns.begin(ctx, m.pause)
 	defer end()
 	whole = due()
-	f := masticway.Following{Table: m.table, Since: m.known(), Wait: m.wait, AtMost: followMost}
+	f := masticway.WatchRequest{Table: m.table, Since: m.known(), MaxWait: m.wait, MaxBytes: followMost}
 	m.metrics.Add(metricCalls, 1)
 	var reading masticway.RowReading
 	if whole {
 		reading, err = store.Read(ctx, m.table, m.part)
 	} else {
-		reading, err = store.Follow(ctx, f)
+		reading, err = store.Watch(ctx, f)
 	}
 	if lost, ok := errors.AsType[*masticway.HistoryLostError](err); ok {
 		m.forget(lost)
@@ -137,7 +137,7 @@
 	if m.since == lost.Since {
 		m.since = 0
 	}
-	m.log.WithFields(logrus.Fields{"event": "history_lost", "table": m.table, "since": lost.Since, "large": lost.Large}).Info("reading the table anew")
+	m.log.WithFields(logrus.Fields{"event": "history_lost", "table": m.table, "since": lost.Since, "large": lost.TooLarge}).Info("reading the table anew")
 }
 
 // fail notes that a reading failed and waits for the next.
--- a/forwarder/abandoned.go
+++ b/forwarder/abandoned.go
@@ -16,7 +16,7 @@
 	request string
 	digest  masticway.RequestDigest
 	path    string
-	end     masticway.ServerEnd
+	end     masticway.ServerCrash
 	// abandonedAt is when this router gave the run up; zero when its connection broke.
 	abandonedAt time.Time
 }
@@ -37,14 +37,14 @@
 }
 
 // at tells whether a server has runs that were given up lately.
-func (a *abandonedRuns) at(now time.Time, server masticway.ServerLife) bool {
+func (a *abandonedRuns) at(now time.Time, server masticway.ServerIncarnation) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return slices.ContainsFunc(a.runs, func(r run) bool { return r.end.Server == server && mayEnd(r, now) })
 }
 
 // take returns the runs at a server that were given up lately, and forgets them.
-func (a *abandonedRuns) take(now time.Time, server masticway.ServerLife) (taken []run) {
+func (a *abandonedRuns) take(now time.Time, server masticway.ServerIncarnation) (taken []run) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.runs = slices.DeleteFunc(a.runs, func(r run) bool {
--- a/forwarder/admit.go
+++ b/forwarder/admit.go
@@ -69,11 +69,11 @@
 }
 
 // metered tells that the request consumes a prepaid budget.
-func (q request) metered() bool { return q.Metered && q.account.Metered }
+func (q request) metered() bool { return q.Metered && q.account.HasLimit }
 
 // rank returns the request's urgency; a workspace's own goes before the route's.
 func (q request) rank() int {
-	if q.account.Ranked {
+	if q.account.HasPriority {
 		return min(leastUrgent, max(0, q.account.Priority))
 	}
 	return min(leastUrgent, max(0, q.route.Priority))
@@ -87,7 +87,7 @@
 
 // refusal builds the answer to a request that certainly did not run.
 func refusal(status int, code, message string, wait time.Duration) *masticway.RefusalError {
-	return &masticway.RefusalError{Status: status, Code: code, Message: message, Run: masticway.FateNotRun, RetryAfter: wait}
+	return &masticway.RefusalError{Status: status, Code: code, Message: message, Fate: masticway.FateNotRun, RetryAfter: wait}
 }
 
 // admit checks a request and reads its body; the exchange is there for the log also when it is refused.
@@ -98,7 +98,7 @@
 		method: r.Method, target: r.RequestURI, host: r.Host, header: r.Header, received: now, deadline: now.Add(defaultTimeout),
 	}
 	b := f.beliefs()
-	head, err := f.dialect.Request(r.Header)
+	head, err := f.dialect.ParseRequest(r.Header)
 	x.q.OpaqueRequest = head
 	switch {
 	case !b.Known:
@@ -148,7 +148,7 @@
 // answered counts the request out, once.
 func (x *exchange) answered() {
 	if x.carried.Swap(false) {
-		x.f.rotation.Answered()
+		x.f.rotation.MarkAnswered()
 	}
 }
 
@@ -156,16 +156,16 @@
 func (x *exchange) release() {
 	x.answered()
 	if x.admitted {
-		x.f.rotation.Ended(x.bytes)
+		x.f.rotation.Release(x.bytes)
 	}
 }
 
 // bodyLimit is the most that a body may have.
 func bodyLimit(limits masticway.CallerLimits) int64 {
-	if limits.BodyBytes <= 0 {
+	if limits.MaxBodyBytes <= 0 {
 		return defaultBody
 	}
-	return limits.BodyBytes
+	return limits.MaxBodyBytes
 }
 
 // find looks up route, workspace and pool.
@@ -181,7 +181,7 @@
 		return refusal(http.StatusNotFound, codeNoRoute, "no route has this host and path", 0)
 	}
 	x.q.route = route
-	if !route.Anonymous {
+	if !route.AllowsAnonymous {
 		if x.q.account, ok = d.Account(x.q.Key); !ok {
 			return refusal(http.StatusUnauthorized, codeBadKey, "the key is missing or unknown", 0)
 		}
@@ -193,7 +193,7 @@
 }
 
 // pick chooses a pool by weight; one request always gets the same.
-func pick(shares []masticway.Share, id string) string {
+func pick(shares []masticway.TrafficShare, id string) string {
 	total := 0
 	for _, s := range shares {
 		total += s.Weight
--- a/forwarder/attempt.go
+++ b/forwarder/attempt.go
@@ -104,7 +104,7 @@
 		return a.failed(err)
 	}
 	answer = own
-	answer.KeepIdle(head.KeepIdle)
+	answer.KeepIdle(head.IdleTimeout)
 	return a.take(answer, head)
 }
 
@@ -132,9 +132,9 @@
 		// A server that is not the one meant speaks of itself.
 		return
 	}
-	head := a.x.f.dialect.Answer(answer.Status, answer.Header)
-	a.x.f.throttler.Heard(a.server.Life(), head)
-	if head.Leaving {
+	head := a.x.f.dialect.ParseAnswer(answer.Status, answer.Header)
+	a.x.f.throttler.Observe(a.server.Incarnation(), head)
+	if head.Draining {
 		a.x.f.leaves(a.server)
 	}
 }
@@ -144,21 +144,21 @@
 	if x.ran()+1 >= x.q.route.MaxServers {
 		return 0
 	}
-	switch x.q.route.Repeat {
-	case masticway.RepeatFreely:
-		return time.Duration(patienceShare * float64(x.q.route.Target))
-	case masticway.RepeatByResuming:
-		return time.Duration(firstPatience * float64(x.q.route.Target))
+	switch x.q.route.RetryPolicy {
+	case masticway.RetryUnlimited:
+		return time.Duration(patienceShare * float64(x.q.route.LatencyObjective))
+	case masticway.RetryByResuming:
+		return time.Duration(firstPatience * float64(x.q.route.LatencyObjective))
 	}
 	return 0
 }
 
 // gapWait is the same for the pause between two events.
 func (x *exchange) gapWait() time.Duration {
-	if x.ran()+1 >= x.q.route.MaxServers || x.q.route.Repeat != masticway.RepeatByResuming {
+	if x.ran()+1 >= x.q.route.MaxServers || x.q.route.RetryPolicy != masticway.RetryByResuming {
 		return 0
 	}
-	return time.Duration(gapPatience * float64(x.q.route.EventGap))
+	return time.Duration(gapPatience * float64(x.q.route.MaxEventGap))
 }
 
 // unsent tells what became of a request without an answer.
@@ -194,7 +194,7 @@
 // own finds the answer to this request, past answers to others that a faulty server sent twice.
 func (a *attempt) own(answer *sender.Answer) (masticway.ServerAnswer, *sender.Answer, error) {
 	for range foreignAnswers {
-		head := a.x.f.dialect.Answer(answer.Status, answer.Header)
+		head := a.x.f.dialect.ParseAnswer(answer.Status, answer.Header)
 		if head.ID == a.x.q.ID || head.ID == "" {
 			return head, answer, nil
 		}
@@ -217,7 +217,7 @@
 		return a.failed(fmt.Errorf("status %d without the request's id or a signature", answer.Status))
 	}
 	a.x.step(eventAnswered)
-	if a.x.q.route.Stream && answer.Status == http.StatusOK {
+	if a.x.q.route.IsStream && answer.Status == http.StatusOK {
 		return a.relay(answer)
 	}
 	return a.pass(answer)
@@ -244,7 +244,7 @@
 	}
 	a.first()
 	bad := answer.Status >= http.StatusInternalServerError
-	if bad && x.q.route.Repeat == masticway.RepeatFreely && x.ran()+1 < x.q.route.MaxServers && x.suspect(a.server) {
+	if bad && x.q.route.RetryPolicy == masticway.RetryUnlimited && x.ran()+1 < x.q.route.MaxServers && x.suspect(a.server) {
 		return outcome{fate: masticway.FateRan, verdict: chooser.VerdictFailed, reason: "status " + strconv.Itoa(answer.Status) + " of a suspect server"}
 	}
 	x.fate = masticway.FateRan
@@ -271,7 +271,7 @@
 	x.begun = true
 	x.charged = answer.Status < http.StatusMultipleChoices
 	header := x.w.Header()
-	for name, values := range x.f.dialect.Return(answer.Header) {
+	for name, values := range x.f.dialect.CallerHeaders(answer.Header) {
 		header[name] = values
 	}
 	x.f.keep(header)
--- a/forwarder/candidates.go
+++ b/forwarder/candidates.go
@@ -41,7 +41,7 @@
 	servers = x.f.throttler.Available(servers)
 	for range admissionsMost {
 		s, ok := x.pick(servers)
-		if !ok || x.f.throttler.Admit(ctx, s.Life()) {
+		if !ok || x.f.throttler.Admit(ctx, s.Incarnation()) {
 			return s, ok
 		}
 		servers = slices.DeleteFunc(slices.Clone(servers), func(o masticway.Server) bool { return o.ID == s.ID })
@@ -54,10 +54,10 @@
 	x.f.mu.Lock()
 	defer x.f.mu.Unlock()
 	now := x.f.clock.Now()
-	warm, cold := x.f.servers.Warm(now, servers, x.q.pool.ColdRate, x.f.bank.Owns)
+	warm, cold := x.f.servers.Warm(now, servers, x.q.pool.MaxColdRate, x.f.bank.Owns)
 	for _, some := range [][]masticway.Server{warm, cold} {
 		if len(some) > 0 {
-			i, _ := x.f.servers.Choose(now, x.q.pool.Engine, x.q.prompt, some)
+			i, _ := x.f.servers.Choose(now, x.q.pool.IsEngine, x.q.prompt, some)
 			return some[i], true
 		}
 	}
@@ -73,7 +73,7 @@
 	now := x.f.clock.Now()
 	var soonest time.Time
 	for _, s := range x.without(x.exclude) {
-		if s.Cold(now) && (soonest.IsZero() || s.ColdUntil.Before(soonest)) {
+		if s.IsCold(now) && (soonest.IsZero() || s.ColdUntil.Before(soonest)) {
 			soonest = s.ColdUntil
 		}
 	}
@@ -87,13 +87,13 @@
 // does.
 func (x *exchange) heldBack() (out outcome, ok bool) {
 	var soonest masticway.Server
-	var least masticway.Holding
+	var least masticway.Throttling
 	for _, s := range x.without(nil) {
-		h, held := x.f.throttler.Holding(s.Life())
+		h, held := x.f.throttler.Throttling(s.Incarnation())
 		if !held {
 			return outcome{}, false
 		}
-		if !ok || h.For < least.For {
+		if !ok || h.Remaining < least.Remaining {
 			soonest, least, ok = s, h, true
 		}
 	}
@@ -101,9 +101,9 @@
 		return outcome{}, false
 	}
 	out = outcome{fate: masticway.FateNotRun, verdict: chooser.VerdictNone, reason: least.Reason, code: codeServersLimited}
-	if least.Resting {
+	if least.BackoffRequested {
 		out.code = codeServersResting
 	}
-	out.after = x.f.throttler.RetryAfter(soonest.Life())
+	out.after = x.f.throttler.RetryAfter(soonest.Incarnation())
 	return out, true
 }
--- a/forwarder/ends.go
+++ b/forwarder/ends.go
@@ -48,17 +48,17 @@
 	clock masticway.Clock
 	log   *logrus.Entry
 	// ended is called with each server that is found to have ended.
-	ended func(life masticway.ServerLife)
+	ended func(life masticway.ServerIncarnation)
 
 	mu    sync.Mutex
-	known map[masticway.ServerLife]*check
+	known map[masticway.ServerIncarnation]*check
 }
 
 // begin returns the check of a server, a new one unless one is under way or fresh.
 func (c *checks) begin(s masticway.Server) *check {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	life := s.Life()
+	life := s.Incarnation()
 	if k, ok := c.known[life]; ok && k.holds(c.clock.Now()) {
 		return k
 	}
@@ -97,7 +97,7 @@
 		"event": "server_checked", "server": s.ID, "address": s.Address, "pool": s.Pool, "found": k.found, "error": err,
 	}).Info("server checked after a connection broke")
 	if k.found == conditionEnded {
-		c.ended(s.Life())
+		c.ended(s.Incarnation())
 	}
 }
 
@@ -108,10 +108,10 @@
 	if len(c.known) == 0 {
 		return
 	}
-	registered := map[masticway.ServerLife]bool{}
+	registered := map[masticway.ServerIncarnation]bool{}
 	for _, servers := range b.Servers {
 		for _, s := range servers {
-			registered[s.Life()] = true
+			registered[s.Incarnation()] = true
 		}
 	}
 	for life := range c.known {
--- a/forwarder/exchange.go
+++ b/forwarder/exchange.go
@@ -151,7 +151,7 @@
 	if !x.q.metered() {
 		return nil
 	}
-	wait := max(leastMoneyWait, time.Duration(moneyShare*float64(x.q.route.Target))-x.f.clock.Now().Sub(x.q.received))
+	wait := max(leastMoneyWait, time.Duration(moneyShare*float64(x.q.route.LatencyObjective))-x.f.clock.Now().Sub(x.q.received))
 	x.money = x.f.bank.Hold(ctx, x.q.account.Workspace, x.most(), wait)
 	switch x.money.Verdict {
 	case treasurer.VerdictHeld:
@@ -181,7 +181,7 @@
 // their most. Charged again, it used up budgets after losses of power: over 25 days with trouble of five routers 8.5% of
 // the requests were refused for 5.9%.
 func (x *exchange) duePrompt() int {
-	if x.q.LastEvent != "" && x.q.route.Repeat == masticway.RepeatByResuming {
+	if x.q.LastEvent != "" && x.q.route.RetryPolicy == masticway.RetryByResuming {
 		return 0
 	}
 	return x.q.Prompt
@@ -209,7 +209,7 @@
 	after time.Duration
 	code  string
 	// suspicion tells why the request may not run now, and for how long.
-	suspicion masticway.Standing
+	suspicion masticway.SuspectStatus
 }
 
 // attempts tries servers until the answer is there or the rules say to stop.
@@ -305,10 +305,10 @@
 
 // repeatable tells that a request which may have run may run again, or go on where it stopped.
 func (x *exchange) repeatable() bool {
-	switch x.q.route.Repeat {
-	case masticway.RepeatFreely:
+	switch x.q.route.RetryPolicy {
+	case masticway.RetryUnlimited:
 		return !x.begun
-	case masticway.RepeatByResuming:
+	case masticway.RetryByResuming:
 		return !x.begun || x.events == 0 || x.lastEvent != ""
 	}
 	return false
@@ -325,8 +325,8 @@
 	}
 	switch {
 	case x.fate == masticway.FateNotRun && out.suspicion.Suspicion == masticway.SuspicionProven:
-		return refusal(http.StatusServiceUnavailable, codeProven, out.reason, out.suspicion.For)
-	case x.fate == masticway.FateNotRun && out.suspicion.Suspicion == masticway.SuspicionApart:
+		return refusal(http.StatusServiceUnavailable, codeProven, out.reason, out.suspicion.Remaining)
+	case x.fate == masticway.FateNotRun && out.suspicion.Suspicion == masticway.SuspicionQuarantined:
 		return refusal(http.StatusServiceUnavailable, codeSuspect, out.reason, retrySoon)
 	case x.fate == masticway.FateNotRun && expired:
 		return refusal(http.StatusServiceUnavailable, codeNotInTime, "no server took the request in time: "+out.reason, retrySoon)
@@ -337,11 +337,11 @@
 	case x.fate == masticway.FateNotRun:
 		return refusal(http.StatusServiceUnavailable, codeNoServer, "no server took the request: "+out.reason, retrySoon)
 	case expired:
-		return &masticway.RefusalError{Status: http.StatusGatewayTimeout, Code: codeTimeout, Run: x.fate, Message: "the time is over: " + out.reason}
+		return &masticway.RefusalError{Status: http.StatusGatewayTimeout, Code: codeTimeout, Fate: x.fate, Message: "the time is over: " + out.reason}
 	case x.fate == masticway.FateUnknown:
-		return &masticway.RefusalError{Status: http.StatusBadGateway, Code: codeUnknown, Run: x.fate, Message: "it cannot be told whether the request ran: " + out.reason}
+		return &masticway.RefusalError{Status: http.StatusBadGateway, Code: codeUnknown, Fate: x.fate, Message: "it cannot be told whether the request ran: " + out.reason}
 	}
-	return &masticway.RefusalError{Status: http.StatusBadGateway, Code: codeFailed, Run: x.fate, Message: "the server did not finish the answer: " + out.reason}
+	return &masticway.RefusalError{Status: http.StatusBadGateway, Code: codeFailed, Fate: x.fate, Message: "the server did not finish the answer: " + out.reason}
 }
 
 // late tells that the request's time is over. Its timer alone does not: it stands still while the machine is suspended.
@@ -358,7 +358,7 @@
 		x.f.left(x)
 		return
 	}
-	if refused.Run == masticway.FateNotRun {
+	if refused.Fate == masticway.FateNotRun {
 		x.step(eventRefused)
 	} else {
 		x.step(eventLost)
@@ -380,12 +380,12 @@
 	}
 	r := sender.Request{
 		Method: q.method, Target: q.target, Host: q.host, Body: q.body, Connect: connectTimeout,
-		Header: x.f.dialect.Deliver(q.header, masticway.Delivery{
+		Header: x.f.dialect.ServerHeaders(q.header, masticway.Delivery{
 			Server: server.ID, Workspace: q.account.Workspace, TimeLeft: q.deadline.Sub(x.f.clock.Now()),
-			Urgency: q.rank(), HasRank: q.pool.Engine, LastEvent: last,
+			Urgency: q.rank(), HasUrgency: q.pool.IsEngine, LastEvent: last,
 		}),
 	}
-	if q.route.Repeat == masticway.RepeatNever {
+	if q.route.RetryPolicy == masticway.RetryNever {
 		r.Fresh = freshIdle
 	} else {
 		r.Acknowledged = acknowledgedWithin
--- a/forwarder/forwarder.go
+++ b/forwarder/forwarder.go
@@ -43,7 +43,7 @@
 	clock    masticway.Clock
 	log      *logrus.Entry
 	metrics  *measurer.Set
-	dialect  masticway.Dialect
+	dialect  masticway.HeaderCodec
 	bank     Bank
 	sender   *sender.Sender
 	beliefs  func() follower.Beliefs
@@ -71,7 +71,7 @@
 	Clock   masticway.Clock
 	Log     *logrus.Entry
 	Metrics *measurer.Set
-	Dialect masticway.Dialect
+	Dialect masticway.HeaderCodec
 	Bank    Bank
 	Beliefs func() follower.Beliefs
 	// Examiner knows the requests under which servers end.
@@ -91,7 +91,7 @@
 	f := &Forwarder{
 		settings: s, clock: p.Clock, log: p.Log, metrics: p.Metrics, dialect: p.Dialect, bank: p.Bank, beliefs: p.Beliefs,
 		examiner: p.Examiner, rotation: p.Rotation, throttler: p.Throttler, leaves: p.Leaves,
-		checks: &checks{dial: p.Dial, clock: p.Clock, log: p.Log, known: map[masticway.ServerLife]*check{}},
+		checks: &checks{dial: p.Dial, clock: p.Clock, log: p.Log, known: map[masticway.ServerIncarnation]*check{}},
 		sender: sender.New(p.Dial, p.Clock.Now), servers: chooser.NewServers(s.placement()), allowances: map[string]*retrier.Allowance{},
 	}
 	f.checks.ended = f.accuseAbandoned
@@ -104,7 +104,7 @@
 	at := map[string]string{}
 	for _, servers := range b.Servers {
 		for _, s := range servers {
-			born[s.ID] = s.Born
+			born[s.ID] = s.StartedAt
 			addresses[s.Address] = true
 			at[s.ID] = s.Address
 		}
@@ -123,7 +123,7 @@
 
 // Ready tells whether new connections are wanted.
 func (f *Forwarder) Ready() bool {
-	return f.draining.Load() == nil && f.beliefs().Ready() && !f.rotation.Out()
+	return f.draining.Load() == nil && f.beliefs().Ready() && !f.rotation.IsOut()
 }
 
 // drain is an end that was asked for.
@@ -169,7 +169,7 @@
 // rotation reaches another. It is asked when the head is written: a request that came before the end was asked for may be
 // answered after it.
 func (f *Forwarder) keep(h http.Header) {
-	if f.draining.Load() != nil || f.rotation.Out() {
+	if f.draining.Load() != nil || f.rotation.IsOut() {
 		h.Set("Connection", "close")
 	}
 }
--- a/forwarder/forwarder_test.go
+++ b/forwarder/forwarder_test.go
@@ -166,7 +166,7 @@
 	atWork, held atomic.Int64
 }
 
-func (r *rotation) Out() bool { return r.out.Load() }
+func (r *rotation) IsOut() bool { return r.out.Load() }
 
 func (r *rotation) Admit(_ int, bytes int64) bool {
 	if r.full.Load() {
@@ -177,30 +177,32 @@
 	return true
 }
 
-func (r *rotation) Answered() { r.atWork.Add(-1) }
+func (r *rotation) MarkAnswered() { r.atWork.Add(-1) }
 
-func (r *rotation) Ended(bytes int64) { r.held.Add(-bytes) }
+func (r *rotation) Release(bytes int64) { r.held.Add(-bytes) }
 
 // calm is an examiner of a fleet whose servers do not end.
 type calm struct{}
 
-func (calm) Quiet() bool { return true }
+func (calm) HasNoSuspects() bool { return true }
 
-func (calm) Standing(masticway.RequestDigest) masticway.Standing {
-	return masticway.Standing{Suspicion: masticway.SuspicionNone}
+func (calm) Status(masticway.RequestDigest) masticway.SuspectStatus {
+	return masticway.SuspectStatus{Suspicion: masticway.SuspicionNone}
 }
 
 func (calm) Changed() <-chan struct{} { return nil }
 
-func (calm) Occupied() (all, serious map[masticway.ServerLife]bool) { return nil, nil }
+func (calm) QuarantineServers() (all, serious map[masticway.ServerIncarnation]bool) { return nil, nil }
 
-func (calm) Claim(context.Context, masticway.RequestDigest, masticway.ServerLife) bool { return false }
+func (calm) Claim(context.Context, masticway.RequestDigest, masticway.ServerIncarnation) bool {
+	return false
+}
 
-func (calm) Ended(masticway.RequestDigest, string, masticway.ServerEnd) {}
+func (calm) ReportCrash(masticway.RequestDigest, string, masticway.ServerCrash) {}
 
-func (calm) Cleared(masticway.RequestDigest) {}
+func (calm) Clear(masticway.RequestDigest) {}
 
-func (calm) Released(masticway.RequestDigest) {}
+func (calm) Release(masticway.RequestDigest) {}
 
 func (b *bank) Owns(string) bool { return !b.others }
 
@@ -252,26 +254,26 @@
 	f := &fleet{t: t, ledger: &emulator.OpaqueLedger{}, bank: &bank{verdict: treasurer.VerdictHeld}, clock: &drainClock{}}
 	d := masticway.Deployment{
 		Version: 1,
-		Pools:   map[string]masticway.Pool{"p": {Name: "p", MaxConnections: 100}, "llm": {Name: "llm", Engine: true, TokensPerEvent: 3, MaxConnections: 100}},
+		Pools:   map[string]masticway.Pool{"p": {Name: "p", MaxConnections: 100}, "llm": {Name: "llm", IsEngine: true, TokensPerEvent: 3, MaxConnections: 100}},
 		Accounts: map[string]masticway.Account{
-			"w": {Workspace: "w", Keys: []string{"k"}, Metered: true, Prepaid: 1 << 40},
+			"w": {Workspace: "w", Keys: []string{"k"}, HasLimit: true, Prepaid: 1 << 40},
 		},
-		Limits: masticway.CallerLimits{BodyBytes: 1000},
+		Limits: masticway.CallerLimits{MaxBodyBytes: 1000},
 	}
 	for _, r := range []masticway.Route{
-		{Name: "freely", Prefix: "/freely/", Repeat: masticway.RepeatFreely, MaxServers: 2, Target: 300 * time.Millisecond},
-		{Name: "never", Prefix: "/never/", Repeat: masticway.RepeatNever, MaxServers: 1, Target: 300 * time.Millisecond},
-		{Name: "open", Prefix: "/open/", Repeat: masticway.RepeatFreely, MaxServers: 2, Anonymous: true},
-		{Name: "brief", Prefix: "/brief/", Repeat: masticway.RepeatNever, MaxServers: 1, Timeout: 150 * time.Millisecond},
+		{Name: "freely", Prefix: "/freely/", RetryPolicy: masticway.RetryUnlimited, MaxServers: 2, LatencyObjective: 300 * time.Millisecond},
+		{Name: "never", Prefix: "/never/", RetryPolicy: masticway.RetryNever, MaxServers: 1, LatencyObjective: 300 * time.Millisecond},
+		{Name: "open", Prefix: "/open/", RetryPolicy: masticway.RetryUnlimited, MaxServers: 2, AllowsAnonymous: true},
+		{Name: "brief", Prefix: "/brief/", RetryPolicy: masticway.RetryNever, MaxServers: 1, Timeout: 150 * time.Millisecond},
 	} {
-		r.Host, r.Shares = "h.example", []masticway.Share{{Pool: "p", Weight: 1}}
+		r.Host, r.Shares = "h.example", []masticway.TrafficShare{{Pool: "p", Weight: 1}}
 		d.Routes = append(d.Routes, r)
 	}
 	for _, r := range []masticway.Route{
-		{Name: "stream", Prefix: "/stream/", Repeat: masticway.RepeatNever, MaxServers: 1, Stream: true, Target: 300 * time.Millisecond, EventGap: 100 * time.Millisecond},
-		{Name: "resume", Prefix: "/resume/", Repeat: masticway.RepeatByResuming, MaxServers: 2, Stream: true, Target: 300 * time.Millisecond, EventGap: 100 * time.Millisecond},
+		{Name: "stream", Prefix: "/stream/", RetryPolicy: masticway.RetryNever, MaxServers: 1, IsStream: true, LatencyObjective: 300 * time.Millisecond, MaxEventGap: 100 * time.Millisecond},
+		{Name: "resume", Prefix: "/resume/", RetryPolicy: masticway.RetryByResuming, MaxServers: 2, IsStream: true, LatencyObjective: 300 * time.Millisecond, MaxEventGap: 100 * time.Millisecond},
 	} {
-		r.Host, r.Shares = "h.example", []masticway.Share{{Pool: "llm", Weight: 1}}
+		r.Host, r.Shares = "h.example", []masticway.TrafficShare{{Pool: "llm", Weight: 1}}
 		d.Routes = append(d.Routes, r)
 	}
 	f.beliefs = follower.Beliefs{Known: true, Listed: true, Deployment: d.WithIndex(), Servers: map[string][]masticway.Server{}}
--- a/forwarder/handover.go
+++ b/forwarder/handover.go
@@ -105,7 +105,7 @@
 		return false
 	}
 	if !x.reserve() {
-		x.f.throttler.GiveBack(server.Life())
+		x.f.throttler.ReturnPermit(server.Incarnation())
 		return false
 	}
 	next := x.newAttempt(a.parent, server)
@@ -113,7 +113,7 @@
 	if !a.begin(round, next.cancel) {
 		next.cancel(nil)
 		next.end(chooser.VerdictNone)
-		x.f.throttler.GiveBack(server.Life())
+		x.f.throttler.ReturnPermit(server.Incarnation())
 		return false
 	}
 	go next.send(last)
@@ -229,7 +229,7 @@
 	if r.err != nil {
 		return a.unsent(r.err), true
 	}
-	head := a.x.f.dialect.Answer(r.answer.Status, r.answer.Header)
+	head := a.x.f.dialect.ParseAnswer(r.answer.Status, r.answer.Header)
 	if !head.NotRun {
 		return outcome{}, false
 	}
--- a/forwarder/limits_test.go
+++ b/forwarder/limits_test.go
@@ -121,17 +121,19 @@
 	claims bool
 }
 
-func (suspecting) Quiet() bool { return false }
+func (suspecting) HasNoSuspects() bool { return false }
 
-func (suspecting) Standing(masticway.RequestDigest) masticway.Standing {
-	return masticway.Standing{Suspicion: masticway.SuspicionApart, Ends: make([]masticway.ServerEnd, 2)}
+func (suspecting) Status(masticway.RequestDigest) masticway.SuspectStatus {
+	return masticway.SuspectStatus{Suspicion: masticway.SuspicionQuarantined, Crashes: make([]masticway.ServerCrash, 2)}
 }
 
 func (suspecting) Changed() <-chan struct{} { return nil }
 
-func (suspecting) Occupied() (all, serious map[masticway.ServerLife]bool) { return nil, nil }
+func (suspecting) QuarantineServers() (all, serious map[masticway.ServerIncarnation]bool) {
+	return nil, nil
+}
 
-func (s suspecting) Claim(context.Context, masticway.RequestDigest, masticway.ServerLife) bool {
+func (s suspecting) Claim(context.Context, masticway.RequestDigest, masticway.ServerIncarnation) bool {
 	return s.claims
 }
 
@@ -145,8 +147,8 @@
 		t.Run(name, func(t *testing.T) {
 			f := newFleetExaminedBy(t, suspecting{claims: tc.claims}, 1, forwarder.Settings{Retries: forwarder.RetriesSettings{Ratio: 0.2, Slack: 50, WindowSeconds: 10}})
 			f.servers[0].Limit("0.5")
-			life := masticway.ServerLife(f.servers[0].ID)
-			f.throttler.Heard(life, masticway.ServerAnswer{Signed: true, Limit: masticway.RequestLimit{Named: true, Rate: 0.5}})
+			life := masticway.ServerIncarnation(f.servers[0].ID)
+			f.throttler.Observe(life, masticway.ServerAnswer{Signed: true, Limit: masticway.RateLimit{IsSet: true, Rate: 0.5}})
 			f.clock.advance(2010 * time.Millisecond)
 			for range 5 {
 				f.ask(t.Context(), "POST", "/never/x", "X-Deadline-Ms", "100")
--- a/forwarder/report.go
+++ b/forwarder/report.go
@@ -12,7 +12,7 @@
 // refuse answers a request that is not served.
 func (f *Forwarder) refuse(w http.ResponseWriter, x *exchange, refused *masticway.RefusalError) {
 	f.metrics.Add(metricRefused+"_"+refused.Code, 1)
-	f.dialect.Refuse(w.Header(), x.q.ID, refused.RetryAfter)
+	f.dialect.SetRefusal(w.Header(), x.q.ID, refused.RetryAfter)
 	body, err := json.Marshal(struct {
 		Error any `json:"error"`
 	}{struct {
@@ -20,7 +20,7 @@
 		Message      string         `json:"message"`
 		Run          masticway.Fate `json:"run"`
 		RetryAfterMS int64          `json:"retry_after_ms,omitempty"`
-	}{refused.Code, refused.Message, refused.Run, refused.RetryAfter.Milliseconds()}})
+	}{refused.Code, refused.Message, refused.Fate, refused.RetryAfter.Milliseconds()}})
 	if err != nil {
 		body = nil
 		f.log.WithFields(logrus.Fields{"event": "refusal_unwritten", "request": x.q.ID, "error": err}).Error("refusal without a body")
@@ -33,7 +33,7 @@
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(refused.Status)
 	_, _ = w.Write(body)
-	fields := logrus.Fields{"status": refused.Status, "run": refused.Run, "cause": x.cause}
+	fields := logrus.Fields{"status": refused.Status, "run": refused.Fate, "cause": x.cause}
 	if refused.Code == codeExhausted || refused.Code == codeUnreachable {
 		fields["prepaid"], fields["left"], fields["free"], fields["own"] = x.money.Prepaid, x.money.Left, x.money.Free, x.money.Own
 		fields["row_age_ms"], fields["others_asked"] = x.money.RowAge.Milliseconds(), x.money.Asked
@@ -70,7 +70,7 @@
 
 func (f *Forwarder) broken(x *exchange, refused *masticway.RefusalError) {
 	f.metrics.Add(metricBroken, 1)
-	x.line("broken_off").WithFields(logrus.Fields{"run": refused.Run, "cause": x.cause}).Info("answer broken off")
+	x.line("broken_off").WithFields(logrus.Fields{"run": refused.Fate, "cause": x.cause}).Info("answer broken off")
 }
 
 func (x *exchange) logAttempt(server masticway.Server, out outcome) {
--- a/forwarder/suspects.go
+++ b/forwarder/suspects.go
@@ -26,11 +26,11 @@
 )
 
 // standing returns what is believed of the request. While there is no suspect, nothing is worked out.
-func (x *exchange) standing() masticway.Standing {
-	if x.f.examiner.Quiet() {
-		return masticway.Standing{Suspicion: masticway.SuspicionNone}
+func (x *exchange) standing() masticway.SuspectStatus {
+	if x.f.examiner.HasNoSuspects() {
+		return masticway.SuspectStatus{Suspicion: masticway.SuspicionNone}
 	}
-	return x.f.examiner.Standing(x.digest())
+	return x.f.examiner.Status(x.digest())
 }
 
 // proven tells that the request is not to be sent to any server.
@@ -43,8 +43,8 @@
 }
 
 // atFault is the outcome of a request that is proven to end servers.
-func atFault(s masticway.Standing) outcome {
-	reason := fmt.Sprintf("%d servers ended under this request, the last one %s", len(s.Ends), s.Ends[len(s.Ends)-1].Server)
+func atFault(s masticway.SuspectStatus) outcome {
+	reason := fmt.Sprintf("%d servers ended under this request, the last one %s", len(s.Crashes), s.Crashes[len(s.Crashes)-1].Server)
 	return outcome{fate: masticway.FateNotRun, verdict: chooser.VerdictNone, reason: reason, suspicion: s}
 }
 
@@ -56,7 +56,7 @@
 
 // choose returns where the next attempt goes. There may be nowhere, for a reason.
 func (x *exchange) choose(ctx context.Context) (c choice, none outcome, ok bool) {
-	if x.f.examiner.Quiet() {
+	if x.f.examiner.HasNoSuspects() {
 		return x.chooseAside(ctx)
 	}
 	until := x.f.clock.Now().Add(apartWithin)
@@ -79,7 +79,7 @@
 			return c, outcome{}, true
 		}
 		if ctx.Err() != nil || !x.f.clock.Now().Before(until) {
-			reason := fmt.Sprintf("%d servers ended under this request, and it waits for its turn to run alone", len(s.Ends))
+			reason := fmt.Sprintf("%d servers ended under this request, and it waits for its turn to run alone", len(s.Crashes))
 			return choice{}, outcome{fate: masticway.FateNotRun, verdict: chooser.VerdictNone, reason: reason, suspicion: s}, false
 		}
 		x.await(ctx, changed, apartPause)
@@ -88,30 +88,30 @@
 
 // chooseApart chooses a server where no other suspect runs; found tells that there is a server at all, ok that the request may
 // run at it now. Where suspects are at all of them, one under which a single server ended runs as any other request.
-func (x *exchange) chooseApart(ctx context.Context, s masticway.Standing) (c choice, found, ok bool) {
+func (x *exchange) chooseApart(ctx context.Context, s masticway.SuspectStatus) (c choice, found, ok bool) {
 	servers := x.without(x.exclude)
-	occupied, _ := x.f.examiner.Occupied()
+	occupied, _ := x.f.examiner.QuarantineServers()
 	server, free := x.place(ctx, freeOf(servers, occupied))
 	if free {
-		ok = !s.Running && x.f.examiner.Claim(ctx, x.digest(), server.Life())
+		ok = !s.Running && x.f.examiner.Claim(ctx, x.digest(), server.Incarnation())
 	} else {
 		server, found = x.place(ctx, servers)
 		ok = found && !serious(s) && !s.Running
 	}
 	if (free || found) && !ok {
-		x.f.throttler.GiveBack(server.Life())
+		x.f.throttler.ReturnPermit(server.Incarnation())
 	}
 	return choice{server: server, apart: free}, free || found, ok
 }
 
 // serious tells that more than one server has ended under a request.
-func serious(s masticway.Standing) bool { return len(s.Ends) > 1 }
+func serious(s masticway.SuspectStatus) bool { return len(s.Crashes) > 1 }
 
 // chooseAside chooses a server where no serious suspect runs, or any if that leaves none.
 func (x *exchange) chooseAside(ctx context.Context) (c choice, none outcome, ok bool) {
 	servers := x.without(x.exclude)
-	if !x.f.examiner.Quiet() {
-		_, serious := x.f.examiner.Occupied()
+	if !x.f.examiner.HasNoSuspects() {
+		_, serious := x.f.examiner.QuarantineServers()
 		if free := freeOf(servers, serious); len(free) > 0 {
 			servers = free
 		}
@@ -123,13 +123,13 @@
 }
 
 // freeOf returns the servers that are not among some lives.
-func freeOf(servers []masticway.Server, lives map[masticway.ServerLife]bool) []masticway.Server {
+func freeOf(servers []masticway.Server, lives map[masticway.ServerIncarnation]bool) []masticway.Server {
 	if len(lives) == 0 {
 		return servers
 	}
 	free := make([]masticway.Server, 0, len(servers))
 	for _, s := range servers {
-		if !lives[s.Life()] {
+		if !lives[s.Incarnation()] {
 			free = append(free, s)
 		}
 	}
@@ -137,13 +137,13 @@
 }
 
 // resolve finds out what became of a run apart whose router has not told: it may have died.
-func (x *exchange) resolve(ctx context.Context, s masticway.Standing) {
-	if s.Unreported == "" {
+func (x *exchange) resolve(ctx context.Context, s masticway.SuspectStatus) {
+	if s.UnreportedServer == "" {
 		return
 	}
 	for _, server := range x.f.beliefs().Servers[x.q.pool.Name] {
-		if server.Life() == s.Unreported && x.ended(ctx, server) {
-			x.f.examiner.Ended(x.digest(), x.q.path(), masticway.ServerEnd{Server: s.Unreported, Apart: true})
+		if server.Incarnation() == s.UnreportedServer && x.ended(ctx, server) {
+			x.f.examiner.ReportCrash(x.digest(), x.q.path(), masticway.ServerCrash{Server: s.UnreportedServer, Quarantined: true})
 		}
 	}
 }
@@ -171,11 +171,11 @@
 			x.await(ctx, noted, endKnownWithin)
 		}
 	case out.done && x.suspected:
-		x.f.examiner.Cleared(x.digest())
+		x.f.examiner.Clear(x.digest())
 	case out.abandoned && a.accused():
 		a.abandon()
 	case a.apart:
-		x.f.examiner.Released(x.digest())
+		x.f.examiner.Release(x.digest())
 	}
 	a.apart = false
 }
@@ -196,7 +196,7 @@
 		return false
 	}
 	for _, s := range x.f.beliefs().Servers[a.server.Pool] {
-		if s.Life() == a.server.Life() {
+		if s.Incarnation() == a.server.Incarnation() {
 			return true
 		}
 	}
@@ -206,7 +206,7 @@
 
 // atServer is the attempt as far as its server's end may be the request's fault.
 func (a *attempt) atServer() run {
-	end := masticway.ServerEnd{Server: a.server.Life(), Apart: a.apart, Answered: !a.firstAt.IsZero()}
+	end := masticway.ServerCrash{Server: a.server.Incarnation(), Quarantined: a.apart, Answered: !a.firstAt.IsZero()}
 	return run{request: a.x.q.ID, digest: a.x.digest(), path: a.x.q.path(), end: end}
 }
 
@@ -221,8 +221,8 @@
 		switch {
 		case k.found == conditionEnded:
 			f.accuse(r)
-		case r.end.Apart:
-			f.examiner.Released(r.digest)
+		case r.end.Quarantined:
+			f.examiner.Release(r.digest)
 		}
 	}()
 	return noted
@@ -246,24 +246,24 @@
 		k := f.checks.begin(s)
 		<-k.done
 		if k.found == conditionEnded {
-			f.accuseAbandoned(s.Life())
+			f.accuseAbandoned(s.Incarnation())
 			return
 		}
 	}
 	if f.abandoned.forget(r) {
-		f.examiner.Released(r.digest)
+		f.examiner.Release(r.digest)
 	}
 }
 
 // lookFor checks a server that takes no connections, if there are attempts whose fault that may be.
 func (f *Forwarder) lookFor(s masticway.Server) {
-	if f.abandoned.at(f.clock.Now(), s.Life()) {
+	if f.abandoned.at(f.clock.Now(), s.Incarnation()) {
 		f.checks.begin(s)
 	}
 }
 
 // accuseAbandoned accuses the requests that were given up at a server shortly before it ended.
-func (f *Forwarder) accuseAbandoned(life masticway.ServerLife) {
+func (f *Forwarder) accuseAbandoned(life masticway.ServerIncarnation) {
 	for _, r := range f.abandoned.take(f.clock.Now(), life) {
 		f.accuse(r)
 	}
@@ -271,10 +271,10 @@
 
 // accuse tells the examiner of a server that ended under a request.
 func (f *Forwarder) accuse(r run) {
-	f.examiner.Ended(r.digest, r.path, r.end)
+	f.examiner.ReportCrash(r.digest, r.path, r.end)
 	fields := logrus.Fields{
-		"event": "server_ended_under_request", "request": r.request, "digest": r.digest, "path": r.path, "server": r.end.Server, "apart": r.end.Apart,
-		"answered": r.end.Answered, "ends": len(f.examiner.Standing(r.digest).Ends),
+		"event": "server_ended_under_request", "request": r.request, "digest": r.digest, "path": r.path, "server": r.end.Server, "apart": r.end.Quarantined,
+		"answered": r.end.Answered, "ends": len(f.examiner.Status(r.digest).Crashes),
 	}
 	if !r.abandonedAt.IsZero() {
 		fields["abandoned_ms"] = f.clock.Now().Sub(r.abandonedAt).Milliseconds()
@@ -288,5 +288,5 @@
 		return
 	}
 	a.apart, a.x.suspected = false, false
-	a.x.f.examiner.Cleared(a.x.digest())
+	a.x.f.examiner.Clear(a.x.digest())
 }
--- a/linker/linker_test.go
+++ b/linker/linker_test.go
@@ -150,7 +150,7 @@
 func FuzzDecode(f *testing.F) {
 	seeds := []linker.Message{
 		{Frame: &sealer.Frame{Run: masticway.RunKey{Identity: "w/k", Attempt: 1}, Chunk: masticway.Chunk{Text: "x", Tokens: 1}}},
-		{Call: 7, Hold: nil, Beat: &linker.Beat{Revision: 3, Load: &masticway.LoadReport{At: time.Unix(1, 0)}}},
+		{Call: 7, Hold: nil, Beat: &linker.Beat{Revision: 3, Load: &masticway.LoadReport{ReportedAt: time.Unix(1, 0)}}},
 		{Dispatch: &sealer.Dispatch{Bound: 5, Call: masticway.Call{Model: "m"}}},
 	}
 	for _, m := range seeds {
--- a/platform.go
+++ b/platform.go
@@ -85,8 +85,8 @@
 type InstanceReading struct {
 	Version   string     `json:"version"`
 	Instances []Instance `json:"instances"`
-	// Same tells that the list still has the version that the reader knows; then it is left out.
-	Same bool `json:"same"`
+	// Unchanged tells that the list still has the version that the reader knows; then it is left out.
+	Unchanged bool `json:"same"`
 }
 
 // InstanceList is the platform's lagging list of instances.
@@ -157,17 +157,17 @@
 
 // Sink receives an upstream's answer as it is made.
 type Sink interface {
-	// Counted is called once, when the upstream knows the prompt's true token count and how much of it was cached.
-	Counted(promptTokens, cachedTokens int)
+	// PromptCounted is called once, when the upstream knows the prompt's true token count and how much of it was cached.
+	PromptCounted(promptTokens, cachedTokens int)
 	// Chunk takes the next piece of the answer.
 	Chunk(c Chunk)
 }
 
 // LoadReport is what an upstream says of itself, with a lag.
 type LoadReport struct {
-	Running int       `json:"running" cbor:"1,keyasint"`
-	Queued  int       `json:"queued" cbor:"2,keyasint"`
-	At      time.Time `json:"at" cbor:"3,keyasint"`
+	Running    int       `json:"running" cbor:"1,keyasint"`
+	Queued     int       `json:"queued" cbor:"2,keyasint"`
+	ReportedAt time.Time `json:"at" cbor:"3,keyasint"`
 	// TokenTime and PrefillTime are seconds per output token and per prompt token.
 	TokenTime   float64 `json:"token_time" cbor:"4,keyasint"`
 	PrefillTime float64 `json:"prefill_time" cbor:"5,keyasint"`
--- a/relayer/large_test.go
+++ b/relayer/large_test.go
@@ -46,7 +46,7 @@
 	}{
 		"a reading": {read: func(s masticway.RowStore) (masticway.RowReading, error) { return s.Read(t.Context(), "op", "") }},
 		"changes": {read: func(s masticway.RowStore) (masticway.RowReading, error) {
-			return s.Follow(t.Context(), masticway.Following{Table: "op", Wait: 100 * time.Millisecond})
+			return s.Watch(t.Context(), masticway.WatchRequest{Table: "op", MaxWait: 100 * time.Millisecond})
 		}},
 		"a reading, through another router": {
 			read: func(s masticway.RowStore) (masticway.RowReading, error) { return s.Read(t.Context(), "op", "") }, away: true,
@@ -120,7 +120,7 @@
 			return err
 		}},
 		"changes": {size: 1, first: 1, call: func(s masticway.RowStore) error {
-			_, err := s.Follow(t.Context(), masticway.Following{Table: "op", Wait: 100 * time.Millisecond})
+			_, err := s.Watch(t.Context(), masticway.WatchRequest{Table: "op", MaxWait: 100 * time.Millisecond})
 			return err
 		}},
 		"a write": {size: 1, first: 1, call: func(s masticway.RowStore) error {
--- a/relayer/relay.go
+++ b/relayer/relay.go
@@ -29,7 +29,7 @@
 	case o.Write != nil:
 		r.reading, r.err = store.Write(ctx, *o.Write)
 	case o.Follow:
-		r.reading, r.err = store.Follow(ctx, masticway.Following{Table: o.Table, Since: o.Since, Wait: o.Wait, AtMost: o.AtMost})
+		r.reading, r.err = store.Watch(ctx, masticway.WatchRequest{Table: o.Table, Since: o.Since, MaxWait: o.Wait, MaxBytes: o.AtMost})
 	default:
 		r.reading, r.err = store.Read(ctx, o.Table, o.Part)
 	}
@@ -65,7 +65,7 @@
 	case endingHistoryLost:
 		return result{err: &masticway.HistoryLostError{Table: o.Table, Since: o.Since}}
 	case endingUnavailable, endingBusy:
-		return result{err: &masticway.UnavailableError{Service: serviceName, Reason: a.Reason, Busy: a.Ending == endingBusy}}
+		return result{err: &masticway.UnavailableError{Service: serviceName, Reason: a.Reason, RateLimited: a.Ending == endingBusy}}
 	}
 	return result{err: &masticway.OutcomeUnknownError{Service: serviceName, Reason: a.Reason}}
 }
--- a/relayer/relayer.go
+++ b/relayer/relayer.go
@@ -136,9 +136,9 @@
 	return s.call(ctx, order{Write: &w})
 }
 
-// Follow returns the changes of a table.
-func (s *Store) Follow(ctx context.Context, f masticway.Following) (masticway.RowReading, error) {
-	return onlyRead(s.call(ctx, order{Table: f.Table, Follow: true, Since: f.Since, Wait: f.Wait, AtMost: f.AtMost}))
+// Watch returns the changes of a table.
+func (s *Store) Watch(ctx context.Context, f masticway.WatchRequest) (masticway.RowReading, error) {
+	return onlyRead(s.call(ctx, order{Table: f.Table, Follow: true, Since: f.Since, Wait: f.MaxWait, AtMost: f.MaxBytes}))
 }
 
 // onlyRead turns an unknown outcome into the certainty that a reading changes nothing.
@@ -170,7 +170,7 @@
 // busy tells that the store refused for its rate.
 func (r result) busy() bool {
 	refused, ok := errors.AsType[*masticway.UnavailableError](r.err)
-	return ok && refused.Busy
+	return ok && refused.RateLimited
 }
 
 // call carries an order out directly and, when that fails or takes long, through another router.
--- a/relayer/relayer_test.go
+++ b/relayer/relayer_test.go
@@ -53,7 +53,7 @@
 	used := w.used.Add(1)
 	switch how := w.how.Load(); {
 	case how == overRate, how == mostlyOver && used%7 != 0:
-		return &masticway.UnavailableError{Service: "rows", Reason: "over its rate", Busy: true}
+		return &masticway.UnavailableError{Service: "rows", Reason: "over its rate", RateLimited: true}
 	case how == slow:
 		time.Sleep(slowAnswer)
 	case how == busy:
@@ -87,11 +87,11 @@
 	return made, err
 }
 
-func (w *way) Follow(ctx context.Context, f masticway.Following) (masticway.RowReading, error) {
+func (w *way) Watch(ctx context.Context, f masticway.WatchRequest) (masticway.RowReading, error) {
 	if err := w.pass(ctx); err != nil {
 		return masticway.RowReading{}, err
 	}
-	return w.rows.Follow(ctx, f)
+	return w.rows.Watch(ctx, f)
 }
 
 // fleet is two routers on one store.
@@ -228,7 +228,7 @@
 			qt.Assert(t, string(reading.Rows[0].Value), qt.Equals, "a")
 			qt.Assert(t, reading.Rows[0].Version, qt.Equals, made.Version)
 			done = soon(600 * time.Millisecond)
-			reading, err = f.store.Follow(t.Context(), masticway.Following{Table: "t", Since: made.Version - 1, Wait: 50 * time.Millisecond})
+			reading, err = f.store.Watch(t.Context(), masticway.WatchRequest{Table: "t", Since: made.Version - 1, MaxWait: 50 * time.Millisecond})
 			done()
 			qt.Assert(t, err, qt.IsNil)
 			qt.Assert(t, reading.Rows, qt.HasLen, 1)
@@ -238,7 +238,7 @@
 			qt.Assert(t, string(conflict.Rows[0].Value), qt.Equals, "a")
 			f.rows.Compact()
 			var lost *masticway.HistoryLostError
-			_, err = f.store.Follow(t.Context(), masticway.Following{Table: "t", Since: made.Version - 1, Wait: 50 * time.Millisecond})
+			_, err = f.store.Watch(t.Context(), masticway.WatchRequest{Table: "t", Since: made.Version - 1, MaxWait: 50 * time.Millisecond})
 			qt.Assert(t, err, qt.ErrorAs, &lost)
 			qt.Assert(t, f.other.used.Load() > 0, qt.Equals, how != works)
 		})
--- a/rotator/rotator.go
+++ b/rotator/rotator.go
@@ -88,8 +88,8 @@
 	return &Rotator{settings: s, parts: p, load: NewLoad(), work: admission{heldMost: int64(heldShare * float64(s.Memory))}}
 }
 
-// Out tells that the router is out of rotation.
-func (r *Rotator) Out() bool { return r.out.Load() }
+// IsOut tells that the router is out of rotation.
+func (r *Rotator) IsOut() bool { return r.out.Load() }
 
 // Admit counts a request in; false when the router is overloaded and this one is too many, or would not fit.
 func (r *Rotator) Admit(rank int, bytes int64) bool {
@@ -98,15 +98,15 @@
 	return r.work.admit(rank, bytes)
 }
 
-// Answered counts an admitted request out of those at work.
-func (r *Rotator) Answered() {
+// MarkAnswered counts an admitted request out of those at work.
+func (r *Rotator) MarkAnswered() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.work.answered()
 }
 
-// Ended counts out the bytes of an admitted request.
-func (r *Rotator) Ended(bytes int64) {
+// Release counts out the bytes of an admitted request.
+func (r *Rotator) Release(bytes int64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.work.ended(bytes)
--- a/rotator/rotator_test.go
+++ b/rotator/rotator_test.go
@@ -177,7 +177,7 @@
 func (z *zone) probe() {
 	in := 0
 	for _, m := range z.members {
-		if m.rotator.Out() {
+		if m.rotator.IsOut() {
 			m.misses++
 		} else {
 			m.misses = 0
@@ -230,7 +230,7 @@
 func (z *zone) watch() {
 	ready := 0
 	for _, m := range z.members {
-		out := m.rotator.Out()
+		out := m.rotator.IsOut()
 		if !out {
 			ready++
 		}
@@ -357,11 +357,11 @@
 			z.attract(3, 260)
 			z.run(3 * time.Second)
 			z.clients = nil
-			qt.Assert(t, m.rotator.Out(), qt.IsTrue)
+			qt.Assert(t, m.rotator.IsOut(), qt.IsTrue)
 			began := time.Now()
 			z.run(2 * time.Second)
 			qt.Assert(t, m.isPaused(), qt.IsFalse)
-			for m.rotator.Out() {
+			for m.rotator.IsOut() {
 				z.run(step)
 			}
 			return time.Since(began).Round(10 * time.Second)
@@ -389,7 +389,7 @@
 		z.clients = nil
 		qt.Assert(t, r.Admit(0, 100), qt.IsFalse)
 		for range 100 {
-			r.Answered()
+			r.MarkAnswered()
 		}
 		admitted := func(rank int, bytes int64) int {
 			n := 0
@@ -397,7 +397,7 @@
 				n++
 			}
 			for range n {
-				r.Answered()
+				r.MarkAnswered()
 			}
 			return n
 		}
@@ -417,11 +417,11 @@
 	r := rotator.New(rotator.Settings{Memory: memory}, rotator.Parts{Clock: emulator.SteadyClock{}})
 	n := 0
 	for r.Admit(0, body) {
-		r.Answered()
+		r.MarkAnswered()
 		n++
 	}
 	qt.Assert(t, n, qt.Equals, memory/4/body)
-	r.Ended(body)
+	r.Release(body)
 	qt.Assert(t, r.Admit(0, body+1), qt.IsFalse)
 	qt.Assert(t, r.Admit(0, body), qt.IsTrue)
 	qt.Assert(t, r.Admit(0, 1), qt.IsFalse)
--- a/router/callers.go
+++ b/router/callers.go
@@ -53,7 +53,7 @@
 	container.ServiceErrorHandler(func(e restful.ServiceError, _ *restful.Request, response *restful.Response) {
 		response.ResponseWriter.Header().Set(headerRequest, r.nextID())
 		writeRefusal(response.ResponseWriter, &masticway.RefusalError{
-			Status: e.Code, Code: "no_such_path", Message: e.Message, Run: masticway.FateNotRun,
+			Status: e.Code, Code: "no_such_path", Message: e.Message, Fate: masticway.FateNotRun,
 		})
 	})
 	mux := http.NewServeMux()
@@ -92,7 +92,7 @@
 		}
 		refused, ok := errors.AsType[*masticway.RefusalError](err)
 		if !ok {
-			refused = &masticway.RefusalError{Status: http.StatusInternalServerError, Code: "internal", Message: err.Error(), Run: masticway.FateUnknown}
+			refused = &masticway.RefusalError{Status: http.StatusInternalServerError, Code: "internal", Message: err.Error(), Fate: masticway.FateUnknown}
 		}
 		writeRefusal(response.ResponseWriter, refused)
 	}
@@ -134,7 +134,7 @@
 	}
 	return struct {
 		Error detail `json:"error"`
-	}{detail{e.Code, e.Message, e.Run, e.RetryAfter.Milliseconds()}}
+	}{detail{e.Code, e.Message, e.Fate, e.RetryAfter.Milliseconds()}}
 }
 
 // body reads a bounded body.
--- a/router/claims.go
+++ b/router/claims.go
@@ -159,11 +159,11 @@
 		return
 	}
 	refused, isRefusal := errors.AsType[*masticway.RefusalError](err)
-	if isRefusal && refused.Run == masticway.FateNotRun {
+	if isRefusal && refused.Fate == masticway.FateNotRun {
 		x.r.dropClaim(x.claim)
 		return
 	}
-	if isRefusal && refused.Run == masticway.FateUnknown {
+	if isRefusal && refused.Fate == masticway.FateUnknown {
 		return
 	}
 	row := x.claim.row
--- a/router/exchange.go
+++ b/router/exchange.go
@@ -205,7 +205,7 @@
 
 // refusal builds the final answer to a request that certainly did not run.
 func refusal(status int, code, message string, retry time.Duration) *masticway.RefusalError {
-	return &masticway.RefusalError{Status: status, Code: code, Message: message, Run: masticway.FateNotRun, RetryAfter: retry}
+	return &masticway.RefusalError{Status: status, Code: code, Message: message, Fate: masticway.FateNotRun, RetryAfter: retry}
 }
 
 // note keeps the most that can be said of all attempts: once one may have run, "not run" is never said again.
@@ -221,7 +221,7 @@
 	if !ok || x.ran == masticway.FateNotRun {
 		return err
 	}
-	refused.Run = x.ran
+	refused.Fate = x.ran
 	refused.Status = http.StatusBadGateway
 	if x.ran == masticway.FateUnknown {
 		refused.Status = http.StatusGatewayTimeout
@@ -231,7 +231,7 @@
 
 func unknownOutcome() *masticway.RefusalError {
 	return &masticway.RefusalError{
-		Status: http.StatusGatewayTimeout, Code: "outcome_unknown", Run: masticway.FateUnknown,
+		Status: http.StatusGatewayTimeout, Code: "outcome_unknown", Fate: masticway.FateUnknown,
 		Message: "it cannot be told whether the request ran", RetryAfter: time.Second,
 	}
 }
@@ -273,7 +273,7 @@
 				// Another run's answer must not be joined to the part that was given; asked again, the caller gets it whole.
 				x.step(eventLost)
 				return result{}, &masticway.RefusalError{
-					Status: http.StatusBadGateway, Code: "upstream_failed", Run: masticway.FateRan,
+					Status: http.StatusBadGateway, Code: "upstream_failed", Fate: masticway.FateRan,
 					Message: "the answer goes on under another request with this key; ask again", RetryAfter: duplicatePause,
 				}
 			}
@@ -353,7 +353,7 @@
 	}
 	x.step(eventFinished)
 	return &masticway.RefusalError{
-		Status: http.StatusBadGateway, Code: "upstream_failed", Run: masticway.FateRan,
+		Status: http.StatusBadGateway, Code: "upstream_failed", Fate: masticway.FateRan,
 		Message: "the upstream did not finish the answer: " + e.reason,
 	}
 }
@@ -415,9 +415,9 @@
 	if refused, ok := errors.AsType[*masticway.RefusalError](err); ok {
 		x.trace.Refusal = refused.Code
 		fields["refusal"] = refused.Code
-		fields["run"] = refused.Run
+		fields["run"] = refused.Fate
 		x.r.metrics.Add(metricRefusals+"_"+refused.Code, 1)
-		if refused.Run == masticway.FateUnknown {
+		if refused.Fate == masticway.FateUnknown {
 			x.r.metrics.Add(metricUnknown, 1)
 		}
 	} else {
--- a/router/money.go
+++ b/router/money.go
@@ -73,7 +73,7 @@
 			over := !h.Open && !x.endedEarly && !x.unanswered
 			if over || x.r.clock.Now().After(deadline) || x.callerGone() {
 				return &masticway.RefusalError{
-					Status: http.StatusConflict, Code: "answer_not_available", Run: masticway.FateUnknown,
+					Status: http.StatusConflict, Code: "answer_not_available", Fate: masticway.FateUnknown,
 					Message: "this key was used and its answer is not available", RetryAfter: time.Second,
 				}
 			}
--- a/router/operators.go
+++ b/router/operators.go
@@ -124,7 +124,7 @@
 		e.Status, e.Code, e.RetryAfter = http.StatusServiceUnavailable, "platform_unavailable", time.Second
 	}
 	if _, ok := errors.AsType[*masticway.OutcomeUnknownError](err); ok {
-		e.Status, e.Code, e.Run, e.RetryAfter = http.StatusGatewayTimeout, "outcome_unknown", masticway.FateUnknown, time.Second
+		e.Status, e.Code, e.Fate, e.RetryAfter = http.StatusGatewayTimeout, "outcome_unknown", masticway.FateUnknown, time.Second
 	}
 	writeRefusal(w, e)
 }
--- a/router/peers.go
+++ b/router/peers.go
@@ -265,7 +265,7 @@
 		select {
 		case <-ctx.Done():
 			return
-		case <-p.router.clock.After(p.router.settings.Beat.Std()):
+		case <-p.router.clock.After(p.router.settings.HeartbeatInterval.Std()):
 			_ = c.Send(p.beatMessage())
 		}
 	}
--- a/router/peers_test.go
+++ b/router/peers_test.go
@@ -34,7 +34,7 @@
 // startingRouter sends no heartbeats of its own yet, as before its configuration is loaded.
 func startingRouter(ctx context.Context) *Router {
 	r := &Router{ctx: ctx, clock: masticway.SystemClock{}}
-	r.settings.Beat = masticway.Duration(time.Second)
+	r.settings.HeartbeatInterval = masticway.Duration(time.Second)
 	r.snapshot.Store(&configurer.Snapshot{})
 	return r
 }
--- a/router/router.go
+++ b/router/router.go
@@ -171,7 +171,7 @@
 		return err
 	}
 	r.wg.Go(func() { r.loop(bankTick, func() { r.bank.tick(); r.upstreams.tick(); r.peers.tick() }) })
-	r.wg.Go(func() { r.loop(r.settings.Beat.Std(), r.sendBeats) })
+	r.wg.Go(func() { r.loop(r.settings.HeartbeatInterval.Std(), r.sendBeats) })
 	r.wg.Go(func() { r.loop(r.settings.Poll.Std(), r.pollConfig) })
 	r.wg.Go(r.keepLease)
 	r.wg.Go(r.meet)
@@ -309,7 +309,7 @@
 	ctx, cancel := r.background()
 	defer cancel()
 	reading, err := r.platform.Instances.Instances(ctx, r.listVersion)
-	if err != nil || reading.Same {
+	if err != nil || reading.Unchanged {
 		return
 	}
 	r.listVersion = reading.Version
--- a/router/router_test.go
+++ b/router/router_test.go
@@ -25,7 +25,7 @@
 			return
 		}
 		refused, ok := err.(*masticway.RefusalError)
-		if !ok || refused.Run != masticway.FateNotRun {
+		if !ok || refused.Fate != masticway.FateNotRun {
 			t.Fatalf("not a refusal as not run: %v", err)
 		}
 	})
--- a/router/sealed_test.go
+++ b/router/sealed_test.go
@@ -32,7 +32,7 @@
 	began := time.Now()
 	refused, ok := errors.AsType[*masticway.RefusalError](x.afterFailure(t.Context(), sealed))
 	qt.Assert(t, ok, qt.IsTrue)
-	qt.Assert(t, refused.Run, qt.Equals, masticway.FateNotRun)
+	qt.Assert(t, refused.Fate, qt.Equals, masticway.FateNotRun)
 	qt.Assert(t, refused.RetryAfter > 0, qt.IsTrue)
 	qt.Assert(t, time.Since(began) < 500*time.Millisecond, qt.IsTrue)
 }
--- a/rows.go
+++ b/rows.go
@@ -47,8 +47,8 @@
 	Rows []StoredRow
 	// Version is the store's newest version at the time of the reading.
 	Version int64
-	// At is the store's own steady clock.
-	At time.Duration
+	// StoreTime is the store's own steady clock.
+	StoreTime time.Duration `cbor:"At"`
 }
 
 // Bytes returns the size of the rows' keys and values.
@@ -60,15 +60,15 @@
 	return int64(n)
 }
 
-// Following asks for the changes of a table.
-type Following struct {
+// WatchRequest asks for the changes of a table.
+type WatchRequest struct {
 	Table string
 	// Since is the version after which changes are wanted.
 	Since int64
-	// Wait is how long the first change may take to come.
-	Wait time.Duration
-	// AtMost is how large the changes may be, as RowReading.Bytes counts; zero is any size.
-	AtMost int64
+	// MaxWait is how long the first change may take to come.
+	MaxWait time.Duration
+	// MaxBytes is how large the changes may be, as RowReading.Bytes counts; zero is any size.
+	MaxBytes int64
 }
 
 // RowStore is the platform's store of rows; its calls fail with the errors named here.
@@ -79,9 +79,9 @@
 	// expectation does not hold, UnavailableError when nothing was done, and OutcomeUnknownError when the write may
 	// have been made or may yet be made.
 	Write(ctx context.Context, w RowWrite) (RowReading, error)
-	// Follow returns the changes of a table, all versions of each row. It fails with HistoryLostError when they are not
+	// Watch returns the changes of a table, all versions of each row. It fails with HistoryLostError when they are not
 	// kept or larger than asked for, and with UnavailableError.
-	Follow(ctx context.Context, f Following) (RowReading, error)
+	Watch(ctx context.Context, f WatchRequest) (RowReading, error)
 }
 
 // RowConflictError reports a write whose expectations did not hold, with the rows as they are.
@@ -99,8 +99,8 @@
 type HistoryLostError struct {
 	Table string
 	Since int64
-	// Large tells that the changes are kept, but larger than asked for.
-	Large bool
+	// TooLarge tells that the changes are kept, but larger than asked for.
+	TooLarge bool
 }
 
 // Error names the table and the version.
@@ -112,9 +112,9 @@
 type DeploymentDecoder interface {
 	// ConfigurationKey names the row of the newest configuration.
 	ConfigurationKey() RowKey
-	// Evacuated returns the zone whose servers are to get nothing new while a row of the configuration's table and part
+	// EvacuatedZone returns the zone whose servers are to get nothing new while a row of the configuration's table and part
 	// exists; false for other rows.
-	Evacuated(key RowKey) (zone string, ok bool)
+	EvacuatedZone(key RowKey) (zone string, ok bool)
 	// ServerTable names the table in which servers register, with their ids as keys.
 	ServerTable() string
 	// Configuration decodes the configuration's row.
@@ -123,16 +123,16 @@
 	Server(id string, value []byte) (Server, error)
 }
 
-// Dialect is how callers and servers of a deployment write what concerns the fleet into headers.
-type Dialect interface {
-	// Request reads the head of a caller's request.
-	Request(h http.Header) (OpaqueRequest, error)
-	// Deliver returns the headers for a server, without those of one connection and those that are the fleet's to set.
-	Deliver(h http.Header, d Delivery) http.Header
-	// Answer reads the head of a server's answer.
-	Answer(status int, h http.Header) ServerAnswer
-	// Return returns the headers of a server's answer that the caller gets.
-	Return(h http.Header) http.Header
-	// Refuse marks a refusal of the fleet's own for the caller's attempt; a positive wait tells when to come back.
-	Refuse(h http.Header, id string, wait time.Duration)
+// HeaderCodec is how callers and servers of a deployment write what concerns the fleet into headers.
+type HeaderCodec interface {
+	// ParseRequest reads the head of a caller's request.
+	ParseRequest(h http.Header) (OpaqueRequest, error)
+	// ServerHeaders returns the headers for a server, without those of one connection and those that are the fleet's to set.
+	ServerHeaders(h http.Header, d Delivery) http.Header
+	// ParseAnswer reads the head of a server's answer.
+	ParseAnswer(status int, h http.Header) ServerAnswer
+	// CallerHeaders returns the headers of a server's answer that the caller gets.
+	CallerHeaders(h http.Header) http.Header
+	// SetRefusal marks a refusal of the fleet's own for the caller's attempt; a positive wait tells when to come back.
+	SetRefusal(h http.Header, id string, wait time.Duration)
 }
--- a/sealer/sealer.go
+++ b/sealer/sealer.go
@@ -274,7 +274,7 @@
 		f.Outcome.Reason = failure.Reason
 	default:
 		f.Disrupted = !r.cancelled
-		f.Ended = failure.Ended
+		f.Ended = failure.NotListening
 		f.Outcome.Reason = failure.Reason
 		f.Cost = d.cost(usage)
 		if d.Call.Service != "" {
--- a/sharer/sharer_test.go
+++ b/sharer/sharer_test.go
@@ -46,8 +46,8 @@
 	return c.count(c.Rows.Read(ctx, name, part))
 }
 
-func (c *counted) Follow(ctx context.Context, f masticway.Following) (masticway.RowReading, error) {
-	return c.count(c.Rows.Follow(ctx, f))
+func (c *counted) Watch(ctx context.Context, f masticway.WatchRequest) (masticway.RowReading, error) {
+	return c.count(c.Rows.Watch(ctx, f))
 }
 
 func (c *counted) count(reading masticway.RowReading, err error) (masticway.RowReading, error) {
@@ -149,7 +149,7 @@
 				r.take(true, reading)
 			}
 		} else {
-			reading, err := r.store.Follow(ctx, masticway.Following{Table: table, Since: r.since, Wait: 900 * time.Millisecond, AtMost: 16 << 10})
+			reading, err := r.store.Watch(ctx, masticway.WatchRequest{Table: table, Since: r.since, MaxWait: 900 * time.Millisecond, MaxBytes: 16 << 10})
 			var lost *masticway.HistoryLostError
 			switch {
 			case errors.As(err, &lost):
--- a/sharer/store.go
+++ b/sharer/store.go
@@ -98,19 +98,19 @@
 	return reading, err
 }
 
-// Follow returns the changes of a table; of a shared one, those in substance.
-func (s *Store) Follow(ctx context.Context, f masticway.Following) (masticway.RowReading, error) {
+// Watch returns the changes of a table; of a shared one, those in substance.
+func (s *Store) Watch(ctx context.Context, f masticway.WatchRequest) (masticway.RowReading, error) {
 	t, ok := s.tables[f.Table]
 	if !ok {
-		return s.RowStore.Follow(ctx, f)
+		return s.RowStore.Watch(ctx, f)
 	}
-	if reply, ok := s.ask(ctx, t, Ask{Table: f.Table, Part: t.Part, Since: f.Since, Wait: min(f.Wait, askWait)}); ok {
-		if reply.Verdict == VerdictLost || f.AtMost > 0 && reply.Reading.Bytes() > f.AtMost {
-			return masticway.RowReading{}, &masticway.HistoryLostError{Table: f.Table, Since: f.Since, Large: reply.Verdict != VerdictLost}
+	if reply, ok := s.ask(ctx, t, Ask{Table: f.Table, Part: t.Part, Since: f.Since, Wait: min(f.MaxWait, askWait)}); ok {
+		if reply.Verdict == VerdictLost || f.MaxBytes > 0 && reply.Reading.Bytes() > f.MaxBytes {
+			return masticway.RowReading{}, &masticway.HistoryLostError{Table: f.Table, Since: f.Since, TooLarge: reply.Verdict != VerdictLost}
 		}
 		return reply.Reading, nil
 	}
-	reading, err := s.RowStore.Follow(ctx, f)
+	reading, err := s.RowStore.Watch(ctx, f)
 	if err == nil {
 		t.read(s.parts.Clock.Now(), false, reading)
 	}
--- a/sidecar/beats.go
+++ b/sidecar/beats.go
@@ -13,7 +13,7 @@
 		select {
 		case <-c.ctx.Done():
 			return
-		case <-c.clock.After(c.settings.Beat.Std()):
+		case <-c.clock.After(c.settings.HeartbeatInterval.Std()):
 		}
 		c.mu.Lock()
 		c.apply(c.core.Tick(c.clock.Now()))
@@ -40,7 +40,7 @@
 
 // sameLoad tells whether two reports differ in their time only.
 func sameLoad(a, b masticway.LoadReport) bool {
-	a.At, b.At = time.Time{}, time.Time{}
+	a.ReportedAt, b.ReportedAt = time.Time{}, time.Time{}
 	return reflect.DeepEqual(a, b)
 }
 
@@ -61,7 +61,7 @@
 		select {
 		case <-c.ctx.Done():
 			return
-		case <-c.clock.After(c.settings.Beat.Std()):
+		case <-c.clock.After(c.settings.HeartbeatInterval.Std()):
 		}
 	}
 }
--- a/sidecar/runs.go
+++ b/sidecar/runs.go
@@ -86,8 +86,8 @@
 	run     masticway.RunKey
 }
 
-// Counted passes the prompt's token count.
-func (s sink) Counted(prompt, cached int) {
+// PromptCounted passes the prompt's token count.
+func (s sink) PromptCounted(prompt, cached int) {
 	s.sidecar.mu.Lock()
 	defer s.sidecar.mu.Unlock()
 	s.sidecar.apply(s.sidecar.core.Counted(s.run, prompt, cached))
--- a/starter/gateway.go
+++ b/starter/gateway.go
@@ -115,7 +115,7 @@
 }
 
 // NewGateway assembles a gateway on a row store; patient is the same store with a longer time limit.
-func NewGateway(s forwarder.Settings, l GatewayListeners, store, patient masticway.RowStore, decoder masticway.DeploymentDecoder, dialect masticway.Dialect, clock masticway.Clock, out io.Writer) (*GatewayDaemon, error) {
+func NewGateway(s forwarder.Settings, l GatewayListeners, store, patient masticway.RowStore, decoder masticway.DeploymentDecoder, dialect masticway.HeaderCodec, clock masticway.Clock, out io.Writer) (*GatewayDaemon, error) {
 	queue := logger.NewQueue(out)
 	log, err := logger.New(s.LogLevel, queue)
 	if err != nil {
@@ -221,16 +221,16 @@
 
 // watchSuspensions tells of every time for which the machine was suspended, where its clock knows.
 func (d *GatewayDaemon) watchSuspensions(ctx context.Context) {
-	c, ok := d.clock.(interface{ Slept() time.Duration })
+	c, ok := d.clock.(interface{ SuspendedTime() time.Duration })
 	if !ok {
 		return
 	}
-	for told := c.Slept(); ctx.Err() == nil; {
+	for told := c.SuspendedTime(); ctx.Err() == nil; {
 		select {
 		case <-ctx.Done():
 		case <-d.clock.After(suspensionPause):
 		}
-		if slept := c.Slept(); slept > told {
+		if slept := c.SuspendedTime(); slept > told {
 			d.metrics.Gauge(metricSuspended, slept.Milliseconds())
 			d.log.WithFields(logrus.Fields{"event": "machine_suspended", "instance": d.settings.Instance, "for_ms": (slept - told).Milliseconds()}).Warn("the machine was suspended")
 			told = slept
--- a/throttler/limits.go
+++ b/throttler/limits.go
@@ -29,16 +29,16 @@
 
 // Observation is what a server was last heard to say of its limit.
 type Observation struct {
-	Limit masticway.RequestLimit `cbor:"1,keyasint"`
+	Limit masticway.RateLimit `cbor:"1,keyasint"`
 	// Age is how long ago the server said so.
 	Age time.Duration `cbor:"2,keyasint"`
 }
 
 // Question asks the owner of a server's limit for permits; without any wanted it only tells what was observed.
 type Question struct {
-	Server   masticway.ServerLife `cbor:"1,keyasint"`
-	Observed Observation          `cbor:"2,keyasint"`
-	Wanted   int                  `cbor:"3,keyasint,omitempty"`
+	Server   masticway.ServerIncarnation `cbor:"1,keyasint"`
+	Observed Observation                 `cbor:"2,keyasint"`
+	Wanted   int                         `cbor:"3,keyasint,omitempty"`
 	// Forwarded tells that an owner that has just started asks the backup in its place.
 	Forwarded bool `cbor:"4,keyasint,omitempty"`
 }
@@ -66,7 +66,7 @@
 
 // limited is what is known of one server that has named a limit.
 type limited struct {
-	limit   masticway.RequestLimit
+	limit   masticway.RateLimit
 	heardAt time.Time
 	// permits may be used until permitsUntil; refusedUntil no more are asked for.
 	permits      int
@@ -90,22 +90,22 @@
 // Limits are one router's beliefs about limits, the permits that it has, and the buckets that it owns; it is not safe
 // for concurrent use.
 type Limits struct {
-	servers map[masticway.ServerLife]*limited
+	servers map[masticway.ServerIncarnation]*limited
 	// named is how many servers have a limit now.
 	named int
 }
 
 // NewLimits returns limits of no server.
-func NewLimits() *Limits { return &Limits{servers: map[masticway.ServerLife]*limited{}} }
+func NewLimits() *Limits { return &Limits{servers: map[masticway.ServerIncarnation]*limited{}} }
 
 // Named is how many servers have a limit now.
 func (s *Limits) Named() int { return s.named }
 
 // Heard takes an observation unless a newer one is known.
-func (s *Limits) Heard(now time.Time, server masticway.ServerLife, w Observation) Change {
+func (s *Limits) Heard(now time.Time, server masticway.ServerIncarnation, w Observation) Change {
 	l, ok := s.servers[server]
 	if !ok {
-		if !w.Limit.Named {
+		if !w.Limit.IsSet {
 			return ChangeNone
 		}
 		l = &limited{}
@@ -122,11 +122,11 @@
 	switch {
 	case before == w.Limit:
 		return ChangeNone
-	case !before.Named:
+	case !before.IsSet:
 		s.named++
 		*l = limited{limit: w.Limit, heardAt: at, tokensAt: now, asked: l.asked, waiting: l.waiting}
 		return ChangeBegun
-	case !w.Limit.Named:
+	case !w.Limit.IsSet:
 		s.named--
 		return ChangeEnded
 	}
@@ -134,7 +134,7 @@
 }
 
 // Observed returns what was last heard of a server; its limit is none if nothing is known.
-func (s *Limits) Observed(now time.Time, server masticway.ServerLife) Observation {
+func (s *Limits) Observed(now time.Time, server masticway.ServerIncarnation) Observation {
 	l, ok := s.servers[server]
 	if !ok {
 		return Observation{Age: math.MaxInt64}
@@ -146,7 +146,7 @@
 func (s *Limits) Known(now time.Time) Observations {
 	observations := Observations{}
 	for server, l := range s.servers {
-		if l.limit.Named {
+		if l.limit.IsSet {
 			observations[server] = s.Observed(now, server)
 		}
 	}
@@ -167,10 +167,10 @@
 )
 
 // Take judges one request; answered is closed when a question that is under way ends.
-func (s *Limits) Take(now time.Time, server masticway.ServerLife) (v Verdict, answered <-chan struct{}) {
+func (s *Limits) Take(now time.Time, server masticway.ServerIncarnation) (v Verdict, answered <-chan struct{}) {
 	l, ok := s.servers[server]
 	switch {
-	case !ok || !l.limit.Named:
+	case !ok || !l.limit.IsSet:
 		return VerdictAdmitted, nil
 	case l.permits > 0 && now.Before(l.permitsUntil):
 		l.permits--
@@ -186,7 +186,7 @@
 }
 
 // Wanted is how many permits the requests at hand need.
-func (s *Limits) Wanted(server masticway.ServerLife) int {
+func (s *Limits) Wanted(server masticway.ServerIncarnation) int {
 	if l, ok := s.servers[server]; ok {
 		return l.waiting + 1
 	}
@@ -194,13 +194,13 @@
 }
 
 // Refuses tells that a server gets nothing now as far as is known without asking.
-func (s *Limits) Refuses(now time.Time, server masticway.ServerLife) bool {
+func (s *Limits) Refuses(now time.Time, server masticway.ServerIncarnation) bool {
 	l, ok := s.servers[server]
-	return ok && l.limit.Named && now.Before(l.refusedUntil) && (l.permits == 0 || !now.Before(l.permitsUntil))
+	return ok && l.limit.IsSet && now.Before(l.refusedUntil) && (l.permits == 0 || !now.Before(l.permitsUntil))
 }
 
 // Answered takes the reply to the question under way, nil if there was none; members is how many routers there are.
-func (s *Limits) Answered(now time.Time, server masticway.ServerLife, r *Reply, members int) Change {
+func (s *Limits) Answered(now time.Time, server masticway.ServerIncarnation, r *Reply, members int) Change {
 	l, ok := s.servers[server]
 	if !ok {
 		return ChangeNone
@@ -222,10 +222,10 @@
 	return change
 }
 
-// GiveBack returns a permit that was not used.
-func (s *Limits) GiveBack(now time.Time, server masticway.ServerLife) {
+// ReturnPermit returns a permit that was not used.
+func (s *Limits) GiveBack(now time.Time, server masticway.ServerIncarnation) {
 	l, ok := s.servers[server]
-	if !ok || !l.limit.Named {
+	if !ok || !l.limit.IsSet {
 		return
 	}
 	if !now.Before(l.permitsUntil) {
@@ -239,7 +239,7 @@
 func (s *Limits) Grant(now time.Time, q Question, share float64) (r Reply) {
 	r.Observed = s.Observed(now, q.Server)
 	l, ok := s.servers[q.Server]
-	if !ok || !l.limit.Named || q.Wanted <= 0 {
+	if !ok || !l.limit.IsSet || q.Wanted <= 0 {
 		return r
 	}
 	rate := l.rate() * share
@@ -255,7 +255,7 @@
 }
 
 // Wait is how long a server gets nothing from this router.
-func (s *Limits) Wait(now time.Time, server masticway.ServerLife) time.Duration {
+func (s *Limits) Wait(now time.Time, server masticway.ServerIncarnation) time.Duration {
 	if !s.Refuses(now, server) {
 		return 0
 	}
@@ -263,15 +263,15 @@
 }
 
 // Limit returns a server's present limit.
-func (s *Limits) Limit(server masticway.ServerLife) masticway.RequestLimit {
+func (s *Limits) Limit(server masticway.ServerIncarnation) masticway.RateLimit {
 	if l, ok := s.servers[server]; ok {
 		return l.limit
 	}
-	return masticway.RequestLimit{}
+	return masticway.RateLimit{}
 }
 
 // RetryAfter returns when the next refused caller should come again: they come as far apart as this router's part of the limit.
-func (s *Limits) RetryAfter(now time.Time, server masticway.ServerLife, members int) time.Duration {
+func (s *Limits) RetryAfter(now time.Time, server masticway.ServerIncarnation, members int) time.Duration {
 	wait := s.Wait(now, server)
 	l, ok := s.servers[server]
 	if !ok {
@@ -290,7 +290,7 @@
 }
 
 // Keep forgets the servers that have not been among the known ones for long; the row of one that lapses may come back.
-func (s *Limits) Keep(now time.Time, known map[masticway.ServerLife]bool) {
+func (s *Limits) Keep(now time.Time, known map[masticway.ServerIncarnation]bool) {
 	for server, l := range s.servers {
 		if known[server] {
 			l.unlistedSince = time.Time{}
@@ -302,7 +302,7 @@
 		if l.asked != nil || now.Sub(l.unlistedSince) < unlistedKept {
 			continue
 		}
-		if l.limit.Named {
+		if l.limit.IsSet {
 			s.named--
 		}
 		delete(s.servers, server)
--- a/throttler/limits_test.go
+++ b/throttler/limits_test.go
@@ -12,15 +12,15 @@
 
 // TestNewestWordCounts: a word that comes late, or that routers repeat to each other, outlives what the server has said after it.
 func TestNewestWordCounts(t *testing.T) {
-	limit := masticway.RequestLimit{Named: true, Rate: 2}
-	less := masticway.RequestLimit{Named: true, Rate: 1}
+	limit := masticway.RateLimit{IsSet: true, Rate: 2}
+	less := masticway.RateLimit{IsSet: true, Rate: 1}
 	type said struct {
 		at, age time.Duration
-		limit   masticway.RequestLimit
+		limit   masticway.RateLimit
 	}
 	cases := map[string]struct {
 		observations []said
-		want         masticway.RequestLimit
+		want         masticway.RateLimit
 	}{
 		"one":                        {observations: []said{{limit: limit}}, want: limit},
 		"another rate":               {observations: []said{{limit: limit}, {at: 1, limit: less}}, want: less},
@@ -41,7 +41,7 @@
 			}
 			qt.Assert(t, limits.Limit(server), qt.Equals, tc.want)
 			named := 0
-			if tc.want.Named {
+			if tc.want.IsSet {
 				named = 1
 			}
 			qt.Assert(t, limits.Named(), qt.Equals, named)
@@ -53,18 +53,18 @@
 func TestLimitOutlivesALapsedRow(t *testing.T) {
 	limits := throttler.NewLimits()
 	now := time.Unix(1_000_000, 0)
-	limit := masticway.RequestLimit{Named: true, Rate: 5}
+	limit := masticway.RateLimit{IsSet: true, Rate: 5}
 	limits.Heard(now, server, throttler.Observation{Limit: limit})
 	now = now.Add(10 * time.Second)
-	limits.Keep(now, map[masticway.ServerLife]bool{})
+	limits.Keep(now, map[masticway.ServerIncarnation]bool{})
 	qt.Assert(t, limits.Limit(server), qt.Equals, limit)
 	now = now.Add(time.Hour)
-	limits.Keep(now, map[masticway.ServerLife]bool{server: true})
+	limits.Keep(now, map[masticway.ServerIncarnation]bool{server: true})
 	qt.Assert(t, limits.Limit(server), qt.Equals, limit)
-	limits.Keep(now, map[masticway.ServerLife]bool{})
+	limits.Keep(now, map[masticway.ServerIncarnation]bool{})
 	qt.Assert(t, limits.Limit(server), qt.Equals, limit)
 	now = now.Add(time.Hour)
-	limits.Keep(now, map[masticway.ServerLife]bool{})
+	limits.Keep(now, map[masticway.ServerIncarnation]bool{})
 	qt.Assert(t, limits.Named(), qt.Equals, 0)
 }
 
@@ -72,7 +72,7 @@
 func TestPermitsLapse(t *testing.T) {
 	limits := throttler.NewLimits()
 	now := time.Unix(1_000_000, 0)
-	word := throttler.Observation{Limit: masticway.RequestLimit{Named: true, Rate: 5}}
+	word := throttler.Observation{Limit: masticway.RateLimit{IsSet: true, Rate: 5}}
 	limits.Heard(now, server, word)
 	ask := func() throttler.Verdict {
 		v, _ := limits.Take(now, server)
--- a/throttler/messages.go
+++ b/throttler/messages.go
@@ -15,7 +15,7 @@
 )
 
 // Observations are the newest observations on limits, by server.
-type Observations map[masticway.ServerLife]Observation
+type Observations map[masticway.ServerIncarnation]Observation
 
 // Routers are the other routers, which own limits or are told of them.
 type Routers interface {
--- a/throttler/rests.go
+++ b/throttler/rests.go
@@ -13,15 +13,15 @@
 
 // Rests are the servers that have asked this router to send nothing for a while; it is not safe for concurrent use.
 type Rests struct {
-	until map[masticway.ServerLife]time.Time
+	until map[masticway.ServerIncarnation]time.Time
 }
 
 // NewRests returns rests of no server.
-func NewRests() *Rests { return &Rests{until: map[masticway.ServerLife]time.Time{}} }
+func NewRests() *Rests { return &Rests{until: map[masticway.ServerIncarnation]time.Time{}} }
 
 // Asked takes a server's word that it wants nothing for a time, and returns how long it gets nothing. An earlier word that lasts
 // longer holds.
-func (r *Rests) Asked(now time.Time, server masticway.ServerLife, rest time.Duration) time.Duration {
+func (r *Rests) Asked(now time.Time, server masticway.ServerIncarnation, rest time.Duration) time.Duration {
 	if until := now.Add(min(rest, restMost)); until.After(r.until[server]) {
 		r.until[server] = until
 	}
@@ -29,7 +29,7 @@
 }
 
 // Left is how much longer a server gets nothing.
-func (r *Rests) Left(now time.Time, server masticway.ServerLife) time.Duration {
+func (r *Rests) Left(now time.Time, server masticway.ServerIncarnation) time.Duration {
 	return max(0, r.until[server].Sub(now))
 }
 
@@ -38,5 +38,5 @@
 
 // Forget forgets the servers that have rested.
 func (r *Rests) Forget(now time.Time) {
-	maps.DeleteFunc(r.until, func(_ masticway.ServerLife, until time.Time) bool { return !now.Before(until) })
+	maps.DeleteFunc(r.until, func(_ masticway.ServerIncarnation, until time.Time) bool { return !now.Before(until) })
 }
--- a/throttler/tell.go
+++ b/throttler/tell.go
@@ -76,7 +76,7 @@
 func (t *Throttler) Tell(ctx context.Context) {
 	t.mu.Lock()
 	untold := t.untold
-	t.untold = map[masticway.ServerLife]bool{}
+	t.untold = map[masticway.ServerIncarnation]bool{}
 	t.mu.Unlock()
 	for server := range untold {
 		audience := t.Members.Ranked(string(server), ownersMost)
@@ -87,7 +87,7 @@
 	}
 }
 
-func (t *Throttler) tellAll(ctx context.Context, server masticway.ServerLife, audience []string) {
+func (t *Throttler) tellAll(ctx context.Context, server masticway.ServerIncarnation, audience []string) {
 	var wg sync.WaitGroup
 	places := make(chan struct{}, toldAtOnce)
 	for _, address := range audience {
--- a/throttler/throttler.go
+++ b/throttler/throttler.go
@@ -76,7 +76,7 @@
 	// silent are the routers that left a question without an answer, and until when they are not asked.
 	silent map[string]time.Time
 	// untold are the servers of whose limit others have to hear.
-	untold map[masticway.ServerLife]bool
+	untold map[masticway.ServerIncarnation]bool
 }
 
 var _ masticway.Throttler = (*Throttler)(nil)
@@ -85,20 +85,20 @@
 func New(p Parts) *Throttler {
 	return &Throttler{
 		Parts: p, began: p.Clock.Now(), stir: make(chan struct{}, 1), limits: NewLimits(), rests: NewRests(), silent: map[string]time.Time{},
-		untold: map[masticway.ServerLife]bool{},
+		untold: map[masticway.ServerIncarnation]bool{},
 	}
 }
 
-// Heard notes what the head of a server's answer says of the server.
-func (t *Throttler) Heard(server masticway.ServerLife, a masticway.ServerAnswer) {
-	if a.RestFor > 0 {
-		t.rest(server, a.RestFor)
+// Observe notes what the head of a server's answer says of the server.
+func (t *Throttler) Observe(server masticway.ServerIncarnation, a masticway.ServerAnswer) {
+	if a.Backoff > 0 {
+		t.rest(server, a.Backoff)
 	}
-	if a.LimitUnreadable {
+	if a.LimitInvalid {
 		t.Log.WithFields(logrus.Fields{"event": "server_limit_unreadable", "server": server}).Debug("a server's limit is no rate")
 		return
 	}
-	if !a.Limit.Named && !a.Signed && !a.NotRun {
+	if !a.Limit.IsSet && !a.Signed && !a.NotRun {
 		// What a faulty server sends does not end a limit.
 		return
 	}
@@ -108,7 +108,7 @@
 }
 
 // rest takes a server's word that it wants nothing from this router for a time.
-func (t *Throttler) rest(server masticway.ServerLife, asked time.Duration) {
+func (t *Throttler) rest(server masticway.ServerIncarnation, asked time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	left := t.rests.Asked(t.Clock.Now(), server, asked)
@@ -126,12 +126,12 @@
 }
 
 // note takes an observation and tells of what it changes; the caller holds the lock.
-func (t *Throttler) note(server masticway.ServerLife, w Observation, source string) {
+func (t *Throttler) note(server masticway.ServerIncarnation, w Observation, source string) {
 	t.noted(server, t.limits.Heard(t.Clock.Now(), server, w), w.Age, source)
 }
 
 // noted logs a change, and has others hear of what this router has heard from the server itself, or as its owner.
-func (t *Throttler) noted(server masticway.ServerLife, c Change, age time.Duration, source string) {
+func (t *Throttler) noted(server masticway.ServerIncarnation, c Change, age time.Duration, source string) {
 	if c == ChangeNone {
 		return
 	}
@@ -149,7 +149,7 @@
 }
 
 // first tells that this router owns a server's limit.
-func (t *Throttler) first(server masticway.ServerLife) bool {
+func (t *Throttler) first(server masticway.ServerIncarnation) bool {
 	ranked := t.Members.Ranked(string(server), 1)
 	return len(ranked) > 0 && ranked[0] == t.Address
 }
@@ -157,17 +157,17 @@
 // Available returns the servers that may get a request now as far as this router knows.
 func (t *Throttler) Available(servers []masticway.Server) []masticway.Server {
 	now := t.Clock.Now()
-	return t.without(servers, func(s masticway.ServerLife) bool { return t.rests.Left(now, s) > 0 || t.limits.Refuses(now, s) })
+	return t.without(servers, func(s masticway.ServerIncarnation) bool { return t.rests.Left(now, s) > 0 || t.limits.Refuses(now, s) })
 }
 
 // Unlimited returns the servers that name no limit and do not rest.
 func (t *Throttler) Unlimited(servers []masticway.Server) []masticway.Server {
 	now := t.Clock.Now()
-	return t.without(servers, func(s masticway.ServerLife) bool { return t.rests.Left(now, s) > 0 || t.limits.Limit(s).Named })
+	return t.without(servers, func(s masticway.ServerIncarnation) bool { return t.rests.Left(now, s) > 0 || t.limits.Limit(s).IsSet })
 }
 
 // without returns the servers but some; most of the time no server says anything, and nothing is copied.
-func (t *Throttler) without(servers []masticway.Server, some func(masticway.ServerLife) bool) []masticway.Server {
+func (t *Throttler) without(servers []masticway.Server, some func(masticway.ServerIncarnation) bool) []masticway.Server {
 	if t.constrained.Load() == 0 {
 		return servers
 	}
@@ -175,7 +175,7 @@
 	defer t.mu.Unlock()
 	kept := make([]masticway.Server, 0, len(servers))
 	for _, s := range servers {
-		if !some(s.Life()) {
+		if !some(s.Incarnation()) {
 			kept = append(kept, s)
 		}
 	}
@@ -183,7 +183,7 @@
 }
 
 // Admit tells whether a server may get one more request from this router now.
-func (t *Throttler) Admit(ctx context.Context, server masticway.ServerLife) bool {
+func (t *Throttler) Admit(ctx context.Context, server masticway.ServerIncarnation) bool {
 	if t.constrained.Load() == 0 {
 		return true
 	}
@@ -208,7 +208,7 @@
 }
 
 // take judges one request.
-func (t *Throttler) take(server masticway.ServerLife) (v Verdict, answered <-chan struct{}) {
+func (t *Throttler) take(server masticway.ServerIncarnation) (v Verdict, answered <-chan struct{}) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	now := t.Clock.Now()
@@ -219,7 +219,7 @@
 }
 
 // ask asks the owner of a server's limit, or the backup in its place.
-func (t *Throttler) ask(ctx context.Context, server masticway.ServerLife) {
+func (t *Throttler) ask(ctx context.Context, server masticway.ServerIncarnation) {
 	t.Metrics.Add(metricAsks, 1)
 	t.mu.Lock()
 	q := Question{Server: server, Observed: t.limits.Observed(t.Clock.Now(), server), Wanted: t.limits.Wanted(server)}
@@ -326,7 +326,7 @@
 	t.note(q.Server, q.Observed, "router")
 }
 
-func (t *Throttler) observed(server masticway.ServerLife) Observation {
+func (t *Throttler) observed(server masticway.ServerIncarnation) Observation {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.limits.Observed(t.Clock.Now(), server)
@@ -340,27 +340,27 @@
 	return r
 }
 
-// GiveBack returns an admission for which nothing was sent.
-func (t *Throttler) GiveBack(server masticway.ServerLife) {
+// ReturnPermit returns an admission for which nothing was sent.
+func (t *Throttler) ReturnPermit(server masticway.ServerIncarnation) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.limits.GiveBack(t.Clock.Now(), server)
 }
 
-// Holding returns why and for how long a server takes no request from this router; false when it may get one.
-func (t *Throttler) Holding(server masticway.ServerLife) (masticway.Holding, bool) {
+// Throttling returns why and for how long a server takes no request from this router; false when it may get one.
+func (t *Throttler) Throttling(server masticway.ServerIncarnation) (masticway.Throttling, bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	now := t.Clock.Now()
 	if left := t.rests.Left(now, server); left > 0 {
-		return masticway.Holding{For: left, Resting: true, Reason: fmt.Sprintf("%s has asked this router for rest", server)}, true
+		return masticway.Throttling{Remaining: left, BackoffRequested: true, Reason: fmt.Sprintf("%s has asked this router for rest", server)}, true
 	}
 	wait := t.limits.Wait(now, server)
-	return masticway.Holding{For: wait, Reason: fmt.Sprintf("%s takes %v requests a second", server, t.limits.Limit(server).Rate)}, wait > 0
+	return masticway.Throttling{Remaining: wait, Reason: fmt.Sprintf("%s takes %v requests a second", server, t.limits.Limit(server).Rate)}, wait > 0
 }
 
 // RetryAfter returns when a caller that is refused for a server's sake should come again.
-func (t *Throttler) RetryAfter(server masticway.ServerLife) time.Duration {
+func (t *Throttler) RetryAfter(server masticway.ServerIncarnation) time.Duration {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	now := t.Clock.Now()
@@ -371,7 +371,7 @@
 }
 
 // Keep forgets what is over, and servers that are not among some.
-func (t *Throttler) Keep(known map[masticway.ServerLife]bool) {
+func (t *Throttler) Keep(known map[masticway.ServerIncarnation]bool) {
 	if t.constrained.Load() == 0 {
 		return
 	}
--- a/throttler/world_test.go
+++ b/throttler/world_test.go
@@ -29,7 +29,7 @@
 	slack     = 5
 	// settled is how long the fleet has run when the server names its limit.
 	settled = 25 * time.Second
-	server  = masticway.ServerLife("i-1")
+	server  = masticway.ServerIncarnation("i-1")
 )
 
 var errCut = errors.New("cut off")
@@ -42,7 +42,7 @@
 	// cut tells that two routers cannot reach each other.
 	cut func(from, to *node) bool
 	// named is the server's limit, sent tells when it got requests, and which of them were of routers that the rule excuses.
-	named    masticway.RequestLimit
+	named    masticway.RateLimit
 	arrivals []time.Duration
 	began    time.Time
 	refused  int
@@ -183,12 +183,12 @@
 	if !n.excused {
 		w.arrivals = append(w.arrivals, w.at())
 	}
-	n.throttle.Heard(server, masticway.ServerAnswer{Signed: true, Limit: w.named})
+	n.throttle.Observe(server, masticway.ServerAnswer{Signed: true, Limit: w.named})
 }
 
 // name has the server name a limit; zero ends it.
 func (w *world) name(perSecond float64) {
-	w.named = masticway.RequestLimit{Named: perSecond > 0, Rate: perSecond}
+	w.named = masticway.RateLimit{IsSet: perSecond > 0, Rate: perSecond}
 }
 
 // most is the most arrivals in any window that begins at a time or later, and count the arrivals between two times.
--- a/treasurer/begin.go
+++ b/treasurer/begin.go
@@ -50,7 +50,7 @@
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.purse.Began(t.clock.Now(), made.Version, made.At)
+	t.purse.Began(t.clock.Now(), made.Version, made.StoreTime)
 	t.log.WithFields(logrus.Fields{
 		"event": "money_begun", "incarnation": t.self, "predecessors": len(t.purse.Predecessors()),
 	}).Info("book taken over")
@@ -133,10 +133,10 @@
 	reading, err := t.store.Read(ctx, key.Table, key.Part)
 	for _, r := range reading.Rows {
 		if r.Key == key.Key {
-			return r, reading.At, err
+			return r, reading.StoreTime, err
 		}
 	}
-	return masticway.StoredRow{RowKey: key}, reading.At, err
+	return masticway.StoredRow{RowKey: key}, reading.StoreTime, err
 }
 
 func (t *Treasurer) tryClose(ctx context.Context, row masticway.StoredRow, ended Ended, workspace string, spent int64) error {
--- a/treasurer/holders_test.go
+++ b/treasurer/holders_test.go
@@ -33,7 +33,7 @@
 	accounts := map[string]masticway.Account{}
 	for i := range workspaces {
 		name := fmt.Sprintf("w%d", i)
-		accounts[name] = masticway.Account{Workspace: name, Prepaid: 1_000_000, Metered: true}
+		accounts[name] = masticway.Account{Workspace: name, Prepaid: 1_000_000, HasLimit: true}
 	}
 	p.Configure(1, accounts)
 	p.Count(len(peers), peers)
--- a/treasurer/outcome.go
+++ b/treasurer/outcome.go
@@ -54,7 +54,7 @@
 // missed notes a step that failed; it tells whether nothing was done for certain, and whether that was for the rate.
 func (p *Purse) missed(s Step, err error) (nothing, busy bool) {
 	unavailable, nothing := errors.AsType[*masticway.UnavailableError](err)
-	busy = nothing && unavailable.Busy
+	busy = nothing && unavailable.RateLimited
 	if busy {
 		p.slowDown()
 	} else {
@@ -203,7 +203,7 @@
 	p.bookTook += (now.Sub(s.sentAt) - p.bookTook) / 4
 	p.bookVersion = reading.Version
 	p.kept(s.sequence)
-	p.book.Basis = reading.At
+	p.book.Basis = reading.StoreTime
 	p.bookBasis = now
 	return p.Tick(now), nil
 }
--- a/treasurer/presence.go
+++ b/treasurer/presence.go
@@ -106,7 +106,7 @@
 			t.log.WithFields(logrus.Fields{"event": "presence_unreadable", "instance_of": r.Key, "error": err}).Warn("router not counted")
 			continue
 		}
-		if reading.At-p.At >= alive {
+		if reading.StoreTime-p.At >= alive {
 			continue
 		}
 		n++
@@ -125,7 +125,7 @@
 	defer t.mu.Unlock()
 	t.peers, t.members = peers, n
 	t.countedAt, t.countedBytes = t.clock.Now(), reading.Bytes()
-	t.presence = presenceRow{version: own, at: reading.At, since: t.countedAt}
+	t.presence = presenceRow{version: own, at: reading.StoreTime, since: t.countedAt}
 	t.purse.Count(n, peers)
 	t.metrics.Gauge(metricMembers, int64(n))
 }
--- a/treasurer/presence_test.go
+++ b/treasurer/presence_test.go
@@ -87,7 +87,7 @@
 
 func (p *ratedPart) Write(ctx context.Context, w masticway.RowWrite) (masticway.RowReading, error) {
 	if !p.take() {
-		return masticway.RowReading{}, &masticway.UnavailableError{Service: "rows", Reason: "over its rate", Busy: true}
+		return masticway.RowReading{}, &masticway.UnavailableError{Service: "rows", Reason: "over its rate", RateLimited: true}
 	}
 	return p.Rows.Write(ctx, w)
 }
--- a/treasurer/purse.go
+++ b/treasurer/purse.go
@@ -308,7 +308,7 @@
 // Configure tells what each workspace has paid for, as of a configuration's version.
 func (p *Purse) Configure(version int64, accounts map[string]masticway.Account) {
 	for workspace, paid := range accounts {
-		if !paid.Metered {
+		if !paid.HasLimit {
 			continue
 		}
 		a, ok := p.accounts[workspace]
--- a/treasurer/purse_test.go
+++ b/treasurer/purse_test.go
@@ -42,13 +42,13 @@
 func (b *bench) startAt(self masticway.Incarnation, address string, listening time.Time, prepaid int64) {
 	b.self = self
 	b.purse = treasurer.NewPurse(treasurer.Settings{Incarnation: self, Address: address, Parts: 1, Reserve: 10 * time.Second, BurstShare: b.burst})
-	b.purse.Configure(1, map[string]masticway.Account{"w": {Workspace: "w", Prepaid: prepaid, Metered: true}})
+	b.purse.Configure(1, map[string]masticway.Account{"w": {Workspace: "w", Prepaid: prepaid, HasLimit: true}})
 	book := b.rows.Row(masticway.RowKey{Table: "masticway_books", Part: "0", Key: self.Instance()})
 	write, err := b.purse.Begin(book, b.now.Sub(epoch), listening.Sub(epoch))
 	qt.Assert(b.t, err, qt.IsNil)
 	made, err := b.rows.Apply(write)
 	qt.Assert(b.t, err, qt.IsNil)
-	b.purse.Began(b.now, made.Version, made.At)
+	b.purse.Began(b.now, made.Version, made.StoreTime)
 }
 
 func (b *bench) note(replies []treasurer.Reply) {
@@ -464,7 +464,7 @@
 				continue
 			}
 			changes++
-			replies, err := b.purse.Done(b.now, s, masticway.RowReading{}, &masticway.UnavailableError{Service: "rows", Busy: true})
+			replies, err := b.purse.Done(b.now, s, masticway.RowReading{}, &masticway.UnavailableError{Service: "rows", RateLimited: true})
 			qt.Assert(t, err, qt.IsNil)
 			b.note(replies)
 		}
@@ -514,7 +514,7 @@
 	b.hold(1000)
 	b.run(300 * time.Millisecond)
 	qt.Assert(t, b.account().Grants[b.self].Granted > 1000, qt.IsTrue)
-	b.purse.Configure(2, map[string]masticway.Account{"w": {Workspace: "w", Prepaid: 1500, Metered: true}})
+	b.purse.Configure(2, map[string]masticway.Account{"w": {Workspace: "w", Prepaid: 1500, HasLimit: true}})
 	b.run(time.Second)
 	qt.Assert(t, b.account().Grants[b.self].Granted <= 1500, qt.IsTrue, qt.Commentf("%d", b.account().Grants[b.self].Granted))
 }
--- a/treasurer/simulation_test.go
+++ b/treasurer/simulation_test.go
@@ -214,7 +214,7 @@
 	r.listening, r.seen = f.now, 0
 	accounts := map[string]masticway.Account{}
 	for name, prepaid := range f.prepaid {
-		accounts[name] = masticway.Account{Workspace: name, Prepaid: prepaid, Metered: true}
+		accounts[name] = masticway.Account{Workspace: name, Prepaid: prepaid, HasLimit: true}
 	}
 	r.purse.Configure(1, accounts)
 	life := r.life
@@ -261,7 +261,7 @@
 			return
 		}
 		f.count(r)
-		r.purse.Began(f.now, made.Version, made.At)
+		r.purse.Began(f.now, made.Version, made.StoreTime)
 		for _, e := range r.purse.Predecessors() {
 			for workspace, spent := range e.Known(f.recall(e)) {
 				f.closings++
--- a/treasurer/watch.go
+++ b/treasurer/watch.go
@@ -43,7 +43,7 @@
 		if since == 0 {
 			reading, err = t.readParts(ctx, t.firstParts())
 		} else {
-			reading, err = t.store.Follow(ctx, masticway.Following{Table: tableAccounts, Since: since, Wait: followWait})
+			reading, err = t.store.Watch(ctx, masticway.WatchRequest{Table: tableAccounts, Since: since, MaxWait: followWait})
 			read.add(t.clock.Now(), float64(reading.Bytes()))
 		}
 		if _, lost := errors.AsType[*masticway.HistoryLostError](err); lost {
--- a/treasurer/watch_test.go
+++ b/treasurer/watch_test.go
@@ -27,8 +27,8 @@
 	return c.count(c.Rows.Read(ctx, table, part))
 }
 
-func (c *countedRows) Follow(ctx context.Context, f masticway.Following) (masticway.RowReading, error) {
-	return c.count(c.Rows.Follow(ctx, f))
+func (c *countedRows) Watch(ctx context.Context, f masticway.WatchRequest) (masticway.RowReading, error) {
+	return c.count(c.Rows.Watch(ctx, f))
 }
 
 func (c *countedRows) count(reading masticway.RowReading, err error) (masticway.RowReading, error) {
@@ -50,7 +50,7 @@
 			accounts := map[string]masticway.Account{}
 			for i := range routers {
 				name := fmt.Sprintf("w%d", i)
-				accounts[name] = masticway.Account{Workspace: name, Prepaid: 1_000_000, Metered: true}
+				accounts[name] = masticway.Account{Workspace: name, Prepaid: 1_000_000, HasLimit: true}
 			}
 			r.purse.Configure(1, accounts)
 			var peers []Peer
--- a/treasurer/world_test.go
+++ b/treasurer/world_test.go
@@ -85,7 +85,7 @@
 	accounts := map[string]masticway.Account{}
 	for workspace, prepaid := range w.prepaid {
 		w.most[workspace] = max(w.most[workspace], prepaid)
-		accounts[workspace] = masticway.Account{Workspace: workspace, Prepaid: prepaid, Metered: true}
+		accounts[workspace] = masticway.Account{Workspace: workspace, Prepaid: prepaid, HasLimit: true}
 	}
 	for _, r := range w.routers {
 		if !r.cut {
@@ -108,7 +108,7 @@
 	r.begun, r.steps, r.holds, r.ended, r.stated, r.strays = false, nil, nil, nil, nil, nil
 	accounts := map[string]masticway.Account{}
 	for workspace, prepaid := range w.prepaid {
-		accounts[workspace] = masticway.Account{Workspace: workspace, Prepaid: prepaid, Metered: true}
+		accounts[workspace] = masticway.Account{Workspace: workspace, Prepaid: prepaid, HasLimit: true}
 	}
 	r.purse.Configure(w.version, accounts)
 }
@@ -137,7 +137,7 @@
 	if err != nil {
 		return
 	}
-	r.purse.Began(w.now, made.Version, made.At)
+	r.purse.Began(w.now, made.Version, made.StoreTime)
 	r.begun = true
 	r.ended = r.purse.Predecessors()
 	var peers []treasurer.Peer
@@ -160,7 +160,7 @@
 	if err != nil {
 		return out
 	}
-	out.at = all.At
+	out.at = all.StoreTime
 	for _, r := range all.Rows {
 		if r.Key == key {
 			out.row = r
