--- a/clock.go
+++ b/clock.go
@@ -8,35 +8,36 @@
 	"golang.org/x/sys/unix"
 )
 
-// Clock tells the time to code that must be testable without waiting.
+// Clock provides the time, so that tests can replace it and need not wait.
 type Clock interface {
 	// Now returns the current time.
 	Now() time.Time
-	// After returns a channel that delivers the time once d has passed.
+	// After returns a channel that delivers the time once d has elapsed.
 	After(d time.Duration) <-chan time.Time
 }
 
-// SystemClock is the machine's own clock. It never steps and, unlike the steady clock, goes on while the machine is suspended:
-// leases, silences and promises last no longer for others because this machine slept.
+// SystemClock is the clock of the local machine. It does not jump when the time of day is set and, unlike Go's monotonic clock,
+// it includes the time for which the machine was suspended. Otherwise a suspension would extend leases, silence timeouts and
+// promises on this machine beyond what other machines expect.
 type SystemClock struct{}
 
-// Now returns the machine's time: that of the process's start and what has passed since, suspensions included.
-func (SystemClock) Now() time.Time { return machine.now() }
+// Now returns the time of day at the start of the process plus the time elapsed since, including suspensions.
+func (SystemClock) Now() time.Time { return systemClock.now() }
 
-// SuspendedTime returns how long the machine has been suspended since the process began.
+// SuspendedTime returns the total time for which the machine has been suspended since the process started.
 func (SystemClock) SuspendedTime() time.Duration {
-	machine.now()
-	return time.Duration(machine.slept.Load())
+	systemClock.now()
+	return time.Duration(systemClock.suspended.Load())
 }
 
-// After waits on the machine's steady clock: a suspension makes the wait longer, and who waited asks Now.
+// After waits on the monotonic clock, so a suspension prolongs the wait. The caller must call Now afterwards to get the time.
 func (SystemClock) After(d time.Duration) <-chan time.Time { return time.After(d) }
 
-// machine is the clock of the machine that the process runs on.
-var machine = newSleepless(wallAndSteady(time.Now()), bootTime)
+// systemClock is the clock behind SystemClock.
+var systemClock = newSuspendClock(clockReader(time.Now()), bootTime)
 
-// wallAndSteady returns a function that reads the time of day and the steady clock, which begins at a time.
-func wallAndSteady(start time.Time) func() (day time.Time, steady time.Duration) {
+// clockReader returns a function that reads the time of day and the monotonic time elapsed since start.
+func clockReader(start time.Time) func() (day time.Time, steady time.Duration) {
 	return func() (time.Time, time.Duration) {
 		t := time.Now()
 		return t.Round(0), t.Sub(start)
@@ -44,16 +45,17 @@
 }
 
 const (
-	// sleepNoticed is the least change between the time of day and the steady clock after which the machine is asked for how
-	// long it has slept: both go on at the same rate but for corrections of some parts in ten thousand.
-	sleepNoticed = 5 * time.Millisecond
-	// readingGap is how far apart two readings of the steady clock around one of the other clock may be.
-	readingGap = time.Millisecond
-	// readingTries bounds the attempts at readings that are close together.
-	readingTries = 5
+	// minDrift is the minimum change of the difference between the time of day and the monotonic clock that causes the boot
+	// time to be read. Without suspensions, the two clocks advance at the same rate, except for corrections of some parts in
+	// ten thousand.
+	minDrift = 5 * time.Millisecond
+	// maxReadingGap is the maximum time between the readings of the monotonic clock before and after a reading of the boot time.
+	maxReadingGap = time.Millisecond
+	// maxReadings is the maximum number of attempts to get readings within maxReadingGap.
+	maxReadings = 5
 )
 
-// bootTime returns the time since the machine was started, suspensions included; ok is false where it is not to be had.
+// bootTime returns the time since the machine booted, including suspensions. It returns false if that is not available.
 func bootTime() (time.Duration, bool) {
 	var t unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &t); err != nil {
@@ -62,72 +64,74 @@
 	return time.Duration(t.Nano()), true
 }
 
-// sleepless is a clock that goes on during suspensions. The machine's own one that does is asked only when the time of day
-// has moved against the steady clock, which costs nothing to see.
-type sleepless struct {
-	// read returns the time of day and the steady clock, boot the time since the machine was started.
-	read func() (day time.Time, steady time.Duration)
-	boot func() (time.Duration, bool)
-	// start is the time of day at the start, when the steady clock was at awake and the boot time ahead of it.
-	start time.Time
-	awake time.Duration
-	ahead time.Duration
-	known bool
-
-	// slept is how long the machine has been suspended since the start, drift the difference between the time of day and the
-	// steady clock when that was found out, both in nanoseconds.
-	slept, drift atomic.Int64
-	mu           sync.Mutex
+// suspendClock is a clock that includes suspensions. It reads the boot time, which needs a system call, only if the difference
+// between the time of day and the monotonic clock has changed, which is cheap to detect.
+type suspendClock struct {
+	// readClocks returns the time of day and the monotonic clock; readBootTime returns the time since the machine booted.
+	readClocks   func() (day time.Time, steady time.Duration)
+	readBootTime func() (time.Duration, bool)
+	// start and startSteady are the time of day and the monotonic clock when the suspendClock was created. startOffset is the
+	// boot time minus the monotonic clock at that time, if hasBootTime is set.
+	start       time.Time
+	startSteady time.Duration
+	startOffset time.Duration
+	hasBootTime bool
+
+	// suspended is how long the machine has been suspended since the start. drift is the difference between the elapsed time
+	// of day and the elapsed monotonic time when suspended was last updated. Both are in nanoseconds.
+	suspended, drift atomic.Int64
+	mu               sync.Mutex
 }
 
-func newSleepless(read func() (time.Time, time.Duration), boot func() (time.Duration, bool)) *sleepless {
-	s := &sleepless{read: read, boot: boot}
-	s.start, s.awake = read()
-	s.ahead, s.known = s.measure()
+func newSuspendClock(read func() (time.Time, time.Duration), boot func() (time.Duration, bool)) *suspendClock {
+	s := &suspendClock{readClocks: read, readBootTime: boot}
+	s.start, s.startSteady = read()
+	s.startOffset, s.hasBootTime = s.bootOffset()
 	return s
 }
 
-// now returns the time of day at the start and what has passed since.
-func (s *sleepless) now() time.Time {
-	day, steady := s.read()
-	passed := steady - s.awake
-	drift := day.Sub(s.start) - passed
-	if moved := drift - time.Duration(s.drift.Load()); moved >= sleepNoticed || moved <= -sleepNoticed {
-		s.look(drift)
+// now returns the time of day at the start plus the time elapsed since, including suspensions.
+func (s *suspendClock) now() time.Time {
+	day, steady := s.readClocks()
+	elapsed := steady - s.startSteady
+	drift := day.Sub(s.start) - elapsed
+	if change := drift - time.Duration(s.drift.Load()); change >= minDrift || change <= -minDrift {
+		s.updateSuspended(drift)
 	}
-	return s.start.Add(passed + time.Duration(s.slept.Load()))
+	return s.start.Add(elapsed + time.Duration(s.suspended.Load()))
 }
 
-// look finds out for how long the machine has been suspended, once for each change of the drift.
-func (s *sleepless) look(drift time.Duration) {
+// updateSuspended updates how long the machine has been suspended. It is called when the drift has changed.
+func (s *suspendClock) updateSuspended(drift time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if !s.known {
+	if !s.hasBootTime {
 		s.drift.Store(int64(drift))
 		return
 	}
-	ahead, ok := s.measure()
+	offset, ok := s.bootOffset()
 	if !ok {
-		// The next call looks again.
+		// drift is unchanged, so the next call of now tries again.
 		return
 	}
-	// Where the time of day was set, the machine has not slept any longer.
-	if slept := ahead - s.ahead; slept >= time.Duration(s.slept.Load())+sleepNoticed {
-		s.slept.Store(int64(slept))
+	// If only the time of day was set, the suspended time has not grown.
+	if suspended := offset - s.startOffset; suspended >= time.Duration(s.suspended.Load())+minDrift {
+		s.suspended.Store(int64(suspended))
 	}
 	s.drift.Store(int64(drift))
 }
 
-// measure returns how far the boot time is ahead of the steady clock, from readings that are close together.
-func (s *sleepless) measure() (time.Duration, bool) {
-	for range readingTries {
-		_, before := s.read()
-		boot, ok := s.boot()
-		_, after := s.read()
+// bootOffset returns the boot time minus the monotonic clock. It returns false if the boot time is not available or if no
+// readings within maxReadingGap of each other were obtained.
+func (s *suspendClock) bootOffset() (time.Duration, bool) {
+	for range maxReadings {
+		_, before := s.readClocks()
+		boot, ok := s.readBootTime()
+		_, after := s.readClocks()
 		if !ok {
 			return 0, false
 		}
-		if after-before <= readingGap {
+		if after-before <= maxReadingGap {
 			return boot - after, true
 		}
 	}
--- a/clock_test.go
+++ b/clock_test.go
@@ -7,66 +7,68 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// laptop is a machine whose clocks a test moves.
-type laptop struct {
-	// steady stands still while the machine is suspended, day and boot do not; day may also be set.
+// fakeMachine is a machine whose clocks are advanced by the test.
+type fakeMachine struct {
+	// steady does not advance while the machine is suspended; day and boot do. day can also be set.
 	steady, day, boot time.Duration
-	asked             int
-	// without tells that there is no boot time.
-	without bool
-	base    time.Time
+	bootReads         int
+	// noBootTime is set if the machine has no boot time clock.
+	noBootTime bool
+	base       time.Time
 }
 
-func newTestClock(l *laptop) *sleepless {
-	return newSleepless(func() (time.Time, time.Duration) { return l.base.Add(l.day), l.steady }, func() (time.Duration, bool) {
-		l.asked++
-		return time.Hour + l.boot, !l.without
+func newTestClock(l *fakeMachine) *suspendClock {
+	return newSuspendClock(func() (time.Time, time.Duration) { return l.base.Add(l.day), l.steady }, func() (time.Duration, bool) {
+		l.bootReads++
+		return time.Hour + l.boot, !l.noBootTime
 	})
 }
 
-func (l *laptop) pass(d time.Duration) { l.steady, l.day, l.boot = l.steady+d, l.day+d, l.boot+d }
+func (l *fakeMachine) advance(d time.Duration) {
+	l.steady, l.day, l.boot = l.steady+d, l.day+d, l.boot+d
+}
 
-func (l *laptop) sleep(d time.Duration) { l.day, l.boot = l.day+d, l.boot+d }
+func (l *fakeMachine) suspend(d time.Duration) { l.day, l.boot = l.day+d, l.boot+d }
 
-// TestClockCountsSuspensions has a machine suspended for seconds, and its time of day set.
+// TestClockCountsSuspensions checks that the clock includes suspensions but not changes of the time of day.
 //
-// Seen: a lease, a silence or a promise lasted longer for a router by what its machine had been suspended. Cause: all were judged
-// by the steady clock, which does not count that time.
+// If it used the monotonic clock, which excludes suspensions, a router would extend its leases, silence timeouts and promises by
+// the time for which its machine was suspended.
 func TestClockCountsSuspensions(t *testing.T) {
 	for name, tc := range map[string]struct {
-		do   func(l *laptop)
+		do   func(l *fakeMachine)
 		want time.Duration
 	}{
-		"time passes":                  {do: func(l *laptop) { l.pass(2 * time.Second) }, want: 2 * time.Second},
-		"suspended":                    {do: func(l *laptop) { l.sleep(5 * time.Second) }, want: 5 * time.Second},
-		"suspended twice":              {do: func(l *laptop) { l.sleep(5 * time.Second); l.pass(time.Second); l.sleep(time.Second) }, want: 7 * time.Second},
-		"the time of day is set ahead": {do: func(l *laptop) { l.day += time.Hour; l.pass(time.Second) }, want: time.Second},
-		"the time of day is set back":  {do: func(l *laptop) { l.day -= time.Hour; l.pass(time.Second) }, want: time.Second},
-		"suspended and set back":       {do: func(l *laptop) { l.sleep(5 * time.Second); l.day -= time.Minute }, want: 5 * time.Second},
-		"no boot time":                 {do: func(l *laptop) { l.without = true; l.sleep(5 * time.Second); l.pass(time.Second) }, want: time.Second},
+		"time passes":                  {do: func(l *fakeMachine) { l.advance(2 * time.Second) }, want: 2 * time.Second},
+		"suspended":                    {do: func(l *fakeMachine) { l.suspend(5 * time.Second) }, want: 5 * time.Second},
+		"suspended twice":              {do: func(l *fakeMachine) { l.suspend(5 * time.Second); l.advance(time.Second); l.suspend(time.Second) }, want: 7 * time.Second},
+		"the time of day is set ahead": {do: func(l *fakeMachine) { l.day += time.Hour; l.advance(time.Second) }, want: time.Second},
+		"the time of day is set back":  {do: func(l *fakeMachine) { l.day -= time.Hour; l.advance(time.Second) }, want: time.Second},
+		"suspended and set back":       {do: func(l *fakeMachine) { l.suspend(5 * time.Second); l.day -= time.Minute }, want: 5 * time.Second},
+		"no boot time":                 {do: func(l *fakeMachine) { l.noBootTime = true; l.suspend(5 * time.Second); l.advance(time.Second) }, want: time.Second},
 	} {
 		t.Run(name, func(t *testing.T) {
-			l := &laptop{base: time.Unix(1_800_000_000, 0)}
+			l := &fakeMachine{base: time.Unix(1_800_000_000, 0)}
 			s := newTestClock(l)
-			began := s.now()
+			started := s.now()
 			tc.do(l)
-			qt.Assert(t, s.now().Sub(began), qt.Equals, tc.want)
+			qt.Assert(t, s.now().Sub(started), qt.Equals, tc.want)
 		})
 	}
 }
 
-func TestClockAsksForSuspensionsSeldom(t *testing.T) {
-	l := &laptop{base: time.Unix(1_800_000_000, 0)}
+func TestClockRarelyReadsBootTime(t *testing.T) {
+	l := &fakeMachine{base: time.Unix(1_800_000_000, 0)}
 	s := newTestClock(l)
-	asked := l.asked
+	reads := l.bootReads
 	for range 1000 {
-		l.pass(time.Second)
+		l.advance(time.Second)
 		s.now()
 	}
-	qt.Assert(t, l.asked, qt.Equals, asked)
-	l.sleep(time.Second)
+	qt.Assert(t, l.bootReads, qt.Equals, reads)
+	l.suspend(time.Second)
 	for range 1000 {
 		s.now()
 	}
-	qt.Assert(t, l.asked, qt.Equals, asked+1)
+	qt.Assert(t, l.bootReads, qt.Equals, reads+1)
 }
