--- a/amount.go
+++ b/amount.go
@@ -5,27 +5,27 @@
 	"time"
 )
 
-// Amount is money in thousandths of a token at weight one.
+// Amount is an amount of money, in thousandths of the price of one token with weight one.
 type Amount int64
 
-// PerToken is the amount of one token at weight one.
+// PerToken is the price of one token with weight one.
 const PerToken Amount = 1000
 
-// Duration is a time.Duration that settings and contracts write as a string such as "1.5s".
+// Duration is a time.Duration that is encoded as a string such as "1.5s" in settings and contracts.
 type Duration time.Duration
 
-// MarshalText writes the duration as Go prints it.
+// MarshalText encodes the duration in the format of time.Duration.String.
 func (d Duration) MarshalText() ([]byte, error) { return []byte(time.Duration(d).String()), nil }
 
-// UnmarshalText reads a duration string such as "250ms".
+// UnmarshalText parses a duration string such as "250ms".
 func (d *Duration) UnmarshalText(text []byte) error {
 	v, err := time.ParseDuration(string(text))
 	if err != nil {
-		return fmt.Errorf("reading duration %q: %w", text, err)
+		return fmt.Errorf("parsing duration %q: %w", text, err)
 	}
 	*d = Duration(v)
 	return nil
 }
 
-// Std returns the standard library's duration.
+// Std returns d as a time.Duration.
 func (d Duration) Std() time.Duration { return time.Duration(d) }
--- a/doc.go
+++ b/doc.go
@@ -1,6 +1,6 @@
-// Package masticway holds the interfaces to the outside and the immutable
-// values that pass between the packages of the fleet.
+// Package masticway defines the interfaces to external systems and the immutable
+// values that are passed between the packages of the fleet.
 //
-// The interfaces live here, and their implementations in packages below, so
-// that a decision package depends on this package only and never on a socket.
+// The implementations of the interfaces are in subpackages, so that packages with
+// decision logic depend on this package only and do no network I/O.
 package masticway
--- a/settings.go
+++ b/settings.go
@@ -1,6 +1,6 @@
 package masticway
 
-// ProcessSettings are the settings that routers and sidecars have in common.
+// ProcessSettings are the settings common to routers and sidecars.
 type ProcessSettings struct {
 	Instance          string   `json:"instance"`
 	Region            string   `json:"region"`
