--- a/contract.go
+++ b/contract.go
@@ -5,7 +5,7 @@
 	"slices"
 )
 
-// Class separates requests that a person waits for from long-running ones.
+// Class distinguishes requests that a person waits for from long-running ones.
 type Class string
 
 // The classes of a request, in the order in which queues serve them.
@@ -14,30 +14,30 @@
 	ClassBatch       Class = "batch"
 )
 
-// ModelTerms says how one workspace may use one model.
+// ModelTerms specifies how one workspace may use one model.
 type ModelTerms struct {
 	Name string `json:"name"`
 	// Version pins the model version; empty allows any.
 	Version string `json:"version,omitempty"`
-	// MinOutput is the least number of output tokens worth starting for when the caller names no maximum.
+	// MinOutput is the minimum number of output tokens that makes a request worth starting if the caller specifies no maximum.
 	MinOutput int `json:"min_output,omitempty"`
-	// MaxOutput bounds the output tokens of one request.
+	// MaxOutput is the maximum number of output tokens of one request.
 	MaxOutput int `json:"max_output,omitempty"`
 }
 
-// CallPattern matches service calls by method and path, where the path may hold path.Match wildcards.
+// CallPattern matches service calls by method and path. Path is a pattern for path.Match; the method "*" matches any method.
 type CallPattern struct {
 	Method string `json:"method"`
 	Path   string `json:"path"`
 }
 
-// ServiceTerms says how one workspace may use one plain service.
+// ServiceTerms specifies how one workspace may use one plain service.
 type ServiceTerms struct {
 	Name          string        `json:"name"`
 	NonRepeatable []CallPattern `json:"non_repeatable,omitempty"`
 }
 
-// Contract is everything that an operator grants to one workspace.
+// Contract specifies what an operator grants to one workspace.
 type Contract struct {
 	Workspace string         `json:"workspace"`
 	Budget    string         `json:"budget"`
@@ -48,19 +48,19 @@
 	// RequestsPerSecond and Burst form a token bucket; zero means unlimited.
 	RequestsPerSecond float64 `json:"requests_per_second,omitempty"`
 	Burst             int     `json:"burst,omitempty"`
-	// Concurrency bounds the open requests of the workspace in a region; zero means unlimited.
+	// Concurrency is the maximum number of open requests of the workspace in a region; zero means unlimited.
 	Concurrency int `json:"concurrency,omitempty"`
-	// RequireIdempotencyKey refuses requests that bring no Idempotency-Key.
+	// RequireIdempotencyKey is set if requests without an Idempotency-Key are refused.
 	RequireIdempotencyKey bool `json:"require_idempotency_key,omitempty"`
-	// KeyHashes are hex SHA-256 sums of the caller keys.
+	// KeyHashes are the hexadecimal SHA-256 hashes of the caller keys.
 	KeyHashes []string `json:"key_hashes,omitempty"`
-	// Horizon is how much forecast demand one draw covers.
+	// Horizon is the period of forecast demand that one draw from the budget covers.
 	Horizon Duration `json:"horizon,omitempty"`
 	// HoldWait is how long a request waits for open holds to be released before it is refused.
 	HoldWait Duration `json:"hold_wait,omitempty"`
 }
 
-// WithKeyHashes returns the contract with its caller keys replaced.
+// WithKeyHashes returns a copy of the contract with KeyHashes replaced.
 func (c Contract) WithKeyHashes(hashes ...string) Contract {
 	c.KeyHashes = slices.Clone(hashes)
 	return c
@@ -86,7 +86,7 @@
 	return ServiceTerms{}, false
 }
 
-// IsNonRepeatable tells whether the contract forbids running the call twice.
+// IsNonRepeatable reports whether the call must not run more than once.
 func (s ServiceTerms) IsNonRepeatable(method, callPath string) bool {
 	for _, p := range s.NonRepeatable {
 		matched, err := path.Match(p.Path, callPath)
@@ -100,7 +100,7 @@
 // Model is one model that the fleet serves, with its price.
 type Model struct {
 	Name string `json:"name"`
-	// PromptWeight and CompletionWeight are the price of one token in thousandths.
+	// PromptWeight and CompletionWeight are the prices of one prompt token and of one completion token, in thousandths.
 	PromptWeight     Amount `json:"prompt_weight"`
 	CompletionWeight Amount `json:"completion_weight"`
 	// Version is the model version that upstreams should run.
@@ -144,7 +144,7 @@
 	return Service{}, false
 }
 
-// Revision numbers the accepted changes of the configuration, from one.
+// Revision is the number of an accepted change of the configuration, starting at one.
 type Revision int64
 
 // Change is one accepted change: a contract put or removed, or a new catalog.
@@ -153,7 +153,7 @@
 	ID       string    `json:"id"`
 	Operator string    `json:"operator,omitempty"`
 	Contract *Contract `json:"contract,omitempty"`
-	// Removed names a workspace whose contract ends.
+	// Removed is the workspace whose contract is removed.
 	Removed string   `json:"removed,omitempty"`
 	Catalog *Catalog `json:"catalog,omitempty"`
 }
