--- a/deployment.go
+++ b/deployment.go
@@ -6,85 +6,86 @@
 	"time"
 )
 
-// RetryPolicy says what may be done with a request whose first run failed.
+// RetryPolicy specifies how a request may be retried after a failed attempt.
 type RetryPolicy string
 
-// The kinds of repetition that a route allows.
+// The retry policies of a route.
 const (
-	// RetryUnlimited marks requests that may run any number of times.
+	// RetryUnlimited is for requests that may run any number of times.
 	RetryUnlimited RetryPolicy = "freely"
-	// RetryNever marks requests that may run at most once.
+	// RetryNever is for requests that may run at most once.
 	RetryNever RetryPolicy = "never"
-	// RetryByResuming marks event streams that may go on at another server after the last event given.
+	// RetryByResuming is for event streams that another server may resume after the last event delivered.
 	RetryByResuming RetryPolicy = "by_resuming"
 )
 
-// TrafficShare is one part of a route's traffic.
+// TrafficShare is the share of a route's traffic that goes to one pool.
 type TrafficShare struct {
 	Pool   string
 	Weight int
 }
 
-// Route says where requests of one host and path prefix go and what may be done with them.
+// Route specifies where requests for one host and path prefix are sent and how they are handled.
 type Route struct {
 	Name        string
 	Host        string
 	Prefix      string
 	Shares      []TrafficShare
 	RetryPolicy RetryPolicy
-	// IsStream tells that answers are event streams.
+	// IsStream is set if answers are event streams.
 	IsStream bool
-	// AllowsAnonymous routes need no caller key.
+	// AllowsAnonymous is set if requests need no caller key.
 	AllowsAnonymous bool
-	// MaxServers bounds the servers that one request may run on.
+	// MaxServers is the maximum number of servers that one request may run on.
 	MaxServers int
-	// Timeout is the longest time that a caller is kept waiting.
+	// Timeout is the maximum time that a caller waits.
 	Timeout time.Duration
-	// LatencyObjective is the time to the answer, or to its first event, that earns full credit.
+	// LatencyObjective is the maximum time to the answer, or to its first event, that earns full credit.
 	LatencyObjective time.Duration
-	// MaxEventGap is the longest pause between events that is still on time; zero on routes without streams.
+	// MaxEventGap is the maximum pause between events that is still on time; it is zero on routes without streams.
 	MaxEventGap time.Duration
 	Priority    int
-	// Regions are those in which requests may run; none is any.
+	// Regions are the regions in which requests may run; if empty, they may run in any.
 	Regions []string
 }
 
-// Pool is what the configuration says of one set of like servers.
+// Pool is the configuration of a set of equivalent servers.
 type Pool struct {
 	Name string
-	// HealthPath answers 200 on a healthy server.
+	// HealthPath is the path of the health check, which a healthy server answers with status 200.
 	HealthPath string
-	// MaxConnections bounds a server's connections from all routers together.
+	// MaxConnections is the maximum number of connections to one server from all routers together.
 	MaxConnections int
-	// IsEngine tells that the servers are model engines.
+	// IsEngine is set if the servers are model engines.
 	IsEngine bool
-	// Slots is the number of requests that an engine runs at once.
+	// Slots is the number of requests that an engine runs concurrently.
 	Slots int
-	// TokensPerEvent is the most output tokens that one event of a stream holds.
+	// TokensPerEvent is the maximum number of output tokens in one event of a stream.
 	TokensPerEvent int
-	// TokenCapacity is how many tokens an engine keeps, for running requests and cached prompt parts.
+	// TokenCapacity is the number of tokens that an engine can hold for running requests and cached prompt parts.
 	TokenCapacity int
-	// RemainingWarmUp is how long a server stays slow once it is cold, and MaxColdRate how many requests a second it then bears.
+	// WarmUpTime is how long a server stays slow after it becomes cold. MaxColdRate is the maximum number of requests per second
+	// that it can handle while it is cold.
 	WarmUpTime  time.Duration
 	MaxColdRate float64
 }
 
-// Account is a workspace as the configuration has it: its keys, its rank and the tokens paid for.
+// Account is the configuration of a workspace: its keys, its priority and its prepaid tokens.
 type Account struct {
 	Workspace string
 	Keys      []string
 	Priority  int
-	// HasPriority tells that Priority goes before the route's.
+	// HasPriority is set if Priority overrides the priority of the route.
 	HasPriority bool
-	// Prepaid is the total that the workspace may consume, in tokens.
+	// Prepaid is the total number of tokens that the workspace may consume.
 	Prepaid int64
-	// HasLimit tells that Prepaid is set; workspaces without it are not limited.
+	// HasLimit is set if Prepaid applies; otherwise the workspace may consume any number of tokens.
 	HasLimit bool
-	// Regions are those in which its requests may run; none is any.
+	// Regions are the regions in which its requests may run; if empty, they may run in any.
 	Regions []string
 }
 
-// CallerLimits bound what a caller may send and how long it may take.
+// CallerLimits limit the size of a caller's request and the time that sending it may take.
 type CallerLimits struct {
 	MaxHeaderBytes int
 	MaxBodyBytes   int64
@@ -92,20 +93,20 @@
 	IdleTimeout    time.Duration
 }
 
-// Deployment is one accepted version of a deployment's configuration; it does not change.
+// Deployment is one accepted version of a deployment's configuration. It is immutable.
 type Deployment struct {
 	Version  int64
 	Routes   []Route
 	Pools    map[string]Pool
 	Accounts map[string]Account
 	Limits   CallerLimits
-	// keys finds the workspace of a caller key.
+	// keys maps caller keys to workspaces.
 	keys map[string]string
-	// hosts holds each host's routes, longest prefix first.
+	// hosts maps each host to its routes, longest prefix first.
 	hosts map[string][]Route
 }
 
-// WithIndex returns the deployment ready for look-ups.
+// WithIndex returns the deployment with the indexes that Route and Account use.
 func (d Deployment) WithIndex() Deployment {
 	d.keys = map[string]string{}
 	for _, a := range d.Accounts {
@@ -123,7 +124,7 @@
 	return d
 }
 
-// Route returns the route with the longest prefix of a path, and whether there is one.
+// Route returns the host's route with the longest matching path prefix, and whether there is one.
 func (d Deployment) Route(host, path string) (Route, bool) {
 	for _, r := range d.hosts[host] {
 		if strings.HasPrefix(path, r.Prefix) {
@@ -133,7 +134,7 @@
 	return Route{}, false
 }
 
-// Account returns the workspace that holds a caller key, and whether there is one.
+// Account returns the account of the workspace that a caller key belongs to, and whether there is one.
 func (d Deployment) Account(key string) (Account, bool) {
 	workspace, ok := d.keys[key]
 	if !ok {
@@ -143,7 +144,7 @@
 	return a, ok
 }
 
-// ServerState is a server's word on whether it takes new work.
+// ServerState is the state that a server reports: whether it accepts new requests.
 type ServerState string
 
 // The states of a server.
@@ -152,7 +153,7 @@
 	ServerDraining ServerState = "draining"
 )
 
-// Server is one life of one upstream as it registered itself; a restart makes a new one.
+// Server is one incarnation of an upstream as it registered itself. A restart creates a new incarnation.
 type Server struct {
 	ID      string
 	Pool    string
@@ -160,70 +161,73 @@
 	Zone    string
 	Slots   int
 	State   ServerState
-	// StartedAt tells the lives of one id apart: when this one began, by its own word. It is zero where servers do not say.
+	// StartedAt is the start time that the server reports, which distinguishes the incarnations with one ID. It is zero if the
+	// server reports none.
 	StartedAt time.Time
 	// RemainingWarmUp is how much longer the server stays slow, as of its registration.
 	RemainingWarmUp time.Duration
-	// ColdUntil is until when a router takes the server for cold; it is zero for a warm one and no part of a registration.
+	// ColdUntil is the time until which a router considers the server cold. It is zero if the server is warm, and it is not part
+	// of the registration.
 	ColdUntil time.Time
 }
 
-// IsCold tells that the server is taken for cold at a time: it is slow, and too many requests would crash it.
+// IsCold reports whether the server is considered cold at a time. A cold server is slow, and too many requests crash it.
 func (s Server) IsCold(now time.Time) bool { return now.Before(s.ColdUntil) }
 
-// PromptPart is one leading piece of a prompt that other requests may share.
+// PromptPart is one of the leading parts of a prompt, which other requests may share.
 type PromptPart struct {
 	ID     string
 	Tokens int
 }
 
-// OpaqueRequest is what a caller declares about a request whose bytes are not read.
+// OpaqueRequest is what a caller declares in headers about a request whose body is not parsed.
 type OpaqueRequest struct {
-	// ID is the caller's own, one for each of its attempts.
+	// ID is assigned by the caller and is unique for each of its attempts.
 	ID  string
 	Key string
-	// Metered tells that the request declares tokens.
+	// Metered is set if the request declares its tokens.
 	Metered   bool
 	Prompt    int
 	MaxOutput int
 	Parts     []PromptPart
-	// TimeLeft is how long the caller will wait; zero when it does not say.
+	// TimeLeft is how long the caller will wait; it is zero if the caller does not declare it.
 	TimeLeft time.Duration
-	// LastEvent is the id of the last event that the caller already has.
+	// LastEvent is the ID of the last event that the caller has received.
 	LastEvent string
 }
 
-// Delivery is what a server is told beside the caller's own headers.
+// Delivery is the information that is sent to a server in addition to the caller's headers.
 type Delivery struct {
 	Server    string
 	Workspace string
 	TimeLeft  time.Duration
-	// Urgency is 0 for the most urgent to 9.
+	// Urgency ranges from 0, the most urgent, to 9. It is sent if HasUrgency is set.
 	Urgency    int
 	HasUrgency bool
 	LastEvent  string
 }
 
-// RateLimit is how many requests a second a server takes from all routers together; the zero value is no limit.
+// RateLimit is the number of requests per second that a server accepts from all routers together. The zero value is no limit.
 type RateLimit struct {
 	IsSet bool    `cbor:"1,keyasint,omitempty"`
 	Rate  float64 `cbor:"2,keyasint,omitempty"`
 }
 
-// ServerAnswer is what the head of a server's answer says about its run, and of the server.
+// ServerAnswer is what the status and headers of a server's answer say about the request and about the server.
 type ServerAnswer struct {
 	ID string
-	// Signed tells that the answer bears the server's signature.
+	// Signed is set if the answer has the server's signature header.
 	Signed bool
-	// NotRun tells that the server certainly did not run the request.
+	// NotRun is set if the server certainly did not run the request.
 	NotRun bool
-	// IdleTimeout is how long the server keeps an idle connection; zero when it does not say.
+	// IdleTimeout is how long the server keeps an idle connection; it is zero if the server does not report it.
 	IdleTimeout time.Duration
-	// Limit is the server's present limit, which may be none; LimitInvalid tells that what it says of it is no rate.
+	// Limit is the server's current rate limit, if it has one. LimitInvalid is set if the reported limit cannot be parsed.
 	Limit        RateLimit
 	LimitInvalid bool
-	// Draining tells that the server takes no new work in this life.
+	// Draining is set if this incarnation of the server accepts no new requests.
 	Draining bool
-	// Backoff is how long a server that turned the request away wants nothing from this router; zero when it does not say.
+	// Backoff is how long a server that refused the request wants no requests from this router; it is zero if the server does not
+	// report it.
 	Backoff time.Duration
 }
