--- a/errors.go
+++ b/errors.go
@@ -5,71 +5,71 @@
 	"time"
 )
 
-// ConflictError reports a transaction condition that did not hold.
+// ConflictError reports that a condition of a transaction did not hold.
 type ConflictError struct {
 	Key string
 }
 
-// Error describes the conflict.
+// Error returns the key of the changed row.
 func (e *ConflictError) Error() string { return fmt.Sprintf("row %s has changed", e.Key) }
 
-// UnavailableError reports a platform call that certainly had no effect.
+// UnavailableError reports that a platform call failed and certainly had no effect.
 type UnavailableError struct {
 	Service string
 	Reason  string
-	// RateLimited tells that the call was one too many for the service's rate: it is well, and should be asked less.
+	// RateLimited is set if the call exceeded the rate limit of the service. The service is healthy, and must be called less often.
 	RateLimited bool
 }
 
-// Error describes the outage.
+// Error returns the service and the reason.
 func (e *UnavailableError) Error() string {
 	return fmt.Sprintf("%s unavailable: %s", e.Service, e.Reason)
 }
 
-// OutcomeUnknownError reports a platform write whose answer was lost.
+// OutcomeUnknownError reports that a platform write may or may not have had an effect, since its answer was lost.
 type OutcomeUnknownError struct {
 	Service string
 	ID      string
 	Reason  string
 }
 
-// Error describes the lost answer.
+// Error returns the service, the ID of the write and the reason.
 func (e *OutcomeUnknownError) Error() string {
 	return fmt.Sprintf("%s outcome of %s unknown: %s", e.Service, e.ID, e.Reason)
 }
 
-// NotFoundError reports an object or named thing that does not exist.
+// NotFoundError reports that an object does not exist.
 type NotFoundError struct {
 	Kind string
 	Name string
 }
 
-// Error names what is missing.
+// Error returns the kind and the name of the object.
 func (e *NotFoundError) Error() string { return fmt.Sprintf("no %s %q", e.Kind, e.Name) }
 
-// UpstreamError reports a run that an upstream did not finish.
+// UpstreamError reports that an upstream did not finish a run.
 type UpstreamError struct {
 	Reason string
-	// Started tells whether the upstream may have begun the work.
+	// Started is set if the upstream may have started the work.
 	Started bool
-	// NotListening tells that nothing listens at the upstream's address any more.
+	// NotListening is set if the upstream's address refuses connections: the upstream's process has ended.
 	NotListening bool
-	// Status is the upstream's HTTP status, or zero without one.
+	// Status is the HTTP status of the upstream, or zero if there is none.
 	Status int
 }
 
-// Error describes the failure.
+// Error returns the reason.
 func (e *UpstreamError) Error() string { return "upstream failed: " + e.Reason }
 
-// SealedError reports that this incarnation has been fenced and must start anew.
+// SealedError reports that this incarnation has been fenced and its process must restart.
 type SealedError struct {
 	Incarnation Incarnation
 }
 
-// Error names the fenced incarnation.
+// Error returns the fenced incarnation.
 func (e *SealedError) Error() string { return fmt.Sprintf("incarnation %s is sealed", e.Incarnation) }
 
-// RefusalError is the final answer to a request that the fleet does not serve.
+// RefusalError is the final answer to a request that the fleet refuses.
 type RefusalError struct {
 	Status     int
 	Code       string
@@ -78,5 +78,5 @@
 	RetryAfter time.Duration
 }
 
-// Error returns code and message.
+// Error returns the code and the message.
 func (e *RefusalError) Error() string { return e.Code + ": " + e.Message }
--- a/request.go
+++ b/request.go
@@ -4,7 +4,7 @@
 	"strings"
 )
 
-// Incarnation names one life of one process; a restart makes a new one.
+// Incarnation identifies one run of a process between its start and its end. A restart creates a new incarnation.
 type Incarnation string
 
 // Instance returns the instance that the incarnation ran on.
@@ -13,43 +13,43 @@
 	return instance
 }
 
-// NewIncarnation joins an instance and a random suffix.
+// NewIncarnation returns the incarnation with an instance and a random suffix.
 func NewIncarnation(instance, suffix string) Incarnation {
 	return Incarnation(instance + "~" + suffix)
 }
 
-// Identity is a workspace and its idempotency key: what is billed once.
+// Identity identifies a request by its workspace and idempotency key. Each identity is billed once.
 type Identity string
 
-// NewIdentity joins a workspace and an idempotency key.
+// NewIdentity returns the identity with a workspace and an idempotency key.
 func NewIdentity(workspace, key string) Identity { return Identity(workspace + "/" + key) }
 
-// Workspace returns the workspace part.
+// Workspace returns the workspace of the identity.
 func (i Identity) Workspace() string {
 	workspace, _, _ := strings.Cut(string(i), "/")
 	return workspace
 }
 
-// RunKey names one attempt at one identity.
+// RunKey identifies one attempt to run a request.
 type RunKey struct {
 	Identity Identity `json:"identity" cbor:"1,keyasint"`
 	Attempt  int      `json:"attempt" cbor:"2,keyasint"`
 }
 
-// GrantKey names one grant of one budget to one incarnation.
+// GrantKey identifies one grant from a budget to one incarnation.
 type GrantKey struct {
 	Budget string      `json:"budget" cbor:"1,keyasint"`
 	Payer  Incarnation `json:"payer" cbor:"2,keyasint"`
 	Number int64       `json:"number" cbor:"3,keyasint"`
 }
 
-// HoldID names one hold; it is unique in the fleet.
+// HoldID identifies a hold. It is unique in the fleet.
 type HoldID string
 
-// Fate says whether a dispatched request ran.
+// Fate is whether a dispatched request ran.
 type Fate string
 
-// The fates of a request; unknown is never treated as not run.
+// The fates of a request. FateUnknown must never be treated as FateNotRun.
 const (
 	FateNotRun  Fate = "not_run"
 	FateRan     Fate = "ran"
