--- a/platform.go
+++ b/platform.go
@@ -5,26 +5,26 @@
 	"time"
 )
 
-// Row is one versioned row of the table; version zero stands for an absent row.
+// Row is a versioned row of the table. Version zero means that the row is absent.
 type Row struct {
 	Key     string `json:"key"`
 	Version int64  `json:"version"`
 	Value   []byte `json:"value"`
 }
 
-// Condition demands that a row still has a version when a transaction commits.
+// Condition requires that a row has the given version when a transaction commits.
 type Condition struct {
 	Key     string `json:"key"`
 	Version int64  `json:"version"`
 }
 
-// Put writes a row; a nil value removes it.
+// Put writes a row. A nil value deletes it.
 type Put struct {
 	Key   string `json:"key"`
 	Value []byte `json:"value"`
 }
 
-// Transaction is a set of writes that commits as one if every condition holds.
+// Transaction is a set of writes that commits atomically if every condition holds.
 type Transaction struct {
 	ID         string      `json:"id"`
 	Conditions []Condition `json:"conditions"`
@@ -33,35 +33,35 @@
 
 // Table is the platform's transactional table service.
 //
-// Get returns a row with version zero when the key is absent. Commit fails with
-// ConflictError when a condition does not hold, UnavailableError when nothing
-// was written for certain, and OutcomeUnknownError when it may have been.
+// Get returns a row with version zero if the key is absent. Commit fails with
+// ConflictError if a condition does not hold, with UnavailableError if certainly
+// nothing was written, and with OutcomeUnknownError if the writes may have been made.
 type Table interface {
 	Get(ctx context.Context, key string) (Row, error)
 	Scan(ctx context.Context, prefix string) ([]Row, error)
 	Commit(ctx context.Context, tx Transaction) error
 }
 
-// ObjectStore is the platform's object store; Put overwrites and is idempotent.
+// ObjectStore is the platform's object store. Put overwrites an existing object and is idempotent.
 type ObjectStore interface {
 	Put(ctx context.Context, name string, data []byte) error
 	Get(ctx context.Context, name string) ([]byte, error)
 	List(ctx context.Context, prefix string) ([]string, error)
 }
 
-// Role is what a process of the fleet does.
+// Role is the role of a process in the fleet.
 type Role string
 
-// The roles that the instance list names.
+// The roles in the instance list.
 const (
 	RoleRouter  Role = "router"
 	RoleSidecar Role = "sidecar"
 )
 
-// InstanceState is the platform's word on an instance.
+// InstanceState is the state of an instance as reported by the platform.
 type InstanceState string
 
-// The states of an instance; ended is the platform's assurance that its processes are gone.
+// The states of an instance. InstanceEnded guarantees that the processes of the instance have ended.
 const (
 	InstanceLive    InstanceState = "live"
 	InstanceLeaving InstanceState = "leaving"
@@ -76,36 +76,36 @@
 	Region  string        `json:"region"`
 	Zone    string        `json:"zone"`
 	State   InstanceState `json:"state"`
-	// Models and Services say what the upstream beside a sidecar offers.
+	// Models and Services are what the upstream of a sidecar serves.
 	Models   []string `json:"models,omitempty"`
 	Services []string `json:"services,omitempty"`
 }
 
-// InstanceReading is the instance list at one version.
+// InstanceReading is the result of reading the instance list.
 type InstanceReading struct {
 	Version   string     `json:"version"`
 	Instances []Instance `json:"instances"`
-	// Unchanged tells that the list still has the version that the reader knows; then it is left out.
+	// Unchanged is set if the list still has the version that the reader knows. Instances is empty then.
 	Unchanged bool `json:"same"`
 }
 
-// InstanceList is the platform's lagging list of instances.
+// InstanceList is the platform's list of instances, which may be stale.
 type InstanceList interface {
-	// Instances reads the list, unless it still has the known version.
-	Instances(ctx context.Context, known string) (InstanceReading, error)
+	// Instances reads the list, which is omitted from the result if it still has the known version.
+	Instances(ctx context.Context, knownVersion string) (InstanceReading, error)
 }
 
 // Link is an authenticated, ordered message channel to one peer process.
 type Link[M any] interface {
-	// Send queues a message, and fails when the link is down or its queue is full.
+	// Send queues a message. It fails if the link is down or its queue is full.
 	Send(m M) error
-	// Peer names the instance and incarnation at the other end.
+	// Peer returns the process at the other end.
 	Peer() Peer
 	// Close ends the link.
 	Close()
 }
 
-// Peer identifies a process at the far end of a link.
+// Peer identifies the process at the other end of a link.
 type Peer struct {
 	Instance    string      `cbor:"1,keyasint"`
 	Incarnation Incarnation `cbor:"2,keyasint"`
@@ -118,21 +118,21 @@
 	Completion int `json:"completion_tokens" cbor:"2,keyasint"`
 }
 
-// Chunk is one piece of an answer.
+// Chunk is one part of an answer.
 type Chunk struct {
 	Index  int    `cbor:"1,keyasint"`
 	Text   string `cbor:"2,keyasint"`
 	Tokens int    `cbor:"3,keyasint"`
 }
 
-// Call is one piece of work for an upstream.
+// Call is a request to an upstream.
 type Call struct {
 	Model string `cbor:"1,keyasint,omitempty"`
-	// Prompt is the caller's messages as JSON for a model.
+	// Prompt is the caller's messages for a model, encoded as JSON.
 	Prompt []byte `cbor:"2,keyasint,omitempty"`
-	// MaxOutput bounds the tokens that may be generated.
+	// MaxOutput is the maximum number of tokens to generate.
 	MaxOutput int `cbor:"3,keyasint,omitempty"`
-	// Resumed is the number of answer tokens that an earlier attempt already gave, and ResumedText their text.
+	// Resumed is the number of answer tokens that earlier attempts have delivered, and ResumedText is their text.
 	Resumed     int    `cbor:"4,keyasint,omitempty"`
 	ResumedText string `cbor:"5,keyasint,omitempty"`
 	Priority    int    `cbor:"6,keyasint,omitempty"`
@@ -142,7 +142,7 @@
 	Path        string `cbor:"9,keyasint,omitempty"`
 	ContentType string `cbor:"10,keyasint,omitempty"`
 	Body        []byte `cbor:"11,keyasint,omitempty"`
-	// Key lets an upstream that knows idempotency keys recognise a repeat.
+	// Key is the idempotency key, by which an upstream that supports such keys recognizes a retry.
 	Key string `cbor:"12,keyasint,omitempty"`
 }
 
@@ -150,43 +150,44 @@
 type Outcome struct {
 	Usage  Usage  `cbor:"1,keyasint"`
 	Reason string `cbor:"2,keyasint,omitempty"`
-	// Status and ContentType are a plain service's answer.
+	// Status and ContentType are those of a plain service's answer.
 	Status      int    `cbor:"3,keyasint,omitempty"`
 	ContentType string `cbor:"4,keyasint,omitempty"`
 }
 
-// Sink receives an upstream's answer as it is made.
+// Sink receives an upstream's answer while it is generated.
 type Sink interface {
-	// PromptCounted is called once, when the upstream knows the prompt's true token count and how much of it was cached.
+	// PromptCounted is called once, when the upstream has reported the token count of the prompt and how many of the tokens were
+	// cached.
 	PromptCounted(promptTokens, cachedTokens int)
-	// Chunk takes the next piece of the answer.
+	// Chunk is called with the next part of the answer.
 	Chunk(c Chunk)
 }
 
-// LoadReport is what an upstream says of itself, with a lag.
+// LoadReport is the load that an upstream reports about itself. It may be stale.
 type LoadReport struct {
 	Running    int       `json:"running" cbor:"1,keyasint"`
 	Queued     int       `json:"queued" cbor:"2,keyasint"`
 	ReportedAt time.Time `json:"at" cbor:"3,keyasint"`
-	// TokenTime and PrefillTime are seconds per output token and per prompt token.
+	// TokenTime and PrefillTime are the seconds per output token and per prompt token.
 	TokenTime   float64 `json:"token_time" cbor:"4,keyasint"`
 	PrefillTime float64 `json:"prefill_time" cbor:"5,keyasint"`
-	// Capacity is how many requests the upstream runs at once.
+	// Capacity is the number of requests that the upstream runs concurrently.
 	Capacity int `json:"capacity" cbor:"6,keyasint"`
-	// Prefixes are hashes of recently cached prompt prefixes.
+	// Prefixes are the hashes of recently cached prompt prefixes.
 	Prefixes []uint64 `json:"prefixes,omitempty" cbor:"7,keyasint,omitempty"`
 }
 
-// Order tells an upstream to load a model version or to change role.
+// Order is a command to an upstream to load a model version or to change its role.
 type Order struct {
 	Fence  int64  `json:"fence" cbor:"1,keyasint"`
 	Action string `json:"action" cbor:"2,keyasint"`
 	Target string `json:"target" cbor:"3,keyasint"`
 }
 
-// Upstream is a model engine or plain service as its sidecar sees it.
+// Upstream is a model engine or plain service as used by its sidecar.
 //
-// Run fails with UpstreamError, whose Started field tells whether work may have begun.
+// Run fails with UpstreamError, whose Started field reports whether the work may have started.
 type Upstream interface {
 	Run(ctx context.Context, c Call, s Sink) (Outcome, error)
 	Count(ctx context.Context, prompt []byte) (int, error)
