--- a/rows.go
+++ b/rows.go
@@ -7,23 +7,23 @@
 	"time"
 )
 
-// RowKey names one row of the row store; the rows of a part can change together.
+// RowKey identifies a row of the row store. The rows of one part of a table can be changed atomically.
 type RowKey struct {
 	Table string
 	Part  string
 	Key   string
 }
 
-// StoredRow is a row at one version; versions come from one counter for the whole store.
+// StoredRow is a row at one version. Versions come from one counter for the whole store.
 type StoredRow struct {
 	RowKey
 	Value   []byte
 	Version int64
-	// Deleted marks a row that is gone, in changes only.
+	// Deleted is set if the row has been deleted. It is used in changes only.
 	Deleted bool
 }
 
-// RowVersion demands that a row has a version when a write commits; zero stands for an absent row.
+// RowVersion requires that a row has the given version when a write commits. Version zero means that the row is absent.
 type RowVersion struct {
 	RowKey
 	Version int64
@@ -35,23 +35,23 @@
 	Value []byte
 }
 
-// RowWrite is a set of changes in one part that commits as one if every expectation holds.
+// RowWrite is a set of changes in one part of a table that commits atomically if every expected version matches.
 type RowWrite struct {
 	Expected []RowVersion
 	Puts     []RowPut
 	Deletes  []RowKey
 }
 
-// RowReading is what a read or a followed table returned.
+// RowReading is the result of a read, a write or a watch.
 type RowReading struct {
 	Rows []StoredRow
-	// Version is the store's newest version at the time of the reading.
+	// Version is the newest version of the store at that time; after a write, it is the version of the write.
 	Version int64
-	// StoreTime is the store's own steady clock.
+	// StoreTime is the time of the store's monotonic clock.
 	StoreTime time.Duration `cbor:"At"`
 }
 
-// Bytes returns the size of the rows' keys and values.
+// Bytes returns the total size of the tables, parts, keys and values of the rows.
 func (r RowReading) Bytes() int64 {
 	n := 0
 	for _, row := range r.Rows {
@@ -60,79 +60,81 @@
 	return int64(n)
 }
 
-// WatchRequest asks for the changes of a table.
+// WatchRequest is a request for the changes of a table.
 type WatchRequest struct {
 	Table string
-	// Since is the version after which changes are wanted.
+	// Since is the version after which changes are requested.
 	Since int64
-	// MaxWait is how long the first change may take to come.
+	// MaxWait is the maximum time to wait for the first change.
 	MaxWait time.Duration
-	// MaxBytes is how large the changes may be, as RowReading.Bytes counts; zero is any size.
+	// MaxBytes is the maximum size of the changes as computed by RowReading.Bytes; zero means no limit.
 	MaxBytes int64
 }
 
-// RowStore is the platform's store of rows; its calls fail with the errors named here.
+// RowStore is the platform's row store. Its methods fail only with the errors listed for them.
 type RowStore interface {
-	// Read returns the rows of one part of a table in key order; it fails with UnavailableError.
+	// Read returns the rows of one part of a table in key order. It fails with UnavailableError.
 	Read(ctx context.Context, table, part string) (RowReading, error)
-	// Write commits a write and returns its version and the store's clock. It fails with RowConflictError when an
-	// expectation does not hold, UnavailableError when nothing was done, and OutcomeUnknownError when the write may
-	// have been made or may yet be made.
+	// Write commits a write and returns its version and the store's time. It fails with RowConflictError if an expected version
+	// does not match, with UnavailableError if nothing was written, and with OutcomeUnknownError if the write may have been
+	// made or may still be made.
 	Write(ctx context.Context, w RowWrite) (RowReading, error)
-	// Watch returns the changes of a table, all versions of each row. It fails with HistoryLostError when they are not
-	// kept or larger than asked for, and with UnavailableError.
+	// Watch returns the changes of a table, with all versions of each row. It fails with HistoryLostError if the changes are no
+	// longer stored or exceed MaxBytes, and with UnavailableError.
 	Watch(ctx context.Context, f WatchRequest) (RowReading, error)
 }
 
-// RowConflictError reports a write whose expectations did not hold, with the rows as they are.
+// RowConflictError reports that an expected version of a write did not match. Rows are the current rows.
 type RowConflictError struct {
 	Rows []StoredRow
 }
 
-// Error counts the rows.
+// Error returns a message with the number of rows.
 func (e *RowConflictError) Error() string {
-	return fmt.Sprintf("the expected rows have changed (%d given back)", len(e.Rows))
+	return fmt.Sprintf("the expected rows have changed (%d current rows returned)", len(e.Rows))
 }
 
-// HistoryLostError reports that a table cannot be followed from a version any more: its changes are no longer kept, or
-// are larger than asked for. The table is to be read anew.
+// HistoryLostError reports that a table cannot be watched from a version, because its changes are no longer stored or exceed
+// the requested maximum size. The table must be read again.
 type HistoryLostError struct {
 	Table string
 	Since int64
-	// TooLarge tells that the changes are kept, but larger than asked for.
+	// TooLarge is set if the changes are stored but exceed the requested maximum size.
 	TooLarge bool
 }
 
-// Error names the table and the version.
+// Error returns a message with the table and the version.
 func (e *HistoryLostError) Error() string {
-	return fmt.Sprintf("changes of %s since version %d are not to be had", e.Table, e.Since)
+	return fmt.Sprintf("changes of %s since version %d are not available", e.Table, e.Since)
 }
 
-// DeploymentDecoder reads what operators and servers keep in the row store.
+// DeploymentDecoder decodes the rows that operators and servers write to the row store.
 type DeploymentDecoder interface {
-	// ConfigurationKey names the row of the newest configuration.
+	// ConfigurationKey returns the key of the row with the newest configuration.
 	ConfigurationKey() RowKey
-	// EvacuatedZone returns the zone whose servers are to get nothing new while a row of the configuration's table and part
-	// exists; false for other rows.
+	// EvacuatedZone returns the availability zone that is evacuated while a row in the configuration's table and part exists: its
+	// servers must get no new requests. It returns false for other rows.
 	EvacuatedZone(key RowKey) (zone string, ok bool)
-	// ServerTable names the table in which servers register, with their ids as keys.
+	// ServerTable returns the name of the table in which servers register, with their IDs as keys.
 	ServerTable() string
-	// Configuration decodes the configuration's row.
+	// Configuration decodes the row of the configuration.
 	Configuration(value []byte) (Deployment, error)
-	// Server decodes a server's row.
+	// Server decodes the row of a server.
 	Server(id string, value []byte) (Server, error)
 }
 
-// HeaderCodec is how callers and servers of a deployment write what concerns the fleet into headers.
+// HeaderCodec reads and writes the headers that the fleet exchanges with the callers and servers of a deployment.
 type HeaderCodec interface {
-	// ParseRequest reads the head of a caller's request.
+	// ParseRequest parses the headers of a caller's request.
 	ParseRequest(h http.Header) (OpaqueRequest, error)
-	// ServerHeaders returns the headers for a server, without those of one connection and those that are the fleet's to set.
+	// ServerHeaders returns the headers to send to a server: the caller's without connection headers and headers reserved for the
+	// fleet, and those of the delivery.
 	ServerHeaders(h http.Header, d Delivery) http.Header
-	// ParseAnswer reads the head of a server's answer.
+	// ParseAnswer parses the status and headers of a server's answer.
 	ParseAnswer(status int, h http.Header) ServerAnswer
-	// CallerHeaders returns the headers of a server's answer that the caller gets.
+	// CallerHeaders returns the headers of a server's answer that are forwarded to the caller.
 	CallerHeaders(h http.Header) http.Header
-	// SetRefusal marks a refusal of the fleet's own for the caller's attempt; a positive wait tells when to come back.
+	// SetRefusal sets the headers of a refusal by the fleet for the caller's attempt. If wait is positive, they tell the caller to
+	// retry after it.
 	SetRefusal(h http.Header, id string, wait time.Duration)
 }
