--- a/suspect.go
+++ b/suspect.go
@@ -6,13 +6,13 @@
 	"time"
 )
 
-// RequestDigest identifies a request by all that its caller sends again with it: who it is, method, host, target and body.
+// RequestDigest identifies a request by everything that its caller repeats in a retry: the caller, method, host, target and body.
 type RequestDigest string
 
-// ServerIncarnation names one life of one server: two lives of one id are told apart by when they began.
+// ServerIncarnation identifies one incarnation of a server. Incarnations with the same ID differ by their start times.
 type ServerIncarnation string
 
-// Incarnation names the server's life.
+// Incarnation returns the identifier of the server's incarnation.
 func (s Server) Incarnation() ServerIncarnation {
 	if s.StartedAt.IsZero() {
 		return ServerIncarnation(s.ID)
@@ -20,58 +20,60 @@
 	return ServerIncarnation(s.ID + "@" + strconv.FormatInt(s.StartedAt.UnixMilli(), 10))
 }
 
-// ServerCrash is the end of a server under a request that it had not finished.
+// ServerCrash records that a server ended while it ran a request.
 type ServerCrash struct {
 	Server ServerIncarnation `json:"server" cbor:"1,keyasint"`
-	// Quarantined tells that the request was the only suspect there.
+	// Quarantined is set if the request was the only suspect on the server.
 	Quarantined bool `json:"apart,omitempty" cbor:"2,keyasint,omitempty"`
-	// Answered tells that the server had given a part of the answer.
+	// Answered is set if the server had sent a part of the answer.
 	Answered bool `json:"answered,omitempty" cbor:"3,keyasint,omitempty"`
 }
 
-// Suspicion is how far a request is taken for the cause of servers' ends.
+// Suspicion is the degree to which a request is suspected of crashing servers.
 type Suspicion string
 
 // The degrees of suspicion.
 const (
-	// SuspicionNone is for requests that run as any other.
+	// SuspicionNone is for requests that run without restrictions.
 	SuspicionNone Suspicion = "none"
-	// SuspicionQuarantined is for requests that run one at a time, at a server where no other suspect runs.
+	// SuspicionQuarantined is for requests that run one at a time, on a server where no other suspect runs.
 	SuspicionQuarantined Suspicion = "apart"
 	// SuspicionProven is for requests that are not sent to servers.
 	SuspicionProven Suspicion = "proven"
 )
 
-// SuspectStatus is what is believed of a request at one moment.
+// SuspectStatus is the status of a request at one point in time.
 type SuspectStatus struct {
 	Suspicion Suspicion
-	// Crashes are the servers that ended under it.
+	// Crashes are the server crashes during the request.
 	Crashes []ServerCrash
-	// Remaining is how much longer a proven suspicion keeps it from servers.
+	// Remaining is how much longer the request is not sent to servers because of a proven suspicion.
 	Remaining time.Duration
-	// Running tells that it runs apart somewhere now.
+	// Running is set if the request is running in quarantine, or if its latest evidence is too recent for a decision: other routers
+	// may still report another suspect on the same server.
 	Running bool
-	// UnreportedServer is the server of a run apart of which its router has not told how it ended, for too long.
+	// UnreportedServer is the server of a run in quarantine whose router has not reported its result in time.
 	UnreportedServer ServerIncarnation
 }
 
-// Examiner finds out which requests end the servers that run them, together with all other routers.
+// Examiner determines, together with all other routers, which requests crash the servers that run them.
 type Examiner interface {
-	// HasNoSuspects tells that there is no suspect, so that no digest is needed.
+	// HasNoSuspects reports whether there are no suspects, so that digests need not be computed.
 	HasNoSuspects() bool
-	// Status returns what is believed of a request.
+	// Status returns the current status of a request.
 	Status(d RequestDigest) SuspectStatus
-	// Changed returns a channel that is closed at the next change of a belief.
+	// Changed returns a channel that is closed when the status of any request changes.
 	Changed() <-chan struct{}
-	// QuarantineServers names the servers at which suspects run apart; serious ones have had more than one server end under them.
+	// QuarantineServers returns the servers on which suspects run in quarantine. The set serious contains those whose suspect has
+	// crashed more than one server.
 	QuarantineServers() (all, serious map[ServerIncarnation]bool)
-	// Claim makes a run apart this router's, and returns false when the request is not to run so now. It ends with Ended,
-	// Cleared or Released.
+	// Claim reserves a run in quarantine for this router. It returns false if the request must not run in quarantine now. The
+	// caller must end a claimed run with ReportCrash, Clear or Release.
 	Claim(ctx context.Context, d RequestDigest, server ServerIncarnation) bool
-	// ReportCrash notes the end of a server under a request; the path is for operators to read.
-	ReportCrash(d RequestDigest, path string, end ServerCrash)
-	// Clear notes that a server served a suspect well.
+	// ReportCrash records a server crash during a request. The path is for diagnostics only.
+	ReportCrash(d RequestDigest, path string, crash ServerCrash)
+	// Clear records that a server has served a suspect without crashing.
 	Clear(d RequestDigest)
-	// Release ends a run apart that told nothing.
+	// Release ends a run in quarantine that gave no evidence.
 	Release(d RequestDigest)
 }
