--- a/rotation.go
+++ b/rotation.go
@@ -1,12 +1,12 @@
 package masticway
 
-// Rotation tells what a router can carry.
+// Rotation controls the load of a router: it admits requests, and takes the router out of the load balancer's rotation.
 type Rotation interface {
-	// IsOut tells that new callers should come to other routers.
+	// IsOut reports whether the router is out of rotation, so that new callers should use other routers.
 	IsOut() bool
-	// Admit counts in a request of some urgency, zero first, and size, and returns false when it is one too many. For each one
-	// that was admitted Answered is called once a part of its answer is there, or it has ended, and Ended with the same size
-	// at its end.
+	// Admit admits a request with a rank, where zero is the most urgent, and a size in bytes. It returns false if the request must
+	// be refused because of overload or lack of memory. For each admitted request, the caller must call MarkAnswered once, when
+	// the first part of its answer has arrived or when it has ended, and Release with the same size when it has ended.
 	Admit(rank int, bytes int64) bool
 	MarkAnswered()
 	Release(bytes int64)
--- a/throttle.go
+++ b/throttle.go
@@ -5,30 +5,31 @@
 	"time"
 )
 
-// Throttling is why requests are kept from a server for a time, by its own word.
+// Throttling is why, and for how long, a server gets no requests, as determined by what it reports.
 type Throttling struct {
 	Remaining time.Duration
-	// BackoffRequested tells that the server has asked this router for rest; else it has as many requests as its limit allows.
+	// BackoffRequested is set if the server asked this router to back off. Otherwise its rate limit is exhausted.
 	BackoffRequested bool
-	// Reason is for a log.
+	// Reason is a description for logs.
 	Reason string
 }
 
-// Throttler keeps to what servers say in their answers of the requests that they take.
+// Throttler enforces the rate limits and backoff times that servers report in their answers.
 type Throttler interface {
-	// Observe notes what the head of a server's answer says of the server.
+	// Observe records what the headers of a server's answer say about the server.
 	Observe(server ServerIncarnation, answer ServerAnswer)
-	// Available returns the servers that may get a request now as far as this router knows.
+	// Available returns the servers that may get a request now, as far as this router knows.
 	Available(servers []Server) []Server
-	// Unlimited returns the servers that name no limit.
+	// Unlimited returns the servers that report no rate limit and have not asked this router to back off.
 	Unlimited(servers []Server) []Server
-	// Admit tells whether a server may get one more request from this router now; it may ask other routers.
+	// Admit reports whether this router may send one more request to a server now. It may ask other routers for a permit.
 	Admit(ctx context.Context, server ServerIncarnation) bool
-	// ReturnPermit returns an admission for which nothing was sent.
+	// ReturnPermit returns the permit of an admitted request that was not sent.
 	ReturnPermit(server ServerIncarnation)
-	// Throttling returns why and for how long a server takes no request from this router; false when it may get one.
+	// Throttling returns why and for how long a server must get no requests from this router. It returns false if the server may
+	// get one.
 	Throttling(server ServerIncarnation) (Throttling, bool)
-	// RetryAfter returns when a caller that is refused for a server's sake should come again: callers that are refused one after the
-	// other come as far apart as the server takes them.
+	// RetryAfter returns how long a caller that is refused because of a server's limit should wait before it retries. The retries
+	// of successive refused callers are spaced according to the server's rate limit.
 	RetryAfter(server ServerIncarnation) time.Duration
 }
