--- a/follower/beliefs.go
+++ b/follower/beliefs.go
@@ -10,11 +10,11 @@
 )
 
 const (
-	// awayAfter is how long the store must have been silent for its return to count as one: entries of live servers
+	// outageThreshold is how long the store must have been silent for its return to count as one: entries of live servers
 	// lapse after three of their heartbeats, which are a second and more apart.
-	awayAfter = 1500 * time.Millisecond
-	// returnGrace is how long entries that lapsed during an outage may take to come back.
-	returnGrace = 2 * time.Second
+	outageThreshold = 1500 * time.Millisecond
+	// recoveryGrace is how long entries that lapsed during an outage may take to come back.
+	recoveryGrace = 2 * time.Second
 )
 
 // Beliefs is what a router believes at one moment; it does not change.
@@ -47,43 +47,43 @@
 type entry struct {
 	server  masticway.Server
 	version int64
-	// lapsedAt is when its row was found missing after an outage, and lapsedVersion of which version; zero while it is there.
-	lapsedAt      time.Time
-	lapsedVersion int64
+	// missingSince is when its row was found missing after an outage, and missingVersion of which version; zero while it is there.
+	missingSince   time.Time
+	missingVersion int64
 	// coldUntil is until when the server is cold by its own word.
 	coldUntil time.Time
 }
 
-// Register derives beliefs from rows; it is not safe for concurrent use.
-type Register struct {
-	decoder    masticway.DeploymentDecoder
-	deployment masticway.Deployment
-	rowVersion int64
-	known      bool
-	listed     bool
-	entries    map[string]entry
-	gone       map[string]int64
-	// unreadable are the versions of rows that name no server.
-	unreadable map[string]int64
-	reached    time.Time
-	returned   time.Time
-	// evacuated are the versions of the operator's orders in force, by zone, and takenBack the orders that ended.
-	evacuated map[string]int64
-	takenBack map[string]zoneReturn
-	// left are the lives that said themselves that they leave, by id.
-	left map[string]departure
+// Registry derives beliefs from rows; it is not safe for concurrent use.
+type Registry struct {
+	decoder       masticway.DeploymentDecoder
+	deployment    masticway.Deployment
+	rowVersion    int64
+	configured    bool
+	serversLoaded bool
+	entries       map[string]entry
+	removed       map[string]int64
+	// invalid are the versions of rows that name no server.
+	invalid     map[string]int64
+	lastContact time.Time
+	recoveredAt time.Time
+	// evacuations are the versions of the operator's orders in force, by zone, and reopenings the orders that ended.
+	evacuations map[string]int64
+	reopenings  map[string]zoneReopening
+	// departures are the lives that said themselves that they leave, by id.
+	departures map[string]departure
 }
 
-// NewRegister returns a register that believes nothing yet.
-func NewRegister(d masticway.DeploymentDecoder) *Register {
-	return &Register{
-		decoder: d, entries: map[string]entry{}, gone: map[string]int64{}, unreadable: map[string]int64{},
-		evacuated: map[string]int64{}, takenBack: map[string]zoneReturn{}, left: map[string]departure{},
+// NewRegistry returns a register that believes nothing yet.
+func NewRegistry(d masticway.DeploymentDecoder) *Registry {
+	return &Registry{
+		decoder: d, entries: map[string]entry{}, removed: map[string]int64{}, invalid: map[string]int64{},
+		evacuations: map[string]int64{}, reopenings: map[string]zoneReopening{}, departures: map[string]departure{},
 	}
 }
 
-// Configure takes the configuration's row; an older one than known is left out.
-func (r *Register) Configure(row masticway.StoredRow) (changed bool, err error) {
+// ApplyConfiguration takes the configuration's row; an older one than known is left out.
+func (r *Registry) ApplyConfiguration(row masticway.StoredRow) (changed bool, err error) {
 	if row.Deleted || row.Version <= r.rowVersion {
 		return false, nil
 	}
@@ -92,57 +92,57 @@
 		return false, err
 	}
 	r.rowVersion = row.Version
-	if r.known && d.Version <= r.deployment.Version {
+	if r.configured && d.Version <= r.deployment.Version {
 		return false, nil
 	}
-	r.deployment, r.known = d, true
+	r.deployment, r.configured = d, true
 	return true, nil
 }
 
-// Reached notes that the store answered about the servers, and whether that ends an outage.
-func (r *Register) Reached(now time.Time) (returned bool) {
-	if !r.reached.IsZero() && now.Sub(r.reached) > awayAfter {
-		r.returned = now
-		returned = true
+// RecordContact notes that the store answered about the servers, and whether that ends an outage.
+func (r *Registry) RecordContact(now time.Time) (recovered bool) {
+	if !r.lastContact.IsZero() && now.Sub(r.lastContact) > outageThreshold {
+		r.recoveredAt = now
+		recovered = true
 	}
-	r.reached = now
-	return returned
+	r.lastContact = now
+	return recovered
 }
 
-// EntryError is a row of the servers' table that names no server; it is told of once for each version.
-type EntryError struct {
+// RegistrationError is a row of the servers' table that names no server; it is told of once for each version.
+type RegistrationError struct {
 	Key     string
 	Version int64
 	Cause   error
 }
 
 // Error describes the row.
-func (e *EntryError) Error() string {
+func (e *RegistrationError) Error() string {
 	return fmt.Sprintf("row %s of version %d names no server: %v", e.Key, e.Version, e.Cause)
 }
 
 // Unwrap returns what is wrong with the row.
-func (e *EntryError) Unwrap() error { return e.Cause }
+func (e *RegistrationError) Unwrap() error { return e.Cause }
 
 // Update takes changed rows of servers; it tells of those that name none and takes the others.
-func (r *Register) Update(now time.Time, rows []masticway.StoredRow) (changed bool, faults []*EntryError) {
+func (r *Registry) Update(now time.Time, rows []masticway.StoredRow) (changed bool, regErrs []*RegistrationError) {
 	for _, row := range rows {
 		if row.Deleted {
 			changed = r.remove(now, row.Key, row.Version) || changed
 			continue
 		}
-		done, fault := r.put(now, row)
-		if fault != nil {
-			faults = append(faults, fault)
+		rowChanged, regErr := r.upsert(now, row)
+		if regErr != nil {
+			regErrs = append(regErrs, regErr)
 		}
-		changed = changed || done
+		changed = changed || rowChanged
 	}
-	return changed, faults
+	return changed, regErrs
 }
 
 // Replace takes a reading of all servers; what it leaves out is gone.
-func (r *Register) Replace(now time.Time, reading masticway.RowReading) (changed bool, faults []*EntryError) {
-	changed, faults = r.Update(now, reading.Rows)
+func (r *Registry) Replace(now time.Time, reading masticway.RowReading) (changed bool, regErrs []*RegistrationError) {
+	changed, regErrs = r.Update(now, reading.Rows)
 	present := map[string]bool{}
 	for _, row := range reading.Rows {
 		present[row.Key] = true
@@ -152,34 +152,34 @@
 			changed = r.remove(now, id, reading.Version) || changed
 		}
 	}
-	if !r.listed {
+	if !r.serversLoaded {
 		changed = true
 	}
-	r.listed = true
-	return changed, faults
+	r.serversLoaded = true
+	return changed, regErrs
 }
 
-func (r *Register) put(now time.Time, row masticway.StoredRow) (changed bool, fault *EntryError) {
-	known, ok := r.entries[row.Key]
-	if ok && row.Version <= max(known.version, known.lapsedVersion) || row.Version <= max(r.gone[row.Key], r.unreadable[row.Key]) {
+func (r *Registry) upsert(now time.Time, row masticway.StoredRow) (changed bool, regErr *RegistrationError) {
+	previous, ok := r.entries[row.Key]
+	if ok && row.Version <= max(previous.version, previous.missingVersion) || row.Version <= max(r.removed[row.Key], r.invalid[row.Key]) {
 		return false, nil
 	}
 	s, err := r.decoder.Server(row.Key, row.Value)
 	if err != nil {
 		// Whoever wrote it, the row says of no server any more that it takes work.
-		r.unreadable[row.Key] = row.Version
+		r.invalid[row.Key] = row.Version
 		delete(r.entries, row.Key)
-		return ok, &EntryError{Key: row.Key, Version: row.Version, Cause: err}
+		return ok, &RegistrationError{Key: row.Key, Version: row.Version, Cause: err}
 	}
-	if ok && s.StartedAt.Before(known.server.StartedAt) {
+	if ok && s.StartedAt.Before(previous.server.StartedAt) {
 		// The word of a life that is over, which came late.
 		return false, nil
 	}
-	if ok && known.server.State == masticway.ServerDraining && s.StartedAt.Equal(known.server.StartedAt) {
+	if ok && previous.server.State == masticway.ServerDraining && s.StartedAt.Equal(previous.server.StartedAt) {
 		// A server that is leaving never comes back in the same life.
 		s.State = masticway.ServerDraining
 	}
-	if r.hasLeft(s) {
+	if r.isDeparted(s) {
 		s.State = masticway.ServerDraining
 	}
 	e := entry{server: s, version: row.Version}
@@ -188,35 +188,35 @@
 		e.coldUntil = now.Add(s.RemainingWarmUp)
 	}
 	r.entries[row.Key] = e
-	return !ok || known.server != s || !known.lapsedAt.IsZero(), nil
+	return !ok || previous.server != s || !previous.missingSince.IsZero(), nil
 }
 
 // remove takes a server out, at once or, after an outage, when it has had time to come back.
-func (r *Register) remove(now time.Time, id string, version int64) bool {
+func (r *Registry) remove(now time.Time, id string, version int64) bool {
 	e, ok := r.entries[id]
 	if !ok || version < e.version {
 		return false
 	}
-	if e.server.State == masticway.ServerReady && !r.returned.IsZero() && now.Sub(r.returned) < returnGrace {
-		if e.lapsedAt.IsZero() {
-			e.lapsedAt, e.lapsedVersion = now, version
+	if e.server.State == masticway.ServerReady && !r.recoveredAt.IsZero() && now.Sub(r.recoveredAt) < recoveryGrace {
+		if e.missingSince.IsZero() {
+			e.missingSince, e.missingVersion = now, version
 			r.entries[id] = e
 		}
 		return false
 	}
 	delete(r.entries, id)
-	r.gone[id] = version
+	r.removed[id] = version
 	return true
 }
 
 // Expire takes out the servers that did not come back in time.
-func (r *Register) Expire(now time.Time) (changed bool) {
-	if now.Sub(r.returned) < returnGrace {
+func (r *Registry) Expire(now time.Time) (changed bool) {
+	if now.Sub(r.recoveredAt) < recoveryGrace {
 		return false
 	}
-	r.forgetDepartures(now)
+	r.pruneDepartures(now)
 	for id, e := range r.entries {
-		if !e.lapsedAt.IsZero() {
+		if !e.missingSince.IsZero() {
 			delete(r.entries, id)
 			changed = true
 		}
@@ -224,16 +224,16 @@
 	return changed
 }
 
-// Beliefs returns what is believed now.
-func (r *Register) Beliefs() Beliefs {
+// Snapshot returns what is believed now.
+func (r *Registry) Snapshot() Beliefs {
 	b := Beliefs{
-		Known: r.known, Listed: r.listed, Deployment: r.deployment, Servers: map[string][]masticway.Server{},
-		Evacuated: slices.Sorted(maps.Keys(r.evacuated)),
+		Known: r.configured, Listed: r.serversLoaded, Deployment: r.deployment, Servers: map[string][]masticway.Server{},
+		Evacuated: slices.Sorted(maps.Keys(r.evacuations)),
 	}
 	for _, id := range slices.Sorted(maps.Keys(r.entries)) {
 		e := r.entries[id]
 		s := e.server
-		if _, evacuated := r.evacuated[s.Zone]; s.State != masticway.ServerReady || evacuated {
+		if _, evacuated := r.evacuations[s.Zone]; s.State != masticway.ServerReady || evacuated {
 			continue
 		}
 		s.ColdUntil, _ = r.coldUntil(e)
--- a/follower/beliefs_test.go
+++ b/follower/beliefs_test.go
@@ -39,25 +39,25 @@
 	return s, err
 }
 
-func server(id string, version int64, state masticway.ServerState) masticway.StoredRow {
+func serverRow(id string, version int64, state masticway.ServerState) masticway.StoredRow {
 	value, _ := json.Marshal(masticway.Server{ID: id, Pool: "p", State: state})
 	return masticway.StoredRow{RowKey: masticway.RowKey{Table: "upstreams", Key: id}, Version: version, Value: value}
 }
 
-func gone(id string, version int64) masticway.StoredRow {
+func deletedRow(id string, version int64) masticway.StoredRow {
 	return masticway.StoredRow{RowKey: masticway.RowKey{Table: "upstreams", Key: id}, Version: version, Deleted: true}
 }
 
 // event is one thing that a register hears, so long after the beginning.
 type event struct {
 	at time.Duration
-	// silent events bring no word of the store.
-	silent bool
-	rows   []masticway.StoredRow
-	whole  int64
+	// noContact events bring no word of the store.
+	noContact   bool
+	rows        []masticway.StoredRow
+	fullVersion int64
 }
 
-func TestServersThatMayGetWork(t *testing.T) {
+func TestServersEligibleForNewWork(t *testing.T) {
 	const a, b = "a", "b"
 	ready, draining := masticway.ServerReady, masticway.ServerDraining
 	cases := map[string]struct {
@@ -65,115 +65,115 @@
 		want   []string
 	}{
 		"registered": {
-			events: []event{{rows: []masticway.StoredRow{server(a, 1, ready), server(b, 2, ready)}, whole: 2}},
+			events: []event{{rows: []masticway.StoredRow{serverRow(a, 1, ready), serverRow(b, 2, ready)}, fullVersion: 2}},
 			want:   []string{a, b},
 		},
 		"draining": {
 			events: []event{
-				{rows: []masticway.StoredRow{server(a, 1, ready), server(b, 2, ready)}, whole: 2},
-				{at: time.Second, rows: []masticway.StoredRow{server(a, 3, draining)}},
+				{rows: []masticway.StoredRow{serverRow(a, 1, ready), serverRow(b, 2, ready)}, fullVersion: 2},
+				{at: time.Second, rows: []masticway.StoredRow{serverRow(a, 3, draining)}},
 			},
 			want: []string{b},
 		},
 		"a draining server does not come back": {
 			events: []event{
-				{rows: []masticway.StoredRow{server(a, 1, draining)}, whole: 1},
-				{at: time.Second, rows: []masticway.StoredRow{server(a, 2, ready)}},
+				{rows: []masticway.StoredRow{serverRow(a, 1, draining)}, fullVersion: 1},
+				{at: time.Second, rows: []masticway.StoredRow{serverRow(a, 2, ready)}},
 			},
 		},
 		"gone while the store answers": {
 			events: []event{
-				{rows: []masticway.StoredRow{server(a, 1, ready)}, whole: 1},
-				{at: time.Second, rows: []masticway.StoredRow{gone(a, 2)}},
+				{rows: []masticway.StoredRow{serverRow(a, 1, ready)}, fullVersion: 1},
+				{at: time.Second, rows: []masticway.StoredRow{deletedRow(a, 2)}},
 			},
 		},
 		"missing from a whole reading": {
 			events: []event{
-				{rows: []masticway.StoredRow{server(a, 1, ready), server(b, 2, ready)}, whole: 2},
-				{at: time.Second, rows: []masticway.StoredRow{server(b, 2, ready)}, whole: 3},
+				{rows: []masticway.StoredRow{serverRow(a, 1, ready), serverRow(b, 2, ready)}, fullVersion: 2},
+				{at: time.Second, rows: []masticway.StoredRow{serverRow(b, 2, ready)}, fullVersion: 3},
 			},
 			want: []string{b},
 		},
 		"a stale whole reading takes nothing away": {
 			events: []event{
-				{rows: []masticway.StoredRow{server(a, 5, ready)}, whole: 5},
-				{at: time.Second, rows: nil, whole: 3},
+				{rows: []masticway.StoredRow{serverRow(a, 5, ready)}, fullVersion: 5},
+				{at: time.Second, rows: nil, fullVersion: 3},
 			},
 			want: []string{a},
 		},
 		"a stale row after the end brings nothing back": {
 			events: []event{
-				{rows: []masticway.StoredRow{server(a, 1, ready)}, whole: 1},
-				{at: time.Second, rows: []masticway.StoredRow{gone(a, 4)}},
-				{at: 1100 * time.Millisecond, rows: []masticway.StoredRow{server(a, 3, ready)}},
+				{rows: []masticway.StoredRow{serverRow(a, 1, ready)}, fullVersion: 1},
+				{at: time.Second, rows: []masticway.StoredRow{deletedRow(a, 4)}},
+				{at: 1100 * time.Millisecond, rows: []masticway.StoredRow{serverRow(a, 3, ready)}},
 			},
 		},
 		"the store is silent": {
 			events: []event{
-				{rows: []masticway.StoredRow{server(a, 1, ready)}, whole: 1},
-				{at: 10 * time.Second, silent: true},
+				{rows: []masticway.StoredRow{serverRow(a, 1, ready)}, fullVersion: 1},
+				{at: 10 * time.Second, noContact: true},
 			},
 			want: []string{a},
 		},
 		"lapsed in an outage, within the grace": {
 			events: []event{
-				{rows: []masticway.StoredRow{server(a, 1, ready)}, whole: 1},
-				{at: 8 * time.Second, rows: nil, whole: 5},
-				{at: 9900 * time.Millisecond, silent: true},
+				{rows: []masticway.StoredRow{serverRow(a, 1, ready)}, fullVersion: 1},
+				{at: 8 * time.Second, rows: nil, fullVersion: 5},
+				{at: 9900 * time.Millisecond, noContact: true},
 			},
 			want: []string{a},
 		},
 		"lapsed in an outage and not back": {
 			events: []event{
-				{rows: []masticway.StoredRow{server(a, 1, ready)}, whole: 1},
-				{at: 8 * time.Second, rows: nil, whole: 5},
-				{at: 10100 * time.Millisecond, silent: true},
+				{rows: []masticway.StoredRow{serverRow(a, 1, ready)}, fullVersion: 1},
+				{at: 8 * time.Second, rows: nil, fullVersion: 5},
+				{at: 10100 * time.Millisecond, noContact: true},
 			},
 		},
 		"lapsed in an outage and back": {
 			events: []event{
-				{rows: []masticway.StoredRow{server(a, 1, ready)}, whole: 1},
-				{at: 8 * time.Second, rows: nil, whole: 5},
-				{at: 9 * time.Second, rows: []masticway.StoredRow{server(a, 7, ready)}},
-				{at: 10100 * time.Millisecond, silent: true},
+				{rows: []masticway.StoredRow{serverRow(a, 1, ready)}, fullVersion: 1},
+				{at: 8 * time.Second, rows: nil, fullVersion: 5},
+				{at: 9 * time.Second, rows: []masticway.StoredRow{serverRow(a, 7, ready)}},
+				{at: 10100 * time.Millisecond, noContact: true},
 			},
 			want: []string{a},
 		},
 		"lapsed in an outage, and a reading from before": {
 			events: []event{
-				{rows: []masticway.StoredRow{server(a, 1, ready)}, whole: 1},
-				{at: 8 * time.Second, rows: nil, whole: 5},
-				{at: 8500 * time.Millisecond, rows: []masticway.StoredRow{server(a, 1, ready)}, whole: 3},
-				{at: 10100 * time.Millisecond, silent: true},
+				{rows: []masticway.StoredRow{serverRow(a, 1, ready)}, fullVersion: 1},
+				{at: 8 * time.Second, rows: nil, fullVersion: 5},
+				{at: 8500 * time.Millisecond, rows: []masticway.StoredRow{serverRow(a, 1, ready)}, fullVersion: 3},
+				{at: 10100 * time.Millisecond, noContact: true},
 			},
 		},
 		"drained before an outage": {
 			events: []event{
-				{rows: []masticway.StoredRow{server(a, 1, draining)}, whole: 1},
-				{at: 8 * time.Second, rows: nil, whole: 5},
+				{rows: []masticway.StoredRow{serverRow(a, 1, draining)}, fullVersion: 1},
+				{at: 8 * time.Second, rows: nil, fullVersion: 5},
 			},
 		},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
-			r := follower.NewRegister(decoder{})
+			r := follower.NewRegistry(decoder{})
 			for _, e := range tc.events {
 				now := epoch.Add(e.at)
 				switch {
-				case e.silent:
-				case e.whole > 0:
-					r.Reached(now)
-					_, err := r.Replace(now, masticway.RowReading{Rows: e.rows, Version: e.whole})
+				case e.noContact:
+				case e.fullVersion > 0:
+					r.RecordContact(now)
+					_, err := r.Replace(now, masticway.RowReading{Rows: e.rows, Version: e.fullVersion})
 					qt.Assert(t, err, qt.IsNil)
 				default:
-					r.Reached(now)
+					r.RecordContact(now)
 					_, err := r.Update(now, e.rows)
 					qt.Assert(t, err, qt.IsNil)
 				}
 				r.Expire(now)
 			}
 			var ids []string
-			for _, s := range r.Beliefs().Servers["p"] {
+			for _, s := range r.Snapshot().Servers["p"] {
 				ids = append(ids, s.ID)
 			}
 			qt.Assert(t, ids, qt.DeepEquals, tc.want)
@@ -181,7 +181,7 @@
 	}
 }
 
-func configuration(version, row int64) masticway.StoredRow {
+func configurationRow(version, row int64) masticway.StoredRow {
 	value, _ := json.Marshal(masticway.Deployment{Version: version})
 	return masticway.StoredRow{RowKey: decoder{}.ConfigurationKey(), Version: row, Value: value}
 }
@@ -191,54 +191,54 @@
 		rows []masticway.StoredRow
 		want int64
 	}{
-		"newer follows":              {rows: []masticway.StoredRow{configuration(3, 1), configuration(7, 2)}, want: 7},
-		"a stale row is left out":    {rows: []masticway.StoredRow{configuration(7, 9), configuration(3, 4)}, want: 7},
-		"a lower version is refused": {rows: []masticway.StoredRow{configuration(7, 1), configuration(3, 2)}, want: 7},
+		"newer follows":              {rows: []masticway.StoredRow{configurationRow(3, 1), configurationRow(7, 2)}, want: 7},
+		"a stale row is left out":    {rows: []masticway.StoredRow{configurationRow(7, 9), configurationRow(3, 4)}, want: 7},
+		"a lower version is refused": {rows: []masticway.StoredRow{configurationRow(7, 1), configurationRow(3, 2)}, want: 7},
 		"an unreadable one changes nothing": {
-			rows: []masticway.StoredRow{configuration(7, 1), {RowKey: decoder{}.ConfigurationKey(), Version: 2, Value: []byte("{")}}, want: 7,
+			rows: []masticway.StoredRow{configurationRow(7, 1), {RowKey: decoder{}.ConfigurationKey(), Version: 2, Value: []byte("{")}}, want: 7,
 		},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
-			r := follower.NewRegister(decoder{})
+			r := follower.NewRegistry(decoder{})
 			for _, row := range tc.rows {
-				_, _ = r.Configure(row)
+				_, _ = r.ApplyConfiguration(row)
 			}
-			qt.Assert(t, r.Beliefs().Deployment.Version, qt.Equals, tc.want)
+			qt.Assert(t, r.Snapshot().Deployment.Version, qt.Equals, tc.want)
 		})
 	}
 }
 
-// life is a server's registration in one of its lives, as a row of some version.
-func life(version int64, born time.Time, state masticway.ServerState) masticway.StoredRow {
+// incarnationRow is a server's registration in one of its lives, as a row of some version.
+func incarnationRow(version int64, born time.Time, state masticway.ServerState) masticway.StoredRow {
 	value, _ := json.Marshal(masticway.Server{ID: "i-1", Pool: "p", State: state, StartedAt: born})
 	return masticway.StoredRow{RowKey: masticway.RowKey{Table: "servers", Key: "i-1"}, Version: version, Value: value}
 }
 
-// TestLivesOfOneServerAreToldApart has a server that starts again under its id. It takes work although the life before was
+// TestIncarnationsOfOneServerAreDistinguished has a server that starts again under its id. It takes work although the life before was
 // leaving, and what that one says late, in a newer version of the row, takes nothing back.
-func TestLivesOfOneServerAreToldApart(t *testing.T) {
+func TestIncarnationsOfOneServerAreDistinguished(t *testing.T) {
 	first, second := epoch, epoch.Add(time.Minute)
 	cases := map[string]struct {
 		rows []masticway.StoredRow
 		want []time.Time
 	}{
-		"one life":                              {rows: []masticway.StoredRow{life(1, first, masticway.ServerReady)}, want: []time.Time{first}},
-		"leaving for good":                      {rows: []masticway.StoredRow{life(1, first, masticway.ServerDraining), life(2, first, masticway.ServerReady)}},
-		"back after it left":                    {rows: []masticway.StoredRow{life(1, first, masticway.ServerDraining), life(2, second, masticway.ServerReady)}, want: []time.Time{second}},
-		"the old life speaks late":              {rows: []masticway.StoredRow{life(1, second, masticway.ServerReady), life(2, first, masticway.ServerReady)}, want: []time.Time{second}},
-		"the old life says late that it leaves": {rows: []masticway.StoredRow{life(1, second, masticway.ServerReady), life(2, first, masticway.ServerDraining)}, want: []time.Time{second}},
-		"no word of lives":                      {rows: []masticway.StoredRow{life(1, time.Time{}, masticway.ServerDraining), life(2, time.Time{}, masticway.ServerReady)}},
+		"one life":                              {rows: []masticway.StoredRow{incarnationRow(1, first, masticway.ServerReady)}, want: []time.Time{first}},
+		"leaving for good":                      {rows: []masticway.StoredRow{incarnationRow(1, first, masticway.ServerDraining), incarnationRow(2, first, masticway.ServerReady)}},
+		"back after it left":                    {rows: []masticway.StoredRow{incarnationRow(1, first, masticway.ServerDraining), incarnationRow(2, second, masticway.ServerReady)}, want: []time.Time{second}},
+		"the old life speaks late":              {rows: []masticway.StoredRow{incarnationRow(1, second, masticway.ServerReady), incarnationRow(2, first, masticway.ServerReady)}, want: []time.Time{second}},
+		"the old life says late that it leaves": {rows: []masticway.StoredRow{incarnationRow(1, second, masticway.ServerReady), incarnationRow(2, first, masticway.ServerDraining)}, want: []time.Time{second}},
+		"no word of lives":                      {rows: []masticway.StoredRow{incarnationRow(1, time.Time{}, masticway.ServerDraining), incarnationRow(2, time.Time{}, masticway.ServerReady)}},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
-			r := follower.NewRegister(decoder{})
+			r := follower.NewRegistry(decoder{})
 			for _, row := range tc.rows {
-				_, faults := r.Update(epoch, []masticway.StoredRow{row})
-				qt.Assert(t, faults, qt.HasLen, 0)
+				_, regErrs := r.Update(epoch, []masticway.StoredRow{row})
+				qt.Assert(t, regErrs, qt.HasLen, 0)
 			}
 			var got []time.Time
-			for _, s := range r.Beliefs().Servers["p"] {
+			for _, s := range r.Snapshot().Servers["p"] {
 				got = append(got, s.StartedAt.In(time.UTC))
 			}
 			qt.Assert(t, got, qt.DeepEquals, tc.want)
@@ -246,27 +246,27 @@
 	}
 }
 
-// TestEntryThatNamesNoServerIsToldOfOnce has a row of another writer beside those of servers: it is told of once for each
+// TestInvalidRegistrationIsReportedOnce has a row of another writer beside those of servers: it is told of once for each
 // version, however often the table is read, and the others hold.
-func TestEntryThatNamesNoServerIsToldOfOnce(t *testing.T) {
-	bad := masticway.StoredRow{RowKey: masticway.RowKey{Table: "servers", Key: "i-2"}, Version: 7, Value: []byte("{")}
-	reading := masticway.RowReading{Version: 8, Rows: []masticway.StoredRow{life(1, epoch, masticway.ServerReady), bad}}
-	r := follower.NewRegister(decoder{})
-	told := 0
+func TestInvalidRegistrationIsReportedOnce(t *testing.T) {
+	invalid := masticway.StoredRow{RowKey: masticway.RowKey{Table: "servers", Key: "i-2"}, Version: 7, Value: []byte("{")}
+	reading := masticway.RowReading{Version: 8, Rows: []masticway.StoredRow{incarnationRow(1, epoch, masticway.ServerReady), invalid}}
+	r := follower.NewRegistry(decoder{})
+	reported := 0
 	for range 3 {
-		_, faults := r.Replace(epoch, reading)
-		told += len(faults)
-		qt.Assert(t, r.Beliefs().Servers["p"], qt.HasLen, 1)
+		_, regErrs := r.Replace(epoch, reading)
+		reported += len(regErrs)
+		qt.Assert(t, r.Snapshot().Servers["p"], qt.HasLen, 1)
 	}
-	qt.Assert(t, told, qt.Equals, 1)
-	bad.Version = 9
-	_, faults := r.Update(epoch, []masticway.StoredRow{bad})
-	qt.Assert(t, faults, qt.HasLen, 1)
-	qt.Assert(t, faults[0].Key, qt.Equals, "i-2")
+	qt.Assert(t, reported, qt.Equals, 1)
+	invalid.Version = 9
+	_, regErrs := r.Update(epoch, []masticway.StoredRow{invalid})
+	qt.Assert(t, regErrs, qt.HasLen, 1)
+	qt.Assert(t, regErrs[0].Key, qt.Equals, "i-2")
 	// A server's own row that another writer has spoilt says no more that it takes work.
-	spoilt := life(10, epoch, masticway.ServerReady)
-	spoilt.Value = []byte("{")
-	_, faults = r.Update(epoch, []masticway.StoredRow{spoilt})
-	qt.Assert(t, faults, qt.HasLen, 1)
-	qt.Assert(t, r.Beliefs().Servers["p"], qt.HasLen, 0)
+	corrupted := incarnationRow(10, epoch, masticway.ServerReady)
+	corrupted.Value = []byte("{")
+	_, regErrs = r.Update(epoch, []masticway.StoredRow{corrupted})
+	qt.Assert(t, regErrs, qt.HasLen, 1)
+	qt.Assert(t, r.Snapshot().Servers["p"], qt.HasLen, 0)
 }
--- a/follower/departures.go
+++ b/follower/departures.go
@@ -8,23 +8,23 @@
 	"github.com/masticway/masticway"
 )
 
-// departureKept is how long it is remembered that a server has left that has no row any more, which may come back late.
-const departureKept = time.Hour
+// departureTTL is how long it is remembered that a server has left that has no row any more, which may come back late.
+const departureTTL = time.Hour
 
 // departure is a server's own word that one of its lives takes no new work.
 type departure struct {
-	life masticway.ServerIncarnation
-	at   time.Time
+	incarnation masticway.ServerIncarnation
+	at          time.Time
 }
 
-// Leaves takes a server's own word that one of its lives leaves, and tells whether that takes it out of use now. A life without a row may have
+// MarkDraining takes a server's own word that one of its lives leaves, and tells whether that takes it out of use now. A life without a row may have
 // lapsed only, and is not used either when its row is back; one that is not the registered one is over.
-func (r *Register) Leaves(now time.Time, id string, life masticway.ServerIncarnation) bool {
+func (r *Registry) MarkDraining(now time.Time, id string, incarnation masticway.ServerIncarnation) bool {
 	e, registered := r.entries[id]
-	if registered && e.server.Incarnation() != life {
+	if registered && e.server.Incarnation() != incarnation {
 		return false
 	}
-	r.left[id] = departure{life: life, at: now}
+	r.departures[id] = departure{incarnation: incarnation, at: now}
 	if !registered || e.server.State == masticway.ServerDraining {
 		return false
 	}
@@ -33,21 +33,21 @@
 	return true
 }
 
-// hasLeft tells that a registered life has said that it leaves. The next life of the id takes new work.
-func (r *Register) hasLeft(s masticway.Server) bool {
-	d, ok := r.left[s.ID]
-	if ok && d.life != s.Incarnation() {
-		delete(r.left, s.ID)
+// isDeparted tells that a registered life has said that it leaves. The next life of the id takes new work.
+func (r *Registry) isDeparted(s masticway.Server) bool {
+	d, ok := r.departures[s.ID]
+	if ok && d.incarnation != s.Incarnation() {
+		delete(r.departures, s.ID)
 		return false
 	}
 	return ok
 }
 
-// forgetDepartures forgets servers that left long ago.
-func (r *Register) forgetDepartures(now time.Time) {
-	for id, d := range r.left {
-		if _, registered := r.entries[id]; !registered && now.Sub(d.at) > departureKept {
-			delete(r.left, id)
+// pruneDepartures forgets servers that left long ago.
+func (r *Registry) pruneDepartures(now time.Time) {
+	for id, d := range r.departures {
+		if _, registered := r.entries[id]; !registered && now.Sub(d.at) > departureTTL {
+			delete(r.departures, id)
 		}
 	}
 }
@@ -56,13 +56,13 @@
 // not heard of it, and whatever the store says of that life later.
 func (f *Follower) Leaves(s masticway.Server) {
 	f.update(func(now time.Time) bool {
-		if !f.register.Leaves(now, s.ID, s.Incarnation()) {
+		if !f.registry.MarkDraining(now, s.ID, s.Incarnation()) {
 			return false
 		}
 		f.log.WithFields(logrus.Fields{
-			"event": "server_leaves", "server": s.ID, "pool": s.Pool, "source": "answer", "store_heard_ms": now.Sub(f.register.reached).Milliseconds(),
+			"event": "server_leaves", "server": s.ID, "pool": s.Pool, "source": "answer", "store_heard_ms": now.Sub(f.registry.lastContact).Milliseconds(),
 		}).Info("a server says that it leaves")
-		f.noteServers()
+		f.reportServers()
 		return true
 	})
 }
--- a/follower/evacuations.go
+++ b/follower/evacuations.go
@@ -8,16 +8,16 @@
 	"github.com/masticway/masticway"
 )
 
-// zoneReturn is the end of an operator's order to send a zone's servers nothing.
-type zoneReturn struct {
+// zoneReopening is the end of an operator's order to send a zone's servers nothing.
+type zoneReopening struct {
 	// at is when this router heard of it, version that of the row's end.
 	at      time.Time
 	version int64
 }
 
-// Evacuate takes rows of the operator's table; a whole reading has all of them. It names the zones that were emptied and
+// UpdateEvacuations takes rows of the operator's table; a whole reading has all of them. It names the zones that were emptied and
 // those that were taken back.
-func (r *Register) Evacuate(now time.Time, whole bool, reading masticway.RowReading) (emptied, back []string) {
+func (r *Registry) UpdateEvacuations(now time.Time, full bool, reading masticway.RowReading) (evacuated, reopened []string) {
 	present := map[string]bool{}
 	for _, row := range reading.Rows {
 		zone, ok := r.decoder.EvacuatedZone(row.RowKey)
@@ -27,58 +27,58 @@
 		if !row.Deleted {
 			present[zone] = true
 		}
-		if row.Version <= max(r.evacuated[zone], r.takenBack[zone].version) {
+		if row.Version <= max(r.evacuations[zone], r.reopenings[zone].version) {
 			continue
 		}
-		_, was := r.evacuated[zone]
+		_, wasEvacuated := r.evacuations[zone]
 		switch {
-		case !row.Deleted && !was:
-			emptied = append(emptied, zone)
-		case row.Deleted && was:
-			back = append(back, zone)
+		case !row.Deleted && !wasEvacuated:
+			evacuated = append(evacuated, zone)
+		case row.Deleted && wasEvacuated:
+			reopened = append(reopened, zone)
 		}
 		if row.Deleted {
-			r.takeBack(now, zone, row.Version)
+			r.reopenZone(now, zone, row.Version)
 			continue
 		}
-		r.evacuated[zone] = row.Version
+		r.evacuations[zone] = row.Version
 	}
-	if !whole {
-		return emptied, back
+	if !full {
+		return evacuated, reopened
 	}
-	for zone, version := range r.evacuated {
+	for zone, version := range r.evacuations {
 		if !present[zone] && version <= reading.Version {
-			back = append(back, zone)
-			r.takeBack(now, zone, reading.Version)
+			reopened = append(reopened, zone)
+			r.reopenZone(now, zone, reading.Version)
 		}
 	}
-	return emptied, back
+	return evacuated, reopened
 }
 
-// takeBack ends an order, if there is one, and remembers when.
-func (r *Register) takeBack(now time.Time, zone string, version int64) {
-	delete(r.evacuated, zone)
-	r.takenBack[zone] = zoneReturn{at: now, version: version}
+// reopenZone ends an order, if there is one, and remembers when.
+func (r *Registry) reopenZone(now time.Time, zone string, version int64) {
+	delete(r.evacuations, zone)
+	r.reopenings[zone] = zoneReopening{at: now, version: version}
 }
 
-// evacuate takes the operator's orders about zones.
-func (f *Follower) evacuate(whole bool, reading masticway.RowReading) {
+// applyEvacuations takes the operator's orders about zones.
+func (f *Follower) applyEvacuations(full bool, reading masticway.RowReading) {
 	f.update(func(now time.Time) bool {
-		emptied, back := f.register.Evacuate(now, whole, reading)
-		for _, zone := range emptied {
+		evacuated, reopened := f.registry.UpdateEvacuations(now, full, reading)
+		for _, zone := range evacuated {
 			f.log.WithFields(f.zoneFields("zone_evacuated", zone, reading)).Info("servers of a zone get nothing new")
 		}
-		for _, zone := range back {
+		for _, zone := range reopened {
 			f.log.WithFields(f.zoneFields("zone_back", zone, reading)).Info("servers of a zone may get work again")
 		}
-		f.metrics.Gauge(metricEvacuated, int64(len(f.register.evacuated)))
-		return len(emptied)+len(back) > 0
+		f.metrics.Gauge(metricEvacuated, int64(len(f.registry.evacuations)))
+		return len(evacuated)+len(reopened) > 0
 	})
 }
 
 func (f *Follower) zoneFields(event, zone string, reading masticway.RowReading) logrus.Fields {
 	return logrus.Fields{
-		"event": event, "zone": zone, "row_version": max(f.register.evacuated[zone], f.register.takenBack[zone].version),
+		"event": event, "zone": zone, "row_version": max(f.registry.evacuations[zone], f.registry.reopenings[zone].version),
 		"store_version": reading.Version,
 	}
 }
--- a/follower/follower_test.go
+++ b/follower/follower_test.go
@@ -16,29 +16,29 @@
 	"github.com/masticway/masticway/measurer"
 )
 
-func put(rows *emulator.Rows, version int64) {
+func putConfiguration(rows *emulator.Rows, version int64) {
 	value, _ := json.Marshal(masticway.Deployment{Version: version})
 	rows.Put(decoder{}.ConfigurationKey(), value)
 }
 
 // eventually waits for a condition on the newest belief.
-func eventually(t *testing.T, f *follower.Follower, what string, holds func(follower.Beliefs) bool) {
+func eventually(t *testing.T, f *follower.Follower, description string, isMet func(follower.Beliefs) bool) {
 	t.Helper()
 	for deadline := time.Now().Add(5 * time.Second); time.Now().Before(deadline); time.Sleep(5 * time.Millisecond) {
-		if holds(f.Beliefs()) {
+		if isMet(f.Beliefs()) {
 			return
 		}
 	}
-	t.Fatalf("%s: still %+v", what, f.Beliefs())
+	t.Fatalf("%s: still %+v", description, f.Beliefs())
 }
 
-func TestFollowsThroughOutagesAndForgottenHistory(t *testing.T) {
+func TestWatchSurvivesOutagesAndCompaction(t *testing.T) {
 	rows := emulator.NewRows(time.Now)
 	var mu sync.Mutex
-	heard := 0
+	updates := 0
 	f := follower.New(rows, rows, decoder{}, masticway.SystemClock{}, logger.Discard().WithField("", ""), measurer.New(), func(follower.Beliefs) {
 		mu.Lock()
-		heard++
+		updates++
 		mu.Unlock()
 	})
 	ctx, stop := context.WithCancel(t.Context())
@@ -48,63 +48,63 @@
 	defer stop()
 
 	eventually(t, f, "no configuration yet", func(b follower.Beliefs) bool { return b.Listed && !b.Ready() })
-	put(rows, 1)
+	putConfiguration(rows, 1)
 	eventually(t, f, "first configuration", func(b follower.Beliefs) bool { return b.Ready() && b.Deployment.Version == 1 })
-	put(rows, 2)
+	putConfiguration(rows, 2)
 	rows.Compact()
-	put(rows, 3)
+	putConfiguration(rows, 3)
 	eventually(t, f, "after forgotten history", func(b follower.Beliefs) bool { return b.Deployment.Version == 3 })
 	rows.SetFaults(emulator.RowFaults{Busy: true})
-	put(rows, 4)
+	putConfiguration(rows, 4)
 	time.Sleep(300 * time.Millisecond)
 	qt.Assert(t, f.Beliefs().Deployment.Version, qt.Equals, int64(3))
 	rows.SetFaults(emulator.RowFaults{})
 	eventually(t, f, "after an outage", func(b follower.Beliefs) bool { return b.Deployment.Version == 4 })
 	mu.Lock()
 	defer mu.Unlock()
-	qt.Assert(t, heard > 3, qt.IsTrue)
+	qt.Assert(t, updates > 3, qt.IsTrue)
 }
 
-// hasty gives a call up that takes longer than its limit.
-type hasty struct {
+// timeoutStore gives a call up that takes longer than its limit.
+type timeoutStore struct {
 	masticway.RowStore
-	limit time.Duration
+	timeout time.Duration
 }
 
-func (h hasty) Read(ctx context.Context, table, part string) (masticway.RowReading, error) {
-	ctx, cancel := context.WithTimeout(ctx, h.limit)
+func (h timeoutStore) Read(ctx context.Context, table, part string) (masticway.RowReading, error) {
+	ctx, cancel := context.WithTimeout(ctx, h.timeout)
 	defer cancel()
 	return h.RowStore.Read(ctx, table, part)
 }
 
-func (h hasty) Watch(ctx context.Context, f masticway.WatchRequest) (masticway.RowReading, error) {
-	ctx, cancel := context.WithTimeout(ctx, h.limit)
+func (h timeoutStore) Watch(ctx context.Context, f masticway.WatchRequest) (masticway.RowReading, error) {
+	ctx, cancel := context.WithTimeout(ctx, h.timeout)
 	defer cancel()
 	return h.RowStore.Watch(ctx, f)
 }
 
-// TestChangesComeThroughAFullLink has a router whose link of 10 Mbit/s a workspace fills: each call takes longer than the
+// TestChangesArriveOverSaturatedLink has a router whose link of 10 Mbit/s a workspace fills: each call takes longer than the
 // usual time limit, for as long as the load lasts. A change has to be in force, and a server that leaves to be left, in 3 s.
-func TestChangesComeThroughAFullLink(t *testing.T) {
-	const limit, full, inForce = 100 * time.Millisecond, 400 * time.Millisecond, 3 * time.Second
+func TestChangesArriveOverSaturatedLink(t *testing.T) {
+	const timeout, latency, maxDelay = 100 * time.Millisecond, 400 * time.Millisecond, 3 * time.Second
 	rows := emulator.NewRows(time.Now)
-	f := follower.New(hasty{rows, limit}, hasty{rows, 10 * full}, decoder{}, masticway.SystemClock{}, logger.Discard().WithField("", ""), measurer.New(), func(follower.Beliefs) {})
+	f := follower.New(timeoutStore{rows, timeout}, timeoutStore{rows, 10 * latency}, decoder{}, masticway.SystemClock{}, logger.Discard().WithField("", ""), measurer.New(), func(follower.Beliefs) {})
 	ctx, stop := context.WithCancel(t.Context())
 	var wg sync.WaitGroup
 	wg.Go(func() { f.Run(ctx) })
 	defer wg.Wait()
 	defer stop()
 	register := func(state masticway.ServerState) {
-		row := server("i-1", 0, state)
+		row := serverRow("i-1", 0, state)
 		rows.Put(row.RowKey, row.Value)
 	}
-	put(rows, 1)
+	putConfiguration(rows, 1)
 	register(masticway.ServerReady)
 	eventually(t, f, "first beliefs", func(b follower.Beliefs) bool { return b.Deployment.Version == 1 && len(b.Servers["p"]) == 1 })
-	rows.SetFaults(emulator.RowFaults{Slow: full})
+	rows.SetFaults(emulator.RowFaults{Slow: latency})
 	changed := time.Now()
-	put(rows, 2)
+	putConfiguration(rows, 2)
 	register(masticway.ServerDraining)
 	eventually(t, f, "changed beliefs", func(b follower.Beliefs) bool { return b.Deployment.Version == 2 && len(b.Servers["p"]) == 0 })
-	qt.Assert(t, time.Since(changed) < inForce, qt.IsTrue)
+	qt.Assert(t, time.Since(changed) < maxDelay, qt.IsTrue)
 }
--- a/follower/turns.go
+++ b/follower/turns.go
@@ -9,67 +9,67 @@
 	"github.com/masticway/masticway/receiver"
 )
 
-// turnPause is how often a reading that waits for another one looks whether it is over.
-const turnPause = 50 * time.Millisecond
+// gatePollInterval is how often a reading that waits for another one looks whether it is over.
+const gatePollInterval = 50 * time.Millisecond
 
-// errOvertaken ends a reading because another one of the same table is arriving.
-var errOvertaken = errors.New("another reading of the table is arriving")
+// errSuperseded ends a reading because another one of the same table is arriving.
+var errSuperseded = errors.New("another reading of the table is arriving")
 
-// turns lets one of a table's readings arrive at a time. Where a link is full the usual reading and the patient one would
+// readGate lets one of a table's readings arrive at a time. Where a link is full the usual reading and the patient one would
 // otherwise each take half of it for the same rows.
-type turns struct {
+type readGate struct {
 	mu sync.Mutex
-	// under are the readings under way, with how they are ended; arriving is the one of which more than a little has come.
-	under    map[int]context.CancelCauseFunc
-	last     int
-	arriving int
+	// cancels are the readings under way, with how they are ended; arriving is the one of which more than a little has come.
+	cancels   map[int]context.CancelCauseFunc
+	lastID    int
+	receiving int
 }
 
 // begin waits, with a function that pauses, until no other reading is arriving, and returns the context of a new one and the
 // function that ends it.
-func (t *turns) begin(ctx context.Context, pause func(ctx context.Context, d time.Duration)) (context.Context, func()) {
-	for ctx.Err() == nil && t.taken() {
-		pause(ctx, turnPause)
+func (t *readGate) begin(ctx context.Context, sleep func(ctx context.Context, d time.Duration)) (context.Context, func()) {
+	for ctx.Err() == nil && t.isReceiving() {
+		sleep(ctx, gatePollInterval)
 	}
 	ctx, cancel := context.WithCancelCause(ctx)
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if t.under == nil {
-		t.under = map[int]context.CancelCauseFunc{}
+	if t.cancels == nil {
+		t.cancels = map[int]context.CancelCauseFunc{}
 	}
-	t.last++
-	id := t.last
-	t.under[id] = cancel
-	return receiver.WithProgress(ctx, func() { t.arrives(id) }), func() { t.end(id) }
+	t.lastID++
+	id := t.lastID
+	t.cancels[id] = cancel
+	return receiver.WithProgress(ctx, func() { t.startReceiving(id) }), func() { t.end(id) }
 }
 
-func (t *turns) taken() bool {
+func (t *readGate) isReceiving() bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.arriving != 0
+	return t.receiving != 0
 }
 
-// arrives gives the turn to a reading, if it is free, and ends the others.
-func (t *turns) arrives(id int) {
+// startReceiving gives the turn to a reading, if it is free, and ends the others.
+func (t *readGate) startReceiving(id int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if _, under := t.under[id]; !under || t.arriving != 0 {
+	if _, active := t.cancels[id]; !active || t.receiving != 0 {
 		return
 	}
-	t.arriving = id
-	for other, cancel := range t.under {
+	t.receiving = id
+	for other, cancel := range t.cancels {
 		if other != id {
-			cancel(errOvertaken)
+			cancel(errSuperseded)
 		}
 	}
 }
 
-func (t *turns) end(id int) {
+func (t *readGate) end(id int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.under[id](nil)
-	delete(t.under, id)
-	if t.arriving == id {
-		t.arriving = 0
+	t.cancels[id](nil)
+	delete(t.cancels, id)
+	if t.receiving == id {
+		t.receiving = 0
 	}
 }
