--- a/follower/beliefs.go
+++ b/follower/beliefs.go
@@ -10,51 +10,53 @@
 )
 
 const (
-	// outageThreshold is how long the store must have been silent for its return to count as one: entries of live servers
-	// lapse after three of their heartbeats, which are a second and more apart.
+	// outageThreshold is how long the store must have been silent for its next answer to end an outage. It is shorter than
+	// the time in which registrations of live servers can expire: three heartbeats, sent at least a second apart.
 	outageThreshold = 1500 * time.Millisecond
-	// recoveryGrace is how long entries that lapsed during an outage may take to come back.
+	// recoveryGrace is how long registrations that expired during an outage may take to reappear.
 	recoveryGrace = 2 * time.Second
 )
 
-// Beliefs is what a router believes at one moment; it does not change.
+// Beliefs is a router's view of its deployment at one moment; it is immutable.
 type Beliefs struct {
-	// Known tells that there is a configuration, and Listed that the servers have been read.
+	// ConfigurationLoaded is set once a configuration has been read, ServersLoaded once the registered servers have been
+	// read.
 	Known      bool
 	Listed     bool
 	Deployment masticway.Deployment
-	// Servers are those that may get new work, by pool.
+	// Servers holds the servers that may get new work, by pool.
 	Servers map[string][]masticway.Server
-	// Evacuated are the zones whose servers are to get nothing new.
+	// EvacuatedZones lists the availability zones whose servers must get no new work.
 	Evacuated []string
 }
 
-// Ready tells whether requests can be served.
+// Ready reports whether requests can be served.
 func (b Beliefs) Ready() bool { return b.Known && b.Listed }
 
-// Lives names the servers that may get new work, in their present lives.
+// Lives returns the current incarnations of the servers that may get new work.
 func (b Beliefs) Lives() map[masticway.ServerIncarnation]bool {
-	lives := map[masticway.ServerIncarnation]bool{}
+	incarnations := map[masticway.ServerIncarnation]bool{}
 	for _, servers := range b.Servers {
 		for _, s := range servers {
-			lives[s.Incarnation()] = true
+			incarnations[s.Incarnation()] = true
 		}
 	}
-	return lives
+	return incarnations
 }
 
 // entry is one server's registration.
 type entry struct {
 	server  masticway.Server
 	version int64
-	// missingSince is when its row was found missing after an outage, and missingVersion of which version; zero while it is there.
+	// missingSince is when the row was found missing after an outage, and missingVersion the store version at which it was
+	// missing; both are zero while the row exists.
 	missingSince   time.Time
 	missingVersion int64
-	// coldUntil is until when the server is cold by its own word.
+	// coldUntil is when the warm-up ends that the server reported with its registration.
 	coldUntil time.Time
 }
 
-// Registry derives beliefs from rows; it is not safe for concurrent use.
+// Registry derives snapshots from rows; it is not safe for concurrent use.
 type Registry struct {
 	decoder       masticway.DeploymentDecoder
 	deployment    masticway.Deployment
@@ -63,18 +65,18 @@
 	serversLoaded bool
 	entries       map[string]entry
 	removed       map[string]int64
-	// invalid are the versions of rows that name no server.
+	// invalid holds the versions of rows that are not valid registrations, by key.
 	invalid     map[string]int64
 	lastContact time.Time
 	recoveredAt time.Time
-	// evacuations are the versions of the operator's orders in force, by zone, and reopenings the orders that ended.
+	// evacuations holds the row versions of the evacuation orders in force, by zone, and reopenings the orders that ended.
 	evacuations map[string]int64
 	reopenings  map[string]zoneReopening
-	// departures are the lives that said themselves that they leave, by id.
+	// departures holds the incarnations that announced that they are draining, by server id.
 	departures map[string]departure
 }
 
-// NewRegistry returns a register that believes nothing yet.
+// NewRegistry returns an empty registry.
 func NewRegistry(d masticway.DeploymentDecoder) *Registry {
 	return &Registry{
 		decoder: d, entries: map[string]entry{}, removed: map[string]int64{}, invalid: map[string]int64{},
@@ -82,7 +84,8 @@
 	}
 }
 
-// ApplyConfiguration takes the configuration's row; an older one than known is left out.
+// ApplyConfiguration applies the configuration's row; it ignores a row or a configuration that is older than the current
+// one.
 func (r *Registry) ApplyConfiguration(row masticway.StoredRow) (changed bool, err error) {
 	if row.Deleted || row.Version <= r.rowVersion {
 		return false, nil
@@ -99,7 +102,7 @@
 	return true, nil
 }
 
-// RecordContact notes that the store answered about the servers, and whether that ends an outage.
+// RecordContact records that the store answered about the servers, and reports whether that ends an outage.
 func (r *Registry) RecordContact(now time.Time) (recovered bool) {
 	if !r.lastContact.IsZero() && now.Sub(r.lastContact) > outageThreshold {
 		r.recoveredAt = now
@@ -109,7 +112,8 @@
 	return recovered
 }
 
-// RegistrationError is a row of the servers' table that names no server; it is told of once for each version.
+// RegistrationError reports a row of the server table that is not a valid registration. It is returned once per row
+// version.
 type RegistrationError struct {
 	Key     string
 	Version int64
@@ -118,13 +122,13 @@
 
 // Error describes the row.
 func (e *RegistrationError) Error() string {
-	return fmt.Sprintf("row %s of version %d names no server: %v", e.Key, e.Version, e.Cause)
+	return fmt.Sprintf("row %s at version %d is not a valid registration: %v", e.Key, e.Version, e.Cause)
 }
 
-// Unwrap returns what is wrong with the row.
+// Unwrap returns the decoding error.
 func (e *RegistrationError) Unwrap() error { return e.Cause }
 
-// Update takes changed rows of servers; it tells of those that name none and takes the others.
+// Update applies changed rows of the server table. It returns an error for each invalid row and applies the others.
 func (r *Registry) Update(now time.Time, rows []masticway.StoredRow) (changed bool, regErrs []*RegistrationError) {
 	for _, row := range rows {
 		if row.Deleted {
@@ -140,7 +144,7 @@
 	return changed, regErrs
 }
 
-// Replace takes a reading of all servers; what it leaves out is gone.
+// Replace applies a full read of the server table and removes the servers that are not in it.
 func (r *Registry) Replace(now time.Time, reading masticway.RowReading) (changed bool, regErrs []*RegistrationError) {
 	changed, regErrs = r.Update(now, reading.Rows)
 	present := map[string]bool{}
@@ -166,17 +170,17 @@
 	}
 	s, err := r.decoder.Server(row.Key, row.Value)
 	if err != nil {
-		// Whoever wrote it, the row says of no server any more that it takes work.
+		// The row no longer registers a server that takes work, even if it was another writer that corrupted it.
 		r.invalid[row.Key] = row.Version
 		delete(r.entries, row.Key)
 		return ok, &RegistrationError{Key: row.Key, Version: row.Version, Cause: err}
 	}
 	if ok && s.StartedAt.Before(previous.server.StartedAt) {
-		// The word of a life that is over, which came late.
+		// A late heartbeat of an earlier incarnation.
 		return false, nil
 	}
 	if ok && previous.server.State == masticway.ServerDraining && s.StartedAt.Equal(previous.server.StartedAt) {
-		// A server that is leaving never comes back in the same life.
+		// A draining server never becomes ready again in the same incarnation.
 		s.State = masticway.ServerDraining
 	}
 	if r.isDeparted(s) {
@@ -184,14 +188,14 @@
 	}
 	e := entry{server: s, version: row.Version}
 	if s.RemainingWarmUp > 0 {
-		// It was written before it arrived here, so the server is warm by then.
+		// The server measured the remaining time before the row arrived here, so it is warm at the latest by then.
 		e.coldUntil = now.Add(s.RemainingWarmUp)
 	}
 	r.entries[row.Key] = e
 	return !ok || previous.server != s || !previous.missingSince.IsZero(), nil
 }
 
-// remove takes a server out, at once or, after an outage, when it has had time to come back.
+// remove removes a server. After an outage, a ready server gets the grace period to reappear.
 func (r *Registry) remove(now time.Time, id string, version int64) bool {
 	e, ok := r.entries[id]
 	if !ok || version < e.version {
@@ -209,7 +213,7 @@
 	return true
 }
 
-// Expire takes out the servers that did not come back in time.
+// Expire removes the servers that did not reappear within the grace period.
 func (r *Registry) Expire(now time.Time) (changed bool) {
 	if now.Sub(r.recoveredAt) < recoveryGrace {
 		return false
@@ -224,7 +228,7 @@
 	return changed
 }
 
-// Snapshot returns what is believed now.
+// Snapshot returns the current view of the deployment.
 func (r *Registry) Snapshot() Beliefs {
 	b := Beliefs{
 		Known: r.configured, Listed: r.serversLoaded, Deployment: r.deployment, Servers: map[string][]masticway.Server{},
--- a/follower/cold.go
+++ b/follower/cold.go
@@ -6,15 +6,15 @@
 	"github.com/sirupsen/logrus"
 )
 
-// Whose word makes a router take a server for cold.
+// Sources of the information that a server is cold, as logged.
 const (
 	coldSourceRegistration = "registration"
 	coldSourceZone         = "zone_back"
 )
 
-// coldUntil is until when a server is taken for cold, and by whose word: by its own, and where its zone was taken back after
-// that word, for as long as it would be cold had it become so just before. Servers of an emptied zone are restarted or lose
-// what they kept then, and write of it with their next heartbeat only.
+// coldUntil returns when a server counts as warm and what that is based on: the server's own registration or, if its zone
+// was reopened after that registration was written, the pool's full warm-up time counted from the reopening. Servers of an
+// evacuated zone may be restarted or lose their caches, and report that only with their next heartbeat.
 func (r *Registry) coldUntil(e entry) (until time.Time, source string) {
 	reopening, ok := r.reopenings[e.server.Zone]
 	if !ok || e.version > reopening.version {
@@ -27,7 +27,7 @@
 	return e.coldUntil, coldSourceRegistration
 }
 
-// reportCold tells of the servers that are cold, or warm again, since it did so last; the caller holds the lock.
+// reportCold logs the servers that became cold or warm since its last call; the caller holds the lock.
 func (f *Follower) reportCold(now time.Time) {
 	for id, e := range f.registry.entries {
 		until, source := f.registry.coldUntil(e)
--- a/follower/departures.go
+++ b/follower/departures.go
@@ -8,17 +8,18 @@
 	"github.com/masticway/masticway"
 )
 
-// departureTTL is how long it is remembered that a server has left that has no row any more, which may come back late.
+// departureTTL is how long a departure is remembered after the server's row is gone, because the row may reappear late.
 const departureTTL = time.Hour
 
-// departure is a server's own word that one of its lives takes no new work.
+// departure records that one incarnation of a server announced that it is draining.
 type departure struct {
 	incarnation masticway.ServerIncarnation
 	at          time.Time
 }
 
-// MarkDraining takes a server's own word that one of its lives leaves, and tells whether that takes it out of use now. A life without a row may have
-// lapsed only, and is not used either when its row is back; one that is not the registered one is over.
+// MarkDraining records that an incarnation of a server announced that it is draining, and reports whether that takes the
+// server out of use now. If the server has no row, its registration may only have expired, so the departure also applies
+// when the row reappears. An incarnation other than the registered one has already ended and is ignored.
 func (r *Registry) MarkDraining(now time.Time, id string, incarnation masticway.ServerIncarnation) bool {
 	e, registered := r.entries[id]
 	if registered && e.server.Incarnation() != incarnation {
@@ -33,7 +34,8 @@
 	return true
 }
 
-// isDeparted tells that a registered life has said that it leaves. The next life of the id takes new work.
+// isDeparted reports whether the registered incarnation has announced that it is draining. The next incarnation with the
+// same id takes new work again.
 func (r *Registry) isDeparted(s masticway.Server) bool {
 	d, ok := r.departures[s.ID]
 	if ok && d.incarnation != s.Incarnation() {
@@ -43,7 +45,7 @@
 	return ok
 }
 
-// pruneDepartures forgets servers that left long ago.
+// pruneDepartures forgets unregistered servers that departed more than departureTTL ago.
 func (r *Registry) pruneDepartures(now time.Time) {
 	for id, d := range r.departures {
 		if _, registered := r.entries[id]; !registered && now.Sub(d.at) > departureTTL {
@@ -52,8 +54,9 @@
 	}
 }
 
-// Leaves takes a server's own word, in an answer, that its present life takes no new work. It holds also while the store is away or has
-// not heard of it, and whatever the store says of that life later.
+// Leaves records that a server announced in an answer that its current incarnation takes no new work. This applies at once,
+// even if the store is unreachable or does not have that information yet, and holds whatever the store later says about
+// that incarnation.
 func (f *Follower) Leaves(s masticway.Server) {
 	f.update(func(now time.Time) bool {
 		if !f.registry.MarkDraining(now, s.ID, s.Incarnation()) {
@@ -61,7 +64,7 @@
 		}
 		f.log.WithFields(logrus.Fields{
 			"event": "server_leaves", "server": s.ID, "pool": s.Pool, "source": "answer", "store_heard_ms": now.Sub(f.registry.lastContact).Milliseconds(),
-		}).Info("a server says that it leaves")
+		}).Info("a server announced that it is draining")
 		f.reportServers()
 		return true
 	})
--- a/follower/doc.go
+++ b/follower/doc.go
@@ -1,7 +1,7 @@
-// Package follower keeps a router's belief about its deployment: the newest
-// configuration and the registered servers, read from the platform's row store.
+// Package follower maintains a router's view of its deployment: the newest configuration and the registered servers, both
+// read from the platform's row store.
 //
-// A store that is away says nothing about servers: the last belief stays in use.
-// After its return entries that lapsed meanwhile get a little time to come back.
-// A configuration never goes back within one life of the router.
+// An unreachable store says nothing about the servers, so the last snapshot stays in use during an outage. Registrations
+// that expired during the outage get a grace period to reappear. The configuration version never decreases while the router
+// runs.
 package follower
--- a/follower/evacuations.go
+++ b/follower/evacuations.go
@@ -8,15 +8,15 @@
 	"github.com/masticway/masticway"
 )
 
-// zoneReopening is the end of an operator's order to send a zone's servers nothing.
+// zoneReopening is the end of an operator's order to evacuate an availability zone.
 type zoneReopening struct {
-	// at is when this router heard of it, version that of the row's end.
+	// at is when this router read of the reopening, and version the store version at which the order's row was gone.
 	at      time.Time
 	version int64
 }
 
-// UpdateEvacuations takes rows of the operator's table; a whole reading has all of them. It names the zones that were emptied and
-// those that were taken back.
+// UpdateEvacuations applies rows of the operator's table, or all of them if the read is full. It returns the zones that
+// were evacuated and those that were reopened.
 func (r *Registry) UpdateEvacuations(now time.Time, full bool, reading masticway.RowReading) (evacuated, reopened []string) {
 	present := map[string]bool{}
 	for _, row := range reading.Rows {
@@ -55,21 +55,21 @@
 	return evacuated, reopened
 }
 
-// reopenZone ends an order, if there is one, and remembers when.
+// reopenZone ends a zone's evacuation order, if there is one, and records when.
 func (r *Registry) reopenZone(now time.Time, zone string, version int64) {
 	delete(r.evacuations, zone)
 	r.reopenings[zone] = zoneReopening{at: now, version: version}
 }
 
-// applyEvacuations takes the operator's orders about zones.
+// applyEvacuations applies the operator's evacuation orders and logs what they change.
 func (f *Follower) applyEvacuations(full bool, reading masticway.RowReading) {
 	f.update(func(now time.Time) bool {
 		evacuated, reopened := f.registry.UpdateEvacuations(now, full, reading)
 		for _, zone := range evacuated {
-			f.log.WithFields(f.zoneFields("zone_evacuated", zone, reading)).Info("servers of a zone get nothing new")
+			f.log.WithFields(f.zoneFields("zone_evacuated", zone, reading)).Info("servers of an availability zone get no new work")
 		}
 		for _, zone := range reopened {
-			f.log.WithFields(f.zoneFields("zone_back", zone, reading)).Info("servers of a zone may get work again")
+			f.log.WithFields(f.zoneFields("zone_back", zone, reading)).Info("servers of an availability zone may get new work again")
 		}
 		f.metrics.Gauge(metricEvacuated, int64(len(f.registry.evacuations)))
 		return len(evacuated)+len(reopened) > 0
--- a/follower/follower.go
+++ b/follower/follower.go
@@ -13,17 +13,17 @@
 )
 
 const (
-	// maxWatchWait is how long one call may wait for changes; a silent feed is noticed after it.
+	// maxWatchWait is how long one watch call may wait for changes, and so how long a dead connection can go unnoticed.
 	maxWatchWait = 900 * time.Millisecond
-	// serverPollInterval separates two calls about servers, whose rows change with every heartbeat.
+	// serverPollInterval separates two calls for the servers, whose rows change with every heartbeat.
 	serverPollInterval = 150 * time.Millisecond
-	// configurationPollInterval separates two calls about the configuration.
+	// configurationPollInterval separates two calls for the configuration.
 	configurationPollInterval = 20 * time.Millisecond
-	// retryInterval separates attempts while the store is away.
+	// retryInterval separates attempts while the store is unreachable.
 	retryInterval = 120 * time.Millisecond
-	// fallbackInterval separates patient readings of a table while the usual ones fail.
+	// fallbackInterval separates reads with the long timeout while those with the usual timeout fail.
 	fallbackInterval = 400 * time.Millisecond
-	// expireInterval is how often lapsed servers are looked at.
+	// expireInterval is how often expired servers are removed.
 	expireInterval = 100 * time.Millisecond
 )
 
@@ -34,69 +34,70 @@
 	metricBytes    = "follow_bytes"
 	metricVersion  = "configuration_version"
 	metricServers  = "servers_ready"
-	// metricEvacuated counts the zones whose servers get nothing new, metricCold the servers that are taken for cold.
+	// metricEvacuated counts the zones whose servers get no new work, metricCold the servers that count as cold.
 	metricEvacuated = "zones_evacuated"
 	metricCold      = "servers_cold"
 )
 
-// Follower reads the store and publishes beliefs.
+// Follower reads the store and publishes snapshots of the deployment.
 type Follower struct {
 	store masticway.RowStore
-	// fallback waits longer for an answer than store does.
+	// fallback is the same store with a longer timeout.
 	fallback masticway.RowStore
 	decoder  masticway.DeploymentDecoder
 	clock    masticway.Clock
 	log      *logrus.Entry
 	metrics  *measurer.Set
-	// onChange is called with each new belief.
+	// onChange is called with each new snapshot.
 	onChange func(Beliefs)
 
 	mu       sync.Mutex
 	registry *Registry
 	snapshot atomic.Pointer[Beliefs]
-	// reportedCold are the servers that were told of as cold, and when.
+	// reportedCold holds the servers that were logged as cold, with the time of the log line.
 	reportedCold map[string]time.Time
-	// tables are the tables that are followed for other parts of the router.
+	// tables are the tables that are watched for other parts of the router.
 	tables []Table
 }
 
-// Table is one part of a table of the store that is followed for another part of the router.
+// Table describes one part of a table of the store that is watched for another part of the router.
 type Table struct {
 	Name, Part string
-	// Wait is how long one call may wait for changes, Relist how often the table is read anew at most.
+	// MaxWait is how long one watch call may wait for changes, RelistInterval the minimum time between full reads.
 	Wait, Relist time.Duration
-	// Take is given what was read; whole readings hold all rows of the table.
+	// Apply is called with each read result; a full one holds all rows of the table.
 	Take func(full bool, reading masticway.RowReading)
 }
 
-// Also follows another table; it is called before Run.
+// Also adds a table to watch; it must be called before Run.
 func (f *Follower) Also(t Table) { f.tables = append(f.tables, t) }
 
-// New returns a follower; changed is called, by one goroutine at a time, whenever the belief changes. The patient store
-// is the same one with a longer time limit: where a router's link is so full that a call takes longer than money can
-// wait, a change of the configuration still has to be in force in time, and a server that leaves to be left.
+// New returns a follower that calls onChange, from one goroutine at a time, whenever the snapshot changes. The fallback is
+// the same store with a longer timeout. It is needed when a router's link is so congested that calls exceed the usual
+// timeout, which is as long as money operations can wait: configuration changes must still take effect in time, and
+// draining servers must still be avoided.
 func New(store, fallback masticway.RowStore, d masticway.DeploymentDecoder, clock masticway.Clock, log *logrus.Entry, metrics *measurer.Set, onChange func(Beliefs)) *Follower {
 	f := &Follower{store: store, fallback: fallback, decoder: d, clock: clock, log: log, metrics: metrics, onChange: onChange, registry: NewRegistry(d), reportedCold: map[string]time.Time{}}
 	f.snapshot.Store(&Beliefs{})
 	return f
 }
 
-// Beliefs returns the newest belief.
+// Beliefs returns the newest snapshot.
 func (f *Follower) Beliefs() Beliefs { return *f.snapshot.Load() }
 
-// Run follows until the context ends.
+// Run watches the tables until the context ends.
 func (f *Follower) Run(ctx context.Context) {
 	var wg sync.WaitGroup
 	key := f.decoder.ConfigurationKey()
 	configuration := &tableWatcher{
 		Follower: f, table: key.Table, part: key.Part, interval: configurationPollInterval, maxWait: maxWatchWait, relistInterval: relistInterval,
 		apply: func(full bool, reading masticway.RowReading) {
-			// First, so that a router that starts amid an evacuation never takes the zone for open.
+			// Evacuations come first, so that a router that starts during an evacuation never uses the zone.
 			f.applyEvacuations(full, reading)
 			f.applyConfiguration(key, reading)
 		},
 	}
-	// Registrations lapse while the store is away, and what is missing afterwards is gone.
+	// Registrations expire while the store is unreachable, so a row that is missing after an outage is removed.
 	servers := &tableWatcher{Follower: f, table: f.decoder.ServerTable(), interval: serverPollInterval, maxWait: maxWatchWait, relistInterval: relistInterval, rowsExpire: true, apply: f.applyServers}
 	watchers := []*tableWatcher{configuration, servers}
 	for _, t := range f.tables {
@@ -125,7 +126,7 @@
 	}
 }
 
-// update changes the register and publishes what follows from it.
+// update changes the registry and publishes the resulting snapshot.
 func (f *Follower) update(change func(now time.Time) bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -147,7 +148,7 @@
 			}
 			applied, err := f.registry.ApplyConfiguration(row)
 			if err != nil {
-				f.log.WithFields(logrus.Fields{"event": "configuration_unreadable", "row_version": row.Version, "error": err}).Error("configuration not taken")
+				f.log.WithFields(logrus.Fields{"event": "configuration_unreadable", "row_version": row.Version, "error": err}).Error("configuration not applied")
 			}
 			changed = changed || applied
 		}
@@ -163,7 +164,7 @@
 func (f *Follower) applyServers(full bool, reading masticway.RowReading) {
 	f.update(func(now time.Time) bool {
 		if f.registry.RecordContact(now) {
-			f.log.WithFields(logrus.Fields{"event": "servers_may_return", "grace": recoveryGrace}).Info("store is back; lapsed servers get time")
+			f.log.WithFields(logrus.Fields{"event": "servers_may_return", "grace": recoveryGrace}).Info("store is reachable again; expired servers may reappear")
 		}
 		var changed bool
 		var regErrs []*RegistrationError
@@ -175,7 +176,7 @@
 		for _, regErr := range regErrs {
 			f.log.WithFields(logrus.Fields{
 				"event": "registration_unreadable", "key": regErr.Key, "row_version": regErr.Version, "error": regErr.Cause,
-			}).Warn("registration not taken")
+			}).Warn("invalid registration ignored")
 		}
 		if changed {
 			f.reportServers()
--- a/follower/mirror.go
+++ b/follower/mirror.go
@@ -13,43 +13,45 @@
 )
 
 const (
-	// relistInterval is how often a table is read anew at most, should its changes have left something out.
+	// relistInterval is the minimum time between full reads of a table, which correct for changes that the watch missed.
 	relistInterval = 2500 * time.Millisecond
-	// maxRelistRate bounds what these readings take of a router's link, in bytes a second: half of the 8 KB that control may
-	// take at the size to design for. A configuration of 0.8 MB that was read anew every 2.5 s took a third of a link of
-	// 10 Mbit/s from callers, and what was given up and begun again all of it.
+	// maxRelistRate bounds the bandwidth that full reads take on a router's link, in bytes per second: half of the 8 KB per
+	// second allowed for control traffic at the target fleet size. Reading a configuration of 0.8 MB every 2.5 s took a
+	// third of a 10 Mbit/s link from callers, and reads that timed out and restarted took all of it.
 	maxRelistRate = 4 << 10
-	// maxWatchBytes is how large changes may be that are read as such, 16 KB, some tens of servers. Changes have each version
-	// of a row: a router that was behind by four versions of a configuration of 0.3 MB took 3 s for them on a link of
-	// 10 Mbit/s, in which others came. The table itself has the newest alone, so that of two readings the second brings it.
+	// maxWatchBytes is the largest set of changes that is read as changes, 16 KB, enough for some tens of servers. Changes
+	// contain every version of a row: a router that was four versions of a 0.3 MB configuration behind took 3 s to read
+	// them on a link of 10 Mbit/s, and further versions were written meanwhile. A full read returns only the newest
+	// version, so after at most two of them the router is up to date.
 	maxWatchBytes = 16 << 10
 )
 
-// tableWatcher follows one table of the store: it reads the table whole and then its changes.
+// tableWatcher keeps up with one table of the store: it reads the table in full and then its changes.
 type tableWatcher struct {
 	*Follower
 	table, part string
-	// interval separates two calls, wait is how long one may wait for changes, relist how often the table is read anew at most.
+	// interval separates two calls, maxWait is how long one call may wait for changes, and relistInterval the minimum time
+	// between full reads.
 	interval, maxWait, relistInterval time.Duration
-	// rowsExpire tells that rows vanish while the store is away, so that the table is read whole after an outage.
+	// rowsExpire is set if rows vanish while the store is unreachable, so that the table is read in full after an outage.
 	rowsExpire bool
-	// apply is given what was read; whole readings hold all rows of the table.
+	// apply is called with each read result; a full one holds all rows of the table.
 	apply func(full bool, reading masticway.RowReading)
 
-	// failing tells that the usual readings fail.
+	// failing is set while reads with the usual timeout fail.
 	failing atomic.Bool
-	// gate lets one large reading arrive at a time.
+	// gate lets only one large response arrive at a time.
 	gate readGate
 
 	mu sync.Mutex
-	// version is the version up to which changes have been taken, zero before the first reading.
+	// version is the store version up to which changes have been applied, or zero before the first read.
 	version int64
-	// listedAt is when the table was last read whole, and size what it had then, in bytes.
+	// listedAt is the time of the last full read, and size its size in bytes.
 	listedAt time.Time
 	size     int64
 }
 
-// run follows the table with the usual time limits until the context ends.
+// run reads the table with the usual timeout until the context ends.
 func (m *tableWatcher) run(ctx context.Context) {
 	for ctx.Err() == nil {
 		if full, err := m.read(ctx, m.store, m.isRelistDue); err != nil {
@@ -57,32 +59,32 @@
 			continue
 		}
 		if m.failing.Swap(false) {
-			m.log.WithFields(logrus.Fields{"event": "store_regained", "table": m.table}).Info("store answers again")
+			m.log.WithFields(logrus.Fields{"event": "store_regained", "table": m.table}).Info("store is reachable again")
 		}
 		m.sleep(ctx, m.interval)
 	}
 }
 
-// runFallback reads with longer time limits while the usual readings fail.
+// runFallback reads with the longer timeout while reads with the usual timeout fail.
 func (m *tableWatcher) runFallback(ctx context.Context) {
 	for ctx.Err() == nil {
 		m.sleep(ctx, fallbackInterval)
 		if !m.failing.Load() {
 			continue
 		}
-		// Failures are logged by the usual readings.
+		// Failures are logged by run.
 		_, _ = m.read(ctx, m.fallback, func() bool { return m.rowsExpire || m.currentVersion() == 0 })
 	}
 }
 
-// currentVersion returns the version up to which changes have been taken.
+// currentVersion returns the store version up to which changes have been applied.
 func (m *tableWatcher) currentVersion() int64 {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.version
 }
 
-// isRelistDue tells that the table is to be read whole.
+// isRelistDue reports whether the next read must be a full one.
 func (m *tableWatcher) isRelistDue() bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -90,7 +92,7 @@
 	return m.version == 0 || m.clock.Now().Sub(m.listedAt) > interval
 }
 
-// read reads the table, whole if it is due when its turn comes, or its next changes, and takes them.
+// read waits for the gate, then reads the table in full if that is due, or else its next changes, and applies the result.
 func (m *tableWatcher) read(ctx context.Context, store masticway.RowStore, isRelistDue func() bool) (full bool, err error) {
 	ctx, end := m.gate.begin(ctx, m.sleep)
 	defer end()
@@ -115,8 +117,8 @@
 	return full, nil
 }
 
-// accept takes a reading. One that is older than what was taken since it began is left out if it is whole: rows that are
-// missing or present in it may have changed since.
+// accept applies a read result. It drops a full read that is older than the changes applied since that read began, because
+// rows missing from it or present in it may have changed meanwhile.
 func (m *tableWatcher) accept(full bool, reading masticway.RowReading) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -130,24 +132,24 @@
 	}
 }
 
-// restart begins anew, unless another reading has gone on meanwhile.
+// restart makes the next read a full one, unless another read has advanced the version meanwhile.
 func (m *tableWatcher) restart(historyLost *masticway.HistoryLostError) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if m.version == historyLost.Since {
 		m.version = 0
 	}
-	m.log.WithFields(logrus.Fields{"event": "history_lost", "table": m.table, "since": historyLost.Since, "large": historyLost.TooLarge}).Info("reading the table anew")
+	m.log.WithFields(logrus.Fields{"event": "history_lost", "table": m.table, "since": historyLost.Since, "large": historyLost.TooLarge}).Info("reading the table in full")
 }
 
-// handleFailure notes that a reading failed and waits for the next.
+// handleFailure records a failed read and waits until the next attempt.
 func (m *tableWatcher) handleFailure(ctx context.Context, full bool, err error) {
 	if _, historyLost := errors.AsType[*masticway.HistoryLostError](err); historyLost || errors.Is(err, errSuperseded) {
-		// Neither is an outage.
+		// Neither error means that the store is unreachable.
 		return
 	}
 	if !m.failing.Swap(true) {
-		m.log.WithFields(logrus.Fields{"event": "store_lost", "table": m.table, "error": err}).Warn("store cannot be reached")
+		m.log.WithFields(logrus.Fields{"event": "store_lost", "table": m.table, "error": err}).Warn("store is unreachable")
 	}
 	m.sleep(ctx, retryInterval)
 	m.mu.Lock()
@@ -156,7 +158,7 @@
 	case m.rowsExpire:
 		m.listedAt = time.Time{}
 	case full:
-		// What is known is followed; a table that is large is not tried again at once.
+		// Continue with changes from the current version; a table that may be large is not read in full again at once.
 		m.listedAt = m.clock.Now()
 	}
 }
--- a/follower/turns.go
+++ b/follower/turns.go
@@ -9,24 +9,25 @@
 	"github.com/masticway/masticway/receiver"
 )
 
-// gatePollInterval is how often a reading that waits for another one looks whether it is over.
+// gatePollInterval is how often a waiting read checks whether the gate is free.
 const gatePollInterval = 50 * time.Millisecond
 
-// errSuperseded ends a reading because another one of the same table is arriving.
-var errSuperseded = errors.New("another reading of the table is arriving")
+// errSuperseded cancels a read because the response to another read of the same table is already arriving.
+var errSuperseded = errors.New("another read of the table is already arriving")
 
-// readGate lets one of a table's readings arrive at a time. Where a link is full the usual reading and the patient one would
-// otherwise each take half of it for the same rows.
+// readGate lets the response to only one read of a table arrive at a time. On a congested link, the read with the usual
+// timeout and the fallback read would otherwise each get half of the bandwidth for the same rows.
 type readGate struct {
 	mu sync.Mutex
-	// cancels are the readings under way, with how they are ended; arriving is the one of which more than a little has come.
+	// cancels holds the cancel functions of the active reads by id; receiving is the id of the read of whose response more
+	// than 16 KB has arrived (see receiver.WithProgress), or zero.
 	cancels   map[int]context.CancelCauseFunc
 	lastID    int
 	receiving int
 }
 
-// begin waits, with a function that pauses, until no other reading is arriving, and returns the context of a new one and the
-// function that ends it.
+// begin waits, by calling sleep, until no response is arriving. It returns the context of a new read and the function that
+// ends it.
 func (t *readGate) begin(ctx context.Context, sleep func(ctx context.Context, d time.Duration)) (context.Context, func()) {
 	for ctx.Err() == nil && t.isReceiving() {
 		sleep(ctx, gatePollInterval)
@@ -49,7 +50,7 @@
 	return t.receiving != 0
 }
 
-// startReceiving gives the turn to a reading, if it is free, and ends the others.
+// startReceiving gives the gate to a read, if it is free, and cancels the other reads.
 func (t *readGate) startReceiving(id int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
