--- a/follower/beliefs_test.go
+++ b/follower/beliefs_test.go
@@ -14,7 +14,7 @@
 
 var epoch = time.Date(2026, 12, 2, 9, 0, 0, 0, time.UTC)
 
-// decoder reads plain JSON values, so that the register is tested without a platform's names.
+// decoder reads plain JSON values, so that the registry is tested without a platform's field names.
 type decoder struct{}
 
 func (decoder) ConfigurationKey() masticway.RowKey {
@@ -48,10 +48,10 @@
 	return masticway.StoredRow{RowKey: masticway.RowKey{Table: "upstreams", Key: id}, Version: version, Deleted: true}
 }
 
-// event is one thing that a register hears, so long after the beginning.
+// event is one input of a registry, at a time since the start of the test.
 type event struct {
 	at time.Duration
-	// noContact events bring no word of the store.
+	// noContact is set if the store does not answer and only time passes.
 	noContact   bool
 	rows        []masticway.StoredRow
 	fullVersion int64
@@ -75,33 +75,33 @@
 			},
 			want: []string{b},
 		},
-		"a draining server does not come back": {
+		"a draining server does not become ready again": {
 			events: []event{
 				{rows: []masticway.StoredRow{serverRow(a, 1, draining)}, fullVersion: 1},
 				{at: time.Second, rows: []masticway.StoredRow{serverRow(a, 2, ready)}},
 			},
 		},
-		"gone while the store answers": {
+		"deleted while the store answers": {
 			events: []event{
 				{rows: []masticway.StoredRow{serverRow(a, 1, ready)}, fullVersion: 1},
 				{at: time.Second, rows: []masticway.StoredRow{deletedRow(a, 2)}},
 			},
 		},
-		"missing from a whole reading": {
+		"missing from a full read": {
 			events: []event{
 				{rows: []masticway.StoredRow{serverRow(a, 1, ready), serverRow(b, 2, ready)}, fullVersion: 2},
 				{at: time.Second, rows: []masticway.StoredRow{serverRow(b, 2, ready)}, fullVersion: 3},
 			},
 			want: []string{b},
 		},
-		"a stale whole reading takes nothing away": {
+		"a stale full read removes nothing": {
 			events: []event{
 				{rows: []masticway.StoredRow{serverRow(a, 5, ready)}, fullVersion: 5},
 				{at: time.Second, rows: nil, fullVersion: 3},
 			},
 			want: []string{a},
 		},
-		"a stale row after the end brings nothing back": {
+		"a stale row after the deletion restores nothing": {
 			events: []event{
 				{rows: []masticway.StoredRow{serverRow(a, 1, ready)}, fullVersion: 1},
 				{at: time.Second, rows: []masticway.StoredRow{deletedRow(a, 4)}},
@@ -115,7 +115,7 @@
 			},
 			want: []string{a},
 		},
-		"lapsed in an outage, within the grace": {
+		"expired in an outage, within the grace period": {
 			events: []event{
 				{rows: []masticway.StoredRow{serverRow(a, 1, ready)}, fullVersion: 1},
 				{at: 8 * time.Second, rows: nil, fullVersion: 5},
@@ -123,14 +123,14 @@
 			},
 			want: []string{a},
 		},
-		"lapsed in an outage and not back": {
+		"expired in an outage, not restored": {
 			events: []event{
 				{rows: []masticway.StoredRow{serverRow(a, 1, ready)}, fullVersion: 1},
 				{at: 8 * time.Second, rows: nil, fullVersion: 5},
 				{at: 10100 * time.Millisecond, noContact: true},
 			},
 		},
-		"lapsed in an outage and back": {
+		"expired in an outage, restored": {
 			events: []event{
 				{rows: []masticway.StoredRow{serverRow(a, 1, ready)}, fullVersion: 1},
 				{at: 8 * time.Second, rows: nil, fullVersion: 5},
@@ -139,7 +139,7 @@
 			},
 			want: []string{a},
 		},
-		"lapsed in an outage, and a reading from before": {
+		"expired in an outage, then a read from before it": {
 			events: []event{
 				{rows: []masticway.StoredRow{serverRow(a, 1, ready)}, fullVersion: 1},
 				{at: 8 * time.Second, rows: nil, fullVersion: 5},
@@ -147,7 +147,7 @@
 				{at: 10100 * time.Millisecond, noContact: true},
 			},
 		},
-		"drained before an outage": {
+		"draining before an outage": {
 			events: []event{
 				{rows: []masticway.StoredRow{serverRow(a, 1, draining)}, fullVersion: 1},
 				{at: 8 * time.Second, rows: nil, fullVersion: 5},
@@ -191,9 +191,9 @@
 		rows []masticway.StoredRow
 		want int64
 	}{
-		"newer follows":              {rows: []masticway.StoredRow{configurationRow(3, 1), configurationRow(7, 2)}, want: 7},
-		"a stale row is left out":    {rows: []masticway.StoredRow{configurationRow(7, 9), configurationRow(3, 4)}, want: 7},
-		"a lower version is refused": {rows: []masticway.StoredRow{configurationRow(7, 1), configurationRow(3, 2)}, want: 7},
+		"a newer one is applied":     {rows: []masticway.StoredRow{configurationRow(3, 1), configurationRow(7, 2)}, want: 7},
+		"a stale row is ignored":     {rows: []masticway.StoredRow{configurationRow(7, 9), configurationRow(3, 4)}, want: 7},
+		"a lower version is ignored": {rows: []masticway.StoredRow{configurationRow(7, 1), configurationRow(3, 2)}, want: 7},
 		"an unreadable one changes nothing": {
 			rows: []masticway.StoredRow{configurationRow(7, 1), {RowKey: decoder{}.ConfigurationKey(), Version: 2, Value: []byte("{")}}, want: 7,
 		},
@@ -209,26 +209,27 @@
 	}
 }
 
-// incarnationRow is a server's registration in one of its lives, as a row of some version.
-func incarnationRow(version int64, born time.Time, state masticway.ServerState) masticway.StoredRow {
-	value, _ := json.Marshal(masticway.Server{ID: "i-1", Pool: "p", State: state, StartedAt: born})
+// incarnationRow returns the registration of a server that started at the given time.
+func incarnationRow(version int64, startedAt time.Time, state masticway.ServerState) masticway.StoredRow {
+	value, _ := json.Marshal(masticway.Server{ID: "i-1", Pool: "p", State: state, StartedAt: startedAt})
 	return masticway.StoredRow{RowKey: masticway.RowKey{Table: "servers", Key: "i-1"}, Version: version, Value: value}
 }
 
-// TestIncarnationsOfOneServerAreDistinguished has a server that starts again under its id. It takes work although the life before was
-// leaving, and what that one says late, in a newer version of the row, takes nothing back.
+// TestIncarnationsOfOneServerAreDistinguished restarts a server under the same id. The new incarnation must take work even
+// if the previous one was draining, and late heartbeats of the previous one must not change that, although they create
+// newer versions of the row.
 func TestIncarnationsOfOneServerAreDistinguished(t *testing.T) {
 	first, second := epoch, epoch.Add(time.Minute)
 	cases := map[string]struct {
 		rows []masticway.StoredRow
 		want []time.Time
 	}{
-		"one life":                              {rows: []masticway.StoredRow{incarnationRow(1, first, masticway.ServerReady)}, want: []time.Time{first}},
-		"leaving for good":                      {rows: []masticway.StoredRow{incarnationRow(1, first, masticway.ServerDraining), incarnationRow(2, first, masticway.ServerReady)}},
-		"back after it left":                    {rows: []masticway.StoredRow{incarnationRow(1, first, masticway.ServerDraining), incarnationRow(2, second, masticway.ServerReady)}, want: []time.Time{second}},
-		"the old life speaks late":              {rows: []masticway.StoredRow{incarnationRow(1, second, masticway.ServerReady), incarnationRow(2, first, masticway.ServerReady)}, want: []time.Time{second}},
-		"the old life says late that it leaves": {rows: []masticway.StoredRow{incarnationRow(1, second, masticway.ServerReady), incarnationRow(2, first, masticway.ServerDraining)}, want: []time.Time{second}},
-		"no word of lives":                      {rows: []masticway.StoredRow{incarnationRow(1, time.Time{}, masticway.ServerDraining), incarnationRow(2, time.Time{}, masticway.ServerReady)}},
+		"one incarnation":                        {rows: []masticway.StoredRow{incarnationRow(1, first, masticway.ServerReady)}, want: []time.Time{first}},
+		"draining, then ready":                   {rows: []masticway.StoredRow{incarnationRow(1, first, masticway.ServerDraining), incarnationRow(2, first, masticway.ServerReady)}},
+		"restarted after draining":               {rows: []masticway.StoredRow{incarnationRow(1, first, masticway.ServerDraining), incarnationRow(2, second, masticway.ServerReady)}, want: []time.Time{second}},
+		"late heartbeat of the old one":          {rows: []masticway.StoredRow{incarnationRow(1, second, masticway.ServerReady), incarnationRow(2, first, masticway.ServerReady)}, want: []time.Time{second}},
+		"late draining heartbeat of the old one": {rows: []masticway.StoredRow{incarnationRow(1, second, masticway.ServerReady), incarnationRow(2, first, masticway.ServerDraining)}, want: []time.Time{second}},
+		"no start times":                         {rows: []masticway.StoredRow{incarnationRow(1, time.Time{}, masticway.ServerDraining), incarnationRow(2, time.Time{}, masticway.ServerReady)}},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -246,8 +247,8 @@
 	}
 }
 
-// TestInvalidRegistrationIsReportedOnce has a row of another writer beside those of servers: it is told of once for each
-// version, however often the table is read, and the others hold.
+// TestInvalidRegistrationIsReportedOnce puts a row of another writer among the registrations. It must be reported once per
+// version, however often the table is read, and must not affect the other rows.
 func TestInvalidRegistrationIsReportedOnce(t *testing.T) {
 	invalid := masticway.StoredRow{RowKey: masticway.RowKey{Table: "servers", Key: "i-2"}, Version: 7, Value: []byte("{")}
 	reading := masticway.RowReading{Version: 8, Rows: []masticway.StoredRow{incarnationRow(1, epoch, masticway.ServerReady), invalid}}
@@ -263,7 +264,7 @@
 	_, regErrs := r.Update(epoch, []masticway.StoredRow{invalid})
 	qt.Assert(t, regErrs, qt.HasLen, 1)
 	qt.Assert(t, regErrs[0].Key, qt.Equals, "i-2")
-	// A server's own row that another writer has spoilt says no more that it takes work.
+	// A server's own row that another writer has corrupted no longer registers the server.
 	corrupted := incarnationRow(10, epoch, masticway.ServerReady)
 	corrupted.Value = []byte("{")
 	_, regErrs = r.Update(epoch, []masticway.StoredRow{corrupted})
--- a/follower/departures_test.go
+++ b/follower/departures_test.go
@@ -12,7 +12,8 @@
 	"github.com/masticway/masticway/platform"
 )
 
-// TestServerIsNotUsedAfterItAnnouncesDraining: a row that is written, missing or back at the wrong moment has a leaving server used again.
+// TestServerIsNotUsedAfterItAnnouncesDraining guards against using a draining server again because its row is written,
+// missing or restored at an unfortunate moment.
 func TestServerIsNotUsedAfterItAnnouncesDraining(t *testing.T) {
 	row := func(version int64, born int) masticway.StoredRow {
 		return masticway.StoredRow{RowKey: masticway.RowKey{Table: "servers", Key: "i-1"}, Version: version, Value: fmt.Appendf(nil, `{"service":"p","address":"10.0.0.1:80","state":"ready","born":%d}`, born)}
@@ -25,13 +26,13 @@
 		before, after []masticway.StoredRow
 		used          bool
 	}{
-		"its row is as it was":                      {before: []masticway.StoredRow{row(1, 1000)}},
-		"its row is written again":                  {before: []masticway.StoredRow{row(1, 1000)}, after: []masticway.StoredRow{row(2, 1000)}},
-		"its row lapses and comes back":             {before: []masticway.StoredRow{row(1, 1000)}, after: []masticway.StoredRow{deletedRow(2), row(3, 1000)}},
-		"its row had lapsed when it said so":        {before: []masticway.StoredRow{row(1, 1000), deletedRow(2)}, after: []masticway.StoredRow{row(3, 1000)}},
-		"it starts again":                           {before: []masticway.StoredRow{row(1, 1000)}, after: []masticway.StoredRow{row(2, 2000)}, used: true},
-		"it starts again after its row lapsed":      {before: []masticway.StoredRow{row(1, 1000)}, after: []masticway.StoredRow{deletedRow(2), row(3, 2000)}, used: true},
-		"it had started again before that is heard": {before: []masticway.StoredRow{row(1, 1000), row(2, 2000)}, used: true},
+		"its row is unchanged":              {before: []masticway.StoredRow{row(1, 1000)}},
+		"its row is written again":          {before: []masticway.StoredRow{row(1, 1000)}, after: []masticway.StoredRow{row(2, 1000)}},
+		"its row expires and reappears":     {before: []masticway.StoredRow{row(1, 1000)}, after: []masticway.StoredRow{deletedRow(2), row(3, 1000)}},
+		"its row had already expired":       {before: []masticway.StoredRow{row(1, 1000), deletedRow(2)}, after: []masticway.StoredRow{row(3, 1000)}},
+		"it restarts":                       {before: []masticway.StoredRow{row(1, 1000)}, after: []masticway.StoredRow{row(2, 2000)}, used: true},
+		"it restarts after its row expired": {before: []masticway.StoredRow{row(1, 1000)}, after: []masticway.StoredRow{deletedRow(2), row(3, 2000)}, used: true},
+		"it has already restarted":          {before: []masticway.StoredRow{row(1, 1000), row(2, 2000)}, used: true},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
--- a/follower/evacuations_test.go
+++ b/follower/evacuations_test.go
@@ -13,18 +13,18 @@
 
 const warmUpTime = 3 * time.Second
 
-// evacuationRow is an operator's word on a zone, in a version of its row.
+// evacuationRow returns a version of the row that orders the evacuation of a zone.
 func evacuationRow(zone string, version int64, deleted bool) masticway.StoredRow {
 	return masticway.StoredRow{RowKey: masticway.RowKey{Table: "operator", Key: "empty/" + zone}, Version: version, Deleted: deleted}
 }
 
-// registrationRow is a server's word, in a version of its row.
-func registrationRow(id, zone string, version int64, cold time.Duration) masticway.StoredRow {
-	value, _ := json.Marshal(masticway.Server{ID: id, Pool: "p", Zone: zone, State: masticway.ServerReady, RemainingWarmUp: cold})
+// registrationRow returns a version of a server's registration.
+func registrationRow(id, zone string, version int64, remainingWarmUp time.Duration) masticway.StoredRow {
+	value, _ := json.Marshal(masticway.Server{ID: id, Pool: "p", Zone: zone, State: masticway.ServerReady, RemainingWarmUp: remainingWarmUp})
 	return masticway.StoredRow{RowKey: masticway.RowKey{Table: "upstreams", Key: id}, Version: version, Value: value}
 }
 
-// operatorReading is one reading of the operator's table.
+// operatorReading is one read of the operator's table.
 type operatorReading struct {
 	fullVersion int64
 	rows        []masticway.StoredRow
@@ -36,15 +36,15 @@
 		readings []operatorReading
 		want     []string
 	}{
-		"nothing":                               {readings: []operatorReading{{fullVersion: 4}}},
-		"emptied":                               {readings: []operatorReading{{fullVersion: 4}, {rows: []masticway.StoredRow{evacuate}}}, want: []string{"z"}},
-		"emptied before the router started":     {readings: []operatorReading{{fullVersion: 6, rows: []masticway.StoredRow{evacuate}}}, want: []string{"z"}},
-		"taken back":                            {readings: []operatorReading{{rows: []masticway.StoredRow{evacuate}}, {rows: []masticway.StoredRow{reopen}}}},
-		"taken back while history was lost":     {readings: []operatorReading{{rows: []masticway.StoredRow{evacuate}}, {fullVersion: 8}}},
-		"taken back and given again at once":    {readings: []operatorReading{{rows: []masticway.StoredRow{evacuate, reopen, evacuateAgain}}}, want: []string{"z"}},
-		"a stale whole reading takes none back": {readings: []operatorReading{{rows: []masticway.StoredRow{evacuate}}, {fullVersion: 4}}, want: []string{"z"}},
-		"a stale order empties none":            {readings: []operatorReading{{rows: []masticway.StoredRow{evacuate, reopen}}, {rows: []masticway.StoredRow{evacuate}}}},
-		"an end that comes late ends none":      {readings: []operatorReading{{rows: []masticway.StoredRow{evacuateAgain}}, {rows: []masticway.StoredRow{reopen}}}, want: []string{"z"}},
+		"nothing":                              {readings: []operatorReading{{fullVersion: 4}}},
+		"evacuated":                            {readings: []operatorReading{{fullVersion: 4}, {rows: []masticway.StoredRow{evacuate}}}, want: []string{"z"}},
+		"evacuated before the router started":  {readings: []operatorReading{{fullVersion: 6, rows: []masticway.StoredRow{evacuate}}}, want: []string{"z"}},
+		"reopened":                             {readings: []operatorReading{{rows: []masticway.StoredRow{evacuate}}, {rows: []masticway.StoredRow{reopen}}}},
+		"reopened while the history was lost":  {readings: []operatorReading{{rows: []masticway.StoredRow{evacuate}}, {fullVersion: 8}}},
+		"reopened and evacuated again at once": {readings: []operatorReading{{rows: []masticway.StoredRow{evacuate, reopen, evacuateAgain}}}, want: []string{"z"}},
+		"a stale full read reopens none":       {readings: []operatorReading{{rows: []masticway.StoredRow{evacuate}}, {fullVersion: 4}}, want: []string{"z"}},
+		"a stale order evacuates none":         {readings: []operatorReading{{rows: []masticway.StoredRow{evacuate, reopen}}, {rows: []masticway.StoredRow{evacuate}}}},
+		"a late reopening reopens none":        {readings: []operatorReading{{rows: []masticway.StoredRow{evacuateAgain}}, {rows: []masticway.StoredRow{reopen}}}, want: []string{"z"}},
 		"two zones": {
 			readings: []operatorReading{{fullVersion: 9, rows: []masticway.StoredRow{evacuate, evacuationRow("y", 8, false)}}, {rows: []masticway.StoredRow{evacuationRow("z", 10, true)}}},
 			want:     []string{"y"},
@@ -74,25 +74,25 @@
 	}
 }
 
-// TestColdServers has servers that say that they are cold, and servers of a zone that is taken back, whose last word is
-// older than that: they may have become cold just before and write of it with their next heartbeat only.
+// TestColdServers checks servers that report that they are cold, and servers whose last registration is older than the
+// reopening of their zone: they may have become cold just before it and report that only with their next heartbeat.
 func TestColdServers(t *testing.T) {
 	const delay = 200 * time.Millisecond
 	reopened := []masticway.StoredRow{evacuationRow("z", 5, false), evacuationRow("z", 7, true)}
 	cases := map[string]struct {
 		evacuations []masticway.StoredRow
-		// later is what the server writes soon after the orders.
+		// later is a row that the server writes shortly after the evacuation orders.
 		later *masticway.StoredRow
-		// cold is how long from the beginning it is taken for cold, where its first word says nothing of it.
+		// cold is how long after the start the server counts as cold; its first registration does not say that it is.
 		cold time.Duration
 	}{
-		"warm":                              {},
-		"emptied and taken back":            {evacuations: reopened, cold: warmUpTime},
-		"says then that it is warm":         {evacuations: reopened, later: new(registrationRow("i", "z", 8, 0))},
-		"says then that it is cold":         {evacuations: reopened, later: new(registrationRow("i", "z", 8, time.Second)), cold: delay + time.Second},
-		"what it says is from before":       {evacuations: reopened, later: new(registrationRow("i", "z", 6, 0)), cold: warmUpTime},
-		"becomes cold at any moment":        {later: new(registrationRow("i", "z", 4, time.Second)), cold: delay + time.Second},
-		"the zone beside it was taken back": {evacuations: []masticway.StoredRow{evacuationRow("y", 5, false), evacuationRow("y", 7, true)}},
+		"warm":                           {},
+		"evacuated and reopened":         {evacuations: reopened, cold: warmUpTime},
+		"then reports that it is warm":   {evacuations: reopened, later: new(registrationRow("i", "z", 8, 0))},
+		"then reports that it is cold":   {evacuations: reopened, later: new(registrationRow("i", "z", 8, time.Second)), cold: delay + time.Second},
+		"then a late report from before": {evacuations: reopened, later: new(registrationRow("i", "z", 6, 0)), cold: warmUpTime},
+		"becomes cold at any moment":     {later: new(registrationRow("i", "z", 4, time.Second)), cold: delay + time.Second},
+		"another zone was reopened":      {evacuations: []masticway.StoredRow{evacuationRow("y", 5, false), evacuationRow("y", 7, true)}},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
--- a/follower/follower_test.go
+++ b/follower/follower_test.go
@@ -21,7 +21,7 @@
 	rows.Put(decoder{}.ConfigurationKey(), value)
 }
 
-// eventually waits for a condition on the newest belief.
+// eventually waits until a condition on the newest snapshot is met.
 func eventually(t *testing.T, f *follower.Follower, description string, isMet func(follower.Beliefs) bool) {
 	t.Helper()
 	for deadline := time.Now().Add(5 * time.Second); time.Now().Before(deadline); time.Sleep(5 * time.Millisecond) {
@@ -53,7 +53,7 @@
 	putConfiguration(rows, 2)
 	rows.Compact()
 	putConfiguration(rows, 3)
-	eventually(t, f, "after forgotten history", func(b follower.Beliefs) bool { return b.Deployment.Version == 3 })
+	eventually(t, f, "after compaction", func(b follower.Beliefs) bool { return b.Deployment.Version == 3 })
 	rows.SetFaults(emulator.RowFaults{Busy: true})
 	putConfiguration(rows, 4)
 	time.Sleep(300 * time.Millisecond)
@@ -65,7 +65,7 @@
 	qt.Assert(t, updates > 3, qt.IsTrue)
 }
 
-// timeoutStore gives a call up that takes longer than its limit.
+// timeoutStore gives up calls that take longer than its timeout.
 type timeoutStore struct {
 	masticway.RowStore
 	timeout time.Duration
@@ -83,8 +83,9 @@
 	return h.RowStore.Watch(ctx, f)
 }
 
-// TestChangesArriveOverSaturatedLink has a router whose link of 10 Mbit/s a workspace fills: each call takes longer than the
-// usual time limit, for as long as the load lasts. A change has to be in force, and a server that leaves to be left, in 3 s.
+// TestChangesArriveOverSaturatedLink guards against configuration changes that never arrive while a workspace saturates a
+// router's link of 10 Mbit/s. Every call then takes longer than the usual timeout for as long as the load lasts. Within 3 s
+// a change must be in force and a draining server out of use.
 func TestChangesArriveOverSaturatedLink(t *testing.T) {
 	const timeout, latency, maxDelay = 100 * time.Millisecond, 400 * time.Millisecond, 3 * time.Second
 	rows := emulator.NewRows(time.Now)
@@ -100,11 +101,11 @@
 	}
 	putConfiguration(rows, 1)
 	register(masticway.ServerReady)
-	eventually(t, f, "first beliefs", func(b follower.Beliefs) bool { return b.Deployment.Version == 1 && len(b.Servers["p"]) == 1 })
+	eventually(t, f, "first snapshot", func(b follower.Beliefs) bool { return b.Deployment.Version == 1 && len(b.Servers["p"]) == 1 })
 	rows.SetFaults(emulator.RowFaults{Slow: latency})
 	changed := time.Now()
 	putConfiguration(rows, 2)
 	register(masticway.ServerDraining)
-	eventually(t, f, "changed beliefs", func(b follower.Beliefs) bool { return b.Deployment.Version == 2 && len(b.Servers["p"]) == 0 })
+	eventually(t, f, "changed snapshot", func(b follower.Beliefs) bool { return b.Deployment.Version == 2 && len(b.Servers["p"]) == 0 })
 	qt.Assert(t, time.Since(changed) < maxDelay, qt.IsTrue)
 }
--- a/follower/mirror_test.go
+++ b/follower/mirror_test.go
@@ -16,7 +16,7 @@
 	"github.com/masticway/masticway/measurer"
 )
 
-// countingStore counts the whole readings of each table that succeed.
+// countingStore counts the successful full reads of each table.
 type countingStore struct {
 	masticway.RowStore
 	mu        sync.Mutex
@@ -39,14 +39,14 @@
 	return c.fullReads[table]
 }
 
-// TestLargeTablesAreRelistedRarely has a configuration of 100 KB, which at 4 KB a second is not read whole again
-// for 25 s, and small registrations, which are every 2.5 s.
+// TestLargeTablesAreRelistedRarely uses a configuration of 100 KB, which at 4 KB per second must not be read in full again
+// for 25 s, and small registrations, which are read in full every 2.5 s.
 func TestLargeTablesAreRelistedRarely(t *testing.T) {
 	const large = 100_000
 	rows := emulator.NewRows(time.Now)
 	store := &countingStore{RowStore: rows, fullReads: map[string]int{}}
 	f := follower.New(store, store, decoder{}, masticway.SystemClock{}, logger.Discard().WithField("", ""), measurer.New(), func(follower.Beliefs) {})
-	// The decoder reads JSON, in which blanks say nothing.
+	// The decoder reads JSON, which ignores trailing spaces.
 	putPadded := func(version int64) {
 		row := configurationRow(version, 0)
 		value := row.Value
@@ -56,7 +56,7 @@
 		rows.Put(row.RowKey, value)
 	}
 	putPadded(1)
-	// A server's row changes with every heartbeat, here more often than any does.
+	// A server's row changes with every heartbeat, and here more often than that.
 	row := serverRow("i-1", 0, masticway.ServerReady)
 	row.Value = append(row.Value, bytes.Repeat([]byte(" "), 1000)...)
 	rows.Put(row.RowKey, row.Value)
@@ -71,7 +71,7 @@
 	})
 	defer wg.Wait()
 	defer stop()
-	eventually(t, f, "first beliefs", func(b follower.Beliefs) bool { return b.Ready() })
+	eventually(t, f, "first snapshot", func(b follower.Beliefs) bool { return b.Ready() })
 	qt.Assert(t, store.count("operator"), qt.Equals, 1)
 
 	rows.SetFaults(emulator.RowFaults{Busy: true})
@@ -80,16 +80,16 @@
 	rows.SetFaults(emulator.RowFaults{})
 	eventually(t, f, "after an outage", func(b follower.Beliefs) bool { return b.Deployment.Version == 2 })
 	time.Sleep(3 * time.Second)
-	// Once for each version: a change of this size is read from the table.
+	// Once per version: a change of this size is read from the table itself.
 	qt.Check(t, store.count("operator"), qt.Equals, 2)
-	qt.Check(t, store.count("upstreams") >= 2, qt.IsTrue, qt.Commentf("registrations were read whole %d times", store.count("upstreams")))
+	qt.Check(t, store.count("upstreams") >= 2, qt.IsTrue, qt.Commentf("registrations were read in full %d times", store.count("upstreams")))
 
 	rows.Compact()
 	putPadded(3)
-	eventually(t, f, "after forgotten history", func(b follower.Beliefs) bool { return b.Deployment.Version == 3 })
+	eventually(t, f, "after compaction", func(b follower.Beliefs) bool { return b.Deployment.Version == 3 })
 }
 
-// blockingStore gives one whole reading of a table only when it is told to.
+// blockingStore blocks one full read of the server table until it is released.
 type blockingStore struct {
 	masticway.RowStore
 	release chan struct{}
@@ -108,8 +108,8 @@
 	return reading, err
 }
 
-// TestDelayedFullReadRestoresNothing has a whole reading that arrives after a newer one, which the other of the two
-// readers made: what had gone in between must stay gone, and the configuration must go on.
+// TestDelayedFullReadRestoresNothing delays a full read of the servers until one of its rows has been deleted. The deleted
+// server must not stay in use, and the configuration must keep up meanwhile.
 func TestDelayedFullReadRestoresNothing(t *testing.T) {
 	rows := emulator.NewRows(time.Now)
 	for _, id := range []string{"i-1", "i-2"} {
