--- a/tracker/subset.go
+++ b/tracker/subset.go
@@ -9,11 +9,11 @@
 	"github.com/masticway/masticway"
 )
 
-// foreignShare is the part of a router's links that goes to other availability zones, so that it can
-// still serve when its own zone has lost every upstream of a kind.
-const foreignShare = 4
+// otherZonesDivisor is the inverse of the share of a router's links that goes to other availability zones, so that the
+// router can still serve if its own zone has lost every upstream of a pool.
+const otherZonesDivisor = 4
 
-// Pools names the models and services that an instance offers.
+// Pools returns the names of the pools of the models and services that an instance offers.
 func Pools(i masticway.Instance) []string {
 	names := make([]string, 0, len(i.Models)+len(i.Services))
 	for _, m := range i.Models {
@@ -25,16 +25,16 @@
 	return names
 }
 
-// ModelPool names the pool of a model.
+// ModelPool returns the name of a model's pool.
 func ModelPool(name string) string { return "model:" + name }
 
-// ServicePool names the pool of a plain service.
+// ServicePool returns the name of a plain service's pool.
 func ServicePool(name string) string { return "service:" + name }
 
-// Subset chooses which sidecars a router links to: at most perPool for each model and service.
+// Subset chooses the sidecars that a router links to: at most perPool for each model and service.
 //
-// The choice is by rendezvous hash, so routers spread over all sidecars, and the
-// loss of one sidecar changes the choice by one.
+// The choice is by rendezvous hashing, so that the routers spread over all sidecars and the loss of one sidecar changes the
+// choice by at most one.
 func Subset(list []masticway.Instance, router, zone string, perPool int) map[string]masticway.Instance {
 	byPool := map[string][]masticway.Instance{}
 	for _, i := range list {
@@ -47,28 +47,28 @@
 	}
 	chosen := map[string]masticway.Instance{}
 	for _, members := range byPool {
-		for _, i := range choose(members, router, zone, perPool) {
+		for _, i := range chooseMembers(members, router, zone, perPool) {
 			chosen[i.ID] = i
 		}
 	}
 	return chosen
 }
 
-func choose(members []masticway.Instance, router, zone string, most int) []masticway.Instance {
-	if len(members) <= most {
+func chooseMembers(members []masticway.Instance, router, zone string, limit int) []masticway.Instance {
+	if len(members) <= limit {
 		return members
 	}
 	slices.SortFunc(members, func(a, b masticway.Instance) int {
 		return cmp.Compare(xxhash.Sum64String(router+"/"+b.ID), xxhash.Sum64String(router+"/"+a.ID))
 	})
-	var near, far []masticway.Instance
+	var sameZone, otherZones []masticway.Instance
 	for _, i := range members {
 		if i.Zone == zone {
-			near = append(near, i)
+			sameZone = append(sameZone, i)
 		} else {
-			far = append(far, i)
+			otherZones = append(otherZones, i)
 		}
 	}
-	fromFar := min(len(far), max(most/foreignShare, most-len(near)))
-	return append(near[:min(len(near), most-fromFar)], far[:fromFar]...)
+	fromOthers := min(len(otherZones), max(limit/otherZonesDivisor, limit-len(sameZone)))
+	return append(sameZone[:min(len(sameZone), limit-fromOthers)], otherZones[:fromOthers]...)
 }
--- a/tracker/subset_test.go
+++ b/tracker/subset_test.go
@@ -25,31 +25,31 @@
 
 func TestSubset(t *testing.T) {
 	cases := map[string]struct {
-		list      []masticway.Instance
-		most      int
-		near, far int
+		list                 []masticway.Instance
+		perPool              int
+		sameZone, otherZones int
 	}{
-		"all when they are few":            {fleet(2, 3), 10, 3, 3},
-		"own zone first, some elsewhere":   {fleet(3, 20), 12, 9, 3},
-		"other zones when own is too thin": {fleet(3, 2), 5, 2, 3},
-		"ended and leaving ones are out":   {append(fleet(1, 1), masticway.Instance{ID: "x", Role: masticway.RoleSidecar, State: masticway.InstanceLeaving, Models: []string{"m"}}), 5, 1, 0},
+		"all if there are few":           {fleet(2, 3), 10, 3, 3},
+		"mostly own zone, some others":   {fleet(3, 20), 12, 9, 3},
+		"other zones if own has too few": {fleet(3, 2), 5, 2, 3},
+		"leaving ones are excluded":      {append(fleet(1, 1), masticway.Instance{ID: "x", Role: masticway.RoleSidecar, State: masticway.InstanceLeaving, Models: []string{"m"}}), 5, 1, 0},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
-			near, far := 0, 0
-			for _, i := range tracker.Subset(tc.list, "r", "0", tc.most) {
+			sameZone, otherZones := 0, 0
+			for _, i := range tracker.Subset(tc.list, "r", "0", tc.perPool) {
 				if i.Zone == "0" {
-					near++
+					sameZone++
 				} else {
-					far++
+					otherZones++
 				}
 			}
-			qt.Assert(t, []int{near, far}, qt.DeepEquals, []int{tc.near, tc.far})
+			qt.Assert(t, []int{sameZone, otherZones}, qt.DeepEquals, []int{tc.sameZone, tc.otherZones})
 		})
 	}
 }
 
-func TestSubsetsCoverTheFleetAndMoveLittle(t *testing.T) {
+func TestSubsetsCoverFleetAndChangeLittle(t *testing.T) {
 	list := fleet(3, 40)
 	linked := map[string]int{}
 	for r := range 180 {
@@ -59,13 +59,13 @@
 			linked[id]++
 		}
 		after := tracker.Subset(list[1:], name, zone, 12)
-		gone := 0
+		removed := 0
 		for id := range before {
 			if _, ok := after[id]; !ok {
-				gone++
+				removed++
 			}
 		}
-		qt.Assert(t, gone <= 1, qt.IsTrue)
+		qt.Assert(t, removed <= 1, qt.IsTrue)
 	}
 	qt.Assert(t, linked, qt.HasLen, len(list))
 }
--- a/tracker/tracker.go
+++ b/tracker/tracker.go
@@ -11,17 +11,17 @@
 	"github.com/masticway/masticway/charter"
 )
 
-// Events of the upstream chart.
+// Events of the upstream state chart.
 const (
 	eventLinkUp   charter.Event = "link_up"
 	eventLinkDown charter.Event = "link_down"
 	eventSilent   charter.Event = "silent"
-	eventHeard    charter.Event = "heard"
+	eventMessage  charter.Event = "heard"
 	eventLeaving  charter.Event = "leaving"
 	eventEnded    charter.Event = "ended"
 )
 
-// States of the upstream chart that the code asks for.
+// States of the upstream state chart that the code refers to.
 const (
 	stateLive    charter.State = "live"
 	stateLeaving charter.State = "leaving"
@@ -29,19 +29,20 @@
 )
 
 const (
-	// flapPenalty is added each time a link is lost; above flapLimit the upstream rests.
+	// flapPenalty is added each time a link is lost and decays exponentially. While the sum is above flapLimit, the
+	// upstream gets no new work.
 	flapPenalty  = 1.0
 	flapLimit    = 2.5
 	flapHalfLife = 5 * time.Second
 )
 
-// Settings are the tunables of a tracker.
+// Settings configures a tracker.
 type Settings struct {
-	// SuspectAfter is the silence on a link after which no new work is sent.
+	// SuspectAfter is how long a link may be silent before its upstream gets no new work.
 	SuspectAfter time.Duration
 }
 
-// Upstream is the tracker's view of one upstream; it is a copy.
+// Upstream is a copy of the tracker's view of one upstream.
 type Upstream struct {
 	Instance    masticway.Instance
 	Incarnation masticway.Incarnation
@@ -50,26 +51,26 @@
 }
 
 type entry struct {
-	view    Upstream
-	penalty float64
-	at      time.Time
+	view      Upstream
+	penalty   float64
+	penaltyAt time.Time
 }
 
-// Tracker is the state of all known upstreams; it is not safe for concurrent use.
+// Tracker holds the state of all known upstreams; it is not safe for concurrent use.
 type Tracker struct {
 	settings Settings
 	chart    charter.Chart
 	entries  map[string]*entry
 }
 
-// New returns a tracker that knows no upstream.
+// New returns a tracker without upstreams.
 func New(s Settings) *Tracker {
 	return &Tracker{settings: s, chart: charter.MustLoad(charter.Upstream), entries: map[string]*entry{}}
 }
 
-// List takes a reading of the instance list and returns the instances that are new.
+// List applies a read of the instance list and returns the instances that were added.
 func (t *Tracker) List(list []masticway.Instance) []masticway.Instance {
-	var fresh []masticway.Instance
+	var added []masticway.Instance
 	for _, i := range list {
 		if i.Role != masticway.RoleSidecar {
 			continue
@@ -81,7 +82,7 @@
 		if !ok {
 			e = &entry{view: Upstream{Instance: i, State: t.chart.Initial()}}
 			t.entries[i.ID] = e
-			fresh = append(fresh, i)
+			added = append(added, i)
 		}
 		e.view.Instance = i
 		switch i.State {
@@ -91,10 +92,10 @@
 			t.step(e, eventEnded)
 		}
 	}
-	return fresh
+	return added
 }
 
-// step follows the chart; an event that the chart does not know in this state changes nothing.
+// step applies an event to the state chart; events without a transition from the current state change nothing.
 func (t *Tracker) step(e *entry, event charter.Event) {
 	next, err := t.chart.Next(e.view.State, event)
 	if err == nil {
@@ -102,7 +103,7 @@
 	}
 }
 
-// LinkUp records a working link; a new incarnation on an instance starts afresh.
+// LinkUp records that a link is established. A new incarnation on an instance starts in the initial state.
 func (t *Tracker) LinkUp(now time.Time, instance string, inc masticway.Incarnation) {
 	e, ok := t.entries[instance]
 	if !ok {
@@ -116,39 +117,39 @@
 	t.step(e, eventLinkUp)
 }
 
-// LinkDown records a lost link and counts it against the upstream.
+// LinkDown records that a link is lost and adds the flap penalty.
 func (t *Tracker) LinkDown(now time.Time, instance string) {
 	e, ok := t.entries[instance]
 	if !ok {
 		return
 	}
-	e.penalty = e.decayed(now) + flapPenalty
-	e.at = now
+	e.penalty = e.decayedPenalty(now) + flapPenalty
+	e.penaltyAt = now
 	t.step(e, eventLinkDown)
 }
 
-func (e *entry) decayed(now time.Time) float64 {
-	return e.penalty * math.Exp2(-now.Sub(e.at).Seconds()/flapHalfLife.Seconds())
+func (e *entry) decayedPenalty(now time.Time) float64 {
+	return e.penalty * math.Exp2(-now.Sub(e.penaltyAt).Seconds()/flapHalfLife.Seconds())
 }
 
-// Heard records any message from the upstream's sidecar.
+// Heard records a message from the upstream's sidecar.
 func (t *Tracker) Heard(now time.Time, instance string) {
 	e, ok := t.entries[instance]
 	if !ok {
 		return
 	}
 	e.view.Heard = now
-	t.step(e, eventHeard)
+	t.step(e, eventMessage)
 }
 
-// Leaving records the sidecar's own word.
+// Leaving records that the sidecar announced that it is shutting down.
 func (t *Tracker) Leaving(instance string) {
 	if e, ok := t.entries[instance]; ok {
 		t.step(e, eventLeaving)
 	}
 }
 
-// Tick marks silent upstreams and forgets those that ended.
+// Tick marks silent upstreams, and forgets ended ones a minute after their last message.
 func (t *Tracker) Tick(now time.Time) {
 	for id, e := range t.entries {
 		if now.Sub(e.view.Heard) > t.settings.SuspectAfter {
@@ -160,31 +161,31 @@
 	}
 }
 
-// Usable lists the upstreams that may get new work, in a fixed order.
+// Usable returns the upstreams that may get new work, ordered by instance id.
 func (t *Tracker) Usable(now time.Time) []Upstream {
 	var usable []Upstream
 	for _, e := range t.entries {
-		if e.view.State == stateLive && e.decayed(now) <= flapLimit {
+		if e.view.State == stateLive && e.decayedPenalty(now) <= flapLimit {
 			usable = append(usable, e.view)
 		}
 	}
-	slices.SortFunc(usable, byInstance)
+	slices.SortFunc(usable, compareByInstance)
 	return usable
 }
 
-// All lists every known upstream, in a fixed order.
+// All returns every known upstream, ordered by instance id.
 func (t *Tracker) All() []Upstream {
 	all := make([]Upstream, 0, len(t.entries))
 	for _, e := range t.entries {
 		all = append(all, e.view)
 	}
-	slices.SortFunc(all, byInstance)
+	slices.SortFunc(all, compareByInstance)
 	return all
 }
 
-func byInstance(a, b Upstream) int { return strings.Compare(a.Instance.ID, b.Instance.ID) }
+func compareByInstance(a, b Upstream) int { return strings.Compare(a.Instance.ID, b.Instance.ID) }
 
-// Ended tells whether the platform has said that an instance is gone.
+// Ended reports whether the platform has declared an instance ended.
 func (t *Tracker) Ended(instance string) bool {
 	e, ok := t.entries[instance]
 	return ok && e.view.State == stateGone
@@ -195,5 +196,5 @@
 	return fmt.Sprintf("%s(%s)", u.Instance.ID, u.State)
 }
 
-// IsLeaving tells whether the upstream is on its way out.
+// IsLeaving reports whether the upstream is leaving or has ended.
 func (u Upstream) IsLeaving() bool { return u.State == stateLeaving || u.State == stateGone }
