--- a/connector/bench_test.go
+++ b/connector/bench_test.go
@@ -15,25 +15,25 @@
 	"github.com/masticway/masticway/emulator"
 )
 
-// counted counts the bytes of all connections, headers included.
-type counted struct {
+// countingConn adds up the bytes read and written, headers included.
+type countingConn struct {
 	net.Conn
 	bytes *atomic.Int64
 }
 
-func (c counted) Read(b []byte) (int, error) {
+func (c countingConn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
 	c.bytes.Add(int64(n))
 	return n, err
 }
 
-func (c counted) Write(b []byte) (int, error) {
+func (c countingConn) Write(b []byte) (int, error) {
 	n, err := c.Conn.Write(b)
 	c.bytes.Add(int64(n))
 	return n, err
 }
 
-// BenchmarkPollBytes reports the bytes of one look at a small row, both ways.
+// BenchmarkPollBytes reports the bytes that one read of a small row takes, in both directions.
 func BenchmarkPollBytes(b *testing.B) {
 	for _, n := range []int{10, 1000, 100_000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
@@ -43,10 +43,10 @@
 			var bytes atomic.Int64
 			client := connector.NewHTTP(func(ctx context.Context, network, address string) (net.Conn, error) {
 				c, err := (&net.Dialer{}).DialContext(ctx, network, address)
-				return counted{Conn: c, bytes: &bytes}, err
+				return countingConn{Conn: c, bytes: &bytes}, err
 			})
 			p := connector.NewPlatform(server.URL, client, time.Second)
-			if err := p.Commit(context.Background(), put("config/head", fmt.Sprintf(`{"revision":%d}`, n), 0)); err != nil {
+			if err := p.Commit(context.Background(), putTransaction("config/head", fmt.Sprintf(`{"revision":%d}`, n), 0)); err != nil {
 				b.Fatal(err)
 			}
 			bytes.Store(0)
@@ -60,7 +60,7 @@
 	}
 }
 
-// BenchmarkInstanceBytes reports the bytes of one entry of the instance list.
+// BenchmarkInstanceBytes reports the size of one entry of the instance list in bytes.
 func BenchmarkInstanceBytes(b *testing.B) {
 	for _, n := range []int{10, 100, 2450} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
--- a/connector/client.go
+++ b/connector/client.go
@@ -14,14 +14,14 @@
 	"github.com/masticway/masticway/receiver"
 )
 
-// bodyLimit bounds an answer read into memory, in bytes; a larger one is an error, since its first part can pass for the
-// whole.
+// bodyLimit is the largest answer that is read into memory, in bytes. A larger one is an error, because a truncated answer
+// can pass for a complete one.
 const bodyLimit = 64 << 20
 
 // DialFunc opens a connection to an address.
 type DialFunc func(ctx context.Context, network, address string) (net.Conn, error)
 
-// NewHTTP returns a client that dials with dial and keeps connections.
+// NewHTTP returns a client that dials with dial and keeps idle connections.
 func NewHTTP(dial DialFunc) *http.Client {
 	if dial == nil {
 		dial = (&net.Dialer{}).DialContext
@@ -33,18 +33,17 @@
 	}}
 }
 
-// NewOnceHTTP returns a client that sends every request at most once.
+// NewNoRetryHTTPClient returns a client that sends every request at most once.
 //
-// The standard transport sends a request again by itself when a kept connection
-// breaks and the request has an Idempotency-Key, even after the server has acted
-// on it. A connection of its own for each request rules that out.
-func NewOnceHTTP(dial DialFunc) *http.Client {
+// The standard transport retries a request with an Idempotency-Key on its own if a reused connection breaks, even after the
+// server has acted on it. A separate connection for each request rules that out.
+func NewNoRetryHTTPClient(dial DialFunc) *http.Client {
 	client := NewHTTP(dial)
 	client.Transport.(*http.Transport).DisableKeepAlives = true
 	return client
 }
 
-// statusError is an answer that is not a success.
+// statusError is an answer with a status other than 200.
 type statusError struct {
 	status int
 	body   []byte
@@ -52,10 +51,10 @@
 
 func (e *statusError) Error() string { return fmt.Sprintf("status %d: %s", e.status, e.body) }
 
-// post sends a JSON body and reads a JSON answer; sent tells whether the server may have acted.
+// postJSON sends a JSON body and decodes a JSON answer; sent reports whether the server may have acted on the request.
 //
-// Limits are on the beginning of an answer and its pauses, since the time that all of it takes grows with its size.
-func post(ctx context.Context, client *http.Client, url string, l receiver.Limits, body, answer any) (sent bool, err error) {
+// The limits bound the time until the answer begins and its pauses rather than the total time, which grows with its size.
+func postJSON(ctx context.Context, client *http.Client, url string, limits receiver.Limits, body, answer any) (sent bool, err error) {
 	data, err := json.Marshal(body)
 	if err != nil {
 		return false, fmt.Errorf("encoding body for %s: %w", url, err)
@@ -65,29 +64,29 @@
 		return false, fmt.Errorf("building request for %s: %w", url, err)
 	}
 	request.Header.Set("Content-Type", "application/json")
-	arrived, err := receiver.Do(client, request, l)
+	response, err := receiver.Do(client, request, limits)
 	if err != nil {
-		return !dialFailed(err), fmt.Errorf("posting to %s: %w", url, err)
+		return !isDialError(err), fmt.Errorf("posting to %s: %w", url, err)
 	}
-	if arrived.Status != http.StatusOK {
-		return true, &statusError{status: arrived.Status, body: arrived.Body}
+	if response.Status != http.StatusOK {
+		return true, &statusError{status: response.Status, body: response.Body}
 	}
 	if answer == nil {
 		return true, nil
 	}
-	if err := json.Unmarshal(arrived.Body, answer); err != nil {
+	if err := json.Unmarshal(response.Body, answer); err != nil {
 		return true, fmt.Errorf("decoding answer of %s: %w", url, err)
 	}
 	return true, nil
 }
 
-// dialFailed tells that no connection was made, so nothing was sent.
-func dialFailed(err error) bool {
+// isDialError reports whether no connection was established, so that nothing was sent.
+func isDialError(err error) bool {
 	op, ok := errors.AsType[*net.OpError](err)
 	return ok && op.Op == "dial"
 }
 
-// Platform reaches the platform's table, object store and instance list.
+// Platform is a client of the platform's table, object store and instance list.
 type Platform struct {
 	base    string
 	client  *http.Client
@@ -100,14 +99,14 @@
 	_ masticway.InstanceList = Platform{}
 )
 
-// NewPlatform returns a client of the platform at a base URL; the answer to each call begins within timeout.
+// NewPlatform returns a client of the platform at a base URL; the answer to each call must begin within timeout.
 func NewPlatform(base string, client *http.Client, timeout time.Duration) Platform {
 	return Platform{base: base, client: client, timeout: timeout}
 }
 
 func (p Platform) call(ctx context.Context, path string, body, answer any) (sent bool, err error) {
 	limits := receiver.Limits{Begin: p.timeout, Pause: receiver.PauseLimit, Bytes: bodyLimit}
-	return post(ctx, p.client, p.base+path, limits, body, answer)
+	return postJSON(ctx, p.client, p.base+path, limits, body, answer)
 }
 
 // Get reads a row.
@@ -122,7 +121,7 @@
 	return row, nil
 }
 
-// Scan reads all rows with a prefix.
+// Scan reads all rows whose keys have a prefix.
 func (p Platform) Scan(ctx context.Context, prefix string) ([]masticway.Row, error) {
 	var rows []masticway.Row
 	_, err := p.call(ctx, "/table/scan", struct {
@@ -134,7 +133,7 @@
 	return rows, nil
 }
 
-// Commit writes a transaction.
+// Commit commits a transaction.
 func (p Platform) Commit(ctx context.Context, tx masticway.Transaction) error {
 	sent, err := p.call(ctx, "/table/commit", tx, nil)
 	if err == nil {
@@ -168,10 +167,10 @@
 	return reading, nil
 }
 
-// Objects returns the platform's object store.
+// Objects returns a client of the platform's object store.
 func (p Platform) Objects() Objects { return Objects{platform: p} }
 
-// Objects reaches the platform's object store.
+// Objects is a client of the platform's object store.
 type Objects struct {
 	platform Platform
 }
@@ -188,7 +187,7 @@
 	return nil
 }
 
-// Get reads an object; it fails with NotFoundError when there is none.
+// Get reads an object; it fails with NotFoundError if there is none.
 func (o Objects) Get(ctx context.Context, name string) ([]byte, error) {
 	var object struct {
 		Data []byte `json:"data"`
@@ -205,7 +204,7 @@
 	return object.Data, nil
 }
 
-// List names the objects with a prefix, in order.
+// List returns the names of the objects with a prefix, in order.
 func (o Objects) List(ctx context.Context, prefix string) ([]string, error) {
 	var names []string
 	_, err := o.platform.call(ctx, "/objects/list", struct {
--- a/connector/contract_test.go
+++ b/connector/contract_test.go
@@ -13,7 +13,7 @@
 	"github.com/masticway/masticway/emulator"
 )
 
-// tables are the implementations that the contract holds for, each with its fault switch.
+// tables returns the implementations that the contract holds for, each with the emulated table that injects its faults.
 func tables(t *testing.T) map[string]func() (masticway.Table, *emulator.Table) {
 	return map[string]func() (masticway.Table, *emulator.Table){
 		"in memory": func() (masticway.Table, *emulator.Table) {
@@ -29,7 +29,7 @@
 	}
 }
 
-func put(key, value string, version int64) masticway.Transaction {
+func putTransaction(key, value string, version int64) masticway.Transaction {
 	return masticway.Transaction{
 		ID: "t", Conditions: []masticway.Condition{{Key: key, Version: version}}, Puts: []masticway.Put{{Key: key, Value: []byte(value)}},
 	}
@@ -37,41 +37,41 @@
 
 func TestTableContract(t *testing.T) {
 	cases := map[string]struct {
-		faults   emulator.TableFaults
-		tx       masticway.Transaction
-		conflict bool
-		refused  bool
-		unknown  bool
-		value    string
+		faults      emulator.TableFaults
+		tx          masticway.Transaction
+		conflict    bool
+		unavailable bool
+		unknown     bool
+		value       string
 	}{
-		"absent row is put":             {tx: put("new", "v", 0), value: "v"},
-		"absent condition on a row":     {tx: put("old", "v", 0), conflict: true, value: "was"},
-		"one bad condition stops all":   {tx: masticway.Transaction{Conditions: []masticway.Condition{{Key: "old", Version: 99}}, Puts: []masticway.Put{{Key: "new", Value: []byte("v")}}}, conflict: true},
-		"no condition":                  {tx: masticway.Transaction{Puts: []masticway.Put{{Key: "new", Value: []byte("v")}}}, value: "v"},
-		"removal":                       {tx: masticway.Transaction{Puts: []masticway.Put{{Key: "old"}}}},
-		"down":                          {faults: emulator.TableFaults{Down: true}, tx: put("new", "v", 0), refused: true},
-		"rate bound":                    {faults: emulator.TableFaults{WritesPerSecond: -1}, tx: put("new", "v", 0), refused: true},
-		"answer lost after it was done": {faults: emulator.TableFaults{LoseAnswers: 1}, tx: put("new", "v", 0), unknown: true, value: "v"},
+		"put of an absent row":             {tx: putTransaction("new", "v", 0), value: "v"},
+		"condition on absence, row exists": {tx: putTransaction("old", "v", 0), conflict: true, value: "was"},
+		"one failed condition aborts all":  {tx: masticway.Transaction{Conditions: []masticway.Condition{{Key: "old", Version: 99}}, Puts: []masticway.Put{{Key: "new", Value: []byte("v")}}}, conflict: true},
+		"no condition":                     {tx: masticway.Transaction{Puts: []masticway.Put{{Key: "new", Value: []byte("v")}}}, value: "v"},
+		"removal":                          {tx: masticway.Transaction{Puts: []masticway.Put{{Key: "old"}}}},
+		"down":                             {faults: emulator.TableFaults{Down: true}, tx: putTransaction("new", "v", 0), unavailable: true},
+		"rate limited":                     {faults: emulator.TableFaults{WritesPerSecond: -1}, tx: putTransaction("new", "v", 0), unavailable: true},
+		"answer lost after the commit":     {faults: emulator.TableFaults{LoseAnswers: 1}, tx: putTransaction("new", "v", 0), unknown: true, value: "v"},
 	}
 	for implementation, build := range tables(t) {
 		for name, tc := range cases {
 			t.Run(implementation+"/"+name, func(t *testing.T) {
 				table, faults := build()
 				ctx := context.Background()
-				qt.Assert(t, table.Commit(ctx, put("old", "was", 0)), qt.IsNil)
+				qt.Assert(t, table.Commit(ctx, putTransaction("old", "was", 0)), qt.IsNil)
 				faults.SetFaults(tc.faults)
 				err := table.Commit(ctx, tc.tx)
 				faults.SetFaults(emulator.TableFaults{})
-				var conflict *masticway.ConflictError
-				var unavailable *masticway.UnavailableError
-				var unknown *masticway.OutcomeUnknownError
+				var conflictErr *masticway.ConflictError
+				var unavailableErr *masticway.UnavailableError
+				var unknownErr *masticway.OutcomeUnknownError
 				switch {
 				case tc.conflict:
-					qt.Assert(t, err, qt.ErrorAs, &conflict)
-				case tc.refused:
-					qt.Assert(t, err, qt.ErrorAs, &unavailable)
+					qt.Assert(t, err, qt.ErrorAs, &conflictErr)
+				case tc.unavailable:
+					qt.Assert(t, err, qt.ErrorAs, &unavailableErr)
 				case tc.unknown:
-					qt.Assert(t, err, qt.ErrorAs, &unknown)
+					qt.Assert(t, err, qt.ErrorAs, &unknownErr)
 				default:
 					qt.Assert(t, err, qt.IsNil)
 				}
@@ -89,7 +89,7 @@
 		t.Run(implementation, func(t *testing.T) {
 			table, _ := build()
 			for _, k := range []string{"a/2", "b/1", "a/1"} {
-				qt.Assert(t, table.Commit(context.Background(), put(k, k, 0)), qt.IsNil)
+				qt.Assert(t, table.Commit(context.Background(), putTransaction(k, k, 0)), qt.IsNil)
 			}
 			rows, err := table.Scan(context.Background(), "a/")
 			qt.Assert(t, err, qt.IsNil)
@@ -99,22 +99,22 @@
 	}
 }
 
-func TestNobodyListeningIsCertainlyNotWritten(t *testing.T) {
+func TestRefusedConnectionMeansNotWritten(t *testing.T) {
 	server := httptest.NewServer(nil)
 	server.Close()
 	p := connector.NewPlatform(server.URL, connector.NewHTTP(nil), time.Second)
 	var unavailable *masticway.UnavailableError
-	qt.Assert(t, p.Commit(context.Background(), put("k", "v", 0)), qt.ErrorAs, &unavailable)
+	qt.Assert(t, p.Commit(context.Background(), putTransaction("k", "v", 0)), qt.ErrorAs, &unavailable)
 }
 
-func TestSlowCommitIsUnknown(t *testing.T) {
+func TestSlowCommitHasUnknownOutcome(t *testing.T) {
 	platform := emulator.NewPlatform(0)
 	server := httptest.NewServer(platform.Handler())
 	defer server.Close()
 	p := connector.NewPlatform(server.URL, connector.NewHTTP(nil), 20*time.Millisecond)
 	platform.Table.SetFaults(emulator.TableFaults{Slow: 200})
 	var unknown *masticway.OutcomeUnknownError
-	qt.Assert(t, p.Commit(context.Background(), put("k", "v", 0)), qt.ErrorAs, &unknown)
+	qt.Assert(t, p.Commit(context.Background(), putTransaction("k", "v", 0)), qt.ErrorAs, &unknown)
 }
 
 func TestObjectStoreContract(t *testing.T) {
@@ -144,7 +144,7 @@
 	}
 }
 
-// recorder is a sink that keeps everything.
+// recorder is a sink that records the prompt's token count and the text.
 type recorder struct {
 	prompt int
 	text   string
@@ -156,7 +156,7 @@
 func TestEngineContract(t *testing.T) {
 	messages := []emulator.Message{{Role: "user", Content: "sleeve [tokens=6]"}}
 	raw := []byte(`[{"role":"user","content":"sleeve [tokens=6]"}]`)
-	whole := emulator.Answer(messages, 6)
+	fullText := emulator.Answer(messages, 6)
 	cases := map[string]struct {
 		call    masticway.Call
 		faults  emulator.EngineFaults
@@ -164,11 +164,11 @@
 		failed  bool
 		started bool
 	}{
-		"whole answer":    {call: masticway.Call{Model: "m", Prompt: raw, MaxOutput: 100}, text: whole},
-		"cut at its most": {call: masticway.Call{Model: "m", Prompt: raw, MaxOutput: 2}, text: whole[:10]},
-		"resumed":         {call: masticway.Call{Model: "m", Prompt: raw, MaxOutput: 100, Resumed: 4}, text: whole[20:]},
-		"down":            {call: masticway.Call{Model: "m", Prompt: raw, MaxOutput: 100}, faults: emulator.EngineFaults{Down: true}, failed: true},
-		"silent":          {call: masticway.Call{Model: "m", Prompt: raw, MaxOutput: 100}, faults: emulator.EngineFaults{Stall: true}, failed: true, started: true},
+		"complete answer":        {call: masticway.Call{Model: "m", Prompt: raw, MaxOutput: 100}, text: fullText},
+		"cut at the token limit": {call: masticway.Call{Model: "m", Prompt: raw, MaxOutput: 2}, text: fullText[:10]},
+		"resumed":                {call: masticway.Call{Model: "m", Prompt: raw, MaxOutput: 100, Resumed: 4}, text: fullText[20:]},
+		"down":                   {call: masticway.Call{Model: "m", Prompt: raw, MaxOutput: 100}, faults: emulator.EngineFaults{Down: true}, failed: true},
+		"silent":                 {call: masticway.Call{Model: "m", Prompt: raw, MaxOutput: 100}, faults: emulator.EngineFaults{Stall: true}, failed: true, started: true},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -195,7 +195,7 @@
 	}
 }
 
-func TestServiceThatDropsItsAnswerMayHaveRun(t *testing.T) {
+func TestServiceThatDropsItsAnswerIsNotRunTwice(t *testing.T) {
 	bodies := map[string]string{"with a body": "b", "without a body": ""}
 	for name, body := range bodies {
 		t.Run(name, func(t *testing.T) {
@@ -206,7 +206,7 @@
 			call := masticway.Call{Service: "s", Method: "POST", Path: "/x", Body: []byte("first"), Key: "k1"}
 			_, err := u.Run(context.Background(), call, &recorder{})
 			qt.Assert(t, err, qt.IsNil)
-			// A connection is open now; the call must not be sent again when it breaks.
+			// The call must not be sent again if the open connection breaks.
 			service.SetFaults(emulator.ServiceFaults{DropAnswers: 1})
 			call.Body, call.Key = []byte(body), "k2"
 			_, err = u.Run(context.Background(), call, &recorder{})
--- a/connector/ended_test.go
+++ b/connector/ended_test.go
@@ -13,15 +13,16 @@
 	"github.com/masticway/masticway/connector"
 )
 
-// unheard is a sink that nothing is expected to come to.
-type unheard struct{}
+// discardSink is a sink that ignores what it gets.
+type discardSink struct{}
 
-func (unheard) PromptCounted(int, int) {}
+func (discardSink) PromptCounted(int, int) {}
 
-func (unheard) Chunk(masticway.Chunk) {}
+func (discardSink) Chunk(masticway.Chunk) {}
 
-// TestEndOfAnUpstreamIsToldFromABrokenRun has runs break off at an upstream that goes on to listen, and at one that has ended.
-func TestEndOfAnUpstreamIsToldFromABrokenRun(t *testing.T) {
+// TestEndedUpstreamIsDistinguishedFromBrokenRun breaks off a run at an upstream that keeps listening and at one that stops
+// listening.
+func TestEndedUpstreamIsDistinguishedFromBrokenRun(t *testing.T) {
 	for name, ends := range map[string]bool{"the run breaks off": false, "the upstream ends": true} {
 		t.Run(name, func(t *testing.T) {
 			var server *httptest.Server
@@ -32,7 +33,7 @@
 				panic(http.ErrAbortHandler)
 			}))
 			defer server.Close()
-			_, err := connector.NewUpstream(server.URL, nil, time.Second).Run(t.Context(), masticway.Call{Model: "m", Prompt: []byte("[]")}, unheard{})
+			_, err := connector.NewUpstream(server.URL, nil, time.Second).Run(t.Context(), masticway.Call{Model: "m", Prompt: []byte("[]")}, discardSink{})
 			failure, ok := errors.AsType[*masticway.UpstreamError](err)
 			qt.Assert(t, ok, qt.IsTrue, qt.Commentf("%v", err))
 			qt.Assert(t, failure.Started, qt.IsTrue)
--- a/connector/slow_test.go
+++ b/connector/slow_test.go
@@ -16,23 +16,23 @@
 )
 
 const (
-	// slowLink is 10 Mbit/s, the slowest link of a router, in bytes a second.
+	// slowLink is 10 Mbit/s, the slowest link of a router, in bytes per second.
 	slowLink = 10_000_000 / 8
-	// largeValue takes 2.2 s on a slow link in base64 and 1.7 s as it is, in bytes.
+	// largeValue is a size in bytes that takes 2.2 s to transfer over a slow link in base64, and 1.7 s unencoded.
 	largeValue = 2 << 20
-	// callTimeout is much shorter than a large value takes, and much longer than the start of an answer does.
+	// callTimeout is much shorter than the transfer of a large value, and much longer than an answer takes to begin.
 	callTimeout = 800 * time.Millisecond
-	// answerLimit is what the client reads of one answer, in bytes.
+	// answerLimit is the largest answer that the client reads, in bytes.
 	answerLimit = 64 << 20
 )
 
-// behindLink returns an address at which another is reached over a link.
-func behindLink(t *testing.T, rate int64, address string) string {
+// overLink returns an address that forwards to another one over a link of limited bandwidth.
+func overLink(t *testing.T, rate int64, address string) string {
 	link := emulator.NewLink(rate)
 	t.Cleanup(link.Close)
-	near, err := link.To(address)
+	local, err := link.To(address)
 	qt.Assert(t, err, qt.IsNil)
-	return near
+	return local
 }
 
 func TestLargeReadsComeOverASlowLink(t *testing.T) {
@@ -54,10 +54,10 @@
 	platform := emulator.NewPlatform(0)
 	server := httptest.NewServer(platform.Handler())
 	defer server.Close()
-	near := connector.NewPlatform(server.URL, connector.NewHTTP(nil), 10*time.Second)
-	qt.Assert(t, near.Commit(t.Context(), put("large", large, 0)), qt.IsNil)
-	qt.Assert(t, near.Objects().Put(t.Context(), "large", []byte(large)), qt.IsNil)
-	address := behindLink(t, slowLink, server.Listener.Addr().String())
+	direct := connector.NewPlatform(server.URL, connector.NewHTTP(nil), 10*time.Second)
+	qt.Assert(t, direct.Commit(t.Context(), putTransaction("large", large, 0)), qt.IsNil)
+	qt.Assert(t, direct.Objects().Put(t.Context(), "large", []byte(large)), qt.IsNil)
+	address := overLink(t, slowLink, server.Listener.Addr().String())
 	for name, read := range cases {
 		t.Run(name, func(t *testing.T) {
 			value, err := read(connector.NewPlatform("http://"+address, connector.NewHTTP(nil), callTimeout))
@@ -67,7 +67,8 @@
 	}
 }
 
-// TestAnswerOverTheLimitIsAnError has an answer whose first part, up to the limit, is a whole value by itself.
+// TestAnswerOverTheLimitIsAnError guards against truncating an answer silently: up to the limit, the answer here is valid
+// JSON by itself.
 func TestAnswerOverTheLimitIsAnError(t *testing.T) {
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		_, _ = w.Write([]byte(`{"key":"k","value":"dg==","version":1}` + strings.Repeat(" ", answerLimit) + `]`))
@@ -79,17 +80,18 @@
 	qt.Assert(t, unavailable.Reason, qt.Contains, (&receiver.TooLargeError{Limit: answerLimit}).Error())
 }
 
-// TestServiceAnswersAreWhole checks that no part of an answer is passed on as the whole, and that a long one comes.
-func TestServiceAnswersAreWhole(t *testing.T) {
+// TestServiceAnswersAreComplete checks that a truncated answer is not passed on as complete, and that one whose transfer
+// takes longer than the idle timeout arrives.
+func TestServiceAnswersAreComplete(t *testing.T) {
 	cases := map[string]struct {
-		// rate is that of the link between, if there is one.
+		// rate is the bandwidth of the link in between, or zero without one.
 		rate          int64
-		silence       time.Duration
+		idleTimeout   time.Duration
 		bytes, passed int
 		fails         bool
 	}{
-		"longer than a silence": {rate: slowLink, silence: callTimeout, bytes: largeValue, passed: largeValue},
-		"larger than the limit": {silence: 10 * time.Second, bytes: answerLimit + 1, fails: true},
+		"longer than the idle timeout": {rate: slowLink, idleTimeout: callTimeout, bytes: largeValue, passed: largeValue},
+		"larger than the limit":        {idleTimeout: 10 * time.Second, bytes: answerLimit + 1, fails: true},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -98,12 +100,12 @@
 			defer server.Close()
 			address := server.Listener.Addr().String()
 			if tc.rate > 0 {
-				address = behindLink(t, tc.rate, address)
+				address = overLink(t, tc.rate, address)
 			}
-			upstream := connector.NewUpstream("http://"+address, nil, tc.silence)
+			upstream := connector.NewUpstream("http://"+address, nil, tc.idleTimeout)
 			call := masticway.Call{Service: "s", Method: http.MethodPost, Path: "/", Key: "k"}
 			passed := 0
-			_, err := upstream.Run(t.Context(), call, lengths{&passed})
+			_, err := upstream.Run(t.Context(), call, byteCounter{&passed})
 			qt.Check(t, passed, qt.Equals, tc.passed)
 			if !tc.fails {
 				qt.Assert(t, err, qt.IsNil)
@@ -117,11 +119,11 @@
 	}
 }
 
-// lengths adds up what a sink is given, in bytes.
-type lengths struct {
+// byteCounter is a sink that adds up the size of the chunks, in bytes.
+type byteCounter struct {
 	bytes *int
 }
 
-func (l lengths) PromptCounted(int, int) {}
+func (l byteCounter) PromptCounted(int, int) {}
 
-func (l lengths) Chunk(c masticway.Chunk) { *l.bytes += len(c.Text) }
+func (l byteCounter) Chunk(c masticway.Chunk) { *l.bytes += len(c.Text) }
--- a/connector/upstream.go
+++ b/connector/upstream.go
@@ -20,46 +20,47 @@
 )
 
 const (
-	// lineLimit bounds one line of an event stream, in bytes.
+	// lineLimit is the longest line of an event stream, in bytes.
 	lineLimit = 1 << 20
-	// unbounded is longer than a process lives: an order may take as long as loading a model does.
+	// unbounded is longer than any process runs: an order may take as long as loading a model does.
 	unbounded = 100 * 365 * 24 * time.Hour
-	// endedTimeout bounds the connection by which an upstream beside the sidecar is checked after a run broke off.
-	endedTimeout = 100 * time.Millisecond
+	// probeTimeout bounds the connection attempt that checks, after a run broke off, whether the upstream next to this
+	// sidecar still listens.
+	probeTimeout = 100 * time.Millisecond
 )
 
-// untilDone are the limits of an upstream's answers that only the caller's context bounds.
-var untilDone = receiver.Limits{Begin: unbounded, Pause: unbounded, Bytes: bodyLimit}
+// noTimeouts are the limits of calls that only the caller's context bounds.
+var noTimeouts = receiver.Limits{Begin: unbounded, Pause: unbounded, Bytes: bodyLimit}
 
-// Upstream reaches a model engine or a plain service over HTTP.
+// Upstream is a client of a model engine or a plain service over HTTP.
 type Upstream struct {
 	base   string
 	client *http.Client
-	// dial and address reach the upstream without a call.
+	// dial and address are used to check whether the upstream still listens.
 	dial    DialFunc
 	address string
-	// once sends service calls, which must never be sent twice.
-	once *http.Client
-	// silence is the longest time between two pieces of an answer; the total time is not bounded.
-	silence time.Duration
+	// noRetry sends service calls, which must never be sent twice.
+	noRetry *http.Client
+	// idleTimeout is the longest time between two pieces of an answer; the total time is not bounded.
+	idleTimeout time.Duration
 }
 
 var _ masticway.Upstream = Upstream{}
 
 // NewUpstream returns a client of the upstream at a base URL.
-func NewUpstream(base string, dial DialFunc, silence time.Duration) Upstream {
-	u := Upstream{base: base, client: NewHTTP(dial), once: NewOnceHTTP(dial), dial: dial, silence: silence}
+func NewUpstream(base string, dial DialFunc, idleTimeout time.Duration) Upstream {
+	u := Upstream{base: base, client: NewHTTP(dial), noRetry: NewNoRetryHTTPClient(dial), dial: dial, idleTimeout: idleTimeout}
 	if u.dial == nil {
 		u.dial = (&net.Dialer{}).DialContext
 	}
-	// A base that is no URL fails with each call.
+	// If the base is not a URL, each call fails.
 	if parsed, err := url.Parse(base); err == nil {
 		u.address = parsed.Host
 	}
 	return u
 }
 
-// Run carries out a call and passes the answer to the sink.
+// Run performs a call and passes the answer to the sink.
 func (u Upstream) Run(ctx context.Context, c masticway.Call, s masticway.Sink) (masticway.Outcome, error) {
 	run := u.runModel
 	if c.Service != "" {
@@ -67,37 +68,38 @@
 	}
 	outcome, err := run(ctx, c, s)
 	if failure, ok := errors.AsType[*masticway.UpstreamError](err); ok && failure.Started {
-		failure.NotListening = u.ended(ctx)
+		failure.NotListening = u.refusesConnections(ctx)
 	}
 	return outcome, err
 }
 
-// ended tells that nothing listens at the upstream's address.
-func (u Upstream) ended(ctx context.Context) bool {
-	ctx, cancel := context.WithTimeout(ctx, endedTimeout)
+// refusesConnections reports whether nothing listens at the upstream's address.
+func (u Upstream) refusesConnections(ctx context.Context) bool {
+	ctx, cancel := context.WithTimeout(ctx, probeTimeout)
 	defer cancel()
-	n, err := u.dial(ctx, "tcp", u.address)
+	conn, err := u.dial(ctx, "tcp", u.address)
 	if err == nil {
-		_ = n.Close()
+		_ = conn.Close()
 	}
 	return errors.Is(err, syscall.ECONNREFUSED)
 }
 
-// watch cancels a call after too long a silence; each call of the returned reset starts the time anew.
-func (u Upstream) watch(ctx context.Context) (watched context.Context, reset func(), stop func()) {
+// withIdleTimeout returns a context that is canceled if the upstream is silent for too long. Each call of reset restarts
+// the timeout; stop ends it.
+func (u Upstream) withIdleTimeout(ctx context.Context) (watched context.Context, reset func(), stop func()) {
 	watched, cancel := context.WithCancelCause(ctx)
-	timer := time.AfterFunc(u.silence, func() {
-		cancel(&masticway.UpstreamError{Reason: "silent for " + u.silence.String(), Started: true})
+	timer := time.AfterFunc(u.idleTimeout, func() {
+		cancel(&masticway.UpstreamError{Reason: "silent for " + u.idleTimeout.String(), Started: true})
 	})
-	return watched, func() { timer.Reset(u.silence) }, func() { timer.Stop(); cancel(nil) }
+	return watched, func() { timer.Reset(u.idleTimeout) }, func() { timer.Stop(); cancel(nil) }
 }
 
-func failure(err error) error {
-	return &masticway.UpstreamError{Reason: err.Error(), Started: !dialFailed(err)}
+func asUpstreamError(err error) error {
+	return &masticway.UpstreamError{Reason: err.Error(), Started: !isDialError(err)}
 }
 
 func (u Upstream) runModel(ctx context.Context, c masticway.Call, s masticway.Sink) (masticway.Outcome, error) {
-	watched, reset, stop := u.watch(ctx)
+	watched, reset, stop := u.withIdleTimeout(ctx)
 	defer stop()
 	body, err := json.Marshal(struct {
 		Model        string          `json:"model"`
@@ -118,7 +120,7 @@
 	request.Header.Set("Content-Type", "application/json")
 	response, err := u.client.Do(request)
 	if err != nil {
-		return masticway.Outcome{}, failure(err)
+		return masticway.Outcome{}, asUpstreamError(err)
 	}
 	defer response.Body.Close()
 	if response.StatusCode != http.StatusOK {
@@ -128,8 +130,8 @@
 	return readStream(response.Body, s, reset)
 }
 
-// event is one piece of an engine's stream.
-type event struct {
+// streamEvent is one event of an engine's answer stream.
+type streamEvent struct {
 	Choices []struct {
 		Delta struct {
 			Content string `json:"content"`
@@ -146,7 +148,7 @@
 
 func readStream(body io.Reader, s masticway.Sink, reset func()) (masticway.Outcome, error) {
 	var outcome masticway.Outcome
-	counted := false
+	promptCounted := false
 	lines := bufio.NewScanner(body)
 	lines.Buffer(nil, lineLimit)
 	for lines.Scan() {
@@ -158,14 +160,14 @@
 		if data == "[DONE]" {
 			return outcome, nil
 		}
-		var e event
+		var e streamEvent
 		if err := json.Unmarshal([]byte(data), &e); err != nil {
 			return outcome, &masticway.UpstreamError{Reason: "unreadable event: " + err.Error(), Started: true}
 		}
 		if e.Usage != nil {
 			outcome.Usage = e.Usage.Usage
-			if !counted {
-				counted = true
+			if !promptCounted {
+				promptCounted = true
 				s.PromptCounted(e.Usage.Prompt, e.Usage.Details.Cached)
 			}
 		}
@@ -186,7 +188,7 @@
 }
 
 func (u Upstream) runService(ctx context.Context, c masticway.Call, s masticway.Sink) (masticway.Outcome, error) {
-	watched, reset, stop := u.watch(ctx)
+	watched, reset, stop := u.withIdleTimeout(ctx)
 	defer stop()
 	request, err := http.NewRequestWithContext(watched, c.Method, u.base+c.Path, bytes.NewReader(c.Body))
 	if err != nil {
@@ -196,12 +198,12 @@
 		request.Header.Set("Content-Type", c.ContentType)
 	}
 	request.Header.Set("Idempotency-Key", c.Key)
-	response, err := u.once.Do(request)
+	response, err := u.noRetry.Do(request)
 	if err != nil {
-		return masticway.Outcome{}, failure(err)
+		return masticway.Outcome{}, asUpstreamError(err)
 	}
 	defer response.Body.Close()
-	body, err := readWhole(response.Body, reset)
+	body, err := readAll(response.Body, reset)
 	if err != nil {
 		return masticway.Outcome{}, &masticway.UpstreamError{Reason: err.Error(), Started: true}
 	}
@@ -209,8 +211,8 @@
 	return masticway.Outcome{Status: response.StatusCode, ContentType: response.Header.Get("Content-Type")}, nil
 }
 
-// readWhole reads a body, and calls reset for each piece of it; it fails with TooLargeError rather than leave some out.
-func readWhole(body io.Reader, reset func()) ([]byte, error) {
+// readAll reads a body and calls reset for each piece of it; it fails with TooLargeError instead of truncating.
+func readAll(body io.Reader, reset func()) ([]byte, error) {
 	content, err := io.ReadAll(io.LimitReader(resettingReader{Reader: body, reset: reset}, bodyLimit+1))
 	if err == nil && len(content) > bodyLimit {
 		err = &receiver.TooLargeError{Limit: bodyLimit}
@@ -230,12 +232,12 @@
 	return n, err
 }
 
-// Count asks the engine for a prompt's true token count.
+// Count returns the exact number of tokens of a prompt, as counted by the engine.
 func (u Upstream) Count(ctx context.Context, prompt []byte) (int, error) {
 	var answer struct {
 		Count int `json:"count"`
 	}
-	_, err := post(ctx, u.client, u.base+"/tokenize", untilDone, struct {
+	_, err := postJSON(ctx, u.client, u.base+"/tokenize", noTimeouts, struct {
 		Messages json.RawMessage `json:"messages"`
 	}{prompt}, &answer)
 	if err != nil {
@@ -244,23 +246,23 @@
 	return answer.Count, nil
 }
 
-// Load asks the upstream for its load report.
+// Load returns the upstream's load report.
 func (u Upstream) Load(ctx context.Context) (masticway.LoadReport, error) {
 	var report masticway.LoadReport
-	if _, err := post(ctx, u.client, u.base+"/load", untilDone, struct{}{}, &report); err != nil {
-		return report, fmt.Errorf("asking for load: %w", err)
+	if _, err := postJSON(ctx, u.client, u.base+"/load", noTimeouts, struct{}{}, &report); err != nil {
+		return report, fmt.Errorf("requesting the load report: %w", err)
 	}
 	return report, nil
 }
 
-// Order passes an order on; an upstream that checks fencing numbers may refuse it.
+// Order sends an order to the upstream, which may refuse it if it checks fencing numbers.
 func (u Upstream) Order(ctx context.Context, o masticway.Order) error {
-	_, err := post(ctx, u.client, u.base+"/orders", untilDone, o, nil)
+	_, err := postJSON(ctx, u.client, u.base+"/orders", noTimeouts, o, nil)
 	if status, ok := errors.AsType[*statusError](err); ok {
 		return &masticway.UpstreamError{Reason: string(status.body), Status: status.status}
 	}
 	if err != nil {
-		return failure(err)
+		return asUpstreamError(err)
 	}
 	return nil
 }
