--- a/configurer/bench_test.go
+++ b/configurer/bench_test.go
@@ -10,7 +10,7 @@
 	"github.com/masticway/masticway/configurer"
 )
 
-func fullConfig(n int) configurer.Full {
+func newConfiguration(n int) configurer.Full {
 	f := configurer.Full{Revision: 1}
 	for i := range n {
 		name := fmt.Sprint("workspace-", i)
@@ -27,12 +27,12 @@
 	return f
 }
 
-// BenchmarkApply applies one changed contract to a configuration of so many workspaces.
+// BenchmarkApply applies one changed contract to configurations with different numbers of workspaces.
 func BenchmarkApply(b *testing.B) {
 	for _, n := range []int{100, 1000, 6500} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			var s configurer.State
-			full := fullConfig(n)
+			full := newConfiguration(n)
 			s.Load(full)
 			c := full.Contracts[n/2]
 			revision := masticway.Revision(1)
@@ -45,7 +45,7 @@
 	}
 }
 
-// BenchmarkMemory reports the bytes that one workspace's contract and keys take.
+// BenchmarkMemory reports the memory that one workspace's contract and keys take, in bytes.
 func BenchmarkMemory(b *testing.B) {
 	for _, n := range []int{100, 1000, 6500} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
@@ -53,7 +53,7 @@
 			for b.Loop() {
 				runtime.GC()
 				runtime.ReadMemStats(&before)
-				s := configurer.FromFull(fullConfig(n))
+				s := configurer.FromFull(newConfiguration(n))
 				runtime.GC()
 				runtime.ReadMemStats(&after)
 				runtime.KeepAlive(s)
--- a/configurer/configurer_test.go
+++ b/configurer/configurer_test.go
@@ -25,11 +25,11 @@
 		revision masticway.Revision
 		conflict bool
 	}{
-		"based on what stands":   {base: 1, id: "b", revision: 2},
-		"whatever stands":        {base: configurer.AnyRevision, id: "b", revision: 2},
-		"based on something old": {base: 0, id: "b", conflict: true},
-		"same change again":      {base: 0, id: "a", revision: 1},
-		"answer lost, read back": {base: 1, id: "b", revision: 2, faults: emulator.TableFaults{LoseAnswers: 1}},
+		"based on the current revision": {base: 1, id: "b", revision: 2},
+		"any base revision":             {base: configurer.AnyRevision, id: "b", revision: 2},
+		"based on an old revision":      {base: 0, id: "b", conflict: true},
+		"same change again":             {base: 0, id: "a", revision: 1},
+		"answer lost, read back":        {base: 1, id: "b", revision: 2, faults: emulator.TableFaults{LoseAnswers: 1}},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -56,7 +56,7 @@
 	}
 }
 
-func TestOfRacingOperatorsOneWins(t *testing.T) {
+func TestOneRacingOperatorWins(t *testing.T) {
 	table := emulator.NewTable()
 	store := configurer.NewStore(table)
 	ctx := context.Background()
@@ -85,7 +85,7 @@
 	qt.Assert(t, winners, qt.Equals, 1)
 }
 
-func TestStateNeverGoesBack(t *testing.T) {
+func TestRevisionNeverDecreases(t *testing.T) {
 	var s configurer.State
 	_, gap := s.Apply([]masticway.Change{{Revision: 1}})
 	qt.Assert(t, gap, qt.IsTrue)
@@ -108,7 +108,7 @@
 	qt.Assert(t, s.After(3), qt.HasLen, 2)
 }
 
-func TestSnapshotsDoNotChange(t *testing.T) {
+func TestSnapshotsAreImmutable(t *testing.T) {
 	before := configurer.FromFull(configurer.Full{Revision: 1, Contracts: []masticway.Contract{*contract(1, "k")}})
 	after := before.With(masticway.Change{Revision: 2, Removed: "w"})
 	_, was := before.ByKeyHash("k")
--- a/configurer/doc.go
+++ b/configurer/doc.go
@@ -1,6 +1,6 @@
-// Package configurer keeps the accepted configuration and how it advances.
+// Package configurer stores the accepted configuration and applies its changes.
 //
-// A change is one conditional transaction that advances the revision, so of
-// two racing operators one wins. Daemons apply revisions in order and never
-// backwards; readers share immutable snapshots that are replaced, not changed.
+// A change is one conditional transaction that advances the revision, so only one of two racing operators succeeds. Daemons
+// apply revisions in order and never go back to an earlier one; readers share immutable snapshots that are replaced, not
+// modified.
 package configurer
--- a/configurer/snapshot.go
+++ b/configurer/snapshot.go
@@ -18,7 +18,7 @@
 // Revision returns the revision of the snapshot.
 func (s Snapshot) Revision() masticway.Revision { return s.revision }
 
-// Catalog returns what the fleet serves.
+// Catalog returns the models and services that the fleet serves.
 func (s Snapshot) Catalog() masticway.Catalog { return s.catalog }
 
 // Contract returns a workspace's contract, and whether there is one.
@@ -27,7 +27,7 @@
 	return c, ok
 }
 
-// ByKeyHash returns the contract that a caller key belongs to, and whether there is one.
+// ByKeyHash returns the contract of the workspace that holds a caller key, and whether there is one.
 func (s Snapshot) ByKeyHash(hash string) (masticway.Contract, bool) {
 	workspace, ok := s.byKey[hash]
 	if !ok {
@@ -36,7 +36,7 @@
 	return s.Contract(workspace)
 }
 
-// Contracts lists all contracts by workspace.
+// Contracts returns all contracts, ordered by workspace.
 func (s Snapshot) Contracts() []masticway.Contract {
 	list := make([]masticway.Contract, 0, len(s.contracts))
 	for _, w := range slices.Sorted(maps.Keys(s.contracts)) {
@@ -45,7 +45,7 @@
 	return list
 }
 
-// With returns the snapshot after a change; the change must be the next revision.
+// With returns the snapshot after a change, which must be of the next revision.
 func (s Snapshot) With(c masticway.Change) Snapshot {
 	next := Snapshot{revision: c.Revision, catalog: s.catalog, contracts: s.contracts, byKey: s.byKey}
 	if c.Catalog != nil {
@@ -54,8 +54,8 @@
 	if c.Contract == nil && c.Removed == "" {
 		return next
 	}
-	next.contracts = cloned(s.contracts)
-	next.byKey = cloned(s.byKey)
+	next.contracts = cloneMap(s.contracts)
+	next.byKey = cloneMap(s.byKey)
 	workspace := c.Removed
 	if c.Contract != nil {
 		workspace = c.Contract.Workspace
@@ -73,26 +73,26 @@
 	return next
 }
 
-func cloned[V any](m map[string]V) map[string]V {
+func cloneMap[V any](m map[string]V) map[string]V {
 	if m == nil {
 		return map[string]V{}
 	}
 	return maps.Clone(m)
 }
 
-// Full is a whole configuration, as one peer hands it to another.
+// Full is a complete configuration, in the form in which peers exchange it.
 type Full struct {
 	Revision  masticway.Revision   `json:"revision" cbor:"1,keyasint"`
 	Catalog   masticway.Catalog    `json:"catalog" cbor:"2,keyasint"`
 	Contracts []masticway.Contract `json:"contracts" cbor:"3,keyasint"`
 }
 
-// Full returns everything in the snapshot.
+// Full returns the complete configuration of the snapshot.
 func (s Snapshot) Full() Full {
 	return Full{Revision: s.revision, Catalog: s.catalog, Contracts: s.Contracts()}
 }
 
-// FromFull builds a snapshot of a whole configuration.
+// FromFull returns a snapshot of a complete configuration.
 func FromFull(f Full) Snapshot {
 	s := Snapshot{revision: f.Revision, catalog: f.Catalog, contracts: map[string]masticway.Contract{}, byKey: map[string]string{}}
 	for _, c := range f.Contracts {
@@ -104,8 +104,8 @@
 	return s
 }
 
-// changesKept bounds the changes kept for peers that are behind.
-const changesKept = 64
+// maxRecentChanges bounds the applied changes kept for peers that are behind.
+const maxRecentChanges = 64
 
 // State applies changes in order; it is not safe for concurrent use.
 type State struct {
@@ -117,10 +117,10 @@
 // Snapshot returns the newest applied configuration.
 func (s *State) Snapshot() Snapshot { return s.snapshot }
 
-// Ready tells whether a current configuration has been loaded.
+// Ready reports whether a configuration has been loaded.
 func (s *State) Ready() bool { return s.ready }
 
-// Load replaces the whole configuration, unless it is older than the one applied.
+// Load replaces the whole configuration and reports whether it did; it ignores one that is not newer than the current one.
 func (s *State) Load(f Full) bool {
 	if s.ready && f.Revision <= s.snapshot.revision {
 		return false
@@ -131,7 +131,7 @@
 	return true
 }
 
-// Apply takes changes in any order and returns those it applied; gap tells that earlier ones are missing.
+// Apply applies changes, given in any order, and returns those it applied; gap reports whether earlier ones are missing.
 func (s *State) Apply(changes []masticway.Change) (applied []masticway.Change, gap bool) {
 	ordered := slices.Clone(changes)
 	slices.SortFunc(ordered, func(a, b masticway.Change) int { return int(a.Revision - b.Revision) })
@@ -144,7 +144,7 @@
 		}
 		s.snapshot = s.snapshot.With(c)
 		s.recent = append(s.recent, c)
-		if len(s.recent) > changesKept {
+		if len(s.recent) > maxRecentChanges {
 			s.recent = s.recent[1:]
 		}
 		applied = append(applied, c)
@@ -152,7 +152,7 @@
 	return applied, false
 }
 
-// After returns the applied changes that a peer at a revision has not seen, as far as they are kept.
+// After returns the recent changes after a revision, as far as they are still kept.
 func (s *State) After(r masticway.Revision) []masticway.Change {
 	i := slices.IndexFunc(s.recent, func(c masticway.Change) bool { return c.Revision > r })
 	if i < 0 {
--- a/configurer/store.go
+++ b/configurer/store.go
@@ -19,15 +19,15 @@
 	prefixID       = "config/id/"
 )
 
-// changeTries bounds the attempts of one change against racing operators.
-const changeTries = 20
+// maxAttempts bounds the attempts at one change while other operators commit theirs.
+const maxAttempts = 20
 
-// Store reads and advances the configuration in the table.
+// Store reads and changes the configuration in the table.
 type Store struct {
 	table masticway.Table
 }
 
-// NewStore returns a store on the platform's table.
+// NewStore returns a store that uses the platform's table.
 func NewStore(t masticway.Table) *Store { return &Store{table: t} }
 
 type head struct {
@@ -39,15 +39,15 @@
 	Value    T                  `json:"value"`
 }
 
-// RevisionConflictError tells an operator that what the change was based on has moved on.
+// RevisionConflictError reports that the contract or catalog has changed since the revision that a change is based on.
 type RevisionConflictError struct {
 	Expected masticway.Revision
 	Current  masticway.Revision
-	// Contract is the state that stands, if the change was to a contract.
+	// Contract is the current contract, if the change is to an existing one.
 	Contract *masticway.Contract
 }
 
-// Error names both revisions.
+// Error describes both revisions.
 func (e *RevisionConflictError) Error() string {
 	return fmt.Sprintf("based on revision %d, but revision %d stands", e.Expected, e.Current)
 }
@@ -68,16 +68,17 @@
 
 var changeChart = charter.MustLoad(charter.Change)
 
-// Events of the change chart.
+// Events of the change state chart.
 const (
-	eventCommitted  charter.Event = "committed"
-	eventConflicted charter.Event = "conflicted"
-	eventUnknown    charter.Event = "outcome_unknown"
-	eventEverywhere charter.Event = "everywhere"
+	eventCommitted         charter.Event = "committed"
+	eventConflicted        charter.Event = "conflicted"
+	eventUnknown           charter.Event = "outcome_unknown"
+	eventAppliedEverywhere charter.Event = "everywhere"
 )
 
-// Standing names the state of a change in the change chart, from what Put returned and whether all daemons apply it.
-func Standing(err error, everywhere bool) charter.State {
+// Standing returns the state of a change in the change state chart, given the error of Put and whether all daemons apply
+// the change.
+func Standing(err error, appliedEverywhere bool) charter.State {
 	event := eventCommitted
 	if _, ok := errors.AsType[*RevisionConflictError](err); ok {
 		event = eventConflicted
@@ -86,10 +87,10 @@
 		event = eventUnknown
 	}
 	state, stepErr := changeChart.Next(changeChart.Initial(), event)
-	if stepErr != nil || event != eventCommitted || !everywhere {
+	if stepErr != nil || event != eventCommitted || !appliedEverywhere {
 		return state
 	}
-	if next, err := changeChart.Next(state, eventEverywhere); err == nil {
+	if next, err := changeChart.Next(state, eventAppliedEverywhere); err == nil {
 		return next
 	}
 	return state
@@ -101,53 +102,52 @@
 	return h.Revision, err
 }
 
-// AnyRevision as a change's base skips the check against what stands.
+// AnyRevision as the base of a change skips the check for conflicts.
 const AnyRevision masticway.Revision = -1
 
-// Put accepts a change based on the subject's last revision; the same change id is accepted once.
+// Put commits a change that is based on the last revision of its contract or of the catalog. Changes with the same id are
+// accepted only once.
 //
-// It fails with RevisionConflictError when the subject has moved on, and with
-// OutcomeUnknownError when the table's answer was lost and cannot be read back.
-//
-// How far it got is told by Standing.
+// It fails with RevisionConflictError if the contract or catalog has changed since, and with OutcomeUnknownError if the
+// table's answer was lost and the outcome cannot be read back. Standing maps the error to the state of the change.
 func (s *Store) Put(ctx context.Context, c masticway.Change, base masticway.Revision) (masticway.Change, error) {
-	var last error
-	for range changeTries {
-		done, tx, next, err := s.prepare(ctx, c, base)
+	var lastErr error
+	for range maxAttempts {
+		alreadyAccepted, tx, next, err := s.prepareTransaction(ctx, c, base)
 		if err != nil {
-			return c, readBackFailed(last, err, c.ID)
+			return c, readBackError(lastErr, err, c.ID)
 		}
-		if done {
+		if alreadyAccepted {
 			return next, nil
 		}
-		last = s.table.Commit(ctx, tx)
-		if last == nil {
+		lastErr = s.table.Commit(ctx, tx)
+		if lastErr == nil {
 			return next, nil
 		}
-		if _, ok := errors.AsType[*masticway.UnavailableError](last); ok {
-			return c, last
+		if _, ok := errors.AsType[*masticway.UnavailableError](lastErr); ok {
+			return c, lastErr
 		}
 		if err := ctx.Err(); err != nil {
-			return c, readBackFailed(last, err, c.ID)
+			return c, readBackError(lastErr, err, c.ID)
 		}
 	}
-	return c, fmt.Errorf("changing the configuration, %d tries: %w", changeTries, last)
+	return c, fmt.Errorf("changing the configuration, %d tries: %w", maxAttempts, lastErr)
 }
 
-func readBackFailed(last, err error, id string) error {
-	if _, ok := errors.AsType[*masticway.OutcomeUnknownError](last); ok {
+func readBackError(commitErr, err error, id string) error {
+	if _, ok := errors.AsType[*masticway.OutcomeUnknownError](commitErr); ok {
 		return &masticway.OutcomeUnknownError{Service: "table", ID: id, Reason: err.Error()}
 	}
 	return err
 }
 
-func (s *Store) prepare(ctx context.Context, c masticway.Change, base masticway.Revision) (done bool, tx masticway.Transaction, next masticway.Change, err error) {
-	markKey := prefixID + c.ID
-	accepted, markVersion, err := read[masticway.Change](ctx, s.table, markKey)
+func (s *Store) prepareTransaction(ctx context.Context, c masticway.Change, base masticway.Revision) (alreadyAccepted bool, tx masticway.Transaction, next masticway.Change, err error) {
+	idKey := prefixID + c.ID
+	accepted, idVersion, err := read[masticway.Change](ctx, s.table, idKey)
 	if err != nil {
 		return false, tx, c, err
 	}
-	if markVersion != 0 {
+	if idVersion != 0 {
 		return true, tx, accepted, nil
 	}
 	h, headVersion, err := read[head](ctx, s.table, keyHead)
@@ -155,25 +155,25 @@
 		return false, tx, c, err
 	}
 	c.Revision = h.Revision + 1
-	subject, value, err := s.subject(ctx, c, base)
+	subject, value, err := s.subjectRow(ctx, c, base)
 	if err != nil {
 		return false, tx, c, err
 	}
 	tx = masticway.Transaction{
 		ID:         "config/" + c.ID,
-		Conditions: []masticway.Condition{{Key: keyHead, Version: headVersion}, {Key: markKey}},
+		Conditions: []masticway.Condition{{Key: keyHead, Version: headVersion}, {Key: idKey}},
 		Puts: []masticway.Put{
 			{Key: keyHead, Value: encode(head{Revision: c.Revision})},
 			{Key: changeKey(c.Revision), Value: encode(c)},
-			{Key: markKey, Value: encode(c)},
+			{Key: idKey, Value: encode(c)},
 			{Key: subject, Value: value},
 		},
 	}
 	return false, tx, c, nil
 }
 
-// subject returns the row that a change replaces, after checking its base.
-func (s *Store) subject(ctx context.Context, c masticway.Change, base masticway.Revision) (string, []byte, error) {
+// subjectRow returns the key and value of the row that a change replaces, after checking its base revision.
+func (s *Store) subjectRow(ctx context.Context, c masticway.Change, base masticway.Revision) (string, []byte, error) {
 	if c.Catalog != nil {
 		current, _, err := read[stored[masticway.Catalog]](ctx, s.table, keyCatalog)
 		if err != nil {
@@ -223,7 +223,8 @@
 	return c.Value, c.Revision, err
 }
 
-// Full reads the whole configuration; the head is read first, so later changes may be in it but none is missing.
+// Full reads the complete configuration. It reads the head revision first, so that the result may contain later changes but
+// misses none.
 func (s *Store) Full(ctx context.Context) (Full, error) {
 	revision, err := s.Head(ctx)
 	if err != nil {
@@ -257,7 +258,7 @@
 	return c, err
 }
 
-// Changes reads the accepted changes from one revision to another, both included.
+// Changes reads the accepted changes of a range of revisions, both ends included.
 func (s *Store) Changes(ctx context.Context, from, to masticway.Revision) ([]masticway.Change, error) {
 	var changes []masticway.Change
 	for r := from; r <= to; r++ {
@@ -273,7 +274,7 @@
 func encode(v any) []byte {
 	data, err := json.Marshal(v)
 	if err != nil {
-		// The stored types hold nothing that JSON cannot write.
+		// Every stored type can be encoded as JSON.
 		panic(err)
 	}
 	return data
