--- a/messenger/doc.go
+++ b/messenger/doc.go
@@ -1,6 +1,5 @@
 // Package messenger carries calls between routers.
 //
-// Every call is one CBOR body over a kept HTTP connection. Its caller's context bounds
-// it, so that a router behind a cut costs no more than that; an answer that may be
-// large is bounded until it begins.
+// Every call is one CBOR body over a persistent HTTP connection. The caller's context bounds it, so that an unreachable
+// router delays the caller no longer than that. If an answer may be large, only the time until it begins is bounded.
 package messenger
--- a/messenger/messenger.go
+++ b/messenger/messenger.go
@@ -16,33 +16,33 @@
 )
 
 const (
-	// messageLimit bounds a message: the greatest is a write to the row store, 1 MB of rows and their keys.
-	messageLimit = 4 << 20
-	// answerLimit bounds an answer: the greatest is the row store's, whose rows may be the operator's.
-	answerLimit = 16 << 20
-	// beginLimit is how long an answer may take to begin if its caller's context doesn't end before, a multiple of what
-	// any caller waits.
-	beginLimit = 10 * time.Second
-	// idleTimeout ends connections between routers that have had nothing to say for a while.
+	// maxMessageBytes bounds a message; the largest is a write to the row store, 1 MB of rows and their keys.
+	maxMessageBytes = 4 << 20
+	// maxAnswerBytes bounds an answer; the largest is the row store's, which may contain rows written by operators.
+	maxAnswerBytes = 16 << 20
+	// beginTimeout is how long an answer may take to begin if the caller's context does not end before. It is a multiple of
+	// what any caller waits.
+	beginTimeout = 10 * time.Second
+	// idleTimeout closes connections to routers that have been idle for this long.
 	idleTimeout = 20 * time.Second
-	// idleEach bounds the kept connections to one router: a few calls at once.
-	idleEach = 4
-	// dialTimeout bounds the making of a connection. An opening packet that a cut swallowed is sent again only after a
-	// second, so a new attempt finds a router that is back sooner.
+	// maxIdleConnsPerRouter bounds the idle connections to one router: enough for a few concurrent calls.
+	maxIdleConnsPerRouter = 4
+	// dialTimeout bounds a connection attempt. The kernel retransmits a SYN that was lost in a network partition only after
+	// a second, so a new attempt reaches a recovered router sooner.
 	dialTimeout = 350 * time.Millisecond
-	// patientDialTimeout is the same for calls over a full link, whose opening packet may be sent twice.
-	patientDialTimeout = 2500 * time.Millisecond
-	contentType        = "application/cbor"
+	// slowLinkDialTimeout is the dial timeout for calls over a congested link; it allows for one retransmission of the SYN.
+	slowLinkDialTimeout = 2500 * time.Millisecond
+	contentType         = "application/cbor"
 )
 
-// StatusError reports a router that answered, but not with what was asked for.
+// StatusError reports an answer with a status other than 200.
 type StatusError struct {
 	Address string
 	Path    string
 	Status  int
 }
 
-// Error names the call and the status.
+// Error describes the call and the status.
 func (e *StatusError) Error() string {
 	return fmt.Sprintf("router at %s answered %s with status %d", e.Address, e.Path, e.Status)
 }
@@ -50,68 +50,68 @@
 // Client calls other routers.
 type Client struct {
 	http *http.Client
-	// measured is told how long each call took that ended with an answer or by its time limit.
-	measured func(took time.Duration, answered bool)
+	// observe is called with the duration of each call that was answered or timed out.
+	observe func(took time.Duration, answered bool)
 }
 
-// NewClient returns a client without connections.
+// NewClient returns a client without open connections.
 func NewClient() *Client { return newClient(dialTimeout) }
 
-// NewPatientClient returns one that also reaches routers over a full link.
-func NewPatientClient() *Client { return newClient(patientDialTimeout) }
+// NewPatientClient returns a client that also reaches routers over a congested link.
+func NewPatientClient() *Client { return newClient(slowLinkDialTimeout) }
 
 func newClient(dialTimeout time.Duration) *Client {
 	dialer := &net.Dialer{Timeout: dialTimeout, KeepAlive: -1}
-	return &Client{measured: func(time.Duration, bool) {}, http: &http.Client{Transport: &http.Transport{
-		DialContext: dialer.DialContext, IdleConnTimeout: idleTimeout, MaxIdleConnsPerHost: idleEach, DisableCompression: true,
+	return &Client{observe: func(time.Duration, bool) {}, http: &http.Client{Transport: &http.Transport{
+		DialContext: dialer.DialContext, IdleConnTimeout: idleTimeout, MaxIdleConnsPerHost: maxIdleConnsPerRouter, DisableCompression: true,
 	}}}
 }
 
-// Measure has a function told how long each call takes whose answer is small, and whether there was one in time; it is set
-// before the first call.
-func (c *Client) Measure(measured func(took time.Duration, answered bool)) { c.measured = measured }
+// Measure sets a function that is called after each Call that was answered or timed out, with its duration and whether it
+// was answered. It must be called before the first call.
+func (c *Client) Measure(observe func(took time.Duration, answered bool)) { c.observe = observe }
 
-// Call sends a message to the router at an address and decodes its answer; it fails with a StatusError when the router
-// did not take the message, and with the transport's errors.
+// Call sends a message to the router at an address and decodes its answer. It fails with StatusError if the router does not
+// accept the message, and with the errors of the transport.
 func Call[A any](ctx context.Context, c *Client, address, path string, message any) (A, error) {
 	began := time.Now()
-	answer, err := Fetch[A](ctx, c, address, path, beginLimit, message)
+	answer, err := Fetch[A](ctx, c, address, path, beginTimeout, message)
 	if err == nil || errors.Is(err, context.DeadlineExceeded) {
-		c.measured(time.Since(began), err == nil)
+		c.observe(time.Since(began), err == nil)
 	}
 	return answer, err
 }
 
-// Fetch is Call for an answer that may be large: it bounds how long the answer takes to begin, not how long it arrives.
-func Fetch[A any](ctx context.Context, c *Client, address, path string, begin time.Duration, message any) (A, error) {
+// Fetch is like Call, but for answers that may be large: it bounds the time until the answer begins, not its transfer.
+func Fetch[A any](ctx context.Context, c *Client, address, path string, beginTimeout time.Duration, message any) (A, error) {
 	var answer A
 	data, err := cbor.Marshal(message)
 	if err != nil {
-		return answer, fmt.Errorf("encoding for %s: %w", path, err)
+		return answer, fmt.Errorf("encoding the message for %s: %w", path, err)
 	}
 	request, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+address+path, bytes.NewReader(data))
 	if err != nil {
-		return answer, fmt.Errorf("asking %s: %w", address, err)
+		return answer, fmt.Errorf("calling %s: %w", address, err)
 	}
 	request.Header.Set("Content-Type", contentType)
-	arrived, err := receiver.Do(c.http, request, receiver.Limits{Begin: begin, Pause: receiver.PauseLimit, Bytes: answerLimit})
+	response, err := receiver.Do(c.http, request, receiver.Limits{Begin: beginTimeout, Pause: receiver.PauseLimit, Bytes: maxAnswerBytes})
 	if err != nil {
-		return answer, fmt.Errorf("asking %s: %w", address, err)
+		return answer, fmt.Errorf("calling %s: %w", address, err)
 	}
-	if arrived.Status != http.StatusOK {
-		return answer, &StatusError{Address: address, Path: path, Status: arrived.Status}
+	if response.Status != http.StatusOK {
+		return answer, &StatusError{Address: address, Path: path, Status: response.Status}
 	}
-	if err := cbor.Unmarshal(arrived.Body, &answer); err != nil {
+	if err := cbor.Unmarshal(response.Body, &answer); err != nil {
 		return answer, fmt.Errorf("decoding the answer of %s to %s: %w", address, path, err)
 	}
 	return answer, nil
 }
 
-// Handle serves calls at a path; what cannot be decoded is answered with 400.
+// Handle serves calls at a path; a message that cannot be decoded is answered with status 400.
 func Handle[M, A any](mux *http.ServeMux, path string, serve func(ctx context.Context, message M) A) {
 	mux.HandleFunc("POST "+path, func(w http.ResponseWriter, r *http.Request) {
 		var message M
-		data, err := io.ReadAll(http.MaxBytesReader(w, r.Body, messageLimit))
+		data, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxMessageBytes))
 		if err == nil {
 			err = cbor.Unmarshal(data, &message)
 		}
@@ -125,7 +125,7 @@
 			return
 		}
 		w.Header().Set("Content-Type", contentType)
-		// A caller that has gone away asks again if it still wants to know.
+		// If the caller is gone, nobody needs the answer; it repeats the call if it still does.
 		_, _ = w.Write(answer)
 	})
 }
--- a/messenger/messenger_test.go
+++ b/messenger/messenger_test.go
@@ -20,7 +20,7 @@
 	Length int `cbor:"1,keyasint"`
 }
 
-// serve answers questions at /peer/length and rubbish at /peer/rubbish.
+// serve answers questions at /peer/length, and sends invalid CBOR at /peer/rubbish.
 func serve(t *testing.T) string {
 	mux := http.NewServeMux()
 	messenger.Handle(mux, "/peer/length", func(_ context.Context, q question) answer { return answer{Length: len(q.Word)} })
@@ -40,7 +40,7 @@
 	}
 }
 
-func TestFailedCallsSayWhatWasTried(t *testing.T) {
+func TestErrorsNameTheAddress(t *testing.T) {
 	address := serve(t)
 	ended, cancel := context.WithCancel(t.Context())
 	cancel()
@@ -51,12 +51,12 @@
 		message any
 		status  int
 	}{
-		"no such path":         {ctx: t.Context(), address: address, path: "/peer/none", status: http.StatusNotFound},
-		"another message":      {ctx: t.Context(), address: address, path: "/peer/length", message: []int{1}, status: http.StatusBadRequest},
-		"over the limit":       {ctx: t.Context(), address: address, path: "/peer/length", message: question{Word: strings.Repeat("x", 5<<20)}, status: http.StatusBadRequest},
-		"an answer of rubbish": {ctx: t.Context(), address: address, path: "/peer/rubbish"},
-		"nobody there":         {ctx: t.Context(), address: "127.0.0.1:1", path: "/peer/length"},
-		"no time left":         {ctx: ended, address: address, path: "/peer/length"},
+		"no such path":       {ctx: t.Context(), address: address, path: "/peer/none", status: http.StatusNotFound},
+		"wrong message type": {ctx: t.Context(), address: address, path: "/peer/length", message: []int{1}, status: http.StatusBadRequest},
+		"over the limit":     {ctx: t.Context(), address: address, path: "/peer/length", message: question{Word: strings.Repeat("x", 5<<20)}, status: http.StatusBadRequest},
+		"invalid answer":     {ctx: t.Context(), address: address, path: "/peer/rubbish"},
+		"connection refused": {ctx: t.Context(), address: "127.0.0.1:1", path: "/peer/length"},
+		"canceled context":   {ctx: ended, address: address, path: "/peer/length"},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
