--- a/estimator/estimator.go
+++ b/estimator/estimator.go
@@ -10,27 +10,27 @@
 //go:embed slopes.json
 var files embed.FS
 
-// measured is the part of the page on the users' platform, which is written by hand.
+// measuredText is the hand-written part of the page on the users' platform.
 //
 //go:embed measured.md
-var measured string
+var measuredText string
 
 // Slope is one measured quantity.
 type Slope struct {
 	Name  string  `json:"name"`
 	Value float64 `json:"value"`
 	Unit  string  `json:"unit"`
-	// Sizes are the sizes that it was measured at.
+	// Sizes are the sizes at which it was measured.
 	Sizes string `json:"sizes"`
-	// Command measures it again.
+	// Command is the command that measures it.
 	Command string `json:"command"`
 }
 
-// Slopes are the measured quantities by name.
+// Slopes maps the names of the measured quantities to their values.
 type Slopes map[string]float64
 
-// Read returns the measured slopes.
-func Read() ([]Slope, error) {
+// ReadSlopes returns the measured slopes.
+func ReadSlopes() ([]Slope, error) {
 	data, err := files.ReadFile("slopes.json")
 	if err != nil {
 		return nil, fmt.Errorf("reading slopes: %w", err)
@@ -42,8 +42,8 @@
 	return list, nil
 }
 
-// ByName indexes slopes.
-func ByName(list []Slope) Slopes {
+// IndexByName returns the slopes' values by name.
+func IndexByName(list []Slope) Slopes {
 	s := Slopes{}
 	for _, l := range list {
 		s[l.Name] = l.Value
@@ -51,34 +51,34 @@
 	return s
 }
 
-// The size to design for.
+// The size of the fleet to design for.
 const (
-	routers       = 350.0
-	sidecars      = 2100.0
-	regions       = 2.0
-	models        = 11.0
-	requests      = 1600.0
-	tokens        = 770_000.0
-	budgets       = 310_000.0
-	workspaces    = 6500.0
-	changesPerDay = 7200.0
-	failures      = 29.0
-	replacements  = 270.0
-	day           = 86_400.0
+	routers            = 350.0
+	sidecars           = 2100.0
+	regions            = 2.0
+	models             = 11.0
+	requestsPerSecond  = 1600.0
+	tokensPerSecond    = 770_000.0
+	budgets            = 310_000.0
+	workspaces         = 6500.0
+	changesPerDay      = 7200.0
+	failuresPerDay     = 29.0
+	replacementsPerDay = 270.0
+	secondsPerDay      = 86_400.0
 )
 
-// Settings at that size that differ from the defaults.
+// Settings at that size that differ from the defaults; durations are in seconds.
 const (
-	// beatScale is the measured heartbeat of 500 ms over the 1.5 s set there.
-	beatScale    = 1.0 / 3
-	linksPerPool = 12.0
-	heartbeat    = 15.0
-	horizon      = 60.0
-	polls        = 2.0
-	challenges   = 1.0
+	// heartbeatScale converts slopes measured with a heartbeat of 500 ms to the 1.5 s used at that size.
+	heartbeatScale      = 1.0 / 3
+	linksPerPool        = 12.0
+	leaseInterval       = 15.0
+	horizon             = 60.0
+	pollsPerSecond      = 2.0
+	challengesPerSecond = 1.0
 )
 
-// What the platform gives and what control may use.
+// Limits of the platform, and of what control traffic and processing may use.
 const (
 	limitCore   = 0.042
 	limitMemory = 32.0
@@ -91,130 +91,130 @@
 // Line is one sum of the page.
 type Line struct {
 	Role      string
-	What      string
+	Quantity  string
 	Formula   string
 	Value     float64
 	Limit     float64
 	Unit      string
 	Mechanism string
-	// Change is what would make it fit.
-	Change string
+	// Remedy is what would make the sum fit its limit.
+	Remedy string
 }
 
-// Fits tells whether the sum is within its limit; a line without a limit always is.
-func (l Line) Fits() bool { return l.Limit == 0 || l.Value <= l.Limit }
+// FitsLimit reports whether the sum is within its limit; a line without a limit always is.
+func (l Line) FitsLimit() bool { return l.Limit == 0 || l.Value <= l.Limit }
 
-// Compute works out all lines from slopes.
+// Compute returns all lines of the page for the given slopes.
 func Compute(s Slopes) []Line {
 	links := models * linksPerPool
 	peers := routers/regions - 1
-	perRouter := requests / routers
-	tokensPerRouter := tokens / routers
+	perRouter := requestsPerSecond / routers
+	tokensPerRouter := tokensPerSecond / routers
 	linksPerSidecar := routers * links / sidecars
 	budgetsPerRouter := budgets / (routers / regions)
-	changes := changesPerDay / day
-	listChanges := (failures + replacements) / day
+	changesPerSecond := changesPerDay / secondsPerDay
+	listChangesPerSecond := (failuresPerDay + replacementsPerDay) / secondsPerDay
 	decisions := s["hold_settle_us"] + s["choose_us_per_candidate"]*linksPerPool + s["queue_us"]
 	return []Line{
 		{
-			Role: "router", What: "processor for control", Unit: "of a core", Limit: limitCore,
+			Role: "router", Quantity: "processor for control", Unit: "of a core", Limit: limitCore,
 			Formula: "idle + links x link + peers x peer + requests x decisions + changes x workspaces x apply + budgets x tidy",
-			Value: s["router_idle_core"] + links*s["link_core"]*beatScale + peers*s["peer_core"]*beatScale +
-				perRouter*decisions/1e6 + changes*workspaces*s["apply_us_per_workspace"]/1e6 + budgetsPerRouter*s["tidy_us_per_budget"]/1e6,
+			Value: s["router_idle_core"] + links*s["link_core"]*heartbeatScale + peers*s["peer_core"]*heartbeatScale +
+				perRouter*decisions/1e6 + changesPerSecond*workspaces*s["apply_us_per_workspace"]/1e6 + budgetsPerRouter*s["tidy_us_per_budget"]/1e6,
 			Mechanism: "part of the sidecars by rendezvous hash; heartbeats that say only what changed; pull of changes",
-			Change:    "keepers in groups of routers, so that peers are a group and not the region",
+			Remedy:    "keepers in groups of routers, so that peers are a group and not the region",
 		},
 		{
-			Role: "router", What: "processor for relaying", Unit: "of a core",
+			Role: "router", Quantity: "processor for relaying", Unit: "of a core",
 			Formula:   "requests x request + tokens x token",
 			Value:     perRouter*s["request_ms"]/1e3 + tokensPerRouter*s["token_us"]/1e6,
 			Mechanism: "grows with traffic; more routers share it",
 		},
 		{
-			Role: "router", What: "memory", Unit: "MB", Limit: limitMemory,
+			Role: "router", Quantity: "memory", Unit: "MB", Limit: limitMemory,
 			Formula: "idle + links x link + 2 x peers x link + workspaces x workspace + budgets x budget",
 			Value: s["router_idle_mb"] + (links+2*peers)*s["link_mb"] +
 				workspaces*s["workspace_bytes"]/mebi + budgetsPerRouter*s["budget_bytes"]/mebi,
 			Mechanism: "all contracts, own budgets only; traces, answers and queues bounded",
-			Change:    "one link for a pair of routers, and a smaller program",
+			Remedy:    "one link for a pair of routers, and a smaller program",
 		},
 		{
-			Role: "router", What: "control bytes", Unit: "bytes/s", Limit: limitBytes,
+			Role: "router", Quantity: "control bytes", Unit: "bytes/s", Limit: limitBytes,
 			Formula: "links x link + peers x peer + polls x poll + challenge + list changes x list + changes x change x (own sidecars + 1)",
-			Value: links*s["link_bytes"]*beatScale + peers*s["peer_bytes"]*beatScale + (2*polls+challenges)*s["poll_bytes"] +
-				listChanges*(routers+sidecars)*s["instance_bytes"] + changes*s["change_bytes"]*(sidecars/routers+1),
+			Value: links*s["link_bytes"]*heartbeatScale + peers*s["peer_bytes"]*heartbeatScale + (2*pollsPerSecond+challengesPerSecond)*s["poll_bytes"] +
+				listChangesPerSecond*(routers+sidecars)*s["instance_bytes"] + changesPerSecond*s["change_bytes"]*(sidecars/routers+1),
 			Mechanism: "heartbeat 1.5 s at that size; instance list by version; lease rows read by two routers of a region",
-			Change:    "a longer heartbeat",
+			Remedy:    "a longer heartbeat",
 		},
 		{
-			Role: "sidecar", What: "processor for control", Unit: "of a core", Limit: limitCore,
+			Role: "sidecar", Quantity: "processor for control", Unit: "of a core", Limit: limitCore,
 			Formula:   "idle + links x link",
-			Value:     s["sidecar_idle_core"] + linksPerSidecar*s["link_core"]*beatScale,
+			Value:     s["sidecar_idle_core"] + linksPerSidecar*s["link_core"]*heartbeatScale,
 			Mechanism: "links only from the routers whose part it is in",
-			Change:    "fewer links_per_pool",
+			Remedy:    "fewer links_per_pool",
 		},
 		{
-			Role: "sidecar", What: "memory", Unit: "MB", Limit: limitMemory,
+			Role: "sidecar", Quantity: "memory", Unit: "MB", Limit: limitMemory,
 			Formula:   "idle + links x link + answers kept",
 			Value:     s["sidecar_idle_mb"] + linksPerSidecar*s["link_mb"] + 8,
 			Mechanism: "answers kept are bounded at 8 MB by keep_bytes",
-			Change:    "a smaller keep_bytes",
+			Remedy:    "a smaller keep_bytes",
 		},
 		{
-			Role: "sidecar", What: "control bytes", Unit: "bytes/s", Limit: limitBytes,
+			Role: "sidecar", Quantity: "control bytes", Unit: "bytes/s", Limit: limitBytes,
 			Formula:   "links x link + changes x change",
-			Value:     linksPerSidecar*s["link_bytes"]*beatScale + changes*s["change_bytes"],
+			Value:     linksPerSidecar*s["link_bytes"]*heartbeatScale + changesPerSecond*s["change_bytes"],
 			Mechanism: "load reported only when it changed; changes asked for once",
-			Change:    "a longer heartbeat",
+			Remedy:    "a longer heartbeat",
 		},
 		{
-			Role: "table", What: "writes, steady", Unit: "/s", Limit: limitWrites,
+			Role: "table", Quantity: "writes, steady", Unit: "/s", Limit: limitWrites,
 			Formula:   "routers / heartbeat + requests x budget writes + changes x (1 + routers applying) + links rows",
-			Value:     routers/heartbeat + requests*s["budget_writes_per_request"] + changes*(1+routers) + listChanges*(routers+linksPerSidecar),
+			Value:     routers/leaseInterval + requestsPerSecond*s["budget_writes_per_request"] + changesPerSecond*(1+routers) + listChangesPerSecond*(routers+linksPerSidecar),
 			Mechanism: "a draw covers 60 s of forecast; lease rows every 15 s; no write on the path of an ordinary request",
-			Change:    "lease rows carry the applied revision with a delay at that size, or a longer horizon",
+			Remedy:    "lease rows carry the applied revision with a delay at that size, or a longer horizon",
 		},
 		{
-			Role: "table", What: "reads, steady", Unit: "/s", Limit: limitReads,
+			Role: "table", Quantity: "reads, steady", Unit: "/s", Limit: limitReads,
 			Formula:   "routers x (polls + challenge) + draws",
-			Value:     routers*(polls+challenges) + requests*s["budget_writes_per_request"],
+			Value:     routers*(pollsPerSecond+challengesPerSecond) + requestsPerSecond*s["budget_writes_per_request"],
 			Mechanism: "one small row for each poll",
-			Change:    "a longer poll",
+			Remedy:    "a longer poll",
 		},
 		{
-			Role: "table", What: "writes, claims of non-repeatable requests at 5% of all", Unit: "/s", Limit: limitWrites,
+			Role: "table", Quantity: "writes, claims of non-repeatable requests at 5% of all", Unit: "/s", Limit: limitWrites,
 			Formula:   "0.05 x requests x 2",
-			Value:     0.05 * requests * 2,
+			Value:     0.05 * requestsPerSecond * 2,
 			Mechanism: "one row before, one after",
-			Change:    "a cap in contracts on keyed non-repeatable requests",
+			Remedy:    "a cap in contracts on keyed non-repeatable requests",
 		},
 	}
 }
 
-// Page writes the capacity page.
+// Page returns the capacity page as Markdown.
 func Page() (string, error) {
-	list, err := Read()
+	list, err := ReadSlopes()
 	if err != nil {
 		return "", err
 	}
 	var b strings.Builder
-	b.WriteString(measured)
+	b.WriteString(measuredText)
 	b.WriteString(intro)
 	b.WriteString("\n## Slopes\n\n| slope | value | unit | sizes | command |\n|---|---|---|---|---|\n")
 	for _, s := range list {
 		fmt.Fprintf(&b, "| %s | %g | %s | %s | `%s` |\n", s.Name, s.Value, s.Unit, s.Sizes, s.Command)
 	}
 	b.WriteString("\n## Sums\n\n| role | what | sum | limit | unit | fits | formula | mechanism |\n|---|---|---|---|---|---|---|---|\n")
-	for _, l := range Compute(ByName(list)) {
+	for _, l := range Compute(IndexByName(list)) {
 		limit, fits := "-", "yes"
 		if l.Limit > 0 {
 			limit = fmt.Sprintf("%g", l.Limit)
 		}
-		if !l.Fits() {
-			fits = "**no**: " + l.Change
+		if !l.FitsLimit() {
+			fits = "**no**: " + l.Remedy
 		}
-		fmt.Fprintf(&b, "| %s | %s | %.4g | %s | %s | %s | %s | %s |\n", l.Role, l.What, l.Value, limit, l.Unit, fits, l.Formula, l.Mechanism)
+		fmt.Fprintf(&b, "| %s | %s | %.4g | %s | %s | %s | %s | %s |\n", l.Role, l.Quantity, l.Value, limit, l.Unit, fits, l.Formula, l.Mechanism)
 	}
-	b.WriteString(bad)
+	b.WriteString(badDay)
 	return b.String(), nil
 }
--- a/estimator/text.go
+++ b/estimator/text.go
@@ -20,7 +20,7 @@
 memory is that of the whole process, which includes the program itself.
 `
 
-const bad = `
+const badDay = `
 What is not in the sums: the TCP and WebSocket framing around messages (2 to 14 bytes each, not counted by the byte
 counters); garbage collection under load, which the idle figures hardly show; a real platform's cost of a call.
 
