--- a/messenger/messenger.go
+++ b/messenger/messenger.go
@@ -125,7 +125,7 @@
 			return
 		}
 		w.Header().Set("Content-Type", contentType)
-		// If the caller is gone, nobody needs the answer; it repeats the call if it still does.
+		// The error is ignored: a caller that went away repeats the call if it still needs the answer.
 		_, _ = w.Write(answer)
 	})
 }
