--- a/configurer/store.go
+++ b/configurer/store.go
@@ -109,7 +109,7 @@
 // accepted only once.
 //
 // It fails with RevisionConflictError if the contract or catalog has changed since, and with OutcomeUnknownError if the
-// table's answer was lost and the outcome cannot be read back. Standing maps the error to the state of the change.
+// table's answer was lost and the outcome cannot be read back. ChangeState maps the error to the state of the change.
 func (s *Store) Put(ctx context.Context, c masticway.Change, base masticway.Revision) (masticway.Change, error) {
 	var lastErr error
 	for range maxAttempts {
--- a/follower/departures_test.go
+++ b/follower/departures_test.go
@@ -15,8 +15,8 @@
 // TestServerIsNotUsedAfterItAnnouncesDraining guards against using a draining server again because its row is written,
 // missing or restored at an unfortunate moment.
 func TestServerIsNotUsedAfterItAnnouncesDraining(t *testing.T) {
-	row := func(version int64, born int) masticway.StoredRow {
-		return masticway.StoredRow{RowKey: masticway.RowKey{Table: "servers", Key: "i-1"}, Version: version, Value: fmt.Appendf(nil, `{"service":"p","address":"10.0.0.1:80","state":"ready","born":%d}`, born)}
+	row := func(version int64, startedMS int) masticway.StoredRow {
+		return masticway.StoredRow{RowKey: masticway.RowKey{Table: "servers", Key: "i-1"}, Version: version, Value: fmt.Appendf(nil, `{"service":"p","address":"10.0.0.1:80","state":"ready","born":%d}`, startedMS)}
 	}
 	deletedRow := func(version int64) masticway.StoredRow {
 		return masticway.StoredRow{RowKey: masticway.RowKey{Table: "servers", Key: "i-1"}, Version: version, Deleted: true}
--- a/follower/evacuations.go
+++ b/follower/evacuations.go
@@ -10,7 +10,7 @@
 
 // zoneReopening is the end of an operator's order to evacuate an availability zone.
 type zoneReopening struct {
-	// at is when this router read of the reopening, and version the store version at which the order's row was gone.
+	// at is when this router learned of the reopening, and version the store version at which the order's row was gone.
 	at      time.Time
 	version int64
 }
--- a/tracker/tracker_test.go
+++ b/tracker/tracker_test.go
@@ -22,8 +22,8 @@
 		usable bool
 	}{
 		"linked":                               {func(*tracker.Tracker) {}, true},
-		"list says leaving":                    {func(tr *tracker.Tracker) { tr.List(instanceList(masticway.InstanceLeaving)) }, false},
-		"list says ended":                      {func(tr *tracker.Tracker) { tr.List(instanceList(masticway.InstanceEnded)) }, false},
+		"list reports leaving":                 {func(tr *tracker.Tracker) { tr.List(instanceList(masticway.InstanceLeaving)) }, false},
+		"list reports ended":                   {func(tr *tracker.Tracker) { tr.List(instanceList(masticway.InstanceEnded)) }, false},
 		"sidecar announces leaving":            {func(tr *tracker.Tracker) { tr.Leaving("s") }, false},
 		"sidecar announces leaving, list lags": {func(tr *tracker.Tracker) { tr.Leaving("s"); tr.List(instanceList(masticway.InstanceLive)) }, false},
 		"silence":                              {func(tr *tracker.Tracker) { tr.Tick(start.Add(3 * time.Second)) }, false},
