--- a/forwarder/abandoned.go
+++ b/forwarder/abandoned.go
@@ -8,11 +8,11 @@
 	"github.com/masticway/masticway"
 )
 
-// abandonedMost bounds the runs that are remembered; the oldest goes first.
-const abandonedMost = 256
+// maxAbandonedRuns bounds the runs that are remembered; the oldest goes first.
+const maxAbandonedRuns = 256
 
-// run is one request at one server, as far as the server's end may be its fault.
-type run struct {
+// serverRun is one request at one server, as far as the server's end may be its fault.
+type serverRun struct {
 	request string
 	digest  masticway.RequestDigest
 	path    string
@@ -25,33 +25,33 @@
 // server was asked. No connection tells of their servers any more, though a request that ends servers may still do so.
 type abandonedRuns struct {
 	mu   sync.Mutex
-	runs []run
+	runs []serverRun
 }
 
 // add remembers a run and forgets those that are too old to be at fault.
-func (a *abandonedRuns) add(r run) {
+func (a *abandonedRuns) add(r serverRun) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.runs = append(slices.DeleteFunc(a.runs, func(old run) bool { return !mayEnd(old, r.abandonedAt) }), r)
-	a.runs = a.runs[max(0, len(a.runs)-abandonedMost):]
+	a.runs = append(slices.DeleteFunc(a.runs, func(old serverRun) bool { return !mayCauseCrash(old, r.abandonedAt) }), r)
+	a.runs = a.runs[max(0, len(a.runs)-maxAbandonedRuns):]
 }
 
-// at tells whether a server has runs that were given up lately.
-func (a *abandonedRuns) at(now time.Time, server masticway.ServerIncarnation) bool {
+// hasRecent tells whether a server has runs that were given up lately.
+func (a *abandonedRuns) hasRecent(now time.Time, server masticway.ServerIncarnation) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return slices.ContainsFunc(a.runs, func(r run) bool { return r.end.Server == server && mayEnd(r, now) })
+	return slices.ContainsFunc(a.runs, func(r serverRun) bool { return r.end.Server == server && mayCauseCrash(r, now) })
 }
 
-// take returns the runs at a server that were given up lately, and forgets them.
-func (a *abandonedRuns) take(now time.Time, server masticway.ServerIncarnation) (taken []run) {
+// takeRecent returns the runs at a server that were given up lately, and forgets them.
+func (a *abandonedRuns) takeRecent(now time.Time, server masticway.ServerIncarnation) (taken []serverRun) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.runs = slices.DeleteFunc(a.runs, func(r run) bool {
+	a.runs = slices.DeleteFunc(a.runs, func(r serverRun) bool {
 		if r.end.Server != server {
 			return false
 		}
-		if mayEnd(r, now) {
+		if mayCauseCrash(r, now) {
 			taken = append(taken, r)
 		}
 		return true
@@ -59,14 +59,14 @@
 	return taken
 }
 
-// forget forgets a run, and tells whether it was remembered: its request has not been accused since.
-func (a *abandonedRuns) forget(r run) bool {
+// remove forgets a run, and tells whether it was remembered: its request has not been accused since.
+func (a *abandonedRuns) remove(r serverRun) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	before := len(a.runs)
-	a.runs = slices.DeleteFunc(a.runs, func(old run) bool { return old == r })
+	a.runs = slices.DeleteFunc(a.runs, func(old serverRun) bool { return old == r })
 	return len(a.runs) < before
 }
 
-// mayEnd tells that a run which was given up may still have ended its server at a time.
-func mayEnd(r run, now time.Time) bool { return now.Sub(r.abandonedAt) < innocentAfter }
+// mayCauseCrash tells that a run which was given up may still have ended its server at a time.
+func mayCauseCrash(r serverRun, now time.Time) bool { return now.Sub(r.abandonedAt) < innocentAfter }
--- a/forwarder/admit.go
+++ b/forwarder/admit.go
@@ -16,39 +16,39 @@
 )
 
 const (
-	// retryElsewhere is when a caller of a router that ends should come back: the next connection reaches another one.
-	retryElsewhere = 50 * time.Millisecond
-	// defaultBody bounds a body when the configuration does not.
-	defaultBody = 4 << 20
+	// retryAfterReconnect is when a caller of a router that ends should come back: the next connection reaches another one.
+	retryAfterReconnect = 50 * time.Millisecond
+	// defaultMaxBodyBytes bounds a body when the configuration does not.
+	defaultMaxBodyBytes = 4 << 20
 	// defaultTimeout is how long a request may take when neither caller nor route says.
 	defaultTimeout = 30 * time.Second
-	// leastUrgent is the last rank that servers know.
-	leastUrgent = 9
+	// maxRank is the last rank that servers know.
+	maxRank = 9
 )
 
 // Codes of refusals; docs/OPERATIONS.md tells what an operator does about each.
 const (
-	codeNotReady       = "not_ready"
-	codeMalformed      = "malformed"
-	codeNoRoute        = "no_route"
-	codeBadKey         = "bad_key"
-	codeTooLarge       = "body_too_large"
-	codeBodyBroken     = "body_unreadable"
-	codeExhausted      = "budget_exhausted"
-	codeUnreachable    = "budget_unreachable"
-	codeNoServer       = "no_server"
-	codeServersFull    = "servers_full"
-	codeServersCold    = "servers_cold"
-	codeServersLimited = "servers_limited"
-	codeServersResting = "servers_resting"
-	codeProven         = "request_ends_servers"
-	codeSuspect        = "request_under_examination"
-	codeFailed         = "server_failed"
-	codeUnknown        = "outcome_unknown"
-	codeTimeout        = "timeout"
-	codeNotInTime      = "not_in_time"
-	codeShuttingDown   = "shutting_down"
-	codeOverloaded     = "router_overloaded"
+	codeNotReady              = "not_ready"
+	codeMalformed             = "malformed"
+	codeNoRoute               = "no_route"
+	codeBadKey                = "bad_key"
+	codeTooLarge              = "body_too_large"
+	codeBodyUnreadable        = "body_unreadable"
+	codeExhausted             = "budget_exhausted"
+	codeUnreachable           = "budget_unreachable"
+	codeNoServer              = "no_server"
+	codeServersFull           = "servers_full"
+	codeServersCold           = "servers_cold"
+	codeServersLimited        = "servers_limited"
+	codeServersBackingOff     = "servers_resting"
+	codeRequestCrashesServers = "request_ends_servers"
+	codeSuspectWaiting        = "request_under_examination"
+	codeFailed                = "server_failed"
+	codeUnknown               = "outcome_unknown"
+	codeTimeout               = "timeout"
+	codeNotInTime             = "not_in_time"
+	codeShuttingDown          = "shutting_down"
+	codeOverloaded            = "router_overloaded"
 )
 
 // request is one caller's request, checked; it does not change.
@@ -68,15 +68,15 @@
 	deadline time.Time
 }
 
-// metered tells that the request consumes a prepaid budget.
-func (q request) metered() bool { return q.Metered && q.account.HasLimit }
+// hasBudget tells that the request consumes a prepaid budget.
+func (q request) hasBudget() bool { return q.Metered && q.account.HasLimit }
 
 // rank returns the request's urgency; a workspace's own goes before the route's.
 func (q request) rank() int {
 	if q.account.HasPriority {
-		return min(leastUrgent, max(0, q.account.Priority))
+		return min(maxRank, max(0, q.account.Priority))
 	}
-	return min(leastUrgent, max(0, q.route.Priority))
+	return min(maxRank, max(0, q.route.Priority))
 }
 
 // path returns the path without the query, which may hold what is a caller's own business.
@@ -93,84 +93,84 @@
 // admit checks a request and reads its body; the exchange is there for the log also when it is refused.
 func (f *Forwarder) admit(w http.ResponseWriter, r *http.Request) (*exchange, *masticway.RefusalError) {
 	now := f.clock.Now()
-	x := &exchange{f: f, w: w, state: deliveryChart.Initial(), fate: masticway.FateNotRun, exclude: map[string]bool{}}
+	x := &exchange{f: f, w: w, state: deliveryChart.Initial(), fate: masticway.FateNotRun, tried: map[string]bool{}}
 	x.q = request{
 		method: r.Method, target: r.RequestURI, host: r.Host, header: r.Header, received: now, deadline: now.Add(defaultTimeout),
 	}
-	b := f.beliefs()
-	head, err := f.dialect.ParseRequest(r.Header)
+	snapshot := f.snapshot()
+	head, err := f.codec.ParseRequest(r.Header)
 	x.q.OpaqueRequest = head
 	switch {
-	case !b.Known:
-		return x, refusal(http.StatusServiceUnavailable, codeNotReady, "no configuration is known yet", retrySoon)
+	case !snapshot.Known:
+		return x, refusal(http.StatusServiceUnavailable, codeNotReady, "no configuration is known yet", retryAfterDefault)
 	case err != nil:
 		return x, refusal(http.StatusBadRequest, codeMalformed, err.Error(), 0)
 	}
-	if refused := x.find(b, r); refused != nil {
+	if refused := x.resolveRoute(snapshot, r); refused != nil {
 		return x, refused
 	}
-	if refused := x.outlasting(); refused != nil {
+	if refused := x.checkDrain(); refused != nil {
 		return x, refused
 	}
-	if refused := x.carry(r, b.Deployment.Limits); refused != nil {
+	if refused := x.admitLoad(r, snapshot.Deployment.Limits); refused != nil {
 		return x, refused
 	}
-	if refused := x.read(w, r, b.Deployment.Limits); refused != nil {
+	if refused := x.readBody(w, r, snapshot.Deployment.Limits); refused != nil {
 		return x, refused
 	}
 	// The body may have taken long.
-	return x, x.outlasting()
+	return x, x.checkDrain()
 }
 
-// outlasting refuses a request that may last longer than this router.
-func (x *exchange) outlasting() *masticway.RefusalError {
-	if !x.f.draining.Load().cuts(x.f.clock.Now(), x.q.deadline) {
+// checkDrain refuses a request that may last longer than this router.
+func (x *exchange) checkDrain() *masticway.RefusalError {
+	if !x.f.drainState.Load().wouldCutOff(x.f.clock.Now(), x.q.deadline) {
 		return nil
 	}
-	return refusal(http.StatusServiceUnavailable, codeShuttingDown, "this router ends before the answer would", retryElsewhere)
+	return refusal(http.StatusServiceUnavailable, codeShuttingDown, "this router ends before the answer would", retryAfterReconnect)
 }
 
-// carry counts the request in, before its body has come over a link that may be full.
-func (x *exchange) carry(r *http.Request, limits masticway.CallerLimits) *masticway.RefusalError {
+// admitLoad counts the request in, before its body has come over a link that may be full.
+func (x *exchange) admitLoad(r *http.Request, limits masticway.CallerLimits) *masticway.RefusalError {
 	bytes := r.ContentLength
 	if bytes < 0 {
 		// It may become as large as is allowed.
-		bytes = bodyLimit(limits)
+		bytes = maxBodyBytes(limits)
 	}
 	if x.f.rotation.Admit(x.q.rank(), bytes) {
-		x.carried.Store(true)
-		x.admitted, x.bytes = true, bytes
+		x.awaitingAnswer.Store(true)
+		x.admitted, x.admittedBytes = true, bytes
 		return nil
 	}
-	return refusal(http.StatusServiceUnavailable, codeOverloaded, "this router has more to carry than it can", retryElsewhere)
+	return refusal(http.StatusServiceUnavailable, codeOverloaded, "this router has more to carry than it can", retryAfterReconnect)
 }
 
-// answered counts the request out, once.
-func (x *exchange) answered() {
-	if x.carried.Swap(false) {
+// markAnswered counts the request out, once.
+func (x *exchange) markAnswered() {
+	if x.awaitingAnswer.Swap(false) {
 		x.f.rotation.MarkAnswered()
 	}
 }
 
 // release counts out what the request held.
 func (x *exchange) release() {
-	x.answered()
+	x.markAnswered()
 	if x.admitted {
-		x.f.rotation.Release(x.bytes)
+		x.f.rotation.Release(x.admittedBytes)
 	}
 }
 
-// bodyLimit is the most that a body may have.
-func bodyLimit(limits masticway.CallerLimits) int64 {
+// maxBodyBytes is the most that a body may have.
+func maxBodyBytes(limits masticway.CallerLimits) int64 {
 	if limits.MaxBodyBytes <= 0 {
-		return defaultBody
+		return defaultMaxBodyBytes
 	}
 	return limits.MaxBodyBytes
 }
 
-// find looks up route, workspace and pool.
-func (x *exchange) find(b follower.Beliefs, r *http.Request) *masticway.RefusalError {
-	d := b.Deployment
+// resolveRoute looks up route, workspace and pool.
+func (x *exchange) resolveRoute(snapshot follower.Beliefs, r *http.Request) *masticway.RefusalError {
+	d := snapshot.Deployment
 	x.q.revision = d.Version
 	host := r.Host
 	if name, _, err := net.SplitHostPort(host); err == nil {
@@ -186,14 +186,14 @@
 			return refusal(http.StatusUnauthorized, codeBadKey, "the key is missing or unknown", 0)
 		}
 	}
-	x.q.pool = d.Pools[pick(route.Shares, x.q.ID)]
+	x.q.pool = d.Pools[pickPool(route.Shares, x.q.ID)]
 	x.q.prompt = chooser.Prompt{Tokens: x.q.Prompt, Output: x.q.MaxOutput, Parts: x.q.Parts, Zone: x.f.settings.Zone}
-	x.limitTime()
+	x.setDeadline()
 	return nil
 }
 
-// pick chooses a pool by weight; one request always gets the same.
-func pick(shares []masticway.TrafficShare, id string) string {
+// pickPool chooses a pool by weight; one request always gets the same.
+func pickPool(shares []masticway.TrafficShare, id string) string {
 	total := 0
 	for _, s := range shares {
 		total += s.Weight
@@ -211,8 +211,8 @@
 	return ""
 }
 
-// limitTime sets the end of the caller's patience or of the route's timeout, whichever comes first.
-func (x *exchange) limitTime() {
+// setDeadline sets the end of the caller's patience or of the route's timeout, whichever comes first.
+func (x *exchange) setDeadline() {
 	left := x.q.TimeLeft
 	if t := x.q.route.Timeout; t > 0 && (left <= 0 || t < left) {
 		left = t
@@ -222,9 +222,9 @@
 	}
 }
 
-// read takes the body in whole, so that it can be sent again.
-func (x *exchange) read(w http.ResponseWriter, r *http.Request, limits masticway.CallerLimits) *masticway.RefusalError {
-	limit := bodyLimit(limits)
+// readBody takes the body in whole, so that it can be sent again.
+func (x *exchange) readBody(w http.ResponseWriter, r *http.Request, limits masticway.CallerLimits) *masticway.RefusalError {
+	limit := maxBodyBytes(limits)
 	if r.ContentLength == 0 {
 		return nil
 	}
@@ -239,7 +239,7 @@
 		return refusal(http.StatusRequestEntityTooLarge, codeTooLarge, "the body is over the limit", 0)
 	}
 	if err != nil {
-		return refusal(http.StatusBadRequest, codeBodyBroken, "the body ended early: "+err.Error(), 0)
+		return refusal(http.StatusBadRequest, codeBodyUnreadable, "the body ended early: "+err.Error(), 0)
 	}
 	return nil
 }
--- a/forwarder/attempt.go
+++ b/forwarder/attempt.go
@@ -17,10 +17,10 @@
 )
 
 const (
-	// answerLimit bounds an answer that is read in whole.
-	answerLimit = 8 << 20
-	// foreignAnswers bounds the answers to other requests that are skipped on one connection.
-	foreignAnswers = 2
+	// maxAnswerBytes bounds an answer that is read in whole.
+	maxAnswerBytes = 8 << 20
+	// maxForeignAnswers bounds the answers to other requests that are skipped on one connection.
+	maxForeignAnswers = 2
 )
 
 // attempt is one request at one server.
@@ -32,32 +32,32 @@
 	parent context.Context
 	ctx    context.Context
 	cancel context.CancelCauseFunc
-	// sending brings the answer of a server that was asked while the one before was silent; else it is nil.
-	sending chan sent
+	// sendResults brings the answer of a server that was asked while the one before was silent; else it is nil.
+	sendResults chan sendResult
 	// excluded are the servers that had been asked when the attempt began.
 	excluded map[string]bool
-	patience patience
-	// apart tells that the request runs as a suspect, and is this router's to report on.
-	apart bool
+	handover handoverState
+	// quarantined tells that the request runs as a suspect, and is this router's to report on.
+	quarantined bool
 	// firstAt is when the first part of this server's answer came.
 	firstAt time.Time
 }
 
-// try sends the request to one server and relays its answer.
-func (x *exchange) try(ctx context.Context, a *attempt) outcome {
+// runAttempt sends the request to one server and relays its answer.
+func (x *exchange) runAttempt(ctx context.Context, a *attempt) outcome {
 	defer a.cancel(nil)
 	x.server = a.server.ID
 	out := a.run()
 	if errors.Is(ctx.Err(), context.Canceled) {
-		out.verdict = chooser.VerdictNone
+		out.result = chooser.VerdictNone
 	}
-	a.end(out.verdict)
+	a.recordResult(out.result)
 	return out
 }
 
-// attempt returns the next attempt: at a server that has taken the request while the one before was silent, else at the
+// nextAttempt returns the next attempt: at a server that has taken the request while the one before was silent, else at the
 // best of those that were not asked. There may be none, for a reason.
-func (x *exchange) attempt(ctx context.Context) (*attempt, outcome) {
+func (x *exchange) nextAttempt(ctx context.Context) (*attempt, outcome) {
 	a := x.next.Swap(nil)
 	if a == nil {
 		c, none, ok := x.choose(ctx)
@@ -65,9 +65,9 @@
 			return nil, none
 		}
 		a = x.newAttempt(ctx, c.server)
-		a.apart = c.apart
+		a.quarantined = c.quarantined
 	}
-	a.excluded = maps.Clone(x.exclude)
+	a.excluded = maps.Clone(x.tried)
 	return a, outcome{}
 }
 
@@ -82,119 +82,119 @@
 	return a
 }
 
-// end notes how an attempt ended, as far as it says something of its server.
-func (a *attempt) end(v chooser.Verdict) {
+// recordResult notes how an attempt ended, as far as it says something of its server.
+func (a *attempt) recordResult(r chooser.Verdict) {
 	f := a.x.f
 	f.mu.Lock()
-	f.servers.Ended(f.clock.Now(), a.placement, v)
+	f.servers.Ended(f.clock.Now(), a.placement, r)
 	f.mu.Unlock()
 }
 
 func (a *attempt) run() outcome {
 	x := a.x
-	a.expect(x.firstWait())
-	defer a.expect(0)
-	answer, err := a.answer()
+	a.setSilenceTimeout(x.firstAnswerTimeout())
+	defer a.setSilenceTimeout(0)
+	answer, err := a.awaitAnswer()
 	if err != nil {
-		return a.unsent(err)
+		return a.sendFailure(err)
 	}
 	defer func() { answer.Close() }()
-	head, own, err := a.own(answer)
+	head, expected, err := a.skipForeignAnswers(answer)
 	if err != nil {
-		return a.failed(err)
+		return a.failure(err)
 	}
-	answer = own
+	answer = expected
 	answer.KeepIdle(head.IdleTimeout)
-	return a.take(answer, head)
+	return a.handleAnswer(answer, head)
 }
 
-// answer sends the request, unless it is sent already, and returns the head of the answer.
-func (a *attempt) answer() (*sender.Answer, error) {
-	if a.sending != nil {
-		r := <-a.sending
+// awaitAnswer sends the request, unless it is sent already, and returns the head of the answer.
+func (a *attempt) awaitAnswer() (*sender.Answer, error) {
+	if a.sendResults != nil {
+		r := <-a.sendResults
 		return r.answer, r.err
 	}
-	return a.request(a.x.lastEvent)
+	return a.send(a.x.lastEvent)
 }
 
-// request sends the request to the attempt's server and returns the head of the answer; a stream goes on after the last event given.
-func (a *attempt) request(last string) (*sender.Answer, error) {
-	answer, err := a.x.f.sender.Send(a.ctx, a.server.Address, a.x.connections(), a.x.deliver(a.server, last))
+// send sends the request to the attempt's server and returns the head of the answer; a stream goes on after the last event given.
+func (a *attempt) send(lastEvent string) (*sender.Answer, error) {
+	answer, err := a.x.f.sender.Send(a.ctx, a.server.Address, a.x.maxConnections(), a.x.serverRequest(a.server, lastEvent))
 	if err == nil {
-		a.hear(answer)
+		a.observeServer(answer)
 	}
 	return answer, err
 }
 
-// hear notes what the server says of itself in the head of an answer.
-func (a *attempt) hear(answer *sender.Answer) {
+// observeServer notes what the server says of itself in the head of an answer.
+func (a *attempt) observeServer(answer *sender.Answer) {
 	if answer.Status == http.StatusMisdirectedRequest {
 		// A server that is not the one meant speaks of itself.
 		return
 	}
-	head := a.x.f.dialect.ParseAnswer(answer.Status, answer.Header)
+	head := a.x.f.codec.ParseAnswer(answer.Status, answer.Header)
 	a.x.f.throttler.Observe(a.server.Incarnation(), head)
 	if head.Draining {
-		a.x.f.leaves(a.server)
+		a.x.f.onLeaving(a.server)
 	}
 }
 
-// firstWait is how long the first bytes of an answer are waited for before another server is asked; zero is for ever.
-func (x *exchange) firstWait() time.Duration {
-	if x.ran()+1 >= x.q.route.MaxServers {
+// firstAnswerTimeout is how long the first bytes of an answer are waited for before another server is asked; zero is for ever.
+func (x *exchange) firstAnswerTimeout() time.Duration {
+	if x.possibleRuns()+1 >= x.q.route.MaxServers {
 		return 0
 	}
 	switch x.q.route.RetryPolicy {
 	case masticway.RetryUnlimited:
-		return time.Duration(patienceShare * float64(x.q.route.LatencyObjective))
+		return time.Duration(handoverFraction * float64(x.q.route.LatencyObjective))
 	case masticway.RetryByResuming:
-		return time.Duration(firstPatience * float64(x.q.route.LatencyObjective))
+		return time.Duration(streamHandoverFactor * float64(x.q.route.LatencyObjective))
 	}
 	return 0
 }
 
-// gapWait is the same for the pause between two events.
-func (x *exchange) gapWait() time.Duration {
-	if x.ran()+1 >= x.q.route.MaxServers || x.q.route.RetryPolicy != masticway.RetryByResuming {
+// eventGapTimeout is the same for the pause between two events.
+func (x *exchange) eventGapTimeout() time.Duration {
+	if x.possibleRuns()+1 >= x.q.route.MaxServers || x.q.route.RetryPolicy != masticway.RetryByResuming {
 		return 0
 	}
-	return time.Duration(gapPatience * float64(x.q.route.MaxEventGap))
+	return time.Duration(gapHandoverFactor * float64(x.q.route.MaxEventGap))
 }
 
-// unsent tells what became of a request without an answer.
-func (a *attempt) unsent(err error) outcome {
+// sendFailure tells what became of a request without an answer.
+func (a *attempt) sendFailure(err error) outcome {
 	if _, ok := errors.AsType[*sender.FullError](err); ok {
-		return outcome{fate: masticway.FateNotRun, verdict: chooser.VerdictNone, reason: err.Error(), full: true}
+		return outcome{fate: masticway.FateNotRun, result: chooser.VerdictNone, reason: err.Error(), isFull: true}
 	}
 	if failure, ok := errors.AsType[*sender.Error](err); ok && !failure.Sent {
 		if errors.Is(err, syscall.ECONNREFUSED) {
-			a.x.f.lookFor(a.server)
+			a.x.f.checkUnreachable(a.server)
 		}
-		return outcome{fate: masticway.FateNotRun, verdict: chooser.VerdictUnreached, reason: err.Error()}
+		return outcome{fate: masticway.FateNotRun, result: chooser.VerdictUnreached, reason: err.Error()}
 	}
-	return a.lost(err)
+	return a.connectionFailure(err)
 }
 
-// failed is an attempt that may have run and whose answer is missing or of no use.
-func (a *attempt) failed(err error) outcome {
+// failure is an attempt that may have run and whose answer is missing or of no use.
+func (a *attempt) failure(err error) outcome {
 	cause := context.Cause(a.ctx)
 	if cause != nil {
 		err = fmt.Errorf("%w (%w)", cause, err)
 	}
-	return outcome{fate: masticway.FateUnknown, verdict: chooser.VerdictFailed, reason: err.Error(), abandoned: cause != nil}
+	return outcome{fate: masticway.FateUnknown, result: chooser.VerdictFailed, reason: err.Error(), abandoned: cause != nil}
 }
 
-// lost is a failed attempt whose connection ended before the answer did, unless it was this router that ended it.
-func (a *attempt) lost(err error) outcome {
-	out := a.failed(err)
-	out.broken = !out.abandoned
+// connectionFailure is a failed attempt whose connection ended before the answer did, unless it was this router that ended it.
+func (a *attempt) connectionFailure(err error) outcome {
+	out := a.failure(err)
+	out.connectionBroken = !out.abandoned
 	return out
 }
 
-// own finds the answer to this request, past answers to others that a faulty server sent twice.
-func (a *attempt) own(answer *sender.Answer) (masticway.ServerAnswer, *sender.Answer, error) {
-	for range foreignAnswers {
-		head := a.x.f.dialect.ParseAnswer(answer.Status, answer.Header)
+// skipForeignAnswers finds the answer to this request, past answers to others that a faulty server sent twice.
+func (a *attempt) skipForeignAnswers(answer *sender.Answer) (masticway.ServerAnswer, *sender.Answer, error) {
+	for range maxForeignAnswers {
+		head := a.x.f.codec.ParseAnswer(answer.Status, answer.Header)
 		if head.ID == a.x.q.ID || head.ID == "" {
 			return head, answer, nil
 		}
@@ -207,74 +207,74 @@
 	return masticway.ServerAnswer{}, answer, errors.New("the answers belong to other requests")
 }
 
-// take decides what an answer is worth and relays it.
-func (a *attempt) take(answer *sender.Answer, head masticway.ServerAnswer) outcome {
+// handleAnswer decides what an answer is worth and relays it.
+func (a *attempt) handleAnswer(answer *sender.Answer, head masticway.ServerAnswer) outcome {
 	if head.NotRun {
 		_, _ = io.Copy(io.Discard, answer)
-		return a.notRun(answer.Status)
+		return a.notRunOutcome(answer.Status)
 	}
 	if head.ID == "" || !head.Signed {
-		return a.failed(fmt.Errorf("status %d without the request's id or a signature", answer.Status))
+		return a.failure(fmt.Errorf("status %d without the request's id or a signature", answer.Status))
 	}
 	a.x.step(eventAnswered)
 	if a.x.q.route.IsStream && answer.Status == http.StatusOK {
-		return a.relay(answer)
+		return a.relayStream(answer)
 	}
-	return a.pass(answer)
+	return a.relayWhole(answer)
 }
 
-func (a *attempt) notRun(status int) outcome {
-	out := outcome{fate: masticway.FateNotRun, verdict: chooser.VerdictNone, reason: "status " + strconv.Itoa(status) + ", not run"}
+func (a *attempt) notRunOutcome(status int) outcome {
+	out := outcome{fate: masticway.FateNotRun, result: chooser.VerdictNone, reason: "status " + strconv.Itoa(status) + ", not run"}
 	if status == http.StatusServiceUnavailable || status == http.StatusTooManyRequests {
-		out.full = true
-		out.verdict = chooser.VerdictFailed
+		out.isFull = true
+		out.result = chooser.VerdictFailed
 	}
 	if status == http.StatusMisdirectedRequest {
-		out.verdict = chooser.VerdictUnreached
+		out.result = chooser.VerdictUnreached
 	}
 	return out
 }
 
-// pass reads an answer in whole and hands it to the caller.
-func (a *attempt) pass(answer *sender.Answer) outcome {
+// relayWhole reads an answer in whole and hands it to the caller.
+func (a *attempt) relayWhole(answer *sender.Answer) outcome {
 	x := a.x
-	body, err := io.ReadAll(io.LimitReader(answer, answerLimit))
+	body, err := io.ReadAll(io.LimitReader(answer, maxAnswerBytes))
 	if err != nil {
-		return a.lost(fmt.Errorf("reading the answer: %w", err))
+		return a.connectionFailure(fmt.Errorf("reading the answer: %w", err))
 	}
-	a.first()
+	a.recordFirstPart()
 	bad := answer.Status >= http.StatusInternalServerError
-	if bad && x.q.route.RetryPolicy == masticway.RetryUnlimited && x.ran()+1 < x.q.route.MaxServers && x.suspect(a.server) {
-		return outcome{fate: masticway.FateRan, verdict: chooser.VerdictFailed, reason: "status " + strconv.Itoa(answer.Status) + " of a suspect server"}
+	if bad && x.q.route.RetryPolicy == masticway.RetryUnlimited && x.possibleRuns()+1 < x.q.route.MaxServers && x.isOutlier(a.server) {
+		return outcome{fate: masticway.FateRan, result: chooser.VerdictFailed, reason: "status " + strconv.Itoa(answer.Status) + " of a suspect server"}
 	}
 	x.fate = masticway.FateRan
-	if x.begun {
+	if x.headWritten {
 		// A stream that was to be resumed got another answer; the caller's stream cannot take it.
-		return outcome{fate: masticway.FateRan, verdict: chooser.VerdictNone, reason: "status " + strconv.Itoa(answer.Status) + " to a resumption"}
+		return outcome{fate: masticway.FateRan, result: chooser.VerdictNone, reason: "status " + strconv.Itoa(answer.Status) + " to a resumption"}
 	}
-	if !a.clear() {
-		return outcome{fate: masticway.FateRan, verdict: chooser.VerdictNone, reason: errNotCleared.Error()}
+	if !a.awaitClearance() {
+		return outcome{fate: masticway.FateRan, result: chooser.VerdictNone, reason: errHoldNotCleared.Error()}
 	}
-	x.begin(answer)
+	x.beginAnswer(answer)
 	x.w.Header().Set("Content-Length", strconv.Itoa(len(body)))
 	x.w.WriteHeader(answer.Status)
 	_, _ = x.w.Write(body)
-	verdict := chooser.VerdictGood
+	result := chooser.VerdictGood
 	if bad {
-		verdict = chooser.VerdictFailed
+		result = chooser.VerdictFailed
 	}
-	return outcome{done: true, fate: masticway.FateRan, verdict: verdict}
+	return outcome{done: true, fate: masticway.FateRan, result: result}
 }
 
-// begin copies an answer's headers to the caller; from here on it has this server's head.
-func (x *exchange) begin(answer *sender.Answer) {
-	x.begun = true
-	x.charged = answer.Status < http.StatusMultipleChoices
+// beginAnswer copies an answer's headers to the caller; from here on it has this server's head.
+func (x *exchange) beginAnswer(answer *sender.Answer) {
+	x.headWritten = true
+	x.chargeable = answer.Status < http.StatusMultipleChoices
 	header := x.w.Header()
-	for name, values := range x.f.dialect.CallerHeaders(answer.Header) {
+	for name, values := range x.f.codec.CallerHeaders(answer.Header) {
 		header[name] = values
 	}
-	x.f.keep(header)
+	x.f.setConnectionHeader(header)
 	// What the server did not say is not added.
 	for _, name := range []string{"Date", "Content-Type"} {
 		if _, ok := header[name]; !ok {
@@ -283,10 +283,10 @@
 	}
 }
 
-// first notes the first sign of the answer.
-func (a *attempt) first() {
+// recordFirstPart notes the first sign of the answer.
+func (a *attempt) recordFirstPart() {
 	now := a.x.f.clock.Now()
-	a.x.answered()
+	a.x.markAnswered()
 	if a.x.firstAt.IsZero() {
 		a.x.firstAt = now
 	}
@@ -298,8 +298,8 @@
 	a.x.f.mu.Unlock()
 }
 
-func (x *exchange) suspect(s masticway.Server) bool {
+func (x *exchange) isOutlier(s masticway.Server) bool {
 	x.f.mu.Lock()
 	defer x.f.mu.Unlock()
-	return x.f.servers.Suspect(s.ID, x.f.beliefs().Servers[x.q.pool.Name])
+	return x.f.servers.Suspect(s.ID, x.f.snapshot().Servers[x.q.pool.Name])
 }
--- a/forwarder/candidates_test.go
+++ b/forwarder/candidates_test.go
@@ -11,9 +11,9 @@
 	"github.com/masticway/masticway/forwarder"
 )
 
-// TestAllowedRegionsBindWhereARequestRuns has routes and workspaces with allowed regions before servers in two regions, and one in a zone of
+// TestAllowedRegions has routes and workspaces with allowed regions before servers in two regions, and one in a zone of
 // which nothing is known.
-func TestAllowedRegionsBindWhereARequestRuns(t *testing.T) {
+func TestAllowedRegions(t *testing.T) {
 	zones := []string{"z-east", "z-west", "z-nowhere"}
 	cases := map[string]struct {
 		route, workspace []string
@@ -28,24 +28,24 @@
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
-			f := newFleetOf(t, len(zones), forwarder.Settings{
+			f := newFixtureWithSettings(t, len(zones), forwarder.Settings{
 				Retries: forwarder.RetriesSettings{Ratio: 0.2, Slack: 50, WindowSeconds: 10},
 				Regions: map[string]string{"z-east": "east", "z-west": "west"},
 			})
-			d := f.beliefs.Deployment
+			d := f.snapshot.Deployment
 			for i := range d.Routes {
 				d.Routes[i].Regions = tc.route
 			}
 			account := d.Accounts["w"]
 			account.Regions = tc.workspace
 			d.Accounts["w"] = account
-			f.beliefs.Deployment = d.WithIndex()
-			for i := range f.beliefs.Servers["p"] {
-				f.beliefs.Servers["p"][i].Zone = zones[i]
+			f.snapshot.Deployment = d.WithIndex()
+			for i := range f.snapshot.Servers["p"] {
+				f.snapshot.Servers["p"][i].Zone = zones[i]
 			}
 			for i := range 12 {
 				began := time.Now()
-				got := f.ask(t.Context(), "POST", "/never/x", "X-Attempt-Id", fmt.Sprint(i))
+				got := f.do(t.Context(), "POST", "/never/x", "X-Attempt-Id", fmt.Sprint(i))
 				if tc.runs == nil {
 					qt.Assert(t, got.status, qt.Equals, 503)
 					qt.Assert(t, time.Since(began) < time.Second/4, qt.IsTrue)
@@ -65,31 +65,31 @@
 	}
 }
 
-// TestColdServersGetNothingWhileOthersServe has a cold server beside a warm one, then all cold while this router is not the
+// TestColdServersGetNothingWhileWarmOnesServe has a cold server beside a warm one, then all cold while this router is not the
 // one that sends to them: what cannot be served is refused at once, and its caller told when a server is warm.
-func TestColdServersGetNothingWhileOthersServe(t *testing.T) {
+func TestColdServersGetNothingWhileWarmOnesServe(t *testing.T) {
 	const coldFor = 2 * time.Second
-	f := newFleet(t, 2)
+	f := newFixture(t, 2)
 	chill := func(i int) {
-		for _, s := range [][]masticway.Server{f.beliefs.Servers["p"], f.beliefs.Servers["llm"]} {
+		for _, s := range [][]masticway.Server{f.snapshot.Servers["p"], f.snapshot.Servers["llm"]} {
 			s[i].ColdUntil = f.clock.Now().Add(coldFor)
 		}
 	}
 	chill(0)
 	for i := range 10 {
-		got := f.ask(t.Context(), "POST", "/freely/x", "X-Attempt-Id", fmt.Sprint(i))
+		got := f.do(t.Context(), "POST", "/freely/x", "X-Attempt-Id", fmt.Sprint(i))
 		qt.Assert(t, got.status, qt.Equals, 200)
 	}
 	for _, run := range f.ledger.Runs() {
 		qt.Assert(t, run.Server, qt.Equals, "i-1")
 	}
 	chill(1)
-	f.bank.others = true
+	f.budgets.othersOwn = true
 	began := time.Now()
-	got := f.ask(t.Context(), "POST", "/freely/x")
+	got := f.do(t.Context(), "POST", "/freely/x")
 	qt.Assert(t, got.status, qt.Equals, 503)
 	qt.Assert(t, time.Since(began) < time.Second/4, qt.IsTrue)
 	qt.Assert(t, got.header.Get("Retry-After") > "1.5", qt.IsTrue, qt.Commentf("%s", got.header.Get("Retry-After")))
 	f.clock.advance(coldFor)
-	qt.Assert(t, f.ask(t.Context(), "POST", "/freely/x").status, qt.Equals, 200)
+	qt.Assert(t, f.do(t.Context(), "POST", "/freely/x").status, qt.Equals, 200)
 }
--- a/forwarder/ends.go
+++ b/forwarder/ends.go
@@ -17,8 +17,8 @@
 const (
 	// checkTimeout bounds the connection by which a server is checked, many times the way between availability zones.
 	checkTimeout = 100 * time.Millisecond
-	// checkFresh is how long the result of a check holds for the other connections that break at the same moment.
-	checkFresh = 250 * time.Millisecond
+	// checkTTL is how long the result of a check holds for the other connections that break at the same moment.
+	checkTTL = 250 * time.Millisecond
 )
 
 // condition is what a connection that is made after another one broke tells of a server.
@@ -36,9 +36,9 @@
 
 // check is one check of one life of a server.
 type check struct {
-	done  chan struct{}
-	found condition
-	at    time.Time
+	done       chan struct{}
+	result     condition
+	finishedAt time.Time
 }
 
 // checks tells servers that have ended from connections that have. All requests of a server break off with it, so one
@@ -47,32 +47,32 @@
 	dial  func(ctx context.Context, network, address string) (net.Conn, error)
 	clock masticway.Clock
 	log   *logrus.Entry
-	// ended is called with each server that is found to have ended.
-	ended func(life masticway.ServerIncarnation)
+	// onEnded is called with each server that is found to have ended.
+	onEnded func(server masticway.ServerIncarnation)
 
-	mu    sync.Mutex
-	known map[masticway.ServerIncarnation]*check
+	mu       sync.Mutex
+	byServer map[masticway.ServerIncarnation]*check
 }
 
-// begin returns the check of a server, a new one unless one is under way or fresh.
-func (c *checks) begin(s masticway.Server) *check {
+// start returns the check of a server, a new one unless one is under way or fresh.
+func (c *checks) start(s masticway.Server) *check {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	life := s.Incarnation()
-	if k, ok := c.known[life]; ok && k.holds(c.clock.Now()) {
+	incarnation := s.Incarnation()
+	if k, ok := c.byServer[incarnation]; ok && k.isCurrent(c.clock.Now()) {
 		return k
 	}
 	k := &check{done: make(chan struct{})}
-	c.known[life] = k
+	c.byServer[incarnation] = k
 	go c.run(s, k)
 	return k
 }
 
-// holds tells that a check is under way or its result still counts.
-func (k *check) holds(now time.Time) bool {
+// isCurrent tells that a check is under way or its result still counts.
+func (k *check) isCurrent(now time.Time) bool {
 	select {
 	case <-k.done:
-		return now.Sub(k.at) < checkFresh
+		return now.Sub(k.finishedAt) < checkTTL
 	default:
 		return true
 	}
@@ -85,38 +85,38 @@
 	switch {
 	case err == nil:
 		_ = n.Close()
-		k.found = conditionAnswers
+		k.result = conditionAnswers
 	case errors.Is(err, syscall.ECONNREFUSED):
-		k.found = conditionEnded
+		k.result = conditionEnded
 	default:
-		k.found = conditionUnreachable
+		k.result = conditionUnreachable
 	}
-	k.at = c.clock.Now()
+	k.finishedAt = c.clock.Now()
 	close(k.done)
 	c.log.WithFields(logrus.Fields{
-		"event": "server_checked", "server": s.ID, "address": s.Address, "pool": s.Pool, "found": k.found, "error": err,
+		"event": "server_checked", "server": s.ID, "address": s.Address, "pool": s.Pool, "found": k.result, "error": err,
 	}).Info("server checked after a connection broke")
-	if k.found == conditionEnded {
-		c.ended(s.Incarnation())
+	if k.result == conditionEnded {
+		c.onEnded(s.Incarnation())
 	}
 }
 
-// keep forgets the checks of lives that are not among the given servers.
-func (c *checks) keep(b follower.Beliefs) {
+// retain forgets the checks of lives that are not among the given servers.
+func (c *checks) retain(snapshot follower.Beliefs) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if len(c.known) == 0 {
+	if len(c.byServer) == 0 {
 		return
 	}
 	registered := map[masticway.ServerIncarnation]bool{}
-	for _, servers := range b.Servers {
+	for _, servers := range snapshot.Servers {
 		for _, s := range servers {
 			registered[s.Incarnation()] = true
 		}
 	}
-	for life := range c.known {
-		if !registered[life] {
-			delete(c.known, life)
+	for incarnation := range c.byServer {
+		if !registered[incarnation] {
+			delete(c.byServer, incarnation)
 		}
 	}
 }
--- a/forwarder/forwarder.go
+++ b/forwarder/forwarder.go
@@ -19,8 +19,8 @@
 	"github.com/masticway/masticway/treasurer"
 )
 
-// Bank holds prepaid money for requests.
-type Bank interface {
+// Budgets holds prepaid money for requests.
+type Budgets interface {
 	// Hold takes money for a request, and waits for it at most so long.
 	Hold(ctx context.Context, workspace string, need int64, wait time.Duration) treasurer.Reply
 	// Clear waits until a hold's answer may go to the caller, and returns false when the context ended first.
@@ -33,9 +33,9 @@
 	Owns(key string) bool
 }
 
-// takeFor is how long a router that ends takes any request: the balancer needs two misses, a second apart, to send new
+// drainNotice is how long a router that ends takes any request: the balancer needs two misses, a second apart, to send new
 // connections elsewhere.
-const takeFor = 2500 * time.Millisecond
+const drainNotice = 2500 * time.Millisecond
 
 // Forwarder serves callers.
 type Forwarder struct {
@@ -43,17 +43,17 @@
 	clock    masticway.Clock
 	log      *logrus.Entry
 	metrics  *measurer.Set
-	dialect  masticway.HeaderCodec
-	bank     Bank
+	codec    masticway.HeaderCodec
+	budgets  Budgets
 	sender   *sender.Sender
-	beliefs  func() follower.Beliefs
+	snapshot func() follower.Beliefs
 	checks   *checks
 	examiner masticway.Examiner
 	rotation masticway.Rotation
 	// throttler keeps to what servers say of the requests that they take.
 	throttler masticway.Throttler
-	// leaves is told of servers that say that they leave.
-	leaves func(masticway.Server)
+	// onLeaving is told of servers that say that they leave.
+	onLeaving func(masticway.Server)
 	// abandoned are the runs whose servers no connection tells of any more.
 	abandoned abandonedRuns
 
@@ -61,9 +61,9 @@
 	servers    *chooser.Servers
 	allowances map[string]*retrier.Allowance
 
-	// draining is when the router was told to end, and until when it serves; nothing before.
-	draining atomic.Pointer[drain]
-	finished atomic.Int64
+	// drainState is when the router was told to end, and until when it serves; nothing before.
+	drainState  atomic.Pointer[drain]
+	servedCount atomic.Int64
 }
 
 // Parts are what a forwarder is made of.
@@ -72,7 +72,7 @@
 	Log     *logrus.Entry
 	Metrics *measurer.Set
 	Dialect masticway.HeaderCodec
-	Bank    Bank
+	Bank    Budgets
 	Beliefs func() follower.Beliefs
 	// Examiner knows the requests under which servers end.
 	Examiner masticway.Examiner
@@ -89,67 +89,67 @@
 // New returns a forwarder.
 func New(s Settings, p Parts) *Forwarder {
 	f := &Forwarder{
-		settings: s, clock: p.Clock, log: p.Log, metrics: p.Metrics, dialect: p.Dialect, bank: p.Bank, beliefs: p.Beliefs,
-		examiner: p.Examiner, rotation: p.Rotation, throttler: p.Throttler, leaves: p.Leaves,
-		checks: &checks{dial: p.Dial, clock: p.Clock, log: p.Log, known: map[masticway.ServerIncarnation]*check{}},
-		sender: sender.New(p.Dial, p.Clock.Now), servers: chooser.NewServers(s.placement()), allowances: map[string]*retrier.Allowance{},
+		settings: s, clock: p.Clock, log: p.Log, metrics: p.Metrics, codec: p.Dialect, budgets: p.Bank, snapshot: p.Beliefs,
+		examiner: p.Examiner, rotation: p.Rotation, throttler: p.Throttler, onLeaving: p.Leaves,
+		checks: &checks{dial: p.Dial, clock: p.Clock, log: p.Log, byServer: map[masticway.ServerIncarnation]*check{}},
+		sender: sender.New(p.Dial, p.Clock.Now), servers: chooser.NewServers(s.serverPolicy()), allowances: map[string]*retrier.Allowance{},
 	}
-	f.checks.ended = f.accuseAbandoned
+	f.checks.onEnded = f.reportAbandoned
 	return f
 }
 
 // Changed takes a new belief: what is known of servers that are gone is dropped.
-func (f *Forwarder) Changed(b follower.Beliefs) {
-	born, addresses := map[string]time.Time{}, map[string]bool{}
-	at := map[string]string{}
-	for _, servers := range b.Servers {
+func (f *Forwarder) Changed(snapshot follower.Beliefs) {
+	startedAt, addresses := map[string]time.Time{}, map[string]bool{}
+	addressOf := map[string]string{}
+	for _, servers := range snapshot.Servers {
 		for _, s := range servers {
-			born[s.ID] = s.StartedAt
+			startedAt[s.ID] = s.StartedAt
 			addresses[s.Address] = true
-			at[s.ID] = s.Address
+			addressOf[s.ID] = s.Address
 		}
 	}
 	f.mu.Lock()
-	reborn := f.servers.Keep(born)
+	restarted := f.servers.Keep(startedAt)
 	f.mu.Unlock()
-	for _, id := range reborn {
+	for _, id := range restarted {
 		// Connections that rest are those of the life before.
-		delete(addresses, at[id])
-		f.log.WithFields(logrus.Fields{"event": "server_reborn", "server": id, "born": born[id]}).Info("server began a new life")
+		delete(addresses, addressOf[id])
+		f.log.WithFields(logrus.Fields{"event": "server_reborn", "server": id, "born": startedAt[id]}).Info("server began a new life")
 	}
 	f.sender.Forget(addresses)
-	f.checks.keep(b)
+	f.checks.retain(snapshot)
 }
 
 // Ready tells whether new connections are wanted.
 func (f *Forwarder) Ready() bool {
-	return f.draining.Load() == nil && f.beliefs().Ready() && !f.rotation.IsOut()
+	return f.drainState.Load() == nil && f.snapshot().Ready() && !f.rotation.IsOut()
 }
 
 // drain is an end that was asked for.
 type drain struct {
 	since time.Time
 	until time.Time
-	// closed tells that connections are being closed.
-	closed atomic.Bool
+	// closing tells that connections are being closed.
+	closing atomic.Bool
 }
 
-// cuts tells that a request would probably be cut off: it may last longer than the router, and its caller has had
+// wouldCutOff tells that a request would probably be cut off: it may last longer than the router, and its caller has had
 // time to go elsewhere.
-func (d *drain) cuts(now, deadline time.Time) bool {
-	return d != nil && (d.closed.Load() || now.Sub(d.since) > takeFor && deadline.After(d.until))
+func (d *drain) wouldCutOff(now, deadline time.Time) bool {
+	return d != nil && (d.closing.Load() || now.Sub(d.since) > drainNotice && deadline.After(d.until))
 }
 
 // Drain makes every answer end its connection, and Ready say no; at the given time the router will be gone.
 func (f *Forwarder) Drain(until time.Time) {
-	f.draining.Store(&drain{since: f.clock.Now(), until: until})
+	f.drainState.Store(&drain{since: f.clock.Now(), until: until})
 }
 
 // Refuse lets no request be passed on from now on. It goes before the closing of idle connections: one on which a request
 // has just come looks idle until it is read, and the request would be passed on and lose its answer.
 func (f *Forwarder) Refuse() {
-	if d := f.draining.Load(); d != nil {
-		d.closed.Store(true)
+	if d := f.drainState.Load(); d != nil {
+		d.closing.Store(true)
 	}
 }
 
@@ -159,17 +159,17 @@
 	x, refused := f.admit(w, r)
 	defer x.release()
 	if refused != nil {
-		f.refuse(w, x, refused)
+		f.writeRefusal(w, x, refused)
 		return
 	}
 	x.run(r.Context())
 }
 
-// keep tells an answer's caller whether its connection can be used again; the next one of a router that ends or is out of
+// setConnectionHeader tells an answer's caller whether its connection can be used again; the next one of a router that ends or is out of
 // rotation reaches another. It is asked when the head is written: a request that came before the end was asked for may be
 // answered after it.
-func (f *Forwarder) keep(h http.Header) {
-	if f.draining.Load() != nil || f.rotation.IsOut() {
+func (f *Forwarder) setConnectionHeader(h http.Header) {
+	if f.drainState.Load() != nil || f.rotation.IsOut() {
 		h.Set("Connection", "close")
 	}
 }
--- a/forwarder/forwarder_test.go
+++ b/forwarder/forwarder_test.go
@@ -28,41 +28,41 @@
 	"github.com/masticway/masticway/treasurer"
 )
 
-// drainClock is a clock that a test moves on.
-type drainClock struct {
+// offsetClock is a clock that a test moves on.
+type offsetClock struct {
 	masticway.SystemClock
-	mu    sync.Mutex
-	ahead time.Duration
+	mu     sync.Mutex
+	offset time.Duration
 }
 
-func (c *drainClock) Now() time.Time {
+func (c *offsetClock) Now() time.Time {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return time.Now().Add(c.ahead)
+	return time.Now().Add(c.offset)
 }
 
-func (c *drainClock) advance(d time.Duration) {
+func (c *offsetClock) advance(d time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.ahead += d
+	c.offset += d
 }
 
-func TestRequestsThatARouterWouldCutOffAreRefused(t *testing.T) {
+func TestDrainRefusesRequestsThatOutlastRouter(t *testing.T) {
 	cases := map[string]struct {
-		after  time.Duration
-		left   string
-		status int
+		after      time.Duration
+		deadlineMS string
+		status     int
 	}{
-		"long, at once":       {left: "15000", status: 200},
-		"long, after seconds": {after: 4 * time.Second, left: "15000", status: 503},
-		"short, after them":   {after: 4 * time.Second, left: "1500", status: 200},
+		"long, at once":       {deadlineMS: "15000", status: 200},
+		"long, after seconds": {after: 4 * time.Second, deadlineMS: "15000", status: 503},
+		"short, after them":   {after: 4 * time.Second, deadlineMS: "1500", status: 200},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
-			f := newFleet(t, 1)
+			f := newFixture(t, 1)
 			f.router.Drain(f.clock.Now().Add(7500 * time.Millisecond))
 			f.clock.advance(tc.after)
-			got := f.ask(t.Context(), "POST", "/stream/x", "X-Deadline-Ms", tc.left)
+			got := f.do(t.Context(), "POST", "/stream/x", "X-Deadline-Ms", tc.deadlineMS)
 			qt.Assert(t, got.err, qt.IsNil)
 			qt.Assert(t, got.status, qt.Equals, tc.status)
 			qt.Assert(t, got.header.Get("Retry-After") != "", qt.Equals, tc.status == 503)
@@ -70,19 +70,19 @@
 	}
 }
 
-// TestRequestIsJudgedWhenItsBodyIsThere has a body that comes after the router has begun to refuse.
+// TestDrainIsCheckedAfterReadingBody has a body that comes after the router has begun to refuse.
 //
 // Seen: the request was passed on, though it may outlast the router. How: its head had come in time. Cause: a request was
 // judged before its body was read, and not again. Proof: the server's ledger has it.
-func TestRequestIsJudgedWhenItsBodyIsThere(t *testing.T) {
-	for name, refuse := range map[string]func(f *fleet){
-		"the time for long requests is over": func(f *fleet) { f.clock.advance(4 * time.Second) },
-		"connections are being closed":       func(f *fleet) { f.router.Refuse() },
+func TestDrainIsCheckedAfterReadingBody(t *testing.T) {
+	for name, refuse := range map[string]func(f *fixture){
+		"the time for long requests is over": func(f *fixture) { f.clock.advance(4 * time.Second) },
+		"connections are being closed":       func(f *fixture) { f.router.Refuse() },
 	} {
 		t.Run(name, func(t *testing.T) {
-			f := newFleet(t, 1)
+			f := newFixture(t, 1)
 			f.router.Drain(f.clock.Now().Add(7500 * time.Millisecond))
-			c, err := net.Dial("tcp", strings.TrimPrefix(f.front.URL, "http://"))
+			c, err := net.Dial("tcp", strings.TrimPrefix(f.frontend.URL, "http://"))
 			qt.Assert(t, err, qt.IsNil)
 			defer c.Close()
 			fmt.Fprintf(c, "POST /never/x HTTP/1.1\r\nHost: h.example\r\nX-Attempt-Id: a1\r\nAuthorization: Token k\r\nX-Deadline-Ms: 15000\r\nContent-Length: 4\r\n\r\nbo")
@@ -99,36 +99,36 @@
 	}
 }
 
-// TestRequestIsNotSentOnceItsTimeIsOver has the machine suspended while a request waits for money, for longer than its caller
+// TestExpiredRequestIsNotSent has the machine suspended while a request waits for money, for longer than its caller
 // waits for the answer.
 //
 // Seen: the request was sent with a time limit in the past. Cause: its time was kept by a timer alone, and timers stand still
 // while a machine is suspended. Proof: the server's ledger has it.
-func TestRequestIsNotSentOnceItsTimeIsOver(t *testing.T) {
-	f := newFleet(t, 1)
-	f.bank.onHold = func() { f.clock.advance(5 * time.Second) }
-	got := f.ask(t.Context(), "POST", "/stream/x", "X-Deadline-Ms", "4000", "X-Token-Count", "100,40")
+func TestExpiredRequestIsNotSent(t *testing.T) {
+	f := newFixture(t, 1)
+	f.budgets.onHold = func() { f.clock.advance(5 * time.Second) }
+	got := f.do(t.Context(), "POST", "/stream/x", "X-Deadline-Ms", "4000", "X-Token-Count", "100,40")
 	qt.Assert(t, got.err, qt.IsNil)
 	qt.Assert(t, got.status, qt.Equals, 503)
 	qt.Assert(t, f.ledger.Runs(), qt.HasLen, 0)
 }
 
-// bank gives the verdict that a test wants and notes what is settled.
-type bank struct {
-	mu      sync.Mutex
-	verdict treasurer.Verdict
-	held    []int64
-	settled []int64
-	blocked bool
-	// after is how long a promise takes.
-	after time.Duration
-	// others tells that all keys fall to other routers.
-	others bool
+// fakeBudgets gives the verdict that a test wants and notes what is settled.
+type fakeBudgets struct {
+	mu           sync.Mutex
+	verdict      treasurer.Verdict
+	held         []int64
+	settled      []int64
+	clearBlocked bool
+	// clearDelay is how long a promise takes.
+	clearDelay time.Duration
+	// othersOwn tells that all keys fall to other routers.
+	othersOwn bool
 	// onHold is called when money is asked for.
 	onHold func()
 }
 
-func (b *bank) Hold(_ context.Context, _ string, need int64, _ time.Duration) treasurer.Reply {
+func (b *fakeBudgets) Hold(_ context.Context, _ string, need int64, _ time.Duration) treasurer.Reply {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.onHold != nil {
@@ -138,120 +138,122 @@
 	return treasurer.Reply{ID: 1, Verdict: b.verdict}
 }
 
-func (b *bank) Clear(ctx context.Context, _ treasurer.HoldID) bool {
-	if b.blocked {
+func (b *fakeBudgets) Clear(ctx context.Context, _ treasurer.HoldID) bool {
+	if b.clearBlocked {
 		<-ctx.Done()
 		return false
 	}
 	select {
 	case <-ctx.Done():
 		return false
-	case <-time.After(b.after):
+	case <-time.After(b.clearDelay):
 		return true
 	}
 }
 
-func (b *bank) Settle(_ treasurer.HoldID, used int64) {
+func (b *fakeBudgets) Settle(_ treasurer.HoldID, used int64) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.settled = append(b.settled, used)
 }
 
-func (b *bank) Members() int { return 1 }
+func (b *fakeBudgets) Members() int { return 1 }
 
-// rotation is a router's place in the balancer's rotation.
-type rotation struct {
+// fakeRotation is a router's place in the balancer's rotation.
+type fakeRotation struct {
 	out, full atomic.Bool
-	// atWork and held are what was admitted and has not been answered, or not ended.
-	atWork, held atomic.Int64
+	// unanswered and held are what was admitted and has not been answered, or not ended.
+	unanswered, heldBytes atomic.Int64
 }
 
-func (r *rotation) IsOut() bool { return r.out.Load() }
+func (r *fakeRotation) IsOut() bool { return r.out.Load() }
 
-func (r *rotation) Admit(_ int, bytes int64) bool {
+func (r *fakeRotation) Admit(_ int, bytes int64) bool {
 	if r.full.Load() {
 		return false
 	}
-	r.held.Add(bytes)
-	r.atWork.Add(1)
+	r.heldBytes.Add(bytes)
+	r.unanswered.Add(1)
 	return true
 }
 
-func (r *rotation) MarkAnswered() { r.atWork.Add(-1) }
+func (r *fakeRotation) MarkAnswered() { r.unanswered.Add(-1) }
 
-func (r *rotation) Release(bytes int64) { r.held.Add(-bytes) }
+func (r *fakeRotation) Release(bytes int64) { r.heldBytes.Add(-bytes) }
 
-// calm is an examiner of a fleet whose servers do not end.
-type calm struct{}
+// noSuspects is an examiner of a fleet whose servers do not end.
+type noSuspects struct{}
 
-func (calm) HasNoSuspects() bool { return true }
+func (noSuspects) HasNoSuspects() bool { return true }
 
-func (calm) Status(masticway.RequestDigest) masticway.SuspectStatus {
+func (noSuspects) Status(masticway.RequestDigest) masticway.SuspectStatus {
 	return masticway.SuspectStatus{Suspicion: masticway.SuspicionNone}
 }
 
-func (calm) Changed() <-chan struct{} { return nil }
+func (noSuspects) Changed() <-chan struct{} { return nil }
 
-func (calm) QuarantineServers() (all, serious map[masticway.ServerIncarnation]bool) { return nil, nil }
+func (noSuspects) QuarantineServers() (all, serious map[masticway.ServerIncarnation]bool) {
+	return nil, nil
+}
 
-func (calm) Claim(context.Context, masticway.RequestDigest, masticway.ServerIncarnation) bool {
+func (noSuspects) Claim(context.Context, masticway.RequestDigest, masticway.ServerIncarnation) bool {
 	return false
 }
 
-func (calm) ReportCrash(masticway.RequestDigest, string, masticway.ServerCrash) {}
+func (noSuspects) ReportCrash(masticway.RequestDigest, string, masticway.ServerCrash) {}
 
-func (calm) Clear(masticway.RequestDigest) {}
+func (noSuspects) Clear(masticway.RequestDigest) {}
 
-func (calm) Release(masticway.RequestDigest) {}
+func (noSuspects) Release(masticway.RequestDigest) {}
 
-func (b *bank) Owns(string) bool { return !b.others }
+func (b *fakeBudgets) Owns(string) bool { return !b.othersOwn }
 
-func (b *bank) spent() []int64 {
+func (b *fakeBudgets) settledAmounts() []int64 {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return append([]int64(nil), b.settled...)
 }
 
-// fleet is one router in front of opaque servers.
-type fleet struct {
-	t       *testing.T
-	ledger  *emulator.OpaqueLedger
-	servers []*emulator.OpaqueServer
-	bank    *bank
-	clock   *drainClock
-	beliefs follower.Beliefs
-	router  *forwarder.Forwarder
+// fixture is one router in front of opaque servers.
+type fixture struct {
+	t        *testing.T
+	ledger   *emulator.OpaqueLedger
+	servers  []*emulator.OpaqueServer
+	budgets  *fakeBudgets
+	clock    *offsetClock
+	snapshot follower.Beliefs
+	router   *forwarder.Forwarder
 	// rotation tells whether the router wants new callers.
-	rotation rotation
-	front    *httptest.Server
+	rotation fakeRotation
+	frontend *httptest.Server
 	// throttler is the router's, which is alone.
 	throttler *throttler.Throttler
 }
 
-// alone is a router that knows of no other.
-const alone = "router"
+// routerAddress is a router that knows of no other.
+const routerAddress = "router"
 
-func (b *bank) Ranked(string, int) []string { return []string{alone} }
+func (b *fakeBudgets) Ranked(string, int) []string { return []string{routerAddress} }
 
 const (
-	prompt = 100
-	most   = 40
+	promptTokens    = 100
+	maxOutputTokens = 40
 )
 
-func newFleet(t *testing.T, servers int) *fleet {
-	return newFleetThatRetries(t, servers, forwarder.RetriesSettings{Ratio: 0.2, Slack: 50, WindowSeconds: 10})
+func newFixture(t *testing.T, servers int) *fixture {
+	return newFixtureWithRetries(t, servers, forwarder.RetriesSettings{Ratio: 0.2, Slack: 50, WindowSeconds: 10})
 }
 
-func newFleetThatRetries(t *testing.T, servers int, retries forwarder.RetriesSettings) *fleet {
-	return newFleetOf(t, servers, forwarder.Settings{Retries: retries})
+func newFixtureWithRetries(t *testing.T, servers int, retries forwarder.RetriesSettings) *fixture {
+	return newFixtureWithSettings(t, servers, forwarder.Settings{Retries: retries})
 }
 
-func newFleetOf(t *testing.T, servers int, settings forwarder.Settings) *fleet {
-	return newFleetExaminedBy(t, calm{}, servers, settings)
+func newFixtureWithSettings(t *testing.T, servers int, settings forwarder.Settings) *fixture {
+	return newFixtureWithExaminer(t, noSuspects{}, servers, settings)
 }
 
-func newFleetExaminedBy(t *testing.T, e masticway.Examiner, servers int, settings forwarder.Settings) *fleet {
-	f := &fleet{t: t, ledger: &emulator.OpaqueLedger{}, bank: &bank{verdict: treasurer.VerdictHeld}, clock: &drainClock{}}
+func newFixtureWithExaminer(t *testing.T, e masticway.Examiner, servers int, settings forwarder.Settings) *fixture {
+	f := &fixture{t: t, ledger: &emulator.OpaqueLedger{}, budgets: &fakeBudgets{verdict: treasurer.VerdictHeld}, clock: &offsetClock{}}
 	d := masticway.Deployment{
 		Version: 1,
 		Pools:   map[string]masticway.Pool{"p": {Name: "p", MaxConnections: 100}, "llm": {Name: "llm", IsEngine: true, TokensPerEvent: 3, MaxConnections: 100}},
@@ -276,14 +278,14 @@
 		r.Host, r.Shares = "h.example", []masticway.TrafficShare{{Pool: "llm", Weight: 1}}
 		d.Routes = append(d.Routes, r)
 	}
-	f.beliefs = follower.Beliefs{Known: true, Listed: true, Deployment: d.WithIndex(), Servers: map[string][]masticway.Server{}}
+	f.snapshot = follower.Beliefs{Known: true, Listed: true, Deployment: d.WithIndex(), Servers: map[string][]masticway.Server{}}
 	for i := range servers {
 		s, err := emulator.StartOpaqueServer(fmt.Sprintf("i-%d", i), f.ledger)
 		qt.Assert(t, err, qt.IsNil)
 		t.Cleanup(s.Close)
 		f.servers = append(f.servers, s)
 		for _, pool := range []string{"p", "llm"} {
-			f.beliefs.Servers[pool] = append(f.beliefs.Servers[pool], masticway.Server{ID: s.ID, Pool: pool, Address: s.Address(), State: masticway.ServerReady})
+			f.snapshot.Servers[pool] = append(f.snapshot.Servers[pool], masticway.Server{ID: s.ID, Pool: pool, Address: s.Address(), State: masticway.ServerReady})
 		}
 	}
 	log, faults := test.NewNullLogger()
@@ -295,14 +297,14 @@
 		}
 	})
 	f.throttler = throttler.New(throttler.Parts{
-		Members: f.bank, Peers: func() []string { return nil }, Clock: f.clock, Log: log.WithField("", ""), Metrics: measurer.New(), Address: alone,
+		Members: f.budgets, Peers: func() []string { return nil }, Clock: f.clock, Log: log.WithField("", ""), Metrics: measurer.New(), Address: routerAddress,
 	})
 	f.router = forwarder.New(settings, forwarder.Parts{
 		Examiner: e, Rotation: &f.rotation, Throttler: f.throttler, Leaves: func(masticway.Server) {}, Clock: f.clock, Log: log.WithField("", ""), Metrics: measurer.New(), Dialect: platform.Dialect{},
-		Bank: f.bank, Beliefs: func() follower.Beliefs { return f.beliefs }, Dial: (&net.Dialer{}).DialContext,
+		Bank: f.budgets, Beliefs: func() follower.Beliefs { return f.snapshot }, Dial: (&net.Dialer{}).DialContext,
 	})
-	f.front = httptest.NewServer(f.router)
-	t.Cleanup(f.front.Close)
+	f.frontend = httptest.NewServer(f.router)
+	t.Cleanup(f.frontend.Close)
 	return f
 }
 
@@ -311,20 +313,20 @@
 	status int
 	header http.Header
 	body   string
-	// closes tells that the connection ends with it.
-	closes bool
-	err    error
+	// closesConn tells that the connection ends with it.
+	closesConn bool
+	err        error
 }
 
-func (f *fleet) ask(ctx context.Context, method, path string, extra ...string) answer {
-	request, err := http.NewRequestWithContext(ctx, method, f.front.URL+path, strings.NewReader("body"))
+func (f *fixture) do(ctx context.Context, method, path string, extra ...string) answer {
+	request, err := http.NewRequestWithContext(ctx, method, f.frontend.URL+path, strings.NewReader("body"))
 	qt.Assert(f.t, err, qt.IsNil)
 	request.Host = "h.example"
 	request.Header.Set("X-Attempt-Id", "a1")
 	request.Header.Set("Authorization", "Token k")
 	request.Header.Set("X-Deadline-Ms", "3000")
 	if strings.HasPrefix(path, "/stream") || strings.HasPrefix(path, "/resume") {
-		request.Header.Set("X-Token-Count", fmt.Sprintf("%d,%d", prompt, most))
+		request.Header.Set("X-Token-Count", fmt.Sprintf("%d,%d", promptTokens, maxOutputTokens))
 	}
 	for i := 0; i < len(extra); i += 2 {
 		request.Header.Set(extra[i], extra[i+1])
@@ -335,10 +337,10 @@
 	}
 	defer response.Body.Close()
 	body, err := io.ReadAll(response.Body)
-	return answer{status: response.StatusCode, header: response.Header, body: string(body), closes: response.Close, err: err}
+	return answer{status: response.StatusCode, header: response.Header, body: string(body), closesConn: response.Close, err: err}
 }
 
-func events(from, to int) string {
+func eventStream(from, to int) string {
 	var b strings.Builder
 	for i := from; i <= to; i++ {
 		fmt.Fprintf(&b, "id: %d\ndata: piece %d\n\n", i, i)
@@ -346,7 +348,7 @@
 	return b.String()
 }
 
-func TestAnswersAndFatesOfFailures(t *testing.T) {
+func TestAnswersAndRuns(t *testing.T) {
 	const (
 		good, full, other, failing = emulator.OpaqueGood, emulator.OpaqueFull, emulator.OpaqueOther, emulator.OpaqueError
 		reset, cut, forged         = emulator.OpaqueReset, emulator.OpaqueCut, emulator.OpaqueForged
@@ -359,10 +361,10 @@
 		status        int
 		body          string
 		// broken tells that the caller's answer ends without its end.
-		broken bool
-		runs   int
-		spent  []int64
-		retry  bool
+		broken  bool
+		runs    int
+		settled []int64
+		retry   bool
 	}{
 		"good":                                {path: "/freely/x", status: 200, body: "ok", runs: 1},
 		"full, then good":                     {path: "/never/x", first: full, status: 200, body: "ok", runs: 1},
@@ -379,20 +381,20 @@
 		"another request's answer first":      {path: "/never/x", first: extra, status: 200, body: "ok", runs: 1},
 		"twice reset, no third server":        {path: "/freely/x", first: reset, second: reset, status: 502, runs: 2},
 		"reset after a refusal stays unknown": {path: "/never/x", first: full, second: reset, status: 502, runs: 1},
-		"stream":                              {path: "/stream/x", status: 200, body: events(1, 5), runs: 1, spent: []int64{prompt + 15}},
-		"stream cut":                          {path: "/stream/x", first: cut, status: 200, body: events(1, 3), broken: true, runs: 1, spent: []int64{prompt + 9}},
-		"stream cut, resumed":                 {path: "/resume/x", first: cut, status: 200, body: events(1, 5), runs: 2, spent: []int64{prompt + 15}},
-		"stream reset before it began":        {path: "/stream/x", first: reset, status: 502, runs: 1, spent: []int64{0}},
-		"stream refused by all":               {path: "/stream/x", first: full, second: full, status: 503, spent: []int64{0}, retry: true},
-		"stream that fails":                   {path: "/stream/x", first: failing, status: 500, body: "oops", runs: 1, spent: []int64{0}},
-		"stream reset, run again":             {path: "/resume/x", first: reset, status: 200, body: events(1, 5), runs: 2, spent: []int64{prompt + 15}},
-		"resumed stream fails":                {path: "/resume/x", first: cut, second: failing, status: 200, body: events(1, 3), broken: true, runs: 2, spent: []int64{prompt + 9}},
+		"stream":                              {path: "/stream/x", status: 200, body: eventStream(1, 5), runs: 1, settled: []int64{promptTokens + 15}},
+		"stream cut":                          {path: "/stream/x", first: cut, status: 200, body: eventStream(1, 3), broken: true, runs: 1, settled: []int64{promptTokens + 9}},
+		"stream cut, resumed":                 {path: "/resume/x", first: cut, status: 200, body: eventStream(1, 5), runs: 2, settled: []int64{promptTokens + 15}},
+		"stream reset before it began":        {path: "/stream/x", first: reset, status: 502, runs: 1, settled: []int64{0}},
+		"stream refused by all":               {path: "/stream/x", first: full, second: full, status: 503, settled: []int64{0}, retry: true},
+		"stream that fails":                   {path: "/stream/x", first: failing, status: 500, body: "oops", runs: 1, settled: []int64{0}},
+		"stream reset, run again":             {path: "/resume/x", first: reset, status: 200, body: eventStream(1, 5), runs: 2, settled: []int64{promptTokens + 15}},
+		"resumed stream fails":                {path: "/resume/x", first: cut, second: failing, status: 200, body: eventStream(1, 3), broken: true, runs: 2, settled: []int64{promptTokens + 9}},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
-			f := newFleet(t, 2)
-			f.faults(tc.first, tc.second)
-			got := f.ask(t.Context(), "POST", tc.path)
+			f := newFixture(t, 2)
+			f.setFaults(tc.first, tc.second)
+			got := f.do(t.Context(), "POST", tc.path)
 			if tc.broken {
 				qt.Assert(t, got.err, qt.IsNotNil)
 			} else {
@@ -403,7 +405,7 @@
 				qt.Assert(t, got.body, qt.Equals, tc.body)
 			}
 			qt.Assert(t, f.ledger.Runs(), qt.HasLen, tc.runs)
-			qt.Assert(t, f.bank.spent(), qt.DeepEquals, tc.spent)
+			qt.Assert(t, f.budgets.settledAmounts(), qt.DeepEquals, tc.settled)
 			qt.Assert(t, got.header.Get("Retry-After") != "", qt.Equals, tc.retry)
 			if got.status >= 502 {
 				qt.Assert(t, got.header.Get("X-Server-Signature"), qt.Equals, "", qt.Commentf("a refusal of the router's own bears a signature"))
@@ -412,39 +414,39 @@
 	}
 }
 
-// TestResumedRequestPaysForItsPromptOnce has a caller go on where an earlier answer broke off: the prompt was paid for then.
-func TestResumedRequestPaysForItsPromptOnce(t *testing.T) {
+// TestResumedRequestIsChargedForPromptOnce has a caller go on where an earlier answer broke off: the prompt was paid for then.
+func TestResumedRequestIsChargedForPromptOnce(t *testing.T) {
 	cases := map[string]struct {
-		path, last string
-		body       string
-		held, used int64
+		path, lastEventID string
+		body              string
+		held, used        int64
 	}{
-		"from the beginning":         {path: "/resume/x", body: events(1, 5), held: prompt + most, used: prompt + 15},
-		"resumed":                    {path: "/resume/x", last: "2", body: events(3, 5), held: most, used: 9},
-		"on a route without resumes": {path: "/stream/x", last: "2", body: events(3, 5), held: prompt + most, used: prompt + 9},
+		"from the beginning":         {path: "/resume/x", body: eventStream(1, 5), held: promptTokens + maxOutputTokens, used: promptTokens + 15},
+		"resumed":                    {path: "/resume/x", lastEventID: "2", body: eventStream(3, 5), held: maxOutputTokens, used: 9},
+		"on a route without resumes": {path: "/stream/x", lastEventID: "2", body: eventStream(3, 5), held: promptTokens + maxOutputTokens, used: promptTokens + 9},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
-			f := newFleet(t, 1)
-			got := f.ask(t.Context(), "POST", tc.path, "Last-Event-Id", tc.last)
+			f := newFixture(t, 1)
+			got := f.do(t.Context(), "POST", tc.path, "Last-Event-Id", tc.lastEventID)
 			qt.Assert(t, got.err, qt.IsNil)
 			qt.Assert(t, got.body, qt.Equals, tc.body)
-			qt.Check(t, f.bank.held, qt.DeepEquals, []int64{tc.held})
-			qt.Check(t, f.bank.spent(), qt.DeepEquals, []int64{tc.used})
+			qt.Check(t, f.budgets.held, qt.DeepEquals, []int64{tc.held})
+			qt.Check(t, f.budgets.settledAmounts(), qt.DeepEquals, []int64{tc.used})
 		})
 	}
 }
 
-// faults gives the server that will be asked first one fault, and the other one another.
-func (f *fleet) faults(first, second emulator.OpaqueFault) {
+// setFaults gives the server that will be asked first one fault, and the other one another.
+func (f *fixture) setFaults(first, second emulator.OpaqueFault) {
 	// The chooser takes servers with equal cost in turns, beginning with the second.
 	f.servers[1].Fail(first)
 	f.servers[0].Fail(second)
 }
 
-func TestWhatServersGet(t *testing.T) {
-	f := newFleet(t, 1)
-	got := f.ask(t.Context(), "POST", "/never/x?q=1", "X-Tenant", "forged", "X-Deadline-Ms", "1000")
+func TestServerRequest(t *testing.T) {
+	f := newFixture(t, 1)
+	got := f.do(t.Context(), "POST", "/never/x?q=1", "X-Tenant", "forged", "X-Deadline-Ms", "1000")
 	qt.Assert(t, got.status, qt.Equals, 200)
 	runs := f.ledger.Runs()
 	qt.Assert(t, runs, qt.HasLen, 1)
@@ -455,7 +457,7 @@
 	qt.Assert(t, runs[0].TimeLeft <= time.Second && runs[0].TimeLeft > 800*time.Millisecond, qt.IsTrue)
 }
 
-func TestRefusalsBeforeAnyServer(t *testing.T) {
+func TestRefusalsBeforeSending(t *testing.T) {
 	cases := map[string]struct {
 		path    string
 		extra   []string
@@ -476,10 +478,10 @@
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
-			f := newFleet(t, 1)
-			f.beliefs.Known = tc.ready
-			f.bank.verdict = tc.verdict
-			got := f.ask(t.Context(), "POST", tc.path, tc.extra...)
+			f := newFixture(t, 1)
+			f.snapshot.Known = tc.ready
+			f.budgets.verdict = tc.verdict
+			got := f.do(t.Context(), "POST", tc.path, tc.extra...)
 			qt.Assert(t, got.err, qt.IsNil)
 			qt.Assert(t, got.status, qt.Equals, tc.status)
 			qt.Assert(t, got.header.Get("Retry-After") != "", qt.Equals, tc.retry)
@@ -490,15 +492,15 @@
 	}
 }
 
-func TestBodiesOverTheLimitAreRefused(t *testing.T) {
-	f := newFleet(t, 1)
+func TestOversizedBodyIsRefused(t *testing.T) {
+	f := newFixture(t, 1)
 	for name, chunked := range map[string]bool{"with a length": false, "in chunks": true} {
 		t.Run(name, func(t *testing.T) {
 			var body io.Reader = strings.NewReader(strings.Repeat("x", 2000))
 			if chunked {
 				body = io.MultiReader(body)
 			}
-			request, err := http.NewRequestWithContext(t.Context(), "POST", f.front.URL+"/never/x", body)
+			request, err := http.NewRequestWithContext(t.Context(), "POST", f.frontend.URL+"/never/x", body)
 			qt.Assert(t, err, qt.IsNil)
 			request.Host = "h.example"
 			request.Header.Set("X-Attempt-Id", "a1")
@@ -512,21 +514,21 @@
 	qt.Assert(t, f.ledger.Runs(), qt.HasLen, 0)
 }
 
-func TestTimeIsKept(t *testing.T) {
+func TestDeadlines(t *testing.T) {
 	cases := map[string]struct {
-		path   string
-		left   string
-		within time.Duration
+		path       string
+		deadlineMS string
+		within     time.Duration
 	}{
-		"the caller's": {path: "/never/x", left: "200", within: 600 * time.Millisecond},
-		"the route's":  {path: "/brief/x", left: "5000", within: 600 * time.Millisecond},
+		"the caller's": {path: "/never/x", deadlineMS: "200", within: 600 * time.Millisecond},
+		"the route's":  {path: "/brief/x", deadlineMS: "5000", within: 600 * time.Millisecond},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
-			f := newFleet(t, 1)
+			f := newFixture(t, 1)
 			f.servers[0].Fail(emulator.OpaqueHang)
 			began := time.Now()
-			got := f.ask(t.Context(), "POST", tc.path, "X-Deadline-Ms", tc.left)
+			got := f.do(t.Context(), "POST", tc.path, "X-Deadline-Ms", tc.deadlineMS)
 			qt.Assert(t, got.status, qt.Equals, http.StatusGatewayTimeout)
 			qt.Assert(t, time.Since(began) < tc.within, qt.IsTrue)
 			f.eventually("the server still works", func() bool { return f.ledger.Runs()[0].Left })
@@ -534,7 +536,7 @@
 	}
 }
 
-func (f *fleet) eventually(what string, holds func() bool) {
+func (f *fixture) eventually(what string, holds func() bool) {
 	f.t.Helper()
 	for deadline := time.Now().Add(3 * time.Second); time.Now().Before(deadline); time.Sleep(5 * time.Millisecond) {
 		if holds() {
@@ -544,90 +546,90 @@
 	f.t.Fatal(what)
 }
 
-func TestHungServerIsLeftForAnotherWhereARequestMayRunAgain(t *testing.T) {
+func TestHandoverFromHungServer(t *testing.T) {
 	for _, path := range []string{"/freely/x", "/resume/x"} {
 		t.Run(path, func(t *testing.T) {
-			f := newFleet(t, 2)
-			f.faults(emulator.OpaqueHang, emulator.OpaqueGood)
-			got := f.ask(t.Context(), "POST", path)
+			f := newFixture(t, 2)
+			f.setFaults(emulator.OpaqueHang, emulator.OpaqueGood)
+			got := f.do(t.Context(), "POST", path)
 			qt.Assert(t, got.status, qt.Equals, 200)
 			f.eventually("the first server still works", func() bool { return f.ledger.Runs()[0].Left })
 		})
 	}
 }
 
-// TestSlowServerIsNotLeftWhereNoOtherMayBeAsked has servers that are slower than a route's target, and no allowance for a
+// TestNoHandoverWithoutAllowance has servers that are slower than a route's target, and no allowance for a
 // second try.
 //
 // Seen: 54 of 89 requests were answered 502 though sound servers worked on them and would have finished in time. How: each was
 // left when nothing had come for a part of the target. Cause: whether another server may be asked was looked at after the
 // first one had been left. Proof: the ledger's server was left, and no other one was asked.
-func TestSlowServerIsNotLeftWhereNoOtherMayBeAsked(t *testing.T) {
-	f := newFleetThatRetries(t, 2, forwarder.RetriesSettings{WindowSeconds: 10})
+func TestNoHandoverWithoutAllowance(t *testing.T) {
+	f := newFixtureWithRetries(t, 2, forwarder.RetriesSettings{WindowSeconds: 10})
 	for _, s := range f.servers {
 		s.Stream(3, 400*time.Millisecond)
 	}
-	got := f.ask(t.Context(), "POST", "/resume/x")
+	got := f.do(t.Context(), "POST", "/resume/x")
 	qt.Assert(t, got.err, qt.IsNil)
 	qt.Assert(t, got.status, qt.Equals, 200)
-	qt.Assert(t, got.body, qt.Equals, events(1, 3))
+	qt.Assert(t, got.body, qt.Equals, eventStream(1, 3))
 	runs := f.ledger.Runs()
 	qt.Assert(t, runs, qt.HasLen, 1)
 	qt.Assert(t, runs[0].Left, qt.IsFalse)
 }
 
-// TestSilentServerIsNotLeftWhileTheRouterEnds has streams whose server pauses for longer than one is waited for, and no
+// TestNoHandoverWhileDraining has streams whose server pauses for longer than one is waited for, and no
 // other server with room.
 //
 // Seen: the router broke the stream off, though the server went on and would have finished it. How: the pause ended the
 // attempt, and the other server refused. Cause: a server is left before another one has taken the stream. Proof: the
 // ledger's server notes that it was left, and the same stream is whole where nothing limits the pause.
-func TestSilentServerIsNotLeftWhileTheRouterEnds(t *testing.T) {
+func TestNoHandoverWhileDraining(t *testing.T) {
 	for name, after := range map[string]time.Duration{"from the start on": 0, "in the middle": 550 * time.Millisecond} {
 		t.Run(name, func(t *testing.T) {
-			f := newFleet(t, 2)
-			f.faults(emulator.OpaqueGood, emulator.OpaqueFull)
+			f := newFixture(t, 2)
+			f.setFaults(emulator.OpaqueGood, emulator.OpaqueFull)
 			for _, s := range f.servers {
 				s.Stream(3, 400*time.Millisecond)
 			}
 			end := time.AfterFunc(after, func() { f.router.Drain(f.clock.Now().Add(time.Minute)) })
 			defer end.Stop()
-			got := f.ask(t.Context(), "POST", "/resume/x")
+			got := f.do(t.Context(), "POST", "/resume/x")
 			qt.Assert(t, got.err, qt.IsNil)
-			qt.Assert(t, got.body, qt.Equals, events(1, 3))
+			qt.Assert(t, got.body, qt.Equals, eventStream(1, 3))
 			qt.Assert(t, f.ledger.Runs(), qt.HasLen, 1)
 		})
 	}
 }
 
-func TestServerIsLeftWhenTheCallerLeaves(t *testing.T) {
-	f := newFleet(t, 1)
+func TestCallerLeavingEndsAttempt(t *testing.T) {
+	f := newFixture(t, 1)
 	f.servers[0].Stream(1000, 10*time.Millisecond)
 	ctx, leave := context.WithTimeout(t.Context(), 150*time.Millisecond)
 	defer leave()
-	f.ask(ctx, "POST", "/stream/x")
+	f.do(ctx, "POST", "/stream/x")
 	f.eventually("the server still works", func() bool { return f.ledger.Runs()[0].Left })
-	f.eventually("the money is still held", func() bool { return len(f.bank.spent()) == 1 })
-	qt.Assert(t, f.bank.spent()[0] >= prompt, qt.IsTrue)
+	f.eventually("the money is still held", func() bool { return len(f.budgets.settledAmounts()) == 1 })
+	qt.Assert(t, f.budgets.settledAmounts()[0] >= promptTokens, qt.IsTrue)
 }
 
-func TestNothingIsDeliveredBeforeItsMoneyIsPromised(t *testing.T) {
-	f := newFleet(t, 1)
-	f.bank.blocked = true
-	got := f.ask(t.Context(), "POST", "/stream/x", "X-Deadline-Ms", "200")
+func TestAnswerWaitsForClearance(t *testing.T) {
+	f := newFixture(t, 1)
+	f.budgets.clearBlocked = true
+	got := f.do(t.Context(), "POST", "/stream/x", "X-Deadline-Ms", "200")
 	qt.Assert(t, got.status, qt.Equals, http.StatusGatewayTimeout)
 	qt.Assert(t, got.body, qt.Not(qt.Contains), "piece")
-	qt.Assert(t, f.bank.spent(), qt.DeepEquals, []int64{0})
+	qt.Assert(t, f.budgets.settledAmounts(), qt.DeepEquals, []int64{0})
 }
 
-// TestAnswerThatWaitsForItsMoneyIsNotAskedForAgain has a cut of the store: a server's answer is there, and waits for its
+// TestNoHandoverWhileWaitingForClearance has a cut of the store: a server's answer is there, and waits for its
 // promise for longer than a server without an answer is waited for. Another server would only read the prompt again.
-func TestAnswerThatWaitsForItsMoneyIsNotAskedForAgain(t *testing.T) {
+func TestNoHandoverWhileWaitingForClearance(t *testing.T) {
 	for _, path := range []string{"/freely/x", "/resume/x"} {
 		t.Run(path, func(t *testing.T) {
-			f := newFleet(t, 2)
-			f.bank.after = 800 * time.Millisecond
-			got := f.ask(t.Context(), "POST", path)
+			f := newFixture(t, 2)
+			f.budgets.clearDelay = 800 * time.Millisecond
+			got := f.do(t.Context(), "POST", path)
 			qt.Assert(t, got.status, qt.Equals, 200)
 			qt.Assert(t, f.ledger.Runs(), qt.HasLen, 1)
 		})
@@ -635,31 +637,31 @@
 }
 
 func TestUnreachableServerIsNotARun(t *testing.T) {
-	f := newFleet(t, 2)
+	f := newFixture(t, 2)
 	f.servers[1].Close()
-	got := f.ask(t.Context(), "POST", "/never/x")
+	got := f.do(t.Context(), "POST", "/never/x")
 	qt.Assert(t, got.status, qt.Equals, 200)
 }
 
-// TestNothingIsPassedOnOnceConnectionsAreClosed has a router that stood still for a tenth of a second when it began to
+// TestNothingIsForwardedWhileConnectionsClose has a router that stood still for a tenth of a second when it began to
 // close idle connections: requests that had come meanwhile were passed on and their connections closed.
-func TestNothingIsPassedOnOnceConnectionsAreClosed(t *testing.T) {
-	f := newFleet(t, 1)
+func TestNothingIsForwardedWhileConnectionsClose(t *testing.T) {
+	f := newFixture(t, 1)
 	f.router.Drain(f.clock.Now().Add(time.Minute))
-	qt.Assert(t, f.ask(t.Context(), "POST", "/never/x").status, qt.Equals, 200)
+	qt.Assert(t, f.do(t.Context(), "POST", "/never/x").status, qt.Equals, 200)
 	f.router.Refuse()
-	got := f.ask(t.Context(), "POST", "/never/x")
+	got := f.do(t.Context(), "POST", "/never/x")
 	qt.Assert(t, got.status, qt.Equals, 503)
 	qt.Assert(t, got.header.Get("Retry-After") != "", qt.IsTrue)
 	qt.Assert(t, f.ledger.Runs(), qt.HasLen, 1)
 }
 
-func TestDrainEndsConnectionsWithTheirAnswers(t *testing.T) {
-	f := newFleet(t, 1)
+func TestDrainClosesConnections(t *testing.T) {
+	f := newFixture(t, 1)
 	qt.Assert(t, f.router.Ready(), qt.IsTrue)
 	f.router.Drain(time.Now().Add(time.Minute))
 	qt.Assert(t, f.router.Ready(), qt.IsFalse)
-	c, err := net.Dial("tcp", strings.TrimPrefix(f.front.URL, "http://"))
+	c, err := net.Dial("tcp", strings.TrimPrefix(f.frontend.URL, "http://"))
 	qt.Assert(t, err, qt.IsNil)
 	defer c.Close()
 	fmt.Fprintf(c, "GET /open/x HTTP/1.1\r\nHost: h.example\r\nX-Attempt-Id: a1\r\n\r\n")
@@ -669,35 +671,35 @@
 	qt.Assert(t, response.Close, qt.IsTrue)
 }
 
-// TestSilentServerIsNotLeftForOneWithoutRoom has streams whose server pauses for longer than one is waited for, and another
+// TestNoHandoverToFullServer has streams whose server pauses for longer than one is waited for, and another
 // server without room.
 //
 // Seen: a caller heard 502 after 0.42 s, though a sound server would have answered after 1 s. How: the pause ended the
 // attempt, and the other server refused. Cause: a server is left before another one has taken the request. Proof: the log has
 // both attempts, 0.2 ms apart.
-func TestSilentServerIsNotLeftForOneWithoutRoom(t *testing.T) {
-	f := newFleet(t, 2)
-	f.faults(emulator.OpaqueGood, emulator.OpaqueFull)
+func TestNoHandoverToFullServer(t *testing.T) {
+	f := newFixture(t, 2)
+	f.setFaults(emulator.OpaqueGood, emulator.OpaqueFull)
 	for _, s := range f.servers {
 		s.Stream(3, 400*time.Millisecond)
 	}
-	got := f.ask(t.Context(), "POST", "/resume/x")
+	got := f.do(t.Context(), "POST", "/resume/x")
 	qt.Assert(t, got.err, qt.IsNil)
-	qt.Assert(t, got.body, qt.Equals, events(1, 3))
+	qt.Assert(t, got.body, qt.Equals, eventStream(1, 3))
 }
 
-// TestServerThatGoesOnIsKept has streams with pauses that are a little longer than one is waited for: while another server
+// TestHandoverIsAbortedWhenServerContinues has streams with pauses that are a little longer than one is waited for: while another server
 // is asked, the present one gives its next event. The caller gets each event once, and the server that was asked is left.
-func TestServerThatGoesOnIsKept(t *testing.T) {
+func TestHandoverIsAbortedWhenServerContinues(t *testing.T) {
 	const pause = 350 * time.Millisecond
-	f := newFleet(t, 2)
-	f.faults(emulator.OpaqueGood, emulator.OpaqueHang)
+	f := newFixture(t, 2)
+	f.setFaults(emulator.OpaqueGood, emulator.OpaqueHang)
 	for _, s := range f.servers {
 		s.Stream(3, pause)
 	}
-	got := f.ask(t.Context(), "POST", "/resume/x")
+	got := f.do(t.Context(), "POST", "/resume/x")
 	qt.Assert(t, got.err, qt.IsNil)
-	qt.Assert(t, got.body, qt.Equals, events(1, 3))
+	qt.Assert(t, got.body, qt.Equals, eventStream(1, 3))
 	runs := f.ledger.Runs()
 	qt.Assert(t, len(runs) > 1, qt.IsTrue, qt.Commentf("nobody else was asked"))
 	qt.Assert(t, runs[0].Left, qt.IsFalse)
--- a/forwarder/limits_test.go
+++ b/forwarder/limits_test.go
@@ -15,8 +15,8 @@
 	"github.com/masticway/masticway/forwarder"
 )
 
-// TestLimitIsHeardInEveryAnswer: a limit that is named in another answer than a good one is overrun until a good one names it.
-func TestLimitIsHeardInEveryAnswer(t *testing.T) {
+// TestRateLimitIsReadFromEveryAnswer: a limit that is named in another answer than a good one is overrun until a good one names it.
+func TestRateLimitIsReadFromEveryAnswer(t *testing.T) {
 	cases := map[string]struct {
 		path  string
 		fault emulator.OpaqueFault
@@ -30,58 +30,58 @@
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
-			f := newFleet(t, 1)
+			f := newFixture(t, 1)
 			f.servers[0].Limit("0.2")
 			f.servers[0].Fail(tc.fault)
-			f.ask(t.Context(), "POST", tc.path)
+			f.do(t.Context(), "POST", tc.path)
 			for range 20 {
-				f.ask(t.Context(), "POST", "/never/x")
+				f.do(t.Context(), "POST", "/never/x")
 			}
 			qt.Assert(t, f.servers[0].Arrivals(), qt.HasLen, 1)
 		})
 	}
 }
 
-// TestAnswersOfOtherServersNameNoLimit: a server that has taken the address of another one has the other's requests held back.
-func TestAnswersOfOtherServersNameNoLimit(t *testing.T) {
-	f := newFleet(t, 1)
+// TestMisdirectedAnswerSetsNoRateLimit: a server that has taken the address of another one has the other's requests held back.
+func TestMisdirectedAnswerSetsNoRateLimit(t *testing.T) {
+	f := newFixture(t, 1)
 	f.servers[0].Limit("0.2")
 	f.servers[0].Fail(emulator.OpaqueOther)
-	f.ask(t.Context(), "POST", "/never/x")
-	qt.Assert(t, f.ask(t.Context(), "POST", "/never/x").status, qt.Equals, 200)
+	f.do(t.Context(), "POST", "/never/x")
+	qt.Assert(t, f.do(t.Context(), "POST", "/never/x").status, qt.Equals, 200)
 }
 
-// TestFaultyAnswerEndsNoLimit: an answer that is not the server's lifts a limit for all routers.
-func TestFaultyAnswerEndsNoLimit(t *testing.T) {
-	f := newFleet(t, 1)
+// TestUnsignedAnswerRemovesNoRateLimit: an answer that is not the server's lifts a limit for all routers.
+func TestUnsignedAnswerRemovesNoRateLimit(t *testing.T) {
+	f := newFixture(t, 1)
 	f.servers[0].Limit("4")
-	f.ask(t.Context(), "POST", "/never/x")
+	f.do(t.Context(), "POST", "/never/x")
 	time.Sleep(300 * time.Millisecond)
 	f.servers[0].Limit("")
 	f.servers[0].Fail(emulator.OpaqueForged)
-	qt.Assert(t, f.ask(t.Context(), "POST", "/never/x").status, qt.Equals, 502)
+	qt.Assert(t, f.do(t.Context(), "POST", "/never/x").status, qt.Equals, 502)
 	for range 10 {
-		f.ask(t.Context(), "POST", "/never/x")
+		f.do(t.Context(), "POST", "/never/x")
 	}
 	qt.Assert(t, f.servers[0].Arrivals(), qt.HasLen, 2)
 }
 
-// TestRequestsGoToServersWithoutLimits: callers are refused because several servers are at their limits while others have none.
-func TestRequestsGoToServersWithoutLimits(t *testing.T) {
-	f := newFleet(t, 8)
+// TestRequestsGoToServersWithoutRateLimit: callers are refused because several servers are at their limits while others have none.
+func TestRequestsGoToServersWithoutRateLimit(t *testing.T) {
+	f := newFixture(t, 8)
 	for _, s := range f.servers[:7] {
 		s.Limit("0.2")
 	}
 	for range 100 {
-		qt.Assert(t, f.ask(t.Context(), "POST", "/freely/x").status, qt.Equals, 200)
+		qt.Assert(t, f.do(t.Context(), "POST", "/freely/x").status, qt.Equals, 200)
 	}
 	for _, s := range f.servers[:7] {
 		qt.Check(t, len(s.Arrivals()) <= 2, qt.IsTrue, qt.Commentf("%s got %d", s.ID, len(s.Arrivals())))
 	}
 }
 
-// TestRetriesCountForALimit: attempts beyond the first of each request reach a server past its limit.
-func TestRetriesCountForALimit(t *testing.T) {
+// TestRetriesCountAgainstRateLimit: attempts beyond the first of each request reach a server past its limit.
+func TestRetriesCountAgainstRateLimit(t *testing.T) {
 	cases := map[string]struct {
 		path  string
 		fault emulator.OpaqueFault
@@ -94,80 +94,80 @@
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
-			f := newFleet(t, 2)
+			f := newFixture(t, 2)
 			faults := make([]emulator.OpaqueFault, 100)
 			for i := range faults {
 				faults[i] = tc.fault
 			}
 			f.servers[1].Limit("1")
 			for len(f.servers[1].Arrivals()) == 0 {
-				f.ask(t.Context(), "POST", "/freely/x")
+				f.do(t.Context(), "POST", "/freely/x")
 			}
 			f.servers[0].Fail(faults...)
 			began := time.Now()
 			for range 10 {
-				f.ask(t.Context(), "POST", tc.path, "X-Deadline-Ms", "500")
+				f.do(t.Context(), "POST", tc.path, "X-Deadline-Ms", "500")
 			}
-			most := 2 + int(time.Since(began).Seconds())
+			allowed := 2 + int(time.Since(began).Seconds())
 			got := len(f.servers[1].Arrivals())
-			qt.Assert(t, got <= most, qt.IsTrue, qt.Commentf("%d requests, of one a second %d fit", got, most))
+			qt.Assert(t, got <= allowed, qt.IsTrue, qt.Commentf("%d requests, of one a second %d fit", got, allowed))
 		})
 	}
 }
 
-// suspecting takes every request for a suspect, whose runs apart are its router's or not.
-type suspecting struct {
-	calm
-	claims bool
+// quarantining takes every request for a suspect, whose runs apart are its router's or not.
+type quarantining struct {
+	noSuspects
+	claimable bool
 }
 
-func (suspecting) HasNoSuspects() bool { return false }
+func (quarantining) HasNoSuspects() bool { return false }
 
-func (suspecting) Status(masticway.RequestDigest) masticway.SuspectStatus {
+func (quarantining) Status(masticway.RequestDigest) masticway.SuspectStatus {
 	return masticway.SuspectStatus{Suspicion: masticway.SuspicionQuarantined, Crashes: make([]masticway.ServerCrash, 2)}
 }
 
-func (suspecting) Changed() <-chan struct{} { return nil }
+func (quarantining) Changed() <-chan struct{} { return nil }
 
-func (suspecting) QuarantineServers() (all, serious map[masticway.ServerIncarnation]bool) {
+func (quarantining) QuarantineServers() (all, serious map[masticway.ServerIncarnation]bool) {
 	return nil, nil
 }
 
-func (s suspecting) Claim(context.Context, masticway.RequestDigest, masticway.ServerIncarnation) bool {
-	return s.claims
+func (s quarantining) Claim(context.Context, masticway.RequestDigest, masticway.ServerIncarnation) bool {
+	return s.claimable
 }
 
-// TestExaminedRequestsCountForALimit: requests that run apart, as servers ended under them, reach a server past its limit, or use its
+// TestSuspectsCountAgainstRateLimit: requests that run apart, as servers ended under them, reach a server past its limit, or use its
 // permits up without being sent.
-func TestExaminedRequestsCountForALimit(t *testing.T) {
+func TestSuspectsCountAgainstRateLimit(t *testing.T) {
 	for name, tc := range map[string]struct {
 		claims bool
 		sent   int
 	}{"they may run": {claims: true, sent: 1}, "they wait for their turn": {}} {
 		t.Run(name, func(t *testing.T) {
-			f := newFleetExaminedBy(t, suspecting{claims: tc.claims}, 1, forwarder.Settings{Retries: forwarder.RetriesSettings{Ratio: 0.2, Slack: 50, WindowSeconds: 10}})
+			f := newFixtureWithExaminer(t, quarantining{claimable: tc.claims}, 1, forwarder.Settings{Retries: forwarder.RetriesSettings{Ratio: 0.2, Slack: 50, WindowSeconds: 10}})
 			f.servers[0].Limit("0.5")
-			life := masticway.ServerIncarnation(f.servers[0].ID)
-			f.throttler.Observe(life, masticway.ServerAnswer{Signed: true, Limit: masticway.RateLimit{IsSet: true, Rate: 0.5}})
+			incarnation := masticway.ServerIncarnation(f.servers[0].ID)
+			f.throttler.Observe(incarnation, masticway.ServerAnswer{Signed: true, Limit: masticway.RateLimit{IsSet: true, Rate: 0.5}})
 			f.clock.advance(2010 * time.Millisecond)
 			for range 5 {
-				f.ask(t.Context(), "POST", "/never/x", "X-Deadline-Ms", "100")
+				f.do(t.Context(), "POST", "/never/x", "X-Deadline-Ms", "100")
 			}
 			qt.Assert(t, f.servers[0].Arrivals(), qt.HasLen, tc.sent)
-			qt.Assert(t, f.throttler.Admit(t.Context(), life), qt.Equals, !tc.claims, qt.Commentf("a permit is left"))
+			qt.Assert(t, f.throttler.Admit(t.Context(), incarnation), qt.Equals, !tc.claims, qt.Commentf("a permit is left"))
 		})
 	}
 }
 
-// TestRefusalForALimitIsTrue: a caller that is refused for a limit waits for the answer, or comes again when there is none for it.
-func TestRefusalForALimitIsTrue(t *testing.T) {
-	f := newFleet(t, 1)
+// TestRateLimitRefusalRetryAfter: a caller that is refused for a limit waits for the answer, or comes again when there is none for it.
+func TestRateLimitRefusalRetryAfter(t *testing.T) {
+	f := newFixture(t, 1)
 	f.servers[0].Limit("2")
-	f.ask(t.Context(), "POST", "/never/x")
+	f.do(t.Context(), "POST", "/never/x")
 	var last float64
 	for i := range 4 {
 		began := time.Now()
-		got := f.ask(t.Context(), "POST", "/never/x")
+		got := f.do(t.Context(), "POST", "/never/x")
 		qt.Assert(t, got.status, qt.Equals, 503)
 		qt.Assert(t, time.Since(began) < 200*time.Millisecond, qt.IsTrue)
 		qt.Assert(t, strings.Contains(got.body, `"code":"servers_limited"`), qt.IsTrue, qt.Commentf("%s", got.body))
@@ -179,10 +179,10 @@
 		last = after
 	}
 	time.Sleep(600 * time.Millisecond)
-	qt.Assert(t, f.ask(t.Context(), "POST", "/never/x").status, qt.Equals, 200, qt.Commentf("the time that the first was told is over"))
+	qt.Assert(t, f.do(t.Context(), "POST", "/never/x").status, qt.Equals, 200, qt.Commentf("the time that the first was told is over"))
 	f.servers[0].Limit("")
 	time.Sleep(600 * time.Millisecond)
 	for i := range 20 {
-		qt.Assert(t, f.ask(t.Context(), "POST", "/never/x").status, qt.Equals, 200, qt.Commentf(fmt.Sprint("the limit has ended, ", i)))
+		qt.Assert(t, f.do(t.Context(), "POST", "/never/x").status, qt.Equals, 200, qt.Commentf(fmt.Sprint("the limit has ended, ", i)))
 	}
 }
--- a/forwarder/relay.go
+++ b/forwarder/relay.go
@@ -13,57 +13,57 @@
 	"github.com/masticway/masticway/sender"
 )
 
-// eventLimit bounds the bytes of one event.
-const eventLimit = 1 << 20
+// maxEventBytes bounds the bytes of one event.
+const maxEventBytes = 1 << 20
 
-// relay passes an event stream on, whole events only, as they come.
-func (a *attempt) relay(answer *sender.Answer) outcome {
+// relayStream passes an event stream on, whole events only, as they come.
+func (a *attempt) relayStream(answer *sender.Answer) outcome {
 	x := a.x
 	var pending []byte
 	buffer := make([]byte, 4<<10)
 	for {
 		n, err := answer.Read(buffer)
 		pending = append(pending, buffer[:n]...)
-		whole := lastEventEnd(pending)
-		if whole > 0 {
-			if !a.sign() {
+		complete := lastEventEnd(pending)
+		if complete > 0 {
+			if !a.recordProgress() {
 				// The server that goes on was told which event was the last one.
-				return a.brokenOff(errPatience, len(pending))
+				return a.streamFailure(errSilent, len(pending))
 			}
-			if fault := a.forward(answer, pending[:whole]); fault != nil {
-				return outcome{fate: masticway.FateRan, verdict: chooser.VerdictNone, reason: fault.Error()}
+			if fault := a.writeEvents(answer, pending[:complete]); fault != nil {
+				return outcome{fate: masticway.FateRan, result: chooser.VerdictNone, reason: fault.Error()}
 			}
-			pending = append(pending[:0], pending[whole:]...)
-			a.clearIfProven()
-			a.expect(x.gapWait())
+			pending = append(pending[:0], pending[complete:]...)
+			a.clearSuspect()
+			a.setSilenceTimeout(x.eventGapTimeout())
 		}
-		if errors.Is(err, io.EOF) && len(bytes.TrimSpace(pending)) == 0 && x.begun {
+		if errors.Is(err, io.EOF) && len(bytes.TrimSpace(pending)) == 0 && x.headWritten {
 			x.fate = masticway.FateRan
-			return outcome{done: true, fate: masticway.FateRan, verdict: chooser.VerdictGood}
+			return outcome{done: true, fate: masticway.FateRan, result: chooser.VerdictGood}
 		}
-		if err != nil || len(pending) > eventLimit {
-			return a.brokenOff(err, len(pending))
+		if err != nil || len(pending) > maxEventBytes {
+			return a.streamFailure(err, len(pending))
 		}
 	}
 }
 
-// brokenOff is a stream that ended before its end.
-func (a *attempt) brokenOff(err error, rest int) outcome {
-	out := a.lost(fmt.Errorf("stream broke off after %d events, %d bytes of the next: %w", a.x.events, rest, err))
+// streamFailure is a stream that ended before its end.
+func (a *attempt) streamFailure(err error, pending int) outcome {
+	out := a.connectionFailure(fmt.Errorf("stream broke off after %d events, %d bytes of the next: %w", a.x.events, pending, err))
 	out.fate = masticway.FateRan
 	return out
 }
 
-// forward writes whole events to the caller.
-func (a *attempt) forward(answer *sender.Answer, events []byte) error {
+// writeEvents writes whole events to the caller.
+func (a *attempt) writeEvents(answer *sender.Answer, events []byte) error {
 	x := a.x
-	a.first()
+	a.recordFirstPart()
 	x.fate = masticway.FateRan
-	if !a.clear() {
-		return errNotCleared
+	if !a.awaitClearance() {
+		return errHoldNotCleared
 	}
-	if !x.begun {
-		x.begin(answer)
+	if !x.headWritten {
+		x.beginAnswer(answer)
 		x.w.WriteHeader(answer.Status)
 	}
 	for len(events) > 0 {
@@ -71,7 +71,7 @@
 		event := events[:end]
 		events = events[end:]
 		id, ok := eventID(event)
-		if ok && x.lastEvent != "" && !later(id, x.lastEvent) {
+		if ok && x.lastEvent != "" && !isLaterID(id, x.lastEvent) {
 			// A resumed server began before the point that it was given.
 			continue
 		}
@@ -89,23 +89,23 @@
 	return nil
 }
 
-// errNotCleared ends an answer whose money could not be promised to the store before the time was over.
-var errNotCleared = errors.New("the store did not take the promise for this answer's money in time")
+// errHoldNotCleared ends an answer whose money could not be promised to the store before the time was over.
+var errHoldNotCleared = errors.New("the store did not take the promise for this answer's money in time")
 
-// clear waits until the answer may go out; until then a death of this router would leave its money unaccounted for. No
+// awaitClearance waits until the answer may go out; until then a death of this router would leave its money unaccounted for. No
 // limit on the server runs meanwhile: it has answered, and another one's answer would wait for the same money.
-func (a *attempt) clear() bool {
-	a.expect(0)
+func (a *attempt) awaitClearance() bool {
+	a.setSilenceTimeout(0)
 	x := a.x
-	if !x.held || x.cleared {
+	if !x.holdOpen || x.cleared {
 		return true
 	}
-	x.cleared = x.f.bank.Clear(a.ctx, x.money.ID)
+	x.cleared = x.f.budgets.Clear(a.ctx, x.holdReply.ID)
 	return x.cleared
 }
 
-// later tells that an event id follows another; ids that are no numbers always do.
-func later(id, last string) bool {
+// isLaterID tells that an event id follows another; ids that are no numbers always do.
+func isLaterID(id, last string) bool {
 	a, err := strconv.ParseInt(id, 10, 64)
 	if err != nil {
 		return true
@@ -114,13 +114,13 @@
 	return err != nil || a > b
 }
 
-// eventEnds are the blank lines that end an event.
-var eventEnds = [][]byte{[]byte("\n\n"), []byte("\r\n\r\n")}
+// eventDelimiters are the blank lines that end an event.
+var eventDelimiters = [][]byte{[]byte("\n\n"), []byte("\r\n\r\n")}
 
 // firstEventEnd returns the length of the first whole event, or of everything.
 func firstEventEnd(b []byte) int {
 	first := len(b)
-	for _, end := range eventEnds {
+	for _, end := range eventDelimiters {
 		if i := bytes.Index(b, end); i >= 0 {
 			first = min(first, i+len(end))
 		}
@@ -131,7 +131,7 @@
 // lastEventEnd returns the length of all whole events.
 func lastEventEnd(b []byte) int {
 	last := 0
-	for _, end := range eventEnds {
+	for _, end := range eventDelimiters {
 		if i := bytes.LastIndex(b, end); i >= 0 {
 			last = max(last, i+len(end))
 		}
--- a/forwarder/report.go
+++ b/forwarder/report.go
@@ -9,10 +9,10 @@
 	"github.com/masticway/masticway"
 )
 
-// refuse answers a request that is not served.
-func (f *Forwarder) refuse(w http.ResponseWriter, x *exchange, refused *masticway.RefusalError) {
+// writeRefusal answers a request that is not served.
+func (f *Forwarder) writeRefusal(w http.ResponseWriter, x *exchange, refused *masticway.RefusalError) {
 	f.metrics.Add(metricRefused+"_"+refused.Code, 1)
-	f.dialect.SetRefusal(w.Header(), x.q.ID, refused.RetryAfter)
+	f.codec.SetRefusal(w.Header(), x.q.ID, refused.RetryAfter)
 	body, err := json.Marshal(struct {
 		Error any `json:"error"`
 	}{struct {
@@ -25,7 +25,7 @@
 		body = nil
 		f.log.WithFields(logrus.Fields{"event": "refusal_unwritten", "request": x.q.ID, "error": err}).Error("refusal without a body")
 	}
-	f.keep(w.Header())
+	f.setConnectionHeader(w.Header())
 	if refused.Code == codeOverloaded {
 		// The next connection reaches another router.
 		w.Header().Set("Connection", "close")
@@ -35,45 +35,45 @@
 	_, _ = w.Write(body)
 	fields := logrus.Fields{"status": refused.Status, "run": refused.Fate, "cause": x.cause}
 	if refused.Code == codeExhausted || refused.Code == codeUnreachable {
-		fields["prepaid"], fields["left"], fields["free"], fields["own"] = x.money.Prepaid, x.money.Left, x.money.Free, x.money.Own
-		fields["row_age_ms"], fields["others_asked"] = x.money.RowAge.Milliseconds(), x.money.Asked
+		fields["prepaid"], fields["left"], fields["free"], fields["own"] = x.holdReply.Prepaid, x.holdReply.Left, x.holdReply.Free, x.holdReply.Own
+		fields["row_age_ms"], fields["others_asked"] = x.holdReply.RowAge.Milliseconds(), x.holdReply.Asked
 	}
-	x.line(refused.Code).WithFields(fields).Info("request refused")
+	x.logEntry(refused.Code).WithFields(fields).Info("request refused")
 }
 
-// line starts the one line that ends a request.
-func (x *exchange) line(outcome string) *logrus.Entry {
+// logEntry starts the one line that ends a request.
+func (x *exchange) logEntry(outcome string) *logrus.Entry {
 	now := x.f.clock.Now()
 	return x.f.log.WithFields(logrus.Fields{
 		"event": "request", "request": x.q.ID, "outcome": outcome, "workspace": x.q.account.Workspace, "route": x.q.route.Name,
 		"pool": x.q.pool.Name, "server": x.server, "tries": x.tries, "events": x.events, "configuration": x.q.revision,
-		"hold": x.most(), "used": x.used(), "money_ms": x.money.Waited.Milliseconds(), "ms": now.Sub(x.q.received).Milliseconds(),
+		"hold": x.maxTokens(), "used": x.usedTokens(), "money_ms": x.holdReply.Waited.Milliseconds(), "ms": now.Sub(x.q.received).Milliseconds(),
 		"left_ms": x.q.deadline.Sub(now).Milliseconds(), "state": x.state, "resumes_after": x.q.LastEvent,
 	})
 }
 
-// served counts a request that was served, and writes every so-manieth line.
-func (f *Forwarder) served(x *exchange) {
+// recordServed counts a request that was served, and writes every so-manieth line.
+func (f *Forwarder) recordServed(x *exchange) {
 	f.metrics.Add(metricServed, 1)
 	now := f.clock.Now()
 	f.metrics.Observe(histogramFirst, x.q.route.Name, x.firstAt.Sub(x.q.received))
 	f.metrics.Observe(histogramWhole, x.q.account.Workspace, now.Sub(x.q.received))
-	if f.settings.LogEvery > 0 && f.finished.Add(1)%int64(f.settings.LogEvery) == 0 {
-		x.line("served").Info("request served")
+	if f.settings.LogEvery > 0 && f.servedCount.Add(1)%int64(f.settings.LogEvery) == 0 {
+		x.logEntry("served").Info("request served")
 	}
 }
 
-func (f *Forwarder) left(x *exchange) {
-	f.metrics.Add(metricLeft, 1)
-	x.line("caller_left").WithField("cause", x.cause).Info("caller left")
+func (f *Forwarder) recordCallerLeft(x *exchange) {
+	f.metrics.Add(metricCallersLeft, 1)
+	x.logEntry("caller_left").WithField("cause", x.cause).Info("caller left")
 }
 
-func (f *Forwarder) broken(x *exchange, refused *masticway.RefusalError) {
+func (f *Forwarder) recordBroken(x *exchange, refused *masticway.RefusalError) {
 	f.metrics.Add(metricBroken, 1)
-	x.line("broken_off").WithFields(logrus.Fields{"run": refused.Fate, "cause": x.cause}).Info("answer broken off")
+	x.logEntry("broken_off").WithFields(logrus.Fields{"run": refused.Fate, "cause": x.cause}).Info("answer broken off")
 }
 
-func (x *exchange) logAttempt(server masticway.Server, out outcome) {
+func (x *exchange) logFailedAttempt(server masticway.Server, out outcome) {
 	x.f.log.WithFields(logrus.Fields{
 		"event": "attempt_failed", "request": x.q.ID, "server": server.ID, "address": server.Address, "fate": out.fate,
 		"cause": out.reason, "events": x.events, "digest": x.digest(), "path": x.q.path(), "workspace": x.q.account.Workspace, "ms": x.f.clock.Now().Sub(x.q.received).Milliseconds(),
--- a/forwarder/rest_test.go
+++ b/forwarder/rest_test.go
@@ -11,8 +11,8 @@
 	"github.com/masticway/masticway/emulator"
 )
 
-// turnAway has a server turn its next requests away and ask for rest.
-func turnAway(s *emulator.OpaqueServer, seconds string, requests int) {
+// refuseWithBackoff has a server turn its next requests away and ask for rest.
+func refuseWithBackoff(s *emulator.OpaqueServer, seconds string, requests int) {
 	s.Rest(seconds)
 	faults := make([]emulator.OpaqueFault, requests)
 	for i := range faults {
@@ -21,54 +21,54 @@
 	s.Fail(faults...)
 }
 
-// TestServerThatAsksForRestGetsIt: a router goes on sending to a server that has turned it away and asked for a time of rest.
-func TestServerThatAsksForRestGetsIt(t *testing.T) {
+// TestServerBackoffIsHonored: a router goes on sending to a server that has turned it away and asked for a time of rest.
+func TestServerBackoffIsHonored(t *testing.T) {
 	cases := map[string]struct {
-		path, rest string
-		servers    int
-		// rests tells that what the server asks for is a time.
-		rests bool
+		path, backoff string
+		servers       int
+		// isValid tells that what the server asks for is a time.
+		isValid bool
 	}{
-		"the only server":              {path: "/freely/x", rest: "3", servers: 1, rests: true},
-		"one of two":                   {path: "/freely/x", rest: "3", servers: 2, rests: true},
-		"one of two, for streams":      {path: "/resume/x", rest: "3", servers: 2, rests: true},
-		"one of two, without retries":  {path: "/never/x", rest: "3", servers: 2, rests: true},
-		"a fraction":                   {path: "/never/x", rest: "2.5", servers: 2, rests: true},
-		"longer than any server lives": {path: "/never/x", rest: "1e300", servers: 2, rests: true},
-		"no time at all":               {path: "/never/x", rest: "0", servers: 1},
-		"below zero":                   {path: "/never/x", rest: "-3", servers: 1},
-		"no number":                    {path: "/never/x", rest: "NaN", servers: 1},
-		"a word":                       {path: "/never/x", rest: "soon", servers: 1},
+		"the only server":              {path: "/freely/x", backoff: "3", servers: 1, isValid: true},
+		"one of two":                   {path: "/freely/x", backoff: "3", servers: 2, isValid: true},
+		"one of two, for streams":      {path: "/resume/x", backoff: "3", servers: 2, isValid: true},
+		"one of two, without retries":  {path: "/never/x", backoff: "3", servers: 2, isValid: true},
+		"a fraction":                   {path: "/never/x", backoff: "2.5", servers: 2, isValid: true},
+		"longer than any server lives": {path: "/never/x", backoff: "1e300", servers: 2, isValid: true},
+		"no time at all":               {path: "/never/x", backoff: "0", servers: 1},
+		"below zero":                   {path: "/never/x", backoff: "-3", servers: 1},
+		"no number":                    {path: "/never/x", backoff: "NaN", servers: 1},
+		"a word":                       {path: "/never/x", backoff: "soon", servers: 1},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			f := newFleet(t, tc.servers)
-			turnAway(f.servers[0], tc.rest, 1000)
+			f := newFixture(t, tc.servers)
+			refuseWithBackoff(f.servers[0], tc.backoff, 1000)
 			for len(f.servers[0].Arrivals()) == 0 {
-				f.ask(t.Context(), "POST", tc.path)
+				f.do(t.Context(), "POST", tc.path)
 			}
 			for range 40 {
-				got := f.ask(t.Context(), "POST", tc.path)
+				got := f.do(t.Context(), "POST", tc.path)
 				if tc.servers > 1 {
 					qt.Assert(t, got.status, qt.Equals, 200)
 				}
 			}
 			got := len(f.servers[0].Arrivals())
-			qt.Assert(t, got == 1, qt.Equals, tc.rests, qt.Commentf("%d requests", got))
+			qt.Assert(t, got == 1, qt.Equals, tc.isValid, qt.Commentf("%d requests", got))
 		})
 	}
 }
 
-// TestRestEnds: a server that has rested gets nothing for longer than it asked for, or for ever.
-func TestRestEnds(t *testing.T) {
+// TestServerBackoffEnds: a server that has rested gets nothing for longer than it asked for, or for ever.
+func TestServerBackoffEnds(t *testing.T) {
 	t.Parallel()
-	f := newFleet(t, 1)
-	turnAway(f.servers[0], "0.4", 1)
+	f := newFixture(t, 1)
+	refuseWithBackoff(f.servers[0], "0.4", 1)
 	began := time.Now()
-	f.ask(t.Context(), "POST", "/never/x")
+	f.do(t.Context(), "POST", "/never/x")
 	refused := 0
-	for f.ask(t.Context(), "POST", "/never/x").status != 200 {
+	for f.do(t.Context(), "POST", "/never/x").status != 200 {
 		refused++
 		time.Sleep(10 * time.Millisecond)
 	}
@@ -76,20 +76,20 @@
 	qt.Assert(t, took >= 400*time.Millisecond && took < 700*time.Millisecond, qt.IsTrue, qt.Commentf("it rested for %v", took))
 	qt.Assert(t, refused > 0, qt.IsTrue)
 
-	turnAway(f.servers[0], "1e300", 1)
-	f.ask(t.Context(), "POST", "/never/x")
+	refuseWithBackoff(f.servers[0], "1e300", 1)
+	f.do(t.Context(), "POST", "/never/x")
 	f.clock.advance(5 * time.Minute)
-	qt.Assert(t, f.ask(t.Context(), "POST", "/never/x").status, qt.Equals, 200, qt.Commentf("a server that asks for too much is asked again"))
+	qt.Assert(t, f.do(t.Context(), "POST", "/never/x").status, qt.Equals, 200, qt.Commentf("a server that asks for too much is asked again"))
 }
 
-// TestRefusalForRestIsTrue: a caller is told to come again while the only server still rests.
-func TestRefusalForRestIsTrue(t *testing.T) {
+// TestBackoffRefusalRetryAfter: a caller is told to come again while the only server still rests.
+func TestBackoffRefusalRetryAfter(t *testing.T) {
 	t.Parallel()
-	f := newFleet(t, 1)
-	turnAway(f.servers[0], "3", 1)
+	f := newFixture(t, 1)
+	refuseWithBackoff(f.servers[0], "3", 1)
 	for i := range 3 {
 		began := time.Now()
-		got := f.ask(t.Context(), "POST", "/never/x")
+		got := f.do(t.Context(), "POST", "/never/x")
 		qt.Assert(t, got.status, qt.Equals, 503)
 		qt.Assert(t, time.Since(began) < 200*time.Millisecond, qt.IsTrue)
 		qt.Assert(t, strings.Contains(got.body, `"code":"servers_resting"`), qt.IsTrue, qt.Commentf("refusal %d: %s", i, got.body))
--- a/forwarder/settings.go
+++ b/forwarder/settings.go
@@ -68,8 +68,8 @@
 	Slack     float64 `json:"slack"`
 }
 
-// placement is the part of the settings on where requests go.
-func (s Settings) placement() chooser.ServerPolicy {
+// serverPolicy is the part of the settings on where requests go.
+func (s Settings) serverPolicy() chooser.ServerPolicy {
 	return chooser.ServerPolicy{
 		RankShare: s.Policy.RankShare, ZoneTokenCost: s.Policy.ZoneTokenCost,
 		Cold: chooser.ColdBound{Overshoot: s.Cold.Overshoot, Slack: s.Cold.Slack},
