--- a/forwarder/doc.go
+++ b/forwarder/doc.go
@@ -1,8 +1,10 @@
-// Package forwarder serves opaque requests: their bytes pass between a caller and
-// a server unread, and only what the caller declares about them is known.
+// Package forwarder serves opaque requests. It passes the bytes between a
+// caller and a server without interpreting them, and knows only what the caller
+// declares about the request in its headers.
 //
-// One exchange carries one request: it finds the route and the workspace, takes
-// money for the most that the request may consume, chooses a server, and relays
-// the answer. What every attempt may have done is kept as a fate, because a
-// refusal that says "not run" is a promise.
+// An exchange carries one request. It finds the route and the workspace,
+// reserves budget for the most that the request may consume, chooses a server,
+// and relays the answer. It records for every attempt whether the request may
+// have run, because a refusal that reports "not run" must be true: the caller
+// may rely on it to send a non-repeatable request again.
 package forwarder
--- a/forwarder/forwarder.go
+++ b/forwarder/forwarder.go
@@ -19,25 +19,25 @@
 	"github.com/masticway/masticway/treasurer"
 )
 
-// Budgets holds prepaid money for requests.
+// Budgets holds prepaid tokens for requests.
 type Budgets interface {
-	// Hold takes money for a request, and waits for it at most so long.
+	// Hold reserves tokens for a request. It waits for them no longer than the given time.
 	Hold(ctx context.Context, workspace string, need int64, wait time.Duration) treasurer.Reply
-	// Clear waits until a hold's answer may go to the caller, and returns false when the context ended first.
+	// Clear waits until the answer that a hold pays for may go to the caller. It returns false if the context ends first.
 	Clear(ctx context.Context, id treasurer.HoldID) bool
-	// Settle ends a hold with what was used of it.
+	// Settle ends a hold and charges what was used.
 	Settle(id treasurer.HoldID, used int64)
-	// Members returns how many routers there seem to be, zero when that is not known.
+	// Members returns the estimated number of routers, or zero if it is unknown.
 	Members() int
-	// Owns tells whether this router is the one of all to which a key falls; nobody is before the routers are counted.
+	// Owns reports whether this router is the single owner of a key. No router owns any key until the number of routers is known.
 	Owns(key string) bool
 }
 
-// drainNotice is how long a router that ends takes any request: the balancer needs two misses, a second apart, to send new
-// connections elsewhere.
+// drainNotice is how long a draining router still accepts any request. The load balancer needs two failed checks, a second apart,
+// to send new connections elsewhere.
 const drainNotice = 2500 * time.Millisecond
 
-// Forwarder serves callers.
+// Forwarder serves the requests of callers.
 type Forwarder struct {
 	settings Settings
 	clock    masticway.Clock
@@ -50,23 +50,23 @@
 	checks   *checks
 	examiner masticway.Examiner
 	rotation masticway.Rotation
-	// throttler keeps to what servers say of the requests that they take.
+	// throttler enforces the rate limits and backoff that servers announce.
 	throttler masticway.Throttler
-	// onLeaving is told of servers that say that they leave.
+	// onLeaving is called for servers that announce that they drain.
 	onLeaving func(masticway.Server)
-	// abandoned are the runs whose servers no connection tells of any more.
+	// abandoned are runs without a connection that would break if their server crashed.
 	abandoned abandonedRuns
 
 	mu         sync.Mutex
 	servers    *chooser.Servers
 	allowances map[string]*retrier.Allowance
 
-	// drainState is when the router was told to end, and until when it serves; nothing before.
+	// drainState is nil until the router is asked to drain.
 	drainState  atomic.Pointer[drain]
 	servedCount atomic.Int64
 }
 
-// Parts are what a forwarder is made of.
+// Parts holds the dependencies of a Forwarder.
 type Parts struct {
 	Clock   masticway.Clock
 	Log     *logrus.Entry
@@ -74,19 +74,19 @@
 	Dialect masticway.HeaderCodec
 	Bank    Budgets
 	Beliefs func() follower.Beliefs
-	// Examiner knows the requests under which servers end.
+	// Examiner identifies the requests under which servers crash.
 	Examiner masticway.Examiner
-	// Rotation tells whether new callers are wanted.
+	// Rotation reports whether the router is in the load balancer's rotation, and admits load.
 	Rotation masticway.Rotation
-	// Throttler keeps to what servers say of the requests that they take.
+	// Throttler enforces the rate limits and backoff that servers announce.
 	Throttler masticway.Throttler
-	// Leaves is told of servers that say themselves that they leave.
+	// Leaves is called for servers that announce that they drain.
 	Leaves func(masticway.Server)
-	// Dial makes connections to servers.
+	// Dial connects to servers.
 	Dial func(ctx context.Context, network, address string) (net.Conn, error)
 }
 
-// New returns a forwarder.
+// New returns a Forwarder.
 func New(s Settings, p Parts) *Forwarder {
 	f := &Forwarder{
 		settings: s, clock: p.Clock, log: p.Log, metrics: p.Metrics, codec: p.Dialect, budgets: p.Bank, snapshot: p.Beliefs,
@@ -98,7 +98,7 @@
 	return f
 }
 
-// Changed takes a new belief: what is known of servers that are gone is dropped.
+// Changed applies a new snapshot of the configuration and the servers. It drops the state of servers that are gone or restarted.
 func (f *Forwarder) Changed(snapshot follower.Beliefs) {
 	startedAt, addresses := map[string]time.Time{}, map[string]bool{}
 	addressOf := map[string]string{}
@@ -113,47 +113,47 @@
 	restarted := f.servers.Keep(startedAt)
 	f.mu.Unlock()
 	for _, id := range restarted {
-		// Connections that rest are those of the life before.
+		// Idle connections belong to the previous incarnation, so they are closed.
 		delete(addresses, addressOf[id])
-		f.log.WithFields(logrus.Fields{"event": "server_reborn", "server": id, "born": startedAt[id]}).Info("server began a new life")
+		f.log.WithFields(logrus.Fields{"event": "server_reborn", "server": id, "born": startedAt[id]}).Info("server restarted")
 	}
 	f.sender.Forget(addresses)
 	f.checks.retain(snapshot)
 }
 
-// Ready tells whether new connections are wanted.
+// Ready reports whether the router accepts new connections.
 func (f *Forwarder) Ready() bool {
 	return f.drainState.Load() == nil && f.snapshot().Ready() && !f.rotation.IsOut()
 }
 
-// drain is an end that was asked for.
+// drain is the state of a router that shuts down.
 type drain struct {
 	since time.Time
 	until time.Time
-	// closing tells that connections are being closed.
+	// closing is set once connections are being closed.
 	closing atomic.Bool
 }
 
-// wouldCutOff tells that a request would probably be cut off: it may last longer than the router, and its caller has had
-// time to go elsewhere.
+// wouldCutOff reports whether the request is likely to be cut off by the shutdown: connections are being closed, or the request
+// may last longer than the router and its caller had time to go elsewhere.
 func (d *drain) wouldCutOff(now, deadline time.Time) bool {
 	return d != nil && (d.closing.Load() || now.Sub(d.since) > drainNotice && deadline.After(d.until))
 }
 
-// Drain makes every answer end its connection, and Ready say no; at the given time the router will be gone.
+// Drain starts a shutdown that ends at the given time. From now on every answer closes its connection and Ready returns false.
 func (f *Forwarder) Drain(until time.Time) {
 	f.drainState.Store(&drain{since: f.clock.Now(), until: until})
 }
 
-// Refuse lets no request be passed on from now on. It goes before the closing of idle connections: one on which a request
-// has just come looks idle until it is read, and the request would be passed on and lose its answer.
+// Refuse stops the forwarding of requests. It must be called before idle connections are closed: a connection on which a request
+// has just arrived looks idle until it is read, so the request would be forwarded and its answer lost.
 func (f *Forwarder) Refuse() {
 	if d := f.drainState.Load(); d != nil {
 		d.closing.Store(true)
 	}
 }
 
-// ServeHTTP serves one request.
+// ServeHTTP serves a request.
 func (f *Forwarder) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	f.metrics.Add(metricRequests, 1)
 	x, refused := f.admit(w, r)
@@ -165,16 +165,15 @@
 	x.run(r.Context())
 }
 
-// setConnectionHeader tells an answer's caller whether its connection can be used again; the next one of a router that ends or is out of
-// rotation reaches another. It is asked when the head is written: a request that came before the end was asked for may be
-// answered after it.
+// setConnectionHeader makes the caller reconnect, and so reach another router, if this one is draining or out of rotation. It
+// must be called when the head of the answer is written, because the drain may start after the request arrived.
 func (f *Forwarder) setConnectionHeader(h http.Header) {
 	if f.drainState.Load() != nil || f.rotation.IsOut() {
 		h.Set("Connection", "close")
 	}
 }
 
-// allowance returns the retry allowance of a pool; the caller holds the lock.
+// allowance returns the retry allowance of a pool. The caller must hold f.mu.
 func (f *Forwarder) allowance(pool string) *retrier.Allowance {
 	a, ok := f.allowances[pool]
 	if !ok {
