--- a/forwarder/admit.go
+++ b/forwarder/admit.go
@@ -16,17 +16,18 @@
 )
 
 const (
-	// retryAfterReconnect is when a caller of a router that ends should come back: the next connection reaches another one.
+	// retryAfterReconnect is the retry hint of a router that is draining or overloaded. The caller's next connection reaches
+	// another router.
 	retryAfterReconnect = 50 * time.Millisecond
-	// defaultMaxBodyBytes bounds a body when the configuration does not.
+	// defaultMaxBodyBytes bounds a body if the configuration does not.
 	defaultMaxBodyBytes = 4 << 20
-	// defaultTimeout is how long a request may take when neither caller nor route says.
+	// defaultTimeout bounds a request if neither the caller nor the route does.
 	defaultTimeout = 30 * time.Second
-	// maxRank is the last rank that servers know.
+	// maxRank is the least urgent rank that servers support.
 	maxRank = 9
 )
 
-// Codes of refusals; docs/OPERATIONS.md tells what an operator does about each.
+// Codes of refusals; docs/OPERATIONS.md explains how an operator handles each.
 const (
 	codeNotReady              = "not_ready"
 	codeMalformed             = "malformed"
@@ -51,7 +52,7 @@
 	codeOverloaded            = "router_overloaded"
 )
 
-// request is one caller's request, checked; it does not change.
+// request is a caller's request. It does not change once it is admitted.
 type request struct {
 	masticway.OpaqueRequest
 	route    masticway.Route
@@ -68,10 +69,10 @@
 	deadline time.Time
 }
 
-// hasBudget tells that the request consumes a prepaid budget.
+// hasBudget reports whether the request consumes a prepaid budget.
 func (q request) hasBudget() bool { return q.Metered && q.account.HasLimit }
 
-// rank returns the request's urgency; a workspace's own goes before the route's.
+// rank returns the request's urgency, 0 being the most urgent. The workspace's priority takes precedence over the route's.
 func (q request) rank() int {
 	if q.account.HasPriority {
 		return min(maxRank, max(0, q.account.Priority))
@@ -79,18 +80,18 @@
 	return min(maxRank, max(0, q.route.Priority))
 }
 
-// path returns the path without the query, which may hold what is a caller's own business.
+// path returns the path without the query, which may hold the caller's private data.
 func (q request) path() string {
 	path, _, _ := strings.Cut(q.target, "?")
 	return path
 }
 
-// refusal builds the answer to a request that certainly did not run.
+// refusal returns the answer to a request that did not run.
 func refusal(status int, code, message string, wait time.Duration) *masticway.RefusalError {
 	return &masticway.RefusalError{Status: status, Code: code, Message: message, Fate: masticway.FateNotRun, RetryAfter: wait}
 }
 
-// admit checks a request and reads its body; the exchange is there for the log also when it is refused.
+// admit checks a request and reads its body. It returns the exchange even if the request is refused, for the log.
 func (f *Forwarder) admit(w http.ResponseWriter, r *http.Request) (*exchange, *masticway.RefusalError) {
 	now := f.clock.Now()
 	x := &exchange{f: f, w: w, state: deliveryChart.Initial(), fate: masticway.FateNotRun, tried: map[string]bool{}}
@@ -118,7 +119,7 @@
 	if refused := x.readBody(w, r, snapshot.Deployment.Limits); refused != nil {
 		return x, refused
 	}
-	// The body may have taken long.
+	// Reading the body may have taken long.
 	return x, x.checkDrain()
 }
 
@@ -130,11 +131,11 @@
 	return refusal(http.StatusServiceUnavailable, codeShuttingDown, "this router ends before the answer would", retryAfterReconnect)
 }
 
-// admitLoad counts the request in, before its body has come over a link that may be full.
+// admitLoad reserves capacity for the request before its body is read, because the link to the callers may be saturated.
 func (x *exchange) admitLoad(r *http.Request, limits masticway.CallerLimits) *masticway.RefusalError {
 	bytes := r.ContentLength
 	if bytes < 0 {
-		// It may become as large as is allowed.
+		// The length is unknown, so assume the largest that is allowed.
 		bytes = maxBodyBytes(limits)
 	}
 	if x.f.rotation.Admit(x.q.rank(), bytes) {
@@ -145,14 +146,14 @@
 	return refusal(http.StatusServiceUnavailable, codeOverloaded, "this router has more to carry than it can", retryAfterReconnect)
 }
 
-// markAnswered counts the request out, once.
+// markAnswered reports to the rotation, once, that the request no longer waits for its answer.
 func (x *exchange) markAnswered() {
 	if x.awaitingAnswer.Swap(false) {
 		x.f.rotation.MarkAnswered()
 	}
 }
 
-// release counts out what the request held.
+// release releases the capacity that the request holds.
 func (x *exchange) release() {
 	x.markAnswered()
 	if x.admitted {
@@ -160,7 +161,7 @@
 	}
 }
 
-// maxBodyBytes is the most that a body may have.
+// maxBodyBytes returns the largest allowed size of a body.
 func maxBodyBytes(limits masticway.CallerLimits) int64 {
 	if limits.MaxBodyBytes <= 0 {
 		return defaultMaxBodyBytes
@@ -168,7 +169,7 @@
 	return limits.MaxBodyBytes
 }
 
-// resolveRoute looks up route, workspace and pool.
+// resolveRoute looks up the route, the workspace and the pool of the request.
 func (x *exchange) resolveRoute(snapshot follower.Beliefs, r *http.Request) *masticway.RefusalError {
 	d := snapshot.Deployment
 	x.q.revision = d.Version
@@ -192,7 +193,7 @@
 	return nil
 }
 
-// pickPool chooses a pool by weight; one request always gets the same.
+// pickPool chooses a pool by weight. The choice depends on the request's id only.
 func pickPool(shares []masticway.TrafficShare, id string) string {
 	total := 0
 	for _, s := range shares {
@@ -211,7 +212,7 @@
 	return ""
 }
 
-// setDeadline sets the end of the caller's patience or of the route's timeout, whichever comes first.
+// setDeadline applies the caller's time limit or the route's timeout, whichever is shorter.
 func (x *exchange) setDeadline() {
 	left := x.q.TimeLeft
 	if t := x.q.route.Timeout; t > 0 && (left <= 0 || t < left) {
@@ -222,7 +223,7 @@
 	}
 }
 
-// readBody takes the body in whole, so that it can be sent again.
+// readBody reads the whole body, so that it can be sent again.
 func (x *exchange) readBody(w http.ResponseWriter, r *http.Request, limits masticway.CallerLimits) *masticway.RefusalError {
 	limit := maxBodyBytes(limits)
 	if r.ContentLength == 0 {
--- a/forwarder/candidates.go
+++ b/forwarder/candidates.go
@@ -9,7 +9,7 @@
 	"github.com/masticway/masticway/chooser"
 )
 
-// candidates lists the servers that may get the request, without some.
+// candidates returns the servers at which the request may run, except the excluded ones.
 func (x *exchange) candidates(excluded map[string]bool) []masticway.Server {
 	known := x.f.snapshot().Servers[x.q.pool.Name]
 	servers := make([]masticway.Server, 0, len(known))
@@ -21,8 +21,8 @@
 	return servers
 }
 
-// isAllowedAt tells that the allowed regions of the request's route and workspace both let it run at a server. A server in a zone
-// whose region is not known is in none of them.
+// isAllowedAt reports whether both the route and the workspace allow the request to run in the server's region. A server in a
+// zone with an unknown region is in none of the allowed regions.
 func (x *exchange) isAllowedAt(s masticway.Server) bool {
 	region := x.f.settings.Regions[s.Zone]
 	for _, regions := range [][]string{x.q.route.Regions, x.q.account.Regions} {
@@ -33,10 +33,11 @@
 	return true
 }
 
-// maxAdmissionTries bounds the servers with limits that are tried for one choice, each of which may take a question to another router.
+// maxAdmissionTries bounds the rate-limited servers that are tried for one choice, because each may need a call to another
+// router.
 const maxAdmissionTries = 3
 
-// selectServer chooses one of some servers that may get a request more by what it says itself; there may be none.
+// selectServer chooses one of the servers to which the throttler admits a request. It returns false if there is none.
 func (x *exchange) selectServer(ctx context.Context, servers []masticway.Server) (masticway.Server, bool) {
 	servers = x.f.throttler.Available(servers)
 	for range maxAdmissionTries {
@@ -49,7 +50,8 @@
 	return x.cheapestServer(x.f.throttler.Unlimited(servers))
 }
 
-// cheapestServer chooses one of some servers, a cold one only where no warm one is left; there may be none.
+// cheapestServer returns the server with the least expected cost, a cold one only if no warm one is left. It returns false if
+// there is none.
 func (x *exchange) cheapestServer(servers []masticway.Server) (masticway.Server, bool) {
 	x.f.mu.Lock()
 	defer x.f.mu.Unlock()
@@ -64,7 +66,7 @@
 	return masticway.Server{}, false
 }
 
-// noServerOutcome is the outcome of a request that no server can get now.
+// noServerOutcome returns the outcome of a request that no server can take now.
 func (x *exchange) noServerOutcome() outcome {
 	out := outcome{fate: masticway.FateNotRun, result: chooser.VerdictNone, reason: "no server is known or left to ask"}
 	if throttled, ok := x.throttledOutcome(); ok {
@@ -83,8 +85,8 @@
 	return out
 }
 
-// throttledOutcome is the outcome of a request of which all servers that may get it take none now, by what they say themselves; false where one
-// does.
+// throttledOutcome returns the outcome of a request all of whose candidates are rate limited or asked for backoff. It returns
+// false if any candidate is not.
 func (x *exchange) throttledOutcome() (out outcome, ok bool) {
 	var soonest masticway.Server
 	var shortest masticway.Throttling
