--- a/forwarder/attempt.go
+++ b/forwarder/attempt.go
@@ -17,13 +17,13 @@
 )
 
 const (
-	// maxAnswerBytes bounds an answer that is read in whole.
+	// maxAnswerBytes bounds an answer that is buffered before it is relayed.
 	maxAnswerBytes = 8 << 20
 	// maxForeignAnswers bounds the answers to other requests that are skipped on one connection.
 	maxForeignAnswers = 2
 )
 
-// attempt is one request at one server.
+// attempt is an attempt to serve the request at one server.
 type attempt struct {
 	x         *exchange
 	server    masticway.Server
@@ -32,14 +32,14 @@
 	parent context.Context
 	ctx    context.Context
 	cancel context.CancelCauseFunc
-	// sendResults brings the answer of a server that was asked while the one before was silent; else it is nil.
+	// sendResults delivers the result of an attempt that was sent as a handover candidate. It is nil for other attempts.
 	sendResults chan sendResult
-	// excluded are the servers that had been asked when the attempt began.
+	// excluded are the servers that had been tried before the attempt.
 	excluded map[string]bool
 	handover handoverState
-	// quarantined tells that the request runs as a suspect, and is this router's to report on.
+	// quarantined is set if the request runs as a suspect and this router has to report the result to the examiner.
 	quarantined bool
-	// firstAt is when the first part of this server's answer came.
+	// firstAt is when the first part of this server's answer arrived.
 	firstAt time.Time
 }
 
@@ -55,8 +55,8 @@
 	return out
 }
 
-// nextAttempt returns the next attempt: at a server that has taken the request while the one before was silent, else at the
-// best of those that were not asked. There may be none, for a reason.
+// nextAttempt returns the attempt to which the previous one was handed over, if any, and else a new attempt at the best server
+// that has not been tried. If there is none, the outcome has the reason.
 func (x *exchange) nextAttempt(ctx context.Context) (*attempt, outcome) {
 	a := x.next.Swap(nil)
 	if a == nil {
@@ -71,7 +71,7 @@
 	return a, outcome{}
 }
 
-// newAttempt notes a request that goes to a server.
+// newAttempt records that the request goes to a server.
 func (x *exchange) newAttempt(ctx context.Context, server masticway.Server) *attempt {
 	x.f.metrics.Add(metricAttempts, 1)
 	a := &attempt{x: x, server: server, parent: ctx}
@@ -82,7 +82,7 @@
 	return a
 }
 
-// recordResult notes how an attempt ended, as far as it says something of its server.
+// recordResult records what the end of the attempt says about its server.
 func (a *attempt) recordResult(r chooser.Verdict) {
 	f := a.x.f
 	f.mu.Lock()
@@ -108,7 +108,7 @@
 	return a.handleAnswer(answer, head)
 }
 
-// awaitAnswer sends the request, unless it is sent already, and returns the head of the answer.
+// awaitAnswer returns the head of the answer. It sends the request unless that was done as a handover candidate.
 func (a *attempt) awaitAnswer() (*sender.Answer, error) {
 	if a.sendResults != nil {
 		r := <-a.sendResults
@@ -117,7 +117,7 @@
 	return a.send(a.x.lastEvent)
 }
 
-// send sends the request to the attempt's server and returns the head of the answer; a stream goes on after the last event given.
+// send sends the request to the attempt's server and returns the head of the answer. A stream resumes after lastEvent.
 func (a *attempt) send(lastEvent string) (*sender.Answer, error) {
 	answer, err := a.x.f.sender.Send(a.ctx, a.server.Address, a.x.maxConnections(), a.x.serverRequest(a.server, lastEvent))
 	if err == nil {
@@ -126,10 +126,10 @@
 	return answer, err
 }
 
-// observeServer notes what the server says of itself in the head of an answer.
+// observeServer records what the head of an answer says about the server itself.
 func (a *attempt) observeServer(answer *sender.Answer) {
 	if answer.Status == http.StatusMisdirectedRequest {
-		// A server that is not the one meant speaks of itself.
+		// The answer comes from another server at this address, so it does not describe the expected one.
 		return
 	}
 	head := a.x.f.codec.ParseAnswer(answer.Status, answer.Header)
@@ -139,7 +139,8 @@
 	}
 }
 
-// firstAnswerTimeout is how long the first bytes of an answer are waited for before another server is asked; zero is for ever.
+// firstAnswerTimeout returns how long to wait for the first bytes of an answer before another server is asked. Zero means no
+// limit.
 func (x *exchange) firstAnswerTimeout() time.Duration {
 	if x.possibleRuns()+1 >= x.q.route.MaxServers {
 		return 0
@@ -153,7 +154,7 @@
 	return 0
 }
 
-// eventGapTimeout is the same for the pause between two events.
+// eventGapTimeout returns how long to wait for the next event before another server is asked. Zero means no limit.
 func (x *exchange) eventGapTimeout() time.Duration {
 	if x.possibleRuns()+1 >= x.q.route.MaxServers || x.q.route.RetryPolicy != masticway.RetryByResuming {
 		return 0
@@ -161,7 +162,7 @@
 	return time.Duration(gapHandoverFactor * float64(x.q.route.MaxEventGap))
 }
 
-// sendFailure tells what became of a request without an answer.
+// sendFailure returns the outcome of an attempt that got no answer.
 func (a *attempt) sendFailure(err error) outcome {
 	if _, ok := errors.AsType[*sender.FullError](err); ok {
 		return outcome{fate: masticway.FateNotRun, result: chooser.VerdictNone, reason: err.Error(), isFull: true}
@@ -175,7 +176,7 @@
 	return a.connectionFailure(err)
 }
 
-// failure is an attempt that may have run and whose answer is missing or of no use.
+// failure returns the outcome of an attempt that may have run and got no usable answer.
 func (a *attempt) failure(err error) outcome {
 	cause := context.Cause(a.ctx)
 	if cause != nil {
@@ -184,14 +185,16 @@
 	return outcome{fate: masticway.FateUnknown, result: chooser.VerdictFailed, reason: err.Error(), abandoned: cause != nil}
 }
 
-// connectionFailure is a failed attempt whose connection ended before the answer did, unless it was this router that ended it.
+// connectionFailure is failure for a connection that ended before the answer did. The connection counts as broken unless this
+// router closed it.
 func (a *attempt) connectionFailure(err error) outcome {
 	out := a.failure(err)
 	out.connectionBroken = !out.abandoned
 	return out
 }
 
-// skipForeignAnswers finds the answer to this request, past answers to others that a faulty server sent twice.
+// skipForeignAnswers returns the answer to this request. It skips answers to other requests, which a faulty server may send
+// twice.
 func (a *attempt) skipForeignAnswers(answer *sender.Answer) (masticway.ServerAnswer, *sender.Answer, error) {
 	for range maxForeignAnswers {
 		head := a.x.f.codec.ParseAnswer(answer.Status, answer.Header)
@@ -207,7 +210,7 @@
 	return masticway.ServerAnswer{}, answer, errors.New("the answers belong to other requests")
 }
 
-// handleAnswer decides what an answer is worth and relays it.
+// handleAnswer validates an answer and relays it.
 func (a *attempt) handleAnswer(answer *sender.Answer, head masticway.ServerAnswer) outcome {
 	if head.NotRun {
 		_, _ = io.Copy(io.Discard, answer)
@@ -235,7 +238,7 @@
 	return out
 }
 
-// relayWhole reads an answer in whole and hands it to the caller.
+// relayWhole reads the whole answer and then writes it to the caller.
 func (a *attempt) relayWhole(answer *sender.Answer) outcome {
 	x := a.x
 	body, err := io.ReadAll(io.LimitReader(answer, maxAnswerBytes))
@@ -249,7 +252,7 @@
 	}
 	x.fate = masticway.FateRan
 	if x.headWritten {
-		// A stream that was to be resumed got another answer; the caller's stream cannot take it.
+		// The resumption of a stream got an answer that is not a stream, which cannot be appended to the caller's stream.
 		return outcome{fate: masticway.FateRan, result: chooser.VerdictNone, reason: "status " + strconv.Itoa(answer.Status) + " to a resumption"}
 	}
 	if !a.awaitClearance() {
@@ -266,7 +269,7 @@
 	return outcome{done: true, fate: masticway.FateRan, result: result}
 }
 
-// beginAnswer copies an answer's headers to the caller; from here on it has this server's head.
+// beginAnswer copies the headers of an answer to the caller's. Once they are written, no other server can answer.
 func (x *exchange) beginAnswer(answer *sender.Answer) {
 	x.headWritten = true
 	x.chargeable = answer.Status < http.StatusMultipleChoices
@@ -275,7 +278,7 @@
 		header[name] = values
 	}
 	x.f.setConnectionHeader(header)
-	// What the server did not say is not added.
+	// Keep net/http from adding headers that the server did not send.
 	for _, name := range []string{"Date", "Content-Type"} {
 		if _, ok := header[name]; !ok {
 			header[name] = nil
@@ -283,7 +286,7 @@
 	}
 }
 
-// recordFirstPart notes the first sign of the answer.
+// recordFirstPart records the arrival of a part of the answer; only the first one counts.
 func (a *attempt) recordFirstPart() {
 	now := a.x.f.clock.Now()
 	a.x.markAnswered()
--- a/forwarder/handover.go
+++ b/forwarder/handover.go
@@ -14,36 +14,38 @@
 	"github.com/masticway/masticway/sender"
 )
 
-// handoverTimeout is how long another server may take to refuse a request before the silent one is left for it: one without
-// room says so within some ms. It is a quarter of the time for which two servers may work on one request.
+// handoverTimeout is how long a candidate may take to refuse the request before the silent server is given up for it. A server
+// without capacity refuses within a few ms. The timeout is a quarter of the time for which two servers may work on one request.
 const handoverTimeout = 100 * time.Millisecond
 
-// maxHandovers bounds the servers that are asked during one attempt: each counts against the retries that all share.
+// maxHandovers bounds the candidates of one attempt, because each takes a retry from the allowance.
 const maxHandovers = 2
 
-// errSilent ends an attempt that goes on elsewhere because nothing came for too long.
+// errSilent is the cause of ending an attempt whose server was silent for too long and whose request was handed over.
 var errSilent = errors.New("nothing came for too long")
 
-// sendResult is what sending a request brought.
+// sendResult is the result of sending the request to a candidate.
 type sendResult struct {
 	answer *sender.Answer
 	err    error
 }
 
-// handoverState ends an attempt when nothing has come for too long and another server has taken the request.
+// handoverState detects that a server is silent and hands the request over to another one. The silent server is given up only
+// once the candidate has not refused the request.
 type handoverState struct {
 	mu    sync.Mutex
 	timer *time.Timer
-	// generation is a number that changes with each sign of the server, so that what was begun before it comes to nothing.
+	// generation changes whenever the server makes progress. A handover that began in an earlier generation is aborted.
 	generation int
-	// cancelCandidate ends the question to another server that is under way.
+	// cancelCandidate cancels the candidate that is being asked; it is nil if there is none.
 	cancelCandidate context.CancelFunc
-	// refusedBy are the servers that did not take the request, and left tells that one has.
+	// refusedBy are the candidates that did not take the request. handedOver is set once one has.
 	refusedBy  []string
 	handedOver bool
 }
 
-// setSilenceTimeout leaves the attempt for another server when nothing has come after so long; zero waits for ever.
+// setSilenceTimeout starts a handover once the server has been silent for the timeout. It ends the previous timeout and any
+// handover in progress. Zero means no timeout.
 func (a *attempt) setSilenceTimeout(timeout time.Duration) {
 	h := &a.handover
 	h.mu.Lock()
@@ -58,12 +60,12 @@
 		h.cancelCandidate = nil
 	}
 	if timeout <= 0 || a.quarantined {
-		// A suspect runs at one server at a time.
+		// A suspect must not run at two servers at once.
 		return
 	}
 	generation, headWritten, lastEvent := h.generation, a.x.headWritten, a.x.lastEvent
 	h.timer = time.AfterFunc(timeout, func() {
-		// A router that ends keeps the streams that it has; the request's own time limit holds.
+		// A draining router keeps the streams that it has. They end at the request's own deadline.
 		if headWritten && a.x.f.drainState.Load() != nil {
 			return
 		}
@@ -73,7 +75,7 @@
 	})
 }
 
-// rearmSilenceTimeout starts the same wait once more, unless the server has given a sign meanwhile.
+// rearmSilenceTimeout starts the same timeout again, unless the server has made progress in the meantime.
 func (a *attempt) rearmSilenceTimeout(generation int, timeout time.Duration) {
 	h := &a.handover
 	h.mu.Lock()
@@ -83,7 +85,7 @@
 	}
 }
 
-// recordProgress notes that the server has given something; it returns false when the attempt was left for another one before.
+// recordProgress records that the server delivered something. It returns false if the request was handed over before.
 func (a *attempt) recordProgress() bool {
 	h := &a.handover
 	h.mu.Lock()
@@ -92,12 +94,13 @@
 	return !h.handedOver
 }
 
-// tryHandover asks another server and, unless that one refuses soon, leaves the present one for it. The caller would
-// otherwise lose an answer that is being made to a server that has no room. It returns false when the present one stays.
+// tryHandover asks another server and hands the request over to it, unless it refuses within handoverTimeout. Giving up the
+// silent server earlier could lose an answer in progress to a candidate without capacity. It returns false if the current server
+// is kept.
 func (a *attempt) tryHandover(generation int, lastEvent string) bool {
 	x := a.x
 	if x.suspectStatus().Suspicion != masticway.SuspicionNone {
-		// A suspect runs at one server at a time.
+		// A suspect must not run at two servers at once.
 		return false
 	}
 	server, ok := x.selectServer(a.parent, x.candidates(a.askedServers()))
@@ -136,14 +139,14 @@
 	if a.commitHandover(generation, next) {
 		return true
 	}
-	// It may have begun to work.
+	// The candidate may have started to run the request.
 	x.otherRuns.Add(1)
 	next.discard()
-	a.abortHandover(next, outcome{result: chooser.VerdictNone, reason: "the server before gave a sign"})
+	a.abortHandover(next, outcome{result: chooser.VerdictNone, reason: "the current server made progress"})
 	return false
 }
 
-// beginHandover notes that another server is asked; it returns false when the present one has given a sign meanwhile.
+// beginHandover records that a candidate is being asked. It returns false if the current server has made progress.
 func (a *attempt) beginHandover(generation int, cancel context.CancelCauseFunc) bool {
 	h := &a.handover
 	h.mu.Lock()
@@ -155,7 +158,8 @@
 	return true
 }
 
-// commitHandover makes another attempt the next one and ends the present one, unless its server has given a sign meanwhile.
+// commitHandover makes the candidate the next attempt and ends the current one. It returns false if the current server has made
+// progress.
 func (a *attempt) commitHandover(generation int, next *attempt) bool {
 	h := &a.handover
 	h.mu.Lock()
@@ -169,7 +173,7 @@
 	return true
 }
 
-// abortHandover goes on with the present server after another one that was asked.
+// abortHandover gives up a candidate and keeps the current server.
 func (a *attempt) abortHandover(next *attempt, out outcome) {
 	x := a.x
 	next.cancel(nil)
@@ -181,10 +185,10 @@
 	next.recordResult(out.result)
 	x.f.log.WithFields(logrus.Fields{
 		"event": "handover_refused", "request": x.q.ID, "server": next.server.ID, "stays_at": a.server.ID, "cause": out.reason,
-	}).Info("another server did not take the request")
+	}).Info("handover aborted")
 }
 
-// askedServers names the servers that must not be asked while this attempt goes on.
+// askedServers returns the servers that must not be candidates of this attempt.
 func (a *attempt) askedServers() map[string]bool {
 	h := &a.handover
 	h.mu.Lock()
@@ -197,13 +201,13 @@
 	return asked
 }
 
-// sendAsync sends the request beside the exchange; a stream goes on after the last event given.
+// sendAsync sends the request and delivers the result to sendResults. A stream resumes after lastEvent.
 func (a *attempt) sendAsync(lastEvent string) {
 	answer, err := a.send(lastEvent)
 	a.sendResults <- sendResult{answer: answer, err: err}
 }
 
-// discard ends an attempt beside the exchange that nobody goes on with.
+// discard ends a candidate that is not used. It does not wait for the candidate's answer.
 func (a *attempt) discard() {
 	if a.mayBeAtFault() {
 		a.abandon()
@@ -216,7 +220,7 @@
 	}()
 }
 
-// discardNext ends an attempt for which the one before was left, when the exchange ends first.
+// discardNext discards the attempt that was to be next, if the exchange ends before it.
 func (x *exchange) discardNext() {
 	if a := x.next.Swap(nil); a != nil {
 		a.discard()
@@ -224,7 +228,7 @@
 	}
 }
 
-// refusalOutcome tells whether a server has not taken the request, and what it said.
+// refusalOutcome returns the outcome of a candidate that did not take the request. It returns false if the candidate took it.
 func (a *attempt) refusalOutcome(r sendResult) (outcome, bool) {
 	if r.err != nil {
 		return a.sendFailure(r.err), true
--- a/forwarder/relay.go
+++ b/forwarder/relay.go
@@ -13,10 +13,10 @@
 	"github.com/masticway/masticway/sender"
 )
 
-// maxEventBytes bounds the bytes of one event.
+// maxEventBytes bounds the size of one event.
 const maxEventBytes = 1 << 20
 
-// relayStream passes an event stream on, whole events only, as they come.
+// relayStream relays an event stream as it arrives, in whole events.
 func (a *attempt) relayStream(answer *sender.Answer) outcome {
 	x := a.x
 	var pending []byte
@@ -27,7 +27,7 @@
 		complete := lastEventEnd(pending)
 		if complete > 0 {
 			if !a.recordProgress() {
-				// The server that goes on was told which event was the last one.
+				// The next server was asked to resume after the last event before this one.
 				return a.streamFailure(errSilent, len(pending))
 			}
 			if fault := a.writeEvents(answer, pending[:complete]); fault != nil {
@@ -47,7 +47,7 @@
 	}
 }
 
-// streamFailure is a stream that ended before its end.
+// streamFailure returns the outcome of a stream that ended early.
 func (a *attempt) streamFailure(err error, pending int) outcome {
 	out := a.connectionFailure(fmt.Errorf("stream broke off after %d events, %d bytes of the next: %w", a.x.events, pending, err))
 	out.fate = masticway.FateRan
@@ -72,7 +72,7 @@
 		events = events[end:]
 		id, ok := eventID(event)
 		if ok && x.lastEvent != "" && !isLaterID(id, x.lastEvent) {
-			// A resumed server began before the point that it was given.
+			// The server resumed before the point that was requested.
 			continue
 		}
 		if _, err := x.w.Write(event); err != nil {
@@ -89,11 +89,11 @@
 	return nil
 }
 
-// errHoldNotCleared ends an answer whose money could not be promised to the store before the time was over.
+// errHoldNotCleared ends an answer whose hold the store did not confirm before the deadline.
 var errHoldNotCleared = errors.New("the store did not take the promise for this answer's money in time")
 
-// awaitClearance waits until the answer may go out; until then a death of this router would leave its money unaccounted for. No
-// limit on the server runs meanwhile: it has answered, and another one's answer would wait for the same money.
+// awaitClearance waits until the answer may go out. Until then the tokens would be unaccounted for if this router died. The
+// silence timeout is off meanwhile: the server has answered, and the answer of another one would wait for the same clearance.
 func (a *attempt) awaitClearance() bool {
 	a.setSilenceTimeout(0)
 	x := a.x
@@ -104,7 +104,7 @@
 	return x.cleared
 }
 
-// isLaterID tells that an event id follows another; ids that are no numbers always do.
+// isLaterID reports whether an event id follows another. Ids that are not numbers always do.
 func isLaterID(id, last string) bool {
 	a, err := strconv.ParseInt(id, 10, 64)
 	if err != nil {
@@ -117,7 +117,7 @@
 // eventDelimiters are the blank lines that end an event.
 var eventDelimiters = [][]byte{[]byte("\n\n"), []byte("\r\n\r\n")}
 
-// firstEventEnd returns the length of the first whole event, or of everything.
+// firstEventEnd returns the length of the first whole event, or of all of b if there is none.
 func firstEventEnd(b []byte) int {
 	first := len(b)
 	for _, end := range eventDelimiters {
@@ -139,7 +139,7 @@
 	return last
 }
 
-// eventID returns an event's id, and whether it has one.
+// eventID returns the id of an event, if it has one.
 func eventID(event []byte) (string, bool) {
 	for line := range bytes.SplitSeq(event, []byte("\n")) {
 		if value, ok := bytes.CutPrefix(line, []byte("id:")); ok {
