--- a/forwarder/exchange.go
+++ b/forwarder/exchange.go
@@ -19,28 +19,31 @@
 )
 
 const (
-	// retryAfterDefault is when a refused caller should come back: a router, a server or money is usually there by then.
+	// retryAfterDefault is the retry hint for most refusals. A router, a server or budget is usually available by then.
 	retryAfterDefault = 250 * time.Millisecond
-	// retryAfterBudget is the same for money that could not be reached: a cut lasts seconds, and what may be taken grows meanwhile.
+	// retryAfterBudget is the retry hint if the budget cannot be reached: a partition lasts for seconds, and the amount that may
+	// be held grows meanwhile.
 	retryAfterBudget = 3000 * time.Millisecond
-	// holdWaitFraction is the part of a route's target that a request may wait for money; a refusal after a quarter is late.
+	// holdWaitFraction is the part of the route's latency objective for which a request may wait for its hold. A refusal after a
+	// quarter of it is late.
 	holdWaitFraction = 0.22
-	// minHoldWait is the wait for money on routes with a tight target, a few calls to the store.
+	// minHoldWait is the wait for a hold on routes with a tight latency objective; it allows for a few calls to the store.
 	minHoldWait = 60 * time.Millisecond
-	// connectTimeout bounds a connection to a server, a few times the way between availability zones.
+	// connectTimeout bounds the time to connect to a server; it is a few times the round trip between availability zones.
 	connectTimeout = 250 * time.Millisecond
-	// maxIdleNonRepeatable is how long a connection may have been idle for a request that must not run twice: a server that has
-	// just closed it leaves the request's fate unknown.
+	// maxIdleNonRepeatable is the longest idle time of a connection that is reused for a non-repeatable request. If the server
+	// has just closed the connection, the outcome of the request is unknown.
 	maxIdleNonRepeatable = 400 * time.Millisecond
-	// ackTimeout is how long a server's kernel may take to acknowledge a request that may be repeated: three
-	// retransmissions, so that a link which loses 3% of its packets breaks off three requests in 100,000. A machine
-	// without power is left after it, instead of after most of the time that a caller waits.
+	// ackTimeout is how long a server's kernel may take to acknowledge a repeatable request. It allows for three retransmissions,
+	// so that a link that loses 3% of its packets breaks 3 requests in 100,000. Without it, a machine without power would be
+	// detected only after most of the caller's time limit.
 	ackTimeout = 700 * time.Millisecond
-	// maxTries bounds the servers that are asked for one request, including those that did not take it.
+	// maxTries bounds the servers that are asked for one request, including those that did not run it.
 	maxTries = 5
-	// handoverFraction is the part of the target after which a repeatable request without an answer goes elsewhere too.
+	// handoverFraction is the part of the latency objective after which a repeatable request without an answer is handed over.
 	handoverFraction = 0.7
-	// streamHandoverFactor and gapHandoverFactor are the multiples of target and pause after which a stream that can go on elsewhere does.
+	// streamHandoverFactor and gapHandoverFactor are the multiples of the latency objective and of the allowed event gap after
+	// which a resumable stream is handed over.
 	streamHandoverFactor = 2.0
 	gapHandoverFactor    = 3.0
 )
@@ -66,47 +69,47 @@
 	w     http.ResponseWriter
 	q     request
 	state charter.State
-	// fate is the most that can be said of all attempts.
+	// fate is the strongest statement that holds for all attempts: once one may have run, it is never "not run" again.
 	fate masticway.Fate
-	// holdReply is the answer to the request for money, held tells that the hold is open.
+	// holdReply is the reply to the request for a hold. holdOpen is set until the hold is settled.
 	holdReply treasurer.Reply
 	holdOpen  bool
 	cleared   bool
-	// retryReserved tells that another try is allowed, for which the present one is left.
+	// retryReserved is set if a retry has been taken from the allowance for a handover.
 	retryReserved atomic.Bool
-	// next is the attempt that goes on with the request once the present one is left for it.
+	// next is the attempt to which the current one was handed over.
 	next        atomic.Pointer[attempt]
 	tries       int
 	attemptRuns int
-	// otherRuns counts the servers that may have run the request beside the present one and were dropped.
+	// otherRuns counts the servers that may have run the request in parallel with the current attempt and were given up.
 	otherRuns atomic.Int32
 	tried     map[string]bool
 	cause     string
-	// awaitingAnswer tells that the request counts among those that wait for their answers.
+	// awaitingAnswer is set while the rotation counts the request as waiting for its answer.
 	awaitingAnswer atomic.Bool
-	// admitted tells that it was let in, with so many bytes.
+	// admitted is set if the rotation admitted the request with admittedBytes.
 	admitted      bool
 	admittedBytes int64
-	// headWritten tells that the head of an answer has gone to the caller.
+	// headWritten is set once the head of an answer has been written to the caller.
 	headWritten bool
-	// chargeable tells that the caller got at least a part of a good answer.
+	// chargeable is set once the caller got at least part of a good answer.
 	chargeable bool
 	events     int
 	lastEvent  string
 	firstAt    time.Time
 	server     string
-	// digestOnce makes the digest, which few requests are ever asked for.
+	// digestOnce guards the computation of the digest, which few requests need.
 	digestOnce  sync.Once
 	digestValue masticway.RequestDigest
-	// suspected tells that the request was a suspect when it was last sent.
+	// suspected is set if the request was a suspect when it was last sent.
 	suspected bool
 }
 
-// step follows the chart; a step that it does not allow is a defect and is logged.
+// step advances the state by an event of the delivery chart. It logs an event that the chart does not allow, which is a bug.
 func (x *exchange) step(e charter.Event) {
 	next, err := deliveryChart.Next(x.state, e)
 	if err != nil {
-		x.f.log.WithFields(logrus.Fields{"event": "chart_fault", "request": x.q.ID, "error": err}).Error("step outside the chart")
+		x.f.log.WithFields(logrus.Fields{"event": "chart_fault", "request": x.q.ID, "error": err}).Error("the delivery chart does not allow this event")
 		return
 	}
 	x.state = next
@@ -146,7 +149,7 @@
 	x.finish(ctx, refused)
 }
 
-// holdBudget holds the most that the request may consume.
+// holdBudget reserves budget for the most that the request may consume.
 func (x *exchange) holdBudget(ctx context.Context) *masticway.RefusalError {
 	if !x.q.hasBudget() {
 		return nil
@@ -163,8 +166,8 @@
 	return refusal(http.StatusServiceUnavailable, codeUnreachable, "the prepaid budget cannot be reached now", retryAfterBudget)
 }
 
-// settle ends the hold with what was used: nothing if the caller got nothing, else the prompt and what was delivered.
-// Work whose answer was lost on the way is not charged to the workspace.
+// settle ends the hold and charges what was used: nothing if the caller got nothing, else the prompt and the delivered events.
+// Work whose answer was lost is not charged to the workspace.
 func (x *exchange) settle() {
 	if !x.holdOpen {
 		return
@@ -173,13 +176,13 @@
 	x.f.budgets.Settle(x.holdReply.ID, x.usedTokens())
 }
 
-// maxTokens is the most that the request may consume.
+// maxTokens returns the most that the request may consume.
 func (x *exchange) maxTokens() int64 { return int64(x.unchargedPrompt() + x.q.MaxOutput) }
 
-// unchargedPrompt is the part of the prompt that the workspace has not been charged for. A caller that resumes an answer was
-// charged for all of it with the events that came before; where the router of these died, its successor has counted them at
-// their most. Charged again, it used up budgets after losses of power: over 25 days with trouble of five routers 8.5% of
-// the requests were refused for 5.9%.
+// unchargedPrompt returns the part of the prompt that the workspace has not been charged for. A caller that resumes an answer was
+// charged for the whole prompt with the earlier events; if the router that relayed them died, its successor has charged the most
+// that they can have cost. Charging the prompt again exhausted budgets after power losses: over 25 days with failures of five
+// routers, 8.5% of the requests were refused instead of 5.9%.
 func (x *exchange) unchargedPrompt() int {
 	if x.q.LastEvent != "" && x.q.route.RetryPolicy == masticway.RetryByResuming {
 		return 0
@@ -194,25 +197,26 @@
 	return int64(x.unchargedPrompt() + min(x.q.MaxOutput, x.events*max(1, x.q.pool.TokensPerEvent)))
 }
 
-// outcome is how one attempt ended.
+// outcome is the result of an attempt.
 type outcome struct {
 	fate   masticway.Fate
 	result chooser.Verdict
-	// done tells that the caller has its whole answer.
+	// done is set if the caller has the whole answer.
 	done   bool
 	reason string
-	// isFull tells that the server has no room now, rather than being at fault.
+	// isFull is set if the server has no capacity now, as opposed to being faulty.
 	isFull bool
-	// connectionBroken tells that the connection ended before the answer did, abandoned that this router ended it.
+	// connectionBroken is set if the connection ended before the answer did, abandoned if this router ended it.
 	connectionBroken, abandoned bool
-	// retryAfter is when a server that takes none now may take the request, and code why it does not; zero when none is known to.
+	// retryAfter is when a server that takes no requests now may take this one, and code the refusal code for it. It is zero if
+	// no such time is known.
 	retryAfter time.Duration
 	code       string
-	// suspect tells why the request may not run now, and for how long.
+	// suspect is set if the request may not run now because it is a suspect.
 	suspect masticway.SuspectStatus
 }
 
-// runAttempts tries servers until the answer is there or the rules say to stop.
+// runAttempts tries servers until one answers or no further attempt is allowed.
 func (x *exchange) runAttempts(ctx context.Context) *masticway.RefusalError {
 	defer x.discardNext()
 	for {
@@ -244,7 +248,7 @@
 	}
 }
 
-// recordOutcome keeps the most that can be said of all attempts: once one may have run, "not run" is never said again.
+// recordOutcome updates the fate of the request with the outcome of an attempt.
 func (x *exchange) recordOutcome(out outcome) {
 	x.cause = out.reason
 	if out.fate != masticway.FateNotRun {
@@ -255,10 +259,10 @@
 	}
 }
 
-// possibleRuns is on how many servers the request may have run.
+// possibleRuns returns the number of servers on which the request may have run.
 func (x *exchange) possibleRuns() int { return x.attemptRuns + int(x.otherRuns.Load()) }
 
-// canRetry decides whether another server may be asked.
+// canRetry reports whether another server may be tried, and takes a retry from the allowance if one is needed.
 func (x *exchange) canRetry(ctx context.Context, out outcome) bool {
 	x.tries++
 	if ctx.Err() != nil || x.tries >= maxTries {
@@ -270,7 +274,7 @@
 		}
 	}
 	if out.result == chooser.VerdictUnreached {
-		// Nothing arrived, so nothing is added to what the servers get.
+		// The request reached no server, so another attempt adds no load.
 		return true
 	}
 	if !x.retryReserved.Swap(false) && !x.takeRetry() {
@@ -283,7 +287,8 @@
 	return true
 }
 
-// reserveRetry takes the allowance for another try before the present one is left; it is called beside the exchange.
+// reserveRetry takes a retry from the allowance before the current attempt is handed over. It is called concurrently with the
+// exchange.
 func (x *exchange) reserveRetry() bool {
 	if !x.takeRetry() {
 		return false
@@ -292,7 +297,7 @@
 	return true
 }
 
-// takeRetry takes one try from the allowance that all routers share.
+// takeRetry takes a retry from this router's allowance for the pool.
 func (x *exchange) takeRetry() bool {
 	x.f.mu.Lock()
 	defer x.f.mu.Unlock()
@@ -303,7 +308,7 @@
 	return false
 }
 
-// isRepeatable tells that a request which may have run may run again, or go on where it stopped.
+// isRepeatable reports whether a request that may have run may run again or resume.
 func (x *exchange) isRepeatable() bool {
 	switch x.q.route.RetryPolicy {
 	case masticway.RetryUnlimited:
@@ -314,7 +319,7 @@
 	return false
 }
 
-// refusalFor turns the last failure into the caller's answer.
+// refusalFor returns the caller's answer after the last attempt failed.
 func (x *exchange) refusalFor(ctx context.Context, out outcome) *masticway.RefusalError {
 	expired := errors.Is(ctx.Err(), context.DeadlineExceeded) || x.isExpired()
 	if out.isFull {
@@ -344,10 +349,11 @@
 	return &masticway.RefusalError{Status: http.StatusBadGateway, Code: codeFailed, Fate: x.fate, Message: "the server did not finish the answer: " + out.reason}
 }
 
-// isExpired tells that the request's time is over. Its timer alone does not: it stands still while the machine is suspended.
+// isExpired reports whether the deadline has passed. The context's timer alone does not suffice, because it stops while the
+// machine is suspended.
 func (x *exchange) isExpired() bool { return !x.f.clock.Now().Before(x.q.deadline) }
 
-// finish answers a request that got none, or breaks off an answer that cannot be finished.
+// finish records the end of the exchange. It refuses a request that got no answer and aborts an answer that cannot be completed.
 func (x *exchange) finish(ctx context.Context, refused *masticway.RefusalError) {
 	if refused == nil {
 		x.f.recordServed(x)
@@ -368,11 +374,13 @@
 		return
 	}
 	x.f.recordBroken(x, refused)
-	// The server library ends the connection without the mark of a whole answer.
+	// The panic makes net/http close the connection without marking the end of the answer, so that the caller detects that it is
+	// incomplete.
 	panic(http.ErrAbortHandler)
 }
 
-// serverRequest builds what a server is sent; a stream goes on after the last event given, if there is one.
+// serverRequest returns the request for a server. A stream resumes after lastEvent, or after the event that the caller named if
+// that is empty.
 func (x *exchange) serverRequest(server masticway.Server, lastEvent string) sender.Request {
 	q := x.q
 	if lastEvent == "" {
@@ -393,7 +401,7 @@
 	return r
 }
 
-// maxConnections is this router's share of a server's connections.
+// maxConnections returns this router's share of a server's connections; zero means no limit.
 func (x *exchange) maxConnections() int {
 	if x.q.pool.MaxConnections == 0 {
 		return 0
--- a/forwarder/metrics.go
+++ b/forwarder/metrics.go
@@ -1,6 +1,6 @@
 package forwarder
 
-// Names of metrics; docs/OPERATIONS.md says what each tells.
+// Names of metrics; docs/OPERATIONS.md documents them.
 const (
 	metricRequests      = "requests"
 	metricServed        = "served"
--- a/forwarder/report.go
+++ b/forwarder/report.go
@@ -23,11 +23,11 @@
 	}{refused.Code, refused.Message, refused.Fate, refused.RetryAfter.Milliseconds()}})
 	if err != nil {
 		body = nil
-		f.log.WithFields(logrus.Fields{"event": "refusal_unwritten", "request": x.q.ID, "error": err}).Error("refusal without a body")
+		f.log.WithFields(logrus.Fields{"event": "refusal_unwritten", "request": x.q.ID, "error": err}).Error("encoding the body of a refusal failed")
 	}
 	f.setConnectionHeader(w.Header())
 	if refused.Code == codeOverloaded {
-		// The next connection reaches another router.
+		// The caller's next connection reaches another router.
 		w.Header().Set("Connection", "close")
 	}
 	w.Header().Set("Content-Type", "application/json")
@@ -41,7 +41,7 @@
 	x.logEntry(refused.Code).WithFields(fields).Info("request refused")
 }
 
-// logEntry starts the one line that ends a request.
+// logEntry returns the log entry for the end of a request. Each request has at most one.
 func (x *exchange) logEntry(outcome string) *logrus.Entry {
 	now := x.f.clock.Now()
 	return x.f.log.WithFields(logrus.Fields{
@@ -52,7 +52,7 @@
 	})
 }
 
-// recordServed counts a request that was served, and writes every so-manieth line.
+// recordServed counts a served request and logs every LogEvery-th one.
 func (f *Forwarder) recordServed(x *exchange) {
 	f.metrics.Add(metricServed, 1)
 	now := f.clock.Now()
@@ -70,7 +70,7 @@
 
 func (f *Forwarder) recordBroken(x *exchange, refused *masticway.RefusalError) {
 	f.metrics.Add(metricBroken, 1)
-	x.logEntry("broken_off").WithFields(logrus.Fields{"run": refused.Fate, "cause": x.cause}).Info("answer broken off")
+	x.logEntry("broken_off").WithFields(logrus.Fields{"run": refused.Fate, "cause": x.cause}).Info("answer aborted")
 }
 
 func (x *exchange) logFailedAttempt(server masticway.Server, out outcome) {
