--- a/forwarder/abandoned.go
+++ b/forwarder/abandoned.go
@@ -8,27 +8,27 @@
 	"github.com/masticway/masticway"
 )
 
-// maxAbandonedRuns bounds the runs that are remembered; the oldest goes first.
+// maxAbandonedRuns bounds the runs that are remembered. The oldest is dropped first.
 const maxAbandonedRuns = 256
 
-// serverRun is one request at one server, as far as the server's end may be its fault.
+// serverRun is a run of a request at a server, with what is needed to report a crash of the server.
 type serverRun struct {
 	request string
 	digest  masticway.RequestDigest
 	path    string
 	end     masticway.ServerCrash
-	// abandonedAt is when this router gave the run up; zero when its connection broke.
+	// abandonedAt is when this router gave up the run; zero if the connection broke.
 	abandonedAt time.Time
 }
 
-// abandonedRuns are runs that this router gave up before they were answered for long, as their callers had left or another
-// server was asked. No connection tells of their servers any more, though a request that ends servers may still do so.
+// abandonedRuns are runs that this router gave up early in the answer, because the caller left or another server took the
+// request. There is no connection left that would break if the server crashes, although the request may still crash it.
 type abandonedRuns struct {
 	mu   sync.Mutex
 	runs []serverRun
 }
 
-// add remembers a run and forgets those that are too old to be at fault.
+// add remembers a run and drops those that are too old to be at fault.
 func (a *abandonedRuns) add(r serverRun) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -36,14 +36,14 @@
 	a.runs = a.runs[max(0, len(a.runs)-maxAbandonedRuns):]
 }
 
-// hasRecent tells whether a server has runs that were given up lately.
+// hasRecent reports whether a server has runs that were abandoned recently.
 func (a *abandonedRuns) hasRecent(now time.Time, server masticway.ServerIncarnation) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return slices.ContainsFunc(a.runs, func(r serverRun) bool { return r.end.Server == server && mayCauseCrash(r, now) })
 }
 
-// takeRecent returns the runs at a server that were given up lately, and forgets them.
+// takeRecent removes all runs at a server and returns those that were abandoned recently.
 func (a *abandonedRuns) takeRecent(now time.Time, server masticway.ServerIncarnation) (taken []serverRun) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -59,7 +59,7 @@
 	return taken
 }
 
-// remove forgets a run, and tells whether it was remembered: its request has not been accused since.
+// remove removes a run and reports whether it was present. It is absent if its request has been reported since.
 func (a *abandonedRuns) remove(r serverRun) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -68,5 +68,5 @@
 	return len(a.runs) < before
 }
 
-// mayCauseCrash tells that a run which was given up may still have ended its server at a time.
+// mayCauseCrash reports whether an abandoned run may still be at fault if its server ends now.
 func mayCauseCrash(r serverRun, now time.Time) bool { return now.Sub(r.abandonedAt) < innocentAfter }
--- a/forwarder/ends.go
+++ b/forwarder/ends.go
@@ -15,46 +15,46 @@
 )
 
 const (
-	// checkTimeout bounds the connection by which a server is checked, many times the way between availability zones.
+	// checkTimeout bounds the connection attempt of a check; it is many times the round trip between availability zones.
 	checkTimeout = 100 * time.Millisecond
-	// checkTTL is how long the result of a check holds for the other connections that break at the same moment.
+	// checkTTL is how long the result of a check applies to other connections that broke at the same time.
 	checkTTL = 250 * time.Millisecond
 )
 
-// condition is what a connection that is made after another one broke tells of a server.
+// condition is the state of a server as found by a connection attempt after another connection broke.
 type condition string
 
 // The conditions of a server.
 const (
-	// conditionAnswers tells that only the connection has ended.
+	// conditionAnswers means that the server accepts connections, so only the one connection ended.
 	conditionAnswers condition = "answers"
-	// conditionEnded tells that nothing listens at its address any more.
+	// conditionEnded means that the connection was refused: nothing listens at the address any more.
 	conditionEnded condition = "ended"
-	// conditionUnreachable tells that nothing is known: its machine may be dark, or the way to it cut.
+	// conditionUnreachable means that the state is unknown: the machine may be down, or the network partitioned.
 	conditionUnreachable condition = "unreachable"
 )
 
-// check is one check of one life of a server.
+// check is one check of one incarnation of a server.
 type check struct {
 	done       chan struct{}
 	result     condition
 	finishedAt time.Time
 }
 
-// checks tells servers that have ended from connections that have. All requests of a server break off with it, so one
-// check serves them all.
+// checks tells a server that has ended from a connection that has. All requests at a server break off when it ends, so they share
+// one check.
 type checks struct {
 	dial  func(ctx context.Context, network, address string) (net.Conn, error)
 	clock masticway.Clock
 	log   *logrus.Entry
-	// onEnded is called with each server that is found to have ended.
+	// onEnded is called for each server that is found to have ended.
 	onEnded func(server masticway.ServerIncarnation)
 
 	mu       sync.Mutex
 	byServer map[masticway.ServerIncarnation]*check
 }
 
-// start returns the check of a server, a new one unless one is under way or fresh.
+// start returns the current check of a server, or starts a new one.
 func (c *checks) start(s masticway.Server) *check {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -68,7 +68,7 @@
 	return k
 }
 
-// isCurrent tells that a check is under way or its result still counts.
+// isCurrent reports whether the check is in progress or its result is still fresh.
 func (k *check) isCurrent(now time.Time) bool {
 	select {
 	case <-k.done:
@@ -101,7 +101,7 @@
 	}
 }
 
-// retain forgets the checks of lives that are not among the given servers.
+// retain drops the checks of servers that are not in the snapshot.
 func (c *checks) retain(snapshot follower.Beliefs) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/forwarder/suspects.go
+++ b/forwarder/suspects.go
@@ -12,20 +12,22 @@
 )
 
 const (
-	// innocentAfter is how long an answer has to go on until its request is not taken for the cause of what happens to the
-	// server: a request that ends servers does so when it begins.
+	// innocentAfter is how long an answer must last until its request is no longer taken for the cause of a crash. A request that
+	// crashes servers does so early.
 	innocentAfter = time.Second
-	// crashCheckTimeout is how long a request that may run again waits to hear whether its server has ended, a few ways between
-	// availability zones; what it learns later counts for the next one.
+	// crashCheckTimeout is how long a repeatable request waits for the check whether its server has ended, a few round trips
+	// between availability zones. A later result counts for the next request.
 	crashCheckTimeout = 50 * time.Millisecond
-	// maxAbandonedChecks is how often the server of a run apart that was given up is looked at: for as long as its end counts.
+	// maxAbandonedChecks is how often the server of an abandoned quarantined run is checked. Together the checks cover the time
+	// in which a crash counts.
 	maxAbandonedChecks = int(innocentAfter/checkTTL) - 1
-	// quarantineTimeout bounds the wait of a suspect for its turn, and quarantinePollInterval is how often it looks without a word.
+	// quarantineTimeout bounds the wait of a suspect for its turn to run. quarantinePollInterval is how often it tries again if
+	// the examiner reports no change.
 	quarantineTimeout      = 2 * time.Second
 	quarantinePollInterval = 200 * time.Millisecond
 )
 
-// suspectStatus returns what is believed of the request. While there is no suspect, nothing is worked out.
+// suspectStatus returns what the examiner believes about the request. It computes no digest while there are no suspects.
 func (x *exchange) suspectStatus() masticway.SuspectStatus {
 	if x.f.examiner.HasNoSuspects() {
 		return masticway.SuspectStatus{Suspicion: masticway.SuspicionNone}
@@ -33,7 +35,7 @@
 	return x.f.examiner.Status(x.digest())
 }
 
-// provenOutcome tells that the request is not to be sent to any server.
+// provenOutcome returns the outcome of a request that must not be sent to any server. It returns false for other requests.
 func (x *exchange) provenOutcome() (outcome, bool) {
 	s := x.suspectStatus()
 	if s.Suspicion != masticway.SuspicionProven {
@@ -42,19 +44,19 @@
 	return newProvenOutcome(s), true
 }
 
-// newProvenOutcome is the outcome of a request that is proven to end servers.
+// newProvenOutcome returns the outcome of a request that is proven to crash servers.
 func newProvenOutcome(s masticway.SuspectStatus) outcome {
 	reason := fmt.Sprintf("%d servers ended under this request, the last one %s", len(s.Crashes), s.Crashes[len(s.Crashes)-1].Server)
 	return outcome{fate: masticway.FateNotRun, result: chooser.VerdictNone, reason: reason, suspect: s}
 }
 
-// choice is where an attempt goes, and whether the request runs there apart from all other suspects.
+// choice is the server of an attempt. The request is quarantined if no other suspect runs there.
 type choice struct {
 	server      masticway.Server
 	quarantined bool
 }
 
-// choose returns where the next attempt goes. There may be nowhere, for a reason.
+// choose returns the server for the next attempt. If there is none, the outcome has the reason.
 func (x *exchange) choose(ctx context.Context) (c choice, none outcome, ok bool) {
 	if x.f.examiner.HasNoSuspects() {
 		return x.chooseRegular(ctx)
@@ -86,8 +88,8 @@
 	}
 }
 
-// chooseForSuspect chooses a server where no other suspect runs; found tells that there is a server at all, ok that the request may
-// run at it now. Where suspects are at all of them, one under which a single server ended runs as any other request.
+// chooseForSuspect chooses a server at which no other suspect runs. found reports whether there is any server, ok whether the
+// request may run there now. If suspects run at all servers, a request under which only one server crashed runs like any other.
 func (x *exchange) chooseForSuspect(ctx context.Context, s masticway.SuspectStatus) (c choice, found, ok bool) {
 	servers := x.candidates(x.tried)
 	occupied, _ := x.f.examiner.QuarantineServers()
@@ -104,10 +106,10 @@
 	return choice{server: server, quarantined: unoccupied}, unoccupied || found, ok
 }
 
-// isSerious tells that more than one server has ended under a request.
+// isSerious reports whether more than one server has crashed under a request.
 func isSerious(s masticway.SuspectStatus) bool { return len(s.Crashes) > 1 }
 
-// chooseRegular chooses a server where no serious suspect runs, or any if that leaves none.
+// chooseRegular chooses a server at which no serious suspect runs, or any server if there is no such one.
 func (x *exchange) chooseRegular(ctx context.Context) (c choice, none outcome, ok bool) {
 	servers := x.candidates(x.tried)
 	if !x.f.examiner.HasNoSuspects() {
@@ -122,7 +124,7 @@
 	return c, none, ok
 }
 
-// exclude returns the servers that are not among some lives.
+// exclude returns the servers without the excluded ones.
 func exclude(servers []masticway.Server, excluded map[masticway.ServerIncarnation]bool) []masticway.Server {
 	if len(excluded) == 0 {
 		return servers
@@ -136,7 +138,7 @@
 	return remaining
 }
 
-// resolveUnreported finds out what became of a run apart whose router has not told: it may have died.
+// resolveUnreported checks a server whose quarantined run was not reported on. The router that ran it may have died.
 func (x *exchange) resolveUnreported(ctx context.Context, s masticway.SuspectStatus) {
 	if s.UnreportedServer == "" {
 		return
@@ -148,7 +150,7 @@
 	}
 }
 
-// hasEnded tells whether a server has ended, as far as that is known soon.
+// hasEnded reports whether a server is known to have ended within crashCheckTimeout.
 func (x *exchange) hasEnded(ctx context.Context, s masticway.Server) bool {
 	k := x.f.checks.start(s)
 	x.waitFor(ctx, k.done, crashCheckTimeout)
@@ -160,8 +162,8 @@
 	}
 }
 
-// reportToExaminer draws what an attempt's end tells of the request. One that may run again waits for the finding, so that it runs as a
-// suspect then.
+// reportToExaminer reports the end of an attempt to the examiner. A repeatable request waits for the result, so that its next
+// attempt runs as a suspect if the server crashed.
 func (a *attempt) reportToExaminer(ctx context.Context, out outcome) {
 	x := a.x
 	switch {
@@ -180,7 +182,7 @@
 	a.quarantined = false
 }
 
-// waitFor waits until a channel is closed, no longer than a time.
+// waitFor waits until the channel is closed, but not longer than the given time.
 func (x *exchange) waitFor(ctx context.Context, closed <-chan struct{}, timeout time.Duration) {
 	select {
 	case <-closed:
@@ -189,7 +191,8 @@
 	}
 }
 
-// mayBeAtFault tells that a server's end may be the request's fault: the server was to stay, and had not answered for long.
+// mayBeAtFault reports whether the request may be the cause if the server ends: the server was in service, and its answer had not
+// lasted for innocentAfter.
 func (a *attempt) mayBeAtFault() bool {
 	x := a.x
 	if !a.firstAt.IsZero() && x.f.clock.Now().Sub(a.firstAt) >= innocentAfter {
@@ -200,17 +203,18 @@
 			return true
 		}
 	}
-	// It was leaving.
+	// The server was leaving.
 	return false
 }
 
-// serverRun is the attempt as far as its server's end may be the request's fault.
+// serverRun returns the run of the attempt for a report to the examiner.
 func (a *attempt) serverRun() serverRun {
 	end := masticway.ServerCrash{Server: a.server.Incarnation(), Quarantined: a.quarantined, Answered: !a.firstAt.IsZero()}
 	return serverRun{request: a.x.q.ID, digest: a.x.digest(), path: a.x.q.path(), end: end}
 }
 
-// reportIfEnded notes the end of the attempt's server under the request, if it has ended; the channel it returns is closed then.
+// reportIfEnded checks the attempt's server and reports a crash if it has ended. The returned channel is closed when that is
+// done.
 func (a *attempt) reportIfEnded() <-chan struct{} {
 	f, r := a.x.f, a.serverRun()
 	k := f.checks.start(a.server)
@@ -228,8 +232,8 @@
 	return done
 }
 
-// abandon remembers an attempt that this router gives up, so that it can be accused if its server ends soon. A run apart goes
-// on until that is known.
+// abandon remembers an attempt that this router gives up, so that it is reported if its server ends soon. A quarantined run stays
+// claimed until that is known.
 func (a *attempt) abandon() {
 	f, r := a.x.f, a.serverRun()
 	r.abandonedAt = f.clock.Now()
@@ -239,7 +243,7 @@
 	}
 }
 
-// watchServer ends a run apart that was given up, by what becomes of its server.
+// watchServer checks the server of an abandoned quarantined run, and ends the quarantine once the server has ended or survived.
 func (f *Forwarder) watchServer(s masticway.Server, r serverRun) {
 	for range maxAbandonedChecks {
 		<-f.clock.After(checkTTL)
@@ -255,21 +259,21 @@
 	}
 }
 
-// checkUnreachable checks a server that takes no connections, if there are attempts whose fault that may be.
+// checkUnreachable checks a server that refuses connections, if there are abandoned runs that may be the cause.
 func (f *Forwarder) checkUnreachable(s masticway.Server) {
 	if f.abandoned.hasRecent(f.clock.Now(), s.Incarnation()) {
 		f.checks.start(s)
 	}
 }
 
-// reportAbandoned accuses the requests that were given up at a server shortly before it ended.
+// reportAbandoned reports a crash for each request that was abandoned at the server shortly before it ended.
 func (f *Forwarder) reportAbandoned(server masticway.ServerIncarnation) {
 	for _, r := range f.abandoned.takeRecent(f.clock.Now(), server) {
 		f.reportCrash(r)
 	}
 }
 
-// reportCrash tells the examiner of a server that ended under a request.
+// reportCrash reports to the examiner that a server ended under a request.
 func (f *Forwarder) reportCrash(r serverRun) {
 	f.examiner.ReportCrash(r.digest, r.path, r.end)
 	fields := logrus.Fields{
@@ -279,10 +283,10 @@
 	if !r.abandonedAt.IsZero() {
 		fields["abandoned_ms"] = f.clock.Now().Sub(r.abandonedAt).Milliseconds()
 	}
-	f.log.WithFields(fields).Warn("a server ended under a request")
+	f.log.WithFields(fields).Warn("a server ended while it ran a request")
 }
 
-// clearSuspect clears a suspect whose answer has gone on for long enough.
+// clearSuspect reports a quarantined request as innocent once its answer has lasted long enough.
 func (a *attempt) clearSuspect() {
 	if !a.quarantined || a.x.f.clock.Now().Sub(a.firstAt) < innocentAfter {
 		return
