--- a/forwarder/candidates_test.go
+++ b/forwarder/candidates_test.go
@@ -11,8 +11,8 @@
 	"github.com/masticway/masticway/forwarder"
 )
 
-// TestAllowedRegions has routes and workspaces with allowed regions before servers in two regions, and one in a zone of
-// which nothing is known.
+// TestAllowedRegions restricts routes and workspaces to regions. The servers are in two regions and in a zone whose region is
+// unknown.
 func TestAllowedRegions(t *testing.T) {
 	zones := []string{"z-east", "z-west", "z-nowhere"}
 	cases := map[string]struct {
@@ -65,8 +65,8 @@
 	}
 }
 
-// TestColdServersGetNothingWhileWarmOnesServe has a cold server beside a warm one, then all cold while this router is not the
-// one that sends to them: what cannot be served is refused at once, and its caller told when a server is warm.
+// TestColdServersGetNothingWhileWarmOnesServe first has a cold server beside a warm one. Then both are cold and another router is
+// the one that sends to them: requests must be refused at once, with the time at which a server is warm as the retry hint.
 func TestColdServersGetNothingWhileWarmOnesServe(t *testing.T) {
 	const coldFor = 2 * time.Second
 	f := newFixture(t, 2)
--- a/forwarder/forwarder_test.go
+++ b/forwarder/forwarder_test.go
@@ -28,7 +28,7 @@
 	"github.com/masticway/masticway/treasurer"
 )
 
-// offsetClock is a clock that a test moves on.
+// offsetClock is the system clock plus an offset that a test advances.
 type offsetClock struct {
 	masticway.SystemClock
 	mu     sync.Mutex
@@ -53,9 +53,9 @@
 		deadlineMS string
 		status     int
 	}{
-		"long, at once":       {deadlineMS: "15000", status: 200},
-		"long, after seconds": {after: 4 * time.Second, deadlineMS: "15000", status: 503},
-		"short, after them":   {after: 4 * time.Second, deadlineMS: "1500", status: 200},
+		"long request, at once":           {deadlineMS: "15000", status: 200},
+		"long request, after the notice":  {after: 4 * time.Second, deadlineMS: "15000", status: 503},
+		"short request, after the notice": {after: 4 * time.Second, deadlineMS: "1500", status: 200},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -70,10 +70,8 @@
 	}
 }
 
-// TestDrainIsCheckedAfterReadingBody has a body that comes after the router has begun to refuse.
-//
-// Seen: the request was passed on, though it may outlast the router. How: its head had come in time. Cause: a request was
-// judged before its body was read, and not again. Proof: the server's ledger has it.
+// TestDrainIsCheckedAfterReadingBody guards against forwarding a request that may outlast the router, if its head arrives in time
+// and its body only after the router has begun to refuse such requests.
 func TestDrainIsCheckedAfterReadingBody(t *testing.T) {
 	for name, refuse := range map[string]func(f *fixture){
 		"the time for long requests is over": func(f *fixture) { f.clock.advance(4 * time.Second) },
@@ -86,7 +84,7 @@
 			qt.Assert(t, err, qt.IsNil)
 			defer c.Close()
 			fmt.Fprintf(c, "POST /never/x HTTP/1.1\r\nHost: h.example\r\nX-Attempt-Id: a1\r\nAuthorization: Token k\r\nX-Deadline-Ms: 15000\r\nContent-Length: 4\r\n\r\nbo")
-			// The head is read by then.
+			// The router has read the head by then.
 			time.Sleep(100 * time.Millisecond)
 			refuse(f)
 			fmt.Fprint(c, "dy")
@@ -99,11 +97,9 @@
 	}
 }
 
-// TestExpiredRequestIsNotSent has the machine suspended while a request waits for money, for longer than its caller
-// waits for the answer.
-//
-// Seen: the request was sent with a time limit in the past. Cause: its time was kept by a timer alone, and timers stand still
-// while a machine is suspended. Proof: the server's ledger has it.
+// TestExpiredRequestIsNotSent suspends the machine while a request waits for its hold, for longer than the request's deadline. It
+// guards against sending the request with a deadline in the past: timers stop during a suspension, so the context alone does not
+// end it.
 func TestExpiredRequestIsNotSent(t *testing.T) {
 	f := newFixture(t, 1)
 	f.budgets.onHold = func() { f.clock.advance(5 * time.Second) }
@@ -113,18 +109,18 @@
 	qt.Assert(t, f.ledger.Runs(), qt.HasLen, 0)
 }
 
-// fakeBudgets gives the verdict that a test wants and notes what is settled.
+// fakeBudgets returns a given verdict and records what is held and settled.
 type fakeBudgets struct {
 	mu           sync.Mutex
 	verdict      treasurer.Verdict
 	held         []int64
 	settled      []int64
 	clearBlocked bool
-	// clearDelay is how long a promise takes.
+	// clearDelay is how long Clear takes.
 	clearDelay time.Duration
-	// othersOwn tells that all keys fall to other routers.
+	// othersOwn is set if other routers own all keys.
 	othersOwn bool
-	// onHold is called when money is asked for.
+	// onHold is called by Hold.
 	onHold func()
 }
 
@@ -159,10 +155,10 @@
 
 func (b *fakeBudgets) Members() int { return 1 }
 
-// fakeRotation is a router's place in the balancer's rotation.
+// fakeRotation implements masticway.Rotation.
 type fakeRotation struct {
 	out, full atomic.Bool
-	// unanswered and held are what was admitted and has not been answered, or not ended.
+	// unanswered counts the admitted requests that wait for an answer, heldBytes the bytes that have not been released.
 	unanswered, heldBytes atomic.Int64
 }
 
@@ -181,7 +177,7 @@
 
 func (r *fakeRotation) Release(bytes int64) { r.heldBytes.Add(-bytes) }
 
-// noSuspects is an examiner of a fleet whose servers do not end.
+// noSuspects is an examiner without suspects.
 type noSuspects struct{}
 
 func (noSuspects) HasNoSuspects() bool { return true }
@@ -214,7 +210,7 @@
 	return append([]int64(nil), b.settled...)
 }
 
-// fixture is one router in front of opaque servers.
+// fixture is a router in front of opaque servers.
 type fixture struct {
 	t        *testing.T
 	ledger   *emulator.OpaqueLedger
@@ -223,14 +219,14 @@
 	clock    *offsetClock
 	snapshot follower.Beliefs
 	router   *forwarder.Forwarder
-	// rotation tells whether the router wants new callers.
+	// rotation is the router's rotation.
 	rotation fakeRotation
 	frontend *httptest.Server
-	// throttler is the router's, which is alone.
+	// throttler is the router's; it has no peers.
 	throttler *throttler.Throttler
 }
 
-// routerAddress is a router that knows of no other.
+// routerAddress is the address of the only router.
 const routerAddress = "router"
 
 func (b *fakeBudgets) Ranked(string, int) []string { return []string{routerAddress} }
@@ -308,12 +304,12 @@
 	return f
 }
 
-// answer is what a caller got; err is set when it was not whole.
+// answer is what a caller got; err is set if it was incomplete.
 type answer struct {
 	status int
 	header http.Header
 	body   string
-	// closesConn tells that the connection ends with it.
+	// closesConn is set if the answer closes the connection.
 	closesConn bool
 	err        error
 }
@@ -356,11 +352,11 @@
 	)
 	cases := map[string]struct {
 		path string
-		// first is how the first server that is asked behaves, second the other one.
+		// first is the fault of the server that is asked first, second that of the other one.
 		first, second emulator.OpaqueFault
 		status        int
 		body          string
-		// broken tells that the caller's answer ends without its end.
+		// broken is set if the caller's answer ends early.
 		broken  bool
 		runs    int
 		settled []int64
@@ -368,7 +364,7 @@
 	}{
 		"good":                                {path: "/freely/x", status: 200, body: "ok", runs: 1},
 		"full, then good":                     {path: "/never/x", first: full, status: 200, body: "ok", runs: 1},
-		"another server there, then good":     {path: "/never/x", first: other, status: 200, body: "ok", runs: 1},
+		"misdirected, then good":              {path: "/never/x", first: other, status: 200, body: "ok", runs: 1},
 		"all full":                            {path: "/never/x", first: full, second: full, status: 503, retry: true},
 		"own failure is passed on":            {path: "/freely/x", first: failing, status: 500, body: "oops", runs: 1},
 		"reset, may run again":                {path: "/freely/x", first: reset, status: 200, body: "ok", runs: 2},
@@ -408,13 +404,14 @@
 			qt.Assert(t, f.budgets.settledAmounts(), qt.DeepEquals, tc.settled)
 			qt.Assert(t, got.header.Get("Retry-After") != "", qt.Equals, tc.retry)
 			if got.status >= 502 {
-				qt.Assert(t, got.header.Get("X-Server-Signature"), qt.Equals, "", qt.Commentf("a refusal of the router's own bears a signature"))
+				qt.Assert(t, got.header.Get("X-Server-Signature"), qt.Equals, "", qt.Commentf("a refusal by the router has a server's signature"))
 			}
 		})
 	}
 }
 
-// TestResumedRequestIsChargedForPromptOnce has a caller go on where an earlier answer broke off: the prompt was paid for then.
+// TestResumedRequestIsChargedForPromptOnce guards against charging for the prompt again when a caller resumes an answer that
+// broke off.
 func TestResumedRequestIsChargedForPromptOnce(t *testing.T) {
 	cases := map[string]struct {
 		path, lastEventID string
@@ -437,9 +434,9 @@
 	}
 }
 
-// setFaults gives the server that will be asked first one fault, and the other one another.
+// setFaults sets a fault for the server that is asked first, and one for the other.
 func (f *fixture) setFaults(first, second emulator.OpaqueFault) {
-	// The chooser takes servers with equal cost in turns, beginning with the second.
+	// The chooser alternates between servers of equal cost, starting with the second.
 	f.servers[1].Fail(first)
 	f.servers[0].Fail(second)
 }
@@ -451,7 +448,7 @@
 	runs := f.ledger.Runs()
 	qt.Assert(t, runs, qt.HasLen, 1)
 	qt.Assert(t, runs[0].Workspace, qt.Equals, "w")
-	qt.Assert(t, runs[0].Key, qt.IsFalse, qt.Commentf("the caller's key reached a server"))
+	qt.Assert(t, runs[0].Key, qt.IsFalse, qt.Commentf("the caller's key was sent to a server"))
 	qt.Assert(t, runs[0].Path, qt.Equals, "/never/x?q=1")
 	qt.Assert(t, runs[0].Body, qt.Equals, "body")
 	qt.Assert(t, runs[0].TimeLeft <= time.Second && runs[0].TimeLeft > 800*time.Millisecond, qt.IsTrue)
@@ -466,15 +463,15 @@
 		status  int
 		retry   bool
 	}{
-		"no such route":           {path: "/nowhere/", status: 404, ready: true},
-		"unknown key":             {path: "/never/x", extra: []string{"Authorization", "Token no"}, status: 401, ready: true},
-		"no key":                  {path: "/never/x", extra: []string{"Authorization", ""}, status: 401, ready: true},
-		"anonymous route":         {path: "/open/x", extra: []string{"Authorization", ""}, status: 200, ready: true},
-		"malformed head":          {path: "/never/x", extra: []string{"X-Deadline-Ms", "soon"}, status: 400, ready: true},
-		"no configuration":        {path: "/never/x", status: 503, retry: true},
-		"budget exhausted":        {path: "/stream/x", verdict: treasurer.VerdictExhausted, status: 402, ready: true},
-		"budget not reached":      {path: "/stream/x", verdict: treasurer.VerdictUnreachable, status: 503, ready: true, retry: true},
-		"a plain call needs none": {path: "/never/x", verdict: treasurer.VerdictExhausted, status: 200, ready: true},
+		"no such route":      {path: "/nowhere/", status: 404, ready: true},
+		"unknown key":        {path: "/never/x", extra: []string{"Authorization", "Token no"}, status: 401, ready: true},
+		"no key":             {path: "/never/x", extra: []string{"Authorization", ""}, status: 401, ready: true},
+		"anonymous route":    {path: "/open/x", extra: []string{"Authorization", ""}, status: 200, ready: true},
+		"malformed head":     {path: "/never/x", extra: []string{"X-Deadline-Ms", "soon"}, status: 400, ready: true},
+		"no configuration":   {path: "/never/x", status: 503, retry: true},
+		"budget exhausted":   {path: "/stream/x", verdict: treasurer.VerdictExhausted, status: 402, ready: true},
+		"budget not reached": {path: "/stream/x", verdict: treasurer.VerdictUnreachable, status: 503, ready: true, retry: true},
+		"no budget needed":   {path: "/never/x", verdict: treasurer.VerdictExhausted, status: 200, ready: true},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -558,12 +555,9 @@
 	}
 }
 
-// TestNoHandoverWithoutAllowance has servers that are slower than a route's target, and no allowance for a
-// second try.
-//
-// Seen: 54 of 89 requests were answered 502 though sound servers worked on them and would have finished in time. How: each was
-// left when nothing had come for a part of the target. Cause: whether another server may be asked was looked at after the
-// first one had been left. Proof: the ledger's server was left, and no other one was asked.
+// TestNoHandoverWithoutAllowance guards against giving up a slow but healthy server when the retry allowance does not permit
+// another one: the request would fail with 502 although the server would have finished in time. The allowance must be checked
+// before the server is given up.
 func TestNoHandoverWithoutAllowance(t *testing.T) {
 	f := newFixtureWithRetries(t, 2, forwarder.RetriesSettings{WindowSeconds: 10})
 	for _, s := range f.servers {
@@ -578,12 +572,8 @@
 	qt.Assert(t, runs[0].Left, qt.IsFalse)
 }
 
-// TestNoHandoverWhileDraining has streams whose server pauses for longer than one is waited for, and no
-// other server with room.
-//
-// Seen: the router broke the stream off, though the server went on and would have finished it. How: the pause ended the
-// attempt, and the other server refused. Cause: a server is left before another one has taken the stream. Proof: the
-// ledger's server notes that it was left, and the same stream is whole where nothing limits the pause.
+// TestNoHandoverWhileDraining guards against breaking off a stream of a draining router whose server pauses for longer than the
+// allowed event gap, when the other server is full.
 func TestNoHandoverWhileDraining(t *testing.T) {
 	for name, after := range map[string]time.Duration{"from the start on": 0, "in the middle": 550 * time.Millisecond} {
 		t.Run(name, func(t *testing.T) {
@@ -622,8 +612,8 @@
 	qt.Assert(t, f.budgets.settledAmounts(), qt.DeepEquals, []int64{0})
 }
 
-// TestNoHandoverWhileWaitingForClearance has a cut of the store: a server's answer is there, and waits for its
-// promise for longer than a server without an answer is waited for. Another server would only read the prompt again.
+// TestNoHandoverWhileWaitingForClearance has a server that answered while the clearance takes longer than the silence timeout. It
+// guards against asking another server, which would only process the prompt again.
 func TestNoHandoverWhileWaitingForClearance(t *testing.T) {
 	for _, path := range []string{"/freely/x", "/resume/x"} {
 		t.Run(path, func(t *testing.T) {
@@ -643,8 +633,8 @@
 	qt.Assert(t, got.status, qt.Equals, 200)
 }
 
-// TestNothingIsForwardedWhileConnectionsClose has a router that stood still for a tenth of a second when it began to
-// close idle connections: requests that had come meanwhile were passed on and their connections closed.
+// TestNothingIsForwardedWhileConnectionsClose guards against forwarding a request that arrives just before idle connections are
+// closed: its connection would be closed and its answer lost.
 func TestNothingIsForwardedWhileConnectionsClose(t *testing.T) {
 	f := newFixture(t, 1)
 	f.router.Drain(f.clock.Now().Add(time.Minute))
@@ -671,12 +661,8 @@
 	qt.Assert(t, response.Close, qt.IsTrue)
 }
 
-// TestNoHandoverToFullServer has streams whose server pauses for longer than one is waited for, and another
-// server without room.
-//
-// Seen: a caller heard 502 after 0.42 s, though a sound server would have answered after 1 s. How: the pause ended the
-// attempt, and the other server refused. Cause: a server is left before another one has taken the request. Proof: the log has
-// both attempts, 0.2 ms apart.
+// TestNoHandoverToFullServer guards against giving up a server that pauses for too long before another one has taken the request.
+// If the other server is full, the caller would get 502 although the first server would have answered.
 func TestNoHandoverToFullServer(t *testing.T) {
 	f := newFixture(t, 2)
 	f.setFaults(emulator.OpaqueGood, emulator.OpaqueFull)
@@ -688,8 +674,8 @@
 	qt.Assert(t, got.body, qt.Equals, eventStream(1, 3))
 }
 
-// TestHandoverIsAbortedWhenServerContinues has streams with pauses that are a little longer than one is waited for: while another server
-// is asked, the present one gives its next event. The caller gets each event once, and the server that was asked is left.
+// TestHandoverIsAbortedWhenServerContinues has a server that delivers its next event while a candidate is being asked. The caller
+// must get each event once, and the candidate must be given up.
 func TestHandoverIsAbortedWhenServerContinues(t *testing.T) {
 	const pause = 350 * time.Millisecond
 	f := newFixture(t, 2)
@@ -701,7 +687,7 @@
 	qt.Assert(t, got.err, qt.IsNil)
 	qt.Assert(t, got.body, qt.Equals, eventStream(1, 3))
 	runs := f.ledger.Runs()
-	qt.Assert(t, len(runs) > 1, qt.IsTrue, qt.Commentf("nobody else was asked"))
+	qt.Assert(t, len(runs) > 1, qt.IsTrue, qt.Commentf("no other server was asked"))
 	qt.Assert(t, runs[0].Left, qt.IsFalse)
 	f.eventually("the server that was asked still works", func() bool { return f.ledger.Runs()[1].Left })
 }
--- a/forwarder/limits_test.go
+++ b/forwarder/limits_test.go
@@ -15,18 +15,18 @@
 	"github.com/masticway/masticway/forwarder"
 )
 
-// TestRateLimitIsReadFromEveryAnswer: a limit that is named in another answer than a good one is overrun until a good one names it.
+// TestRateLimitIsReadFromEveryAnswer guards against applying a rate limit only if a good answer announces it.
 func TestRateLimitIsReadFromEveryAnswer(t *testing.T) {
 	cases := map[string]struct {
 		path  string
 		fault emulator.OpaqueFault
 	}{
-		"a good answer":         {path: "/freely/x"},
-		"a stream":              {path: "/stream/x"},
-		"a stream that breaks":  {path: "/stream/x", fault: emulator.OpaqueCut},
-		"a failure":             {path: "/never/x", fault: emulator.OpaqueError},
-		"a request turned away": {path: "/never/x", fault: emulator.OpaqueFull},
-		"no signature":          {path: "/never/x", fault: emulator.OpaqueForged},
+		"a good answer":        {path: "/freely/x"},
+		"a stream":             {path: "/stream/x"},
+		"a stream that breaks": {path: "/stream/x", fault: emulator.OpaqueCut},
+		"a failure":            {path: "/never/x", fault: emulator.OpaqueError},
+		"a refused request":    {path: "/never/x", fault: emulator.OpaqueFull},
+		"no signature":         {path: "/never/x", fault: emulator.OpaqueForged},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -42,7 +42,8 @@
 	}
 }
 
-// TestMisdirectedAnswerSetsNoRateLimit: a server that has taken the address of another one has the other's requests held back.
+// TestMisdirectedAnswerSetsNoRateLimit guards against applying the rate limit of a server that has taken over the address of
+// another one.
 func TestMisdirectedAnswerSetsNoRateLimit(t *testing.T) {
 	f := newFixture(t, 1)
 	f.servers[0].Limit("0.2")
@@ -51,7 +52,8 @@
 	qt.Assert(t, f.do(t.Context(), "POST", "/never/x").status, qt.Equals, 200)
 }
 
-// TestUnsignedAnswerRemovesNoRateLimit: an answer that is not the server's lifts a limit for all routers.
+// TestUnsignedAnswerRemovesNoRateLimit guards against lifting a rate limit for all routers because of an answer that the server
+// did not sign.
 func TestUnsignedAnswerRemovesNoRateLimit(t *testing.T) {
 	f := newFixture(t, 1)
 	f.servers[0].Limit("4")
@@ -66,7 +68,8 @@
 	qt.Assert(t, f.servers[0].Arrivals(), qt.HasLen, 2)
 }
 
-// TestRequestsGoToServersWithoutRateLimit: callers are refused because several servers are at their limits while others have none.
+// TestRequestsGoToServersWithoutRateLimit guards against refusing callers because several servers are at their rate limits while
+// another has none.
 func TestRequestsGoToServersWithoutRateLimit(t *testing.T) {
 	f := newFixture(t, 8)
 	for _, s := range f.servers[:7] {
@@ -80,13 +83,13 @@
 	}
 }
 
-// TestRetriesCountAgainstRateLimit: attempts beyond the first of each request reach a server past its limit.
+// TestRetriesCountAgainstRateLimit guards against retries and handovers that exceed a server's rate limit.
 func TestRetriesCountAgainstRateLimit(t *testing.T) {
 	cases := map[string]struct {
 		path  string
 		fault emulator.OpaqueFault
 	}{
-		"the first server turns requests away":  {path: "/freely/x", fault: emulator.OpaqueFull},
+		"the first server refuses requests":     {path: "/freely/x", fault: emulator.OpaqueFull},
 		"the first server is silent":            {path: "/freely/x", fault: emulator.OpaqueHang},
 		"the first server breaks off":           {path: "/freely/x", fault: emulator.OpaqueReset},
 		"the first server breaks off a stream":  {path: "/resume/x", fault: emulator.OpaqueCut},
@@ -110,12 +113,12 @@
 			}
 			allowed := 2 + int(time.Since(began).Seconds())
 			got := len(f.servers[1].Arrivals())
-			qt.Assert(t, got <= allowed, qt.IsTrue, qt.Commentf("%d requests, of one a second %d fit", got, allowed))
+			qt.Assert(t, got <= allowed, qt.IsTrue, qt.Commentf("%d requests, want at most %d", got, allowed))
 		})
 	}
 }
 
-// quarantining takes every request for a suspect, whose runs apart are its router's or not.
+// quarantining treats every request as a suspect and grants every claim, or none.
 type quarantining struct {
 	noSuspects
 	claimable bool
@@ -137,13 +140,13 @@
 	return s.claimable
 }
 
-// TestSuspectsCountAgainstRateLimit: requests that run apart, as servers ended under them, reach a server past its limit, or use its
-// permits up without being sent.
+// TestSuspectsCountAgainstRateLimit guards against quarantined runs that exceed a server's rate limit, and against suspects that
+// use up permits while they wait to run.
 func TestSuspectsCountAgainstRateLimit(t *testing.T) {
 	for name, tc := range map[string]struct {
 		claims bool
 		sent   int
-	}{"they may run": {claims: true, sent: 1}, "they wait for their turn": {}} {
+	}{"claim granted": {claims: true, sent: 1}, "claim denied": {}} {
 		t.Run(name, func(t *testing.T) {
 			f := newFixtureWithExaminer(t, quarantining{claimable: tc.claims}, 1, forwarder.Settings{Retries: forwarder.RetriesSettings{Ratio: 0.2, Slack: 50, WindowSeconds: 10}})
 			f.servers[0].Limit("0.5")
@@ -154,12 +157,13 @@
 				f.do(t.Context(), "POST", "/never/x", "X-Deadline-Ms", "100")
 			}
 			qt.Assert(t, f.servers[0].Arrivals(), qt.HasLen, tc.sent)
-			qt.Assert(t, f.throttler.Admit(t.Context(), incarnation), qt.Equals, !tc.claims, qt.Commentf("a permit is left"))
+			qt.Assert(t, f.throttler.Admit(t.Context(), incarnation), qt.Equals, !tc.claims, qt.Commentf("whether a permit is left"))
 		})
 	}
 }
 
-// TestRateLimitRefusalRetryAfter: a caller that is refused for a limit waits for the answer, or comes again when there is none for it.
+// TestRateLimitRefusalRetryAfter guards against refusals for a rate limit that come late, or that name a time at which the limit
+// has no room for the caller.
 func TestRateLimitRefusalRetryAfter(t *testing.T) {
 	f := newFixture(t, 1)
 	f.servers[0].Limit("2")
@@ -174,15 +178,15 @@
 		qt.Assert(t, strings.Contains(got.body, `"run":"not_run"`), qt.IsTrue)
 		after, err := strconv.ParseFloat(got.header.Get("Retry-After"), 64)
 		qt.Assert(t, err, qt.IsNil)
-		// One every half a second.
+		// Two requests per second are allowed, so each refusal names a time half a second later.
 		qt.Assert(t, after > last && after < 0.5*float64(i+2), qt.IsTrue, qt.Commentf("refusal %d: %v s after %v s", i, after, last))
 		last = after
 	}
 	time.Sleep(600 * time.Millisecond)
-	qt.Assert(t, f.do(t.Context(), "POST", "/never/x").status, qt.Equals, 200, qt.Commentf("the time that the first was told is over"))
+	qt.Assert(t, f.do(t.Context(), "POST", "/never/x").status, qt.Equals, 200, qt.Commentf("the retry time of the first refusal has passed"))
 	f.servers[0].Limit("")
 	time.Sleep(600 * time.Millisecond)
 	for i := range 20 {
-		qt.Assert(t, f.do(t.Context(), "POST", "/never/x").status, qt.Equals, 200, qt.Commentf(fmt.Sprint("the limit has ended, ", i)))
+		qt.Assert(t, f.do(t.Context(), "POST", "/never/x").status, qt.Equals, 200, qt.Commentf(fmt.Sprint("after the limit was removed, request ", i)))
 	}
 }
--- a/forwarder/rest_test.go
+++ b/forwarder/rest_test.go
@@ -11,7 +11,7 @@
 	"github.com/masticway/masticway/emulator"
 )
 
-// refuseWithBackoff has a server turn its next requests away and ask for rest.
+// refuseWithBackoff makes a server refuse its next requests and ask for a backoff.
 func refuseWithBackoff(s *emulator.OpaqueServer, seconds string, requests int) {
 	s.Rest(seconds)
 	faults := make([]emulator.OpaqueFault, requests)
@@ -21,24 +21,24 @@
 	s.Fail(faults...)
 }
 
-// TestServerBackoffIsHonored: a router goes on sending to a server that has turned it away and asked for a time of rest.
+// TestServerBackoffIsHonored guards against sending to a server that has refused a request and asked for a backoff.
 func TestServerBackoffIsHonored(t *testing.T) {
 	cases := map[string]struct {
 		path, backoff string
 		servers       int
-		// isValid tells that what the server asks for is a time.
+		// isValid is set if the header value is a valid duration.
 		isValid bool
 	}{
-		"the only server":              {path: "/freely/x", backoff: "3", servers: 1, isValid: true},
-		"one of two":                   {path: "/freely/x", backoff: "3", servers: 2, isValid: true},
-		"one of two, for streams":      {path: "/resume/x", backoff: "3", servers: 2, isValid: true},
-		"one of two, without retries":  {path: "/never/x", backoff: "3", servers: 2, isValid: true},
-		"a fraction":                   {path: "/never/x", backoff: "2.5", servers: 2, isValid: true},
-		"longer than any server lives": {path: "/never/x", backoff: "1e300", servers: 2, isValid: true},
-		"no time at all":               {path: "/never/x", backoff: "0", servers: 1},
-		"below zero":                   {path: "/never/x", backoff: "-3", servers: 1},
-		"no number":                    {path: "/never/x", backoff: "NaN", servers: 1},
-		"a word":                       {path: "/never/x", backoff: "soon", servers: 1},
+		"the only server":             {path: "/freely/x", backoff: "3", servers: 1, isValid: true},
+		"one of two":                  {path: "/freely/x", backoff: "3", servers: 2, isValid: true},
+		"one of two, for streams":     {path: "/resume/x", backoff: "3", servers: 2, isValid: true},
+		"one of two, without retries": {path: "/never/x", backoff: "3", servers: 2, isValid: true},
+		"a fraction":                  {path: "/never/x", backoff: "2.5", servers: 2, isValid: true},
+		"an excessive duration":       {path: "/never/x", backoff: "1e300", servers: 2, isValid: true},
+		"zero":                        {path: "/never/x", backoff: "0", servers: 1},
+		"negative":                    {path: "/never/x", backoff: "-3", servers: 1},
+		"not a number":                {path: "/never/x", backoff: "NaN", servers: 1},
+		"text":                        {path: "/never/x", backoff: "soon", servers: 1},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -60,7 +60,7 @@
 	}
 }
 
-// TestServerBackoffEnds: a server that has rested gets nothing for longer than it asked for, or for ever.
+// TestServerBackoffEnds guards against a backoff that lasts longer than the server asked for, or forever.
 func TestServerBackoffEnds(t *testing.T) {
 	t.Parallel()
 	f := newFixture(t, 1)
@@ -73,16 +73,16 @@
 		time.Sleep(10 * time.Millisecond)
 	}
 	took := time.Since(began)
-	qt.Assert(t, took >= 400*time.Millisecond && took < 700*time.Millisecond, qt.IsTrue, qt.Commentf("it rested for %v", took))
+	qt.Assert(t, took >= 400*time.Millisecond && took < 700*time.Millisecond, qt.IsTrue, qt.Commentf("the backoff lasted %v", took))
 	qt.Assert(t, refused > 0, qt.IsTrue)
 
 	refuseWithBackoff(f.servers[0], "1e300", 1)
 	f.do(t.Context(), "POST", "/never/x")
 	f.clock.advance(5 * time.Minute)
-	qt.Assert(t, f.do(t.Context(), "POST", "/never/x").status, qt.Equals, 200, qt.Commentf("a server that asks for too much is asked again"))
+	qt.Assert(t, f.do(t.Context(), "POST", "/never/x").status, qt.Equals, 200, qt.Commentf("an excessive backoff must be capped"))
 }
 
-// TestBackoffRefusalRetryAfter: a caller is told to come again while the only server still rests.
+// TestBackoffRefusalRetryAfter guards against a retry hint that ends before the backoff of the only server.
 func TestBackoffRefusalRetryAfter(t *testing.T) {
 	t.Parallel()
 	f := newFixture(t, 1)
--- a/forwarder/rotation_test.go
+++ b/forwarder/rotation_test.go
@@ -7,8 +7,8 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// TestOutOfRotationClosesConnections has a router leave the rotation: it says that it is not ready, serves what comes
-// all the same, and ends each connection with its answer, so that callers come back to another router.
+// TestOutOfRotationClosesConnections takes a router out of rotation. It must not be ready and still serve requests, but close
+// each connection after its answer, so that callers reach another router.
 func TestOutOfRotationClosesConnections(t *testing.T) {
 	for name, out := range map[string]bool{"in rotation": false, "out of rotation": true} {
 		t.Run(name, func(t *testing.T) {
@@ -26,8 +26,8 @@
 	}
 }
 
-// TestOverloadedRouterRefusesAtOnce has a router that can carry no more: what comes is refused before its body, reaches no server,
-// and the caller is told to come back at once on a new connection, which reaches another router.
+// TestOverloadedRouterRefusesAtOnce overloads a router. It must refuse requests before it reads their bodies and send none to a
+// server. Callers must be told to retry soon on a new connection, which reaches another router.
 func TestOverloadedRouterRefusesAtOnce(t *testing.T) {
 	f := newFixture(t, 1)
 	f.rotation.full.Store(true)
