--- a/forwarder/exchange.go
+++ b/forwarder/exchange.go
@@ -130,7 +130,7 @@
 	ctx, cancel := context.WithTimeout(ctx, x.q.deadline.Sub(x.f.clock.Now()))
 	defer cancel()
 	x.f.mu.Lock()
-	x.f.allowance(x.q.pool.Name).Asked(x.q.received)
+	x.f.allowance(x.q.pool.Name).RecordRequest(x.q.received)
 	x.f.mu.Unlock()
 	if none, proven := x.provenOutcome(); proven {
 		x.cause = none.reason
@@ -301,7 +301,7 @@
 func (x *exchange) takeRetry() bool {
 	x.f.mu.Lock()
 	defer x.f.mu.Unlock()
-	if x.f.allowance(x.q.pool.Name).Take(x.f.clock.Now(), x.f.budgets.Members()) {
+	if x.f.allowance(x.q.pool.Name).TryTake(x.f.clock.Now(), x.f.budgets.Members()) {
 		return true
 	}
 	x.f.metrics.Add(metricRetriesDenied, 1)
--- a/retrier/allowance_test.go
+++ b/retrier/allowance_test.go
@@ -10,7 +10,7 @@
 	"github.com/masticway/masticway/retrier"
 )
 
-func TestAllowanceGrowsWithRequestsAndIsShared(t *testing.T) {
+func TestAllowanceSize(t *testing.T) {
 	cases := map[string]struct {
 		asked, routers, want int
 	}{
@@ -24,10 +24,10 @@
 			a := retrier.NewAllowance(0.2, 50, 10*time.Second)
 			now := time.Unix(1000, 0)
 			for range tc.asked {
-				a.Asked(now)
+				a.RecordRequest(now)
 			}
 			taken := 0
-			for a.Take(now, tc.routers) {
+			for a.TryTake(now, tc.routers) {
 				taken++
 			}
 			qt.Assert(t, taken, qt.Equals, tc.want)
@@ -35,7 +35,7 @@
 	}
 }
 
-func TestAllowanceHoldsInEveryWindow(t *testing.T) {
+func TestAllowanceBoundsEveryWindow(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const window = 10 * time.Second
 		a := retrier.NewAllowance(0.2, 20, window)
@@ -48,9 +48,9 @@
 		for range rapid.IntRange(50, 400).Draw(t, "events") {
 			now = now.Add(time.Duration(rapid.IntRange(0, 400).Draw(t, "ms")) * time.Millisecond)
 			if rapid.Bool().Draw(t, "request") {
-				a.Asked(now)
+				a.RecordRequest(now)
 				all = append(all, arrival{at: now})
-			} else if a.Take(now, 1) {
+			} else if a.TryTake(now, 1) {
 				all = append(all, arrival{at: now, again: true})
 			}
 		}
--- a/retrier/retrier.go
+++ b/retrier/retrier.go
@@ -81,18 +81,18 @@
 )
 
 const (
-	// freeLimit bounds free retries too, so that no request circles for ever.
-	freeLimit = 16
-	// fruitlessLimit bounds the retries of a request whose upstreams end before they bring anything: it may be why. What had
+	// maxFreeRetries bounds free retries too, so that no request circles for ever.
+	maxFreeRetries = 16
+	// maxFruitlessRetries bounds the retries of a request whose upstreams end before they bring anything: it may be why. What had
 	// come on in between is an answer that others' failures broke off.
-	fruitlessLimit = 2
-	// budgetFloor is the retries a quiet router may make; budgetShare adds a part of its requests.
-	budgetFloor = 10.0
-	budgetShare = 0.2
-	// budgetWindow is the time over which the retry budget refills from its floor.
-	budgetWindow = 10 * time.Second
-	backoffBase  = 10 * time.Millisecond
-	backoffMost  = 500 * time.Millisecond
+	maxFruitlessRetries = 2
+	// baseBudget is the retries a quiet router may make; budgetPerRequest adds a part of its requests.
+	baseBudget       = 10.0
+	budgetPerRequest = 0.2
+	// budgetRefillTime is the time over which the retry budget refills from its floor.
+	budgetRefillTime = 10 * time.Second
+	minBackoff       = 10 * time.Millisecond
+	maxBackoff       = 500 * time.Millisecond
 )
 
 // History is what a request has already used up.
@@ -112,10 +112,10 @@
 
 // Retrier holds the router's retry budget; it is not safe for concurrent use.
 type Retrier struct {
-	settings Settings
-	rules    []Rule
-	budget   float64
-	at       time.Time
+	settings   Settings
+	rules      []Rule
+	budget     float64
+	refilledAt time.Time
 }
 
 // New returns a retrier with a full budget.
@@ -124,16 +124,16 @@
 	if s.Policy == PolicyPlain {
 		rules = plainRules
 	}
-	return &Retrier{settings: s, rules: rules, budget: budgetFloor}
+	return &Retrier{settings: s, rules: rules, budget: baseBudget}
 }
 
 // Request refills the budget by the share that one more request allows.
 func (r *Retrier) Request(now time.Time) {
-	if passed := now.Sub(r.at); passed > 0 {
-		r.budget += budgetFloor * min(1, passed.Seconds()/budgetWindow.Seconds())
-		r.at = now
+	if passed := now.Sub(r.refilledAt); passed > 0 {
+		r.budget += baseBudget * min(1, passed.Seconds()/budgetRefillTime.Seconds())
+		r.refilledAt = now
 	}
-	r.budget = min(r.budget+budgetShare, 10*budgetFloor)
+	r.budget = min(r.budget+budgetPerRequest, 10*baseBudget)
 }
 
 // Decide returns what to do, the history after it, and how long to wait before the next attempt.
@@ -145,7 +145,7 @@
 	switch action {
 	case ActionRetryFree:
 		fruitless := f.Ended && f.Fate != masticway.FateNotRun && !f.Progress
-		if h.Free >= freeLimit || fruitless && h.Fruitless >= fruitlessLimit {
+		if h.Free >= maxFreeRetries || fruitless && h.Fruitless >= maxFruitlessRetries {
 			return ActionFail, h, 0
 		}
 		if fruitless {
@@ -178,5 +178,5 @@
 	if try <= 1 {
 		return 0
 	}
-	return min(backoffMost, backoffBase<<min(try-2, 10))
+	return min(maxBackoff, minBackoff<<min(try-2, 10))
 }
--- a/retrier/retrier_test.go
+++ b/retrier/retrier_test.go
@@ -10,7 +10,7 @@
 	"github.com/masticway/masticway/retrier"
 )
 
-func TestRules(t *testing.T) {
+func TestDecide(t *testing.T) {
 	cases := map[string]struct {
 		policy  retrier.Policy
 		failure retrier.Failure
@@ -58,11 +58,11 @@
 	}
 }
 
-// TestRequestThatEndsUpstreamsIsGivenUp has every upstream of a request vanish, before anything of the answer or amid it.
+// TestDecideBoundsFruitlessRetries has every upstream of a request vanish, before anything of the answer or amid it.
 //
 // Seen: a request whose upstreams vanish one after the other was sent to 17. Cause: what befell the upstream was never taken for
 // the request's fault, so no retry counted.
-func TestRequestThatEndsUpstreamsIsGivenUp(t *testing.T) {
+func TestDecideBoundsFruitlessRetries(t *testing.T) {
 	for name, tc := range map[string]struct {
 		failure retrier.Failure
 		sent    int
@@ -83,7 +83,7 @@
 	}
 }
 
-func TestRetryBudgetBoundsAStorm(t *testing.T) {
+func TestRetryBudgetBoundsRetries(t *testing.T) {
 	r := retrier.New(retrier.Settings{CountedLimit: 1000})
 	now := time.Unix(1_800_000_000, 0)
 	retried := 0
