--- a/retrier/allowance.go
+++ b/retrier/allowance.go
@@ -3,15 +3,16 @@
 import "time"
 
 const (
-	// bucketCount divide the window of an allowance.
+	// bucketCount is the number of buckets into which an allowance's window is divided.
 	bucketCount = 20
-	// usableFraction is the part of the share that a router uses, because others count at other moments.
+	// usableFraction is the part of the allowance that a router uses. The rest is a margin, because the routers' windows are not
+	// aligned.
 	usableFraction = 0.8
 )
 
-// Allowance bounds how many arrivals beyond the first of each request a router adds at one pool within a sliding
-// window: a part of the requests for it, and a share of what all routers may add together. It is not safe for
-// concurrent use.
+// Allowance is a retry budget: it bounds the retries that a router sends to one pool within a sliding window. The bound is a
+// ratio of the pool's requests, plus this router's share of a slack that all routers have together. It is not safe for concurrent
+// use.
 type Allowance struct {
 	ratio    float64
 	slack    float64
@@ -21,12 +22,12 @@
 	slot     int64
 }
 
-// NewAllowance returns an allowance over a window; slack is for all routers together.
+// NewAllowance returns an allowance over a window. The slack is shared by all routers.
 func NewAllowance(ratio, slack float64, window time.Duration) *Allowance {
 	return &Allowance{ratio: ratio, slack: slack, window: window}
 }
 
-// advance empties the buckets that have come round again.
+// advance clears the buckets that have become current since the last call and returns the index of the current one.
 func (a *Allowance) advance(now time.Time) int {
 	slot := now.UnixNano() / int64(a.window/bucketCount)
 	for ; a.slot < slot; a.slot++ {
@@ -42,20 +43,21 @@
 // RecordRequest counts a request for the pool.
 func (a *Allowance) RecordRequest(now time.Time) { a.requests[a.advance(now)]++ }
 
-// TryTake counts one more arrival, if the window has room for it; routers is how many share the slack, zero for unknown.
+// TryTake counts one more retry and returns true if the window allows it. The slack is divided by the number of routers; zero
+// means that their number is unknown, and then there is no slack.
 func (a *Allowance) TryTake(now time.Time, routers int) bool {
 	slot := a.advance(now)
-	asked, added := 0, 0
+	requests, retries := 0, 0
 	for i := range bucketCount {
 		k := (slot - i + 2*bucketCount) % (2 * bucketCount)
-		asked += a.requests[k]
-		added += a.retries[k]
+		requests += a.requests[k]
+		retries += a.retries[k]
 	}
-	room := a.ratio * float64(asked)
+	limit := a.ratio * float64(requests)
 	if routers > 0 {
-		room += a.slack / float64(routers)
+		limit += a.slack / float64(routers)
 	}
-	if float64(added+1) > room*usableFraction {
+	if float64(retries+1) > limit*usableFraction {
 		return false
 	}
 	a.retries[slot]++
--- a/retrier/allowance_test.go
+++ b/retrier/allowance_test.go
@@ -12,18 +12,18 @@
 
 func TestAllowanceSize(t *testing.T) {
 	cases := map[string]struct {
-		asked, routers, want int
+		requests, routers, want int
 	}{
-		"no requests, alone":        {routers: 1, want: 40},
+		"no requests, one router":   {routers: 1, want: 40},
 		"no requests, five routers": {routers: 5, want: 8},
-		"routers not counted yet":   {want: 0},
-		"many requests":             {asked: 1000, routers: 5, want: 168},
+		"unknown number of routers": {want: 0},
+		"many requests":             {requests: 1000, routers: 5, want: 168},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
 			a := retrier.NewAllowance(0.2, 50, 10*time.Second)
 			now := time.Unix(1000, 0)
-			for range tc.asked {
+			for range tc.requests {
 				a.RecordRequest(now)
 			}
 			taken := 0
@@ -40,35 +40,35 @@
 		const window = 10 * time.Second
 		a := retrier.NewAllowance(0.2, 20, window)
 		now := time.Unix(1000, 0)
-		type arrival struct {
-			at    time.Time
-			again bool
+		type event struct {
+			at      time.Time
+			isRetry bool
 		}
-		var all []arrival
+		var all []event
 		for range rapid.IntRange(50, 400).Draw(t, "events") {
 			now = now.Add(time.Duration(rapid.IntRange(0, 400).Draw(t, "ms")) * time.Millisecond)
 			if rapid.Bool().Draw(t, "request") {
 				a.RecordRequest(now)
-				all = append(all, arrival{at: now})
+				all = append(all, event{at: now})
 			} else if a.TryTake(now, 1) {
-				all = append(all, arrival{at: now, again: true})
+				all = append(all, event{at: now, isRetry: true})
 			}
 		}
 		for i := range all {
-			requests, added := 0, 0
+			requests, retries := 0, 0
 			for _, e := range all[i:] {
 				if e.at.Sub(all[i].at) >= window {
 					break
 				}
-				if e.again {
-					added++
+				if e.isRetry {
+					retries++
 				} else {
 					requests++
 				}
 			}
-			// Requests of the window before count for the rule too; the bound here is stricter by a bucket at most.
-			if earlier := 0.2 * float64(requests); float64(added) > earlier+20+0.2*float64(len(all)) {
-				t.Fatalf("%d arrivals again beside %d requests", added, requests)
+			// TryTake also counts requests from before this window. The share of all events covers them.
+			if allowed := 0.2 * float64(requests); float64(retries) > allowed+20+0.2*float64(len(all)) {
+				t.Fatalf("%d retries for %d requests", retries, requests)
 			}
 		}
 	})
--- a/retrier/retrier.go
+++ b/retrier/retrier.go
@@ -24,35 +24,35 @@
 // Action is what to do after a failed attempt.
 type Action string
 
-// The actions; a free retry is not counted against the limit.
+// The possible actions. Only a counted retry counts against Settings.CountedLimit.
 const (
 	ActionRetryFree    Action = "retry_free"
 	ActionRetryCounted Action = "retry_counted"
 	ActionFail         Action = "fail"
 )
 
-// Failure is a classified failure whose fate is final.
+// Failure is a classified failed attempt for which it is final whether the request ran.
 type Failure struct {
 	Cause Cause
 	Fate  masticway.Fate
-	// NonRepeatable requests are retried only when they did not run.
+	// NonRepeatable requests are retried only if they did not run.
 	NonRepeatable bool
-	// Resumable tells that the answer so far can be continued elsewhere.
+	// Resumable is set if the partial answer can be continued at another upstream.
 	Resumable bool
-	// Ended tells that the upstream ended under the request.
+	// Ended is set if the upstream's process ended while it ran the request.
 	Ended bool
-	// Progress tells that the failed attempt had brought a part of the answer.
+	// Progress is set if the failed attempt delivered part of the answer.
 	Progress bool
 }
 
-// Rule maps matching failures to an action; empty fields match anything.
+// Rule maps matching failures to an action. Empty fields match anything.
 type Rule struct {
 	Cause  Cause
 	Fate   masticway.Fate
 	Action Action
 }
 
-// Rules are consulted in order; the first match decides.
+// disruptionRules retry disruptions for free. The first matching rule decides.
 var disruptionRules = []Rule{
 	{Cause: CauseStale, Fate: masticway.FateNotRun, Action: ActionRetryFree},
 	{Cause: CauseFenced, Fate: masticway.FateNotRun, Action: ActionRetryFree},
@@ -66,12 +66,12 @@
 	{Action: ActionFail},
 }
 
-// plainRules is the baseline: every failure counts.
+// plainRules are the baseline: every failure counts.
 var plainRules = []Rule{
 	{Action: ActionRetryCounted},
 }
 
-// Policy chooses the rules.
+// Policy selects the rules.
 type Policy string
 
 // The retry policies.
@@ -81,36 +81,37 @@
 )
 
 const (
-	// maxFreeRetries bounds free retries too, so that no request circles for ever.
+	// maxFreeRetries bounds the free retries of a request, so that it does not circulate forever.
 	maxFreeRetries = 16
-	// maxFruitlessRetries bounds the retries of a request whose upstreams end before they bring anything: it may be why. What had
-	// come on in between is an answer that others' failures broke off.
+	// maxFruitlessRetries bounds the retries of a request whose upstreams end before they deliver any part of the answer, because
+	// the request may be the cause. An upstream that delivered a part was more likely ended by something else.
 	maxFruitlessRetries = 2
-	// baseBudget is the retries a quiet router may make; budgetPerRequest adds a part of its requests.
+	// baseBudget is the initial retry budget, and what it gains per budgetRefillTime. A longer gap between requests gains no more.
+	// Each request adds budgetPerRequest. The budget is capped at ten times baseBudget.
 	baseBudget       = 10.0
 	budgetPerRequest = 0.2
-	// budgetRefillTime is the time over which the retry budget refills from its floor.
+	// budgetRefillTime is the time in which the retry budget gains baseBudget.
 	budgetRefillTime = 10 * time.Second
 	minBackoff       = 10 * time.Millisecond
 	maxBackoff       = 500 * time.Millisecond
 )
 
-// History is what a request has already used up.
+// History counts the retries that a request has used.
 type History struct {
 	Free    int
 	Counted int
-	// Fruitless is how often an upstream ended before it had brought anything of the answer.
+	// Fruitless is how often an upstream ended before it delivered any part of the answer.
 	Fruitless int
 }
 
-// Settings are the tunables of a retrier.
+// Settings configures a Retrier.
 type Settings struct {
 	Policy Policy
-	// CountedLimit is the number of counted retries of one request.
+	// CountedLimit is the maximum number of counted retries of one request.
 	CountedLimit int
 }
 
-// Retrier holds the router's retry budget; it is not safe for concurrent use.
+// Retrier decides about retries and holds the router's retry budget. It is not safe for concurrent use.
 type Retrier struct {
 	settings   Settings
 	rules      []Rule
@@ -118,7 +119,7 @@
 	refilledAt time.Time
 }
 
-// New returns a retrier with a full budget.
+// New returns a Retrier whose budget is baseBudget.
 func New(s Settings) *Retrier {
 	rules := disruptionRules
 	if s.Policy == PolicyPlain {
@@ -127,7 +128,7 @@
 	return &Retrier{settings: s, rules: rules, budget: baseBudget}
 }
 
-// Request refills the budget by the share that one more request allows.
+// Request adds to the budget what one more request and the time since the last one allow.
 func (r *Retrier) Request(now time.Time) {
 	if passed := now.Sub(r.refilledAt); passed > 0 {
 		r.budget += baseBudget * min(1, passed.Seconds()/budgetRefillTime.Seconds())
@@ -136,7 +137,7 @@
 	r.budget = min(r.budget+budgetPerRequest, 10*baseBudget)
 }
 
-// Decide returns what to do, the history after it, and how long to wait before the next attempt.
+// Decide returns the action for a failure, the updated history, and the delay before the next attempt.
 func (r *Retrier) Decide(f Failure, h History) (Action, History, time.Duration) {
 	action := r.match(f)
 	if f.Fate != masticway.FateNotRun && (f.NonRepeatable || !f.Resumable) {
@@ -173,7 +174,8 @@
 	return ActionFail
 }
 
-// backoff grows from nothing, so that the first retry goes out at once.
+// backoff returns the delay before a try: none before the first one, then doubling from minBackoff to maxBackoff. Counted retries
+// start with the second try.
 func backoff(try int) time.Duration {
 	if try <= 1 {
 		return 0
--- a/retrier/retrier_test.go
+++ b/retrier/retrier_test.go
@@ -17,7 +17,7 @@
 		history retrier.History
 		action  retrier.Action
 	}{
-		"a leaving upstream costs no retry": {
+		"a draining upstream is retried for free": {
 			failure: retrier.Failure{Cause: retrier.CauseLeaving, Fate: masticway.FateNotRun},
 			history: retrier.History{Counted: 3}, action: retrier.ActionRetryFree,
 		},
@@ -25,21 +25,21 @@
 			failure: retrier.Failure{Cause: retrier.CauseDisrupted, Fate: masticway.FateRan, Resumable: true},
 			history: retrier.History{Counted: 3}, action: retrier.ActionRetryFree,
 		},
-		"free retries end too": {
+		"free retries are bounded": {
 			failure: retrier.Failure{Cause: retrier.CauseLeaving, Fate: masticway.FateNotRun},
 			history: retrier.History{Free: 16}, action: retrier.ActionFail,
 		},
-		"a failed request counts": {
+		"a failed request is a counted retry": {
 			failure: retrier.Failure{Cause: retrier.CauseFailed, Fate: masticway.FateRan, Resumable: true}, action: retrier.ActionRetryCounted,
 		},
-		"and is bounded": {
+		"counted retries are bounded": {
 			failure: retrier.Failure{Cause: retrier.CauseFailed, Fate: masticway.FateRan, Resumable: true},
 			history: retrier.History{Counted: 3}, action: retrier.ActionFail,
 		},
 		"non-repeatable that ran": {
 			failure: retrier.Failure{Cause: retrier.CauseDisrupted, Fate: masticway.FateRan, NonRepeatable: true, Resumable: true}, action: retrier.ActionFail,
 		},
-		"non-repeatable, unknown": {
+		"non-repeatable with unknown outcome": {
 			failure: retrier.Failure{Cause: retrier.CauseLinkLost, Fate: masticway.FateUnknown, NonRepeatable: true, Resumable: true}, action: retrier.ActionFail,
 		},
 		"non-repeatable that did not run": {
@@ -58,19 +58,18 @@
 	}
 }
 
-// TestDecideBoundsFruitlessRetries has every upstream of a request vanish, before anything of the answer or amid it.
-//
-// Seen: a request whose upstreams vanish one after the other was sent to 17. Cause: what befell the upstream was never taken for
-// the request's fault, so no retry counted.
+// TestDecideBoundsFruitlessRetries guards against sending a request that crashes its upstreams to 17 of them: such crashes are
+// retried for free, so the limit on counted retries does not apply. Retries after a partial answer, after a run that broke off
+// while its upstream stayed up, or for a request that did not run are not bounded that way.
 func TestDecideBoundsFruitlessRetries(t *testing.T) {
 	for name, tc := range map[string]struct {
 		failure retrier.Failure
 		sent    int
 	}{
-		"nothing came":                {failure: retrier.Failure{Cause: retrier.CauseDisrupted, Fate: masticway.FateUnknown, Resumable: true, Ended: true}, sent: 3},
-		"only the run broke off":      {failure: retrier.Failure{Cause: retrier.CauseDisrupted, Fate: masticway.FateRan, Resumable: true}, sent: 17},
-		"a part came each time":       {failure: retrier.Failure{Cause: retrier.CauseDisrupted, Fate: masticway.FateRan, Resumable: true, Ended: true, Progress: true}, sent: 17},
-		"it was not running anywhere": {failure: retrier.Failure{Cause: retrier.CauseDisrupted, Fate: masticway.FateNotRun, Resumable: true, Ended: true}, sent: 17},
+		"no answer":                  {failure: retrier.Failure{Cause: retrier.CauseDisrupted, Fate: masticway.FateUnknown, Resumable: true, Ended: true}, sent: 3},
+		"the upstream stayed up":     {failure: retrier.Failure{Cause: retrier.CauseDisrupted, Fate: masticway.FateRan, Resumable: true}, sent: 17},
+		"a partial answer each time": {failure: retrier.Failure{Cause: retrier.CauseDisrupted, Fate: masticway.FateRan, Resumable: true, Ended: true, Progress: true}, sent: 17},
+		"the request did not run":    {failure: retrier.Failure{Cause: retrier.CauseDisrupted, Fate: masticway.FateNotRun, Resumable: true, Ended: true}, sent: 17},
 	} {
 		t.Run(name, func(t *testing.T) {
 			r := retrier.New(retrier.Settings{CountedLimit: 3})
@@ -94,6 +93,6 @@
 			retried++
 		}
 	}
-	// Ten from the floor, and a fifth of the requests.
+	// The initial budget of 10, 10 more for the time before the first request, and a fifth of the requests.
 	qt.Assert(t, retried >= 200 && retried <= 230, qt.IsTrue, qt.Commentf("%d", retried))
 }
