--- a/limiter/contract.go
+++ b/limiter/contract.go
@@ -16,42 +16,42 @@
 	LimitConcurrency Limit = "concurrency"
 )
 
-// concurrencyRetry is the hint to a caller whose workspace has too many open requests.
-const concurrencyRetry = 250 * time.Millisecond
+// concurrencyRetryAfter is the hint to a caller whose workspace has too many open requests.
+const concurrencyRetryAfter = 250 * time.Millisecond
 
-type meter struct {
-	tokens float64
-	at     time.Time
-	open   int
+type workspaceUsage struct {
+	tokens     float64
+	refilledAt time.Time
+	inFlight   int
 }
 
 // Contracts counts rate and concurrency by workspace; it is not safe for concurrent use.
 type Contracts struct {
-	meters map[string]*meter
+	usage map[string]*workspaceUsage
 }
 
 // NewContracts returns counters at zero.
-func NewContracts() *Contracts { return &Contracts{meters: map[string]*meter{}} }
+func NewContracts() *Contracts { return &Contracts{usage: map[string]*workspaceUsage{}} }
 
 // Admit counts a request in, or names the limit and when to come back.
 func (l *Contracts) Admit(now time.Time, c masticway.Contract) (Limit, time.Duration) {
-	m, ok := l.meters[c.Workspace]
+	m, ok := l.usage[c.Workspace]
 	if !ok {
-		m = &meter{tokens: burst(c), at: now}
-		l.meters[c.Workspace] = m
+		m = &workspaceUsage{tokens: burst(c), refilledAt: now}
+		l.usage[c.Workspace] = m
 	}
-	if c.Concurrency > 0 && m.open >= c.Concurrency {
-		return LimitConcurrency, concurrencyRetry
+	if c.Concurrency > 0 && m.inFlight >= c.Concurrency {
+		return LimitConcurrency, concurrencyRetryAfter
 	}
 	if c.RequestsPerSecond > 0 {
-		m.tokens = min(burst(c), m.tokens+now.Sub(m.at).Seconds()*c.RequestsPerSecond)
-		m.at = now
+		m.tokens = min(burst(c), m.tokens+now.Sub(m.refilledAt).Seconds()*c.RequestsPerSecond)
+		m.refilledAt = now
 		if m.tokens < 1 {
 			return LimitRate, time.Duration((1 - m.tokens) / c.RequestsPerSecond * float64(time.Second))
 		}
 		m.tokens--
 	}
-	m.open++
+	m.inFlight++
 	return LimitNone, 0
 }
 
@@ -61,16 +61,16 @@
 
 // Done counts a request out.
 func (l *Contracts) Done(workspace string) {
-	if m, ok := l.meters[workspace]; ok {
-		m.open = max(0, m.open-1)
+	if m, ok := l.usage[workspace]; ok {
+		m.inFlight = max(0, m.inFlight-1)
 	}
 }
 
 // Tick forgets workspaces that have been quiet, so that memory follows use.
 func (l *Contracts) Tick(now time.Time) {
-	for w, m := range l.meters {
-		if m.open == 0 && now.Sub(m.at) > time.Minute {
-			delete(l.meters, w)
+	for w, m := range l.usage {
+		if m.inFlight == 0 && now.Sub(m.refilledAt) > time.Minute {
+			delete(l.usage, w)
 		}
 	}
 }
--- a/limiter/limiter_test.go
+++ b/limiter/limiter_test.go
@@ -72,7 +72,7 @@
 	}
 }
 
-func TestPutBackKeepsThePlace(t *testing.T) {
+func TestPutBackKeepsPosition(t *testing.T) {
 	q := newQueue()
 	for _, e := range []limiter.Entry{entry("a1", "a", masticway.ClassBatch, 0), entry("a2", "a", masticway.ClassBatch, 0), entry("b1", "b", masticway.ClassBatch, 0)} {
 		q.Push(e)
@@ -82,8 +82,8 @@
 	qt.Assert(t, popAll(q), qt.DeepEquals, []string{"a1", "b1", "a2"})
 }
 
-// TestQueueLosesNothing draws pushes, pops, removals and expiries and counts every entry once.
-func TestQueueLosesNothing(t *testing.T) {
+// TestQueueKeepsEveryEntry draws pushes, pops, removals and expiries and counts every entry once.
+func TestQueueKeepsEveryEntry(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		q := limiter.NewQueue(limiter.QueueSettings{PerClass: 20, PerWorkspace: 8, InteractiveBurst: 2})
 		inside := map[string]limiter.Entry{}
--- a/limiter/queue.go
+++ b/limiter/queue.go
@@ -28,7 +28,7 @@
 	InteractiveBurst int
 }
 
-type lane struct {
+type classQueue struct {
 	workspaces []string
 	entries    map[string][]Entry
 	size       int
@@ -36,31 +36,31 @@
 
 // Queue is a bounded fair queue for each pool and class; it is not safe for concurrent use.
 type Queue struct {
-	settings QueueSettings
-	lanes    map[string]map[masticway.Class]*lane
-	streak   map[string]int
+	settings          QueueSettings
+	classQueues       map[string]map[masticway.Class]*classQueue
+	interactiveStreak map[string]int
 }
 
 // NewQueue returns an empty queue.
 func NewQueue(s QueueSettings) *Queue {
-	return &Queue{settings: s, lanes: map[string]map[masticway.Class]*lane{}, streak: map[string]int{}}
+	return &Queue{settings: s, classQueues: map[string]map[masticway.Class]*classQueue{}, interactiveStreak: map[string]int{}}
 }
 
-func (q *Queue) lane(pool string, c masticway.Class) *lane {
-	if q.lanes[pool] == nil {
-		q.lanes[pool] = map[masticway.Class]*lane{}
+func (q *Queue) classQueue(pool string, c masticway.Class) *classQueue {
+	if q.classQueues[pool] == nil {
+		q.classQueues[pool] = map[masticway.Class]*classQueue{}
 	}
-	l, ok := q.lanes[pool][c]
+	l, ok := q.classQueues[pool][c]
 	if !ok {
-		l = &lane{entries: map[string][]Entry{}}
-		q.lanes[pool][c] = l
+		l = &classQueue{entries: map[string][]Entry{}}
+		q.classQueues[pool][c] = l
 	}
 	return l
 }
 
 // Push queues an entry, and reports false when its class or workspace has no room.
 func (q *Queue) Push(e Entry) bool {
-	l := q.lane(e.Pool, e.Class)
+	l := q.classQueue(e.Pool, e.Class)
 	waiting := l.entries[e.Workspace]
 	if l.size >= q.settings.PerClass || len(waiting) >= q.settings.PerWorkspace {
 		return false
@@ -81,11 +81,11 @@
 
 // Pop takes the next entry of a pool: interactive before batch, workspaces in turn.
 func (q *Queue) Pop(pool string) (Entry, bool) {
-	interactive := q.lane(pool, masticway.ClassInteractive)
-	batch := q.lane(pool, masticway.ClassBatch)
+	interactive := q.classQueue(pool, masticway.ClassInteractive)
+	batch := q.classQueue(pool, masticway.ClassBatch)
 	first, second := interactive, batch
 	// Batch work still moves while interactive work keeps coming.
-	if q.streak[pool] >= q.settings.InteractiveBurst && batch.size > 0 {
+	if q.interactiveStreak[pool] >= q.settings.InteractiveBurst && batch.size > 0 {
 		first, second = batch, interactive
 	}
 	l := first
@@ -97,14 +97,14 @@
 		return Entry{}, false
 	}
 	if e.Class == masticway.ClassInteractive {
-		q.streak[pool]++
+		q.interactiveStreak[pool]++
 	} else {
-		q.streak[pool] = 0
+		q.interactiveStreak[pool] = 0
 	}
 	return e, true
 }
 
-func (l *lane) pop() (Entry, bool) {
+func (l *classQueue) pop() (Entry, bool) {
 	if l.size == 0 {
 		return Entry{}, false
 	}
@@ -124,7 +124,7 @@
 
 // PutBack returns an entry that was popped but found no room, to the place it had.
 func (q *Queue) PutBack(e Entry) {
-	l := q.lane(e.Pool, e.Class)
+	l := q.classQueue(e.Pool, e.Class)
 	l.workspaces = slices.DeleteFunc(l.workspaces, func(w string) bool { return w == e.Workspace })
 	l.workspaces = slices.Insert(l.workspaces, 0, e.Workspace)
 	l.entries[e.Workspace] = slices.Insert(l.entries[e.Workspace], 0, e)
@@ -133,17 +133,17 @@
 
 // Remove takes out an entry whose caller has gone.
 func (q *Queue) Remove(e Entry) bool {
-	l := q.lane(e.Pool, e.Class)
+	l := q.classQueue(e.Pool, e.Class)
 	waiting := l.entries[e.Workspace]
 	i := slices.IndexFunc(waiting, func(o Entry) bool { return o.ID == e.ID })
 	if i < 0 {
 		return false
 	}
-	l.drop(e.Workspace, i)
+	l.removeAt(e.Workspace, i)
 	return true
 }
 
-func (l *lane) drop(workspace string, i int) {
+func (l *classQueue) removeAt(workspace string, i int) {
 	l.entries[workspace] = slices.Delete(l.entries[workspace], i, i+1)
 	l.size--
 	if len(l.entries[workspace]) > 0 {
@@ -156,7 +156,7 @@
 // Expire takes out and returns the entries whose deadline has passed.
 func (q *Queue) Expire(now time.Time) []Entry {
 	var expired []Entry
-	for _, classes := range q.lanes {
+	for _, classes := range q.classQueues {
 		for _, l := range classes {
 			for _, w := range slices.Clone(l.workspaces) {
 				expired = append(expired, l.expire(now, w)...)
@@ -166,17 +166,17 @@
 	return expired
 }
 
-func (l *lane) expire(now time.Time, workspace string) []Entry {
+func (l *classQueue) expire(now time.Time, workspace string) []Entry {
 	var expired []Entry
 	for i := len(l.entries[workspace]) - 1; i >= 0; i-- {
 		e := l.entries[workspace][i]
 		if !now.Before(e.Deadline) {
 			expired = append(expired, e)
-			l.drop(workspace, i)
+			l.removeAt(workspace, i)
 		}
 	}
 	return expired
 }
 
 // Len returns the number of waiting entries of a pool and class.
-func (q *Queue) Len(pool string, c masticway.Class) int { return q.lane(pool, c).size }
+func (q *Queue) Len(pool string, c masticway.Class) int { return q.classQueue(pool, c).size }
