--- a/limiter/bench_test.go
+++ b/limiter/bench_test.go
@@ -8,7 +8,7 @@
 	"github.com/masticway/masticway/limiter"
 )
 
-// BenchmarkQueue pushes and pops one entry beside so many waiting ones of ten workspaces.
+// BenchmarkQueue pushes and pops one entry while n entries of ten workspaces wait.
 func BenchmarkQueue(b *testing.B) {
 	for _, n := range []int{0, 100, 1000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
--- a/limiter/contract.go
+++ b/limiter/contract.go
@@ -6,7 +6,7 @@
 	"github.com/masticway/masticway"
 )
 
-// Limit names the limit of a contract that a request ran into.
+// Limit names the contract limit that a request exceeds.
 type Limit string
 
 // The limits of a contract.
@@ -16,42 +16,43 @@
 	LimitConcurrency Limit = "concurrency"
 )
 
-// concurrencyRetryAfter is the hint to a caller whose workspace has too many open requests.
+// concurrencyRetryAfter is the retry hint for a workspace with too many requests in flight.
 const concurrencyRetryAfter = 250 * time.Millisecond
 
+// workspaceUsage holds the token bucket and the open requests of a workspace.
 type workspaceUsage struct {
 	tokens     float64
 	refilledAt time.Time
 	inFlight   int
 }
 
-// Contracts counts rate and concurrency by workspace; it is not safe for concurrent use.
+// Contracts enforces the rate and concurrency limits of workspaces. It is not safe for concurrent use.
 type Contracts struct {
 	usage map[string]*workspaceUsage
 }
 
-// NewContracts returns counters at zero.
+// NewContracts returns a Contracts without any requests.
 func NewContracts() *Contracts { return &Contracts{usage: map[string]*workspaceUsage{}} }
 
-// Admit counts a request in, or names the limit and when to come back.
+// Admit counts a request as in flight, or returns the limit that it exceeds and when to retry.
 func (l *Contracts) Admit(now time.Time, c masticway.Contract) (Limit, time.Duration) {
-	m, ok := l.usage[c.Workspace]
+	u, ok := l.usage[c.Workspace]
 	if !ok {
-		m = &workspaceUsage{tokens: burst(c), refilledAt: now}
-		l.usage[c.Workspace] = m
+		u = &workspaceUsage{tokens: burst(c), refilledAt: now}
+		l.usage[c.Workspace] = u
 	}
-	if c.Concurrency > 0 && m.inFlight >= c.Concurrency {
+	if c.Concurrency > 0 && u.inFlight >= c.Concurrency {
 		return LimitConcurrency, concurrencyRetryAfter
 	}
 	if c.RequestsPerSecond > 0 {
-		m.tokens = min(burst(c), m.tokens+now.Sub(m.refilledAt).Seconds()*c.RequestsPerSecond)
-		m.refilledAt = now
-		if m.tokens < 1 {
-			return LimitRate, time.Duration((1 - m.tokens) / c.RequestsPerSecond * float64(time.Second))
+		u.tokens = min(burst(c), u.tokens+now.Sub(u.refilledAt).Seconds()*c.RequestsPerSecond)
+		u.refilledAt = now
+		if u.tokens < 1 {
+			return LimitRate, time.Duration((1 - u.tokens) / c.RequestsPerSecond * float64(time.Second))
 		}
-		m.tokens--
+		u.tokens--
 	}
-	m.inFlight++
+	u.inFlight++
 	return LimitNone, 0
 }
 
@@ -59,17 +60,18 @@
 	return max(1, float64(c.Burst), c.RequestsPerSecond)
 }
 
-// Done counts a request out.
+// Done records the end of an admitted request.
 func (l *Contracts) Done(workspace string) {
-	if m, ok := l.usage[workspace]; ok {
-		m.inFlight = max(0, m.inFlight-1)
+	if u, ok := l.usage[workspace]; ok {
+		u.inFlight = max(0, u.inFlight-1)
 	}
 }
 
-// Tick forgets workspaces that have been quiet, so that memory follows use.
+// Tick removes workspaces that have nothing in flight and have not used their token bucket for a minute, so that memory does not
+// grow without bound.
 func (l *Contracts) Tick(now time.Time) {
-	for w, m := range l.usage {
-		if m.inFlight == 0 && now.Sub(m.refilledAt) > time.Minute {
+	for w, u := range l.usage {
+		if u.inFlight == 0 && now.Sub(u.refilledAt) > time.Minute {
 			delete(l.usage, w)
 		}
 	}
--- a/limiter/doc.go
+++ b/limiter/doc.go
@@ -1,6 +1,8 @@
-// Package limiter decides who may start now, who waits, and who is refused.
+// Package limiter decides which requests start now, which wait, and which are
+// refused.
 //
-// Contract limits (rate and concurrency) refuse at once with the time to come
-// back. Work that upstreams have no room for waits in bounded queues, the
-// interactive class first, fair between workspaces, each entry with a deadline.
+// The rate and concurrency limits of a contract refuse a request at once and
+// tell the caller when to retry. Work for which no upstream has capacity waits
+// in bounded queues. They serve the interactive class first, are fair between
+// workspaces, and give each entry a deadline.
 package limiter
--- a/limiter/limiter_test.go
+++ b/limiter/limiter_test.go
@@ -38,18 +38,18 @@
 		entries []limiter.Entry
 		order   []string
 	}{
-		"interactive overtakes drafts": {
+		"interactive precedes batch": {
 			[]limiter.Entry{entry("draft", "w", masticway.ClassBatch, 0), entry("question", "w", masticway.ClassInteractive, 0)},
 			[]string{"question", "draft"},
 		},
-		"a draft still moves": {
+		"batch is not starved": {
 			[]limiter.Entry{
 				entry("d", "w", masticway.ClassBatch, 0), entry("1", "w", masticway.ClassInteractive, 0), entry("2", "w", masticway.ClassInteractive, 0),
 				entry("3", "w", masticway.ClassInteractive, 0), entry("4", "w", masticway.ClassInteractive, 0),
 			},
 			[]string{"1", "2", "3", "d", "4"},
 		},
-		"workspaces in turn": {
+		"workspaces take turns": {
 			[]limiter.Entry{
 				entry("a1", "a", masticway.ClassInteractive, 0), entry("a2", "a", masticway.ClassInteractive, 0),
 				entry("a3", "a", masticway.ClassInteractive, 0), entry("b1", "b", masticway.ClassInteractive, 0),
@@ -82,7 +82,8 @@
 	qt.Assert(t, popAll(q), qt.DeepEquals, []string{"a1", "b1", "a2"})
 }
 
-// TestQueueKeepsEveryEntry draws pushes, pops, removals and expiries and counts every entry once.
+// TestQueueKeepsEveryEntry performs random pushes, pops, removals and expiries and checks that no entry is lost or returned
+// twice.
 func TestQueueKeepsEveryEntry(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		q := limiter.NewQueue(limiter.QueueSettings{PerClass: 20, PerWorkspace: 8, InteractiveBurst: 2})
@@ -105,7 +106,7 @@
 					return
 				}
 				if _, known := inside[e.ID]; !known {
-					t.Fatalf("%s came twice", e.ID)
+					t.Fatalf("%s was popped twice", e.ID)
 				}
 				if rapid.Bool().Draw(t, "back") {
 					q.PutBack(e)
@@ -131,7 +132,7 @@
 			"": func(t *rapid.T) {
 				n := q.Len("p", masticway.ClassBatch) + q.Len("p", masticway.ClassInteractive)
 				if n != len(inside) {
-					t.Fatalf("%d in the queue, not %d", n, len(inside))
+					t.Fatalf("%d entries in the queue, want %d", n, len(inside))
 				}
 			},
 		})
--- a/limiter/queue.go
+++ b/limiter/queue.go
@@ -7,34 +7,35 @@
 	"github.com/masticway/masticway"
 )
 
-// Entry is a request that waits for an upstream with room.
+// Entry is a request that waits for an upstream with capacity.
 type Entry struct {
 	ID        string
 	Workspace string
 	Class     masticway.Class
 	Priority  int
-	// Pool names what it waits for, a model or a service.
+	// Pool names the model or service that the request waits for.
 	Pool     string
 	Deadline time.Time
 }
 
-// QueueSettings are the tunables of a queue.
+// QueueSettings configures a Queue.
 type QueueSettings struct {
-	// PerClass bounds the waiting entries of one class.
+	// PerClass is the maximum number of entries of one class in a pool.
 	PerClass int
-	// PerWorkspace bounds those of one workspace in a class.
+	// PerWorkspace is the maximum number of entries of one workspace in a pool and class.
 	PerWorkspace int
-	// InteractiveBurst is how many interactive entries go before one batch entry that waits.
+	// InteractiveBurst is how many interactive entries may be popped in a row before a waiting batch entry.
 	InteractiveBurst int
 }
 
+// classQueue holds the entries of one pool and class, by workspace and in the order in which the workspaces take turns.
 type classQueue struct {
 	workspaces []string
 	entries    map[string][]Entry
 	size       int
 }
 
-// Queue is a bounded fair queue for each pool and class; it is not safe for concurrent use.
+// Queue holds a bounded, fair queue for each pool and class. It is not safe for concurrent use.
 type Queue struct {
 	settings          QueueSettings
 	classQueues       map[string]map[masticway.Class]*classQueue
@@ -58,7 +59,7 @@
 	return l
 }
 
-// Push queues an entry, and reports false when its class or workspace has no room.
+// Push adds an entry. It returns false if its class or workspace is at its limit.
 func (q *Queue) Push(e Entry) bool {
 	l := q.classQueue(e.Pool, e.Class)
 	waiting := l.entries[e.Workspace]
@@ -68,23 +69,23 @@
 	if len(waiting) == 0 {
 		l.workspaces = append(l.workspaces, e.Workspace)
 	}
-	at, _ := slices.BinarySearchFunc(waiting, e, func(a, b Entry) int {
+	i, _ := slices.BinarySearchFunc(waiting, e, func(a, b Entry) int {
 		if a.Priority >= b.Priority {
 			return -1
 		}
 		return 1
 	})
-	l.entries[e.Workspace] = slices.Insert(waiting, at, e)
+	l.entries[e.Workspace] = slices.Insert(waiting, i, e)
 	l.size++
 	return true
 }
 
-// Pop takes the next entry of a pool: interactive before batch, workspaces in turn.
+// Pop removes and returns the next entry of a pool. Interactive entries precede batch entries, and workspaces take turns.
 func (q *Queue) Pop(pool string) (Entry, bool) {
 	interactive := q.classQueue(pool, masticway.ClassInteractive)
 	batch := q.classQueue(pool, masticway.ClassBatch)
 	first, second := interactive, batch
-	// Batch work still moves while interactive work keeps coming.
+	// A steady flow of interactive work must not starve batch work.
 	if q.interactiveStreak[pool] >= q.settings.InteractiveBurst && batch.size > 0 {
 		first, second = batch, interactive
 	}
@@ -122,7 +123,7 @@
 	return e, true
 }
 
-// PutBack returns an entry that was popped but found no room, to the place it had.
+// PutBack returns a popped entry for which there was no capacity to its former position.
 func (q *Queue) PutBack(e Entry) {
 	l := q.classQueue(e.Pool, e.Class)
 	l.workspaces = slices.DeleteFunc(l.workspaces, func(w string) bool { return w == e.Workspace })
@@ -131,7 +132,7 @@
 	l.size++
 }
 
-// Remove takes out an entry whose caller has gone.
+// Remove removes an entry whose caller has left. It returns false if the entry is not queued.
 func (q *Queue) Remove(e Entry) bool {
 	l := q.classQueue(e.Pool, e.Class)
 	waiting := l.entries[e.Workspace]
@@ -153,7 +154,7 @@
 	l.workspaces = slices.DeleteFunc(l.workspaces, func(w string) bool { return w == workspace })
 }
 
-// Expire takes out and returns the entries whose deadline has passed.
+// Expire removes and returns the entries whose deadline has passed.
 func (q *Queue) Expire(now time.Time) []Entry {
 	var expired []Entry
 	for _, classes := range q.classQueues {
@@ -178,5 +179,5 @@
 	return expired
 }
 
-// Len returns the number of waiting entries of a pool and class.
+// Len returns the number of entries of a pool and class.
 func (q *Queue) Len(pool string, c masticway.Class) int { return q.classQueue(pool, c).size }
