--- a/relayer/large_test.go
+++ b/relayer/large_test.go
@@ -17,8 +17,8 @@
 	"github.com/masticway/masticway/platform"
 )
 
-// prepared serves answers that were made before, so that they begin at once, however busy the machine is.
-func prepared(h http.Handler, urls ...string) http.Handler {
+// prerenderedHandler serves answers that were made before, so that they begin at once, however busy the machine is.
+func prerenderedHandler(h http.Handler, urls ...string) http.Handler {
 	answers := map[string][]byte{}
 	for _, u := range urls {
 		recorder := httptest.NewRecorder()
@@ -54,37 +54,37 @@
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
-			f := newFleet(t)
+			f := newRouterPair(t)
 			f.rows.Put(masticway.RowKey{Table: "op", Key: "large"}, []byte(strings.Repeat("x", size)))
-			server := httptest.NewServer(prepared(f.rows.Handler(), "/-/rows-get?part=&table=op", "/-/rows-feed?since_rev=0&table=op&wait_ms=100"))
+			server := httptest.NewServer(prerenderedHandler(f.rows.Handler(), "/-/rows-get?part=&table=op", "/-/rows-feed?since_rev=0&table=op&wait_ms=100"))
 			t.Cleanup(server.Close)
 			link := emulator.NewLink(rate)
 			t.Cleanup(link.Close)
 			address, err := link.To(strings.TrimPrefix(server.URL, "http://"))
 			qt.Assert(t, err, qt.IsNil)
-			store := f.router(t, platform.NewStore(address, begin))
+			store := f.newRouter(t, platform.NewStore(address, begin))
 			if tc.away {
-				f.own.how.Store(busy)
-				f.turnAway(t)
+				f.ownPath.mode.Store(pathUnavailable)
+				f.takeDirectDown(t)
 				store = f.store
 				f.address, err = link.To(f.address)
 				qt.Assert(t, err, qt.IsNil)
 			}
-			asked := f.other.used.Load()
+			asked := f.otherPath.calls.Load()
 			began := time.Now()
 			reading, err := tc.read(store)
 			qt.Assert(t, err, qt.IsNil)
 			qt.Check(t, len(reading.Rows[0].Value), qt.Equals, size)
 			qt.Check(t, time.Since(began) > begin, qt.IsTrue, qt.Commentf("too fast to tell"))
 			if !tc.away {
-				qt.Check(t, f.other.used.Load(), qt.Equals, asked)
+				qt.Check(t, f.otherPath.calls.Load(), qt.Equals, asked)
 			}
 		})
 	}
 }
 
-// stalls serves a store whose answers begin and never go on, once it is told to; each begins with so many of its bytes.
-func stalls(t *testing.T, h http.Handler, first int) (address string, stall func()) {
+// startStallingServer serves a store whose answers begin and never go on, once it is told to; each begins with so many of its bytes.
+func startStallingServer(t *testing.T, h http.Handler, first int) (address string, stall func()) {
 	var on atomic.Bool
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if !on.Load() {
@@ -102,9 +102,9 @@
 	return strings.TrimPrefix(server.URL, "http://"), func() { on.Store(true) }
 }
 
-// TestAnswersThatBeginAndStallAreSoughtElsewhere has a direct way that is cut in the middle of an answer, while another
+// TestStalledAnswerIsRelayed has a direct way that is cut in the middle of an answer, while another
 // router reaches the store.
-func TestAnswersThatBeginAndStallAreSoughtElsewhere(t *testing.T) {
+func TestStalledAnswerIsRelayed(t *testing.T) {
 	const within = time.Second
 	key := masticway.RowKey{Table: "op", Key: "x"}
 	cases := map[string]struct {
@@ -137,10 +137,10 @@
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			f := newFleet(t)
+			f := newRouterPair(t)
 			f.rows.Put(key, []byte(strings.Repeat("x", tc.size)))
-			address, stall := stalls(t, f.rows.Handler(), tc.first)
-			s := f.router(t, platform.NewStore(address, 600*time.Millisecond))
+			address, stall := startStallingServer(t, f.rows.Handler(), tc.first)
+			s := f.newRouter(t, platform.NewStore(address, 600*time.Millisecond))
 			_, err := s.Read(t.Context(), "op", "")
 			qt.Assert(t, err, qt.IsNil)
 			stall()
@@ -151,21 +151,21 @@
 	}
 }
 
-// TestNothingIsCarriedForARouterThatHasLeft has another router whose own link is too slow for a large reading.
-func TestNothingIsCarriedForARouterThatHasLeft(t *testing.T) {
+// TestRelayStopsWhenPeerLeaves has another router whose own link is too slow for a large reading.
+func TestRelayStopsWhenPeerLeaves(t *testing.T) {
 	const rate, size = 1 << 20, 4 << 20
-	f := newFleet(t)
+	f := newRouterPair(t)
 	f.rows.Put(masticway.RowKey{Table: "op", Key: "large"}, []byte(strings.Repeat("x", size)))
-	server := httptest.NewServer(prepared(f.rows.Handler(), "/-/rows-get?part=&table=op"))
+	server := httptest.NewServer(prerenderedHandler(f.rows.Handler(), "/-/rows-get?part=&table=op"))
 	t.Cleanup(server.Close)
 	link := emulator.NewLink(rate)
 	t.Cleanup(link.Close)
 	address, err := link.To(strings.TrimPrefix(server.URL, "http://"))
 	qt.Assert(t, err, qt.IsNil)
-	f.own.how.Store(busy)
-	f.turnAway(t)
+	f.ownPath.mode.Store(pathUnavailable)
+	f.takeDirectDown(t)
 	mux := http.NewServeMux()
-	f.router(t, platform.NewStore(address, 600*time.Millisecond)).Serve(mux)
+	f.newRouter(t, platform.NewStore(address, 600*time.Millisecond)).Serve(mux)
 	helper := httptest.NewServer(mux)
 	t.Cleanup(helper.Close)
 	f.address = strings.TrimPrefix(helper.URL, "http://")
@@ -177,10 +177,10 @@
 	qt.Check(t, link.Carried()-before < rate/10, qt.IsTrue, qt.Commentf("%d bytes for nobody", link.Carried()-before))
 }
 
-// TestLargeReadingsSayNothingOfSmallCalls has a store that falls silent after a reading that took a second.
-func TestLargeReadingsSayNothingOfSmallCalls(t *testing.T) {
+// TestLargeReadDoesNotRaiseHedgeDelay has a store that falls silent after a reading that took a second.
+func TestLargeReadDoesNotRaiseHedgeDelay(t *testing.T) {
 	const rate, size = 1 << 20, 768 << 10
-	f := newFleet(t)
+	f := newRouterPair(t)
 	f.rows.Put(masticway.RowKey{Table: "op", Key: "large"}, []byte(strings.Repeat("x", size)))
 	var silent atomic.Bool
 	inner := f.rows.Handler()
@@ -196,7 +196,7 @@
 	t.Cleanup(link.Close)
 	address, err := link.To(strings.TrimPrefix(server.URL, "http://"))
 	qt.Assert(t, err, qt.IsNil)
-	s := f.router(t, platform.NewStore(address, 600*time.Millisecond))
+	s := f.newRouter(t, platform.NewStore(address, 600*time.Millisecond))
 	for range 10 {
 		_, err = s.Read(t.Context(), "small", "")
 		qt.Assert(t, err, qt.IsNil)
--- a/relayer/relayer.go
+++ b/relayer/relayer.go
@@ -17,90 +17,90 @@
 const (
 	serviceName = "row store"
 
-	// relayLeast and relayMost bound how long the store may take before another router is asked as well: many times its
-	// usual 4 ms, a fraction of what a caller waits for money. In between it is relayTimes the time that direct calls
+	// minHedgeDelay and maxHedgeDelay bound how long the store may take before another router is asked as well: many times its
+	// usual 4 ms, a fraction of what a caller waits for money. In between it is hedgeLatencyFactor the time that direct calls
 	// take at present: where the store is slow for everybody, asking others only makes it slower.
-	relayLeast = 60 * time.Millisecond
-	relayMost  = 400 * time.Millisecond
-	relayTimes = 3
-	// followAfter is the same for a followed table, beyond the wait that was asked for.
-	followAfter = 250 * time.Millisecond
-	// awayAfter is how long every direct call must have failed, other than by a refusal for the rate, before others are
+	minHedgeDelay      = 60 * time.Millisecond
+	maxHedgeDelay      = 400 * time.Millisecond
+	hedgeLatencyFactor = 3
+	// watchHedgeDelay is the same for a followed table, beyond the wait that was asked for.
+	watchHedgeDelay = 250 * time.Millisecond
+	// directDownAfter is how long every direct call must have failed, other than by a refusal for the rate, before others are
 	// asked at once: a single failure says nothing of the next call.
-	awayAfter = 100 * time.Millisecond
-	// busyAfter and busyCalls are how long, and in how many calls, the store must have refused everything for its rate
+	directDownAfter = 100 * time.Millisecond
+	// rateLimitedAfter and rateLimitedCalls are how long, and in how many calls, the store must have refused everything for its rate
 	// before this counts as being turned away. A store that refuses every second call refuses so many in a row once in
 	// 250 times; asking others for a store over its rate doubles its load.
-	busyAfter = 400 * time.Millisecond
-	busyCalls = 8
-	// probePause separates two direct calls while the store turns this router away, and probesMost bounds those under
+	rateLimitedAfter = 400 * time.Millisecond
+	rateLimitedCalls = 8
+	// probeInterval separates two direct calls while the store turns this router away, and maxProbes bounds those under
 	// way: one that a cut has swallowed does not keep the next from finding the store back.
-	probePause = 120 * time.Millisecond
-	probesMost = 4
+	probeInterval = 120 * time.Millisecond
+	maxProbes     = 4
 	// relayTimeout is how long the answer to one call through another router may take to begin: a store's answer and two
 	// ways between availability zones.
 	relayTimeout = 400 * time.Millisecond
-	// graceAfter is how long the direct way may still take once no other router could help.
-	graceAfter = 200 * time.Millisecond
-	// routersAsked bounds the routers that are asked for one call.
-	routersAsked = 2
+	// directGrace is how long the direct way may still take once no other router could help.
+	directGrace = 200 * time.Millisecond
+	// maxPeersAsked bounds the routers that are asked for one call.
+	maxPeersAsked = 2
 )
 
 // Names of metrics.
 const (
-	metricRelayed  = "store_calls_relayed"
-	metricUnhelped = "store_calls_not_relayed"
-	metricHelped   = "store_calls_for_others"
-	metricBusy     = "store_calls_over_rate"
+	metricRelayed        = "store_calls_relayed"
+	metricRelayFailed    = "store_calls_not_relayed"
+	metricServedForPeers = "store_calls_for_others"
+	metricRateLimited    = "store_calls_over_rate"
 )
 
 // Store is a row store that is reached directly, or through another router.
 type Store struct {
-	direct   masticway.RowStore
-	messages *messenger.Client
-	clock    masticway.Clock
-	log      *logrus.Entry
-	metrics  *measurer.Set
+	direct  masticway.RowStore
+	client  *messenger.Client
+	clock   masticway.Clock
+	log     *logrus.Entry
+	metrics *measurer.Set
 
 	// calls are the direct calls under way, which end with the store's own context.
-	calls sync.WaitGroup
-	own   context.Context
-	end   context.CancelFunc
+	calls  sync.WaitGroup
+	ctx    context.Context
+	cancel context.CancelFunc
 
 	mu sync.Mutex
 	// peers names the addresses of other routers, back is told when direct calls work again.
-	peers func() []string
-	back  func()
-	// measured is told how long direct calls took.
-	measured func(took time.Duration, answered bool)
-	// workedAt is when a direct call last had a definite end, failingSince since when none had, zero while they do.
-	workedAt     time.Time
+	peers      func() []string
+	onRestored func()
+	// observeLatency is told how long direct calls took.
+	observeLatency func(took time.Duration, answered bool)
+	// lastSuccess is when a direct call last had a definite end, failingSince since when none had, zero while they do.
+	lastSuccess  time.Time
 	failingSince time.Time
-	// busySince and busy are since when and how often the store has refused for its rate and done nothing else.
-	busySince time.Time
-	busy      int
-	// usual is the moving average of what a direct call with a definite end takes.
-	usual time.Duration
-	// away tells that direct calls have failed for a while; straight counts those under way.
-	away     bool
-	straight int
-	probedAt time.Time
-	// first is where the list of routers begins; it moves on when none of those asked could help.
-	first int
+	// rateLimitedSince and busy are since when and how often the store has refused for its rate and done nothing else.
+	rateLimitedSince time.Time
+	rateLimitedCount int
+	// meanLatency is the moving average of what a direct call with a definite end takes.
+	meanLatency time.Duration
+	// directDown tells that direct calls have failed for a while; straight counts those under way.
+	directDown     bool
+	directInFlight int
+	lastProbe      time.Time
+	// firstPeer is where the list of routers begins; it moves on when none of those asked could help.
+	firstPeer int
 }
 
 var _ masticway.RowStore = (*Store)(nil)
 
 // New returns a store over a direct one; it knows no other routers yet.
 func New(direct masticway.RowStore, m *messenger.Client, clock masticway.Clock, log *logrus.Entry, metrics *measurer.Set) *Store {
-	s := &Store{direct: direct, messages: m, clock: clock, log: log, metrics: metrics, peers: func() []string { return nil }, back: func() {}, measured: func(time.Duration, bool) {}}
-	s.own, s.end = context.WithCancel(context.Background())
+	s := &Store{direct: direct, client: m, clock: clock, log: log, metrics: metrics, peers: func() []string { return nil }, onRestored: func() {}, observeLatency: func(time.Duration, bool) {}}
+	s.ctx, s.cancel = context.WithCancel(context.Background())
 	return s
 }
 
 // Close ends the calls that are under way.
 func (s *Store) Close() {
-	s.end()
+	s.cancel()
 	s.calls.Wait()
 }
 
@@ -115,34 +115,34 @@
 func (s *Store) WhenBack(f func()) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.back = f
+	s.onRestored = f
 }
 
 // Measure has a function told how long each direct call takes but those that wait for changes or whose answer is large, and
 // whether there was an answer.
-func (s *Store) Measure(measured func(took time.Duration, answered bool)) {
+func (s *Store) Measure(observe func(took time.Duration, answered bool)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.measured = measured
+	s.observeLatency = observe
 }
 
 // Read returns the rows of one part of a table.
 func (s *Store) Read(ctx context.Context, table, part string) (masticway.RowReading, error) {
-	return onlyRead(s.call(ctx, order{Table: table, Part: part}))
+	return readOutcome(s.call(ctx, storeCall{Table: table, Part: part}))
 }
 
 // Write commits a write; it must expect a version of a row that it puts.
 func (s *Store) Write(ctx context.Context, w masticway.RowWrite) (masticway.RowReading, error) {
-	return s.call(ctx, order{Write: &w})
+	return s.call(ctx, storeCall{Write: &w})
 }
 
 // Watch returns the changes of a table.
 func (s *Store) Watch(ctx context.Context, f masticway.WatchRequest) (masticway.RowReading, error) {
-	return onlyRead(s.call(ctx, order{Table: f.Table, Follow: true, Since: f.Since, Wait: f.MaxWait, AtMost: f.MaxBytes}))
+	return readOutcome(s.call(ctx, storeCall{Table: f.Table, Watch: true, Since: f.Since, MaxWait: f.MaxWait, MaxBytes: f.MaxBytes}))
 }
 
-// onlyRead turns an unknown outcome into the certainty that a reading changes nothing.
-func onlyRead(reading masticway.RowReading, err error) (masticway.RowReading, error) {
+// readOutcome turns an unknown outcome into the certainty that a reading changes nothing.
+func readOutcome(reading masticway.RowReading, err error) (masticway.RowReading, error) {
 	if unknown, ok := errors.AsType[*masticway.OutcomeUnknownError](err); ok {
 		return reading, &masticway.UnavailableError{Service: serviceName, Reason: unknown.Reason}
 	}
@@ -155,8 +155,8 @@
 	err     error
 }
 
-// definite tells that no other way can bring more.
-func (r result) definite() bool {
+// isDefinite tells that no other way can bring more.
+func (r result) isDefinite() bool {
 	if r.err == nil {
 		return true
 	}
@@ -167,158 +167,158 @@
 	return ok
 }
 
-// busy tells that the store refused for its rate.
-func (r result) busy() bool {
+// isRateLimited tells that the store refused for its rate.
+func (r result) isRateLimited() bool {
 	refused, ok := errors.AsType[*masticway.UnavailableError](r.err)
 	return ok && refused.RateLimited
 }
 
 // call carries an order out directly and, when that fails or takes long, through another router.
-func (s *Store) call(ctx context.Context, o order) (masticway.RowReading, error) {
-	w := newWays(ctx, s, o)
-	defer w.leave()
-	return w.end()
+func (s *Store) call(ctx context.Context, c storeCall) (masticway.RowReading, error) {
+	w := startCall(ctx, s, c)
+	defer w.cancelRelay()
+	return w.wait()
 }
 
-// worse keeps an unknown outcome unknown, whatever the other way said.
-func worse(a, b result) result {
+// worseOf keeps an unknown outcome unknown, whatever the other way said.
+func worseOf(a, b result) result {
 	if _, ok := errors.AsType[*masticway.OutcomeUnknownError](a.err); ok {
 		return a
 	}
 	return b
 }
 
-// choose tells whether a call is to be made directly, which is only a probe while the store turns this router away, and
+// plan tells whether a call is to be made directly, which is only a probe while the store turns this router away, and
 // whether others are to be asked at once.
-func (s *Store) choose(o order) (direct, away bool) {
+func (s *Store) plan(call storeCall) (direct, relayNow bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := s.clock.Now()
-	if s.away && (o.Follow || s.straight >= probesMost || now.Sub(s.probedAt) < probePause) {
+	if s.directDown && (call.Watch || s.directInFlight >= maxProbes || now.Sub(s.lastProbe) < probeInterval) {
 		return false, true
 	}
-	s.probedAt = now
-	return true, s.away
+	s.lastProbe = now
+	return true, s.directDown
 }
 
-// goStraight makes a direct call. It outlives its caller: when another router was faster, its end still tells whether
+// startDirect makes a direct call. It outlives its caller: when another router was faster, its end still tells whether
 // the store answers this one; it ends with the context alone. It calls progress whenever more of a large answer arrives.
-func (s *Store) goStraight(ctx context.Context, o order, progress func()) result {
+func (s *Store) callDirect(ctx context.Context, call storeCall, progress func()) result {
 	sentAt := s.clock.Now()
-	s.count(1)
+	s.addInFlight(1)
 	large := false
-	r := o.carryOut(receiver.WithProgress(ctx, func() {
+	r := call.run(receiver.WithProgress(ctx, func() {
 		large = true
 		progress()
 	}), s.direct)
-	s.count(-1)
+	s.addInFlight(-1)
 	switch {
-	case r.definite():
+	case r.isDefinite():
 		if !large {
 			// What a large answer takes says nothing of when the next one should begin.
-			s.took(o, sentAt)
+			s.recordLatency(call, sentAt)
 		}
-		s.regained()
+		s.recordSuccess()
 	case ctx.Err() != nil:
 		// It was not the store that ended it.
-	case r.busy():
-		s.refused(sentAt, r.err)
+	case r.isRateLimited():
+		s.recordRateLimited(sentAt, r.err)
 	default:
-		s.failed(o, sentAt)
-		s.turnedAway(sentAt, r.err)
+		s.recordFailedLatency(call, sentAt)
+		s.recordFailure(sentAt, r.err)
 	}
 	return r
 }
 
-// took notes how long a direct call took.
-func (s *Store) took(o order, sentAt time.Time) {
-	if o.Follow {
+// recordLatency notes how long a direct call took.
+func (s *Store) recordLatency(call storeCall, sentAt time.Time) {
+	if call.Watch {
 		return
 	}
 	s.mu.Lock()
-	took, measured := s.clock.Now().Sub(sentAt), s.measured
-	s.usual += (took - s.usual) / 8
+	took, measured := s.clock.Now().Sub(sentAt), s.observeLatency
+	s.meanLatency += (took - s.meanLatency) / 8
 	s.mu.Unlock()
 	measured(took, true)
 }
 
-// failed notes how long a direct call took that got no answer, or that the store did not carry out.
-func (s *Store) failed(o order, sentAt time.Time) {
-	if o.Follow {
+// recordFailedLatency notes how long a direct call took that got no answer, or that the store did not carry out.
+func (s *Store) recordFailedLatency(call storeCall, sentAt time.Time) {
+	if call.Watch {
 		return
 	}
 	s.mu.Lock()
-	took, measured := s.clock.Now().Sub(sentAt), s.measured
+	took, measured := s.clock.Now().Sub(sentAt), s.observeLatency
 	s.mu.Unlock()
-	measured(took, took < relayLeast)
+	measured(took, took < minHedgeDelay)
 }
 
-// patience is how long the direct way may take alone.
-func (s *Store) patience(o order) time.Duration {
-	if o.Follow {
-		return o.Wait + followAfter
+// hedgeDelay is how long the direct way may take alone.
+func (s *Store) hedgeDelay(call storeCall) time.Duration {
+	if call.Watch {
+		return call.MaxWait + watchHedgeDelay
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return min(relayMost, max(relayLeast, relayTimes*s.usual))
+	return min(maxHedgeDelay, max(minHedgeDelay, hedgeLatencyFactor*s.meanLatency))
 }
 
-// refused notes a call that the store refused for its rate.
-func (s *Store) refused(sentAt time.Time, cause error) {
-	s.metrics.Add(metricBusy, 1)
+// recordRateLimited notes a call that the store refused for its rate.
+func (s *Store) recordRateLimited(sentAt time.Time, cause error) {
+	s.metrics.Add(metricRateLimited, 1)
 	s.mu.Lock()
-	if s.busy == 0 {
-		s.busySince = sentAt
+	if s.rateLimitedCount == 0 {
+		s.rateLimitedSince = sentAt
 	}
-	s.busy++
-	turnedAway := s.busy >= busyCalls && s.clock.Now().Sub(s.busySince) >= busyAfter
+	s.rateLimitedCount++
+	isDown := s.rateLimitedCount >= rateLimitedCalls && s.clock.Now().Sub(s.rateLimitedSince) >= rateLimitedAfter
 	s.mu.Unlock()
-	if turnedAway {
-		s.turnedAway(sentAt, cause)
+	if isDown {
+		s.recordFailure(sentAt, cause)
 	}
 }
 
-// count notes that a direct call has begun or ended.
-func (s *Store) count(change int) {
+// addInFlight notes that a direct call has begun or ended.
+func (s *Store) addInFlight(change int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.straight += change
+	s.directInFlight += change
 }
 
-func (s *Store) isAway() bool {
+func (s *Store) isDirectDown() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.away
+	return s.directDown
 }
 
-// turnedAway notes a direct call that was sent at a time and failed.
-func (s *Store) turnedAway(sentAt time.Time, cause error) {
+// isDirectDown notes a direct call that was sent at a time and failed.
+func (s *Store) recordFailure(sentAt time.Time, cause error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.failingSince.IsZero() {
 		s.failingSince = sentAt
 	}
-	if s.failingSince.Before(s.workedAt) {
+	if s.failingSince.Before(s.lastSuccess) {
 		// A feed that broke off says nothing of the time in which other calls worked.
-		s.failingSince = s.workedAt
+		s.failingSince = s.lastSuccess
 	}
-	if s.away || s.clock.Now().Sub(s.failingSince) < awayAfter {
+	if s.directDown || s.clock.Now().Sub(s.failingSince) < directDownAfter {
 		return
 	}
-	s.away = true
+	s.directDown = true
 	s.log.WithFields(logrus.Fields{"event": "store_turned_away", "error": cause, "routers": len(s.peers())}).Warn("store does not answer this router; others are asked")
 }
 
-func (s *Store) regained() {
+func (s *Store) recordSuccess() {
 	s.mu.Lock()
-	was, back := s.away, s.back
-	s.away = false
-	s.busy = 0
-	s.workedAt, s.failingSince = s.clock.Now(), time.Time{}
+	wasDown, onRestored := s.directDown, s.onRestored
+	s.directDown = false
+	s.rateLimitedCount = 0
+	s.lastSuccess, s.failingSince = s.clock.Now(), time.Time{}
 	s.mu.Unlock()
-	if !was {
+	if !wasDown {
 		return
 	}
-	back()
+	onRestored()
 	s.log.WithFields(logrus.Fields{"event": "store_direct"}).Info("store answers this router again")
 }
--- a/relayer/relayer_test.go
+++ b/relayer/relayer_test.go
@@ -26,39 +26,39 @@
 
 // How a way to the store fails.
 const (
-	works int32 = iota
-	busy
-	silent
-	losing
-	// overRate refuses for the store's rate, mostlyOver six calls of seven.
-	overRate
-	mostlyOver
-	// slow answers late.
-	slow
+	pathWorks int32 = iota
+	pathUnavailable
+	pathSilent
+	pathLosesAnswers
+	// pathRateLimited refuses for the store's rate, pathMostlyRateLimited six calls of seven.
+	pathRateLimited
+	pathMostlyRateLimited
+	// pathSlow answers late.
+	pathSlow
 )
 
-// slowAnswer is longer than a direct way may usually take alone.
-const slowAnswer = 110 * time.Millisecond
+// slowAnswerTime is longer than a direct way may usually take alone.
+const slowAnswerTime = 110 * time.Millisecond
 
-// way is one router's way to the store.
-type way struct {
-	rows *emulator.Rows
-	how  atomic.Int32
-	used atomic.Int32
-	// parts are those that were asked for, by name.
-	parts sync.Map
+// storePath is one router's way to the store.
+type storePath struct {
+	rows  *emulator.Rows
+	mode  atomic.Int32
+	calls atomic.Int32
+	// requestedParts are those that were asked for, by name.
+	requestedParts sync.Map
 }
 
-func (w *way) pass(ctx context.Context) error {
-	used := w.used.Add(1)
-	switch how := w.how.Load(); {
-	case how == overRate, how == mostlyOver && used%7 != 0:
+func (w *storePath) begin(ctx context.Context) error {
+	used := w.calls.Add(1)
+	switch how := w.mode.Load(); {
+	case how == pathRateLimited, how == pathMostlyRateLimited && used%7 != 0:
 		return &masticway.UnavailableError{Service: "rows", Reason: "over its rate", RateLimited: true}
-	case how == slow:
-		time.Sleep(slowAnswer)
-	case how == busy:
+	case how == pathSlow:
+		time.Sleep(slowAnswerTime)
+	case how == pathUnavailable:
 		return &masticway.UnavailableError{Service: "rows", Reason: "busy"}
-	case how == silent:
+	case how == pathSilent:
 		select {
 		case <-ctx.Done():
 		case <-time.After(700 * time.Millisecond):
@@ -68,54 +68,54 @@
 	return nil
 }
 
-func (w *way) Read(ctx context.Context, table, part string) (masticway.RowReading, error) {
-	w.parts.Store(part, true)
-	if err := w.pass(ctx); err != nil {
+func (w *storePath) Read(ctx context.Context, table, part string) (masticway.RowReading, error) {
+	w.requestedParts.Store(part, true)
+	if err := w.begin(ctx); err != nil {
 		return masticway.RowReading{}, err
 	}
 	return w.rows.Read(ctx, table, part)
 }
 
-func (w *way) Write(ctx context.Context, write masticway.RowWrite) (masticway.RowReading, error) {
-	if err := w.pass(ctx); err != nil {
+func (w *storePath) Write(ctx context.Context, write masticway.RowWrite) (masticway.RowReading, error) {
+	if err := w.begin(ctx); err != nil {
 		return masticway.RowReading{}, err
 	}
 	made, err := w.rows.Write(ctx, write)
-	if w.how.Load() == losing {
+	if w.mode.Load() == pathLosesAnswers {
 		return masticway.RowReading{}, &masticway.OutcomeUnknownError{Service: "rows", Reason: "answer lost"}
 	}
 	return made, err
 }
 
-func (w *way) Watch(ctx context.Context, f masticway.WatchRequest) (masticway.RowReading, error) {
-	if err := w.pass(ctx); err != nil {
+func (w *storePath) Watch(ctx context.Context, f masticway.WatchRequest) (masticway.RowReading, error) {
+	if err := w.begin(ctx); err != nil {
 		return masticway.RowReading{}, err
 	}
 	return w.rows.Watch(ctx, f)
 }
 
-// fleet is two routers on one store.
-type fleet struct {
-	rows   *emulator.Rows
-	own    *way
-	other  *way
-	store  *relayer.Store
-	helper *relayer.Store
+// routerPair is two routers on one store.
+type routerPair struct {
+	rows      *emulator.Rows
+	ownPath   *storePath
+	otherPath *storePath
+	store     *relayer.Store
+	helper    *relayer.Store
 	// address is where the other router is reached.
 	address string
 	// logs have what each router logs.
 	logs map[*relayer.Store]*test.Hook
 }
 
-// turnedAway tells that the router has logged that the store turns it away.
-func (f *fleet) turnedAway() bool {
+// isDirectDown tells that the router has logged that the store turns it away.
+func (f *routerPair) isDirectDown() bool {
 	return slices.ContainsFunc(f.logs[f.store].AllEntries(), func(e *logrus.Entry) bool { return e.Data["event"] == "store_turned_away" })
 }
 
-func newFleet(t *testing.T) *fleet {
-	f := &fleet{rows: emulator.NewRows(time.Now), logs: map[*relayer.Store]*test.Hook{}}
-	f.own, f.other = &way{rows: f.rows}, &way{rows: f.rows}
-	f.store, f.helper = f.router(t, f.own), f.router(t, f.other)
+func newRouterPair(t *testing.T) *routerPair {
+	f := &routerPair{rows: emulator.NewRows(time.Now), logs: map[*relayer.Store]*test.Hook{}}
+	f.ownPath, f.otherPath = &storePath{rows: f.rows}, &storePath{rows: f.rows}
+	f.store, f.helper = f.newRouter(t, f.ownPath), f.newRouter(t, f.otherPath)
 	mux := http.NewServeMux()
 	f.helper.Serve(mux)
 	server := httptest.NewServer(mux)
@@ -124,8 +124,8 @@
 	return f
 }
 
-// router returns a router with a way to the store, which asks the other one.
-func (f *fleet) router(t *testing.T, w masticway.RowStore) *relayer.Store {
+// newRouter returns a router with a way to the store, which asks the other one.
+func (f *routerPair) newRouter(t *testing.T, w masticway.RowStore) *relayer.Store {
 	log, hook := test.NewNullLogger()
 	s := relayer.New(w, messenger.NewClient(), masticway.SystemClock{}, logrus.NewEntry(log), measurer.New())
 	t.Cleanup(s.Close)
@@ -134,12 +134,12 @@
 	return s
 }
 
-// turnAway lets direct calls fail until the router is sure that it is turned away. Before that a slow machine may have it ask the
+// takeDirectDown lets direct calls fail until the router is sure that it is turned away. Before that a slow machine may have it ask the
 // other router, as a direct call takes long.
-func (f *fleet) turnAway(t *testing.T) {
+func (f *routerPair) takeDirectDown(t *testing.T) {
 	for began := time.Now(); time.Since(began) < 5*time.Second; {
 		_, err := f.store.Read(t.Context(), "t", "0")
-		if f.turnedAway() && f.other.used.Load() > 0 {
+		if f.isDirectDown() && f.otherPath.calls.Load() > 0 {
 			qt.Assert(t, err, qt.IsNil)
 			return
 		}
@@ -147,78 +147,78 @@
 	t.Fatal("no other router was ever asked")
 }
 
-func TestSingleRefusalsAreNotRelayed(t *testing.T) {
-	f := newFleet(t)
+func TestSingleFailuresAreNotRelayed(t *testing.T) {
+	f := newRouterPair(t)
 	for range 20 {
-		f.own.how.Store(busy)
+		f.ownPath.mode.Store(pathUnavailable)
 		_, err := f.store.Read(t.Context(), "t", "0")
 		qt.Assert(t, err, qt.IsNotNil)
-		f.own.how.Store(works)
+		f.ownPath.mode.Store(pathWorks)
 		_, err = f.store.Read(t.Context(), "t", "0")
 		qt.Assert(t, err, qt.IsNil)
 		time.Sleep(10 * time.Millisecond)
 	}
-	qt.Assert(t, f.other.used.Load(), qt.Equals, int32(0), qt.Commentf("a store over its rate was asked twice"))
+	qt.Assert(t, f.otherPath.calls.Load(), qt.Equals, int32(0), qt.Commentf("a store over its rate was asked twice"))
 }
 
-// TestStoreOverItsRateIsNoPartition has a store that refuses six calls of seven, as one does that thirty routers ask more
+// TestRateLimitedStoreIsNotRelayed has a store that refuses six calls of seven, as one does that thirty routers ask more
 // than it takes: each call made through another router as well would double what is too much already.
-func TestStoreOverItsRateIsNoPartition(t *testing.T) {
-	f := newFleet(t)
-	f.own.how.Store(mostlyOver)
+func TestRateLimitedStoreIsNotRelayed(t *testing.T) {
+	f := newRouterPair(t)
+	f.ownPath.mode.Store(pathMostlyRateLimited)
 	for range 42 {
 		_, _ = f.store.Read(t.Context(), "t", "0")
 		time.Sleep(25 * time.Millisecond)
 	}
-	qt.Assert(t, f.other.used.Load(), qt.Equals, int32(0))
+	qt.Assert(t, f.otherPath.calls.Load(), qt.Equals, int32(0))
 }
 
-// TestRouterThatIsOnlyEverRefusedIsHelped has a store that turns one router away by its rate, without end.
-func TestRouterThatIsOnlyEverRefusedIsHelped(t *testing.T) {
-	f := newFleet(t)
-	f.own.how.Store(overRate)
-	f.turnAway(t)
+// TestAlwaysRateLimitedRouterIsRelayed has a store that turns one router away by its rate, without end.
+func TestAlwaysRateLimitedRouterIsRelayed(t *testing.T) {
+	f := newRouterPair(t)
+	f.ownPath.mode.Store(pathRateLimited)
+	f.takeDirectDown(t)
 }
 
-// TestSlowStoreIsNotAskedTwice has a store that is slow for everybody: once that is known, calls are made once.
-func TestSlowStoreIsNotAskedTwice(t *testing.T) {
-	f := newFleet(t)
-	f.own.how.Store(slow)
-	f.other.how.Store(slow)
+// TestSlowStoreIsNotHedged has a store that is slow for everybody: once that is known, calls are made once.
+func TestSlowStoreIsNotHedged(t *testing.T) {
+	f := newRouterPair(t)
+	f.ownPath.mode.Store(pathSlow)
+	f.otherPath.mode.Store(pathSlow)
 	for range 12 {
 		_, _ = f.store.Read(t.Context(), "t", "0")
 	}
-	asked := f.other.used.Load()
+	asked := f.otherPath.calls.Load()
 	for range 8 {
 		_, err := f.store.Read(t.Context(), "t", "0")
 		qt.Assert(t, err, qt.IsNil)
 	}
-	qt.Assert(t, f.other.used.Load(), qt.Equals, asked)
+	qt.Assert(t, f.otherPath.calls.Load(), qt.Equals, asked)
 }
 
 var key = masticway.RowKey{Table: "t", Part: "0", Key: "k"}
 
-func put(version int64, value string) masticway.RowWrite {
+func newPut(version int64, value string) masticway.RowWrite {
 	return masticway.RowWrite{
 		Expected: []masticway.RowVersion{{RowKey: key, Version: version}}, Puts: []masticway.RowPut{{RowKey: key, Value: []byte(value)}},
 	}
 }
 
-func TestCallsGoThroughAnotherRouter(t *testing.T) {
-	cases := map[string]int32{"the store is there": works, "the store turns one away": busy, "the store is silent to one": silent}
+func TestCallsAreRelayed(t *testing.T) {
+	cases := map[string]int32{"the store is there": pathWorks, "the store turns one away": pathUnavailable, "the store is silent to one": pathSilent}
 	for name, how := range cases {
 		t.Run(name, func(t *testing.T) {
-			f := newFleet(t)
-			f.own.how.Store(how)
-			if how == busy {
-				f.turnAway(t)
+			f := newRouterPair(t)
+			f.ownPath.mode.Store(how)
+			if how == pathUnavailable {
+				f.takeDirectDown(t)
 			}
 			soon := func(d time.Duration) func() {
 				began := time.Now()
 				return func() { qt.Assert(t, time.Since(began) < d, qt.IsTrue, qt.Commentf("the silent way was waited for")) }
 			}
 			done := soon(250 * time.Millisecond)
-			made, err := f.store.Write(t.Context(), put(0, "a"))
+			made, err := f.store.Write(t.Context(), newPut(0, "a"))
 			done()
 			qt.Assert(t, err, qt.IsNil)
 			done = soon(250 * time.Millisecond)
@@ -233,57 +233,57 @@
 			qt.Assert(t, err, qt.IsNil)
 			qt.Assert(t, reading.Rows, qt.HasLen, 1)
 			var conflict *masticway.RowConflictError
-			_, err = f.store.Write(t.Context(), put(0, "b"))
+			_, err = f.store.Write(t.Context(), newPut(0, "b"))
 			qt.Assert(t, err, qt.ErrorAs, &conflict)
 			qt.Assert(t, string(conflict.Rows[0].Value), qt.Equals, "a")
 			f.rows.Compact()
 			var lost *masticway.HistoryLostError
 			_, err = f.store.Watch(t.Context(), masticway.WatchRequest{Table: "t", Since: made.Version - 1, MaxWait: 50 * time.Millisecond})
 			qt.Assert(t, err, qt.ErrorAs, &lost)
-			qt.Assert(t, f.other.used.Load() > 0, qt.Equals, how != works)
+			qt.Assert(t, f.otherPath.calls.Load() > 0, qt.Equals, how != pathWorks)
 		})
 	}
 }
 
-func TestFailuresOfAllWaysKeepTheirMeaning(t *testing.T) {
+func TestFailuresOfBothPathsKeepTheirOutcome(t *testing.T) {
 	cases := map[string]struct {
 		own, other int32
 		unknown    bool
 	}{
-		"both turned away":         {own: busy, other: busy},
-		"own silent, other away":   {own: silent, other: busy, unknown: true},
-		"own away, other silent":   {own: busy, other: silent, unknown: true},
-		"own lost, other silent":   {own: losing, other: silent, unknown: true},
-		"nobody can tell anything": {own: silent, other: silent, unknown: true},
+		"both turned away":         {own: pathUnavailable, other: pathUnavailable},
+		"own silent, other away":   {own: pathSilent, other: pathUnavailable, unknown: true},
+		"own away, other silent":   {own: pathUnavailable, other: pathSilent, unknown: true},
+		"own lost, other silent":   {own: pathLosesAnswers, other: pathSilent, unknown: true},
+		"nobody can tell anything": {own: pathSilent, other: pathSilent, unknown: true},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
-			f := newFleet(t)
-			f.own.how.Store(tc.own)
-			if tc.own == busy {
-				f.turnAway(t)
+			f := newRouterPair(t)
+			f.ownPath.mode.Store(tc.own)
+			if tc.own == pathUnavailable {
+				f.takeDirectDown(t)
 			}
-			f.other.how.Store(tc.other)
-			_, err := f.store.Write(t.Context(), put(0, "a"))
+			f.otherPath.mode.Store(tc.other)
+			_, err := f.store.Write(t.Context(), newPut(0, "a"))
 			_, unknown := errors.AsType[*masticway.OutcomeUnknownError](err)
 			_, nothing := errors.AsType[*masticway.UnavailableError](err)
 			qt.Assert(t, unknown, qt.Equals, tc.unknown, qt.Commentf("%v", err))
 			qt.Assert(t, nothing, qt.Equals, !tc.unknown)
 			_, err = f.store.Read(t.Context(), "t", "0")
 			_, nothing = errors.AsType[*masticway.UnavailableError](err)
-			if tc.own != losing {
+			if tc.own != pathLosesAnswers {
 				qt.Assert(t, nothing, qt.IsTrue, qt.Commentf("%v", err))
 			}
 		})
 	}
 }
 
-func TestWriteWhoseAnswerWasLostIsFoundByTheOtherWay(t *testing.T) {
-	f := newFleet(t)
-	f.own.how.Store(busy)
-	f.turnAway(t)
-	f.own.how.Store(losing)
-	_, err := f.store.Write(t.Context(), put(0, "a"))
+func TestRelayedWriteDetectsLostAnswer(t *testing.T) {
+	f := newRouterPair(t)
+	f.ownPath.mode.Store(pathUnavailable)
+	f.takeDirectDown(t)
+	f.ownPath.mode.Store(pathLosesAnswers)
+	_, err := f.store.Write(t.Context(), newPut(0, "a"))
 	if err == nil {
 		// The other way was faster than the one that lost its answer.
 		return
@@ -293,15 +293,15 @@
 	qt.Assert(t, string(conflict.Rows[0].Value), qt.Equals, "a")
 }
 
-func TestDirectWayIsTakenAgain(t *testing.T) {
-	f := newFleet(t)
+func TestDirectPathIsRestored(t *testing.T) {
+	f := newRouterPair(t)
 	var back atomic.Int32
 	f.store.WhenBack(func() { back.Add(1) })
-	f.own.how.Store(busy)
-	f.turnAway(t)
+	f.ownPath.mode.Store(pathUnavailable)
+	f.takeDirectDown(t)
 	qt.Assert(t, back.Load(), qt.Equals, int32(0))
-	f.own.how.Store(works)
-	f.other.how.Store(busy)
+	f.ownPath.mode.Store(pathWorks)
+	f.otherPath.mode.Store(pathUnavailable)
 	var err error
 	for range 50 {
 		if _, err = f.store.Read(t.Context(), "t", "0"); err == nil {
@@ -321,41 +321,41 @@
 	for i := range 5 {
 		// Calls that were begun before may still reach the other router, so each has a part of its own.
 		part := fmt.Sprintf("straight-%d", i)
-		own := f.own.used.Load()
+		own := f.ownPath.calls.Load()
 		began := time.Now()
 		_, err = f.store.Read(t.Context(), "t", part)
 		qt.Assert(t, err, qt.IsNil)
-		qt.Assert(t, f.own.used.Load(), qt.Equals, own+1)
+		qt.Assert(t, f.ownPath.calls.Load(), qt.Equals, own+1)
 		if time.Since(began) < 50*time.Millisecond {
 			// A direct call that takes longer is made on the other way too.
-			_, relayed := f.other.parts.Load(part)
+			_, relayed := f.otherPath.requestedParts.Load(part)
 			qt.Assert(t, relayed, qt.IsFalse)
 		}
 	}
 }
 
-func TestSilentWayIsNotWaitedForOnceNobodyCouldHelp(t *testing.T) {
-	f := newFleet(t)
-	f.own.how.Store(silent)
-	f.other.how.Store(busy)
+func TestSilentDirectPathEndsAfterGrace(t *testing.T) {
+	f := newRouterPair(t)
+	f.ownPath.mode.Store(pathSilent)
+	f.otherPath.mode.Store(pathUnavailable)
 	began := time.Now()
-	_, err := f.store.Write(t.Context(), put(0, "a"))
+	_, err := f.store.Write(t.Context(), newPut(0, "a"))
 	var unknown *masticway.OutcomeUnknownError
 	qt.Assert(t, err, qt.ErrorAs, &unknown)
 	qt.Assert(t, time.Since(began) < 500*time.Millisecond, qt.IsTrue, qt.Commentf("the silent way takes 700 ms"))
 }
 
-func TestOrdersGoNoFurtherThanOneRouter(t *testing.T) {
-	f := newFleet(t)
-	f.own.how.Store(busy)
-	f.other.how.Store(busy)
+func TestRelayedCallsAreNotRelayedAgain(t *testing.T) {
+	f := newRouterPair(t)
+	f.ownPath.mode.Store(pathUnavailable)
+	f.otherPath.mode.Store(pathUnavailable)
 	for range 40 {
 		_, err := f.store.Read(t.Context(), "t", "0")
 		qt.Assert(t, err, qt.IsNotNil)
 		time.Sleep(10 * time.Millisecond)
 	}
-	used := f.other.used.Load()
+	used := f.otherPath.calls.Load()
 	_, err := f.store.Read(t.Context(), "t", "0")
 	qt.Assert(t, err, qt.IsNotNil)
-	qt.Assert(t, f.other.used.Load() <= used+1, qt.IsTrue, qt.Commentf("a router that is turned away as well still tried"))
+	qt.Assert(t, f.otherPath.calls.Load() <= used+1, qt.IsTrue, qt.Commentf("a router that is turned away as well still tried"))
 }
--- a/relayer/ways.go
+++ b/relayer/ways.go
@@ -8,105 +8,105 @@
 	"github.com/masticway/masticway/receiver"
 )
 
-// arrivalPause is how long a large answer may pause before another router is asked as well, several times the way between
+// progressTimeout is how long a large answer may pause before another router is asked as well, several times the way between
 // two availability zones. Until then asking others would only halve what a slow link has for it.
-const arrivalPause = 300 * time.Millisecond
+const progressTimeout = 300 * time.Millisecond
 
-// ways are the ways on which one order is carried out; they belong to one goroutine.
-type ways struct {
+// callPaths are the ways on which one order is carried out; they belong to one goroutine.
+type callPaths struct {
 	ctx   context.Context
 	store *Store
-	order order
+	call  storeCall
 
-	// straight and relayed are how each way ends, nil where none is under way; progress tells that the direct answer is a
+	// direct and relayed are how each way ends, nil where none is under way; progress tells that the direct answer is a
 	// large one and that more of it has arrived.
-	straight, relayed chan result
-	progress          chan struct{}
-	stopRelay         context.CancelFunc
-	// patience ends when another router is to be asked, grace when nothing is waited for any more.
-	patience, grace <-chan time.Time
-	worst           result
+	direct, relayed chan result
+	progress        chan struct{}
+	stopRelay       context.CancelFunc
+	// hedgeTimer ends when another router is to be asked, grace when nothing is waited for any more.
+	hedgeTimer, graceTimer <-chan time.Time
+	worst                  result
 }
 
-// newWays begins the direct way, or the one through another router, or both.
-func newWays(ctx context.Context, s *Store, o order) *ways {
-	w := &ways{ctx: ctx, store: s, order: o, progress: make(chan struct{}, 1), stopRelay: func() {}}
-	direct, away := s.choose(o)
+// startCall begins the direct way, or the one through another router, or both.
+func startCall(ctx context.Context, s *Store, call storeCall) *callPaths {
+	w := &callPaths{ctx: ctx, store: s, call: call, progress: make(chan struct{}, 1), stopRelay: func() {}}
+	direct, relayNow := s.plan(call)
 	if direct {
-		w.goStraight()
+		w.startDirect()
 	}
-	if away {
-		w.relay()
+	if relayNow {
+		w.startRelay()
 	} else {
-		w.patience = s.clock.After(s.patience(o))
+		w.hedgeTimer = s.clock.After(s.hedgeDelay(call))
 	}
 	return w
 }
 
-func (w *ways) goStraight() {
-	straight := make(chan result, 1)
-	w.straight = straight
-	w.store.calls.Go(func() { straight <- w.store.goStraight(w.store.own, w.order, w.noteProgress) })
+func (w *callPaths) startDirect() {
+	done := make(chan result, 1)
+	w.direct = done
+	w.store.calls.Go(func() { done <- w.store.callDirect(w.store.ctx, w.call, w.signalProgress) })
 }
 
-// noteProgress is called by the direct way.
-func (w *ways) noteProgress() {
+// signalProgress is called by the direct way.
+func (w *callPaths) signalProgress() {
 	select {
 	case w.progress <- struct{}{}:
 	default:
 	}
 }
 
-// relay asks other routers.
-func (w *ways) relay() {
+// startRelay asks other routers.
+func (w *callPaths) startRelay() {
 	ctx, stop := context.WithCancel(w.ctx)
-	relayed := make(chan result, 1)
-	w.relayed, w.stopRelay, w.patience = relayed, stop, nil
-	go func() { relayed <- w.store.relay(ctx, w.order) }()
+	done := make(chan result, 1)
+	w.relayed, w.stopRelay, w.hedgeTimer = done, stop, nil
+	go func() { done <- w.store.relay(ctx, w.call) }()
 }
 
-// leave stops asking other routers.
-func (w *ways) leave() {
+// cancelRelay stops asking other routers.
+func (w *callPaths) cancelRelay() {
 	w.stopRelay()
 	w.relayed = nil
 }
 
-// end waits for the first definite end of a way.
-func (w *ways) end() (masticway.RowReading, error) {
-	for w.straight != nil || w.relayed != nil {
+// wait waits for the first definite end of a way.
+func (w *callPaths) wait() (masticway.RowReading, error) {
+	for w.direct != nil || w.relayed != nil {
 		select {
 		case <-w.progress:
-			w.leave()
+			w.cancelRelay()
 			receiver.Progress(w.ctx)
-			w.grace, w.patience = nil, w.store.clock.After(arrivalPause)
-		case r := <-w.straight:
-			w.straight = nil
-			if r.definite() {
+			w.graceTimer, w.hedgeTimer = nil, w.store.clock.After(progressTimeout)
+		case r := <-w.direct:
+			w.direct = nil
+			if r.isDefinite() {
 				return r.reading, r.err
 			}
-			w.worst = worse(w.worst, r)
-			if w.patience != nil && w.store.isAway() {
-				w.relay()
+			w.worst = worseOf(w.worst, r)
+			if w.hedgeTimer != nil && w.store.isDirectDown() {
+				w.startRelay()
 			}
 		case r := <-w.relayed:
 			w.relayed = nil
-			if r.definite() {
+			if r.isDefinite() {
 				return r.reading, r.err
 			}
-			w.worst = worse(w.worst, r)
-			w.grace = w.store.clock.After(graceAfter)
-		case <-w.patience:
-			w.relay()
-		case <-w.grace:
-			return unknown("no answer in time")
+			w.worst = worseOf(w.worst, r)
+			w.graceTimer = w.store.clock.After(directGrace)
+		case <-w.hedgeTimer:
+			w.startRelay()
+		case <-w.graceTimer:
+			return unknownOutcome("no answer in time")
 		case <-w.ctx.Done():
-			return unknown(w.ctx.Err().Error())
+			return unknownOutcome(w.ctx.Err().Error())
 		}
 	}
 	return w.worst.reading, w.worst.err
 }
 
-// unknown is the end of an order that may have been carried out.
-func unknown(reason string) (masticway.RowReading, error) {
+// unknownOutcome is the end of an order that may have been carried out.
+func unknownOutcome(reason string) (masticway.RowReading, error) {
 	return masticway.RowReading{}, &masticway.OutcomeUnknownError{Service: serviceName, Reason: reason}
 }
