--- a/relayer/doc.go
+++ b/relayer/doc.go
@@ -1,8 +1,10 @@
-// Package relayer reaches the row store for a router that the store does not serve.
+// Package relayer gives a router access to the row store even if the store does
+// not serve that router.
 //
-// Stores turn single routers away and cuts part single routers from the store, while
-// others are served. A call that is not answered soon is then made through another
-// router as well. Making a write on two ways is safe, because every write expects
-// versions that the first one made changes: the second finds a conflict, which shows
-// the row as the first one left it.
+// A store may reject single routers, or a network partition may separate them
+// from it, while other routers are served. A call that is not answered soon is
+// therefore hedged: it is made through another router as well. Hedging a write
+// is safe because every write expects row versions that the write itself
+// changes. The second copy of a write fails with a conflict, which shows the
+// rows as the first copy left them.
 package relayer
--- a/relayer/relay.go
+++ b/relayer/relay.go
@@ -12,7 +12,7 @@
 
 const pathStore = "/peer/store"
 
-// storeCall is one call at the store: a write, a followed table, or else a reading of one part.
+// storeCall is a call to the row store: a write, a watch, or else a read of one part.
 type storeCall struct {
 	Table    string              `cbor:"1,keyasint,omitempty"`
 	Part     string              `cbor:"2,keyasint,omitempty"`
@@ -36,10 +36,10 @@
 	return r
 }
 
-// relayStatus tells how a call ended that was made for another router.
+// relayStatus reports how a call for another router ended.
 type relayStatus string
 
-// The endings of a call.
+// The statuses of a relayed call.
 const (
 	statusDone        relayStatus = "done"
 	statusConflict    relayStatus = "conflict"
@@ -49,44 +49,44 @@
 	statusUnknown     relayStatus = "unknown"
 )
 
-// relayReply is what a router tells of a call that it made for another.
+// relayReply is the reply to a router that asked for a call.
 type relayReply struct {
 	Status  relayStatus          `cbor:"1,keyasint"`
 	Reading masticway.RowReading `cbor:"2,keyasint"`
 	Reason  string               `cbor:"3,keyasint,omitempty"`
 }
 
-func (a relayReply) result(call storeCall) result {
-	switch a.Status {
+func (reply relayReply) result(call storeCall) result {
+	switch reply.Status {
 	case statusDone:
-		return result{reading: a.Reading}
+		return result{reading: reply.Reading}
 	case statusConflict:
-		return result{err: &masticway.RowConflictError{Rows: a.Reading.Rows}}
+		return result{err: &masticway.RowConflictError{Rows: reply.Reading.Rows}}
 	case statusHistoryLost:
 		return result{err: &masticway.HistoryLostError{Table: call.Table, Since: call.Since}}
 	case statusUnavailable, statusRateLimited:
-		return result{err: &masticway.UnavailableError{Service: serviceName, Reason: a.Reason, RateLimited: a.Status == statusRateLimited}}
+		return result{err: &masticway.UnavailableError{Service: serviceName, Reason: reply.Reason, RateLimited: reply.Status == statusRateLimited}}
 	}
-	return result{err: &masticway.OutcomeUnknownError{Service: serviceName, Reason: a.Reason}}
+	return result{err: &masticway.OutcomeUnknownError{Service: serviceName, Reason: reply.Reason}}
 }
 
-// relay asks other routers, one after the other, until one has a definite answer.
+// relay asks other routers, one after the other, until one gets a definite result.
 func (s *Store) relay(ctx context.Context, call storeCall) result {
 	worst := result{err: &masticway.UnavailableError{Service: serviceName, Reason: "no other router is known"}}
 	for _, address := range s.peersToAsk() {
-		a, err := messenger.Fetch[relayReply](ctx, s.client, address, pathStore, relayTimeout+call.MaxWait, call)
+		reply, err := messenger.Fetch[relayReply](ctx, s.client, address, pathStore, relayTimeout+call.MaxWait, call)
 		if err != nil {
-			// It may have carried the order out.
-			a = relayReply{Status: statusUnknown, Reason: err.Error()}
+			// The peer may have made the call.
+			reply = relayReply{Status: statusUnknown, Reason: err.Error()}
 		}
-		r := a.result(call)
+		r := reply.result(call)
 		if r.isDefinite() {
 			s.metrics.Add(metricRelayed, 1)
 			return r
 		}
 		worst = worseOf(worst, r)
 		if ctx.Err() != nil {
-			// Nobody waits for this way any more.
+			// The result is no longer needed.
 			return worst
 		}
 	}
@@ -97,7 +97,7 @@
 	return worst
 }
 
-// peersToAsk are the routers to ask, beginning with the one that helped last.
+// peersToAsk returns the routers to ask. It starts with the same one as the last time, unless none of those could help.
 func (s *Store) peersToAsk() []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -109,7 +109,7 @@
 	return chosen
 }
 
-// Serve makes calls at the store for other routers, directly only: an order never goes further than one router.
+// Serve makes calls to the store for other routers. It makes them directly only, so that a call is relayed at most once.
 func (s *Store) Serve(mux *http.ServeMux) {
 	messenger.Handle(mux, pathStore, func(peerCtx context.Context, call storeCall) relayReply {
 		if s.isDirectDown() {
@@ -118,7 +118,7 @@
 		s.metrics.Add(metricServedForPeers, 1)
 		ctx, stop := s.ctx, func() bool { return true }
 		if call.Write == nil {
-			// A large answer must not fill this router's link for one that has left.
+			// A large answer must not occupy this router's link for a peer that has given up. Writes are finished in any case.
 			var cancel context.CancelFunc
 			ctx, cancel = context.WithCancel(peerCtx)
 			defer cancel()
@@ -129,7 +129,7 @@
 	})
 }
 
-// newRelayReply turns the end of a call into words for another router.
+// newRelayReply converts the result of a call to a reply.
 func newRelayReply(r result) relayReply {
 	if r.err == nil {
 		return relayReply{Status: statusDone, Reading: r.reading}
--- a/relayer/relayer.go
+++ b/relayer/relayer.go
@@ -17,30 +17,31 @@
 const (
 	serviceName = "row store"
 
-	// minHedgeDelay and maxHedgeDelay bound how long the store may take before another router is asked as well: many times its
-	// usual 4 ms, a fraction of what a caller waits for money. In between it is hedgeLatencyFactor the time that direct calls
-	// take at present: where the store is slow for everybody, asking others only makes it slower.
+	// minHedgeDelay and maxHedgeDelay bound how long the store may take before another router is asked as well. They are many
+	// times its typical 4 ms and a fraction of what a caller waits for its budget. Between them the delay is hedgeLatencyFactor
+	// times the current latency of direct calls: if the store is slow for all routers, hedging only makes it slower.
 	minHedgeDelay      = 60 * time.Millisecond
 	maxHedgeDelay      = 400 * time.Millisecond
 	hedgeLatencyFactor = 3
-	// watchHedgeDelay is the same for a followed table, beyond the wait that was asked for.
+	// watchHedgeDelay is the hedge delay of a watch, in addition to its maximum wait.
 	watchHedgeDelay = 250 * time.Millisecond
-	// directDownAfter is how long every direct call must have failed, other than by a refusal for the rate, before others are
-	// asked at once: a single failure says nothing of the next call.
+	// directDownAfter is how long all direct calls must have failed, other than by rate limiting, before calls are relayed at
+	// once. A single failure does not predict the result of the next call.
 	directDownAfter = 100 * time.Millisecond
-	// rateLimitedAfter and rateLimitedCalls are how long, and in how many calls, the store must have refused everything for its rate
-	// before this counts as being turned away. A store that refuses every second call refuses so many in a row once in
-	// 250 times; asking others for a store over its rate doubles its load.
+	// rateLimitedAfter and rateLimitedCalls are for how long, and in how many calls, the store must have rejected every call for
+	// its rate before the direct path counts as down. A store that rejects every second call rejects that many in a row once in
+	// 250 times. Relaying the calls to a store that is over its rate doubles its load.
 	rateLimitedAfter = 400 * time.Millisecond
 	rateLimitedCalls = 8
-	// probeInterval separates two direct calls while the store turns this router away, and maxProbes bounds those under
-	// way: one that a cut has swallowed does not keep the next from finding the store back.
+	// probeInterval is the time between two direct calls while the direct path is down, and maxProbes the number of them in
+	// progress. More than one is needed because a call that is lost in a partition must not keep the next one from finding that
+	// the store is reachable again.
 	probeInterval = 120 * time.Millisecond
 	maxProbes     = 4
-	// relayTimeout is how long the answer to one call through another router may take to begin: a store's answer and two
-	// ways between availability zones.
+	// relayTimeout is how long the answer to a relayed call may take to begin: the store's answer and two round trips between
+	// availability zones.
 	relayTimeout = 400 * time.Millisecond
-	// directGrace is how long the direct way may still take once no other router could help.
+	// directGrace is how long a direct call may still take after no other router could help.
 	directGrace = 200 * time.Millisecond
 	// maxPeersAsked bounds the routers that are asked for one call.
 	maxPeersAsked = 2
@@ -54,7 +55,7 @@
 	metricRateLimited    = "store_calls_over_rate"
 )
 
-// Store is a row store that is reached directly, or through another router.
+// Store is a row store that is reached directly or through another router.
 type Store struct {
 	direct  masticway.RowStore
 	client  *messenger.Client
@@ -62,64 +63,66 @@
 	log     *logrus.Entry
 	metrics *measurer.Set
 
-	// calls are the direct calls under way, which end with the store's own context.
+	// calls are the direct calls in progress. They end with ctx.
 	calls  sync.WaitGroup
 	ctx    context.Context
 	cancel context.CancelFunc
 
 	mu sync.Mutex
-	// peers names the addresses of other routers, back is told when direct calls work again.
+	// peers returns the addresses of other routers. onRestored is called when direct calls work again.
 	peers      func() []string
 	onRestored func()
-	// observeLatency is told how long direct calls took.
+	// observeLatency is called with the duration of direct calls.
 	observeLatency func(took time.Duration, answered bool)
-	// lastSuccess is when a direct call last had a definite end, failingSince since when none had, zero while they do.
+	// lastSuccess is when a direct call last got a definite result. failingSince is when the first of the direct calls that
+	// failed since then was sent; it is zero if none failed.
 	lastSuccess  time.Time
 	failingSince time.Time
-	// rateLimitedSince and busy are since when and how often the store has refused for its rate and done nothing else.
+	// rateLimitedSince and rateLimitedCount are the time of the first and the number of rate-limited calls since the last
+	// definite result.
 	rateLimitedSince time.Time
 	rateLimitedCount int
-	// meanLatency is the moving average of what a direct call with a definite end takes.
+	// meanLatency is the moving average of the latency of direct calls with a definite result.
 	meanLatency time.Duration
-	// directDown tells that direct calls have failed for a while; straight counts those under way.
+	// directDown is set if direct calls have failed for a while. directInFlight counts the direct calls in progress.
 	directDown     bool
 	directInFlight int
 	lastProbe      time.Time
-	// firstPeer is where the list of routers begins; it moves on when none of those asked could help.
+	// firstPeer is the index of the first peer to ask. It advances if none of the peers that were asked could help.
 	firstPeer int
 }
 
 var _ masticway.RowStore = (*Store)(nil)
 
-// New returns a store over a direct one; it knows no other routers yet.
+// New returns a Store that calls a direct one. It knows no peers until Ask is called.
 func New(direct masticway.RowStore, m *messenger.Client, clock masticway.Clock, log *logrus.Entry, metrics *measurer.Set) *Store {
 	s := &Store{direct: direct, client: m, clock: clock, log: log, metrics: metrics, peers: func() []string { return nil }, onRestored: func() {}, observeLatency: func(time.Duration, bool) {}}
 	s.ctx, s.cancel = context.WithCancel(context.Background())
 	return s
 }
 
-// Close ends the calls that are under way.
+// Close cancels the direct calls in progress and waits for them.
 func (s *Store) Close() {
 	s.cancel()
 	s.calls.Wait()
 }
 
-// Ask tells where other routers are found.
+// Ask sets the function that returns the addresses of other routers.
 func (s *Store) Ask(peers func() []string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.peers = peers
 }
 
-// WhenBack has a function called whenever direct calls work again.
+// WhenBack sets a function that is called whenever direct calls work again.
 func (s *Store) WhenBack(f func()) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.onRestored = f
 }
 
-// Measure has a function told how long each direct call takes but those that wait for changes or whose answer is large, and
-// whether there was an answer.
+// Measure sets a function that is called with the duration of direct calls, and whether the store answered. A call that failed
+// within minHedgeDelay counts as answered. Watches, large answers and rate-limited calls are not measured.
 func (s *Store) Measure(observe func(took time.Duration, answered bool)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -131,7 +134,7 @@
 	return readOutcome(s.call(ctx, storeCall{Table: table, Part: part}))
 }
 
-// Write commits a write; it must expect a version of a row that it puts.
+// Write commits a write. The write must expect a version of a row that it puts; otherwise it could be made twice.
 func (s *Store) Write(ctx context.Context, w masticway.RowWrite) (masticway.RowReading, error) {
 	return s.call(ctx, storeCall{Write: &w})
 }
@@ -141,7 +144,7 @@
 	return readOutcome(s.call(ctx, storeCall{Table: f.Table, Watch: true, Since: f.Since, MaxWait: f.MaxWait, MaxBytes: f.MaxBytes}))
 }
 
-// readOutcome turns an unknown outcome into the certainty that a reading changes nothing.
+// readOutcome replaces an unknown outcome by an unavailable store, because a read has no effect.
 func readOutcome(reading masticway.RowReading, err error) (masticway.RowReading, error) {
 	if unknown, ok := errors.AsType[*masticway.OutcomeUnknownError](err); ok {
 		return reading, &masticway.UnavailableError{Service: serviceName, Reason: unknown.Reason}
@@ -149,13 +152,13 @@
 	return reading, err
 }
 
-// result is how one way ended.
+// result is the result of one attempt.
 type result struct {
 	reading masticway.RowReading
 	err     error
 }
 
-// isDefinite tells that no other way can bring more.
+// isDefinite reports whether no other attempt can get a better result.
 func (r result) isDefinite() bool {
 	if r.err == nil {
 		return true
@@ -167,20 +170,20 @@
 	return ok
 }
 
-// isRateLimited tells that the store refused for its rate.
+// isRateLimited reports whether the store rejected the call for its rate.
 func (r result) isRateLimited() bool {
 	refused, ok := errors.AsType[*masticway.UnavailableError](r.err)
 	return ok && refused.RateLimited
 }
 
-// call carries an order out directly and, when that fails or takes long, through another router.
+// call makes a call directly and, if that fails or takes long, through another router.
 func (s *Store) call(ctx context.Context, c storeCall) (masticway.RowReading, error) {
-	w := startCall(ctx, s, c)
-	defer w.cancelRelay()
-	return w.wait()
+	p := startCall(ctx, s, c)
+	defer p.cancelRelay()
+	return p.wait()
 }
 
-// worseOf keeps an unknown outcome unknown, whatever the other way said.
+// worseOf returns an unknown outcome if there is one, since the other attempt's failure does not make it certain.
 func worseOf(a, b result) result {
 	if _, ok := errors.AsType[*masticway.OutcomeUnknownError](a.err); ok {
 		return a
@@ -188,8 +191,8 @@
 	return b
 }
 
-// plan tells whether a call is to be made directly, which is only a probe while the store turns this router away, and
-// whether others are to be asked at once.
+// plan reports whether to make a call directly and whether to relay it at once. While the direct path is down, a direct call is
+// only a probe.
 func (s *Store) plan(call storeCall) (direct, relayNow bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -201,8 +204,8 @@
 	return true, s.directDown
 }
 
-// startDirect makes a direct call. It outlives its caller: when another router was faster, its end still tells whether
-// the store answers this one; it ends with the context alone. It calls progress whenever more of a large answer arrives.
+// callDirect makes a direct call. It may outlast its caller: if another router is faster, the result still shows whether the
+// store serves this router. It ends early only if ctx does. It calls progress whenever more of a large answer arrives.
 func (s *Store) callDirect(ctx context.Context, call storeCall, progress func()) result {
 	sentAt := s.clock.Now()
 	s.addInFlight(1)
@@ -215,12 +218,12 @@
 	switch {
 	case r.isDefinite():
 		if !large {
-			// What a large answer takes says nothing of when the next one should begin.
+			// The duration of a large answer does not predict when the next answer begins.
 			s.recordLatency(call, sentAt)
 		}
 		s.recordSuccess()
 	case ctx.Err() != nil:
-		// It was not the store that ended it.
+		// The call was canceled, so its failure says nothing about the store.
 	case r.isRateLimited():
 		s.recordRateLimited(sentAt, r.err)
 	default:
@@ -230,7 +233,7 @@
 	return r
 }
 
-// recordLatency notes how long a direct call took.
+// recordLatency records the latency of a direct call with a definite result.
 func (s *Store) recordLatency(call storeCall, sentAt time.Time) {
 	if call.Watch {
 		return
@@ -242,7 +245,7 @@
 	measured(took, true)
 }
 
-// recordFailedLatency notes how long a direct call took that got no answer, or that the store did not carry out.
+// recordFailedLatency reports the duration of a direct call that failed, other than by rate limiting.
 func (s *Store) recordFailedLatency(call storeCall, sentAt time.Time) {
 	if call.Watch {
 		return
@@ -253,7 +256,7 @@
 	measured(took, took < minHedgeDelay)
 }
 
-// hedgeDelay is how long the direct way may take alone.
+// hedgeDelay returns how long a direct call may take before it is relayed as well.
 func (s *Store) hedgeDelay(call storeCall) time.Duration {
 	if call.Watch {
 		return call.MaxWait + watchHedgeDelay
@@ -263,7 +266,7 @@
 	return min(maxHedgeDelay, max(minHedgeDelay, hedgeLatencyFactor*s.meanLatency))
 }
 
-// recordRateLimited notes a call that the store refused for its rate.
+// recordRateLimited records a call that the store rejected for its rate.
 func (s *Store) recordRateLimited(sentAt time.Time, cause error) {
 	s.metrics.Add(metricRateLimited, 1)
 	s.mu.Lock()
@@ -278,7 +281,7 @@
 	}
 }
 
-// addInFlight notes that a direct call has begun or ended.
+// addInFlight adds to the number of direct calls in progress.
 func (s *Store) addInFlight(change int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -291,7 +294,7 @@
 	return s.directDown
 }
 
-// isDirectDown notes a direct call that was sent at a time and failed.
+// recordFailure records the failure of a direct call that was sent at sentAt.
 func (s *Store) recordFailure(sentAt time.Time, cause error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -299,14 +302,14 @@
 		s.failingSince = sentAt
 	}
 	if s.failingSince.Before(s.lastSuccess) {
-		// A feed that broke off says nothing of the time in which other calls worked.
+		// A watch that started long ago may fail although other calls have succeeded since.
 		s.failingSince = s.lastSuccess
 	}
 	if s.directDown || s.clock.Now().Sub(s.failingSince) < directDownAfter {
 		return
 	}
 	s.directDown = true
-	s.log.WithFields(logrus.Fields{"event": "store_turned_away", "error": cause, "routers": len(s.peers())}).Warn("store does not answer this router; others are asked")
+	s.log.WithFields(logrus.Fields{"event": "store_turned_away", "error": cause, "routers": len(s.peers())}).Warn("direct path to the store is down; calls are relayed")
 }
 
 func (s *Store) recordSuccess() {
@@ -320,5 +323,5 @@
 		return
 	}
 	onRestored()
-	s.log.WithFields(logrus.Fields{"event": "store_direct"}).Info("store answers this router again")
+	s.log.WithFields(logrus.Fields{"event": "store_direct"}).Info("direct path to the store is restored")
 }
--- a/relayer/ways.go
+++ b/relayer/ways.go
@@ -8,105 +8,105 @@
 	"github.com/masticway/masticway/receiver"
 )
 
-// progressTimeout is how long a large answer may pause before another router is asked as well, several times the way between
-// two availability zones. Until then asking others would only halve what a slow link has for it.
+// progressTimeout is how long a large answer may pause before the call is hedged, several times the round trip between
+// availability zones. A hedge during the transfer would only halve the capacity of a slow link.
 const progressTimeout = 300 * time.Millisecond
 
-// callPaths are the ways on which one order is carried out; they belong to one goroutine.
+// callPaths tracks the direct and the relayed attempt of one call. It is used by a single goroutine.
 type callPaths struct {
 	ctx   context.Context
 	store *Store
 	call  storeCall
 
-	// direct and relayed are how each way ends, nil where none is under way; progress tells that the direct answer is a
-	// large one and that more of it has arrived.
+	// direct and relayed deliver the results of the attempts; each is nil if that attempt is not in progress. progress signals
+	// that more of a large direct answer has arrived.
 	direct, relayed chan result
 	progress        chan struct{}
 	stopRelay       context.CancelFunc
-	// hedgeTimer ends when another router is to be asked, grace when nothing is waited for any more.
+	// hedgeTimer fires when the call is to be relayed as well, graceTimer when it is to be given up.
 	hedgeTimer, graceTimer <-chan time.Time
 	worst                  result
 }
 
-// startCall begins the direct way, or the one through another router, or both.
+// startCall starts the direct attempt, the relayed one, or both.
 func startCall(ctx context.Context, s *Store, call storeCall) *callPaths {
-	w := &callPaths{ctx: ctx, store: s, call: call, progress: make(chan struct{}, 1), stopRelay: func() {}}
+	p := &callPaths{ctx: ctx, store: s, call: call, progress: make(chan struct{}, 1), stopRelay: func() {}}
 	direct, relayNow := s.plan(call)
 	if direct {
-		w.startDirect()
+		p.startDirect()
 	}
 	if relayNow {
-		w.startRelay()
+		p.startRelay()
 	} else {
-		w.hedgeTimer = s.clock.After(s.hedgeDelay(call))
+		p.hedgeTimer = s.clock.After(s.hedgeDelay(call))
 	}
-	return w
+	return p
 }
 
-func (w *callPaths) startDirect() {
+func (p *callPaths) startDirect() {
 	done := make(chan result, 1)
-	w.direct = done
-	w.store.calls.Go(func() { done <- w.store.callDirect(w.store.ctx, w.call, w.signalProgress) })
+	p.direct = done
+	p.store.calls.Go(func() { done <- p.store.callDirect(p.store.ctx, p.call, p.signalProgress) })
 }
 
-// signalProgress is called by the direct way.
-func (w *callPaths) signalProgress() {
+// signalProgress is called by the direct attempt. It does not block.
+func (p *callPaths) signalProgress() {
 	select {
-	case w.progress <- struct{}{}:
+	case p.progress <- struct{}{}:
 	default:
 	}
 }
 
-// startRelay asks other routers.
-func (w *callPaths) startRelay() {
-	ctx, stop := context.WithCancel(w.ctx)
+// startRelay starts to ask other routers.
+func (p *callPaths) startRelay() {
+	ctx, stop := context.WithCancel(p.ctx)
 	done := make(chan result, 1)
-	w.relayed, w.stopRelay, w.hedgeTimer = done, stop, nil
-	go func() { done <- w.store.relay(ctx, w.call) }()
+	p.relayed, p.stopRelay, p.hedgeTimer = done, stop, nil
+	go func() { done <- p.store.relay(ctx, p.call) }()
 }
 
 // cancelRelay stops asking other routers.
-func (w *callPaths) cancelRelay() {
-	w.stopRelay()
-	w.relayed = nil
+func (p *callPaths) cancelRelay() {
+	p.stopRelay()
+	p.relayed = nil
 }
 
-// wait waits for the first definite end of a way.
-func (w *callPaths) wait() (masticway.RowReading, error) {
-	for w.direct != nil || w.relayed != nil {
+// wait returns the first definite result.
+func (p *callPaths) wait() (masticway.RowReading, error) {
+	for p.direct != nil || p.relayed != nil {
 		select {
-		case <-w.progress:
-			w.cancelRelay()
-			receiver.Progress(w.ctx)
-			w.graceTimer, w.hedgeTimer = nil, w.store.clock.After(progressTimeout)
-		case r := <-w.direct:
-			w.direct = nil
+		case <-p.progress:
+			p.cancelRelay()
+			receiver.Progress(p.ctx)
+			p.graceTimer, p.hedgeTimer = nil, p.store.clock.After(progressTimeout)
+		case r := <-p.direct:
+			p.direct = nil
 			if r.isDefinite() {
 				return r.reading, r.err
 			}
-			w.worst = worseOf(w.worst, r)
-			if w.hedgeTimer != nil && w.store.isDirectDown() {
-				w.startRelay()
+			p.worst = worseOf(p.worst, r)
+			if p.hedgeTimer != nil && p.store.isDirectDown() {
+				p.startRelay()
 			}
-		case r := <-w.relayed:
-			w.relayed = nil
+		case r := <-p.relayed:
+			p.relayed = nil
 			if r.isDefinite() {
 				return r.reading, r.err
 			}
-			w.worst = worseOf(w.worst, r)
-			w.graceTimer = w.store.clock.After(directGrace)
-		case <-w.hedgeTimer:
-			w.startRelay()
-		case <-w.graceTimer:
+			p.worst = worseOf(p.worst, r)
+			p.graceTimer = p.store.clock.After(directGrace)
+		case <-p.hedgeTimer:
+			p.startRelay()
+		case <-p.graceTimer:
 			return unknownOutcome("no answer in time")
-		case <-w.ctx.Done():
-			return unknownOutcome(w.ctx.Err().Error())
+		case <-p.ctx.Done():
+			return unknownOutcome(p.ctx.Err().Error())
 		}
 	}
-	return w.worst.reading, w.worst.err
+	return p.worst.reading, p.worst.err
 }
 
-// unknownOutcome is the end of an order that may have been carried out.
+// unknownOutcome returns the result of a call that may have been made.
 func unknownOutcome(reason string) (masticway.RowReading, error) {
 	return masticway.RowReading{}, &masticway.OutcomeUnknownError{Service: serviceName, Reason: reason}
 }
