--- a/relayer/large_test.go
+++ b/relayer/large_test.go
@@ -17,7 +17,7 @@
 	"github.com/masticway/masticway/platform"
 )
 
-// prerenderedHandler serves answers that were made before, so that they begin at once, however busy the machine is.
+// prerenderedHandler serves answers that were rendered in advance, so that they start at once even on a busy machine.
 func prerenderedHandler(h http.Handler, urls ...string) http.Handler {
 	answers := map[string][]byte{}
 	for _, u := range urls {
@@ -31,25 +31,25 @@
 			http.NotFound(w, r)
 			return
 		}
-		// A caller that leaves gets nothing.
+		// Writing fails if the caller has left.
 		_, _ = w.Write(answer)
 	})
 }
 
-// TestNoOtherRouterIsAskedForWhatArrives has a row that takes a slow link many times as long as a call may usually take
-// alone. Others are asked where the answer doesn't begin, not where it goes on.
+// TestNoOtherRouterIsAskedForWhatArrives reads a row that takes a slow link many times as long as the hedge delay. A call may be
+// hedged if its answer does not begin, but not while the answer is arriving.
 func TestNoOtherRouterIsAskedForWhatArrives(t *testing.T) {
 	const rate, size, begin = 1 << 20, 512 << 10, 300 * time.Millisecond
 	cases := map[string]struct {
-		read func(s masticway.RowStore) (masticway.RowReading, error)
-		away bool
+		read       func(s masticway.RowStore) (masticway.RowReading, error)
+		directDown bool
 	}{
-		"a reading": {read: func(s masticway.RowStore) (masticway.RowReading, error) { return s.Read(t.Context(), "op", "") }},
-		"changes": {read: func(s masticway.RowStore) (masticway.RowReading, error) {
+		"a read": {read: func(s masticway.RowStore) (masticway.RowReading, error) { return s.Read(t.Context(), "op", "") }},
+		"a watch": {read: func(s masticway.RowStore) (masticway.RowReading, error) {
 			return s.Watch(t.Context(), masticway.WatchRequest{Table: "op", MaxWait: 100 * time.Millisecond})
 		}},
-		"a reading, through another router": {
-			read: func(s masticway.RowStore) (masticway.RowReading, error) { return s.Read(t.Context(), "op", "") }, away: true,
+		"a relayed read": {
+			read: func(s masticway.RowStore) (masticway.RowReading, error) { return s.Read(t.Context(), "op", "") }, directDown: true,
 		},
 	}
 	for name, tc := range cases {
@@ -63,7 +63,7 @@
 			address, err := link.To(strings.TrimPrefix(server.URL, "http://"))
 			qt.Assert(t, err, qt.IsNil)
 			store := f.newRouter(t, platform.NewStore(address, begin))
-			if tc.away {
+			if tc.directDown {
 				f.ownPath.mode.Store(pathUnavailable)
 				f.takeDirectDown(t)
 				store = f.store
@@ -75,15 +75,15 @@
 			reading, err := tc.read(store)
 			qt.Assert(t, err, qt.IsNil)
 			qt.Check(t, len(reading.Rows[0].Value), qt.Equals, size)
-			qt.Check(t, time.Since(began) > begin, qt.IsTrue, qt.Commentf("too fast to tell"))
-			if !tc.away {
+			qt.Check(t, time.Since(began) > begin, qt.IsTrue, qt.Commentf("the answer was too fast for this test"))
+			if !tc.directDown {
 				qt.Check(t, f.otherPath.calls.Load(), qt.Equals, asked)
 			}
 		})
 	}
 }
 
-// startStallingServer serves a store whose answers begin and never go on, once it is told to; each begins with so many of its bytes.
+// startStallingServer serves the handler's answers until stall is called. From then on each answer stops after its first bytes.
 func startStallingServer(t *testing.T, h http.Handler, first int) (address string, stall func()) {
 	var on atomic.Bool
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -102,8 +102,7 @@
 	return strings.TrimPrefix(server.URL, "http://"), func() { on.Store(true) }
 }
 
-// TestStalledAnswerIsRelayed has a direct way that is cut in the middle of an answer, while another
-// router reaches the store.
+// TestStalledAnswerIsRelayed cuts the direct path in the middle of an answer, while another router reaches the store.
 func TestStalledAnswerIsRelayed(t *testing.T) {
 	const within = time.Second
 	key := masticway.RowKey{Table: "op", Key: "x"}
@@ -111,15 +110,15 @@
 		size, first int
 		call        func(s masticway.RowStore) error
 	}{
-		"a small reading": {size: 1, first: 1, call: func(s masticway.RowStore) error {
+		"a small read": {size: 1, first: 1, call: func(s masticway.RowStore) error {
 			_, err := s.Read(t.Context(), "op", "")
 			return err
 		}},
-		"a large reading": {size: 256 << 10, first: 100 << 10, call: func(s masticway.RowStore) error {
+		"a large read": {size: 256 << 10, first: 100 << 10, call: func(s masticway.RowStore) error {
 			_, err := s.Read(t.Context(), "op", "")
 			return err
 		}},
-		"changes": {size: 1, first: 1, call: func(s masticway.RowStore) error {
+		"a watch": {size: 1, first: 1, call: func(s masticway.RowStore) error {
 			_, err := s.Watch(t.Context(), masticway.WatchRequest{Table: "op", MaxWait: 100 * time.Millisecond})
 			return err
 		}},
@@ -128,7 +127,7 @@
 				Expected: []masticway.RowVersion{{RowKey: key, Version: 1}}, Puts: []masticway.RowPut{{RowKey: key, Value: []byte("w")}},
 			})
 			if _, conflict := errors.AsType[*masticway.RowConflictError](err); conflict {
-				// It was made on the direct way, and the other one says so.
+				// The write was made on the direct path, which the relayed copy reports as a conflict.
 				return nil
 			}
 			return err
@@ -151,7 +150,8 @@
 	}
 }
 
-// TestRelayStopsWhenPeerLeaves has another router whose own link is too slow for a large reading.
+// TestRelayStopsWhenPeerLeaves relays a large read through a router whose own link is too slow for it. It guards against
+// transferring the answer after the asking router has given up.
 func TestRelayStopsWhenPeerLeaves(t *testing.T) {
 	const rate, size = 1 << 20, 4 << 20
 	f := newRouterPair(t)
@@ -174,10 +174,11 @@
 	time.Sleep(200 * time.Millisecond)
 	before := link.Carried()
 	time.Sleep(time.Second)
-	qt.Check(t, link.Carried()-before < rate/10, qt.IsTrue, qt.Commentf("%d bytes for nobody", link.Carried()-before))
+	qt.Check(t, link.Carried()-before < rate/10, qt.IsTrue, qt.Commentf("%d bytes after the peer had left", link.Carried()-before))
 }
 
-// TestLargeReadDoesNotRaiseHedgeDelay has a store that falls silent after a reading that took a second.
+// TestLargeReadDoesNotRaiseHedgeDelay has a store that falls silent after a read that took a second. It guards against including
+// the duration of large answers in the hedge delay.
 func TestLargeReadDoesNotRaiseHedgeDelay(t *testing.T) {
 	const rate, size = 1 << 20, 768 << 10
 	f := newRouterPair(t)
--- a/relayer/relayer_test.go
+++ b/relayer/relayer_test.go
@@ -24,41 +24,41 @@
 	"github.com/masticway/masticway/relayer"
 )
 
-// How a way to the store fails.
+// Modes of a path to the store.
 const (
 	pathWorks int32 = iota
 	pathUnavailable
 	pathSilent
 	pathLosesAnswers
-	// pathRateLimited refuses for the store's rate, pathMostlyRateLimited six calls of seven.
+	// pathRateLimited rejects every call for the store's rate, pathMostlyRateLimited six calls of seven.
 	pathRateLimited
 	pathMostlyRateLimited
-	// pathSlow answers late.
+	// pathSlow answers after slowAnswerTime.
 	pathSlow
 )
 
-// slowAnswerTime is longer than a direct way may usually take alone.
+// slowAnswerTime is longer than the minimum hedge delay.
 const slowAnswerTime = 110 * time.Millisecond
 
-// storePath is one router's way to the store.
+// storePath is a router's path to the store.
 type storePath struct {
 	rows  *emulator.Rows
 	mode  atomic.Int32
 	calls atomic.Int32
-	// requestedParts are those that were asked for, by name.
+	// requestedParts are the names of the parts that were read.
 	requestedParts sync.Map
 }
 
-func (w *storePath) begin(ctx context.Context) error {
-	used := w.calls.Add(1)
-	switch how := w.mode.Load(); {
-	case how == pathRateLimited, how == pathMostlyRateLimited && used%7 != 0:
+func (p *storePath) begin(ctx context.Context) error {
+	used := p.calls.Add(1)
+	switch mode := p.mode.Load(); {
+	case mode == pathRateLimited, mode == pathMostlyRateLimited && used%7 != 0:
 		return &masticway.UnavailableError{Service: "rows", Reason: "over its rate", RateLimited: true}
-	case how == pathSlow:
+	case mode == pathSlow:
 		time.Sleep(slowAnswerTime)
-	case how == pathUnavailable:
+	case mode == pathUnavailable:
 		return &masticway.UnavailableError{Service: "rows", Reason: "busy"}
-	case how == pathSilent:
+	case mode == pathSilent:
 		select {
 		case <-ctx.Done():
 		case <-time.After(700 * time.Millisecond):
@@ -68,46 +68,46 @@
 	return nil
 }
 
-func (w *storePath) Read(ctx context.Context, table, part string) (masticway.RowReading, error) {
-	w.requestedParts.Store(part, true)
-	if err := w.begin(ctx); err != nil {
+func (p *storePath) Read(ctx context.Context, table, part string) (masticway.RowReading, error) {
+	p.requestedParts.Store(part, true)
+	if err := p.begin(ctx); err != nil {
 		return masticway.RowReading{}, err
 	}
-	return w.rows.Read(ctx, table, part)
+	return p.rows.Read(ctx, table, part)
 }
 
-func (w *storePath) Write(ctx context.Context, write masticway.RowWrite) (masticway.RowReading, error) {
-	if err := w.begin(ctx); err != nil {
+func (p *storePath) Write(ctx context.Context, write masticway.RowWrite) (masticway.RowReading, error) {
+	if err := p.begin(ctx); err != nil {
 		return masticway.RowReading{}, err
 	}
-	made, err := w.rows.Write(ctx, write)
-	if w.mode.Load() == pathLosesAnswers {
+	made, err := p.rows.Write(ctx, write)
+	if p.mode.Load() == pathLosesAnswers {
 		return masticway.RowReading{}, &masticway.OutcomeUnknownError{Service: "rows", Reason: "answer lost"}
 	}
 	return made, err
 }
 
-func (w *storePath) Watch(ctx context.Context, f masticway.WatchRequest) (masticway.RowReading, error) {
-	if err := w.begin(ctx); err != nil {
+func (p *storePath) Watch(ctx context.Context, f masticway.WatchRequest) (masticway.RowReading, error) {
+	if err := p.begin(ctx); err != nil {
 		return masticway.RowReading{}, err
 	}
-	return w.rows.Watch(ctx, f)
+	return p.rows.Watch(ctx, f)
 }
 
-// routerPair is two routers on one store.
+// routerPair is two routers with one store.
 type routerPair struct {
 	rows      *emulator.Rows
 	ownPath   *storePath
 	otherPath *storePath
 	store     *relayer.Store
 	helper    *relayer.Store
-	// address is where the other router is reached.
+	// address is the address of the other router.
 	address string
-	// logs have what each router logs.
+	// logs are the log entries of each router.
 	logs map[*relayer.Store]*test.Hook
 }
 
-// isDirectDown tells that the router has logged that the store turns it away.
+// isDirectDown reports whether the router has logged that its direct path is down.
 func (f *routerPair) isDirectDown() bool {
 	return slices.ContainsFunc(f.logs[f.store].AllEntries(), func(e *logrus.Entry) bool { return e.Data["event"] == "store_turned_away" })
 }
@@ -124,18 +124,18 @@
 	return f
 }
 
-// newRouter returns a router with a way to the store, which asks the other one.
-func (f *routerPair) newRouter(t *testing.T, w masticway.RowStore) *relayer.Store {
+// newRouter returns a router with a path to the store. It relays calls to the other router.
+func (f *routerPair) newRouter(t *testing.T, path masticway.RowStore) *relayer.Store {
 	log, hook := test.NewNullLogger()
-	s := relayer.New(w, messenger.NewClient(), masticway.SystemClock{}, logrus.NewEntry(log), measurer.New())
+	s := relayer.New(path, messenger.NewClient(), masticway.SystemClock{}, logrus.NewEntry(log), measurer.New())
 	t.Cleanup(s.Close)
 	f.logs[s] = hook
 	s.Ask(func() []string { return []string{f.address} })
 	return s
 }
 
-// takeDirectDown lets direct calls fail until the router is sure that it is turned away. Before that a slow machine may have it ask the
-// other router, as a direct call takes long.
+// takeDirectDown makes direct calls fail until the router has marked its direct path as down. On a slow machine, the router may
+// relay calls before that, because a direct call takes long.
 func (f *routerPair) takeDirectDown(t *testing.T) {
 	for began := time.Now(); time.Since(began) < 5*time.Second; {
 		_, err := f.store.Read(t.Context(), "t", "0")
@@ -144,7 +144,7 @@
 			return
 		}
 	}
-	t.Fatal("no other router was ever asked")
+	t.Fatal("the direct path was not marked as down, or no call was relayed")
 }
 
 func TestSingleFailuresAreNotRelayed(t *testing.T) {
@@ -158,11 +158,11 @@
 		qt.Assert(t, err, qt.IsNil)
 		time.Sleep(10 * time.Millisecond)
 	}
-	qt.Assert(t, f.otherPath.calls.Load(), qt.Equals, int32(0), qt.Commentf("a store over its rate was asked twice"))
+	qt.Assert(t, f.otherPath.calls.Load(), qt.Equals, int32(0), qt.Commentf("a call was relayed"))
 }
 
-// TestRateLimitedStoreIsNotRelayed has a store that refuses six calls of seven, as one does that thirty routers ask more
-// than it takes: each call made through another router as well would double what is too much already.
+// TestRateLimitedStoreIsNotRelayed has a store that rejects six calls of seven, as it does if thirty routers exceed its rate.
+// Relaying each call would double a load that is already too high.
 func TestRateLimitedStoreIsNotRelayed(t *testing.T) {
 	f := newRouterPair(t)
 	f.ownPath.mode.Store(pathMostlyRateLimited)
@@ -173,14 +173,15 @@
 	qt.Assert(t, f.otherPath.calls.Load(), qt.Equals, int32(0))
 }
 
-// TestAlwaysRateLimitedRouterIsRelayed has a store that turns one router away by its rate, without end.
+// TestAlwaysRateLimitedRouterIsRelayed has a store that rejects all calls of one router for its rate.
 func TestAlwaysRateLimitedRouterIsRelayed(t *testing.T) {
 	f := newRouterPair(t)
 	f.ownPath.mode.Store(pathRateLimited)
 	f.takeDirectDown(t)
 }
 
-// TestSlowStoreIsNotHedged has a store that is slow for everybody: once that is known, calls are made once.
+// TestSlowStoreIsNotHedged has a store that is slow for all routers. Once the routers have measured that, each call is made only
+// once.
 func TestSlowStoreIsNotHedged(t *testing.T) {
 	f := newRouterPair(t)
 	f.ownPath.mode.Store(pathSlow)
@@ -188,12 +189,12 @@
 	for range 12 {
 		_, _ = f.store.Read(t.Context(), "t", "0")
 	}
-	asked := f.otherPath.calls.Load()
+	relayedBefore := f.otherPath.calls.Load()
 	for range 8 {
 		_, err := f.store.Read(t.Context(), "t", "0")
 		qt.Assert(t, err, qt.IsNil)
 	}
-	qt.Assert(t, f.otherPath.calls.Load(), qt.Equals, asked)
+	qt.Assert(t, f.otherPath.calls.Load(), qt.Equals, relayedBefore)
 }
 
 var key = masticway.RowKey{Table: "t", Part: "0", Key: "k"}
@@ -205,29 +206,31 @@
 }
 
 func TestCallsAreRelayed(t *testing.T) {
-	cases := map[string]int32{"the store is there": pathWorks, "the store turns one away": pathUnavailable, "the store is silent to one": pathSilent}
-	for name, how := range cases {
+	cases := map[string]int32{"the store answers": pathWorks, "the store rejects one router": pathUnavailable, "the store is silent to one router": pathSilent}
+	for name, mode := range cases {
 		t.Run(name, func(t *testing.T) {
 			f := newRouterPair(t)
-			f.ownPath.mode.Store(how)
-			if how == pathUnavailable {
+			f.ownPath.mode.Store(mode)
+			if mode == pathUnavailable {
 				f.takeDirectDown(t)
 			}
-			soon := func(d time.Duration) func() {
+			expectWithin := func(d time.Duration) func() {
 				began := time.Now()
-				return func() { qt.Assert(t, time.Since(began) < d, qt.IsTrue, qt.Commentf("the silent way was waited for")) }
+				return func() {
+					qt.Assert(t, time.Since(began) < d, qt.IsTrue, qt.Commentf("the call waited for the silent path"))
+				}
 			}
-			done := soon(250 * time.Millisecond)
+			done := expectWithin(250 * time.Millisecond)
 			made, err := f.store.Write(t.Context(), newPut(0, "a"))
 			done()
 			qt.Assert(t, err, qt.IsNil)
-			done = soon(250 * time.Millisecond)
+			done = expectWithin(250 * time.Millisecond)
 			reading, err := f.store.Read(t.Context(), "t", "0")
 			done()
 			qt.Assert(t, err, qt.IsNil)
 			qt.Assert(t, string(reading.Rows[0].Value), qt.Equals, "a")
 			qt.Assert(t, reading.Rows[0].Version, qt.Equals, made.Version)
-			done = soon(600 * time.Millisecond)
+			done = expectWithin(600 * time.Millisecond)
 			reading, err = f.store.Watch(t.Context(), masticway.WatchRequest{Table: "t", Since: made.Version - 1, MaxWait: 50 * time.Millisecond})
 			done()
 			qt.Assert(t, err, qt.IsNil)
@@ -240,7 +243,7 @@
 			var lost *masticway.HistoryLostError
 			_, err = f.store.Watch(t.Context(), masticway.WatchRequest{Table: "t", Since: made.Version - 1, MaxWait: 50 * time.Millisecond})
 			qt.Assert(t, err, qt.ErrorAs, &lost)
-			qt.Assert(t, f.otherPath.calls.Load() > 0, qt.Equals, how != pathWorks)
+			qt.Assert(t, f.otherPath.calls.Load() > 0, qt.Equals, mode != pathWorks)
 		})
 	}
 }
@@ -250,11 +253,11 @@
 		own, other int32
 		unknown    bool
 	}{
-		"both turned away":         {own: pathUnavailable, other: pathUnavailable},
-		"own silent, other away":   {own: pathSilent, other: pathUnavailable, unknown: true},
-		"own away, other silent":   {own: pathUnavailable, other: pathSilent, unknown: true},
-		"own lost, other silent":   {own: pathLosesAnswers, other: pathSilent, unknown: true},
-		"nobody can tell anything": {own: pathSilent, other: pathSilent, unknown: true},
+		"both unavailable":              {own: pathUnavailable, other: pathUnavailable},
+		"own silent, other unavailable": {own: pathSilent, other: pathUnavailable, unknown: true},
+		"own unavailable, other silent": {own: pathUnavailable, other: pathSilent, unknown: true},
+		"own answer lost, other silent": {own: pathLosesAnswers, other: pathSilent, unknown: true},
+		"both silent":                   {own: pathSilent, other: pathSilent, unknown: true},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -285,7 +288,7 @@
 	f.ownPath.mode.Store(pathLosesAnswers)
 	_, err := f.store.Write(t.Context(), newPut(0, "a"))
 	if err == nil {
-		// The other way was faster than the one that lost its answer.
+		// The relayed write was faster than the direct one whose answer was lost.
 		return
 	}
 	var conflict *masticway.RowConflictError
@@ -295,11 +298,11 @@
 
 func TestDirectPathIsRestored(t *testing.T) {
 	f := newRouterPair(t)
-	var back atomic.Int32
-	f.store.WhenBack(func() { back.Add(1) })
+	var restored atomic.Int32
+	f.store.WhenBack(func() { restored.Add(1) })
 	f.ownPath.mode.Store(pathUnavailable)
 	f.takeDirectDown(t)
-	qt.Assert(t, back.Load(), qt.Equals, int32(0))
+	qt.Assert(t, restored.Load(), qt.Equals, int32(0))
 	f.ownPath.mode.Store(pathWorks)
 	f.otherPath.mode.Store(pathUnavailable)
 	var err error
@@ -311,23 +314,23 @@
 	}
 	qt.Assert(t, err, qt.IsNil)
 	for range 100 {
-		// Another call may have found it back, and be about to tell.
-		if back.Load() > 0 {
+		// Another call may have found that the path is restored and be about to call the function.
+		if restored.Load() > 0 {
 			break
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
-	qt.Assert(t, back.Load(), qt.Equals, int32(1))
+	qt.Assert(t, restored.Load(), qt.Equals, int32(1))
 	for i := range 5 {
-		// Calls that were begun before may still reach the other router, so each has a part of its own.
-		part := fmt.Sprintf("straight-%d", i)
+		// Earlier calls may still reach the other router, so each call reads a part of its own.
+		part := fmt.Sprintf("direct-%d", i)
 		own := f.ownPath.calls.Load()
 		began := time.Now()
 		_, err = f.store.Read(t.Context(), "t", part)
 		qt.Assert(t, err, qt.IsNil)
 		qt.Assert(t, f.ownPath.calls.Load(), qt.Equals, own+1)
 		if time.Since(began) < 50*time.Millisecond {
-			// A direct call that takes longer is made on the other way too.
+			// A direct call that takes longer may be hedged.
 			_, relayed := f.otherPath.requestedParts.Load(part)
 			qt.Assert(t, relayed, qt.IsFalse)
 		}
@@ -342,7 +345,7 @@
 	_, err := f.store.Write(t.Context(), newPut(0, "a"))
 	var unknown *masticway.OutcomeUnknownError
 	qt.Assert(t, err, qt.ErrorAs, &unknown)
-	qt.Assert(t, time.Since(began) < 500*time.Millisecond, qt.IsTrue, qt.Commentf("the silent way takes 700 ms"))
+	qt.Assert(t, time.Since(began) < 500*time.Millisecond, qt.IsTrue, qt.Commentf("the silent path takes 700 ms"))
 }
 
 func TestRelayedCallsAreNotRelayedAgain(t *testing.T) {
@@ -357,5 +360,5 @@
 	used := f.otherPath.calls.Load()
 	_, err := f.store.Read(t.Context(), "t", "0")
 	qt.Assert(t, err, qt.IsNotNil)
-	qt.Assert(t, f.otherPath.calls.Load() <= used+1, qt.IsTrue, qt.Commentf("a router that is turned away as well still tried"))
+	qt.Assert(t, f.otherPath.calls.Load() <= used+1, qt.IsTrue, qt.Commentf("a router whose direct path is down still called the store"))
 }
