--- a/forwarder/attempt.go
+++ b/forwarder/attempt.go
@@ -104,7 +104,7 @@
 		return a.failure(err)
 	}
 	answer = expected
-	answer.KeepIdle(head.IdleTimeout)
+	answer.SetIdleTimeout(head.IdleTimeout)
 	return a.handleAnswer(answer, head)
 }
 
@@ -164,7 +164,7 @@
 
 // sendFailure returns the outcome of an attempt that got no answer.
 func (a *attempt) sendFailure(err error) outcome {
-	if _, ok := errors.AsType[*sender.FullError](err); ok {
+	if _, ok := errors.AsType[*sender.ConnectionLimitError](err); ok {
 		return outcome{fate: masticway.FateNotRun, result: chooser.VerdictNone, reason: err.Error(), isFull: true}
 	}
 	if failure, ok := errors.AsType[*sender.Error](err); ok && !failure.Sent {
--- a/forwarder/exchange.go
+++ b/forwarder/exchange.go
@@ -387,16 +387,16 @@
 		lastEvent = q.LastEvent
 	}
 	r := sender.Request{
-		Method: q.method, Target: q.target, Host: q.host, Body: q.body, Connect: connectTimeout,
+		Method: q.method, Target: q.target, Host: q.host, Body: q.body, ConnectTimeout: connectTimeout,
 		Header: x.f.codec.ServerHeaders(q.header, masticway.Delivery{
 			Server: server.ID, Workspace: q.account.Workspace, TimeLeft: q.deadline.Sub(x.f.clock.Now()),
 			Urgency: q.rank(), HasUrgency: q.pool.IsEngine, LastEvent: lastEvent,
 		}),
 	}
 	if q.route.RetryPolicy == masticway.RetryNever {
-		r.Fresh = maxIdleNonRepeatable
+		r.MaxIdle = maxIdleNonRepeatable
 	} else {
-		r.Acknowledged = ackTimeout
+		r.AckTimeout = ackTimeout
 	}
 	return r
 }
--- a/forwarder/forwarder.go
+++ b/forwarder/forwarder.go
@@ -117,7 +117,7 @@
 		delete(addresses, addressOf[id])
 		f.log.WithFields(logrus.Fields{"event": "server_reborn", "server": id, "born": startedAt[id]}).Info("server restarted")
 	}
-	f.sender.Forget(addresses)
+	f.sender.Retain(addresses)
 	f.checks.retain(snapshot)
 }
 
--- a/sender/sender.go
+++ b/sender/sender.go
@@ -17,16 +17,16 @@
 )
 
 const (
-	// readBuffer holds an answer's head and usual body.
-	readBuffer = 4 << 10
-	// inlineBody is the largest body that is written before the answer is read; the links' windows are small.
-	inlineBody = 2 << 10
-	// defaultIdle is how long a connection is kept when its server does not say.
-	defaultIdle = 4 * time.Second
-	// idleMargin is the part of a server's idle time after which its connections are not used again.
-	idleMargin = 0.7
-	// sweepAbove is the number of idle connections above which old ones are looked for.
-	sweepAbove = 4
+	// readBufferSize holds an answer's head and usual body.
+	readBufferSize = 4 << 10
+	// maxInlineBody is the largest body that is written before the answer is read; the links' windows are small.
+	maxInlineBody = 2 << 10
+	// defaultIdleTimeout is how long a connection is kept when its server does not say.
+	defaultIdleTimeout = 4 * time.Second
+	// idleFraction is the part of a server's idle time after which its connections are not used again.
+	idleFraction = 0.7
+	// sweepThreshold is the number of idle connections above which old ones are looked for.
+	sweepThreshold = 4
 )
 
 // Request is one request to one server.
@@ -37,13 +37,13 @@
 	Host   string
 	Header http.Header
 	Body   []byte
-	// Fresh asks for a connection that has been idle for at most so long, or a new one; zero allows any.
-	Fresh time.Duration
-	// Connect bounds the making of a connection.
-	Connect time.Duration
-	// Acknowledged is how long the server's kernel may leave bytes without an acknowledgement before the connection
+	// MaxIdle asks for a connection that has been idle for at most so long, or a new one; zero allows any.
+	MaxIdle time.Duration
+	// ConnectTimeout bounds the making of a connection.
+	ConnectTimeout time.Duration
+	// AckTimeout is how long the server's kernel may leave bytes without an acknowledgement before the connection
 	// counts as broken; zero leaves it to the system, which takes minutes.
-	Acknowledged time.Duration
+	AckTimeout time.Duration
 }
 
 // Error reports a request that got no answer.
@@ -66,14 +66,14 @@
 // Unwrap returns the cause.
 func (e *Error) Unwrap() error { return e.Cause }
 
-// FullError reports that this router's share of a server's connections is in use.
-type FullError struct {
+// ConnectionLimitError reports that this router's share of a server's connections is in use.
+type ConnectionLimitError struct {
 	Address string
 	Open    int
 }
 
 // Error names the server.
-func (e *FullError) Error() string {
+func (e *ConnectionLimitError) Error() string {
 	return fmt.Sprintf("%d connections to %s are in use", e.Open, e.Address)
 }
 
@@ -82,24 +82,24 @@
 	Status int
 	Header http.Header
 	// Framed tells that the answer says itself where it ends.
-	Framed bool
-	body   io.ReadCloser
-	conn   *conn
-	whole  bool
-	closed bool
+	Framed   bool
+	body     io.ReadCloser
+	conn     *conn
+	complete bool
+	closed   bool
 }
 
 // Read reads the body; io.EOF means that all of it was there.
 func (a *Answer) Read(b []byte) (int, error) {
 	n, err := a.body.Read(b)
 	if errors.Is(err, io.EOF) {
-		a.whole = true
+		a.complete = true
 	}
 	return n, err
 }
 
-// KeepIdle tells how long the server keeps the connection when it is idle.
-func (a *Answer) KeepIdle(d time.Duration) { a.conn.keepIdle = d }
+// SetIdleTimeout tells how long the server keeps the connection when it is idle.
+func (a *Answer) SetIdleTimeout(d time.Duration) { a.conn.idleTimeout = d }
 
 // Close ends the answer; its connection is kept only if everything on it was in order.
 func (a *Answer) Close() {
@@ -107,19 +107,19 @@
 		return
 	}
 	a.closed = true
-	a.conn.release(a.whole && a.Framed)
+	a.conn.release(a.complete && a.Framed)
 }
 
 // Next drops this answer and reads the next one on the same connection: an answer to another request, sent twice,
 // may stand where the own one is expected.
 func (a *Answer) Next() (*Answer, error) {
-	a.conn.odd = true
+	a.conn.tainted = true
 	if _, err := io.Copy(io.Discard, a); err != nil || !a.Framed {
-		return nil, &Error{Sent: true, Reused: a.conn.used > 1, Cause: fmt.Errorf("skipping an answer to another request: %w", errOr(err, io.ErrUnexpectedEOF))}
+		return nil, &Error{Sent: true, Reused: a.conn.requests > 1, Cause: fmt.Errorf("skipping an answer to another request: %w", errOr(err, io.ErrUnexpectedEOF))}
 	}
 	next, err := a.conn.readAnswer()
 	if err != nil {
-		return nil, &Error{Sent: true, Reused: a.conn.used > 1, Cause: err}
+		return nil, &Error{Sent: true, Reused: a.conn.requests > 1, Cause: err}
 	}
 	return next, nil
 }
@@ -136,174 +136,174 @@
 	dial func(ctx context.Context, network, address string) (net.Conn, error)
 	now  func() time.Time
 
-	mu      sync.Mutex
-	servers map[string]*peer
-	made    int64
+	mu    sync.Mutex
+	pools map[string]*connPool
+	dials int64
 }
 
-// peer is one server's connections.
-type peer struct {
+// connPool is one server's connections.
+type connPool struct {
 	idle []*conn
 	open int
 }
 
 // conn is one connection; it serves one request at a time.
 type conn struct {
-	sender   *Sender
-	address  string
-	net      net.Conn
-	reader   *bufio.Reader
-	writing  chan error
-	used     int
-	idleAt   time.Time
-	keepIdle time.Duration
-	// acknowledged is the limit that is set on the connection.
-	acknowledged time.Duration
-	stop         func() bool
-	method       string
-	// closes tells that the server will close the connection, odd that something on it was not as it should be.
-	closes bool
-	odd    bool
+	sender      *Sender
+	address     string
+	net         net.Conn
+	reader      *bufio.Reader
+	writeDone   chan error
+	requests    int
+	idleSince   time.Time
+	idleTimeout time.Duration
+	// ackTimeout is the limit that is set on the connection.
+	ackTimeout time.Duration
+	stop       func() bool
+	method     string
+	// willClose tells that the server will close the connection, odd that something on it was not as it should be.
+	willClose bool
+	tainted   bool
 }
 
 // New returns a sender that makes connections with dial and reads the time from now.
 func New(dial func(ctx context.Context, network, address string) (net.Conn, error), now func() time.Time) *Sender {
-	return &Sender{dial: dial, now: now, servers: map[string]*peer{}}
+	return &Sender{dial: dial, now: now, pools: map[string]*connPool{}}
 }
 
-// Made returns how many connections have been made.
-func (s *Sender) Made() int64 {
+// Dials returns how many connections have been made.
+func (s *Sender) Dials() int64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.made
+	return s.dials
 }
 
 // Send sends a request and returns the head of the answer. At most limit connections to the server are open. It
-// fails with Error or FullError; when the context ends, the connection is closed.
+// fails with Error or ConnectionLimitError; when the context ends, the connection is closed.
 func (s *Sender) Send(ctx context.Context, address string, limit int, r Request) (*Answer, error) {
-	c, err := s.take(ctx, address, limit, r)
+	c, err := s.acquire(ctx, address, limit, r)
 	if err != nil {
 		return nil, err
 	}
-	c.used++
+	c.requests++
 	c.method = r.Method
 	c.stop = context.AfterFunc(ctx, func() { _ = c.net.Close() })
-	c.demandAcknowledgement(r.Acknowledged)
+	c.setAckTimeout(r.AckTimeout)
 	if err := c.write(r); err != nil {
 		c.release(false)
-		return nil, &Error{Sent: true, Reused: c.used > 1, Cause: errOr(ctx.Err(), err)}
+		return nil, &Error{Sent: true, Reused: c.requests > 1, Cause: errOr(ctx.Err(), err)}
 	}
 	a, err := c.readAnswer()
 	if err != nil {
 		c.release(false)
-		return nil, &Error{Sent: true, Reused: c.used > 1, Cause: errOr(ctx.Err(), err)}
+		return nil, &Error{Sent: true, Reused: c.requests > 1, Cause: errOr(ctx.Err(), err)}
 	}
 	return a, nil
 }
 
-// take returns a kept connection that is in order, or a new one.
-func (s *Sender) take(ctx context.Context, address string, limit int, r Request) (*conn, error) {
+// acquire returns a kept connection that is in order, or a new one.
+func (s *Sender) acquire(ctx context.Context, address string, limit int, r Request) (*conn, error) {
 	for {
-		c, open := s.takeIdle(address, r.Fresh)
+		c, open := s.acquireIdle(address, r.MaxIdle)
 		if c == nil {
 			if limit > 0 && open >= limit {
-				return nil, &FullError{Address: address, Open: open}
+				return nil, &ConnectionLimitError{Address: address, Open: open}
 			}
-			return s.connect(ctx, address, r.Connect)
+			return s.connect(ctx, address, r.ConnectTimeout)
 		}
-		if c.quiet() {
+		if c.hasNoInput() {
 			return c, nil
 		}
 		c.discard()
 	}
 }
 
-func (s *Sender) takeIdle(address string, fresh time.Duration) (*conn, int) {
+func (s *Sender) acquireIdle(address string, maxIdle time.Duration) (*conn, int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	p := s.peer(address)
+	p := s.pool(address)
 	if len(p.idle) == 0 {
 		return nil, p.open
 	}
 	now := s.now()
-	if len(p.idle) > sweepAbove && now.Sub(p.idle[0].idleAt) > p.idle[0].usableFor() {
-		p.drop(p.idle[:1])
+	if len(p.idle) > sweepThreshold && now.Sub(p.idle[0].idleSince) > p.idle[0].maxIdle() {
+		p.closeConns(p.idle[:1])
 		p.idle = p.idle[1:]
 	}
 	c := p.idle[len(p.idle)-1]
-	age := now.Sub(c.idleAt)
-	if age > c.usableFor() {
+	age := now.Sub(c.idleSince)
+	if age > c.maxIdle() {
 		// The others have been idle for longer.
-		p.drop(p.idle)
+		p.closeConns(p.idle)
 		p.idle = nil
 		return nil, p.open
 	}
-	if fresh > 0 && age > fresh {
+	if maxIdle > 0 && age > maxIdle {
 		return nil, p.open
 	}
 	p.idle = p.idle[:len(p.idle)-1]
 	return c, p.open
 }
 
-func (p *peer) drop(conns []*conn) {
+func (p *connPool) closeConns(conns []*conn) {
 	for _, c := range conns {
 		_ = c.net.Close()
 		p.open--
 	}
 }
 
-func (s *Sender) peer(address string) *peer {
-	p, ok := s.servers[address]
+func (s *Sender) pool(address string) *connPool {
+	p, ok := s.pools[address]
 	if !ok {
-		p = &peer{}
-		s.servers[address] = p
+		p = &connPool{}
+		s.pools[address] = p
 	}
 	return p
 }
 
 func (s *Sender) connect(ctx context.Context, address string, timeout time.Duration) (*conn, error) {
 	s.mu.Lock()
-	s.peer(address).open++
-	s.made++
+	s.pool(address).open++
+	s.dials++
 	s.mu.Unlock()
-	dialing, cancel := context.WithTimeout(ctx, timeout)
+	dialCtx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
-	n, err := s.dial(dialing, "tcp", address)
+	n, err := s.dial(dialCtx, "tcp", address)
 	if err != nil {
 		s.mu.Lock()
-		s.peer(address).open--
+		s.pool(address).open--
 		s.mu.Unlock()
 		return nil, &Error{Cause: err}
 	}
-	return &conn{sender: s, address: address, net: n, reader: bufio.NewReaderSize(n, readBuffer)}, nil
+	return &conn{sender: s, address: address, net: n, reader: bufio.NewReaderSize(n, readBufferSize)}, nil
 }
 
-// Forget closes the idle connections to servers that are not among the given addresses.
-func (s *Sender) Forget(keep map[string]bool) {
+// Retain closes the idle connections to servers that are not among the given addresses.
+func (s *Sender) Retain(keep map[string]bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for address, p := range s.servers {
+	for address, p := range s.pools {
 		if keep[address] {
 			continue
 		}
-		p.drop(p.idle)
+		p.closeConns(p.idle)
 		p.idle = nil
 		if p.open == 0 {
-			delete(s.servers, address)
+			delete(s.pools, address)
 		}
 	}
 }
 
-func (c *conn) usableFor() time.Duration {
-	keep := c.keepIdle
+func (c *conn) maxIdle() time.Duration {
+	keep := c.idleTimeout
 	if keep == 0 {
-		keep = defaultIdle
+		keep = defaultIdleTimeout
 	}
-	return time.Duration(float64(keep) * idleMargin)
+	return time.Duration(float64(keep) * idleFraction)
 }
 
-// quiet tells that nothing has come on an idle connection, neither its end nor bytes that belong to no request.
-func (c *conn) quiet() bool {
+// hasNoInput tells that nothing has come on an idle connection, neither its end nor bytes that belong to no request.
+func (c *conn) hasNoInput() bool {
 	if c.reader.Buffered() > 0 {
 		return false
 	}
@@ -315,31 +315,31 @@
 	if err != nil {
 		return false
 	}
-	quiet := false
+	noInput := false
 	err = raw.Read(func(fd uintptr) bool {
 		var b [1]byte
 		_, _, err := syscall.Recvfrom(int(fd), b[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
-		quiet = errors.Is(err, syscall.EAGAIN) || errors.Is(err, syscall.EWOULDBLOCK)
+		noInput = errors.Is(err, syscall.EAGAIN) || errors.Is(err, syscall.EWOULDBLOCK)
 		return true
 	})
-	return err == nil && quiet
+	return err == nil && noInput
 }
 
-// demandAcknowledgement sets how long sent bytes may stay unacknowledged. A kernel acknowledges them however busy its
+// setAckTimeout sets how long sent bytes may stay unacknowledged. A kernel acknowledges them however busy its
 // server is, so this tells a machine without power, or a connection that has gone silent, from a server that works.
-func (c *conn) demandAcknowledgement(within time.Duration) {
+func (c *conn) setAckTimeout(timeout time.Duration) {
 	tcp, ok := c.net.(*net.TCPConn)
-	if !ok || within == c.acknowledged {
+	if !ok || timeout == c.ackTimeout {
 		return
 	}
 	raw, err := tcp.SyscallConn()
 	if err != nil {
 		return
 	}
-	c.acknowledged = within
+	c.ackTimeout = timeout
 	// Without it the request's own time limits hold.
 	_ = raw.Control(func(fd uintptr) {
-		_ = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(within.Milliseconds()))
+		_ = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(timeout.Milliseconds()))
 	})
 }
 
@@ -366,15 +366,15 @@
 		head = append(head, "\r\n"...)
 	}
 	head = append(head, "\r\n"...)
-	if len(r.Body) <= inlineBody {
+	if len(r.Body) <= maxInlineBody {
 		_, err := c.net.Write(append(head, r.Body...))
 		return err
 	}
-	c.writing = make(chan error, 1)
+	c.writeDone = make(chan error, 1)
 	go func() {
 		buffers := net.Buffers{head, r.Body}
 		_, err := buffers.WriteTo(c.net)
-		c.writing <- err
+		c.writeDone <- err
 	}()
 	return nil
 }
@@ -390,32 +390,32 @@
 			continue
 		}
 		framed := response.ContentLength >= 0 || len(response.TransferEncoding) > 0
-		c.closes = response.Close
+		c.willClose = response.Close
 		return &Answer{Status: response.StatusCode, Header: response.Header, Framed: framed, body: response.Body, conn: c}, nil
 	}
 }
 
 // release puts a connection back, or closes it.
-func (c *conn) release(inOrder bool) {
+func (c *conn) release(reusable bool) {
 	stopped := c.stop()
-	if c.writing != nil {
+	if c.writeDone != nil {
 		select {
-		case err := <-c.writing:
-			inOrder = inOrder && err == nil
+		case err := <-c.writeDone:
+			reusable = reusable && err == nil
 		default:
 			// The server answered before it had read the body; what it reads next must not be another request.
-			inOrder = false
+			reusable = false
 		}
-		c.writing = nil
+		c.writeDone = nil
 	}
-	if !inOrder || !stopped || c.closes || c.odd || c.reader.Buffered() > 0 {
+	if !reusable || !stopped || c.willClose || c.tainted || c.reader.Buffered() > 0 {
 		c.discard()
 		return
 	}
 	c.sender.mu.Lock()
 	defer c.sender.mu.Unlock()
-	c.idleAt = c.sender.now()
-	p := c.sender.peer(c.address)
+	c.idleSince = c.sender.now()
+	p := c.sender.pool(c.address)
 	p.idle = append(p.idle, c)
 }
 
@@ -423,5 +423,5 @@
 	_ = c.net.Close()
 	c.sender.mu.Lock()
 	defer c.sender.mu.Unlock()
-	c.sender.peer(c.address).open--
+	c.sender.pool(c.address).open--
 }
--- a/sender/sender_test.go
+++ b/sender/sender_test.go
@@ -17,53 +17,53 @@
 	"github.com/masticway/masticway/sender"
 )
 
-// script answers each connection's requests with the given bytes, one entry a request; a hook may act in between.
-type script struct {
+// scriptedServer answers each connection's requests with the given bytes, one entry a request; a hook may act in between.
+type scriptedServer struct {
 	t       *testing.T
 	l       net.Listener
 	answers []string
 	// closeAfter ends the connection after its last answer.
 	closeAfter bool
-	// stray is sent a while after the last answer.
-	stray string
-	// unread leaves the requests' bodies unread.
-	unread   bool
-	accepted chan net.Conn
+	// unsolicited is sent a while after the last answer.
+	unsolicited string
+	// ignoreBodies leaves the requests' bodies unread.
+	ignoreBodies bool
+	accepted     chan net.Conn
 }
 
-func (s *script) serve() {
+func (s *scriptedServer) serve() {
 	for {
 		c, err := s.l.Accept()
 		if err != nil {
 			return
 		}
 		s.accepted <- c
-		go s.talk(c)
+		go s.serveConn(c)
 	}
 }
 
-func (s *script) talk(c net.Conn) {
+func (s *scriptedServer) serveConn(c net.Conn) {
 	r := bufio.NewReader(c)
 	for _, answer := range s.answers {
 		request, err := http.ReadRequest(r)
 		if err != nil {
 			return
 		}
-		if !s.unread {
+		if !s.ignoreBodies {
 			_, _ = io.Copy(io.Discard, request.Body)
 		}
 		_, _ = io.WriteString(c, answer)
 	}
-	if s.stray != "" {
+	if s.unsolicited != "" {
 		time.Sleep(30 * time.Millisecond)
-		_, _ = io.WriteString(c, s.stray)
+		_, _ = io.WriteString(c, s.unsolicited)
 	}
 	if s.closeAfter {
 		_ = c.Close()
 	}
 }
 
-func start(t *testing.T, s *script) (*sender.Sender, string) {
+func startServer(t *testing.T, s *scriptedServer) (*sender.Sender, string) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	qt.Assert(t, err, qt.IsNil)
@@ -80,7 +80,7 @@
 }
 
 func get(ctx context.Context, s *sender.Sender, address string) (status int, body string, err error) {
-	a, err := s.Send(ctx, address, 0, sender.Request{Method: "GET", Target: "/", Host: "h", Connect: time.Second})
+	a, err := s.Send(ctx, address, 0, sender.Request{Method: "GET", Target: "/", Host: "h", ConnectTimeout: time.Second})
 	if err != nil {
 		return 0, "", err
 	}
@@ -89,26 +89,26 @@
 	return a.Status, string(data), err
 }
 
-const whole = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
+const okAnswer = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
 
-func TestConnectionsAreKeptOnlyWhenAllWasInOrder(t *testing.T) {
+func TestConnectionReuse(t *testing.T) {
 	cases := map[string]struct {
-		script script
+		script scriptedServer
 		pause  time.Duration
 		// made is how many connections two requests take.
 		made int64
 	}{
-		"in order":                   {script: script{answers: []string{whole, whole}}, made: 1},
-		"chunked":                    {script: script{answers: []string{"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nok\r\n0\r\n\r\n", whole}}, made: 1},
-		"the server says close":      {script: script{answers: []string{"HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 2\r\n\r\nok", whole}}, made: 2},
-		"more bytes at once":         {script: script{answers: []string{whole + whole, whole}}, made: 2},
-		"more bytes later":           {script: script{answers: []string{whole}, stray: whole}, pause: 100 * time.Millisecond, made: 2},
-		"closed while idle":          {script: script{answers: []string{whole}, closeAfter: true}, pause: 50 * time.Millisecond, made: 2},
-		"no length, ended by server": {script: script{answers: []string{"HTTP/1.1 200 OK\r\nConnection: close\r\n\r\nok"}, closeAfter: true}, made: 2},
+		"in order":                   {script: scriptedServer{answers: []string{okAnswer, okAnswer}}, made: 1},
+		"chunked":                    {script: scriptedServer{answers: []string{"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nok\r\n0\r\n\r\n", okAnswer}}, made: 1},
+		"the server says close":      {script: scriptedServer{answers: []string{"HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 2\r\n\r\nok", okAnswer}}, made: 2},
+		"more bytes at once":         {script: scriptedServer{answers: []string{okAnswer + okAnswer, okAnswer}}, made: 2},
+		"more bytes later":           {script: scriptedServer{answers: []string{okAnswer}, unsolicited: okAnswer}, pause: 100 * time.Millisecond, made: 2},
+		"closed while idle":          {script: scriptedServer{answers: []string{okAnswer}, closeAfter: true}, pause: 50 * time.Millisecond, made: 2},
+		"no length, ended by server": {script: scriptedServer{answers: []string{"HTTP/1.1 200 OK\r\nConnection: close\r\n\r\nok"}, closeAfter: true}, made: 2},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
-			s, address := start(t, &tc.script)
+			s, address := startServer(t, &tc.script)
 			for range 2 {
 				status, body, err := get(t.Context(), s, address)
 				qt.Assert(t, err, qt.IsNil)
@@ -116,29 +116,29 @@
 				qt.Assert(t, body, qt.Equals, "ok")
 				time.Sleep(tc.pause)
 			}
-			qt.Assert(t, s.Made(), qt.Equals, tc.made)
+			qt.Assert(t, s.Dials(), qt.Equals, tc.made)
 		})
 	}
 }
 
-func TestFailuresSayWhetherTheRequestCanHaveArrived(t *testing.T) {
+func TestErrorReportsWhetherRequestWasSent(t *testing.T) {
 	cases := map[string]struct {
-		script script
+		script scriptedServer
 		down   bool
 		sent   bool
 	}{
 		"nobody listens":      {down: true},
-		"closed, no answer":   {script: script{answers: []string{""}, closeAfter: true}, sent: true},
-		"no answer at all":    {script: script{answers: []string{"", ""}}, sent: true},
-		"half of a head":      {script: script{answers: []string{"HTTP/1.1 20"}, closeAfter: true}, sent: true},
-		"bytes of no answer":  {script: script{answers: []string{"\x00\x01garbage\r\n\r\n"}, closeAfter: true}, sent: true},
-		"only informational":  {script: script{answers: []string{"HTTP/1.1 103 Early Hints\r\n\r\n"}, closeAfter: true}, sent: true},
-		"an unfinished chunk": {script: script{answers: []string{"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nab"}, closeAfter: true}, sent: true},
-		"less than its size":  {script: script{answers: []string{"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nok"}, closeAfter: true}, sent: true},
+		"closed, no answer":   {script: scriptedServer{answers: []string{""}, closeAfter: true}, sent: true},
+		"no answer at all":    {script: scriptedServer{answers: []string{"", ""}}, sent: true},
+		"half of a head":      {script: scriptedServer{answers: []string{"HTTP/1.1 20"}, closeAfter: true}, sent: true},
+		"bytes of no answer":  {script: scriptedServer{answers: []string{"\x00\x01garbage\r\n\r\n"}, closeAfter: true}, sent: true},
+		"only informational":  {script: scriptedServer{answers: []string{"HTTP/1.1 103 Early Hints\r\n\r\n"}, closeAfter: true}, sent: true},
+		"an unfinished chunk": {script: scriptedServer{answers: []string{"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nab"}, closeAfter: true}, sent: true},
+		"less than its size":  {script: scriptedServer{answers: []string{"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nok"}, closeAfter: true}, sent: true},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
-			s, address := start(t, &tc.script)
+			s, address := startServer(t, &tc.script)
 			if tc.down {
 				_ = tc.script.l.Close()
 			}
@@ -154,10 +154,10 @@
 	}
 }
 
-func TestAnswersToOtherRequestsAreSkipped(t *testing.T) {
+func TestNextSkipsAnswerToOtherRequest(t *testing.T) {
 	foreign := "HTTP/1.1 200 OK\r\nX-For: other\r\nContent-Length: 5\r\n\r\nother"
-	s, address := start(t, &script{answers: []string{foreign + whole, whole}})
-	a, err := s.Send(t.Context(), address, 0, sender.Request{Method: "GET", Target: "/", Host: "h", Connect: time.Second})
+	s, address := startServer(t, &scriptedServer{answers: []string{foreign + okAnswer, okAnswer}})
+	a, err := s.Send(t.Context(), address, 0, sender.Request{Method: "GET", Target: "/", Host: "h", ConnectTimeout: time.Second})
 	qt.Assert(t, err, qt.IsNil)
 	qt.Assert(t, a.Header.Get("X-For"), qt.Equals, "other")
 	a, err = a.Next()
@@ -168,53 +168,53 @@
 	a.Close()
 	_, _, err = get(t.Context(), s, address)
 	qt.Assert(t, err, qt.IsNil)
-	qt.Assert(t, s.Made(), qt.Equals, int64(2), qt.Commentf("a connection on which an answer was skipped was used again"))
+	qt.Assert(t, s.Dials(), qt.Equals, int64(2), qt.Commentf("a connection on which an answer was skipped was used again"))
 }
 
-func TestAnswerBeforeTheBodyWasReadEndsTheConnection(t *testing.T) {
-	s, address := start(t, &script{answers: []string{whole, whole}, unread: true})
+func TestEarlyAnswerPreventsReuse(t *testing.T) {
+	s, address := startServer(t, &scriptedServer{answers: []string{okAnswer, okAnswer}, ignoreBodies: true})
 	for range 2 {
 		a, err := s.Send(t.Context(), address, 0, sender.Request{
-			Method: "POST", Target: "/", Host: "h", Connect: time.Second, Body: []byte(strings.Repeat("x", 8<<20)),
+			Method: "POST", Target: "/", Host: "h", ConnectTimeout: time.Second, Body: []byte(strings.Repeat("x", 8<<20)),
 		})
 		qt.Assert(t, err, qt.IsNil)
 		_, err = io.ReadAll(a)
 		qt.Assert(t, err, qt.IsNil)
 		a.Close()
 	}
-	qt.Assert(t, s.Made(), qt.Equals, int64(2))
+	qt.Assert(t, s.Dials(), qt.Equals, int64(2))
 }
 
-func TestConnectionsStayWithinTheLimit(t *testing.T) {
-	s, address := start(t, &script{answers: []string{whole, whole}})
-	a, err := s.Send(t.Context(), address, 1, sender.Request{Method: "GET", Target: "/", Host: "h", Connect: time.Second})
+func TestConnectionLimit(t *testing.T) {
+	s, address := startServer(t, &scriptedServer{answers: []string{okAnswer, okAnswer}})
+	a, err := s.Send(t.Context(), address, 1, sender.Request{Method: "GET", Target: "/", Host: "h", ConnectTimeout: time.Second})
 	qt.Assert(t, err, qt.IsNil)
-	_, err = s.Send(t.Context(), address, 1, sender.Request{Method: "GET", Target: "/", Host: "h", Connect: time.Second})
-	var full *sender.FullError
+	_, err = s.Send(t.Context(), address, 1, sender.Request{Method: "GET", Target: "/", Host: "h", ConnectTimeout: time.Second})
+	var full *sender.ConnectionLimitError
 	qt.Assert(t, err, qt.ErrorAs, &full)
 	_, err = io.ReadAll(a)
 	qt.Assert(t, err, qt.IsNil)
 	a.Close()
 	_, _, err = get(t.Context(), s, address)
 	qt.Assert(t, err, qt.IsNil)
-	qt.Assert(t, s.Made(), qt.Equals, int64(1))
+	qt.Assert(t, s.Dials(), qt.Equals, int64(1))
 }
 
-func TestFreshRequestsTakeNoOldConnection(t *testing.T) {
-	s, address := start(t, &script{answers: []string{whole, whole}})
+func TestMaxIdleRejectsOlderConnections(t *testing.T) {
+	s, address := startServer(t, &scriptedServer{answers: []string{okAnswer, okAnswer}})
 	_, _, err := get(t.Context(), s, address)
 	qt.Assert(t, err, qt.IsNil)
 	time.Sleep(30 * time.Millisecond)
-	a, err := s.Send(t.Context(), address, 0, sender.Request{Method: "GET", Target: "/", Host: "h", Connect: time.Second, Fresh: 5 * time.Millisecond})
+	a, err := s.Send(t.Context(), address, 0, sender.Request{Method: "GET", Target: "/", Host: "h", ConnectTimeout: time.Second, MaxIdle: 5 * time.Millisecond})
 	qt.Assert(t, err, qt.IsNil)
 	a.Close()
-	qt.Assert(t, s.Made(), qt.Equals, int64(2))
+	qt.Assert(t, s.Dials(), qt.Equals, int64(2))
 }
 
-// TestLimitOnAcknowledgementsFollowsTheRequest reads from the kernel what is set on the one connection that both requests
+// TestAckTimeoutFollowsTheRequest reads from the kernel what is set on the one connection that both requests
 // use: only a request that may be repeated is given up when the far kernel is silent.
-func TestLimitOnAcknowledgementsFollowsTheRequest(t *testing.T) {
-	_, address := start(t, &script{answers: []string{whole, whole}})
+func TestAckTimeoutFollowsTheRequest(t *testing.T) {
+	_, address := startServer(t, &scriptedServer{answers: []string{okAnswer, okAnswer}})
 	var made *net.TCPConn
 	d := sender.New(func(ctx context.Context, network, address string) (net.Conn, error) {
 		c, err := (&net.Dialer{}).DialContext(ctx, network, address)
@@ -223,7 +223,7 @@
 	}, time.Now)
 	for _, within := range []time.Duration{700 * time.Millisecond, 0} {
 		a, err := d.Send(t.Context(), address, 0, sender.Request{
-			Method: "GET", Target: "/", Host: "h", Connect: time.Second, Acknowledged: within,
+			Method: "GET", Target: "/", Host: "h", ConnectTimeout: time.Second, AckTimeout: within,
 		})
 		qt.Assert(t, err, qt.IsNil)
 		_, err = io.Copy(io.Discard, a)
