--- a/sender/doc.go
+++ b/sender/doc.go
@@ -1,7 +1,8 @@
-// Package sender carries requests to servers over kept connections.
+// Package sender sends requests to servers over persistent connections.
 //
-// It speaks HTTP/1.1 itself, because the standard transport repeats requests on
-// its own when a kept connection breaks and hands an extra answer to the next
-// request. Here every failure says whether the request can have reached the
-// server, and a connection on which anything was odd is never used again.
+// It implements HTTP/1.1 itself because http.Transport retries a request on its
+// own when a reused connection breaks, and gives an extra answer on a
+// connection to the next request. Here every error reports whether the request
+// may have reached the server, and a connection on which anything unexpected
+// happened is not reused.
 package sender
--- a/sender/sender.go
+++ b/sender/sender.go
@@ -17,45 +17,46 @@
 )
 
 const (
-	// readBufferSize holds an answer's head and usual body.
+	// readBufferSize fits the head and body of a typical answer.
 	readBufferSize = 4 << 10
-	// maxInlineBody is the largest body that is written before the answer is read; the links' windows are small.
+	// maxInlineBody is the largest body that is written before the answer is read. Larger bodies are written concurrently,
+	// because the links' windows are small.
 	maxInlineBody = 2 << 10
-	// defaultIdleTimeout is how long a connection is kept when its server does not say.
+	// defaultIdleTimeout is how long an idle connection is kept if its server does not announce a timeout.
 	defaultIdleTimeout = 4 * time.Second
-	// idleFraction is the part of a server's idle time after which its connections are not used again.
+	// idleFraction is the part of a server's idle timeout after which a connection is no longer reused.
 	idleFraction = 0.7
-	// sweepThreshold is the number of idle connections above which old ones are looked for.
+	// sweepThreshold is the number of idle connections above which acquireIdle looks for expired ones.
 	sweepThreshold = 4
 )
 
-// Request is one request to one server.
+// Request is a request to one server.
 type Request struct {
 	Method string
-	// Target is the request target as the caller wrote it.
+	// Target is the request target as the caller sent it.
 	Target string
 	Host   string
 	Header http.Header
 	Body   []byte
-	// MaxIdle asks for a connection that has been idle for at most so long, or a new one; zero allows any.
+	// MaxIdle is the longest time that a reused connection may have been idle; zero means no limit.
 	MaxIdle time.Duration
-	// ConnectTimeout bounds the making of a connection.
+	// ConnectTimeout bounds the time to establish a connection.
 	ConnectTimeout time.Duration
-	// AckTimeout is how long the server's kernel may leave bytes without an acknowledgement before the connection
-	// counts as broken; zero leaves it to the system, which takes minutes.
+	// AckTimeout is how long sent bytes may stay unacknowledged by the server's kernel before the connection is considered
+	// broken. Zero selects the system's default, which is minutes.
 	AckTimeout time.Duration
 }
 
 // Error reports a request that got no answer.
 type Error struct {
-	// Sent tells that the server may have got the request.
+	// Sent is set if the server may have received the request.
 	Sent bool
-	// Reused tells that the connection had served a request before.
+	// Reused is set if the connection had served an earlier request.
 	Reused bool
 	Cause  error
 }
 
-// Error tells what was tried and what came of it.
+// Error reports whether connecting or sending failed, and why.
 func (e *Error) Error() string {
 	if !e.Sent {
 		return fmt.Sprintf("connecting: %v", e.Cause)
@@ -66,7 +67,7 @@
 // Unwrap returns the cause.
 func (e *Error) Unwrap() error { return e.Cause }
 
-// ConnectionLimitError reports that this router's share of a server's connections is in use.
+// ConnectionLimitError reports that all connections that this router may have to a server are in use.
 type ConnectionLimitError struct {
 	Address string
 	Open    int
@@ -77,11 +78,11 @@
 	return fmt.Sprintf("%d connections to %s are in use", e.Open, e.Address)
 }
 
-// Answer is a server's answer; Close must be called.
+// Answer is a server's answer. Close must be called.
 type Answer struct {
 	Status int
 	Header http.Header
-	// Framed tells that the answer says itself where it ends.
+	// Framed is set if the answer delimits its body, by Content-Length or a transfer encoding.
 	Framed   bool
 	body     io.ReadCloser
 	conn     *conn
@@ -89,7 +90,7 @@
 	closed   bool
 }
 
-// Read reads the body; io.EOF means that all of it was there.
+// Read reads the body. It returns io.EOF only at the end of a complete body.
 func (a *Answer) Read(b []byte) (int, error) {
 	n, err := a.body.Read(b)
 	if errors.Is(err, io.EOF) {
@@ -98,10 +99,11 @@
 	return n, err
 }
 
-// SetIdleTimeout tells how long the server keeps the connection when it is idle.
+// SetIdleTimeout sets how long the server keeps the connection open while it is idle.
 func (a *Answer) SetIdleTimeout(d time.Duration) { a.conn.idleTimeout = d }
 
-// Close ends the answer; its connection is kept only if everything on it was in order.
+// Close ends the answer. The connection is kept for reuse only if the whole answer was read and nothing unexpected happened on
+// it.
 func (a *Answer) Close() {
 	if a.closed {
 		return
@@ -110,8 +112,8 @@
 	a.conn.release(a.complete && a.Framed)
 }
 
-// Next drops this answer and reads the next one on the same connection: an answer to another request, sent twice,
-// may stand where the own one is expected.
+// Next discards the answer and reads the next one on the same connection. A faulty server may send the answer to another request
+// twice, so that the copy precedes the expected answer.
 func (a *Answer) Next() (*Answer, error) {
 	a.conn.tainted = true
 	if _, err := io.Copy(io.Discard, a); err != nil || !a.Framed {
@@ -131,7 +133,7 @@
 	return other
 }
 
-// Sender keeps the connections to all servers.
+// Sender holds the connections to all servers.
 type Sender struct {
 	dial func(ctx context.Context, network, address string) (net.Conn, error)
 	now  func() time.Time
@@ -141,13 +143,13 @@
 	dials int64
 }
 
-// connPool is one server's connections.
+// connPool holds the connections to one server.
 type connPool struct {
 	idle []*conn
 	open int
 }
 
-// conn is one connection; it serves one request at a time.
+// conn is a connection; it serves one request at a time.
 type conn struct {
 	sender      *Sender
 	address     string
@@ -157,29 +159,30 @@
 	requests    int
 	idleSince   time.Time
 	idleTimeout time.Duration
-	// ackTimeout is the limit that is set on the connection.
+	// ackTimeout is the acknowledgement timeout that is set on the socket.
 	ackTimeout time.Duration
 	stop       func() bool
 	method     string
-	// willClose tells that the server will close the connection, odd that something on it was not as it should be.
+	// willClose is set if the server announced that it closes the connection, tainted if anything unexpected happened on it.
 	willClose bool
 	tainted   bool
 }
 
-// New returns a sender that makes connections with dial and reads the time from now.
+// New returns a Sender that connects with dial and reads the time from now.
 func New(dial func(ctx context.Context, network, address string) (net.Conn, error), now func() time.Time) *Sender {
 	return &Sender{dial: dial, now: now, pools: map[string]*connPool{}}
 }
 
-// Dials returns how many connections have been made.
+// Dials returns the number of connections that were dialed, including failed attempts.
 func (s *Sender) Dials() int64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.dials
 }
 
-// Send sends a request and returns the head of the answer. At most limit connections to the server are open. It
-// fails with Error or ConnectionLimitError; when the context ends, the connection is closed.
+// Send sends a request and returns the head of the answer. It opens a new connection only while fewer than limit connections to
+// the server are open; zero means no limit. It fails with Error or ConnectionLimitError. If the context ends, the connection is
+// closed.
 func (s *Sender) Send(ctx context.Context, address string, limit int, r Request) (*Answer, error) {
 	c, err := s.acquire(ctx, address, limit, r)
 	if err != nil {
@@ -201,7 +204,7 @@
 	return a, nil
 }
 
-// acquire returns a kept connection that is in order, or a new one.
+// acquire returns a usable idle connection, or a new one.
 func (s *Sender) acquire(ctx context.Context, address string, limit int, r Request) (*conn, error) {
 	for {
 		c, open := s.acquireIdle(address, r.MaxIdle)
@@ -233,7 +236,7 @@
 	c := p.idle[len(p.idle)-1]
 	age := now.Sub(c.idleSince)
 	if age > c.maxIdle() {
-		// The others have been idle for longer.
+		// The other connections have been idle for longer.
 		p.closeConns(p.idle)
 		p.idle = nil
 		return nil, p.open
@@ -278,7 +281,7 @@
 	return &conn{sender: s, address: address, net: n, reader: bufio.NewReaderSize(n, readBufferSize)}, nil
 }
 
-// Retain closes the idle connections to servers that are not among the given addresses.
+// Retain closes the idle connections to all servers except those at the given addresses.
 func (s *Sender) Retain(keep map[string]bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -302,7 +305,7 @@
 	return time.Duration(float64(keep) * idleFraction)
 }
 
-// hasNoInput tells that nothing has come on an idle connection, neither its end nor bytes that belong to no request.
+// hasNoInput reports whether nothing has arrived on an idle connection: neither EOF nor bytes that belong to no request.
 func (c *conn) hasNoInput() bool {
 	if c.reader.Buffered() > 0 {
 		return false
@@ -325,8 +328,8 @@
 	return err == nil && noInput
 }
 
-// setAckTimeout sets how long sent bytes may stay unacknowledged. A kernel acknowledges them however busy its
-// server is, so this tells a machine without power, or a connection that has gone silent, from a server that works.
+// setAckTimeout sets how long sent bytes may stay unacknowledged. A kernel acknowledges them however busy its server process is,
+// so the timeout detects a machine without power or a silent connection, but not a slow server.
 func (c *conn) setAckTimeout(timeout time.Duration) {
 	tcp, ok := c.net.(*net.TCPConn)
 	if !ok || timeout == c.ackTimeout {
@@ -337,13 +340,13 @@
 		return
 	}
 	c.ackTimeout = timeout
-	// Without it the request's own time limits hold.
+	// If the option cannot be set, only the request's own deadline applies.
 	_ = raw.Control(func(fd uintptr) {
 		_ = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(timeout.Milliseconds()))
 	})
 }
 
-// write sends the request; a long body goes on beside the reading of the answer.
+// write sends the request. A body above maxInlineBody is written in a goroutine while the answer is read.
 func (c *conn) write(r Request) error {
 	head := make([]byte, 0, 1024)
 	head = append(head, r.Method...)
@@ -379,7 +382,7 @@
 	return nil
 }
 
-// readAnswer reads the head of the next answer, past any informational ones.
+// readAnswer reads the head of the next answer and skips informational ones.
 func (c *conn) readAnswer() (*Answer, error) {
 	for {
 		response, err := http.ReadResponse(c.reader, &http.Request{Method: c.method})
@@ -395,7 +398,7 @@
 	}
 }
 
-// release puts a connection back, or closes it.
+// release returns a connection to the pool, or closes it if it must not be reused.
 func (c *conn) release(reusable bool) {
 	stopped := c.stop()
 	if c.writeDone != nil {
@@ -403,7 +406,7 @@
 		case err := <-c.writeDone:
 			reusable = reusable && err == nil
 		default:
-			// The server answered before it had read the body; what it reads next must not be another request.
+			// The server answered before it read the whole body. It would read the rest of the body as the next request.
 			reusable = false
 		}
 		c.writeDone = nil
