--- a/sender/sender_test.go
+++ b/sender/sender_test.go
@@ -17,16 +17,16 @@
 	"github.com/masticway/masticway/sender"
 )
 
-// scriptedServer answers each connection's requests with the given bytes, one entry a request; a hook may act in between.
+// scriptedServer answers the requests on each connection with the given bytes, one entry per request.
 type scriptedServer struct {
 	t       *testing.T
 	l       net.Listener
 	answers []string
-	// closeAfter ends the connection after its last answer.
+	// closeAfter closes the connection after the last answer.
 	closeAfter bool
-	// unsolicited is sent a while after the last answer.
+	// unsolicited is sent 30 ms after the last answer.
 	unsolicited string
-	// ignoreBodies leaves the requests' bodies unread.
+	// ignoreBodies leaves the bodies of requests unread.
 	ignoreBodies bool
 	accepted     chan net.Conn
 }
@@ -95,16 +95,16 @@
 	cases := map[string]struct {
 		script scriptedServer
 		pause  time.Duration
-		// made is how many connections two requests take.
-		made int64
+		// dials is the number of connections dialed for two requests.
+		dials int64
 	}{
-		"in order":                   {script: scriptedServer{answers: []string{okAnswer, okAnswer}}, made: 1},
-		"chunked":                    {script: scriptedServer{answers: []string{"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nok\r\n0\r\n\r\n", okAnswer}}, made: 1},
-		"the server says close":      {script: scriptedServer{answers: []string{"HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 2\r\n\r\nok", okAnswer}}, made: 2},
-		"more bytes at once":         {script: scriptedServer{answers: []string{okAnswer + okAnswer, okAnswer}}, made: 2},
-		"more bytes later":           {script: scriptedServer{answers: []string{okAnswer}, unsolicited: okAnswer}, pause: 100 * time.Millisecond, made: 2},
-		"closed while idle":          {script: scriptedServer{answers: []string{okAnswer}, closeAfter: true}, pause: 50 * time.Millisecond, made: 2},
-		"no length, ended by server": {script: scriptedServer{answers: []string{"HTTP/1.1 200 OK\r\nConnection: close\r\n\r\nok"}, closeAfter: true}, made: 2},
+		"complete answers":           {script: scriptedServer{answers: []string{okAnswer, okAnswer}}, dials: 1},
+		"chunked":                    {script: scriptedServer{answers: []string{"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nok\r\n0\r\n\r\n", okAnswer}}, dials: 1},
+		"the server says close":      {script: scriptedServer{answers: []string{"HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 2\r\n\r\nok", okAnswer}}, dials: 2},
+		"more bytes at once":         {script: scriptedServer{answers: []string{okAnswer + okAnswer, okAnswer}}, dials: 2},
+		"more bytes later":           {script: scriptedServer{answers: []string{okAnswer}, unsolicited: okAnswer}, pause: 100 * time.Millisecond, dials: 2},
+		"closed while idle":          {script: scriptedServer{answers: []string{okAnswer}, closeAfter: true}, pause: 50 * time.Millisecond, dials: 2},
+		"no length, ended by server": {script: scriptedServer{answers: []string{"HTTP/1.1 200 OK\r\nConnection: close\r\n\r\nok"}, closeAfter: true}, dials: 2},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -116,7 +116,7 @@
 				qt.Assert(t, body, qt.Equals, "ok")
 				time.Sleep(tc.pause)
 			}
-			qt.Assert(t, s.Dials(), qt.Equals, tc.made)
+			qt.Assert(t, s.Dials(), qt.Equals, tc.dials)
 		})
 	}
 }
@@ -127,14 +127,14 @@
 		down   bool
 		sent   bool
 	}{
-		"nobody listens":      {down: true},
+		"no listener":         {down: true},
 		"closed, no answer":   {script: scriptedServer{answers: []string{""}, closeAfter: true}, sent: true},
 		"no answer at all":    {script: scriptedServer{answers: []string{"", ""}}, sent: true},
-		"half of a head":      {script: scriptedServer{answers: []string{"HTTP/1.1 20"}, closeAfter: true}, sent: true},
-		"bytes of no answer":  {script: scriptedServer{answers: []string{"\x00\x01garbage\r\n\r\n"}, closeAfter: true}, sent: true},
+		"a partial head":      {script: scriptedServer{answers: []string{"HTTP/1.1 20"}, closeAfter: true}, sent: true},
+		"not an answer":       {script: scriptedServer{answers: []string{"\x00\x01garbage\r\n\r\n"}, closeAfter: true}, sent: true},
 		"only informational":  {script: scriptedServer{answers: []string{"HTTP/1.1 103 Early Hints\r\n\r\n"}, closeAfter: true}, sent: true},
 		"an unfinished chunk": {script: scriptedServer{answers: []string{"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nab"}, closeAfter: true}, sent: true},
-		"less than its size":  {script: scriptedServer{answers: []string{"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nok"}, closeAfter: true}, sent: true},
+		"a truncated body":    {script: scriptedServer{answers: []string{"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nok"}, closeAfter: true}, sent: true},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -168,7 +168,7 @@
 	a.Close()
 	_, _, err = get(t.Context(), s, address)
 	qt.Assert(t, err, qt.IsNil)
-	qt.Assert(t, s.Dials(), qt.Equals, int64(2), qt.Commentf("a connection on which an answer was skipped was used again"))
+	qt.Assert(t, s.Dials(), qt.Equals, int64(2), qt.Commentf("a connection on which an answer was skipped was reused"))
 }
 
 func TestEarlyAnswerPreventsReuse(t *testing.T) {
@@ -211,31 +211,31 @@
 	qt.Assert(t, s.Dials(), qt.Equals, int64(2))
 }
 
-// TestAckTimeoutFollowsTheRequest reads from the kernel what is set on the one connection that both requests
-// use: only a request that may be repeated is given up when the far kernel is silent.
+// TestAckTimeoutFollowsTheRequest sends two requests with different timeouts on one connection and reads the socket option after
+// each. Only a request that may be retried has a timeout; one that must not be retried may not inherit it.
 func TestAckTimeoutFollowsTheRequest(t *testing.T) {
 	_, address := startServer(t, &scriptedServer{answers: []string{okAnswer, okAnswer}})
-	var made *net.TCPConn
-	d := sender.New(func(ctx context.Context, network, address string) (net.Conn, error) {
+	var conn *net.TCPConn
+	s := sender.New(func(ctx context.Context, network, address string) (net.Conn, error) {
 		c, err := (&net.Dialer{}).DialContext(ctx, network, address)
-		made, _ = c.(*net.TCPConn)
+		conn, _ = c.(*net.TCPConn)
 		return c, err
 	}, time.Now)
-	for _, within := range []time.Duration{700 * time.Millisecond, 0} {
-		a, err := d.Send(t.Context(), address, 0, sender.Request{
-			Method: "GET", Target: "/", Host: "h", ConnectTimeout: time.Second, AckTimeout: within,
+	for _, timeout := range []time.Duration{700 * time.Millisecond, 0} {
+		a, err := s.Send(t.Context(), address, 0, sender.Request{
+			Method: "GET", Target: "/", Host: "h", ConnectTimeout: time.Second, AckTimeout: timeout,
 		})
 		qt.Assert(t, err, qt.IsNil)
 		_, err = io.Copy(io.Discard, a)
 		qt.Assert(t, err, qt.IsNil)
 		a.Close()
-		raw, err := made.SyscallConn()
+		raw, err := conn.SyscallConn()
 		qt.Assert(t, err, qt.IsNil)
 		got := 0
 		qt.Assert(t, raw.Control(func(fd uintptr) {
 			got, err = unix.GetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT)
 		}), qt.IsNil)
 		qt.Assert(t, err, qt.IsNil)
-		qt.Assert(t, got, qt.Equals, int(within.Milliseconds()))
+		qt.Assert(t, got, qt.Equals, int(timeout.Milliseconds()))
 	}
 }
