--- a/forwarder/doc.go
+++ b/forwarder/doc.go
@@ -1,6 +1,6 @@
 // Package forwarder serves opaque requests. It passes the bytes between a
-// caller and a server without interpreting them, and knows only what the caller
-// declares about the request in its headers.
+// caller and a server without interpreting them, and uses only the request line
+// and what the caller declares about the request in its headers.
 //
 // An exchange carries one request. It finds the route and the workspace,
 // reserves budget for the most that the request may consume, chooses a server,
--- a/forwarder/ends.go
+++ b/forwarder/ends.go
@@ -41,8 +41,8 @@
 	finishedAt time.Time
 }
 
-// checks tells a server that has ended from a connection that has. All requests at a server break off when it ends, so they share
-// one check.
+// checks distinguishes servers that have ended from connections that have broken. All connections to a server break when it ends,
+// so they share one check.
 type checks struct {
 	dial  func(ctx context.Context, network, address string) (net.Conn, error)
 	clock masticway.Clock
--- a/forwarder/exchange.go
+++ b/forwarder/exchange.go
@@ -208,8 +208,8 @@
 	isFull bool
 	// connectionBroken is set if the connection ended before the answer did, abandoned if this router ended it.
 	connectionBroken, abandoned bool
-	// retryAfter is when a server that takes no requests now may take this one, and code the refusal code for it. It is zero if
-	// no such time is known.
+	// retryAfter is how long it takes until a server that takes no requests now may take this one, and code the refusal code for
+	// it. It is zero if that is unknown.
 	retryAfter time.Duration
 	code       string
 	// suspect is set if the request may not run now because it is a suspect.
