--- a/relayer/large_test.go
+++ b/relayer/large_test.go
@@ -17,8 +17,8 @@
 	"github.com/masticway/masticway/platform"
 )
 
-// prepared serves answers that were made before, so that they begin at once, however busy the machine is.
-func prepared(h http.Handler, urls ...string) http.Handler {
+// prerenderedHandler serves answers that were rendered in advance, so that they start at once even on a busy machine.
+func prerenderedHandler(h http.Handler, urls ...string) http.Handler {
 	answers := map[string][]byte{}
 	for _, u := range urls {
 		recorder := httptest.NewRecorder()
@@ -31,60 +31,60 @@
 			http.NotFound(w, r)
 			return
 		}
-		// A caller that leaves gets nothing.
+		// Writing fails if the caller has left.
 		_, _ = w.Write(answer)
 	})
 }
 
-// TestNoOtherRouterIsAskedForWhatArrives has a row that takes a slow link many times as long as a call may usually take
-// alone. Others are asked where the answer doesn't begin, not where it goes on.
+// TestNoOtherRouterIsAskedForWhatArrives reads a row that takes a slow link many times as long as the hedge delay. A call may be
+// hedged if its answer does not begin, but not while the answer is arriving.
 func TestNoOtherRouterIsAskedForWhatArrives(t *testing.T) {
 	const rate, size, begin = 1 << 20, 512 << 10, 300 * time.Millisecond
 	cases := map[string]struct {
-		read func(s masticway.RowStore) (masticway.RowReading, error)
-		away bool
+		read       func(s masticway.RowStore) (masticway.RowReading, error)
+		directDown bool
 	}{
-		"a reading": {read: func(s masticway.RowStore) (masticway.RowReading, error) { return s.Read(t.Context(), "op", "") }},
-		"changes": {read: func(s masticway.RowStore) (masticway.RowReading, error) {
+		"a read": {read: func(s masticway.RowStore) (masticway.RowReading, error) { return s.Read(t.Context(), "op", "") }},
+		"a watch": {read: func(s masticway.RowStore) (masticway.RowReading, error) {
 			return s.Watch(t.Context(), masticway.WatchRequest{Table: "op", MaxWait: 100 * time.Millisecond})
 		}},
-		"a reading, through another router": {
-			read: func(s masticway.RowStore) (masticway.RowReading, error) { return s.Read(t.Context(), "op", "") }, away: true,
+		"a relayed read": {
+			read: func(s masticway.RowStore) (masticway.RowReading, error) { return s.Read(t.Context(), "op", "") }, directDown: true,
 		},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
-			f := newFleet(t)
+			f := newRouterPair(t)
 			f.rows.Put(masticway.RowKey{Table: "op", Key: "large"}, []byte(strings.Repeat("x", size)))
-			server := httptest.NewServer(prepared(f.rows.Handler(), "/-/rows-get?part=&table=op", "/-/rows-feed?since_rev=0&table=op&wait_ms=100"))
+			server := httptest.NewServer(prerenderedHandler(f.rows.Handler(), "/-/rows-get?part=&table=op", "/-/rows-feed?since_rev=0&table=op&wait_ms=100"))
 			t.Cleanup(server.Close)
 			link := emulator.NewLink(rate)
 			t.Cleanup(link.Close)
 			address, err := link.To(strings.TrimPrefix(server.URL, "http://"))
 			qt.Assert(t, err, qt.IsNil)
-			store := f.router(t, platform.NewStore(address, begin))
-			if tc.away {
-				f.own.how.Store(busy)
-				f.turnAway(t)
+			store := f.newRouter(t, platform.NewStore(address, begin))
+			if tc.directDown {
+				f.ownPath.mode.Store(pathUnavailable)
+				f.takeDirectDown(t)
 				store = f.store
 				f.address, err = link.To(f.address)
 				qt.Assert(t, err, qt.IsNil)
 			}
-			asked := f.other.used.Load()
+			asked := f.otherPath.calls.Load()
 			began := time.Now()
 			reading, err := tc.read(store)
 			qt.Assert(t, err, qt.IsNil)
 			qt.Check(t, len(reading.Rows[0].Value), qt.Equals, size)
-			qt.Check(t, time.Since(began) > begin, qt.IsTrue, qt.Commentf("too fast to tell"))
-			if !tc.away {
-				qt.Check(t, f.other.used.Load(), qt.Equals, asked)
+			qt.Check(t, time.Since(began) > begin, qt.IsTrue, qt.Commentf("the answer was too fast for this test"))
+			if !tc.directDown {
+				qt.Check(t, f.otherPath.calls.Load(), qt.Equals, asked)
 			}
 		})
 	}
 }
 
-// stalls serves a store whose answers begin and never go on, once it is told to; each begins with so many of its bytes.
-func stalls(t *testing.T, h http.Handler, first int) (address string, stall func()) {
+// startStallingServer serves the handler's answers until stall is called. From then on each answer stops after its first bytes.
+func startStallingServer(t *testing.T, h http.Handler, first int) (address string, stall func()) {
 	var on atomic.Bool
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if !on.Load() {
@@ -102,24 +102,23 @@
 	return strings.TrimPrefix(server.URL, "http://"), func() { on.Store(true) }
 }
 
-// TestAnswersThatBeginAndStallAreSoughtElsewhere has a direct way that is cut in the middle of an answer, while another
-// router reaches the store.
-func TestAnswersThatBeginAndStallAreSoughtElsewhere(t *testing.T) {
+// TestStalledAnswerIsRelayed cuts the direct path in the middle of an answer, while another router reaches the store.
+func TestStalledAnswerIsRelayed(t *testing.T) {
 	const within = time.Second
 	key := masticway.RowKey{Table: "op", Key: "x"}
 	cases := map[string]struct {
 		size, first int
 		call        func(s masticway.RowStore) error
 	}{
-		"a small reading": {size: 1, first: 1, call: func(s masticway.RowStore) error {
+		"a small read": {size: 1, first: 1, call: func(s masticway.RowStore) error {
 			_, err := s.Read(t.Context(), "op", "")
 			return err
 		}},
-		"a large reading": {size: 256 << 10, first: 100 << 10, call: func(s masticway.RowStore) error {
+		"a large read": {size: 256 << 10, first: 100 << 10, call: func(s masticway.RowStore) error {
 			_, err := s.Read(t.Context(), "op", "")
 			return err
 		}},
-		"changes": {size: 1, first: 1, call: func(s masticway.RowStore) error {
+		"a watch": {size: 1, first: 1, call: func(s masticway.RowStore) error {
 			_, err := s.Watch(t.Context(), masticway.WatchRequest{Table: "op", MaxWait: 100 * time.Millisecond})
 			return err
 		}},
@@ -128,7 +127,7 @@
 				Expected: []masticway.RowVersion{{RowKey: key, Version: 1}}, Puts: []masticway.RowPut{{RowKey: key, Value: []byte("w")}},
 			})
 			if _, conflict := errors.AsType[*masticway.RowConflictError](err); conflict {
-				// It was made on the direct way, and the other one says so.
+				// The write was made on the direct path, which the relayed copy reports as a conflict.
 				return nil
 			}
 			return err
@@ -137,10 +136,10 @@
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			f := newFleet(t)
+			f := newRouterPair(t)
 			f.rows.Put(key, []byte(strings.Repeat("x", tc.size)))
-			address, stall := stalls(t, f.rows.Handler(), tc.first)
-			s := f.router(t, platform.NewStore(address, 600*time.Millisecond))
+			address, stall := startStallingServer(t, f.rows.Handler(), tc.first)
+			s := f.newRouter(t, platform.NewStore(address, 600*time.Millisecond))
 			_, err := s.Read(t.Context(), "op", "")
 			qt.Assert(t, err, qt.IsNil)
 			stall()
@@ -151,21 +150,22 @@
 	}
 }
 
-// TestNothingIsCarriedForARouterThatHasLeft has another router whose own link is too slow for a large reading.
-func TestNothingIsCarriedForARouterThatHasLeft(t *testing.T) {
+// TestRelayStopsWhenPeerLeaves relays a large read through a router whose own link is too slow for it. It guards against
+// transferring the answer after the asking router has given up.
+func TestRelayStopsWhenPeerLeaves(t *testing.T) {
 	const rate, size = 1 << 20, 4 << 20
-	f := newFleet(t)
+	f := newRouterPair(t)
 	f.rows.Put(masticway.RowKey{Table: "op", Key: "large"}, []byte(strings.Repeat("x", size)))
-	server := httptest.NewServer(prepared(f.rows.Handler(), "/-/rows-get?part=&table=op"))
+	server := httptest.NewServer(prerenderedHandler(f.rows.Handler(), "/-/rows-get?part=&table=op"))
 	t.Cleanup(server.Close)
 	link := emulator.NewLink(rate)
 	t.Cleanup(link.Close)
 	address, err := link.To(strings.TrimPrefix(server.URL, "http://"))
 	qt.Assert(t, err, qt.IsNil)
-	f.own.how.Store(busy)
-	f.turnAway(t)
+	f.ownPath.mode.Store(pathUnavailable)
+	f.takeDirectDown(t)
 	mux := http.NewServeMux()
-	f.router(t, platform.NewStore(address, 600*time.Millisecond)).Serve(mux)
+	f.newRouter(t, platform.NewStore(address, 600*time.Millisecond)).Serve(mux)
 	helper := httptest.NewServer(mux)
 	t.Cleanup(helper.Close)
 	f.address = strings.TrimPrefix(helper.URL, "http://")
@@ -174,13 +174,14 @@
 	time.Sleep(200 * time.Millisecond)
 	before := link.Carried()
 	time.Sleep(time.Second)
-	qt.Check(t, link.Carried()-before < rate/10, qt.IsTrue, qt.Commentf("%d bytes for nobody", link.Carried()-before))
+	qt.Check(t, link.Carried()-before < rate/10, qt.IsTrue, qt.Commentf("%d bytes after the peer had left", link.Carried()-before))
 }
 
-// TestLargeReadingsSayNothingOfSmallCalls has a store that falls silent after a reading that took a second.
-func TestLargeReadingsSayNothingOfSmallCalls(t *testing.T) {
+// TestLargeReadDoesNotRaiseHedgeDelay has a store that falls silent after a read that took a second. It guards against including
+// the duration of large answers in the hedge delay.
+func TestLargeReadDoesNotRaiseHedgeDelay(t *testing.T) {
 	const rate, size = 1 << 20, 768 << 10
-	f := newFleet(t)
+	f := newRouterPair(t)
 	f.rows.Put(masticway.RowKey{Table: "op", Key: "large"}, []byte(strings.Repeat("x", size)))
 	var silent atomic.Bool
 	inner := f.rows.Handler()
@@ -196,7 +197,7 @@
 	t.Cleanup(link.Close)
 	address, err := link.To(strings.TrimPrefix(server.URL, "http://"))
 	qt.Assert(t, err, qt.IsNil)
-	s := f.router(t, platform.NewStore(address, 600*time.Millisecond))
+	s := f.newRouter(t, platform.NewStore(address, 600*time.Millisecond))
 	for range 10 {
 		_, err = s.Read(t.Context(), "small", "")
 		qt.Assert(t, err, qt.IsNil)
--- a/relayer/relayer.go
+++ b/relayer/relayer.go
@@ -17,146 +17,149 @@
 const (
 	serviceName = "row store"
 
-	// relayLeast and relayMost bound how long the store may take before another router is asked as well: many times its
-	// usual 4 ms, a fraction of what a caller waits for money. In between it is relayTimes the time that direct calls
-	// take at present: where the store is slow for everybody, asking others only makes it slower.
-	relayLeast = 60 * time.Millisecond
-	relayMost  = 400 * time.Millisecond
-	relayTimes = 3
-	// followAfter is the same for a followed table, beyond the wait that was asked for.
-	followAfter = 250 * time.Millisecond
-	// awayAfter is how long every direct call must have failed, other than by a refusal for the rate, before others are
-	// asked at once: a single failure says nothing of the next call.
-	awayAfter = 100 * time.Millisecond
-	// busyAfter and busyCalls are how long, and in how many calls, the store must have refused everything for its rate
-	// before this counts as being turned away. A store that refuses every second call refuses so many in a row once in
-	// 250 times; asking others for a store over its rate doubles its load.
-	busyAfter = 400 * time.Millisecond
-	busyCalls = 8
-	// probePause separates two direct calls while the store turns this router away, and probesMost bounds those under
-	// way: one that a cut has swallowed does not keep the next from finding the store back.
-	probePause = 120 * time.Millisecond
-	probesMost = 4
-	// relayTimeout is how long the answer to one call through another router may take to begin: a store's answer and two
-	// ways between availability zones.
+	// minHedgeDelay and maxHedgeDelay bound how long the store may take before another router is asked as well. They are many
+	// times its typical 4 ms and a fraction of what a caller waits for its budget. Between them the delay is hedgeLatencyFactor
+	// times the current latency of direct calls: if the store is slow for all routers, hedging only makes it slower.
+	minHedgeDelay      = 60 * time.Millisecond
+	maxHedgeDelay      = 400 * time.Millisecond
+	hedgeLatencyFactor = 3
+	// watchHedgeDelay is the hedge delay of a watch, in addition to its maximum wait.
+	watchHedgeDelay = 250 * time.Millisecond
+	// directDownAfter is how long all direct calls must have failed, other than by rate limiting, before calls are relayed at
+	// once. A single failure does not predict the result of the next call.
+	directDownAfter = 100 * time.Millisecond
+	// rateLimitedAfter and rateLimitedCalls are for how long, and in how many calls, the store must have rejected every call for
+	// its rate before the direct path counts as down. A store that rejects every second call rejects that many in a row once in
+	// 250 times. Relaying the calls to a store that is over its rate doubles its load.
+	rateLimitedAfter = 400 * time.Millisecond
+	rateLimitedCalls = 8
+	// probeInterval is the time between two direct calls while the direct path is down, and maxProbes the number of them in
+	// progress. More than one is needed because a call that is lost in a partition must not keep the next one from finding that
+	// the store is reachable again.
+	probeInterval = 120 * time.Millisecond
+	maxProbes     = 4
+	// relayTimeout is how long the answer to a relayed call may take to begin: the store's answer and two round trips between
+	// availability zones.
 	relayTimeout = 400 * time.Millisecond
-	// graceAfter is how long the direct way may still take once no other router could help.
-	graceAfter = 200 * time.Millisecond
-	// routersAsked bounds the routers that are asked for one call.
-	routersAsked = 2
+	// directGrace is how long a direct call may still take after no other router could help.
+	directGrace = 200 * time.Millisecond
+	// maxPeersAsked bounds the routers that are asked for one call.
+	maxPeersAsked = 2
 )
 
 // Names of metrics.
 const (
-	metricRelayed  = "store_calls_relayed"
-	metricUnhelped = "store_calls_not_relayed"
-	metricHelped   = "store_calls_for_others"
-	metricBusy     = "store_calls_over_rate"
+	metricRelayed        = "store_calls_relayed"
+	metricRelayFailed    = "store_calls_not_relayed"
+	metricServedForPeers = "store_calls_for_others"
+	metricRateLimited    = "store_calls_over_rate"
 )
 
-// Store is a row store that is reached directly, or through another router.
+// Store is a row store that is reached directly or through another router.
 type Store struct {
-	direct   masticway.RowStore
-	messages *messenger.Client
-	clock    masticway.Clock
-	log      *logrus.Entry
-	metrics  *measurer.Set
+	direct  masticway.RowStore
+	client  *messenger.Client
+	clock   masticway.Clock
+	log     *logrus.Entry
+	metrics *measurer.Set
 
-	// calls are the direct calls under way, which end with the store's own context.
-	calls sync.WaitGroup
-	own   context.Context
-	end   context.CancelFunc
+	// calls are the direct calls in progress. They end with ctx.
+	calls  sync.WaitGroup
+	ctx    context.Context
+	cancel context.CancelFunc
 
 	mu sync.Mutex
-	// peers names the addresses of other routers, back is told when direct calls work again.
-	peers func() []string
-	back  func()
-	// measured is told how long direct calls took.
-	measured func(took time.Duration, answered bool)
-	// workedAt is when a direct call last had a definite end, failingSince since when none had, zero while they do.
-	workedAt     time.Time
+	// peers returns the addresses of other routers. onRestored is called when direct calls work again.
+	peers      func() []string
+	onRestored func()
+	// observeLatency is called with the duration of direct calls.
+	observeLatency func(took time.Duration, answered bool)
+	// lastSuccess is when a direct call last got a definite result. failingSince is when the first of the direct calls that
+	// failed since then was sent; it is zero if none failed.
+	lastSuccess  time.Time
 	failingSince time.Time
-	// busySince and busy are since when and how often the store has refused for its rate and done nothing else.
-	busySince time.Time
-	busy      int
-	// usual is the moving average of what a direct call with a definite end takes.
-	usual time.Duration
-	// away tells that direct calls have failed for a while; straight counts those under way.
-	away     bool
-	straight int
-	probedAt time.Time
-	// first is where the list of routers begins; it moves on when none of those asked could help.
-	first int
+	// rateLimitedSince and rateLimitedCount are the time of the first and the number of rate-limited calls since the last
+	// definite result.
+	rateLimitedSince time.Time
+	rateLimitedCount int
+	// meanLatency is the moving average of the latency of direct calls with a definite result.
+	meanLatency time.Duration
+	// directDown is set if direct calls have failed for a while. directInFlight counts the direct calls in progress.
+	directDown     bool
+	directInFlight int
+	lastProbe      time.Time
+	// firstPeer is the index of the first peer to ask. It advances if none of the peers that were asked could help.
+	firstPeer int
 }
 
 var _ masticway.RowStore = (*Store)(nil)
 
-// New returns a store over a direct one; it knows no other routers yet.
+// New returns a Store that calls a direct one. It knows no peers until Ask is called.
 func New(direct masticway.RowStore, m *messenger.Client, clock masticway.Clock, log *logrus.Entry, metrics *measurer.Set) *Store {
-	s := &Store{direct: direct, messages: m, clock: clock, log: log, metrics: metrics, peers: func() []string { return nil }, back: func() {}, measured: func(time.Duration, bool) {}}
-	s.own, s.end = context.WithCancel(context.Background())
+	s := &Store{direct: direct, client: m, clock: clock, log: log, metrics: metrics, peers: func() []string { return nil }, onRestored: func() {}, observeLatency: func(time.Duration, bool) {}}
+	s.ctx, s.cancel = context.WithCancel(context.Background())
 	return s
 }
 
-// Close ends the calls that are under way.
+// Close cancels the direct calls in progress and waits for them.
 func (s *Store) Close() {
-	s.end()
+	s.cancel()
 	s.calls.Wait()
 }
 
-// Ask tells where other routers are found.
+// Ask sets the function that returns the addresses of other routers.
 func (s *Store) Ask(peers func() []string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.peers = peers
 }
 
-// WhenBack has a function called whenever direct calls work again.
+// WhenBack sets a function that is called whenever direct calls work again.
 func (s *Store) WhenBack(f func()) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.back = f
+	s.onRestored = f
 }
 
-// Measure has a function told how long each direct call takes but those that wait for changes or whose answer is large, and
-// whether there was an answer.
-func (s *Store) Measure(measured func(took time.Duration, answered bool)) {
+// Measure sets a function that is called with the duration of direct calls, and whether the store answered. A call that failed
+// within minHedgeDelay counts as answered. Watches, large answers and rate-limited calls are not measured.
+func (s *Store) Measure(observe func(took time.Duration, answered bool)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.measured = measured
+	s.observeLatency = observe
 }
 
 // Read returns the rows of one part of a table.
 func (s *Store) Read(ctx context.Context, table, part string) (masticway.RowReading, error) {
-	return onlyRead(s.call(ctx, order{Table: table, Part: part}))
+	return readOutcome(s.call(ctx, storeCall{Table: table, Part: part}))
 }
 
-// Write commits a write; it must expect a version of a row that it puts.
+// Write commits a write. The write must expect a version of a row that it puts; otherwise it could be made twice.
 func (s *Store) Write(ctx context.Context, w masticway.RowWrite) (masticway.RowReading, error) {
-	return s.call(ctx, order{Write: &w})
+	return s.call(ctx, storeCall{Write: &w})
 }
 
 // Watch returns the changes of a table.
 func (s *Store) Watch(ctx context.Context, f masticway.WatchRequest) (masticway.RowReading, error) {
-	return onlyRead(s.call(ctx, order{Table: f.Table, Follow: true, Since: f.Since, Wait: f.MaxWait, AtMost: f.MaxBytes}))
+	return readOutcome(s.call(ctx, storeCall{Table: f.Table, Watch: true, Since: f.Since, MaxWait: f.MaxWait, MaxBytes: f.MaxBytes}))
 }
 
-// onlyRead turns an unknown outcome into the certainty that a reading changes nothing.
-func onlyRead(reading masticway.RowReading, err error) (masticway.RowReading, error) {
+// readOutcome replaces an unknown outcome by an unavailable store, because a read has no effect.
+func readOutcome(reading masticway.RowReading, err error) (masticway.RowReading, error) {
 	if unknown, ok := errors.AsType[*masticway.OutcomeUnknownError](err); ok {
 		return reading, &masticway.UnavailableError{Service: serviceName, Reason: unknown.Reason}
 	}
 	return reading, err
 }
 
-// result is how one way ended.
+// result is the result of one attempt.
 type result struct {
 	reading masticway.RowReading
 	err     error
 }
 
-// definite tells that no other way can bring more.
-func (r result) definite() bool {
+// isDefinite reports whether no other attempt can get a better result.
+func (r result) isDefinite() bool {
 	if r.err == nil {
 		return true
 	}
@@ -167,158 +170,158 @@
 	return ok
 }
 
-// busy tells that the store refused for its rate.
-func (r result) busy() bool {
+// isRateLimited reports whether the store rejected the call for its rate.
+func (r result) isRateLimited() bool {
 	refused, ok := errors.AsType[*masticway.UnavailableError](r.err)
 	return ok && refused.RateLimited
 }
 
-// call carries an order out directly and, when that fails or takes long, through another router.
-func (s *Store) call(ctx context.Context, o order) (masticway.RowReading, error) {
-	w := newWays(ctx, s, o)
-	defer w.leave()
-	return w.end()
+// call makes a call directly and, if that fails or takes long, through another router.
+func (s *Store) call(ctx context.Context, c storeCall) (masticway.RowReading, error) {
+	p := startCall(ctx, s, c)
+	defer p.cancelRelay()
+	return p.wait()
 }
 
-// worse keeps an unknown outcome unknown, whatever the other way said.
-func worse(a, b result) result {
+// worseOf returns an unknown outcome if there is one, since the other attempt's failure does not make it certain.
+func worseOf(a, b result) result {
 	if _, ok := errors.AsType[*masticway.OutcomeUnknownError](a.err); ok {
 		return a
 	}
 	return b
 }
 
-// choose tells whether a call is to be made directly, which is only a probe while the store turns this router away, and
-// whether others are to be asked at once.
-func (s *Store) choose(o order) (direct, away bool) {
+// plan reports whether to make a call directly and whether to relay it at once. While the direct path is down, a direct call is
+// only a probe.
+func (s *Store) plan(call storeCall) (direct, relayNow bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := s.clock.Now()
-	if s.away && (o.Follow || s.straight >= probesMost || now.Sub(s.probedAt) < probePause) {
+	if s.directDown && (call.Watch || s.directInFlight >= maxProbes || now.Sub(s.lastProbe) < probeInterval) {
 		return false, true
 	}
-	s.probedAt = now
-	return true, s.away
+	s.lastProbe = now
+	return true, s.directDown
 }
 
-// goStraight makes a direct call. It outlives its caller: when another router was faster, its end still tells whether
-// the store answers this one; it ends with the context alone. It calls progress whenever more of a large answer arrives.
-func (s *Store) goStraight(ctx context.Context, o order, progress func()) result {
+// callDirect makes a direct call. It may outlast its caller: if another router is faster, the result still shows whether the
+// store serves this router. It ends early only if ctx does. It calls progress whenever more of a large answer arrives.
+func (s *Store) callDirect(ctx context.Context, call storeCall, progress func()) result {
 	sentAt := s.clock.Now()
-	s.count(1)
+	s.addInFlight(1)
 	large := false
-	r := o.carryOut(receiver.WithProgress(ctx, func() {
+	r := call.run(receiver.WithProgress(ctx, func() {
 		large = true
 		progress()
 	}), s.direct)
-	s.count(-1)
+	s.addInFlight(-1)
 	switch {
-	case r.definite():
+	case r.isDefinite():
 		if !large {
-			// What a large answer takes says nothing of when the next one should begin.
-			s.took(o, sentAt)
+			// The duration of a large answer does not predict when the next answer begins.
+			s.recordLatency(call, sentAt)
 		}
-		s.regained()
+		s.recordSuccess()
 	case ctx.Err() != nil:
-		// It was not the store that ended it.
-	case r.busy():
-		s.refused(sentAt, r.err)
+		// The call was canceled, so its failure says nothing about the store.
+	case r.isRateLimited():
+		s.recordRateLimited(sentAt, r.err)
 	default:
-		s.failed(o, sentAt)
-		s.turnedAway(sentAt, r.err)
+		s.recordFailedLatency(call, sentAt)
+		s.recordFailure(sentAt, r.err)
 	}
 	return r
 }
 
-// took notes how long a direct call took.
-func (s *Store) took(o order, sentAt time.Time) {
-	if o.Follow {
+// recordLatency records the latency of a direct call with a definite result.
+func (s *Store) recordLatency(call storeCall, sentAt time.Time) {
+	if call.Watch {
 		return
 	}
 	s.mu.Lock()
-	took, measured := s.clock.Now().Sub(sentAt), s.measured
-	s.usual += (took - s.usual) / 8
+	took, measured := s.clock.Now().Sub(sentAt), s.observeLatency
+	s.meanLatency += (took - s.meanLatency) / 8
 	s.mu.Unlock()
 	measured(took, true)
 }
 
-// failed notes how long a direct call took that got no answer, or that the store did not carry out.
-func (s *Store) failed(o order, sentAt time.Time) {
-	if o.Follow {
+// recordFailedLatency reports the duration of a direct call that failed, other than by rate limiting.
+func (s *Store) recordFailedLatency(call storeCall, sentAt time.Time) {
+	if call.Watch {
 		return
 	}
 	s.mu.Lock()
-	took, measured := s.clock.Now().Sub(sentAt), s.measured
+	took, measured := s.clock.Now().Sub(sentAt), s.observeLatency
 	s.mu.Unlock()
-	measured(took, took < relayLeast)
+	measured(took, took < minHedgeDelay)
 }
 
-// patience is how long the direct way may take alone.
-func (s *Store) patience(o order) time.Duration {
-	if o.Follow {
-		return o.Wait + followAfter
+// hedgeDelay returns how long a direct call may take before it is relayed as well.
+func (s *Store) hedgeDelay(call storeCall) time.Duration {
+	if call.Watch {
+		return call.MaxWait + watchHedgeDelay
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return min(relayMost, max(relayLeast, relayTimes*s.usual))
+	return min(maxHedgeDelay, max(minHedgeDelay, hedgeLatencyFactor*s.meanLatency))
 }
 
-// refused notes a call that the store refused for its rate.
-func (s *Store) refused(sentAt time.Time, cause error) {
-	s.metrics.Add(metricBusy, 1)
+// recordRateLimited records a call that the store rejected for its rate.
+func (s *Store) recordRateLimited(sentAt time.Time, cause error) {
+	s.metrics.Add(metricRateLimited, 1)
 	s.mu.Lock()
-	if s.busy == 0 {
-		s.busySince = sentAt
+	if s.rateLimitedCount == 0 {
+		s.rateLimitedSince = sentAt
 	}
-	s.busy++
-	turnedAway := s.busy >= busyCalls && s.clock.Now().Sub(s.busySince) >= busyAfter
+	s.rateLimitedCount++
+	isDown := s.rateLimitedCount >= rateLimitedCalls && s.clock.Now().Sub(s.rateLimitedSince) >= rateLimitedAfter
 	s.mu.Unlock()
-	if turnedAway {
-		s.turnedAway(sentAt, cause)
+	if isDown {
+		s.recordFailure(sentAt, cause)
 	}
 }
 
-// count notes that a direct call has begun or ended.
-func (s *Store) count(change int) {
+// addInFlight adds to the number of direct calls in progress.
+func (s *Store) addInFlight(change int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.straight += change
+	s.directInFlight += change
 }
 
-func (s *Store) isAway() bool {
+func (s *Store) isDirectDown() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.away
+	return s.directDown
 }
 
-// turnedAway notes a direct call that was sent at a time and failed.
-func (s *Store) turnedAway(sentAt time.Time, cause error) {
+// recordFailure records the failure of a direct call that was sent at sentAt.
+func (s *Store) recordFailure(sentAt time.Time, cause error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.failingSince.IsZero() {
 		s.failingSince = sentAt
 	}
-	if s.failingSince.Before(s.workedAt) {
-		// A feed that broke off says nothing of the time in which other calls worked.
-		s.failingSince = s.workedAt
+	if s.failingSince.Before(s.lastSuccess) {
+		// A watch that started long ago may fail although other calls have succeeded since.
+		s.failingSince = s.lastSuccess
 	}
-	if s.away || s.clock.Now().Sub(s.failingSince) < awayAfter {
+	if s.directDown || s.clock.Now().Sub(s.failingSince) < directDownAfter {
 		return
 	}
-	s.away = true
-	s.log.WithFields(logrus.Fields{"event": "store_turned_away", "error": cause, "routers": len(s.peers())}).Warn("store does not answer this router; others are asked")
+	s.directDown = true
+	s.log.WithFields(logrus.Fields{"event": "store_turned_away", "error": cause, "routers": len(s.peers())}).Warn("direct path to the store is down; calls are relayed")
 }
 
-func (s *Store) regained() {
+func (s *Store) recordSuccess() {
 	s.mu.Lock()
-	was, back := s.away, s.back
-	s.away = false
-	s.busy = 0
-	s.workedAt, s.failingSince = s.clock.Now(), time.Time{}
+	wasDown, onRestored := s.directDown, s.onRestored
+	s.directDown = false
+	s.rateLimitedCount = 0
+	s.lastSuccess, s.failingSince = s.clock.Now(), time.Time{}
 	s.mu.Unlock()
-	if !was {
+	if !wasDown {
 		return
 	}
-	back()
-	s.log.WithFields(logrus.Fields{"event": "store_direct"}).Info("store answers this router again")
+	onRestored()
+	s.log.WithFields(logrus.Fields{"event": "store_direct"}).Info("direct path to the store is restored")
 }
