--- a/chooser/bench_test.go
+++ b/chooser/bench_test.go
@@ -17,7 +17,7 @@
 			for i := range n {
 				name := fmt.Sprint("upstream-", i)
 				candidates = append(candidates, chooser.Candidate{Instance: name, Zone: "z"})
-				c.Report(start, name, report(i%4, 0))
+				c.Report(start, name, loadReport(i%4, 0))
 				c.Sent(start, name, work)
 			}
 			b.ReportAllocs()
--- a/chooser/chooser_test.go
+++ b/chooser/chooser_test.go
@@ -13,14 +13,14 @@
 
 var start = time.Unix(1_800_000_000, 0)
 
-var both = []chooser.Candidate{{Instance: "a", Zone: "z"}, {Instance: "b", Zone: "z"}}
+var twoCandidates = []chooser.Candidate{{Instance: "a", Zone: "z"}, {Instance: "b", Zone: "z"}}
 
 func prompt(fill byte, n int) chooser.Work {
 	data := bytes.Repeat([]byte{fill}, n)
 	return chooser.Work{PromptBytes: n, Prefixes: chooser.Prefixes(data), Zone: "z"}
 }
 
-func report(running, queued int) masticway.LoadReport {
+func loadReport(running, queued int) masticway.LoadReport {
 	return masticway.LoadReport{Running: running, Queued: queued, Capacity: 4, PrefillTime: 0.001, TokenTime: 0.01}
 }
 
@@ -31,8 +31,8 @@
 		chosen  string
 	}{
 		"a queue elsewhere": {func(c *chooser.Chooser) {
-			c.Report(start, "a", report(4, 6))
-			c.Report(start, "b", report(1, 0))
+			c.Report(start, "a", loadReport(4, 6))
+			c.Report(start, "b", loadReport(1, 0))
 		}, prompt('x', 400), "b"},
 		"a cached prefix": {func(c *chooser.Chooser) {
 			c.Sent(start, "b", prompt('x', 8000))
@@ -40,25 +40,25 @@
 			c.Done(start, "b", time.Second, true, prompt('x', 8000))
 		}, prompt('x', 8000), "b"},
 		"a reported prefix": {func(c *chooser.Chooser) {
-			r := report(0, 0)
+			r := loadReport(0, 0)
 			r.Prefixes = chooser.Prefixes(bytes.Repeat([]byte{'x'}, 8000))
 			c.Report(start, "b", r)
-			c.Report(start, "a", report(0, 0))
+			c.Report(start, "a", loadReport(0, 0))
 		}, prompt('x', 8000), "b"},
 		"affinity is bounded by load": {func(c *chooser.Chooser) {
 			c.Sent(start, "b", prompt('x', 8000))
-			c.Report(start, "b", report(4, 20))
-			c.Report(start, "a", report(0, 0))
+			c.Report(start, "b", loadReport(4, 20))
+			c.Report(start, "a", loadReport(0, 0))
 		}, prompt('x', 8000), "a"},
 		"a prefix that has expired": {func(c *chooser.Chooser) {
 			c.Sent(start.Add(-time.Hour), "b", prompt('x', 8000))
 			c.FirstToken("b", prompt('x', 8000))
-			c.Report(start, "a", report(0, 0))
-			c.Report(start, "b", report(2, 0))
+			c.Report(start, "a", loadReport(0, 0))
+			c.Report(start, "b", loadReport(2, 0))
 		}, prompt('x', 8000), "a"},
 		"a lagging report is corrected by what was sent since": {func(c *chooser.Chooser) {
-			c.Report(start, "a", report(0, 0))
-			c.Report(start, "b", report(0, 0))
+			c.Report(start, "a", loadReport(0, 0))
+			c.Report(start, "b", loadReport(0, 0))
 			for range 8 {
 				c.Sent(start, "a", prompt('y', 300))
 			}
@@ -68,8 +68,8 @@
 		t.Run(name, func(t *testing.T) {
 			c := chooser.New(chooser.PolicyForecast)
 			tc.prepare(c)
-			i, scores := c.Choose(start, tc.work, both)
-			qt.Assert(t, both[i].Instance, qt.Equals, tc.chosen, qt.Commentf("%+v", scores))
+			i, scores := c.Choose(start, tc.work, twoCandidates)
+			qt.Assert(t, twoCandidates[i].Instance, qt.Equals, tc.chosen, qt.Commentf("%+v", scores))
 		})
 	}
 }
@@ -86,42 +86,42 @@
 }
 
 func TestBaselines(t *testing.T) {
-	turn := chooser.New(chooser.PolicyRoundRobin)
+	roundRobin := chooser.New(chooser.PolicyRoundRobin)
 	counts := map[int]int{}
 	for range 10 {
-		i, _ := turn.Choose(start, prompt('x', 10), both)
+		i, _ := roundRobin.Choose(start, prompt('x', 10), twoCandidates)
 		counts[i]++
 	}
 	qt.Assert(t, counts, qt.DeepEquals, map[int]int{0: 5, 1: 5})
-	least := chooser.New(chooser.PolicyLeastBusy)
-	least.Sent(start, "a", prompt('x', 10))
-	i, _ := least.Choose(start, prompt('x', 10), both)
-	qt.Assert(t, both[i].Instance, qt.Equals, "b")
+	leastInFlight := chooser.New(chooser.PolicyLeastInFlight)
+	leastInFlight.Sent(start, "a", prompt('x', 10))
+	i, _ := leastInFlight.Choose(start, prompt('x', 10), twoCandidates)
+	qt.Assert(t, twoCandidates[i].Instance, qt.Equals, "b")
 }
 
-func TestHintsThatFailLoseTrust(t *testing.T) {
+func TestMissedCacheHintsLoseWeight(t *testing.T) {
 	c := chooser.New(chooser.PolicyForecast)
 	work := prompt('w', 8000)
 	c.Sent(start, "b", work)
 	c.FirstToken("b", work)
-	c.Report(start, "a", report(1, 0))
-	c.Report(start, "b", report(2, 0))
-	before, _ := c.Choose(start, work, both)
-	qt.Assert(t, both[before].Instance, qt.Equals, "b")
+	c.Report(start, "a", loadReport(1, 0))
+	c.Report(start, "b", loadReport(2, 0))
+	before, _ := c.Choose(start, work, twoCandidates)
+	qt.Assert(t, twoCandidates[before].Instance, qt.Equals, "b")
 	// The engine had evicted it each time; now the shorter queue wins over the hint.
 	for range 20 {
 		c.Counted("b", 2000, 0)
 	}
-	after, scores := c.Choose(start, work, both)
-	qt.Assert(t, both[after].Instance, qt.Equals, "a", qt.Commentf("%+v", scores))
+	after, scores := c.Choose(start, work, twoCandidates)
+	qt.Assert(t, twoCandidates[after].Instance, qt.Equals, "a", qt.Commentf("%+v", scores))
 	for range 20 {
 		c.Counted("b", 2000, 2000)
 	}
-	again, _ := c.Choose(start, work, both)
-	qt.Assert(t, both[again].Instance, qt.Equals, "b")
+	again, _ := c.Choose(start, work, twoCandidates)
+	qt.Assert(t, twoCandidates[again].Instance, qt.Equals, "b")
 }
 
-func TestTwoRoutersGatherAPrefixAtOneEngine(t *testing.T) {
+func TestRoutersAgreeOnEngineForPrefix(t *testing.T) {
 	four := []chooser.Candidate{{Instance: "a"}, {Instance: "b"}, {Instance: "c"}, {Instance: "d"}}
 	engines := map[byte]map[string]int{}
 	routers := []*chooser.Chooser{chooser.New(chooser.PolicyForecast), chooser.New(chooser.PolicyForecast)}
--- a/chooser/cold.go
+++ b/chooser/cold.go
@@ -18,9 +18,9 @@
 	Slack     float64
 }
 
-// owner is how many of them the server's owner sends, the one router that sends to it while it is cold: half, since two
+// ownerLimit is how many of them the server's owner sends, the one router that sends to it while it is cold: half, since two
 // may each take themselves for the owner while they know different routers.
-func (b ColdBound) owner(rate float64) int { return max(1, int((b.Overshoot*rate+b.Slack)/2)) }
+func (b ColdBound) ownerLimit(rate float64) int { return max(1, int((b.Overshoot*rate+b.Slack)/2)) }
 
 // Warm returns the servers that may get any request, and of the cold ones those that may get one more from this router,
 // which has to own the server and to be below the owner's bound. Cold servers are meant for requests that no warm one can
@@ -37,7 +37,7 @@
 			// Most of the time none is cold, and nothing is copied.
 			warm = append(make([]masticway.Server, 0, len(servers)), servers[:i]...)
 		}
-		if len(s.load(server.ID).sentLately(now)) < s.policy.Cold.owner(rate) && owns(server.ID) {
+		if len(s.load(server.ID).recentlySent(now)) < s.policy.Cold.ownerLimit(rate) && owns(server.ID) {
 			cold = append(cold, server)
 		}
 	}
@@ -47,8 +47,8 @@
 	return warm, cold
 }
 
-// sentLately returns when requests were sent in the last coldWindow, oldest first; earlier ones are forgotten.
-func (l *serverLoad) sentLately(now time.Time) []time.Time {
-	l.sent = slices.DeleteFunc(l.sent, func(at time.Time) bool { return now.Sub(at) >= coldWindow })
-	return l.sent
+// recentlySent returns when requests were sent in the last coldWindow, oldest first; earlier ones are forgotten.
+func (l *serverLoad) recentlySent(now time.Time) []time.Time {
+	l.sendTimes = slices.DeleteFunc(l.sendTimes, func(at time.Time) bool { return now.Sub(at) >= coldWindow })
+	return l.sendTimes
 }
--- a/chooser/cold_test.go
+++ b/chooser/cold_test.go
@@ -16,16 +16,16 @@
 
 var coldBound = chooser.ColdBound{Overshoot: 1.5, Slack: 5}
 
-// chill returns servers of which some are cold.
-func chill(n int, cold ...int) []masticway.Server {
+// coldPool returns servers of which some are cold.
+func coldPool(n int, cold ...int) []masticway.Server {
 	servers := pool(n)
 	for _, i := range cold {
-		servers[i].ColdUntil = opening.Add(time.Hour)
+		servers[i].ColdUntil = testTime.Add(time.Hour)
 	}
 	return servers
 }
 
-func TestColdServersAreForRequestsThatNoWarmOneCanServe(t *testing.T) {
+func TestEligibleColdServers(t *testing.T) {
 	cases := map[string]struct {
 		cold       []int
 		alone      bool
@@ -40,20 +40,20 @@
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
 			s := chooser.NewServers(chooser.ServerPolicy{Cold: coldBound})
-			warm, cold := s.Warm(opening, chill(3, tc.cold...), coldRate, func(string) bool { return tc.alone })
+			warm, cold := s.Warm(testTime, coldPool(3, tc.cold...), coldRate, func(string) bool { return tc.alone })
 			qt.Assert(t, warm, qt.HasLen, tc.warm)
 			qt.Assert(t, cold, qt.HasLen, tc.last)
 		})
 	}
 }
 
-// TestColdServersAreNotOverrun has all servers of a pool cold, as after a loss of power of a place, while callers of many
+// TestColdServersStayWithinLimit has all servers of a pool cold, as after a loss of power of a place, while callers of many
 // routers press: no server may get more than the bound in any second, although routers disagree on who sends to it. Each
 // request comes at one of 31 routers; two of them take themselves for the one of each server, as after a restart.
-func TestColdServersAreNotOverrun(t *testing.T) {
+func TestColdServersStayWithinLimit(t *testing.T) {
 	const routers, requestsEach, span = 31, 400, 4 * time.Second
 	bound := int(coldBound.Overshoot*coldRate + coldBound.Slack)
-	servers := chill(8, 0, 1, 2, 3, 4, 5, 6, 7)
+	servers := coldPool(8, 0, 1, 2, 3, 4, 5, 6, 7)
 	arrived := map[string][]time.Time{}
 	draw := rand.New(rand.NewPCG(1, 2))
 	var views []*chooser.Servers
@@ -61,7 +61,7 @@
 		views = append(views, chooser.NewServers(chooser.ServerPolicy{Cold: coldBound}))
 	}
 	for i := range routers * requestsEach {
-		now := opening.Add(span * time.Duration(i) / (routers * requestsEach))
+		now := testTime.Add(span * time.Duration(i) / (routers * requestsEach))
 		r := draw.IntN(routers)
 		_, cold := views[r].Warm(now, servers, coldRate, func(server string) bool {
 			owner := int(server[len(server)-1] - '0')
--- a/chooser/cost.go
+++ b/chooser/cost.go
@@ -35,7 +35,7 @@
 
 func (s *Servers) cost(now time.Time, engine bool, p Prompt, server masticway.Server, home bool) float64 {
 	l := s.load(server.ID)
-	cost := l.failures * failureCost
+	cost := l.failureRate * failureCost
 	if now.Before(l.avoidUntil) {
 		cost += failureCost * 10
 	}
@@ -45,18 +45,18 @@
 	if !engine {
 		return cost + float64(l.inFlight)*plainCost
 	}
-	unread := float64(p.Tokens - l.cached(now, p, home))
-	return cost + (unread+l.reading)/tokensPerMillisecond + float64(l.inFlight)*runningCost + l.delayed(now)
+	uncached := float64(p.Tokens - l.cachedTokens(now, p, home))
+	return cost + (uncached+l.pendingPrefill)/tokensPerMillisecond + float64(l.inFlight)*runningCost + l.currentDelay(now)
 }
 
 // rankCost is what each rank of a server costs a prompt, in milliseconds: the more there is to share, the more it matters
 // that all routers leave the home for the same servers.
 func (s *Servers) rankCost(p Prompt) float64 {
-	return s.policy.RankShare * float64(p.shared()) / tokensPerMillisecond
+	return s.policy.RankShare * float64(p.sharedTokens()) / tokensPerMillisecond
 }
 
-// shared is how many of the prompt's tokens other requests may have too.
-func (p Prompt) shared() int {
+// sharedTokens is how many of the prompt's tokens other requests may have too.
+func (p Prompt) sharedTokens() int {
 	tokens := 0
 	for _, part := range p.Parts[:max(0, len(p.Parts)-1)] {
 		tokens += part.Tokens
--- a/chooser/prefixes.go
+++ b/chooser/prefixes.go
@@ -17,41 +17,43 @@
 	return hashes
 }
 
-// prefixes remembers prefix hashes for a while, in bounded memory.
-type prefixes struct {
-	limit int
-	seen  map[uint64]time.Time
+// prefixSet remembers prefix hashes for a while, in bounded memory.
+type prefixSet struct {
+	limit    int
+	lastSeen map[uint64]time.Time
 }
 
-func newPrefixes(limit int) prefixes { return prefixes{limit: limit, seen: map[uint64]time.Time{}} }
+func newPrefixSet(limit int) prefixSet {
+	return prefixSet{limit: limit, lastSeen: map[uint64]time.Time{}}
+}
 
 // depth returns how many leading blocks are known; a known hash covers all blocks before it.
-func (p prefixes) depth(now time.Time, hashes []uint64) int {
+func (p prefixSet) depth(now time.Time, hashes []uint64) int {
 	for i := len(hashes) - 1; i >= 0; i-- {
-		if at, ok := p.seen[hashes[i]]; ok && now.Sub(at) <= prefixLife {
+		if at, ok := p.lastSeen[hashes[i]]; ok && now.Sub(at) <= prefixTTL {
 			return i + 1
 		}
 	}
 	return 0
 }
 
-// learn remembers hashes, forgetting the older half when there is no room.
-func (p prefixes) learn(now time.Time, hashes []uint64) {
-	if len(p.seen)+len(hashes) > p.limit {
-		p.forget(now)
+// add remembers hashes, forgetting the older half when there is no room.
+func (p prefixSet) add(now time.Time, hashes []uint64) {
+	if len(p.lastSeen)+len(hashes) > p.limit {
+		p.evict(now)
 	}
 	for _, h := range hashes {
-		p.seen[h] = now
+		p.lastSeen[h] = now
 	}
 }
 
-func (p prefixes) forget(now time.Time) {
-	for h, at := range p.seen {
-		if now.Sub(at) > prefixLife/2 {
-			delete(p.seen, h)
+func (p prefixSet) evict(now time.Time) {
+	for h, at := range p.lastSeen {
+		if now.Sub(at) > prefixTTL/2 {
+			delete(p.lastSeen, h)
 		}
 	}
-	if len(p.seen) > p.limit/2 {
-		clear(p.seen)
+	if len(p.lastSeen) > p.limit/2 {
+		clear(p.lastSeen)
 	}
 }
--- a/chooser/servers.go
+++ b/chooser/servers.go
@@ -10,8 +10,8 @@
 	"github.com/masticway/masticway"
 )
 
-// ranksCounted is how many ranks count.
-const ranksCounted = 6
+// maxRank is how many ranks count.
+const maxRank = 6
 
 // Prompt describes a request to be placed at one of a pool's servers.
 type Prompt struct {
@@ -23,8 +23,8 @@
 	Zone string
 }
 
-// home is the part by which all routers gather requests at one engine: the last one that others may share.
-func (p Prompt) home() (string, bool) {
+// homePart is the part by which all routers gather requests at one engine: the last one that others may share.
+func (p Prompt) homePart() (string, bool) {
 	switch len(p.Parts) {
 	case 0:
 		return "", false
@@ -39,9 +39,9 @@
 type Servers struct {
 	policy ServerPolicy
 	loads  map[string]*serverLoad
-	// born is when the lives of the known servers began.
-	born map[string]time.Time
-	turn int
+	// startTimes is when the lives of the known servers began.
+	startTimes map[string]time.Time
+	choices    int
 }
 
 // NewServers returns a placement that has observed nothing.
@@ -51,25 +51,25 @@
 
 // Choose returns the index of the server with the least expected cost in milliseconds, or -1 without one.
 func (s *Servers) Choose(now time.Time, engine bool, p Prompt, servers []masticway.Server) (int, float64) {
-	s.turn++
+	s.choices++
 	var ranks []int
-	if part, ok := p.home(); ok && engine {
+	if part, ok := p.homePart(); ok && engine {
 		ranks = rankServers(part, servers)
 	}
 	rankCost := s.rankCost(p)
-	best, least := -1, 0.0
+	best, bestCost := -1, 0.0
 	for i := range servers {
 		// Equal costs take turns.
-		k := (i + s.turn) % len(servers)
+		k := (i + s.choices) % len(servers)
 		cost := s.cost(now, engine, p, servers[k], ranks != nil && ranks[k] == 0)
 		if ranks != nil {
-			cost += float64(min(ranks[k], ranksCounted)) * rankCost
+			cost += float64(min(ranks[k], maxRank)) * rankCost
 		}
-		if best < 0 || cost < least {
-			best, least = k, cost
+		if best < 0 || cost < bestCost {
+			best, bestCost = k, cost
 		}
 	}
-	return best, least
+	return best, bestCost
 }
 
 // rankServers orders servers by their rendezvous weights for a part, so that all routers agree without a word on its
@@ -79,7 +79,7 @@
 	weights := make([]uint64, len(servers))
 	order := make([]int, len(servers))
 	for i, server := range servers {
-		weights[i] = rendezvous(hash, server.ID)
+		weights[i] = rendezvousWeight(hash, server.ID)
 		order[i] = i
 	}
 	slices.SortFunc(order, func(x, y int) int { return cmp.Compare(weights[y], weights[x]) })
--- a/chooser/servers_test.go
+++ b/chooser/servers_test.go
@@ -25,34 +25,34 @@
 	}}
 }
 
-var opening = time.Date(2026, 12, 2, 9, 0, 0, 0, time.UTC)
+var testTime = time.Date(2026, 12, 2, 9, 0, 0, 0, time.UTC)
 
-func TestRoutersAgreeOnASessionsHomeWithoutAWord(t *testing.T) {
+func TestRoutersAgreeOnSessionHome(t *testing.T) {
 	servers := pool(9)
 	homes := map[int]int{}
 	for i := range 90 {
 		session := fmt.Sprintf("s%d", i)
-		first, _ := chooser.NewServers(chooser.ServerPolicy{}).Choose(opening, true, chat(session), servers)
-		second, _ := chooser.NewServers(chooser.ServerPolicy{}).Choose(opening, true, chat(session), servers)
+		first, _ := chooser.NewServers(chooser.ServerPolicy{}).Choose(testTime, true, chat(session), servers)
+		second, _ := chooser.NewServers(chooser.ServerPolicy{}).Choose(testTime, true, chat(session), servers)
 		qt.Assert(t, second, qt.Equals, first)
 		homes[first]++
 	}
 	qt.Assert(t, len(homes), qt.Equals, 9, qt.Commentf("homes are not spread: %v", homes))
 }
 
-func TestBusyHomeIsLeft(t *testing.T) {
+func TestBusyHomeIsAvoided(t *testing.T) {
 	s, servers := chooser.NewServers(chooser.ServerPolicy{}), pool(9)
-	home, _ := s.Choose(opening, true, chat("s"), servers)
+	home, _ := s.Choose(testTime, true, chat("s"), servers)
 	for i := range 12 {
-		s.Sent(opening, chat(fmt.Sprintf("other%d", i)), servers[home].ID)
+		s.Sent(testTime, chat(fmt.Sprintf("other%d", i)), servers[home].ID)
 	}
-	next, _ := s.Choose(opening, true, chat("s"), servers)
+	next, _ := s.Choose(testTime, true, chat("s"), servers)
 	qt.Assert(t, next, qt.Not(qt.Equals), home)
 }
 
-// TestRoutersAgreeOnWhereACrowdedHomesRequestsGo has a subject that is asked for by many callers at once, through several
+// TestRoutersAgreeOnOverflowServers has a subject that is asked for by many callers at once, through several
 // routers that know nothing of each other's requests: beside its home its parts are read at the same few engines for all.
-func TestRoutersAgreeOnWhereACrowdedHomesRequestsGo(t *testing.T) {
+func TestRoutersAgreeOnOverflowServers(t *testing.T) {
 	const routers, requests = 8, 12
 	spread := func(p chooser.ServerPolicy) int {
 		used := map[int]bool{}
@@ -61,21 +61,21 @@
 			for i := range requests {
 				prompt := chat("s")
 				prompt.Parts[2].ID = fmt.Sprintf("own-%d-%d", r, i)
-				k, _ := s.Choose(opening, true, prompt, servers)
-				s.Sent(opening, prompt, servers[k].ID)
+				k, _ := s.Choose(testTime, true, prompt, servers)
+				s.Sent(testTime, prompt, servers[k].ID)
 				used[k] = true
 			}
 		}
 		return len(used)
 	}
-	ranked, own := spread(chooser.ServerPolicy{RankShare: 0.8}), spread(chooser.ServerPolicy{})
-	qt.Assert(t, ranked <= 6, qt.IsTrue, qt.Commentf("%d engines read the parts, %d without ranks", ranked, own))
-	qt.Assert(t, own > ranked, qt.IsTrue, qt.Commentf("%d engines read the parts, %d without ranks", ranked, own))
+	ranked, unranked := spread(chooser.ServerPolicy{RankShare: 0.8}), spread(chooser.ServerPolicy{})
+	qt.Assert(t, ranked <= 6, qt.IsTrue, qt.Commentf("%d engines read the parts, %d without ranks", ranked, unranked))
+	qt.Assert(t, unranked > ranked, qt.IsTrue, qt.Commentf("%d engines read the parts, %d without ranks", ranked, unranked))
 }
 
-// TestLongAnswersToShortPromptsAreMadeNearby has two kinds of requests whose bytes between zones cost alike: one with a
+// TestLongAnswersToShortPromptsStayInZone has two kinds of requests whose bytes between zones cost alike: one with a
 // hundred tokens to share, one with five thousand.
-func TestLongAnswersToShortPromptsAreMadeNearby(t *testing.T) {
+func TestLongAnswersToShortPromptsStayInZone(t *testing.T) {
 	const output = 300
 	cases := map[string]struct {
 		shared int
@@ -96,8 +96,8 @@
 					{ID: fmt.Sprintf("subject%d", i), Tokens: tc.shared}, {ID: fmt.Sprintf("own%d", i), Tokens: 400},
 				}}
 				s := chooser.NewServers(chooser.ServerPolicy{RankShare: 0.8, ZoneTokenCost: 0.04})
-				k, _ := s.Choose(opening, true, p, servers)
-				anywhere, _ := chooser.NewServers(chooser.ServerPolicy{RankShare: 0.8}).Choose(opening, true, p, servers)
+				k, _ := s.Choose(testTime, true, p, servers)
+				anywhere, _ := chooser.NewServers(chooser.ServerPolicy{RankShare: 0.8}).Choose(testTime, true, p, servers)
 				if k == anywhere {
 					home++
 				}
@@ -115,17 +115,17 @@
 	}
 }
 
-func TestUnreachedServerIsPassedOverForAWhile(t *testing.T) {
+func TestUnreachableServerIsAvoided(t *testing.T) {
 	s, servers := chooser.NewServers(chooser.ServerPolicy{}), pool(2)
-	p := s.Sent(opening, chooser.Prompt{}, servers[0].ID)
-	s.Ended(opening, p, chooser.VerdictUnreached)
+	p := s.Sent(testTime, chooser.Prompt{}, servers[0].ID)
+	s.Ended(testTime, p, chooser.VerdictUnreached)
 	for range 4 {
-		i, _ := s.Choose(opening.Add(100*time.Millisecond), false, chooser.Prompt{Zone: "z"}, servers)
+		i, _ := s.Choose(testTime.Add(100*time.Millisecond), false, chooser.Prompt{Zone: "z"}, servers)
 		qt.Assert(t, i, qt.Equals, 1)
 	}
 }
 
-func TestGreyServerIsSuspectAndAPoolThatFailsAlikeIsNot(t *testing.T) {
+func TestOutlierServer(t *testing.T) {
 	cases := map[string]struct {
 		fails map[int]bool
 		want  bool
@@ -143,7 +143,7 @@
 					if tc.fails[i] {
 						verdict = chooser.VerdictFailed
 					}
-					s.Ended(opening, s.Sent(opening, chooser.Prompt{}, server.ID), verdict)
+					s.Ended(testTime, s.Sent(testTime, chooser.Prompt{}, server.ID), verdict)
 				}
 			}
 			qt.Assert(t, s.Suspect(servers[0].ID, servers), qt.Equals, tc.want)
@@ -155,41 +155,41 @@
 	s, servers := chooser.NewServers(chooser.ServerPolicy{}), pool(4)
 	counts := map[int]int{}
 	for range 40 {
-		i, _ := s.Choose(opening, false, chooser.Prompt{Zone: "z"}, servers)
+		i, _ := s.Choose(testTime, false, chooser.Prompt{Zone: "z"}, servers)
 		counts[i]++
 	}
 	qt.Assert(t, counts, qt.DeepEquals, map[int]int{0: 10, 1: 10, 2: 10, 3: 10})
 }
 
-func TestNobodyToChoose(t *testing.T) {
-	i, _ := chooser.NewServers(chooser.ServerPolicy{}).Choose(opening, true, chat("s"), nil)
+func TestNoServers(t *testing.T) {
+	i, _ := chooser.NewServers(chooser.ServerPolicy{}).Choose(testTime, true, chat("s"), nil)
 	qt.Assert(t, i, qt.Equals, -1)
 }
 
-// TestServerThatStartsAgainIsAStranger has a server that starts again under its id: it holds no parts, has no load, and
+// TestRestartedServerHasNoState has a server that starts again under its id: it holds no parts, has no load, and
 // what ends late of the life before counts for nothing.
-func TestServerThatStartsAgainIsAStranger(t *testing.T) {
+func TestRestartedServerHasNoState(t *testing.T) {
 	s := chooser.NewServers(chooser.ServerPolicy{})
 	servers := []masticway.Server{{ID: "a"}, {ID: "b"}}
-	born := map[string]time.Time{"a": opening, "b": opening}
-	qt.Assert(t, s.Keep(born), qt.HasLen, 0)
+	startTimes := map[string]time.Time{"a": testTime, "b": testTime}
+	qt.Assert(t, s.Keep(startTimes), qt.HasLen, 0)
 	var open []*chooser.Placement
 	for range 20 {
-		open = append(open, s.Sent(opening, chooser.Prompt{}, "a"))
+		open = append(open, s.Sent(testTime, chooser.Prompt{}, "a"))
 	}
 	costs := func() (float64, float64) {
-		_, a := s.Choose(opening, false, chooser.Prompt{}, servers[:1])
-		_, b := s.Choose(opening, false, chooser.Prompt{}, servers[1:])
+		_, a := s.Choose(testTime, false, chooser.Prompt{}, servers[:1])
+		_, b := s.Choose(testTime, false, chooser.Prompt{}, servers[1:])
 		return a, b
 	}
 	busy, idle := costs()
 	qt.Assert(t, busy > idle, qt.IsTrue)
-	qt.Assert(t, s.Keep(map[string]time.Time{"a": opening.Add(time.Second), "b": opening}), qt.DeepEquals, []string{"a"})
-	again, idle := costs()
-	qt.Assert(t, again, qt.Equals, idle)
+	qt.Assert(t, s.Keep(map[string]time.Time{"a": testTime.Add(time.Second), "b": testTime}), qt.DeepEquals, []string{"a"})
+	restarted, idle := costs()
+	qt.Assert(t, restarted, qt.Equals, idle)
 	for _, p := range open {
-		s.Ended(opening, p, chooser.VerdictUnreached)
+		s.Ended(testTime, p, chooser.VerdictUnreached)
 	}
-	again, idle = costs()
-	qt.Assert(t, again, qt.Equals, idle, qt.Commentf("the ends of the life before count for nothing"))
+	restarted, idle = costs()
+	qt.Assert(t, restarted, qt.Equals, idle, qt.Commentf("the ends of the life before count for nothing"))
 }
