--- a/throttler/limits_test.go
+++ b/throttler/limits_test.go
@@ -10,84 +10,84 @@
 	"github.com/masticway/masticway/throttler"
 )
 
-// TestNewestWordCounts: a word that comes late, or that routers repeat to each other, outlives what the server has said after it.
-func TestNewestWordCounts(t *testing.T) {
+// TestNewestObservationWins: a word that comes late, or that routers repeat to each other, outlives what the server has said after it.
+func TestNewestObservationWins(t *testing.T) {
 	limit := masticway.RateLimit{IsSet: true, Rate: 2}
 	less := masticway.RateLimit{IsSet: true, Rate: 1}
-	type said struct {
+	type observed struct {
 		at, age time.Duration
 		limit   masticway.RateLimit
 	}
 	cases := map[string]struct {
-		observations []said
+		observations []observed
 		want         masticway.RateLimit
 	}{
-		"one":                        {observations: []said{{limit: limit}}, want: limit},
-		"another rate":               {observations: []said{{limit: limit}, {at: 1, limit: less}}, want: less},
-		"the end":                    {observations: []said{{limit: limit}, {at: 1}}},
-		"an older one comes late":    {observations: []said{{limit: limit}, {at: time.Second}, {at: 2 * time.Second, age: 1500 * time.Millisecond, limit: limit}}},
-		"a younger one is heard of":  {observations: []said{{limit: limit}, {at: time.Second, age: 100 * time.Millisecond}}},
-		"an older end is heard of":   {observations: []said{{at: time.Second, limit: limit}, {at: 2 * time.Second, age: 1500 * time.Millisecond}}, want: limit},
-		"one is repeated and ends":   {observations: []said{{limit: limit}, {at: time.Second, age: 10 * time.Millisecond, limit: limit}, {at: time.Second, age: 500 * time.Millisecond}}},
-		"the same is said once more": {observations: []said{{limit: limit}, {at: time.Second, limit: limit}, {at: time.Second, age: 500 * time.Millisecond}}, want: limit},
-		"the end of an unknown one":  {observations: []said{{}}},
+		"one":                        {observations: []observed{{limit: limit}}, want: limit},
+		"another rate":               {observations: []observed{{limit: limit}, {at: 1, limit: less}}, want: less},
+		"the end":                    {observations: []observed{{limit: limit}, {at: 1}}},
+		"an older one comes late":    {observations: []observed{{limit: limit}, {at: time.Second}, {at: 2 * time.Second, age: 1500 * time.Millisecond, limit: limit}}},
+		"a younger one is heard of":  {observations: []observed{{limit: limit}, {at: time.Second, age: 100 * time.Millisecond}}},
+		"an older end is heard of":   {observations: []observed{{at: time.Second, limit: limit}, {at: 2 * time.Second, age: 1500 * time.Millisecond}}, want: limit},
+		"one is repeated and ends":   {observations: []observed{{limit: limit}, {at: time.Second, age: 10 * time.Millisecond, limit: limit}, {at: time.Second, age: 500 * time.Millisecond}}},
+		"the same is said once more": {observations: []observed{{limit: limit}, {at: time.Second, limit: limit}, {at: time.Second, age: 500 * time.Millisecond}}, want: limit},
+		"the end of an unknown one":  {observations: []observed{{}}},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
 			limits := throttler.NewLimits()
-			began := time.Unix(1_000_000, 0)
+			start := time.Unix(1_000_000, 0)
 			for _, s := range tc.observations {
-				limits.Heard(began.Add(s.at), server, throttler.Observation{Limit: s.limit, Age: s.age})
+				limits.Observe(start.Add(s.at), limitedServer, throttler.Observation{Limit: s.limit, Age: s.age})
 			}
-			qt.Assert(t, limits.Limit(server), qt.Equals, tc.want)
-			named := 0
+			qt.Assert(t, limits.Limit(limitedServer), qt.Equals, tc.want)
+			limitedCount := 0
 			if tc.want.IsSet {
-				named = 1
+				limitedCount = 1
 			}
-			qt.Assert(t, limits.Named(), qt.Equals, named)
+			qt.Assert(t, limits.LimitedCount(), qt.Equals, limitedCount)
 		})
 	}
 }
 
-// TestLimitOutlivesALapsedRow: a server whose row lapses and comes back is overrun until it has named its limit again.
-func TestLimitOutlivesALapsedRow(t *testing.T) {
+// TestLimitSurvivesExpiredRow: a server whose row lapses and comes back is overrun until it has named its limit again.
+func TestLimitSurvivesExpiredRow(t *testing.T) {
 	limits := throttler.NewLimits()
 	now := time.Unix(1_000_000, 0)
 	limit := masticway.RateLimit{IsSet: true, Rate: 5}
-	limits.Heard(now, server, throttler.Observation{Limit: limit})
+	limits.Observe(now, limitedServer, throttler.Observation{Limit: limit})
 	now = now.Add(10 * time.Second)
-	limits.Keep(now, map[masticway.ServerIncarnation]bool{})
-	qt.Assert(t, limits.Limit(server), qt.Equals, limit)
+	limits.Prune(now, map[masticway.ServerIncarnation]bool{})
+	qt.Assert(t, limits.Limit(limitedServer), qt.Equals, limit)
 	now = now.Add(time.Hour)
-	limits.Keep(now, map[masticway.ServerIncarnation]bool{server: true})
-	qt.Assert(t, limits.Limit(server), qt.Equals, limit)
-	limits.Keep(now, map[masticway.ServerIncarnation]bool{})
-	qt.Assert(t, limits.Limit(server), qt.Equals, limit)
+	limits.Prune(now, map[masticway.ServerIncarnation]bool{limitedServer: true})
+	qt.Assert(t, limits.Limit(limitedServer), qt.Equals, limit)
+	limits.Prune(now, map[masticway.ServerIncarnation]bool{})
+	qt.Assert(t, limits.Limit(limitedServer), qt.Equals, limit)
 	now = now.Add(time.Hour)
-	limits.Keep(now, map[masticway.ServerIncarnation]bool{})
-	qt.Assert(t, limits.Named(), qt.Equals, 0)
+	limits.Prune(now, map[masticway.ServerIncarnation]bool{})
+	qt.Assert(t, limits.LimitedCount(), qt.Equals, 0)
 }
 
-// TestPermitsLapse: permits that routers have saved up are all used at once.
-func TestPermitsLapse(t *testing.T) {
+// TestPermitsExpire: permits that routers have saved up are all used at once.
+func TestPermitsExpire(t *testing.T) {
 	limits := throttler.NewLimits()
 	now := time.Unix(1_000_000, 0)
-	word := throttler.Observation{Limit: masticway.RateLimit{IsSet: true, Rate: 5}}
-	limits.Heard(now, server, word)
-	ask := func() throttler.Verdict {
-		v, _ := limits.Take(now, server)
+	observation := throttler.Observation{Limit: masticway.RateLimit{IsSet: true, Rate: 5}}
+	limits.Observe(now, limitedServer, observation)
+	ask := func() throttler.Decision {
+		v, _ := limits.Acquire(now, limitedServer)
 		return v
 	}
-	qt.Assert(t, ask(), qt.Equals, throttler.VerdictAsk)
-	qt.Assert(t, ask(), qt.Equals, throttler.VerdictAsked)
-	qt.Assert(t, limits.Wanted(server), qt.Equals, 2)
-	limits.Answered(now, server, &throttler.Reply{Observed: word, Granted: 3}, 1)
-	qt.Assert(t, ask(), qt.Equals, throttler.VerdictAdmitted)
+	qt.Assert(t, ask(), qt.Equals, throttler.DecisionAsk)
+	qt.Assert(t, ask(), qt.Equals, throttler.DecisionWait)
+	qt.Assert(t, limits.PermitsWanted(limitedServer), qt.Equals, 2)
+	limits.HandleReply(now, limitedServer, &throttler.PermitReply{Observed: observation, Granted: 3}, 1)
+	qt.Assert(t, ask(), qt.Equals, throttler.DecisionAdmitted)
 	now = now.Add(time.Second)
-	qt.Assert(t, ask(), qt.Equals, throttler.VerdictAsk, qt.Commentf("two permits have lapsed"))
-	limits.Answered(now, server, nil, 1)
-	qt.Assert(t, ask(), qt.Equals, throttler.VerdictRefused)
-	limits.GiveBack(now, server)
-	qt.Assert(t, ask(), qt.Equals, throttler.VerdictAdmitted)
-	qt.Assert(t, ask(), qt.Equals, throttler.VerdictRefused)
+	qt.Assert(t, ask(), qt.Equals, throttler.DecisionAsk, qt.Commentf("two permits have lapsed"))
+	limits.HandleReply(now, limitedServer, nil, 1)
+	qt.Assert(t, ask(), qt.Equals, throttler.DecisionRefused)
+	limits.ReturnPermit(now, limitedServer)
+	qt.Assert(t, ask(), qt.Equals, throttler.DecisionAdmitted)
+	qt.Assert(t, ask(), qt.Equals, throttler.DecisionRefused)
 }
--- a/throttler/messages.go
+++ b/throttler/messages.go
@@ -20,9 +20,9 @@
 // Routers are the other routers, which own limits or are told of them.
 type Routers interface {
 	// Ask puts a question to the router at an address.
-	Ask(ctx context.Context, address string, q Question) (Reply, error)
-	// Known asks the router at an address for all limits that it knows.
-	Known(ctx context.Context, address string) (Observations, error)
+	Ask(ctx context.Context, address string, req PermitRequest) (PermitReply, error)
+	// Observations asks the router at an address for all limits that it knows.
+	Observations(ctx context.Context, address string) (Observations, error)
 }
 
 // Client asks over connections between routers; it implements Routers.
@@ -34,17 +34,17 @@
 func NewClient(m *messenger.Client) *Client { return &Client{messages: m} }
 
 // Ask puts a question to the router at an address.
-func (c *Client) Ask(ctx context.Context, address string, q Question) (Reply, error) {
-	return messenger.Call[Reply](ctx, c.messages, address, pathLimit, q)
+func (c *Client) Ask(ctx context.Context, address string, req PermitRequest) (PermitReply, error) {
+	return messenger.Call[PermitReply](ctx, c.messages, address, pathLimit, req)
 }
 
-// Known asks the router at an address for all limits that it knows.
-func (c *Client) Known(ctx context.Context, address string) (Observations, error) {
+// Observations asks the router at an address for all limits that it knows.
+func (c *Client) Observations(ctx context.Context, address string) (Observations, error) {
 	return messenger.Call[Observations](ctx, c.messages, address, pathLimits, struct{}{})
 }
 
 // Serve answers other routers.
 func (t *Throttler) Serve(mux *http.ServeMux) {
 	messenger.Handle(mux, pathLimit, t.Answer)
-	messenger.Handle(mux, pathLimits, func(context.Context, struct{}) Observations { return t.Known() })
+	messenger.Handle(mux, pathLimits, func(context.Context, struct{}) Observations { return t.Observations() })
 }
