--- a/examiner/record.go
+++ b/examiner/record.go
@@ -17,15 +17,15 @@
 )
 
 const (
-	// endsToProve is how many servers have to have ended under a request until it is kept from them, weightToProve what those
+	// minCrashesToProve is how many servers have to have ended under a request until it is kept from them, minWeightToProve what those
 	// have to weigh together that ended while it was the only suspect there: two before its answer, since a server may also end
 	// by chance or by a request that nobody has suspected yet, or more of those that ended amid it.
-	endsToProve   = 3
-	weightToProve = 4
-	weightBegun   = 1
-	weightUnbegun = 2
-	// endsKept bounds the ends that are remembered of one request.
-	endsKept = 12
+	minCrashesToProve = 3
+	minWeightToProve  = 4
+	weightAnswered    = 1
+	weightUnanswered  = 2
+	// maxCrashes bounds the ends that are remembered of one request.
+	maxCrashes = 12
 )
 
 // Run is one run of a suspect apart from all others.
@@ -37,16 +37,16 @@
 // Record is what the store holds of one suspect; it does not change.
 type Record struct {
 	// Path is the request's path, for operators.
-	Path string                  `json:"path,omitempty"`
-	Ends []masticway.ServerCrash `json:"ends"`
+	Path    string                  `json:"path,omitempty"`
+	Crashes []masticway.ServerCrash `json:"ends"`
 	// Run is the run apart that is under way, if there is one.
 	Run *Run `json:"run,omitempty"`
 	// Retried is how often it has run apart again after it had been kept from servers.
 	Retried int `json:"retried,omitempty"`
 }
 
-// ReadRecord returns the record that a row holds; it fails with the error of the JSON decoder.
-func ReadRecord(row masticway.StoredRow) (Record, error) {
+// DecodeRecord returns the record that a row holds; it fails with the error of the JSON decoder.
+func DecodeRecord(row masticway.StoredRow) (Record, error) {
 	var r Record
 	if err := json.Unmarshal(row.Value, &r); err != nil {
 		return r, fmt.Errorf("decoding suspect %s: %w", row.Key, err)
@@ -63,19 +63,19 @@
 	return data
 }
 
-// WithEnds returns the record with more ends; what two routers say of one server is joined.
-func (r Record) WithEnds(ends ...masticway.ServerCrash) Record {
-	joined := slices.Clone(r.Ends)
-	for _, end := range ends {
-		i := slices.IndexFunc(joined, func(e masticway.ServerCrash) bool { return e.Server == end.Server })
+// WithCrashes returns the record with more ends; what two routers say of one server is joined.
+func (r Record) WithCrashes(crashes ...masticway.ServerCrash) Record {
+	joined := slices.Clone(r.Crashes)
+	for _, crash := range crashes {
+		i := slices.IndexFunc(joined, func(c masticway.ServerCrash) bool { return c.Server == crash.Server })
 		if i < 0 {
-			joined = append(joined, end)
+			joined = append(joined, crash)
 			continue
 		}
-		joined[i].Quarantined = joined[i].Quarantined || end.Quarantined
-		joined[i].Answered = joined[i].Answered && end.Answered
+		joined[i].Quarantined = joined[i].Quarantined || crash.Quarantined
+		joined[i].Answered = joined[i].Answered && crash.Answered
 	}
-	r.Ends = joined[max(0, len(joined)-endsKept):]
+	r.Crashes = joined[max(0, len(joined)-maxCrashes):]
 	return r
 }
 
@@ -85,31 +85,31 @@
 	return r
 }
 
-// has tells that the record would not change with an end.
-func (r Record) has(end masticway.ServerCrash) bool {
-	return slices.ContainsFunc(r.Ends, func(e masticway.ServerCrash) bool {
-		return e.Server == end.Server && (e.Quarantined || !end.Quarantined) && (!e.Answered || end.Answered)
+// hasCrash tells that the record would not change with an end.
+func (r Record) hasCrash(crash masticway.ServerCrash) bool {
+	return slices.ContainsFunc(r.Crashes, func(c masticway.ServerCrash) bool {
+		return c.Server == crash.Server && (c.Quarantined || !crash.Quarantined) && (!c.Answered || crash.Answered)
 	})
 }
 
-// endedAt tells that a server has ended under the request.
-func (r Record) endedAt(server masticway.ServerIncarnation) bool {
-	return slices.ContainsFunc(r.Ends, func(e masticway.ServerCrash) bool { return e.Server == server })
+// hasCrashOf tells that a server has ended under the request.
+func (r Record) hasCrashOf(server masticway.ServerIncarnation) bool {
+	return slices.ContainsFunc(r.Crashes, func(c masticway.ServerCrash) bool { return c.Server == server })
 }
 
-// suspect tells that the request is to run apart: servers hardly ever end twice under one by chance, and one that ends them
+// isSuspect tells that the request is to run apart: servers hardly ever end twice under one by chance, and one that ends them
 // as it begins has had nothing of its answer.
-func (r Record) suspect() bool {
-	return r.serious() || slices.ContainsFunc(r.Ends, func(e masticway.ServerCrash) bool { return !e.Answered })
+func (r Record) isSuspect() bool {
+	return r.hasRepeatedCrashes() || slices.ContainsFunc(r.Crashes, func(c masticway.ServerCrash) bool { return !c.Answered })
 }
 
-// weightOf is what the end of a server proves against the only suspect there: requests that end servers do so as they begin.
-func weightOf(end masticway.ServerCrash) int {
-	if end.Answered {
-		return weightBegun
+// crashWeight is what the end of a server proves against the only suspect there: requests that end servers do so as they begin.
+func crashWeight(crash masticway.ServerCrash) int {
+	if crash.Answered {
+		return weightAnswered
 	}
-	return weightUnbegun
+	return weightUnanswered
 }
 
-// serious tells that more than one server ended under the request.
-func (r Record) serious() bool { return len(r.Ends) > 1 }
+// hasRepeatedCrashes tells that more than one server ended under the request.
+func (r Record) hasRepeatedCrashes() bool { return len(r.Crashes) > 1 }
--- a/examiner/register.go
+++ b/examiner/register.go
@@ -8,41 +8,41 @@
 )
 
 const (
-	// provenFirst is how long a request at fault is kept from servers at first: where these end under whatever they run, all
+	// firstBlockTime is how long a request at fault is kept from servers at first: where these end under whatever they run, all
 	// requests look at fault, and are to be served soon after the servers are mended. It runs apart once more then, and is
-	// kept away for provenAgain if a server ends under it, for twice as long each further time, up to provenMost.
-	provenFirst = 30 * time.Second
-	provenAgain = 10 * time.Minute
-	provenMost  = 6 * time.Hour
-	// retriedCounted is how often the time doubles at most.
-	retriedCounted = 10
-	// suspectLife is how long a request stays a suspect after the last word of it.
-	suspectLife = 2 * time.Minute
+	// kept away for repeatBlockTime if a server ends under it, for twice as long each further time, up to maxBlockTime.
+	firstBlockTime  = 30 * time.Second
+	repeatBlockTime = 10 * time.Minute
+	maxBlockTime    = 6 * time.Hour
+	// maxDoublings is how often the time doubles at most.
+	maxDoublings = 10
+	// suspectTTL is how long a request stays a suspect after the last word of it.
+	suspectTTL = 2 * time.Minute
 	// runLease is how long a run apart keeps others waiting of which nothing is heard: a server that ends under a request does
 	// so soon after it has begun, and its router may have died with it.
 	runLease = 1500 * time.Millisecond
-	// settleTime is how long other routers' evidence may take to arrive that another suspect ran at the same server, which
+	// maxEvidenceDelay is how long other routers' evidence may take to arrive that another suspect ran at the same server, which
 	// both of them took to be free; a few times what a change of the store takes to reach all.
-	settleTime = 300 * time.Millisecond
-	// beliefsMost bounds the requests that are remembered; the least suspected goes first.
-	beliefsMost = 1000
-	// laterLeast is how long evidence that another router told is left to that one to write.
-	laterLeast = 500 * time.Millisecond
-	laterSpan  = time.Second
+	maxEvidenceDelay = 300 * time.Millisecond
+	// maxSuspects bounds the requests that are remembered; the least suspected goes first.
+	maxSuspects = 1000
+	// minWriteDelay is how long evidence that another router told is left to that one to write.
+	minWriteDelay    = 500 * time.Millisecond
+	writeDelaySpread = time.Second
 )
 
-// belief is what a router believes of one request.
-type belief struct {
-	// row is the store's record at a version; zero where it has none.
-	row     Record
+// suspectState is what a router believes of one request.
+type suspectState struct {
+	// stored is the store's record at a version; zero where it has none.
+	stored  Record
 	version int64
-	// since is when this router learnt of the newest change, by which beliefs end.
-	since time.Time
-	// own are ends that the store is not known to have, since when, and from when on this router writes them.
-	own    []masticway.ServerCrash
-	ownAt  time.Time
-	due    time.Time
-	toldAt time.Time
+	// changedAt is when this router learnt of the newest change, by which beliefs end.
+	changedAt time.Time
+	// pending are ends that the store is not known to have, since when, and from when on this router writes them.
+	pending      []masticway.ServerCrash
+	pendingSince time.Time
+	writeAt      time.Time
+	sharedAt     time.Time
 	// retried is how often it has run apart again after it had been kept from servers, as far as this router knows without
 	// the store.
 	retried int
@@ -53,60 +53,60 @@
 }
 
 // record is the store's record with what it does not have yet.
-func (b *belief) record() Record {
-	record := b.row.WithEnds(b.own...)
-	record.Retried = max(record.Retried, b.retried)
+func (state *suspectState) record() Record {
+	record := state.stored.WithCrashes(state.pending...)
+	record.Retried = max(record.Retried, state.retried)
 	return record
 }
 
-// running tells that the request runs apart at a time, and unreported where it did so for too long.
-func (b *belief) running(now time.Time) (running bool, unreported masticway.ServerIncarnation) {
-	if b.run != nil {
+// runStatus tells that the request runs apart at a time, and unreported where it did so for too long.
+func (state *suspectState) runStatus(now time.Time) (running bool, unreported masticway.ServerIncarnation) {
+	if state.run != nil {
 		return true, ""
 	}
-	if b.row.Run == nil || b.record().endedAt(b.row.Run.Server) {
+	if state.stored.Run == nil || state.record().hasCrashOf(state.stored.Run.Server) {
 		return false, ""
 	}
-	if now.Sub(b.since) < runLease {
+	if now.Sub(state.changedAt) < runLease {
 		return true, ""
 	}
-	return false, b.row.Run.Server
+	return false, state.stored.Run.Server
 }
 
-// Register holds beliefs about requests and decides on them; it is not safe for concurrent use.
-type Register struct {
-	self    masticway.Incarnation
-	beliefs map[masticway.RequestDigest]*belief
-	// spread draws a number from 0 to 1, by which routers do not all write the same evidence at once.
-	spread func() float64
+// Registry holds beliefs about requests and decides on them; it is not safe for concurrent use.
+type Registry struct {
+	self     masticway.Incarnation
+	suspects map[masticway.RequestDigest]*suspectState
+	// random draws a number from 0 to 1, by which routers do not all write the same evidence at once.
+	random func() float64
 }
 
-// NewRegister returns a register without beliefs.
-func NewRegister(self masticway.Incarnation, spread func() float64) *Register {
-	return &Register{self: self, beliefs: map[masticway.RequestDigest]*belief{}, spread: spread}
+// NewRegistry returns a register without beliefs.
+func NewRegistry(self masticway.Incarnation, random func() float64) *Registry {
+	return &Registry{self: self, suspects: map[masticway.RequestDigest]*suspectState{}, random: random}
 }
 
 // Len returns how many requests there are beliefs about.
-func (r *Register) Len() int { return len(r.beliefs) }
+func (r *Registry) Len() int { return len(r.suspects) }
 
-// Standing returns what is believed of a request.
-func (r *Register) Standing(now time.Time, d masticway.RequestDigest) masticway.SuspectStatus {
-	b, ok := r.beliefs[d]
-	if !ok || b.cleared {
+// Status returns what is believed of a request.
+func (r *Registry) Status(now time.Time, d masticway.RequestDigest) masticway.SuspectStatus {
+	state, ok := r.suspects[d]
+	if !ok || state.cleared {
 		return masticway.SuspectStatus{Suspicion: masticway.SuspicionNone}
 	}
-	record := b.record()
-	s := masticway.SuspectStatus{Suspicion: masticway.SuspicionNone, Crashes: record.Ends}
-	s.Running, s.UnreportedServer = b.running(now)
-	if !record.suspect() {
+	record := state.record()
+	s := masticway.SuspectStatus{Suspicion: masticway.SuspicionNone, Crashes: record.Crashes}
+	s.Running, s.UnreportedServer = state.runStatus(now)
+	if !record.isSuspect() {
 		return s
 	}
 	s.Suspicion = masticway.SuspicionQuarantined
-	left := b.since.Add(provenFor(record)).Sub(now)
-	if left <= 0 || !r.proven(d, record) {
+	left := state.changedAt.Add(blockTime(record)).Sub(now)
+	if left <= 0 || !r.isProven(d, record) {
 		return s
 	}
-	if now.Sub(b.since) < settleTime {
+	if now.Sub(state.changedAt) < maxEvidenceDelay {
 		// Until then it runs nowhere.
 		s.Running = true
 		return s
@@ -115,240 +115,240 @@
 	return s
 }
 
-// provenFor is how long a request is kept from servers.
-func provenFor(record Record) time.Duration {
+// blockTime is how long a request is kept from servers.
+func blockTime(record Record) time.Duration {
 	if record.Retried == 0 {
-		return provenFirst
+		return firstBlockTime
 	}
-	return min(provenMost, provenAgain<<min(retriedCounted, record.Retried-1))
+	return min(maxBlockTime, repeatBlockTime<<min(maxDoublings, record.Retried-1))
 }
 
-// proven tells that a request is at fault: enough servers ended under it while it was the only suspect there. Ends that
+// isProven tells that a request is at fault: enough servers ended under it while it was the only suspect there. Ends that
 // another suspect shared prove nothing of either.
-func (r *Register) proven(d masticway.RequestDigest, record Record) bool {
-	if len(record.Ends) < endsToProve {
+func (r *Registry) isProven(d masticway.RequestDigest, record Record) bool {
+	if len(record.Crashes) < minCrashesToProve {
 		return false
 	}
 	weight := 0
-	for _, end := range record.Ends {
-		if end.Quarantined && !r.shared(d, end.Server) {
-			weight += weightOf(end)
+	for _, crash := range record.Crashes {
+		if crash.Quarantined && !r.hasOtherSuspect(d, crash.Server) {
+			weight += crashWeight(crash)
 		}
 	}
-	return weight >= weightToProve
+	return weight >= minWeightToProve
 }
 
-// shared tells that a server ended under another suspect's run apart as well.
-func (r *Register) shared(d masticway.RequestDigest, server masticway.ServerIncarnation) bool {
-	for other, b := range r.beliefs {
-		if other == d || b.cleared {
+// hasOtherSuspect tells that a server ended under another suspect's run apart as well.
+func (r *Registry) hasOtherSuspect(d masticway.RequestDigest, server masticway.ServerIncarnation) bool {
+	for other, state := range r.suspects {
+		if other == d || state.cleared {
 			continue
 		}
-		if slices.ContainsFunc(b.record().Ends, func(e masticway.ServerCrash) bool { return e.Quarantined && e.Server == server }) {
+		if slices.ContainsFunc(state.record().Crashes, func(e masticway.ServerCrash) bool { return e.Quarantined && e.Server == server }) {
 			return true
 		}
 	}
 	return false
 }
 
-// Occupied names the servers at which suspects run apart, and those of serious ones.
-func (r *Register) Occupied(now time.Time) (all, serious map[masticway.ServerIncarnation]bool) {
+// QuarantineServers names the servers at which suspects run apart, and those of serious ones.
+func (r *Registry) QuarantineServers(now time.Time) (all, serious map[masticway.ServerIncarnation]bool) {
 	all, serious = map[masticway.ServerIncarnation]bool{}, map[masticway.ServerIncarnation]bool{}
-	for _, b := range r.beliefs {
-		if running, _ := b.running(now); !running {
+	for _, state := range r.suspects {
+		if running, _ := state.runStatus(now); !running {
 			continue
 		}
-		run := b.run
+		run := state.run
 		if run == nil {
-			run = b.row.Run
+			run = state.stored.Run
 		}
 		all[run.Server] = true
-		if b.record().serious() {
+		if state.record().hasRepeatedCrashes() {
 			serious[run.Server] = true
 		}
 	}
 	return all, serious
 }
 
-// Ended notes the end of a server under a request at this router; it ends a run apart.
-func (r *Register) Ended(now time.Time, d masticway.RequestDigest, path string, end masticway.ServerCrash) {
-	b := r.believe(now, d)
-	if b == nil {
+// RecordCrash notes the end of a server under a request at this router; it ends a run apart.
+func (r *Registry) RecordCrash(now time.Time, d masticway.RequestDigest, path string, crash masticway.ServerCrash) {
+	state := r.getOrAdd(now, d)
+	if state == nil {
 		return
 	}
-	b.row.Path = path
-	b.cleared = false
-	if b.run != nil && b.run.Server == end.Server {
-		b.run = nil
+	state.stored.Path = path
+	state.cleared = false
+	if state.run != nil && state.run.Server == crash.Server {
+		state.run = nil
 	}
-	b.add(now, now, end)
+	state.addCrashes(now, now, crash)
 }
 
-// Heard takes what another router tells of a request. It tells whether that was new.
-func (r *Register) Heard(now time.Time, told Entry) bool {
-	var unknown []masticway.ServerCrash
-	b, ok := r.beliefs[told.Digest]
-	for _, end := range told.Ends {
-		if !ok || !b.record().has(end) {
-			unknown = append(unknown, end)
+// Merge takes what another router tells of a request. It tells whether that was new.
+func (r *Registry) Merge(now time.Time, entry Entry) bool {
+	var missing []masticway.ServerCrash
+	state, ok := r.suspects[entry.Digest]
+	for _, crash := range entry.Crashes {
+		if !ok || !state.record().hasCrash(crash) {
+			missing = append(missing, crash)
 		}
 	}
-	if len(unknown) == 0 {
+	if len(missing) == 0 {
 		return false
 	}
-	if b = r.believe(now, told.Digest); b == nil {
+	if state = r.getOrAdd(now, entry.Digest); state == nil {
 		return false
 	}
-	if b.row.Path == "" {
-		b.row.Path = told.Path
+	if state.stored.Path == "" {
+		state.stored.Path = entry.Path
 	}
-	b.retried = max(b.retried, told.Retried)
-	due := now.Add(laterLeast + time.Duration(r.spread()*float64(laterSpan)))
-	b.add(now, due, unknown...)
+	state.retried = max(state.retried, entry.Retried)
+	writeAt := now.Add(minWriteDelay + time.Duration(r.random()*float64(writeDelaySpread)))
+	state.addCrashes(now, writeAt, missing...)
 	return true
 }
 
-// add takes ends that the store is not known to have.
-func (b *belief) add(now, due time.Time, ends ...masticway.ServerCrash) {
-	for _, end := range ends {
-		if b.record().has(end) {
+// addCrashes takes ends that the store is not known to have.
+func (state *suspectState) addCrashes(now, writeAt time.Time, crashes ...masticway.ServerCrash) {
+	for _, crash := range crashes {
+		if state.record().hasCrash(crash) {
 			continue
 		}
-		if len(b.own) == 0 {
-			b.ownAt, b.due, b.toldAt = now, due, time.Time{}
+		if len(state.pending) == 0 {
+			state.pendingSince, state.writeAt, state.sharedAt = now, writeAt, time.Time{}
 		}
-		if due.Before(b.due) {
-			b.due = due
+		if writeAt.Before(state.writeAt) {
+			state.writeAt = writeAt
 		}
-		b.own = Record{Ends: b.own}.WithEnds(end).Ends
-		b.since = now
+		state.pending = Record{Crashes: state.pending}.WithCrashes(crash).Crashes
+		state.changedAt = now
 	}
 }
 
-// believe returns the belief about a request, a new one where there was none; nil where there is no room for it.
-func (r *Register) believe(now time.Time, d masticway.RequestDigest) *belief {
-	if b, ok := r.beliefs[d]; ok {
-		return b
+// getOrAdd returns the belief about a request, a new one where there was none; nil where there is no room for it.
+func (r *Registry) getOrAdd(now time.Time, d masticway.RequestDigest) *suspectState {
+	if state, ok := r.suspects[d]; ok {
+		return state
 	}
-	if len(r.beliefs) >= beliefsMost && !r.makeRoom() {
+	if len(r.suspects) >= maxSuspects && !r.evict() {
 		return nil
 	}
-	b := &belief{since: now}
-	r.beliefs[d] = b
-	return b
+	state := &suspectState{changedAt: now}
+	r.suspects[d] = state
+	return state
 }
 
-// makeRoom forgets the least suspected request of which no more than one end is known, the one without news for longest.
-func (r *Register) makeRoom() bool {
-	var least masticway.RequestDigest
-	for d, b := range r.beliefs {
-		if b.record().serious() || b.run != nil {
+// evict forgets the least suspected request of which no more than one end is known, the one without news for longest.
+func (r *Registry) evict() bool {
+	var oldest masticway.RequestDigest
+	for d, state := range r.suspects {
+		if state.record().hasRepeatedCrashes() || state.run != nil {
 			continue
 		}
-		if least == "" || b.since.Before(r.beliefs[least].since) {
-			least = d
+		if oldest == "" || state.changedAt.Before(r.suspects[oldest].changedAt) {
+			oldest = d
 		}
 	}
-	if least == "" {
+	if oldest == "" {
 		return false
 	}
-	delete(r.beliefs, least)
+	delete(r.suspects, oldest)
 	return true
 }
 
 // Claim begins a run apart and returns the record that makes it this router's and the version that it replaces. It is not
 // to run where another run is under way or there is nothing to find out.
-func (r *Register) Claim(now time.Time, d masticway.RequestDigest, server masticway.ServerIncarnation) (record Record, version int64, ok bool) {
-	s := r.Standing(now, d)
+func (r *Registry) Claim(now time.Time, d masticway.RequestDigest, server masticway.ServerIncarnation) (record Record, version int64, ok bool) {
+	s := r.Status(now, d)
 	if s.Suspicion != masticway.SuspicionQuarantined || s.Running {
 		return Record{}, 0, false
 	}
-	b := r.beliefs[d]
-	b.run = &Run{Router: r.self, Server: server}
-	record = b.record().WithRun(b.run)
-	if r.proven(d, record) {
+	state := r.suspects[d]
+	state.run = &Run{Router: r.self, Server: server}
+	record = state.record().WithRun(state.run)
+	if r.isProven(d, record) {
 		record.Retried++
-		b.retried = record.Retried
+		state.retried = record.Retried
 	}
-	return record, b.version, true
+	return record, state.version, true
 }
 
-// Released ends this router's run apart without a finding.
-func (r *Register) Released(d masticway.RequestDigest) {
-	if b, ok := r.beliefs[d]; ok {
-		b.run = nil
+// Release ends this router's run apart without a finding.
+func (r *Registry) Release(d masticway.RequestDigest) {
+	if state, ok := r.suspects[d]; ok {
+		state.run = nil
 	}
 }
 
-// Cleared notes that a request was served well.
-func (r *Register) Cleared(d masticway.RequestDigest) {
-	b, ok := r.beliefs[d]
+// Clear notes that a request was served well.
+func (r *Registry) Clear(d masticway.RequestDigest) {
+	state, ok := r.suspects[d]
 	if !ok {
 		return
 	}
-	if b.version == 0 {
-		delete(r.beliefs, d)
+	if state.version == 0 {
+		delete(r.suspects, d)
 		return
 	}
-	b.run, b.own, b.cleared = nil, nil, true
+	state.run, state.pending, state.cleared = nil, nil, true
 }
 
-// Learn takes a row of the store, or its end.
-func (r *Register) Learn(now time.Time, row masticway.StoredRow) error {
+// ApplyRow takes a row of the store, or its end.
+func (r *Registry) ApplyRow(now time.Time, row masticway.StoredRow) error {
 	d := masticway.RequestDigest(row.Key)
-	b, known := r.beliefs[d]
-	if known && row.Version <= b.version {
+	state, known := r.suspects[d]
+	if known && row.Version <= state.version {
 		return nil
 	}
 	if row.Deleted {
-		r.lost(d)
+		r.dropRow(d)
 		return nil
 	}
-	record, err := ReadRecord(row)
+	record, err := DecodeRecord(row)
 	if err != nil {
 		return err
 	}
-	if b = r.believe(now, d); b == nil {
+	if state = r.getOrAdd(now, d); state == nil {
 		return nil
 	}
 	// Another router knows more since this one cleared it.
-	b.cleared = false
-	b.set(now, record, row.Version)
+	state.cleared = false
+	state.setStored(now, record, row.Version)
 	return nil
 }
 
-// set takes the record that the store has now.
-func (b *belief) set(now time.Time, record Record, version int64) {
-	b.row, b.version, b.since = record, version, now
-	b.own = slices.DeleteFunc(slices.Clone(b.own), record.has)
+// setStored takes the record that the store has now.
+func (state *suspectState) setStored(now time.Time, record Record, version int64) {
+	state.stored, state.version, state.changedAt = record, version, now
+	state.pending = slices.DeleteFunc(slices.Clone(state.pending), record.hasCrash)
 }
 
-// lost notes that the store has no row of a request.
-func (r *Register) lost(d masticway.RequestDigest) {
-	b, ok := r.beliefs[d]
+// dropRow notes that the store has no row of a request.
+func (r *Registry) dropRow(d masticway.RequestDigest) {
+	state, ok := r.suspects[d]
 	if !ok {
 		return
 	}
-	if len(b.own) == 0 && b.run == nil {
-		delete(r.beliefs, d)
+	if len(state.pending) == 0 && state.run == nil {
+		delete(r.suspects, d)
 		return
 	}
-	b.row, b.version, b.cleared = Record{Path: b.row.Path}, 0, false
+	state.stored, state.version, state.cleared = Record{Path: state.stored.Path}, 0, false
 }
 
-// Listed takes a reading of the whole table: what it leaves out is gone.
-func (r *Register) Listed(now time.Time, reading masticway.RowReading) (faults []error) {
+// ApplyTable takes a reading of the whole table: what it leaves out is gone.
+func (r *Registry) ApplyTable(now time.Time, reading masticway.RowReading) (errs []error) {
 	present := map[masticway.RequestDigest]bool{}
 	for _, row := range reading.Rows {
 		present[masticway.RequestDigest(row.Key)] = true
-		if err := r.Learn(now, row); err != nil {
-			faults = append(faults, err)
+		if err := r.ApplyRow(now, row); err != nil {
+			errs = append(errs, err)
 		}
 	}
-	for d, b := range r.beliefs {
-		if !present[d] && b.version > 0 && b.version <= reading.Version {
-			r.lost(d)
+	for d, state := range r.suspects {
+		if !present[d] && state.version > 0 && state.version <= reading.Version {
+			r.dropRow(d)
 		}
 	}
-	return faults
+	return errs
 }
--- a/examiner/tell.go
+++ b/examiner/tell.go
@@ -11,108 +11,108 @@
 	"github.com/masticway/masticway/messenger"
 )
 
-// pathTell is where routers tell each other of suspects.
-const pathTell = "/peer/suspects"
+// pathSuspects is where routers tell each other of suspects.
+const pathSuspects = "/peer/suspects"
 
 const (
-	// tellTimeout bounds one message to another router.
-	tellTimeout = 400 * time.Millisecond
-	// toldMost bounds the routers that one tells at a time; each of them tells as many others in turn.
-	toldMost = 16
-	// askedMost bounds the routers that one which starts asks at a time, askPause separates two rounds.
-	askedMost = 2
-	askPause  = 200 * time.Millisecond
+	// sendTimeout bounds one message to another router.
+	sendTimeout = 400 * time.Millisecond
+	// maxSharePeers bounds the routers that one tells at a time; each of them tells as many others in turn.
+	maxSharePeers = 16
+	// maxFetchPeers bounds the routers that one which starts asks at a time, fetchRetryInterval separates two rounds.
+	maxFetchPeers      = 2
+	fetchRetryInterval = 200 * time.Millisecond
 )
 
-// news is what one router tells another.
-type news struct {
+// message is what one router tells another.
+type message struct {
 	Entries []Entry `cbor:"1,keyasint,omitempty"`
-	// Ask tells that the sender has just started and wants to know all.
-	Ask bool `cbor:"2,keyasint,omitempty"`
+	// FetchAll tells that the sender has just started and wants to know all.
+	FetchAll bool `cbor:"2,keyasint,omitempty"`
 }
 
-// tell tells other routers of evidence, side by side.
-func (e *Examiner) tell(ctx context.Context, entries []Entry) {
+// share tells other routers of evidence, side by side.
+func (e *Examiner) share(ctx context.Context, entries []Entry) {
 	var wg sync.WaitGroup
-	for _, address := range e.listeners(toldMost) {
+	for _, address := range e.pickPeers(maxSharePeers) {
 		wg.Go(func() {
-			if _, err := e.say(ctx, address, news{Entries: entries}); err != nil {
+			if _, err := e.send(ctx, address, message{Entries: entries}); err != nil {
 				e.Log.WithFields(logrus.Fields{"event": "suspects_not_told", "address": address, "error": err}).Debug("a router was not told")
 				return
 			}
-			e.Metrics.Add(metricTold, int64(len(entries)))
+			e.Metrics.Add(metricShared, int64(len(entries)))
 		})
 	}
 	wg.Wait()
 }
 
-func (e *Examiner) say(ctx context.Context, address string, n news) (news, error) {
-	ctx, cancel := context.WithTimeout(ctx, tellTimeout)
+func (e *Examiner) send(ctx context.Context, address string, msg message) (message, error) {
+	ctx, cancel := context.WithTimeout(ctx, sendTimeout)
 	defer cancel()
-	return messenger.Call[news](ctx, e.Messages, address, pathTell, n)
+	return messenger.Call[message](ctx, e.Messages, address, pathSuspects, msg)
 }
 
-// listeners are some of the other routers, others with each call.
-func (e *Examiner) listeners(most int) []string {
+// pickPeers are some of the other routers, others with each call.
+func (e *Examiner) pickPeers(max int) []string {
 	all := e.Peers()
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	var chosen []string
-	for i := range min(len(all), most) {
-		chosen = append(chosen, all[(e.first+i)%len(all)])
+	var peers []string
+	for i := range min(len(all), max) {
+		peers = append(peers, all[(e.nextPeer+i)%len(all)])
 	}
-	e.first += len(chosen)
-	return chosen
+	e.nextPeer += len(peers)
+	return peers
 }
 
-// hear takes what another router tells.
-func (e *Examiner) hear(entries []Entry) {
+// mergeEntries takes what another router tells.
+func (e *Examiner) mergeEntries(entries []Entry) {
 	if len(entries) == 0 {
 		return
 	}
-	heard := int64(0)
+	merged := int64(0)
 	e.update(func(now time.Time) {
-		for _, n := range entries {
-			if e.register.Heard(now, n) {
-				heard++
+		for _, msg := range entries {
+			if e.registry.Merge(now, msg) {
+				merged++
 			}
 		}
 	})
-	e.Metrics.Add(metricHeard, heard)
+	e.Metrics.Add(metricReceived, merged)
 }
 
-// askOthers asks other routers for what they know until one has told or the store has.
-func (e *Examiner) askOthers(ctx context.Context) {
-	for ctx.Err() == nil && !e.hasListed() {
-		for _, address := range e.listeners(askedMost) {
-			answer, err := e.say(ctx, address, news{Ask: true})
+// fetchFromPeers asks other routers for what they know until one has told or the store has.
+func (e *Examiner) fetchFromPeers(ctx context.Context) {
+	for ctx.Err() == nil && !e.isTableRead() {
+		for _, address := range e.pickPeers(maxFetchPeers) {
+			answer, err := e.send(ctx, address, message{FetchAll: true})
 			if err == nil {
-				e.hear(answer.Entries)
+				e.mergeEntries(answer.Entries)
 				return
 			}
 		}
 		select {
 		case <-ctx.Done():
-		case <-e.Clock.After(askPause):
+		case <-e.Clock.After(fetchRetryInterval):
 		}
 	}
 }
 
-func (e *Examiner) hasListed() bool {
+func (e *Examiner) isTableRead() bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.listed
+	return e.tableRead
 }
 
 // Serve answers other routers.
 func (e *Examiner) Serve(mux *http.ServeMux) {
-	messenger.Handle(mux, pathTell, func(_ context.Context, n news) news {
-		e.hear(n.Entries)
-		if !n.Ask {
-			return news{}
+	messenger.Handle(mux, pathSuspects, func(_ context.Context, msg message) message {
+		e.mergeEntries(msg.Entries)
+		if !msg.FetchAll {
+			return message{}
 		}
 		e.mu.Lock()
 		defer e.mu.Unlock()
-		return news{Entries: e.register.Known()}
+		return message{Entries: e.registry.Entries()}
 	})
 }
--- a/examiner/writes.go
+++ b/examiner/writes.go
@@ -11,140 +11,140 @@
 	digest  masticway.RequestDigest
 	record  Record
 	version int64
-	gone    bool
+	deleted bool
 }
 
-// Due returns the rows that this router is to change now, a number of them at most.
-func (r *Register) Due(now time.Time, most int) []change {
+// DueChanges returns the rows that this router is to change now, a number of them at most.
+func (r *Registry) DueChanges(now time.Time, max int) []change {
 	var due []change
-	for d, b := range r.beliefs {
-		if len(due) == most {
+	for d, state := range r.suspects {
+		if len(due) == max {
 			break
 		}
-		if b.cleared {
-			due = append(due, change{digest: d, version: b.version, gone: true})
+		if state.cleared {
+			due = append(due, change{digest: d, version: state.version, deleted: true})
 			continue
 		}
-		over := b.run == nil && b.row.Run != nil && b.row.Run.Router == r.self
+		ended := state.run == nil && state.stored.Run != nil && state.stored.Run.Router == r.self
 		// What was answered when its one server ended is nobody's business yet.
-		fresh := len(b.own) > 0 && !now.Before(b.due) && b.record().suspect()
-		if over || fresh {
-			due = append(due, change{digest: d, record: b.record().WithRun(r.remains(b)), version: b.version})
+		fresh := len(state.pending) > 0 && !now.Before(state.writeAt) && state.record().isSuspect()
+		if ended || fresh {
+			due = append(due, change{digest: d, record: state.record().WithRun(r.remainingRun(state)), version: state.version})
 		}
 	}
 	return due
 }
 
-// remains is the run apart that a row keeps when it is written: another router's, or the one that this router has under way.
-func (r *Register) remains(b *belief) *Run {
-	if b.row.Run != nil && b.row.Run.Router != r.self && !b.record().endedAt(b.row.Run.Server) {
-		return b.row.Run
+// remainingRun is the run apart that a row keeps when it is written: another router's, or the one that this router has under way.
+func (r *Registry) remainingRun(state *suspectState) *Run {
+	if state.stored.Run != nil && state.stored.Run.Router != r.self && !state.record().hasCrashOf(state.stored.Run.Server) {
+		return state.stored.Run
 	}
-	return b.run
+	return state.run
 }
 
-// Wrote notes that a row was changed.
-func (r *Register) Wrote(now time.Time, c change, version int64) {
-	b, ok := r.beliefs[c.digest]
+// ApplyWrite notes that a row was changed.
+func (r *Registry) ApplyWrite(now time.Time, c change, version int64) {
+	state, ok := r.suspects[c.digest]
 	if !ok {
 		return
 	}
-	if c.gone {
-		if b.cleared {
-			delete(r.beliefs, c.digest)
+	if c.deleted {
+		if state.cleared {
+			delete(r.suspects, c.digest)
 		}
 		return
 	}
-	b.set(now, c.record, version)
+	state.setStored(now, c.record, version)
 }
 
-// Collided takes the rows that stand in the way of some changes; those that are not among them are gone.
-func (r *Register) Collided(now time.Time, changes []change, rows []masticway.StoredRow) (faults []error) {
+// ApplyConflict takes the rows that stand in the way of some changes; those that are not among them are gone.
+func (r *Registry) ApplyConflict(now time.Time, changes []change, rows []masticway.StoredRow) (errs []error) {
 	present := map[masticway.RequestDigest]bool{}
 	for _, row := range rows {
 		present[masticway.RequestDigest(row.Key)] = !row.Deleted
-		if err := r.Learn(now, row); err != nil {
-			faults = append(faults, err)
+		if err := r.ApplyRow(now, row); err != nil {
+			errs = append(errs, err)
 		}
 	}
 	for _, c := range changes {
 		if !present[c.digest] && c.version > 0 {
-			r.lost(c.digest)
+			r.dropRow(c.digest)
 		}
 	}
-	return faults
+	return errs
 }
 
-// Expired returns the rows whose beliefs are over, for the router that owns them to delete, and forgets those of which the
+// ExpiredChanges returns the rows whose beliefs are over, for the router that owns them to delete, and forgets those of which the
 // store has none.
-func (r *Register) Expired(now time.Time, owns func(key string) bool) []change {
-	var over []change
-	for d, b := range r.beliefs {
-		age := now.Sub(b.since)
-		if age < suspectLife {
+func (r *Registry) ExpiredChanges(now time.Time, owns func(key string) bool) []change {
+	var expired []change
+	for d, state := range r.suspects {
+		age := now.Sub(state.changedAt)
+		if age < suspectTTL {
 			// No belief is over sooner, and most are this young.
 			continue
 		}
-		life := suspectLife
-		if record := b.record(); r.proven(d, record) {
+		ttl := suspectTTL
+		if record := state.record(); r.isProven(d, record) {
 			// It runs apart for a time after it may run again.
-			life = 2 * max(provenAgain, provenFor(record))
+			ttl = 2 * max(repeatBlockTime, blockTime(record))
 		}
 		switch {
-		case age < life || b.run != nil:
-		case b.version == 0 || age > 2*life:
-			delete(r.beliefs, d)
+		case age < ttl || state.run != nil:
+		case state.version == 0 || age > 2*ttl:
+			delete(r.suspects, d)
 		case owns(string(d)):
-			over = append(over, change{digest: d, version: b.version, gone: true})
+			expired = append(expired, change{digest: d, version: state.version, deleted: true})
 		}
 	}
-	return over
+	return expired
 }
 
 // Entry is what one router tells another of a request.
 type Entry struct {
-	Digest masticway.RequestDigest `cbor:"1,keyasint"`
-	Path   string                  `cbor:"2,keyasint,omitempty"`
-	Ends   []masticway.ServerCrash `cbor:"3,keyasint"`
+	Digest  masticway.RequestDigest `cbor:"1,keyasint"`
+	Path    string                  `cbor:"2,keyasint,omitempty"`
+	Crashes []masticway.ServerCrash `cbor:"3,keyasint"`
 	// Retried is how often it has run apart again after it had been kept from servers.
 	Retried int `cbor:"4,keyasint,omitempty"`
 }
 
-// entryOf returns what is told of a request.
-func entryOf(d masticway.RequestDigest, r Record) Entry {
-	return Entry{Digest: d, Path: r.Path, Ends: r.Ends, Retried: r.Retried}
+// newEntry returns what is told of a request.
+func newEntry(d masticway.RequestDigest, r Record) Entry {
+	return Entry{Digest: d, Path: r.Path, Crashes: r.Crashes, Retried: r.Retried}
 }
 
 const (
-	// tellAfter is how long the store may take for evidence before other routers are told directly, a multiple of its usual
-	// time; tellAgain is when they are told again.
-	tellAfter = 100 * time.Millisecond
-	tellAgain = time.Second
+	// shareDelay is how long the store may take for evidence before other routers are told directly, a multiple of its usual
+	// time; reshareInterval is when they are told again.
+	shareDelay      = 100 * time.Millisecond
+	reshareInterval = time.Second
 )
 
-// Untold returns the evidence that the store should have by now, to be told to other routers.
-func (r *Register) Untold(now time.Time) []Entry {
+// Unshared returns the evidence that the store should have by now, to be told to other routers.
+func (r *Registry) Unshared(now time.Time) []Entry {
 	var entries []Entry
-	for d, b := range r.beliefs {
-		if len(b.own) == 0 || now.Sub(b.ownAt) < tellAfter || now.Sub(b.toldAt) < tellAgain {
+	for d, state := range r.suspects {
+		if len(state.pending) == 0 || now.Sub(state.pendingSince) < shareDelay || now.Sub(state.sharedAt) < reshareInterval {
 			continue
 		}
-		record := b.record()
-		if !record.suspect() {
+		record := state.record()
+		if !record.isSuspect() {
 			continue
 		}
-		b.toldAt = now
-		entries = append(entries, entryOf(d, record))
+		state.sharedAt = now
+		entries = append(entries, newEntry(d, record))
 	}
 	return entries
 }
 
-// Known returns all evidence, for a router that has just started.
-func (r *Register) Known() []Entry {
+// Entries returns all evidence, for a router that has just started.
+func (r *Registry) Entries() []Entry {
 	var entries []Entry
-	for d, b := range r.beliefs {
-		if record := b.record(); !b.cleared && record.suspect() {
-			entries = append(entries, entryOf(d, record))
+	for d, state := range r.suspects {
+		if record := state.record(); !state.cleared && record.isSuspect() {
+			entries = append(entries, newEntry(d, record))
 		}
 	}
 	return entries
