--- a/rotator/ballot.go
+++ b/rotator/ballot.go
@@ -15,18 +15,18 @@
 // LeaseRequest asks a voter for a lease, or gives one back.
 type LeaseRequest struct {
 	Instance string `cbor:"1,keyasint"`
-	// For is how long it is wanted; zero gives it back.
-	For time.Duration `cbor:"2,keyasint"`
+	// Duration is how long it is wanted; zero gives it back.
+	Duration time.Duration `cbor:"2,keyasint"`
 }
 
-type leaseAnswer struct {
-	Given bool `cbor:"1,keyasint"`
+type leaseReply struct {
+	Granted bool `cbor:"1,keyasint"`
 }
 
 // Voters are the other routers that vote on leases.
 type Voters interface {
 	// Ask asks the one at an address, and returns whether it said yes.
-	Ask(ctx context.Context, address string, ask LeaseRequest) (bool, error)
+	Ask(ctx context.Context, address string, req LeaseRequest) (bool, error)
 }
 
 // Client asks over connections between routers; it implements Voters.
@@ -38,36 +38,36 @@
 func NewClient(m *messenger.Client) *Client { return &Client{messages: m} }
 
 // Ask asks the voter at an address.
-func (c *Client) Ask(ctx context.Context, address string, ask LeaseRequest) (bool, error) {
-	answer, err := messenger.Call[leaseAnswer](ctx, c.messages, address, pathLease, ask)
-	return answer.Given, err
+func (c *Client) Ask(ctx context.Context, address string, req LeaseRequest) (bool, error) {
+	reply, err := messenger.Call[leaseReply](ctx, c.messages, address, pathLease, req)
+	return reply.Granted, err
 }
 
 // Serve answers other routers that ask for leases.
 func (r *Rotator) Serve(mux *http.ServeMux) {
-	messenger.Handle(mux, pathLease, func(_ context.Context, ask LeaseRequest) leaseAnswer {
-		return leaseAnswer{Given: r.Vote(ask)}
+	messenger.Handle(mux, pathLease, func(_ context.Context, req LeaseRequest) leaseReply {
+		return leaseReply{Granted: r.Vote(req)}
 	})
 }
 
 // Vote gives another router or this one a lease, or takes it back; false when all leases are taken, or when this router is
 // overloaded itself: the other one's callers would come to it.
-func (r *Rotator) Vote(ask LeaseRequest) bool {
-	all := r.zone()
+func (r *Rotator) Vote(req LeaseRequest) bool {
+	all := r.zoneRouters()
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if ask.For <= 0 {
-		r.given.takeBack(ask.Instance)
+	if req.Duration <= 0 {
+		r.granted.revoke(req.Instance)
 		return true
 	}
-	if r.load.overloaded && ask.Instance != r.settings.Instance {
+	if r.load.overloaded && req.Instance != r.settings.Instance {
 		return false
 	}
-	return r.given.grant(r.parts.Clock.Now(), ask.Instance, ask.For, leases(len(all), min(votersMost, len(all))))
+	return r.granted.grant(r.parts.Clock.Now(), req.Instance, req.Duration, leasesPerVoter(len(all), min(maxVoters, len(all))))
 }
 
-// zone lists the routers of the availability zone, this one included.
-func (r *Rotator) zone() []Neighbour {
+// zoneRouters lists the routers of the availability zone, this one included.
+func (r *Rotator) zoneRouters() []Neighbour {
 	return append(r.parts.Neighbours(), Neighbour{Instance: r.settings.Instance})
 }
 
@@ -79,33 +79,33 @@
 	routers, voters, votes int
 }
 
-// won tells that most voters gave the lease.
-func (e election) won() bool { return e.votes > e.voters/2 }
+// isWon tells that most voters gave the lease.
+func (e election) isWon() bool { return e.votes > e.voters/2 }
 
 // elect asks the voters for a lease.
 func (r *Rotator) elect(ctx context.Context, began time.Time, span time.Duration) election {
-	all := r.zone()
-	asked := voters(r.settings.Zone, all)
+	all := r.zoneRouters()
+	zoneVoters := selectVoters(r.settings.Zone, all)
 	// A vote outlasts the absence for which it is asked, whenever the question arrives.
-	votes := r.collect(ctx, asked, LeaseRequest{Instance: r.settings.Instance, For: span + leaseTimeout})
-	return election{began: began, span: span, routers: len(all), voters: len(asked), votes: votes}
+	votes := r.collectVotes(ctx, zoneVoters, LeaseRequest{Instance: r.settings.Instance, Duration: span + leaseTimeout})
+	return election{began: began, span: span, routers: len(all), voters: len(zoneVoters), votes: votes}
 }
 
-// collect asks voters and returns how many of them said yes, most of them at least or all that did in time.
-func (r *Rotator) collect(ctx context.Context, voters []Neighbour, ask LeaseRequest) int {
+// collectVotes asks voters and returns how many of them said yes, most of them at least or all that did in time.
+func (r *Rotator) collectVotes(ctx context.Context, voters []Neighbour, req LeaseRequest) int {
 	ctx, cancel := context.WithTimeout(ctx, leaseTimeout)
 	defer cancel()
-	given := make(chan bool, len(voters))
+	granted := make(chan bool, len(voters))
 	var wg sync.WaitGroup
 	for _, v := range voters {
-		wg.Go(func() { given <- r.ask(ctx, v, ask) })
+		wg.Go(func() { granted <- r.askVoter(ctx, v, req) })
 	}
 	n := 0
 	for range voters {
-		if <-given {
+		if <-granted {
 			n++
 		}
-		if n > len(voters)/2 && ask.For > 0 {
+		if n > len(voters)/2 && req.Duration > 0 {
 			// Whoever has not answered yet may give its vote all the same; it lapses.
 			break
 		}
@@ -115,11 +115,11 @@
 	return n
 }
 
-// ask asks one voter, which may be this router.
-func (r *Rotator) ask(ctx context.Context, voter Neighbour, ask LeaseRequest) bool {
+// askVoter asks one voter, which may be this router.
+func (r *Rotator) askVoter(ctx context.Context, voter Neighbour, req LeaseRequest) bool {
 	if voter.Instance == r.settings.Instance {
-		return r.Vote(ask)
+		return r.Vote(req)
 	}
-	given, err := r.parts.Voters.Ask(ctx, voter.Address, ask)
-	return err == nil && given
+	granted, err := r.parts.Voters.Ask(ctx, voter.Address, req)
+	return err == nil && granted
 }
--- a/rotator/delays.go
+++ b/rotator/delays.go
@@ -6,64 +6,64 @@
 	// bucketSpan and buckets are how the last moments are divided: what is older than their product does not count.
 	bucketSpan = 100 * time.Millisecond
 	buckets    = 6
-	// fewest is how many calls must have ended within these moments to say anything.
-	fewest = 3
-	// usualRise is by how much the usual time may grow in a second, so that a path that has become longer for good is
+	// minCalls is how many calls must have ended within these moments to say anything.
+	minCalls = 3
+	// baselineGrowth is by how much the usual time may grow in a second, so that a path that has become longer for good is
 	// usual after a while.
-	usualRise = time.Millisecond
+	baselineGrowth = time.Millisecond
 )
 
-// delays are the times that one kind of call took.
-type delays struct {
-	usual   time.Duration
-	usualAt time.Time
-	recent  [buckets]bucket
+// callTimes are the times that one kind of call took.
+type callTimes struct {
+	baseline   time.Duration
+	baselineAt time.Time
+	recent     [buckets]bucket
 }
 
 // bucket is the calls that ended within one span.
 type bucket struct {
-	number int64
-	count  int
-	least  time.Duration
+	index int64
+	count int
+	min   time.Duration
 }
 
-func bucketNumber(now time.Time) int64 { return now.UnixNano() / int64(bucketSpan) }
+func bucketIndex(now time.Time) int64 { return now.UnixNano() / int64(bucketSpan) }
 
-// note counts a call that ended now.
-func (d *delays) note(now time.Time, took time.Duration) {
-	if d.usualAt.IsZero() || took < d.usualNow(now) {
-		d.usual, d.usualAt = took, now
+// record counts a call that ended now.
+func (d *callTimes) record(now time.Time, took time.Duration) {
+	if d.baselineAt.IsZero() || took < d.currentBaseline(now) {
+		d.baseline, d.baselineAt = took, now
 	}
-	n := bucketNumber(now)
+	n := bucketIndex(now)
 	b := &d.recent[n%buckets]
-	if b.number != n {
-		*b = bucket{number: n, least: took}
+	if b.index != n {
+		*b = bucket{index: n, min: took}
 	}
 	b.count++
-	b.least = min(b.least, took)
+	b.min = min(b.min, took)
 }
 
-// usualNow is the least time seen, and what it may have grown by since.
-func (d *delays) usualNow(now time.Time) time.Duration {
-	return d.usual + time.Duration(now.Sub(d.usualAt).Seconds()*float64(usualRise))
+// currentBaseline is the least time seen, and what it may have grown by since.
+func (d *callTimes) currentBaseline(now time.Time) time.Duration {
+	return d.baseline + time.Duration(now.Sub(d.baselineAt).Seconds()*float64(baselineGrowth))
 }
 
-// standing is by how much the least of the last moments' calls was above the usual; false when there were too few. A burst
+// excess is by how much the least of the last moments' calls was above the usual; false when there were too few. A burst
 // delays some calls, a link that stays full each of them.
-func (d *delays) standing(now time.Time) (time.Duration, bool) {
-	n := bucketNumber(now)
-	count, least := 0, time.Duration(0)
+func (d *callTimes) excess(now time.Time) (time.Duration, bool) {
+	n := bucketIndex(now)
+	count, fastest := 0, time.Duration(0)
 	for _, b := range d.recent {
-		if b.count == 0 || b.number <= n-buckets {
+		if b.count == 0 || b.index <= n-buckets {
 			continue
 		}
-		if count == 0 || b.least < least {
-			least = b.least
+		if count == 0 || b.min < fastest {
+			fastest = b.min
 		}
 		count += b.count
 	}
-	if count < fewest {
+	if count < minCalls {
 		return 0, false
 	}
-	return max(0, least-d.usualNow(now)), true
+	return max(0, fastest-d.currentBaseline(now)), true
 }
--- a/rotator/rotator.go
+++ b/rotator/rotator.go
@@ -16,18 +16,18 @@
 )
 
 const (
-	// turnPause is how often the load is looked at.
-	turnPause = 100 * time.Millisecond
-	// outFirst is how long a router stays out at first, outMost at most: twice as long each time that it is overloaded again
+	// checkInterval is how often the load is looked at.
+	checkInterval = 100 * time.Millisecond
+	// minOutTime is how long a router stays out at first, maxOut at most: twice as long each time that it is overloaded again
 	// within as long after it came back, since the same callers come back to it.
-	outFirst = 20 * time.Second
-	outMost  = 160 * time.Second
+	minOutTime = 20 * time.Second
+	maxOutTime = 160 * time.Second
 	// leaseTimeout bounds the asking for a lease, over a full link.
 	leaseTimeout = 3 * time.Second
-	// leasePause separates two attempts at a lease.
-	leasePause = 500 * time.Millisecond
-	// pausedAlone is how long the listener may be paused without a lease.
-	pausedAlone = 1500 * time.Millisecond
+	// leaseRetryInterval separates two attempts at a lease.
+	leaseRetryInterval = 500 * time.Millisecond
+	// maxPauseWithoutLease is how long the listener may be paused without a lease.
+	maxPauseWithoutLease = 1500 * time.Millisecond
 )
 
 // Names of metrics.
@@ -70,12 +70,12 @@
 	settings Settings
 	parts    Parts
 	out      atomic.Bool
-	calls    sync.WaitGroup
+	wg       sync.WaitGroup
 
-	mu    sync.Mutex
-	load  *Load
-	given votes
-	work  admission
+	mu        sync.Mutex
+	load      *Load
+	granted   grantedLeases
+	admission admission
 
 	// absence, paused and overloadedAt belong to the goroutine that runs: the last is when the present overload began.
 	absence      absence
@@ -85,7 +85,7 @@
 
 // New returns a rotator for a router that is in rotation.
 func New(s Settings, p Parts) *Rotator {
-	return &Rotator{settings: s, parts: p, load: NewLoad(), work: admission{heldMost: int64(heldShare * float64(s.Memory))}}
+	return &Rotator{settings: s, parts: p, load: NewLoad(), admission: admission{maxHeldBytes: int64(bodyMemoryShare * float64(s.Memory))}}
 }
 
 // IsOut tells that the router is out of rotation.
@@ -95,28 +95,28 @@
 func (r *Rotator) Admit(rank int, bytes int64) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.work.admit(rank, bytes)
+	return r.admission.admit(rank, bytes)
 }
 
 // MarkAnswered counts an admitted request out of those at work.
 func (r *Rotator) MarkAnswered() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.work.answered()
+	r.admission.markAnswered()
 }
 
 // Release counts out the bytes of an admitted request.
 func (r *Rotator) Release(bytes int64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.work.ended(bytes)
+	r.admission.release(bytes)
 }
 
 // Note counts one of the router's own calls, which ended after some time with an answer or without one.
 func (r *Rotator) Note(k Kind, took time.Duration, answered bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.load.Note(r.parts.Clock.Now(), k, took, answered)
+	r.load.Record(r.parts.Clock.Now(), k, took, answered)
 }
 
 // Dial returns a function that makes connections to servers as another does, and counts how long that takes.
@@ -133,28 +133,28 @@
 
 // Run looks after the rotation until the context ends.
 func (r *Rotator) Run(ctx context.Context) {
-	was := false
+	wasOverloaded := false
 	for ctx.Err() == nil {
 		overloaded, delayed := r.measure()
-		if overloaded != was {
+		if overloaded != wasOverloaded {
 			r.overloadedAt = r.parts.Clock.Now()
-			r.tell(overloaded)
-			was = overloaded
+			r.logOverload(overloaded)
+			wasOverloaded = overloaded
 		}
-		r.mind(overloaded && delayed)
-		r.turn(ctx, overloaded)
+		r.updateListener(overloaded && delayed)
+		r.updateRotation(ctx, overloaded)
 		select {
 		case <-ctx.Done():
-		case <-r.parts.Clock.After(turnPause):
+		case <-r.parts.Clock.After(checkInterval):
 		}
 	}
-	r.calls.Wait()
+	r.wg.Wait()
 }
 
-// mind pauses the listener while more comes than can be carried. Without a lease it goes on after a moment: callers whom no
+// updateListener pauses the listener while more comes than can be carried. Without a lease it goes on after a moment: callers whom no
 // router of the zone lets in would not even hear when to come back.
-func (r *Rotator) mind(full bool) {
-	pause := full && (r.absence.out || r.parts.Clock.Now().Sub(r.overloadedAt) < pausedAlone)
+func (r *Rotator) updateListener(overloaded bool) {
+	pause := overloaded && (r.absence.out || r.parts.Clock.Now().Sub(r.overloadedAt) < maxPauseWithoutLease)
 	switch {
 	case pause && !r.paused:
 		r.parts.Listener.Pause()
@@ -169,13 +169,13 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	now := r.parts.Clock.Now()
-	overloaded, delayed = r.load.Overloaded(now), r.load.Delayed(now)
-	r.work.turn(overloaded, delayed)
+	overloaded, delayed = r.load.Update(now), r.load.IsDelayed(now)
+	r.admission.adjust(overloaded, delayed)
 	return overloaded, delayed
 }
 
-// tell logs that the overload has begun or ended.
-func (r *Rotator) tell(overloaded bool) {
+// logOverload logs that the overload has begun or ended.
+func (r *Rotator) logOverload(overloaded bool) {
 	fields := logrus.Fields{"event": "overload", "overloaded": overloaded}
 	gauge := int64(0)
 	if overloaded {
@@ -190,58 +190,58 @@
 	r.parts.Log.WithFields(fields).Warn("the load of this router has changed")
 }
 
-// turn leaves the rotation or comes back to it, as is due.
-func (r *Rotator) turn(ctx context.Context, overloaded bool) {
+// updateRotation leaves the rotation or comes back to it, as is due.
+func (r *Rotator) updateRotation(ctx context.Context, overloaded bool) {
 	now := r.parts.Clock.Now()
 	switch {
-	case r.absence.asking != nil:
-		r.await(ctx)
+	case r.absence.pending != nil:
+		r.checkElection(ctx)
 	case !r.absence.out && overloaded && !now.Before(r.absence.retryAt):
-		r.leave(ctx)
+		r.requestLease(ctx)
 	case r.absence.out && !now.Before(r.absence.until):
-		r.comeBack(ctx)
+		r.rejoin(ctx)
 	}
 }
 
-// leave asks for a lease, beside all else.
-func (r *Rotator) leave(ctx context.Context) {
-	asking := make(chan election, 1)
-	r.absence.asking = asking
+// requestLease asks for a lease, beside all else.
+func (r *Rotator) requestLease(ctx context.Context) {
+	pending := make(chan election, 1)
+	r.absence.pending = pending
 	now := r.parts.Clock.Now()
-	span := r.absence.next(now)
-	r.calls.Go(func() { asking <- r.elect(ctx, now, span) })
+	span := r.absence.nextSpan(now)
+	r.wg.Go(func() { pending <- r.elect(ctx, now, span) })
 }
 
-// await goes out of rotation once the lease that was asked for is there.
-func (r *Rotator) await(ctx context.Context) {
+// checkElection goes out of rotation once the lease that was asked for is there.
+func (r *Rotator) checkElection(ctx context.Context) {
 	var e election
 	select {
-	case e = <-r.absence.asking:
+	case e = <-r.absence.pending:
 	default:
 		return
 	}
-	r.absence.asking = nil
+	r.absence.pending = nil
 	now := r.parts.Clock.Now()
 	line := r.parts.Log.WithFields(logrus.Fields{
 		"event": "rotation", "routers": e.routers, "voters": e.voters, "votes": e.votes, "for_ms": e.span.Milliseconds(),
 		"took_ms": now.Sub(e.began).Milliseconds(),
 	})
-	if !e.won() {
+	if !e.isWon() {
 		r.returnLease(ctx)
 		// Routers that ask at the same time split the votes.
-		r.absence.retryAt = now.Add(leasePause + rand.N(leasePause))
+		r.absence.retryAt = now.Add(leaseRetryInterval + rand.N(leaseRetryInterval))
 		line.Info("no lease out of rotation can be had now")
 		return
 	}
-	r.absence.leave(e.began, e.span)
+	r.absence.start(e.began, e.span)
 	r.out.Store(true)
 	r.parts.Metrics.Gauge(metricOut, 1)
 	line.Warn("this router leaves the rotation")
 }
 
-// comeBack goes back into rotation and gives the lease up; voters that do not hear of it let it lapse.
-func (r *Rotator) comeBack(ctx context.Context) {
-	r.absence.comeBack(r.parts.Clock.Now())
+// rejoin goes back into rotation and gives the lease up; voters that do not hear of it let it lapse.
+func (r *Rotator) rejoin(ctx context.Context) {
+	r.absence.end(r.parts.Clock.Now())
 	r.out.Store(false)
 	r.parts.Metrics.Gauge(metricOut, 0)
 	r.parts.Log.WithFields(logrus.Fields{"event": "rotation"}).Warn("this router is back in rotation")
@@ -250,5 +250,7 @@
 
 // returnLease tells the voters that no lease is wanted.
 func (r *Rotator) returnLease(ctx context.Context) {
-	r.calls.Go(func() { r.collect(ctx, voters(r.settings.Zone, r.zone()), LeaseRequest{Instance: r.settings.Instance}) })
+	r.wg.Go(func() {
+		r.collectVotes(ctx, selectVoters(r.settings.Zone, r.zoneRouters()), LeaseRequest{Instance: r.settings.Instance})
+	})
 }
