--- a/sharer/ask.go
+++ b/sharer/ask.go
@@ -12,8 +12,8 @@
 // pathTable is the path of the calls about shared tables.
 const pathTable = "/peer/table"
 
-// Ask asks a reader for a table.
-type Ask struct {
+// Request asks a reader for a table.
+type Request struct {
 	Table string `cbor:"1,keyasint"`
 	Part  string `cbor:"2,keyasint,omitempty"`
 	// Whole asks for all rows, else for the changes since a version, for which the reader waits at most so long.
@@ -24,7 +24,7 @@
 
 // Reply is a reader's answer.
 type Reply struct {
-	Verdict Verdict              `cbor:"1,keyasint"`
+	Status  Status               `cbor:"1,keyasint"`
 	Reading masticway.RowReading `cbor:"2,keyasint"`
 	// Age is how long ago the reader had heard from the store.
 	Age time.Duration `cbor:"3,keyasint"`
@@ -32,20 +32,20 @@
 	Rate float64 `cbor:"4,keyasint"`
 }
 
-// Verdict says whether a reader can answer.
-type Verdict string
+// Status says whether a reader can answer.
+type Status string
 
 // The verdicts: lost means that the changes since the version are not known any more, away that this router does not follow the
 // table, or has not heard from the store.
 const (
-	VerdictKnown Verdict = "known"
-	VerdictLost  Verdict = "lost"
-	VerdictAway  Verdict = "away"
+	StatusKnown       Status = "known"
+	StatusHistoryLost Status = "lost"
+	StatusUnavailable Status = "away"
 )
 
 // Readers are the other routers that follow tables for their zone.
 type Readers interface {
-	Ask(ctx context.Context, address string, ask Ask) (Reply, error)
+	Ask(ctx context.Context, address string, req Request) (Reply, error)
 }
 
 // Client asks over connections between routers; it implements Readers.
@@ -57,11 +57,11 @@
 func NewClient(m *messenger.Client) *Client { return &Client{messages: m} }
 
 // Ask asks the reader at an address.
-func (c *Client) Ask(ctx context.Context, address string, ask Ask) (Reply, error) {
-	return messenger.Fetch[Reply](ctx, c.messages, address, pathTable, ask.Wait+answerMargin, ask)
+func (c *Client) Ask(ctx context.Context, address string, req Request) (Reply, error) {
+	return messenger.Fetch[Reply](ctx, c.messages, address, pathTable, req.Wait+replyMargin, req)
 }
 
 // Serve answers other routers.
 func (s *Store) Serve(mux *http.ServeMux) {
-	messenger.Handle(mux, pathTable, s.Reply)
+	messenger.Handle(mux, pathTable, s.HandleRequest)
 }
--- a/sharer/sharer_test.go
+++ b/sharer/sharer_test.go
@@ -23,36 +23,36 @@
 
 const (
 	table = "servers"
-	// heartbeat is how often a server writes its row, rowBytes how large it is.
-	heartbeat = 3 * time.Second
-	rowBytes  = 230
-	// between separates two calls of a router about the table.
-	between = 150 * time.Millisecond
-	// readers is how many routers of a zone read for it.
-	readers = 2
+	// heartbeatInterval is how often a server writes its row, rowBytes how large it is.
+	heartbeatInterval = 3 * time.Second
+	rowBytes          = 230
+	// callInterval separates two calls of a router about the table.
+	callInterval = 150 * time.Millisecond
+	// readerCount is how many routers of a zone read for it.
+	readerCount = 2
 )
 
 var errSilent = errors.New("no answer in time")
 
-// counted is a row store that counts what is read of it.
-type counted struct {
+// countingStore is a row store that counts what is read of it.
+type countingStore struct {
 	*emulator.Rows
 	bytes, calls atomic.Int64
-	// away tells that it answers nobody.
-	away atomic.Bool
+	// isAway tells that it answers nobody.
+	isAway atomic.Bool
 }
 
-func (c *counted) Read(ctx context.Context, name, part string) (masticway.RowReading, error) {
+func (c *countingStore) Read(ctx context.Context, name, part string) (masticway.RowReading, error) {
 	return c.count(c.Rows.Read(ctx, name, part))
 }
 
-func (c *counted) Watch(ctx context.Context, f masticway.WatchRequest) (masticway.RowReading, error) {
+func (c *countingStore) Watch(ctx context.Context, f masticway.WatchRequest) (masticway.RowReading, error) {
 	return c.count(c.Rows.Watch(ctx, f))
 }
 
-func (c *counted) count(reading masticway.RowReading, err error) (masticway.RowReading, error) {
+func (c *countingStore) count(reading masticway.RowReading, err error) (masticway.RowReading, error) {
 	c.calls.Add(1)
-	if c.away.Load() {
+	if c.isAway.Load() {
 		return masticway.RowReading{}, &masticway.UnavailableError{Service: "rows"}
 	}
 	c.bytes.Add(reading.Bytes())
@@ -61,60 +61,60 @@
 
 // fleet is a zone of routers that follow the servers' table.
 type fleet struct {
-	store   *counted
-	routers []*router
+	store   *countingStore
+	routers []*simRouter
 }
 
-// router follows the table as a mirror does.
-type router struct {
+// simRouter follows the table as a mirror does.
+type simRouter struct {
 	fleet  *fleet
 	name   string
 	number int
-	own    *counted
+	own    *countingStore
 	store  *sharer.Store
-	// silent tells that it answers nobody any more, slow that it does after a while.
-	silent atomic.Bool
-	since  int64
+	// isSilent tells that it answers nobody any more, slow that it does after a while.
+	isSilent atomic.Bool
+	since    int64
 
 	mu    sync.Mutex
 	known map[string]string
 }
 
 // Ask carries a question to a reader.
-func (f *fleet) Ask(ctx context.Context, address string, ask sharer.Ask) (sharer.Reply, error) {
+func (f *fleet) Ask(ctx context.Context, address string, req sharer.Request) (sharer.Reply, error) {
 	for _, r := range f.routers {
 		if r.name != address {
 			continue
 		}
-		if r.silent.Load() {
-			time.Sleep(ask.Wait + 300*time.Millisecond)
+		if r.isSilent.Load() {
+			time.Sleep(req.Wait + 300*time.Millisecond)
 			return sharer.Reply{}, errSilent
 		}
-		return r.store.Reply(ctx, ask), nil
+		return r.store.HandleRequest(ctx, req), nil
 	}
 	return sharer.Reply{}, errSilent
 }
 
-// substance is a row's state, without its number.
-func substance(_ string, value []byte) any {
+// rowState is a row's state, without its number.
+func rowState(_ string, value []byte) any {
 	state, _, _ := strings.Cut(string(value), " ")
 	return state
 }
 
-func openFleet(ctx context.Context, routers, servers int) *fleet {
+func newFleet(ctx context.Context, routers, servers int) *fleet {
 	rows := emulator.NewRows(time.Now)
-	f := &fleet{store: &counted{Rows: rows}}
+	f := &fleet{store: &countingStore{Rows: rows}}
 	log, _ := test.NewNullLogger()
 	for i := range routers {
-		r := &router{fleet: f, name: fmt.Sprintf("edge-%d", i), number: i, own: &counted{Rows: rows}}
+		r := &simRouter{fleet: f, name: fmt.Sprintf("edge-%d", i), number: i, own: &countingStore{Rows: rows}}
 		r.store = sharer.New(sharer.Parts{
 			Store: r.own, Readers: f, Clock: emulator.SteadyClock{}, Log: logrus.NewEntry(log), Metrics: measurer.New(),
-			Choose: func() ([]string, bool) { return []string{"edge-0", "edge-1"}, r.number < readers },
-		}, sharer.Table{Name: table, Substance: substance})
+			Choose: func() ([]string, bool) { return []string{"edge-0", "edge-1"}, r.number < readerCount },
+		}, sharer.Table{Name: table, Substance: rowState})
 		f.routers = append(f.routers, r)
 	}
 	for i := range servers {
-		go f.beat(ctx, i, servers)
+		go f.writeHeartbeats(ctx, i, servers)
 	}
 	for _, r := range f.routers {
 		go r.follow(ctx)
@@ -131,22 +131,22 @@
 	return []byte(v + strings.Repeat("x", max(0, rowBytes-len(v))))
 }
 
-// beat writes a server's row each heartbeat.
-func (f *fleet) beat(ctx context.Context, server, servers int) {
-	time.Sleep(heartbeat * time.Duration(server) / time.Duration(servers))
+// writeHeartbeats writes a server's row each heartbeat.
+func (f *fleet) writeHeartbeats(ctx context.Context, server, servers int) {
+	time.Sleep(heartbeatInterval * time.Duration(server) / time.Duration(servers))
 	for n := 0; ctx.Err() == nil; n++ {
 		f.store.Put(key(server), value("ready", n))
-		time.Sleep(heartbeat)
+		time.Sleep(heartbeatInterval)
 	}
 }
 
 // follow keeps what is known of the table up to date.
-func (r *router) follow(ctx context.Context) {
+func (r *simRouter) follow(ctx context.Context) {
 	for ctx.Err() == nil {
 		if r.since == 0 {
 			reading, err := r.store.Read(ctx, table, "")
 			if err == nil {
-				r.take(true, reading)
+				r.apply(true, reading)
 			}
 		} else {
 			reading, err := r.store.Watch(ctx, masticway.WatchRequest{Table: table, Since: r.since, MaxWait: 900 * time.Millisecond, MaxBytes: 16 << 10})
@@ -156,14 +156,14 @@
 				r.since = 0
 				continue
 			case err == nil:
-				r.take(false, reading)
+				r.apply(false, reading)
 			}
 		}
-		time.Sleep(between)
+		time.Sleep(callInterval)
 	}
 }
 
-func (r *router) take(whole bool, reading masticway.RowReading) {
+func (r *simRouter) apply(whole bool, reading masticway.RowReading) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if whole {
@@ -179,15 +179,15 @@
 	}
 }
 
-// knows is what the router knows of a server.
-func (r *router) knows(server int) string {
+// state is what the router knows of a server.
+func (r *simRouter) state(server int) string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.known[key(server).Key]
 }
 
-// read is what all routers have read of the store.
-func (f *fleet) read() (bytes, calls int64) {
+// totals is what all routers have read of the store.
+func (f *fleet) totals() (bytes, calls int64) {
 	for _, r := range f.routers {
 		bytes += r.own.bytes.Load()
 		calls += r.own.calls.Load()
@@ -195,14 +195,14 @@
 	return bytes, calls
 }
 
-// until returns how long it takes until all routers that answer know something of a server; it fails after a while.
-func (f *fleet) until(t *testing.T, server int, want string) time.Duration {
+// waitUntilKnown returns how long it takes until all routers that answer know something of a server; it fails after a while.
+func (f *fleet) waitUntilKnown(t *testing.T, server int, want string) time.Duration {
 	began := time.Now()
 	for time.Since(began) < 10*time.Second {
 		missing := 0
 		for _, r := range f.routers {
 			// Who is cut off or silent need not know.
-			if r.knows(server) != want && !r.silent.Load() && !r.own.away.Load() {
+			if r.state(server) != want && !r.isSilent.Load() && !r.own.isAway.Load() {
 				missing++
 			}
 		}
@@ -217,7 +217,7 @@
 
 func (f *fleet) close(stop context.CancelFunc) {
 	stop()
-	time.Sleep(2 * heartbeat)
+	time.Sleep(2 * heartbeatInterval)
 }
 
 // TestReadingsGrowWithServersNotWithTheirSquare has zones of routers follow the table in which two servers for each router write all
@@ -228,11 +228,11 @@
 	for _, routers := range []int{15, 100, 400} {
 		synctest.Test(t, func(t *testing.T) {
 			ctx, stop := context.WithCancel(t.Context())
-			f := openFleet(ctx, routers, 2*routers)
+			f := newFleet(ctx, routers, 2*routers)
 			time.Sleep(6 * time.Second)
-			before, callsBefore := f.read()
+			before, callsBefore := f.totals()
 			time.Sleep(10 * time.Second)
-			after, callsAfter := f.read()
+			after, callsAfter := f.totals()
 			perRouter[routers] = float64(after-before) / 10 / float64(routers)
 			t.Logf("%d routers: %.0f bytes a second each, %.2f calls", routers, perRouter[routers], float64(callsAfter-callsBefore)/10/float64(routers))
 			f.close(stop)
@@ -243,35 +243,35 @@
 	qt.Check(t, perRouter[400] < 1000, qt.IsTrue)
 }
 
-// TestChangesAreKnownInTime has a server leave, and another come, while readers are well, dead, frozen or cut off from the store: all
+// TestChangesArriveInTime has a server leave, and another come, while readers are well, dead, frozen or cut off from the store: all
 // routers know in time, within the 2 s that deployments with the tightest bounds allow.
-func TestChangesAreKnownInTime(t *testing.T) {
+func TestChangesArriveInTime(t *testing.T) {
 	cases := map[string]struct {
 		trouble func(f *fleet)
 		known   time.Duration
 	}{
 		"calm":                      {trouble: func(*fleet) {}, known: time.Second},
-		"a reader is silent":        {trouble: func(f *fleet) { f.routers[0].silent.Store(true) }, known: 1500 * time.Millisecond},
-		"both readers are silent":   {trouble: func(f *fleet) { f.routers[0].silent.Store(true); f.routers[1].silent.Store(true) }, known: 2 * time.Second},
-		"a reader is cut off":       {trouble: func(f *fleet) { f.routers[0].own.away.Store(true) }, known: 2 * time.Second},
-		"both readers are cut off":  {trouble: func(f *fleet) { f.routers[0].own.away.Store(true); f.routers[1].own.away.Store(true) }, known: 2 * time.Second},
-		"one is silent, one is cut": {trouble: func(f *fleet) { f.routers[0].silent.Store(true); f.routers[1].own.away.Store(true) }, known: 2 * time.Second},
+		"a reader is silent":        {trouble: func(f *fleet) { f.routers[0].isSilent.Store(true) }, known: 1500 * time.Millisecond},
+		"both readers are silent":   {trouble: func(f *fleet) { f.routers[0].isSilent.Store(true); f.routers[1].isSilent.Store(true) }, known: 2 * time.Second},
+		"a reader is cut off":       {trouble: func(f *fleet) { f.routers[0].own.isAway.Store(true) }, known: 2 * time.Second},
+		"both readers are cut off":  {trouble: func(f *fleet) { f.routers[0].own.isAway.Store(true); f.routers[1].own.isAway.Store(true) }, known: 2 * time.Second},
+		"one is silent, one is cut": {trouble: func(f *fleet) { f.routers[0].isSilent.Store(true); f.routers[1].own.isAway.Store(true) }, known: 2 * time.Second},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				ctx, stop := context.WithCancel(t.Context())
-				f := openFleet(ctx, 100, 900)
+				f := newFleet(ctx, 100, 900)
 				f.store.Put(key(2000), value("ready", 1))
 				time.Sleep(8 * time.Second)
 				tc.trouble(f)
 				f.store.Put(key(1000), value("ready", 1))
 				f.store.Put(key(2000), value("draining", 2))
-				took := max(f.until(t, 2000, "draining"), f.until(t, 1000, "ready"))
+				took := max(f.waitUntilKnown(t, 2000, "draining"), f.waitUntilKnown(t, 1000, "ready"))
 				t.Logf("known after %v", took)
 				qt.Check(t, took <= tc.known, qt.IsTrue)
 				f.store.Delete(key(1000))
-				qt.Check(t, f.until(t, 1000, "") <= 2*time.Second, qt.IsTrue)
+				qt.Check(t, f.waitUntilKnown(t, 1000, "") <= 2*time.Second, qt.IsTrue)
 				f.close(stop)
 			})
 		})
--- a/sharer/store.go
+++ b/sharer/store.go
@@ -12,19 +12,19 @@
 )
 
 const (
-	// costlyRate is what following a table may cost a router's link, in bytes a second, before it asks readers: a good part of
+	// maxDirectRate is what following a table may cost a router's link, in bytes a second, before it asks readers: a good part of
 	// what control may take. Below half of it the table is followed directly again.
-	costlyRate = 32 << 10
+	maxDirectRate = 32 << 10
 	// rateSpan is the time over which that cost is averaged.
 	rateSpan = 5 * time.Second
-	// askWait is how long a reader may wait for a change, answerMargin how long its answer may take beyond that; a reader that
+	// maxRequestWait is how long a reader may wait for a change, replyMargin how long its answer may take beyond that; a reader that
 	// is frozen is left within their sum.
-	askWait      = 400 * time.Millisecond
-	answerMargin = 300 * time.Millisecond
-	// oldest is how long ago a reader may have heard from the store.
-	oldest = time.Second
-	// leftFor is how long a reader that failed is not asked again.
-	leftFor = 5 * time.Second
+	maxRequestWait = 400 * time.Millisecond
+	replyMargin    = 300 * time.Millisecond
+	// maxReaderAge is how long ago a reader may have heard from the store.
+	maxReaderAge = time.Second
+	// readerBackoff is how long a reader that failed is not asked again.
+	readerBackoff = 5 * time.Second
 )
 
 // Names of metrics.
@@ -57,27 +57,27 @@
 type Store struct {
 	masticway.RowStore
 	parts  Parts
-	tables map[string]*shared
+	tables map[string]*sharedTable
 }
 
-// shared is what is known of one table; its lock guards all of it.
-type shared struct {
+// sharedTable is what is known of one table; its lock guards all of it.
+type sharedTable struct {
 	Table
 	mu   sync.Mutex
 	view *view
 	cost cost
-	// through tells that the table is read through readers, left which of these are not asked, and until when.
-	through bool
-	left    map[string]time.Time
+	// viaReaders tells that the table is read through readers, left which of these are not asked, and until when.
+	viaReaders bool
+	retryAt    map[string]time.Time
 }
 
 var _ masticway.RowStore = (*Store)(nil)
 
 // New returns a store that shares some tables.
 func New(p Parts, tables ...Table) *Store {
-	s := &Store{RowStore: p.Store, parts: p, tables: map[string]*shared{}}
+	s := &Store{RowStore: p.Store, parts: p, tables: map[string]*sharedTable{}}
 	for _, t := range tables {
-		s.tables[t.Name] = &shared{Table: t, view: newView(t.Substance), left: map[string]time.Time{}}
+		s.tables[t.Name] = &sharedTable{Table: t, view: newView(t.Substance), retryAt: map[string]time.Time{}}
 	}
 	return s
 }
@@ -88,12 +88,12 @@
 	if !ok || part != t.Part {
 		return s.RowStore.Read(ctx, table, part)
 	}
-	if reply, ok := s.ask(ctx, t, Ask{Table: table, Part: part, Whole: true}); ok {
+	if reply, ok := s.askReaders(ctx, t, Request{Table: table, Part: part, Whole: true}); ok {
 		return reply.Reading, nil
 	}
 	reading, err := s.RowStore.Read(ctx, table, part)
 	if err == nil {
-		t.read(s.parts.Clock.Now(), true, reading)
+		t.recordReading(s.parts.Clock.Now(), true, reading)
 	}
 	return reading, err
 }
@@ -104,96 +104,96 @@
 	if !ok {
 		return s.RowStore.Watch(ctx, f)
 	}
-	if reply, ok := s.ask(ctx, t, Ask{Table: f.Table, Part: t.Part, Since: f.Since, Wait: min(f.MaxWait, askWait)}); ok {
-		if reply.Verdict == VerdictLost || f.MaxBytes > 0 && reply.Reading.Bytes() > f.MaxBytes {
-			return masticway.RowReading{}, &masticway.HistoryLostError{Table: f.Table, Since: f.Since, TooLarge: reply.Verdict != VerdictLost}
+	if reply, ok := s.askReaders(ctx, t, Request{Table: f.Table, Part: t.Part, Since: f.Since, Wait: min(f.MaxWait, maxRequestWait)}); ok {
+		if reply.Status == StatusHistoryLost || f.MaxBytes > 0 && reply.Reading.Bytes() > f.MaxBytes {
+			return masticway.RowReading{}, &masticway.HistoryLostError{Table: f.Table, Since: f.Since, TooLarge: reply.Status != StatusHistoryLost}
 		}
 		return reply.Reading, nil
 	}
 	reading, err := s.RowStore.Watch(ctx, f)
 	if err == nil {
-		t.read(s.parts.Clock.Now(), false, reading)
+		t.recordReading(s.parts.Clock.Now(), false, reading)
 	}
 	return reading, err
 }
 
-// ask asks the zone's readers in turn; false when the table is to be read directly.
-func (s *Store) ask(ctx context.Context, t *shared, ask Ask) (Reply, bool) {
+// askReaders asks the zone's readers in turn; false when the table is to be read directly.
+func (s *Store) askReaders(ctx context.Context, t *sharedTable, req Request) (Reply, bool) {
 	addresses, own := s.parts.Choose()
 	if own {
-		t.followDirectly()
+		t.useDirect()
 		return Reply{}, false
 	}
-	if !t.costly(s.parts.Clock.Now()) {
+	if !t.useReaders(s.parts.Clock.Now()) {
 		return Reply{}, false
 	}
 	for _, address := range addresses {
-		if !t.mayAsk(s.parts.Clock.Now(), address) {
+		if !t.canAsk(s.parts.Clock.Now(), address) {
 			continue
 		}
 		s.parts.Metrics.Add(metricAsked, 1)
-		reply, err := s.parts.Readers.Ask(ctx, address, ask)
-		if err == nil && reply.Verdict != VerdictAway && reply.Age <= oldest {
-			t.heard(reply.Rate)
+		reply, err := s.parts.Readers.Ask(ctx, address, req)
+		if err == nil && reply.Status != StatusUnavailable && reply.Age <= maxReaderAge {
+			t.updateReaderRate(reply.Rate)
 			return reply, true
 		}
 		if ctx.Err() != nil {
 			return Reply{}, false
 		}
 		s.parts.Metrics.Add(metricFailed, 1)
-		t.leave(s.parts.Clock.Now(), address)
+		t.backOff(s.parts.Clock.Now(), address)
 		s.parts.Log.WithFields(logrus.Fields{
-			"event": "reader_left", "table": t.Name, "reader": address, "verdict": reply.Verdict, "age_ms": reply.Age.Milliseconds(), "error": err,
+			"event": "reader_left", "table": t.Name, "reader": address, "verdict": reply.Status, "age_ms": reply.Age.Milliseconds(), "error": err,
 		}).Info("a reader does not answer for the table")
 	}
 	return Reply{}, false
 }
 
-// Reply answers another router.
-func (s *Store) Reply(ctx context.Context, ask Ask) Reply {
-	t, ok := s.tables[ask.Table]
-	if !ok || ask.Part != t.Part {
-		return Reply{Verdict: VerdictAway}
+// HandleRequest answers another router.
+func (s *Store) HandleRequest(ctx context.Context, req Request) Reply {
+	t, ok := s.tables[req.Table]
+	if !ok || req.Part != t.Part {
+		return Reply{Status: StatusUnavailable}
 	}
 	s.parts.Metrics.Add(metricAnswered, 1)
-	reply, changed := t.reply(s.parts.Clock.Now(), ask)
-	if reply.Verdict != VerdictKnown || ask.Whole || ask.Wait <= 0 || len(reply.Reading.Rows) > 0 {
+	reply, changed := t.reply(s.parts.Clock.Now(), req)
+	if reply.Status != StatusKnown || req.Whole || req.Wait <= 0 || len(reply.Reading.Rows) > 0 {
 		return reply
 	}
 	select {
 	case <-ctx.Done():
 	case <-changed:
-	case <-s.parts.Clock.After(min(ask.Wait, askWait)):
+	case <-s.parts.Clock.After(min(req.Wait, maxRequestWait)):
 	}
-	reply, _ = t.reply(s.parts.Clock.Now(), ask)
+	reply, _ = t.reply(s.parts.Clock.Now(), req)
 	return reply
 }
 
 // reply returns what is known now, and what is closed with the next change.
-func (t *shared) reply(now time.Time, ask Ask) (Reply, <-chan struct{}) {
+func (t *sharedTable) reply(now time.Time, req Request) (Reply, <-chan struct{}) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	reply := Reply{Verdict: VerdictKnown, Age: now.Sub(t.view.at), Rate: t.cost.rate(now)}
+	reply := Reply{Status: StatusKnown, Age: now.Sub(t.view.readAt), Rate: t.cost.rate(now)}
 	switch {
-	case t.through || t.view.reached == 0 || reply.Age > oldest:
-		reply.Verdict = VerdictAway
-	case !ask.Whole && t.view.reached < ask.Since:
+	case t.viaReaders || t.view.version == 0 || reply.Age > maxReaderAge:
+		reply.Status = StatusUnavailable
+	case !req.Whole && t.view.version < req.Since:
 		// Who asks has read the store itself a moment ago.
-		reply.Reading = masticway.RowReading{Version: ask.Since}
-	case ask.Whole:
+		reply.Reading = masticway.RowReading{Version: req.Since}
+	case req.Whole:
 		reply.Reading = t.view.all()
 	default:
-		reading, ok := t.view.since(ask.Since)
+		reading, ok := t.view.changesSince(req.Since)
 		if !ok {
-			reply.Verdict = VerdictLost
+			reply.Status = StatusHistoryLost
 		}
 		reply.Reading = reading
 	}
 	return reply, t.view.changed
 }
 
-// read takes what was read directly.
-func (t *shared) read(now time.Time, whole bool, reading masticway.RowReading) {
+// recordReading takes what was read directly.
+func (t *sharedTable) recordReading(now time.Time, whole bool, reading masticway.RowReading) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if whole {
@@ -204,41 +204,41 @@
 	t.view.update(now, reading)
 }
 
-// followDirectly notes that this router follows the table itself.
-func (t *shared) followDirectly() {
+// useDirect notes that this router follows the table itself.
+func (t *sharedTable) useDirect() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.through = false
+	t.viaReaders = false
 }
 
-// costly tells that the table costs too much to follow it directly.
-func (t *shared) costly(now time.Time) bool {
+// useReaders tells that the table costs too much to follow it directly.
+func (t *sharedTable) useReaders(now time.Time) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if !t.through && t.cost.rate(now) > costlyRate {
-		t.through = true
+	if !t.viaReaders && t.cost.rate(now) > maxDirectRate {
+		t.viaReaders = true
 	}
-	return t.through
+	return t.viaReaders
 }
 
-// heard takes what following costs a reader, which knows when it has become cheap.
-func (t *shared) heard(rate float64) {
+// updateReaderRate takes what following costs a reader, which knows when it has become cheap.
+func (t *sharedTable) updateReaderRate(rate float64) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if rate < costlyRate/2 {
-		t.through = false
+	if rate < maxDirectRate/2 {
+		t.viaReaders = false
 		t.cost = cost{}
 	}
 }
 
-func (t *shared) mayAsk(now time.Time, reader string) bool {
+func (t *sharedTable) canAsk(now time.Time, reader string) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return !now.Before(t.left[reader])
+	return !now.Before(t.retryAt[reader])
 }
 
-func (t *shared) leave(now time.Time, reader string) {
+func (t *sharedTable) backOff(now time.Time, reader string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.left[reader] = now.Add(leftFor)
+	t.retryAt[reader] = now.Add(readerBackoff)
 }
