--- a/chooser/bench_test.go
+++ b/chooser/bench_test.go
@@ -7,7 +7,7 @@
 	"github.com/masticway/masticway/chooser"
 )
 
-// BenchmarkChoose places one request of 12 KB among so many upstreams.
+// BenchmarkChoose chooses an upstream for a request with a prompt of 12 KB.
 func BenchmarkChoose(b *testing.B) {
 	for _, n := range []int{4, 16, 64} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
@@ -28,7 +28,7 @@
 	}
 }
 
-// BenchmarkPrefixes hashes one prompt.
+// BenchmarkPrefixes computes the prefix hashes of one prompt.
 func BenchmarkPrefixes(b *testing.B) {
 	data := make([]byte, 12_000)
 	b.SetBytes(int64(len(data)))
--- a/chooser/chooser.go
+++ b/chooser/chooser.go
@@ -9,7 +9,7 @@
 	"github.com/masticway/masticway"
 )
 
-// Policy chooses how upstreams are compared.
+// Policy is the method by which upstreams are compared.
 type Policy string
 
 // The routing policies.
@@ -20,39 +20,40 @@
 )
 
 const (
-	// blockBytes is the length of prompt that one prefix hash covers.
+	// blockBytes is the number of prompt bytes that each prefix hash adds.
 	blockBytes = 256
-	// prefixTTL is how long a cached prefix is believed in.
+	// prefixTTL is how long a prefix is assumed to stay in an upstream's cache.
 	prefixTTL = 60 * time.Second
-	// maxUpstreamPrefixes bounds the prefixes remembered for one upstream, and maxSentPrefixes those of the router's own prompts.
+	// maxUpstreamPrefixes is the maximum number of prefixes stored per upstream, and maxSentPrefixes that of the prefixes that
+	// this router has sent to any upstream.
 	maxUpstreamPrefixes = 4096
 	maxSentPrefixes     = 32768
-	// bytesPerToken estimates a prompt's tokens before the engine has counted them.
+	// bytesPerToken estimates the number of tokens in a prompt before the engine has counted them.
 	bytesPerToken = 4
-	// defaultPrefillTime is seconds per prompt token until the upstream has reported.
+	// defaultPrefillTime is the prefill time per prompt token, in seconds, until the upstream has reported it.
 	defaultPrefillTime = 0.0002
-	// defaultCapacity is the runs at once until the upstream has reported.
+	// defaultCapacity is the number of concurrent runs until the upstream has reported it.
 	defaultCapacity = 8
-	// defaultServiceTime is the seconds that one run occupies a slot until some have finished.
+	// defaultServiceTime is the time in seconds that one run occupies a slot, until some runs have finished.
 	defaultServiceTime = 1.0
-	// initialHitRate is the trust in cache hints before any has been checked, and minHitRate what is always left of it.
+	// initialHitRate is the assumed accuracy of cache hints before any has been checked, and minHitRate is its lower bound.
 	initialHitRate = 0.5
 	minHitRate     = 0.02
-	// hitRateWeight is the weight of the newest check.
+	// hitRateWeight is the weight of the newest check in the average.
 	hitRateWeight = 0.2
-	// otherLoadWeight is the weight of the newest report on other routers' work.
+	// otherLoadWeight is the weight of the newest report in the average load from other routers.
 	otherLoadWeight = 0.5
-	// maxReportAge is how late a load report may be.
+	// maxReportAge is the maximum delay of a load report.
 	maxReportAge = 3 * time.Second
-	// maxUtilization bounds the soft part of the wait, which grows without bound towards a full batch.
+	// maxUtilization limits the utilization in the queueing formula, whose result goes to infinity as the batch fills up.
 	maxUtilization = 0.85
-	// serviceTimeWeight is the weight of the newest sample in moving averages.
+	// serviceTimeWeight is the weight of the newest sample in the average service time.
 	serviceTimeWeight = 0.1
-	// zonePenalty is the cost in seconds of leaving the router's own availability zone.
+	// zonePenalty is the cost in seconds of choosing an upstream outside the router's own availability zone.
 	zonePenalty = 0.002
 )
 
-// Work describes a request to be placed.
+// Work describes a request for which an upstream must be chosen.
 type Work struct {
 	PromptBytes int
 	Prefixes    []uint64
@@ -68,42 +69,44 @@
 	Zone     string
 }
 
-// Score is a candidate's expected time to the first token, and what it is made of.
+// Score is a candidate's expected time to the first token, and its components.
 type Score struct {
 	Instance string  `json:"instance"`
 	Seconds  float64 `json:"seconds"`
 	Queue    float64 `json:"queue"`
 	Prefill  float64 `json:"prefill"`
-	// Cached is the number of prompt tokens expected in the prefix cache.
+	// Cached is the number of prompt tokens that are expected in the prefix cache.
 	Cached   int `json:"cached"`
 	InFlight int `json:"in_flight"`
 }
 
 type upstream struct {
 	inFlight int
-	// pendingPrefill is the tokens sent that have not yet given a first token.
+	// pendingPrefill is the number of uncached prompt tokens in requests that have not yet produced a first token.
 	pendingPrefill float64
 	report         masticway.LoadReport
-	// otherLoad is the work of other routers, from reports less the router's own work when they were made.
+	// otherLoad is the average load from other routers: the reported load minus this router's requests in flight at the time of
+	// the report.
 	otherLoad float64
-	// inFlightHistory is the router's own work in flight over the last seconds, to compare late reports with.
+	// inFlightHistory holds the number of this router's requests in flight over the last seconds, to compare delayed reports
+	// with.
 	inFlightHistory []inFlightSample
 	serviceTime     float64
 	prefixes        prefixSet
-	// hitRate is how much of what was expected in the cache has been there lately.
+	// hitRate is the recent share of predicted prompt tokens that were actually in the cache.
 	hitRate float64
 }
 
-// Chooser is the state of all upstreams' load; it is not safe for concurrent use.
+// Chooser tracks the load of all upstreams and chooses among them. It is not safe for concurrent use.
 type Chooser struct {
 	policy    Policy
 	upstreams map[string]*upstream
-	// sentPrefixes are the prefixes of prompts that this router has sent anywhere.
+	// sentPrefixes are the prefixes of the prompts that this router has sent to any upstream.
 	sentPrefixes prefixSet
 	choices      int
 }
 
-// New returns a chooser that knows no load.
+// New returns a chooser without load information.
 func New(p Policy) *Chooser {
 	return &Chooser{policy: p, upstreams: map[string]*upstream{}, sentPrefixes: newPrefixSet(maxSentPrefixes)}
 }
@@ -117,7 +120,7 @@
 	return u
 }
 
-// Choose returns the best candidate's index and all scores; the index is -1 without candidates.
+// Choose returns the index of the best candidate, or -1 if there are none, and the scores of all candidates.
 func (c *Chooser) Choose(now time.Time, req Work, candidates []Candidate) (int, []Score) {
 	scores := make([]Score, 0, len(candidates))
 	best := -1
@@ -144,13 +147,15 @@
 	return best, scores
 }
 
-// winsTie spreads equal scores over the candidates in turn.
+// winsTie reports whether candidate i replaces an earlier candidate with an equal score. It alternates between calls, so that
+// ties do not always go to the same upstream.
 func (c *Chooser) winsTie(i int) bool { return (c.choices+i)%2 == 0 }
 
-// homeIndex returns the candidate at which all routers look for a repeated prefix, or -1.
+// homeIndex returns the index of the candidate to which all routers send requests that share a prefix, or -1 if the prompt has no
+// prefix.
 //
-// Without it each router would gather a prefix at an engine of its own choice,
-// and the engines' caches would hold everything several times.
+// Without a common home, each router would send requests with one prefix to a different engine, and the engines' caches would
+// hold many copies of the prefix.
 func homeIndex(req Work, candidates []Candidate) int {
 	if len(req.Prefixes) == 0 {
 		return -1
@@ -164,10 +169,10 @@
 	return best
 }
 
-// rendezvousWeight is the weight of a name for a hash, the same wherever it is worked out.
+// rendezvousWeight returns the rendezvous hashing weight of a name for a hash. All routers compute the same weight.
 func rendezvousWeight(hash uint64, name string) uint64 { return mix(xxhash.Sum64String(name) ^ hash) }
 
-// mix spreads the bits of a weight, because both parts of it are hashes joined by one operation only.
+// mix is the finalizer of MurmurHash3. It spreads the bits of a weight, which is only the exclusive or of two hashes.
 func mix(x uint64) uint64 {
 	x ^= x >> 33
 	x *= 0xff51afd7ed558ccd
@@ -176,7 +181,8 @@
 	return x ^ x>>33
 }
 
-// score works out a candidate's expected time; presumed is the depth of prefix that is looked for at the home.
+// score computes a candidate's expected time to the first token. homeDepth is the number of prefix blocks that are assumed to be
+// cached because the candidate is the home; it is zero for other candidates.
 func (c *Chooser) score(now time.Time, req Work, k Candidate, homeDepth int) Score {
 	u := c.upstream(k.Instance)
 	prefillTime := u.report.PrefillTime
@@ -195,16 +201,16 @@
 	return s
 }
 
-// load corrects the lagging report by what this router has sent and finished since.
+// load estimates the upstream's current load: the load from other routers, as known from reports, plus this router's requests in
+// flight.
 func (u *upstream) load() float64 {
 	return u.otherLoad + float64(u.inFlight)
 }
 
-// queueTime estimates the wait for a place in the upstream's batch.
+// queueTime estimates the wait for a slot in the upstream's batch.
 //
-// The load is known late, so the wait must grow before the batch is full:
-// otherwise every router would fill a favoured upstream to the brim at once. The
-// soft part is Sakasegawa's approximation for a queue with several servers.
+// The load is known only with a delay, so the estimate must grow before the batch is full. Otherwise all routers would fill the
+// best upstream completely at the same time. The soft part is Sakasegawa's approximation for a queue with several servers.
 func (u *upstream) queueTime(load float64) float64 {
 	capacity := float64(u.report.Capacity)
 	if capacity == 0 {
@@ -213,24 +219,25 @@
 	utilization := min(maxUtilization, (load+1)/capacity)
 	soft := u.serviceTime * math.Pow(utilization, math.Sqrt(2*(capacity+1))) / (capacity * (1 - utilization))
 	excess := max(0, load+1-capacity) * u.serviceTime / capacity
-	// A fuller batch also slows each step; this breaks ties among free upstreams.
+	// A fuller batch also slows down each step. This breaks ties among upstreams with free slots.
 	return soft + excess + load/capacity*u.report.TokenTime
 }
 
-// cachedTokens is how much of a prompt is likely in the cache, weighed by trust.
+// cachedTokens estimates the number of prompt tokens in the cache: the predicted tokens times the hit rate.
 func (u *upstream) cachedTokens(now time.Time, req Work, homeDepth int) int {
 	return int(float64(u.predictedTokens(now, req, homeDepth)) * u.hitRate)
 }
 
-// predictedTokens is the same before trust.
+// predictedTokens returns the number of prompt tokens that the cache hints predict, without regard to the hit rate.
 func (u *upstream) predictedTokens(now time.Time, req Work, homeDepth int) int {
 	return max(homeDepth, u.prefixes.depth(now, req.Prefixes)) * blockBytes / bytesPerToken
 }
 
-// Counted compares what was expected in an upstream's cache with what was there.
+// Counted updates an upstream's hit rate from the number of prompt tokens that were expected in its cache and the number that
+// were there.
 //
-// Cache reports come late and with gaps, and an engine may have evicted what a
-// router sent; trust keeps such hints from drawing work to a busy upstream.
+// Cache reports are delayed and incomplete, and an engine may have evicted prefixes that a router sent. The hit rate prevents
+// such hints from attracting requests to a busy upstream.
 func (c *Chooser) Counted(instance string, expected, cached int) {
 	if expected <= 0 {
 		return
@@ -240,9 +247,9 @@
 	u.hitRate = max(minHitRate, (1-hitRateWeight)*u.hitRate+hitRateWeight*share)
 }
 
-// Sent records work given to an upstream, whose prompt is now likely to be cached there.
+// Sent records a request sent to an upstream, whose prompt is now likely to be cached there.
 //
-// It returns the prompt tokens expected in the cache, for Counted.
+// It returns the number of prompt tokens expected in the cache, to be compared later with the number that was there.
 func (c *Chooser) Sent(now time.Time, instance string, req Work) (expected int) {
 	u := c.upstream(instance)
 	expected = u.predictedTokens(now, req, 0)
@@ -253,7 +260,7 @@
 	return expected
 }
 
-// FirstToken records that an upstream has finished a prefill.
+// FirstToken records that an upstream has finished the prefill of a request.
 func (c *Chooser) FirstToken(instance string, req Work) {
 	u := c.upstream(instance)
 	u.pendingPrefill = max(0, u.pendingPrefill-req.tokens())
@@ -262,7 +269,7 @@
 	}
 }
 
-// Done records the end of a run and how long it occupied the upstream.
+// Done records the end of a run and how long it occupied a slot of the upstream.
 func (c *Chooser) Done(now time.Time, instance string, took time.Duration, firstTokenSeen bool, req Work) {
 	u := c.upstream(instance)
 	u.setInFlight(now, max(0, u.inFlight-1))
@@ -277,7 +284,7 @@
 	}
 }
 
-// Report takes an upstream's lagging word on its load and cache.
+// Report records an upstream's report on its load and its cache, which arrives with a delay.
 func (c *Chooser) Report(now time.Time, instance string, r masticway.LoadReport) {
 	u := c.upstream(instance)
 	fresh := !r.ReportedAt.Equal(u.report.ReportedAt)
@@ -289,7 +296,7 @@
 	u.prefixes.add(now, r.Prefixes)
 }
 
-// inFlightSample is the router's own work in flight from a time on.
+// inFlightSample is the number of this router's requests in flight from a time on.
 type inFlightSample struct {
 	at       time.Time
 	inFlight int
@@ -303,7 +310,7 @@
 	}
 }
 
-// inFlightAt is the router's own work in flight at an earlier time.
+// inFlightAt returns the number of this router's requests that were in flight at an earlier time.
 func (u *upstream) inFlightAt(at time.Time) int {
 	for i := len(u.inFlightHistory) - 1; i >= 0; i-- {
 		if !u.inFlightHistory[i].at.After(at) {
@@ -313,10 +320,10 @@
 	return 0
 }
 
-// Forget drops an upstream that has ended.
+// Forget removes an upstream that no longer exists.
 func (c *Chooser) Forget(instance string) { delete(c.upstreams, instance) }
 
-// InFlight returns the router's own work at an upstream, and the upstream's capacity.
+// InFlight returns the number of this router's requests in flight at an upstream, and the upstream's capacity.
 func (c *Chooser) InFlight(instance string) (own, capacity int) {
 	u := c.upstream(instance)
 	if u.report.Capacity == 0 {
@@ -325,7 +332,7 @@
 	return u.inFlight, u.report.Capacity
 }
 
-// Wait estimates how long a queue of this length takes to drain over the given upstreams.
+// Wait estimates how long the given upstreams take to drain a queue of this length.
 func (c *Chooser) Wait(queued int, candidates []Candidate) time.Duration {
 	rate := 0.0
 	for _, k := range candidates {
--- a/chooser/chooser_test.go
+++ b/chooser/chooser_test.go
@@ -30,7 +30,7 @@
 		work    chooser.Work
 		chosen  string
 	}{
-		"a queue elsewhere": {func(c *chooser.Chooser) {
+		"a queue at the other upstream": {func(c *chooser.Chooser) {
 			c.Report(start, "a", loadReport(4, 6))
 			c.Report(start, "b", loadReport(1, 0))
 		}, prompt('x', 400), "b"},
@@ -45,18 +45,18 @@
 			c.Report(start, "b", r)
 			c.Report(start, "a", loadReport(0, 0))
 		}, prompt('x', 8000), "b"},
-		"affinity is bounded by load": {func(c *chooser.Chooser) {
+		"load outweighs affinity": {func(c *chooser.Chooser) {
 			c.Sent(start, "b", prompt('x', 8000))
 			c.Report(start, "b", loadReport(4, 20))
 			c.Report(start, "a", loadReport(0, 0))
 		}, prompt('x', 8000), "a"},
-		"a prefix that has expired": {func(c *chooser.Chooser) {
+		"an expired prefix": {func(c *chooser.Chooser) {
 			c.Sent(start.Add(-time.Hour), "b", prompt('x', 8000))
 			c.FirstToken("b", prompt('x', 8000))
 			c.Report(start, "a", loadReport(0, 0))
 			c.Report(start, "b", loadReport(2, 0))
 		}, prompt('x', 8000), "a"},
-		"a lagging report is corrected by what was sent since": {func(c *chooser.Chooser) {
+		"requests sent since the report count": {func(c *chooser.Chooser) {
 			c.Report(start, "a", loadReport(0, 0))
 			c.Report(start, "b", loadReport(0, 0))
 			for range 8 {
@@ -108,7 +108,7 @@
 	c.Report(start, "b", loadReport(2, 0))
 	before, _ := c.Choose(start, work, twoCandidates)
 	qt.Assert(t, twoCandidates[before].Instance, qt.Equals, "b")
-	// The engine had evicted it each time; now the shorter queue wins over the hint.
+	// The engine has evicted the prefix each time, so the shorter queue outweighs the hint.
 	for range 20 {
 		c.Counted("b", 2000, 0)
 	}
--- a/chooser/cold.go
+++ b/chooser/cold.go
@@ -7,24 +7,26 @@
 	"github.com/masticway/masticway"
 )
 
-// coldWindow is the time over which requests to a cold server are counted: the deployments bound them in any second, and
-// requests that were sent apart may arrive closer together by some delays of a link.
+// coldWindow is the time over which requests to a cold server are counted. The limit of a deployment holds for any second, and
+// requests may arrive closer together than they were sent because of varying network delay, so the window is longer than a
+// second.
 const coldWindow = 1200 * time.Millisecond
 
-// ColdBound is how many requests a cold server may get from all routers in any second: Overshoot times the rate that the
-// configuration names, and Slack beside.
+// ColdBound is the maximum number of requests that a cold server may get from all routers together in any second: Overshoot times
+// the configured rate, plus Slack.
 type ColdBound struct {
 	Overshoot float64
 	Slack     float64
 }
 
-// ownerLimit is how many of them the server's owner sends, the one router that sends to it while it is cold: half, since two
-// may each take themselves for the owner while they know different routers.
+// ownerLimit returns the maximum number of requests that the server's owner may send to it. The owner is the only router that
+// sends to the server while it is cold. The limit is half of the total, because two routers may both consider themselves the
+// owner while they know of different routers.
 func (b ColdBound) ownerLimit(rate float64) int { return max(1, int((b.Overshoot*rate+b.Slack)/2)) }
 
-// Warm returns the servers that may get any request, and of the cold ones those that may get one more from this router,
-// which has to own the server and to be below the owner's bound. Cold servers are meant for requests that no warm one can
-// serve: they are slow, and crash under what a warm one bears.
+// Warm returns the warm servers, which may get any request, and the cold servers that may get one more request from this router,
+// which must own the server and have sent fewer requests than the owner's limit. Cold servers are meant for requests that no warm
+// server can take: they are slow, and crash under a load that a warm server handles.
 func (s *Servers) Warm(now time.Time, servers []masticway.Server, rate float64, owns func(server string) bool) (warm, cold []masticway.Server) {
 	for i, server := range servers {
 		if !server.IsCold(now) {
@@ -34,7 +36,7 @@
 			continue
 		}
 		if warm == nil {
-			// Most of the time none is cold, and nothing is copied.
+			// Usually no server is cold, and nothing is copied.
 			warm = append(make([]masticway.Server, 0, len(servers)), servers[:i]...)
 		}
 		if len(s.load(server.ID).recentlySent(now)) < s.policy.Cold.ownerLimit(rate) && owns(server.ID) {
@@ -47,7 +49,7 @@
 	return warm, cold
 }
 
-// recentlySent returns when requests were sent in the last coldWindow, oldest first; earlier ones are forgotten.
+// recentlySent returns the times of the requests sent within the last coldWindow, oldest first, and drops earlier ones.
 func (l *serverLoad) recentlySent(now time.Time) []time.Time {
 	l.sendTimes = slices.DeleteFunc(l.sendTimes, func(at time.Time) bool { return now.Sub(at) >= coldWindow })
 	return l.sendTimes
--- a/chooser/cold_test.go
+++ b/chooser/cold_test.go
@@ -11,12 +11,12 @@
 	"github.com/masticway/masticway/chooser"
 )
 
-// The bound of a deployment with cold servers: ten requests a second, half as many again, and five beside.
+// The limit of a deployment with cold servers: 1.5 times ten requests per second, plus five.
 const coldRate = 10.0
 
-var coldBound = chooser.ColdBound{Overshoot: 1.5, Slack: 5}
+var coldLimit = chooser.ColdBound{Overshoot: 1.5, Slack: 5}
 
-// coldPool returns servers of which some are cold.
+// coldPool returns n servers, of which some are cold.
 func coldPool(n int, cold ...int) []masticway.Server {
 	servers := pool(n)
 	for _, i := range cold {
@@ -27,55 +27,55 @@
 
 func TestEligibleColdServers(t *testing.T) {
 	cases := map[string]struct {
-		cold       []int
-		alone      bool
-		warm, last int
+		cold               []int
+		ownsAll            bool
+		wantWarm, wantCold int
 	}{
-		"all warm":                        {warm: 3},
-		"one cold":                        {cold: []int{1}, alone: true, warm: 2, last: 1},
-		"one cold, another router's":      {cold: []int{1}, warm: 2},
-		"all cold":                        {cold: []int{0, 1, 2}, alone: true, last: 3},
-		"all cold, all of another router": {cold: []int{0, 1, 2}},
+		"all warm":                          {wantWarm: 3},
+		"one cold":                          {cold: []int{1}, ownsAll: true, wantWarm: 2, wantCold: 1},
+		"one cold, owned by another router": {cold: []int{1}, wantWarm: 2},
+		"all cold":                          {cold: []int{0, 1, 2}, ownsAll: true, wantCold: 3},
+		"all cold, owned by other routers":  {cold: []int{0, 1, 2}},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
-			s := chooser.NewServers(chooser.ServerPolicy{Cold: coldBound})
-			warm, cold := s.Warm(testTime, coldPool(3, tc.cold...), coldRate, func(string) bool { return tc.alone })
-			qt.Assert(t, warm, qt.HasLen, tc.warm)
-			qt.Assert(t, cold, qt.HasLen, tc.last)
+			s := chooser.NewServers(chooser.ServerPolicy{Cold: coldLimit})
+			warm, cold := s.Warm(testTime, coldPool(3, tc.cold...), coldRate, func(string) bool { return tc.ownsAll })
+			qt.Assert(t, warm, qt.HasLen, tc.wantWarm)
+			qt.Assert(t, cold, qt.HasLen, tc.wantCold)
 		})
 	}
 }
 
-// TestColdServersStayWithinLimit has all servers of a pool cold, as after a loss of power of a place, while callers of many
-// routers press: no server may get more than the bound in any second, although routers disagree on who sends to it. Each
-// request comes at one of 31 routers; two of them take themselves for the one of each server, as after a restart.
+// TestColdServersStayWithinLimit guards against overloading cold servers. All servers of a pool are cold, as after a power
+// failure in a zone, and callers of many routers send more than the servers can take. No server may get more than the limit in
+// any second, although two of the 31 routers consider themselves the owner of each server, as may happen after a restart.
 func TestColdServersStayWithinLimit(t *testing.T) {
 	const routers, requestsEach, span = 31, 400, 4 * time.Second
-	bound := int(coldBound.Overshoot*coldRate + coldBound.Slack)
+	limit := int(coldLimit.Overshoot*coldRate + coldLimit.Slack)
 	servers := coldPool(8, 0, 1, 2, 3, 4, 5, 6, 7)
 	arrived := map[string][]time.Time{}
-	draw := rand.New(rand.NewPCG(1, 2))
-	var views []*chooser.Servers
+	random := rand.New(rand.NewPCG(1, 2))
+	var choosers []*chooser.Servers
 	for range routers {
-		views = append(views, chooser.NewServers(chooser.ServerPolicy{Cold: coldBound}))
+		choosers = append(choosers, chooser.NewServers(chooser.ServerPolicy{Cold: coldLimit}))
 	}
 	for i := range routers * requestsEach {
 		now := testTime.Add(span * time.Duration(i) / (routers * requestsEach))
-		r := draw.IntN(routers)
-		_, cold := views[r].Warm(now, servers, coldRate, func(server string) bool {
+		r := random.IntN(routers)
+		_, cold := choosers[r].Warm(now, servers, coldRate, func(server string) bool {
 			owner := int(server[len(server)-1] - '0')
 			return r == owner || r == owner+1
 		})
 		if len(cold) == 0 {
 			continue
 		}
-		k, _ := views[r].Choose(now, true, chat("hot"), cold)
-		views[r].Sent(now, chat("hot"), cold[k].ID)
-		// A link may hold a request up by this much.
-		arrived[cold[k].ID] = append(arrived[cold[k].ID], now.Add(time.Duration(draw.IntN(100))*time.Millisecond))
+		k, _ := choosers[r].Choose(now, true, chat("hot"), cold)
+		choosers[r].Sent(now, chat("hot"), cold[k].ID)
+		// The network may delay a request by up to this much.
+		arrived[cold[k].ID] = append(arrived[cold[k].ID], now.Add(time.Duration(random.IntN(100))*time.Millisecond))
 	}
-	qt.Assert(t, arrived, qt.HasLen, len(servers), qt.Commentf("what cold servers bear is used"))
+	qt.Assert(t, arrived, qt.HasLen, len(servers), qt.Commentf("every cold server must get some requests"))
 	for server, times := range arrived {
 		for _, from := range times {
 			n := 0
@@ -84,7 +84,7 @@
 					n++
 				}
 			}
-			qt.Assert(t, n <= bound, qt.IsTrue, qt.Commentf("%s got %d requests in a second, of %d", server, n, bound))
+			qt.Assert(t, n <= limit, qt.IsTrue, qt.Commentf("%s got %d requests in a second, the limit is %d", server, n, limit))
 		}
 	}
 }
--- a/chooser/cost.go
+++ b/chooser/cost.go
@@ -7,29 +7,30 @@
 )
 
 const (
-	// tokensPerMillisecond is the prefill speed assumed of an engine until its answers have told.
+	// tokensPerMillisecond is the assumed prefill speed of an engine; deviations are observed in the times of first events.
 	tokensPerMillisecond = 35.0
-	// runningCost is the milliseconds that one more running request adds to an engine's steps.
+	// runningCost is the time in milliseconds that each further running request adds to the steps of an engine.
 	runningCost = 1.5
-	// zoneCost is the milliseconds that any answer from another availability zone may be worth.
+	// zoneCost is the fixed cost, in milliseconds, of an answer from another availability zone.
 	zoneCost = 3.0
-	// failureCost is the milliseconds that a server which always fails seems farther away.
+	// failureCost is the cost, in milliseconds, of a server that always fails.
 	failureCost = 600.0
-	// plainCost is the milliseconds that one request under way at a plain service costs the next.
+	// plainCost is the cost, in milliseconds, of each request in flight at a plain service.
 	plainCost = 15.0
 )
 
-// ServerPolicy weighs what speaks against a server beside its load.
+// ServerPolicy configures the costs of servers other than their load.
 type ServerPolicy struct {
-	// RankShare is the part of the time for reading a prompt's shared parts that each further rank of a server costs.
-	// Without ranks each router leaves a crowded home for a server of its own choice, and the parts are read again there;
-	// with five routers and 18 engines a share of 0.8 took a third off the tokens that were read again.
+	// RankShare is the part of the prefill time of a prompt's shared parts that is added to the cost of a server for each rank.
+	// Without ranks, each router would choose a different server when the home is overloaded, and the parts would be prefilled
+	// again at each of these servers. With five routers and 18 engines, a share of 0.8 reduced the number of tokens that were
+	// prefilled again by a third.
 	RankShare float64
-	// ZoneTokenCost is the milliseconds that each token of an answer from another availability zone may cost: a long
-	// answer to a prompt with little to share is better made nearby, one whose prompt another zone's engine has read is
-	// not. With 0.04 a sixth less crosses zones.
+	// ZoneTokenCost is the cost, in milliseconds, of each token of an answer from another availability zone. A long answer to a
+	// prompt with few shared tokens should come from the same zone. A prompt that is cached by an engine in another zone should
+	// go there. With 0.04, a sixth less traffic crosses zones.
 	ZoneTokenCost float64
-	// Cold bounds what a cold server gets.
+	// Cold limits the requests to cold servers.
 	Cold ColdBound
 }
 
@@ -49,13 +50,13 @@
 	return cost + (uncached+l.pendingPrefill)/tokensPerMillisecond + float64(l.inFlight)*runningCost + l.currentDelay(now)
 }
 
-// rankCost is what each rank of a server costs a prompt, in milliseconds: the more there is to share, the more it matters
-// that all routers leave the home for the same servers.
+// rankCost returns the cost of each rank of a server for a prompt, in milliseconds. The more tokens can be shared, the more
+// important it is that all routers fall back from the home to the same servers.
 func (s *Servers) rankCost(p Prompt) float64 {
 	return s.policy.RankShare * float64(p.sharedTokens()) / tokensPerMillisecond
 }
 
-// sharedTokens is how many of the prompt's tokens other requests may have too.
+// sharedTokens returns the number of the prompt's tokens that other requests may share.
 func (p Prompt) sharedTokens() int {
 	tokens := 0
 	for _, part := range p.Parts[:max(0, len(p.Parts)-1)] {
--- a/chooser/observations.go
+++ b/chooser/observations.go
@@ -8,35 +8,35 @@
 )
 
 const (
-	// partTTL is how long a prompt part is believed to stay in an engine's memory after its last use.
+	// partTTL is how long a prompt part is assumed to stay in an engine's cache after its last use.
 	partTTL = 8 * time.Second
-	// delayDecay is the time over which what an engine was slower than expected is forgotten.
+	// delayDecay is the time constant by which an observed delay decays.
 	delayDecay = 1500 * time.Millisecond
-	// failureWeight is the weight of the newest answer in a server's share of failures.
+	// failureWeight is the weight of the newest answer in a server's failure rate.
 	failureWeight = 0.15
-	// minAvoidTime and maxAvoidTime bound how long a server is passed over that could not be reached.
+	// minAvoidTime and maxAvoidTime bound the backoff during which an unreachable server is avoided.
 	minAvoidTime = 300 * time.Millisecond
 	maxAvoidTime = 2 * time.Second
-	// maxParts bounds the prompt parts remembered for one server.
+	// maxParts is the number of prompt parts stored for one server above which expired ones are removed.
 	maxParts = 2048
 )
 
-// serverLoad is what a router knows of one server.
+// serverLoad is a router's information about one server.
 type serverLoad struct {
-	// startedAt is when the server's present life began, as far as it has said so.
+	// startedAt is the start time of the server's current incarnation, if the server has reported it.
 	startedAt time.Time
 	inFlight  int
-	// pendingPrefill is the prompt tokens sent that have not yet given a first event.
+	// pendingPrefill is the number of uncached prompt tokens in requests that have not yet produced a first event.
 	pendingPrefill float64
 	parts          map[string]time.Time
-	// delay is how much later than expected first events came lately, in milliseconds, as of delayAt.
+	// delay is how much later than expected recent first events were, in milliseconds, as of delayAt.
 	delay       float64
 	delayAt     time.Time
 	failureRate float64
-	// avoidUntil passes a server over after a connection that could not be made.
+	// avoidUntil is the time until which the server is avoided because a connection to it failed.
 	avoidUntil      time.Time
 	connectFailures int
-	// sendTimes is when requests were sent lately, oldest first.
+	// sendTimes are the times of recently sent requests, oldest first.
 	sendTimes []time.Time
 }
 
@@ -53,7 +53,8 @@
 	return l
 }
 
-// cachedTokens is how many leading tokens of a prompt the engine probably keeps; at its home any shared part counts.
+// cachedTokens estimates the number of leading prompt tokens in the engine's cache. At the home of the prompt, all shared parts
+// are assumed to be cached.
 func (l *serverLoad) cachedTokens(now time.Time, p Prompt, home bool) int {
 	tokens := 0
 	for i, part := range p.Parts {
@@ -66,9 +67,9 @@
 	return tokens
 }
 
-// Placement is one request at one server; it is given back to Servers as the request goes on.
+// Placement is one request at one server. It is passed back to Servers as the request progresses.
 type Placement struct {
-	// load is what was known of the server in the life that it was sent to.
+	// load is the information about the incarnation of the server that the request was sent to.
 	load           *serverLoad
 	sentAt         time.Time
 	uncached       float64
@@ -76,7 +77,7 @@
 	ended          bool
 }
 
-// Sent notes a request that goes to a server.
+// Sent records a request sent to a server.
 func (s *Servers) Sent(now time.Time, p Prompt, server string) *Placement {
 	l := s.load(server)
 	uncached := float64(p.Tokens - l.cachedTokens(now, p, false))
@@ -100,7 +101,7 @@
 	}
 }
 
-// First notes the first event of an answer.
+// First records the first event of an answer.
 func (s *Servers) First(now time.Time, p *Placement) {
 	if p.firstEventSeen {
 		return
@@ -114,23 +115,23 @@
 	l.delayAt = now
 }
 
-// usualFirstEvent is the milliseconds that an idle engine takes for a first event beside the reading of the prompt.
+// usualFirstEvent is the time in milliseconds that an idle engine takes for a first event, excluding the prefill.
 const usualFirstEvent = 60.0
 
-// Verdict is how a request ended, as far as it says something of its server.
+// Verdict is how a request ended, as far as it concerns the health of its server.
 type Verdict int
 
-// The verdicts on a server.
+// The results of a request.
 const (
 	VerdictGood Verdict = iota
-	// VerdictNone is for requests that ended for reasons of their caller.
+	// VerdictNone is for requests whose result says nothing about the server, such as those that the caller aborted.
 	VerdictNone
 	VerdictFailed
-	// VerdictUnreached is for connections that could not be made.
+	// VerdictUnreached is for requests whose connection could not be established.
 	VerdictUnreached
 )
 
-// Ended notes the end of a request.
+// Ended records the end of a request.
 func (s *Servers) Ended(now time.Time, p *Placement, v Verdict) {
 	if p.ended {
 		return
@@ -157,7 +158,7 @@
 	}
 }
 
-// Suspect tells that a server fails more often than the others of its pool by a clear margin.
+// Suspect reports whether a server's failure rate is clearly above the average of the other servers of its pool.
 func (s *Servers) Suspect(id string, servers []masticway.Server) bool {
 	if len(servers) < 2 {
 		return false
@@ -171,11 +172,13 @@
 	return s.load(id).failureRate > outlierMargin+others/float64(len(servers)-1)
 }
 
-// outlierMargin is how much greater a grey server's share of failures is than that of failures bound to requests.
+// outlierMargin is the amount by which the failure rate of a failing server exceeds that of the other servers. Failures that are
+// caused by requests, not by a server, stay within it.
 const outlierMargin = 0.2
 
-// Keep forgets the servers that are not among the given ones, which are told with when their lives began, and what was
-// known of earlier lives: a server that starts again under its id holds no parts and has no load. It names those.
+// Keep removes the servers that are not in the given map and have no requests in flight, and the information about earlier
+// incarnations, because a restarted server has an empty cache and no load. The map holds the start time of each server's current
+// incarnation. It returns the IDs of the servers that have restarted.
 func (s *Servers) Keep(startTimes map[string]time.Time) (restarted []string) {
 	s.startTimes = startTimes
 	for id, l := range s.loads {
--- a/chooser/prefixes.go
+++ b/chooser/prefixes.go
@@ -6,7 +6,7 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Prefixes hashes a prompt's leading blocks, each hash covering all before it.
+// Prefixes returns the hashes of a prompt's leading blocks. Each hash covers its block and all blocks before it.
 func Prefixes(prompt []byte) []uint64 {
 	hashes := make([]uint64, 0, len(prompt)/blockBytes)
 	d := xxhash.New()
@@ -17,7 +17,7 @@
 	return hashes
 }
 
-// prefixSet remembers prefix hashes for a while, in bounded memory.
+// prefixSet is a bounded set of prefix hashes that expire.
 type prefixSet struct {
 	limit    int
 	lastSeen map[uint64]time.Time
@@ -27,7 +27,7 @@
 	return prefixSet{limit: limit, lastSeen: map[uint64]time.Time{}}
 }
 
-// depth returns how many leading blocks are known; a known hash covers all blocks before it.
+// depth returns the number of leading blocks that are in the set. A hash in the set covers all blocks before it.
 func (p prefixSet) depth(now time.Time, hashes []uint64) int {
 	for i := len(hashes) - 1; i >= 0; i-- {
 		if at, ok := p.lastSeen[hashes[i]]; ok && now.Sub(at) <= prefixTTL {
@@ -37,7 +37,7 @@
 	return 0
 }
 
-// add remembers hashes, forgetting the older half when there is no room.
+// add adds hashes to the set. If there is no room, it first evicts those older than half the TTL, and all if too many are left.
 func (p prefixSet) add(now time.Time, hashes []uint64) {
 	if len(p.lastSeen)+len(hashes) > p.limit {
 		p.evict(now)
--- a/chooser/servers.go
+++ b/chooser/servers.go
@@ -10,20 +10,21 @@
 	"github.com/masticway/masticway"
 )
 
-// maxRank is how many ranks count.
+// maxRank is the rank above which the cost of a server no longer grows.
 const maxRank = 6
 
-// Prompt describes a request to be placed at one of a pool's servers.
+// Prompt describes a request for which one of a pool's servers must be chosen.
 type Prompt struct {
 	Tokens int
-	// Output is the most tokens that the answer may have.
+	// Output is the maximum number of tokens in the answer.
 	Output int
 	Parts  []masticway.PromptPart
 	// Zone is the router's availability zone.
 	Zone string
 }
 
-// homePart is the part by which all routers gather requests at one engine: the last one that others may share.
+// homePart returns the part by which all routers choose the same engine, the home of the prompt: the last part that other
+// requests may share.
 func (p Prompt) homePart() (string, bool) {
 	switch len(p.Parts) {
 	case 0:
@@ -34,22 +35,22 @@
 	return p.Parts[len(p.Parts)-2].ID, true
 }
 
-// Servers places requests at servers that are reached without a sidecar, from the router's own observations only;
-// it is not safe for concurrent use.
+// Servers chooses among servers without sidecars, using only the router's own observations. It is not safe for concurrent use.
 type Servers struct {
 	policy ServerPolicy
 	loads  map[string]*serverLoad
-	// startTimes is when the lives of the known servers began.
+	// startTimes holds the start times of the known servers' current incarnations.
 	startTimes map[string]time.Time
 	choices    int
 }
 
-// NewServers returns a placement that has observed nothing.
+// NewServers returns a Servers without observations.
 func NewServers(p ServerPolicy) *Servers {
 	return &Servers{policy: p, loads: map[string]*serverLoad{}}
 }
 
-// Choose returns the index of the server with the least expected cost in milliseconds, or -1 without one.
+// Choose returns the index of the server with the lowest expected cost, and the cost in milliseconds. The index is -1 if there
+// are no servers.
 func (s *Servers) Choose(now time.Time, engine bool, p Prompt, servers []masticway.Server) (int, float64) {
 	s.choices++
 	var ranks []int
@@ -59,7 +60,7 @@
 	rankCost := s.rankCost(p)
 	best, bestCost := -1, 0.0
 	for i := range servers {
-		// Equal costs take turns.
+		// Servers with equal costs take turns.
 		k := (i + s.choices) % len(servers)
 		cost := s.cost(now, engine, p, servers[k], ranks != nil && ranks[k] == 0)
 		if ranks != nil {
@@ -72,8 +73,8 @@
 	return best, bestCost
 }
 
-// rankServers orders servers by their rendezvous weights for a part, so that all routers agree without a word on its
-// home, rank zero, and on where its requests go when that is crowded.
+// rankServers returns the ranks of servers by their rendezvous weights for a prompt part. All routers thus agree without
+// communication on the part's home, rank zero, and on the servers to use if the home is overloaded.
 func rankServers(part string, servers []masticway.Server) []int {
 	hash := xxhash.Sum64String(part)
 	weights := make([]uint64, len(servers))
--- a/chooser/servers_test.go
+++ b/chooser/servers_test.go
@@ -37,7 +37,7 @@
 		qt.Assert(t, second, qt.Equals, first)
 		homes[first]++
 	}
-	qt.Assert(t, len(homes), qt.Equals, 9, qt.Commentf("homes are not spread: %v", homes))
+	qt.Assert(t, len(homes), qt.Equals, 9, qt.Commentf("homes are not spread over all servers: %v", homes))
 }
 
 func TestBusyHomeIsAvoided(t *testing.T) {
@@ -50,8 +50,9 @@
 	qt.Assert(t, next, qt.Not(qt.Equals), home)
 }
 
-// TestRoutersAgreeOnOverflowServers has a subject that is asked for by many callers at once, through several
-// routers that know nothing of each other's requests: beside its home its parts are read at the same few engines for all.
+// TestRoutersAgreeOnOverflowServers guards against prefilling the parts of a popular prompt at many engines. Many callers request
+// the same subject through several routers, which do not know each other's requests. Apart from the home, all routers must use
+// the same few engines.
 func TestRoutersAgreeOnOverflowServers(t *testing.T) {
 	const routers, requests = 8, 12
 	spread := func(p chooser.ServerPolicy) int {
@@ -69,20 +70,20 @@
 		return len(used)
 	}
 	ranked, unranked := spread(chooser.ServerPolicy{RankShare: 0.8}), spread(chooser.ServerPolicy{})
-	qt.Assert(t, ranked <= 6, qt.IsTrue, qt.Commentf("%d engines read the parts, %d without ranks", ranked, unranked))
-	qt.Assert(t, unranked > ranked, qt.IsTrue, qt.Commentf("%d engines read the parts, %d without ranks", ranked, unranked))
+	qt.Assert(t, ranked <= 6, qt.IsTrue, qt.Commentf("%d engines prefilled the parts, %d without ranks", ranked, unranked))
+	qt.Assert(t, unranked > ranked, qt.IsTrue, qt.Commentf("%d engines prefilled the parts, %d without ranks", ranked, unranked))
 }
 
-// TestLongAnswersToShortPromptsStayInZone has two kinds of requests whose bytes between zones cost alike: one with a
-// hundred tokens to share, one with five thousand.
+// TestLongAnswersToShortPromptsStayInZone compares two kinds of requests whose answers cost the same to transfer between zones:
+// one with a hundred shared tokens, one with five thousand.
 func TestLongAnswersToShortPromptsStayInZone(t *testing.T) {
 	const output = 300
 	cases := map[string]struct {
-		shared int
-		nearby bool
+		shared     int
+		wantNearby bool
 	}{
-		"little to share": {shared: 100, nearby: true},
-		"much to share":   {shared: 5000},
+		"few shared tokens":  {shared: 100, wantNearby: true},
+		"many shared tokens": {shared: 5000},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -90,27 +91,27 @@
 			for i := range servers {
 				servers[i].Zone = []string{"z", "y", "x"}[i%3]
 			}
-			home, near := 0, 0
+			sameAsUnweighted, nearby := 0, 0
 			for i := range 60 {
 				p := chooser.Prompt{Tokens: tc.shared + 400, Output: output, Zone: "z", Parts: []masticway.PromptPart{
 					{ID: fmt.Sprintf("subject%d", i), Tokens: tc.shared}, {ID: fmt.Sprintf("own%d", i), Tokens: 400},
 				}}
 				s := chooser.NewServers(chooser.ServerPolicy{RankShare: 0.8, ZoneTokenCost: 0.04})
 				k, _ := s.Choose(testTime, true, p, servers)
-				anywhere, _ := chooser.NewServers(chooser.ServerPolicy{RankShare: 0.8}).Choose(testTime, true, p, servers)
-				if k == anywhere {
-					home++
+				unweighted, _ := chooser.NewServers(chooser.ServerPolicy{RankShare: 0.8}).Choose(testTime, true, p, servers)
+				if k == unweighted {
+					sameAsUnweighted++
 				}
 				if servers[k].Zone == "z" {
-					near++
+					nearby++
 				}
 			}
-			if tc.nearby {
-				// The home is still taken where all nearby engines are among the last.
-				qt.Assert(t, near >= 50, qt.IsTrue, qt.Commentf("%d of 60", near))
+			if tc.wantNearby {
+				// The home is still chosen if all nearby engines have high ranks.
+				qt.Assert(t, nearby >= 50, qt.IsTrue, qt.Commentf("%d of 60", nearby))
 				return
 			}
-			qt.Assert(t, home, qt.Equals, 60)
+			qt.Assert(t, sameAsUnweighted, qt.Equals, 60)
 		})
 	}
 }
@@ -166,8 +167,8 @@
 	qt.Assert(t, i, qt.Equals, -1)
 }
 
-// TestRestartedServerHasNoState has a server that starts again under its id: it holds no parts, has no load, and
-// what ends late of the life before counts for nothing.
+// TestRestartedServerHasNoState restarts a server under its ID. The new incarnation must have no cached parts and no load, and
+// requests of the earlier incarnation that end late must not count against it.
 func TestRestartedServerHasNoState(t *testing.T) {
 	s := chooser.NewServers(chooser.ServerPolicy{})
 	servers := []masticway.Server{{ID: "a"}, {ID: "b"}}
@@ -191,5 +192,5 @@
 		s.Ended(testTime, p, chooser.VerdictUnreached)
 	}
 	restarted, idle = costs()
-	qt.Assert(t, restarted, qt.Equals, idle, qt.Commentf("the ends of the life before count for nothing"))
+	qt.Assert(t, restarted, qt.Equals, idle, qt.Commentf("the ends of the earlier incarnation's requests must not count"))
 }
