--- a/throttler/doc.go
+++ b/throttler/doc.go
@@ -1,26 +1,27 @@
-// Package throttler keeps to what servers say in their answers of the requests
-// that they take.
+// Package throttler enforces the rate limits and backoff times that servers report
+// in their answers.
 //
-// A limit holds for all routers together, so one of them owns it: the first by
-// rendezvous hash of the server. A router that knows of the limit asks the owner
-// for a permit before it sends a request. The owner has a token bucket, which is
-// empty at first; a permit that is not used in time lapses. What does not fit
-// goes to another server, and the router does not ask again before the next
-// token is due.
+// A rate limit applies to all routers together, so one of them owns it: the first
+// by rendezvous hash of the server. A router that knows of the limit asks the
+// owner for a permit before it sends a request. The owner has a token bucket,
+// which is empty at first. Permits that are not used in time expire. A request
+// that gets no permit goes to another server, and the router does not ask again
+// before the next token is due.
 //
-// Where the owner does not answer, the next router by the same hash is its
-// backup and gives a part of the limit, so that both together stay within what
-// the limit's window allows. An owner that has just started forwards questions
-// to the backup: others may not have counted it yet and still ask that one.
+// If the owner does not reply, the next router by the same hash acts as its backup
+// and grants a part of the limit, so that both together stay within what the
+// limit's window allows. An owner that has just started forwards permit requests
+// to the backup, because routers that do not know the owner yet still ask the
+// backup.
 //
-// Every question and every reply carries the newest observation of the limit and
-// its age. A router that hears a limit begin, change or end tells the owner, and
-// the owner tells all others of the begin and the end. A server that takes
-// nothing at all still gets a request from time to time, as its answer is the
-// only sign of the end.
+// Every permit request and reply carries the newest observation of the limit and
+// its age. A router that observes that a limit begins, changes or ends notifies
+// the owner, and the owner notifies all others of the begin and the end. A server
+// whose limit is zero still gets a request from time to time, because its answer
+// is the only sign that the limit has ended.
 //
-// A wish for rest binds only the router that it was said to.
+// A backoff time applies only to the router that the server reported it to.
 //
-// Limits and Rests decide and Throttler carries out: the first two read no clock
-// and open no connection.
+// Limits and Backoffs make the decisions and use neither a clock nor the network.
+// Throttler provides both.
 package throttler
--- a/throttler/limits.go
+++ b/throttler/limits.go
@@ -10,53 +10,55 @@
 const (
 	// permitTTL is how long a permit may be used.
 	permitTTL = 400 * time.Millisecond
-	// bucketPeriod is how long the owner saves up what nobody asks for, minBucketSize how many permits at least.
+	// bucketPeriod is the time for which the owner accumulates unused permits; minBucketSize is the minimum size of the bucket.
 	bucketPeriod  = 250 * time.Millisecond
 	minBucketSize = 2
-	// minRate is what a server gets that names less, in requests a second: its answers tell of the limit's end.
+	// minRate is the minimum rate of requests to a server, in requests per second, whatever its limit: only its answers show that
+	// the limit has ended.
 	minRate = 0.1
-	// minAskInterval separates the questions of all routers together about one server that has refused them.
+	// minAskInterval is the minimum mean interval between the permit requests of all routers together for one server after a
+	// refusal.
 	minAskInterval = 10 * time.Millisecond
-	// maxAskInterval bounds how long a router goes by an old refusal.
+	// maxAskInterval is the maximum time for which a router acts on the wait time in a refusal.
 	maxAskInterval = 2 * time.Second
-	// unansweredBackoff is how long a server gets nothing after a question that nobody answered.
+	// unansweredBackoff is how long a server gets no requests after a permit request that no router answered.
 	unansweredBackoff = 250 * time.Millisecond
-	// unregisteredTTL is how long a server is remembered that is not registered any more.
+	// unregisteredTTL is how long the limit of a server is kept after its registration has disappeared.
 	unregisteredTTL = time.Minute
-	// maxRetryAfter bounds the time after which a refused caller is told to come again.
+	// maxRetryAfter is the maximum time after which a refused caller is told to retry.
 	maxRetryAfter = 10 * time.Second
 )
 
-// Observation is what a server was last heard to say of its limit.
+// Observation is the newest known report of a server on its limit.
 type Observation struct {
 	Limit masticway.RateLimit `cbor:"1,keyasint"`
-	// Age is how long ago the server said so.
+	// Age is the time since the server reported it.
 	Age time.Duration `cbor:"2,keyasint"`
 }
 
-// PermitRequest asks the owner of a server's limit for permits; without any wanted it only tells what was observed.
+// PermitRequest asks the owner of a server's limit for permits. If Wanted is zero, it only passes on the observation.
 type PermitRequest struct {
 	Server   masticway.ServerIncarnation `cbor:"1,keyasint"`
 	Observed Observation                 `cbor:"2,keyasint"`
 	Wanted   int                         `cbor:"3,keyasint,omitempty"`
-	// Forwarded tells that an owner that has just started asks the backup in its place.
+	// Forwarded is set if an owner that has just started forwards the request to the backup.
 	Forwarded bool `cbor:"4,keyasint,omitempty"`
 }
 
-// PermitReply answers a question.
+// PermitReply is the reply to a permit request.
 type PermitReply struct {
 	Observed Observation `cbor:"1,keyasint"`
 	Granted  int         `cbor:"2,keyasint,omitempty"`
-	// Wait is when the next permit is due, if there was none.
+	// Wait is the time until the next permit is due. It is set if none was granted.
 	Wait time.Duration `cbor:"3,keyasint,omitempty"`
-	// NotOwner tells that the router that was asked gives no permits for this limit.
+	// NotOwner is set if the replying router does not grant permits for this limit.
 	NotOwner bool `cbor:"4,keyasint,omitempty"`
 }
 
-// Change is what an observation changes.
+// Change is the change of a limit that an observation causes.
 type Change string
 
-// The changes.
+// The kinds of changes.
 const (
 	ChangeNone  Change = ""
 	ChangeBegun Change = "begun"
@@ -64,44 +66,45 @@
 	ChangeEnded Change = "ended"
 )
 
-// limitState is what is known of one server that has named a limit.
+// limitState is the state of one server that has reported a limit.
 type limitState struct {
 	limit      masticway.RateLimit
 	observedAt time.Time
-	// permits may be used until permitsUntil; refusedUntil no more are asked for.
+	// permits may be used until permitsUntil. No more are requested until refusedUntil.
 	permits      int
 	permitsUntil time.Time
 	refusedUntil time.Time
-	// askDone is closed when the question under way is answered, for which waiting requests wait beside the one that asks.
+	// askDone is closed when the current permit request is answered. waiters is the number of requests that wait for it, not
+	// counting the one that asks.
 	askDone chan struct{}
 	waiters int
-	// lastRetryAt is when the last caller was told to come again.
+	// lastRetryAt is the latest time at which a caller was told to retry.
 	lastRetryAt time.Time
-	// tokens are what the owner may give as of tokensAt.
+	// tokens is the number of permits that the owner may grant, as of tokensAt.
 	tokens   float64
 	tokensAt time.Time
-	// unregisteredSince is since when the server is not registered, zero while it is.
+	// unregisteredSince is the time since which the server has not been registered. It is zero if the server is registered.
 	unregisteredSince time.Time
 }
 
-// rate is what the server gets in requests a second.
+// rate returns the rate of requests that the server gets, in requests per second.
 func (l *limitState) rate() float64 { return max(minRate, l.limit.Rate) }
 
-// Limits are one router's beliefs about limits, the permits that it has, and the buckets that it owns; it is not safe
-// for concurrent use.
+// Limits holds one router's observations of limits, its permits, and the token buckets that it owns. It is not safe for
+// concurrent use.
 type Limits struct {
 	servers map[masticway.ServerIncarnation]*limitState
-	// limitedCount is how many servers have a limit now.
+	// limitedCount is the number of servers that currently have a limit.
 	limitedCount int
 }
 
-// NewLimits returns limits of no server.
+// NewLimits returns a Limits without any limit.
 func NewLimits() *Limits { return &Limits{servers: map[masticway.ServerIncarnation]*limitState{}} }
 
-// LimitedCount is how many servers have a limit now.
+// LimitedCount returns the number of servers that currently have a limit.
 func (s *Limits) LimitedCount() int { return s.limitedCount }
 
-// Observe takes an observation unless a newer one is known.
+// Observe records an observation unless a newer one is known, and returns what has changed.
 func (s *Limits) Observe(now time.Time, server masticway.ServerIncarnation, o Observation) Change {
 	l, ok := s.servers[server]
 	if !ok {
@@ -112,7 +115,7 @@
 		s.servers[server] = l
 	}
 	at := now.Add(-max(0, o.Age))
-	// What another router repeats is not younger for the way that it took.
+	// An observation that another router repeats is no newer than the original. Its age does not include the network delay.
 	repeated := o.Age > 0 && o.Limit == l.limit
 	if at.Before(l.observedAt) || repeated {
 		return ChangeNone
@@ -133,7 +136,7 @@
 	return ChangeRate
 }
 
-// Observation returns what was last heard of a server; its limit is none if nothing is known.
+// Observation returns the newest observation of a server's limit. If nothing is known, it has no limit and the maximum age.
 func (s *Limits) Observation(now time.Time, server masticway.ServerIncarnation) Observation {
 	l, ok := s.servers[server]
 	if !ok {
@@ -142,7 +145,7 @@
 	return Observation{Limit: l.limit, Age: now.Sub(l.observedAt)}
 }
 
-// Observations returns the observations on all servers that have a limit now.
+// Observations returns the observations of all servers that currently have a limit.
 func (s *Limits) Observations(now time.Time) Observations {
 	observations := Observations{}
 	for server, l := range s.servers {
@@ -153,20 +156,21 @@
 	return observations
 }
 
-// Decision is what may be done with a request for a server.
+// Decision is the decision on one request to a server.
 type Decision string
 
-// The verdicts.
+// The decisions.
 const (
 	DecisionAdmitted Decision = "admitted"
 	DecisionRefused  Decision = "refused"
-	// DecisionAsk is for the request that asks the owner; Answered has to follow.
+	// DecisionAsk is for the request that must ask the owner for permits. It must be followed by a call of HandleReply.
 	DecisionAsk Decision = "ask"
-	// DecisionWait is for requests that wait until the question under way is answered, and are judged again then.
+	// DecisionWait is for requests that must wait until the current permit request is answered, and then call Acquire again.
 	DecisionWait Decision = "asked"
 )
 
-// Acquire judges one request; answered is closed when a question that is under way ends.
+// Acquire decides on one request, and uses a permit if it admits it. For DecisionWait, answered is closed when the current permit
+// request ends.
 func (s *Limits) Acquire(now time.Time, server masticway.ServerIncarnation) (d Decision, answered <-chan struct{}) {
 	l, ok := s.servers[server]
 	switch {
@@ -185,7 +189,7 @@
 	return DecisionAsk, nil
 }
 
-// PermitsWanted is how many permits the requests at hand need.
+// PermitsWanted returns the number of permits that the current requests need.
 func (s *Limits) PermitsWanted(server masticway.ServerIncarnation) int {
 	if l, ok := s.servers[server]; ok {
 		return l.waiters + 1
@@ -193,13 +197,14 @@
 	return 1
 }
 
-// IsRefused tells that a server gets nothing now as far as is known without asking.
+// IsRefused reports whether a server must get no requests now, as far as this is known without asking the owner.
 func (s *Limits) IsRefused(now time.Time, server masticway.ServerIncarnation) bool {
 	l, ok := s.servers[server]
 	return ok && l.limit.IsSet && now.Before(l.refusedUntil) && (l.permits == 0 || !now.Before(l.permitsUntil))
 }
 
-// HandleReply takes the reply to the question under way, nil if there was none; members is how many routers there are.
+// HandleReply records the reply to the current permit request, which is nil if no router replied. members is the number of
+// routers.
 func (s *Limits) HandleReply(now time.Time, server masticway.ServerIncarnation, r *PermitReply, members int) Change {
 	l, ok := s.servers[server]
 	if !ok {
@@ -222,7 +227,7 @@
 	return change
 }
 
-// ReturnPermit returns a permit that was not used.
+// ReturnPermit returns an unused permit.
 func (s *Limits) ReturnPermit(now time.Time, server masticway.ServerIncarnation) {
 	l, ok := s.servers[server]
 	if !ok || !l.limit.IsSet {
@@ -235,7 +240,7 @@
 	l.permitsUntil = now.Add(permitTTL)
 }
 
-// Grant answers a question from the bucket, which fills with a share of the limit.
+// Grant answers a permit request from the token bucket, which is filled at the given share of the limit.
 func (s *Limits) Grant(now time.Time, q PermitRequest, share float64) (r PermitReply) {
 	r.Observed = s.Observation(now, q.Server)
 	l, ok := s.servers[q.Server]
@@ -254,7 +259,7 @@
 	return r
 }
 
-// WaitTime is how long a server gets nothing from this router.
+// WaitTime returns how much longer a server gets no requests from this router.
 func (s *Limits) WaitTime(now time.Time, server masticway.ServerIncarnation) time.Duration {
 	if !s.IsRefused(now, server) {
 		return 0
@@ -262,7 +267,7 @@
 	return s.servers[server].refusedUntil.Sub(now)
 }
 
-// Limit returns a server's present limit.
+// Limit returns a server's current limit.
 func (s *Limits) Limit(server masticway.ServerIncarnation) masticway.RateLimit {
 	if l, ok := s.servers[server]; ok {
 		return l.limit
@@ -270,7 +275,8 @@
 	return masticway.RateLimit{}
 }
 
-// RetryAfter returns when the next refused caller should come again: they come as far apart as this router's part of the limit.
+// RetryAfter returns the time after which the next refused caller should retry. Retries are spaced by this router's part of the
+// limit.
 func (s *Limits) RetryAfter(now time.Time, server masticway.ServerIncarnation, members int) time.Duration {
 	wait := s.WaitTime(now, server)
 	l, ok := s.servers[server]
@@ -289,7 +295,8 @@
 	return due.Sub(now)
 }
 
-// Prune forgets the servers that have not been among the known ones for long; the row of one that lapses may come back.
+// Prune removes the servers that have not been registered for a while. It does not remove them at once because an expired
+// registration may be renewed.
 func (s *Limits) Prune(now time.Time, known map[masticway.ServerIncarnation]bool) {
 	for server, l := range s.servers {
 		if known[server] {
--- a/throttler/limits_test.go
+++ b/throttler/limits_test.go
@@ -10,7 +10,8 @@
 	"github.com/masticway/masticway/throttler"
 )
 
-// TestNewestObservationWins: a word that comes late, or that routers repeat to each other, outlives what the server has said after it.
+// TestNewestObservationWins guards against an old observation, which arrives late or is repeated among routers, replacing what
+// the server has reported since.
 func TestNewestObservationWins(t *testing.T) {
 	limit := masticway.RateLimit{IsSet: true, Rate: 2}
 	less := masticway.RateLimit{IsSet: true, Rate: 1}
@@ -22,15 +23,15 @@
 		observations []observed
 		want         masticway.RateLimit
 	}{
-		"one":                        {observations: []observed{{limit: limit}}, want: limit},
-		"another rate":               {observations: []observed{{limit: limit}, {at: 1, limit: less}}, want: less},
-		"the end":                    {observations: []observed{{limit: limit}, {at: 1}}},
-		"an older one comes late":    {observations: []observed{{limit: limit}, {at: time.Second}, {at: 2 * time.Second, age: 1500 * time.Millisecond, limit: limit}}},
-		"a younger one is heard of":  {observations: []observed{{limit: limit}, {at: time.Second, age: 100 * time.Millisecond}}},
-		"an older end is heard of":   {observations: []observed{{at: time.Second, limit: limit}, {at: 2 * time.Second, age: 1500 * time.Millisecond}}, want: limit},
-		"one is repeated and ends":   {observations: []observed{{limit: limit}, {at: time.Second, age: 10 * time.Millisecond, limit: limit}, {at: time.Second, age: 500 * time.Millisecond}}},
-		"the same is said once more": {observations: []observed{{limit: limit}, {at: time.Second, limit: limit}, {at: time.Second, age: 500 * time.Millisecond}}, want: limit},
-		"the end of an unknown one":  {observations: []observed{{}}},
+		"one observation":             {observations: []observed{{limit: limit}}, want: limit},
+		"another rate":                {observations: []observed{{limit: limit}, {at: 1, limit: less}}, want: less},
+		"the limit ends":              {observations: []observed{{limit: limit}, {at: 1}}},
+		"an older limit arrives late": {observations: []observed{{limit: limit}, {at: time.Second}, {at: 2 * time.Second, age: 1500 * time.Millisecond, limit: limit}}},
+		"a newer end is passed on":    {observations: []observed{{limit: limit}, {at: time.Second, age: 100 * time.Millisecond}}},
+		"an older end is passed on":   {observations: []observed{{at: time.Second, limit: limit}, {at: 2 * time.Second, age: 1500 * time.Millisecond}}, want: limit},
+		"a repeated limit ends":       {observations: []observed{{limit: limit}, {at: time.Second, age: 10 * time.Millisecond, limit: limit}, {at: time.Second, age: 500 * time.Millisecond}}},
+		"the server reports it again": {observations: []observed{{limit: limit}, {at: time.Second, limit: limit}, {at: time.Second, age: 500 * time.Millisecond}}, want: limit},
+		"the end of an unknown limit": {observations: []observed{{}}},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -49,7 +50,8 @@
 	}
 }
 
-// TestLimitSurvivesExpiredRow: a server whose row lapses and comes back is overrun until it has named its limit again.
+// TestLimitSurvivesExpiredRow guards against overloading a server whose registration expires and is renewed: its limit would be
+// unknown until it reports it again.
 func TestLimitSurvivesExpiredRow(t *testing.T) {
 	limits := throttler.NewLimits()
 	now := time.Unix(1_000_000, 0)
@@ -68,26 +70,26 @@
 	qt.Assert(t, limits.LimitedCount(), qt.Equals, 0)
 }
 
-// TestPermitsExpire: permits that routers have saved up are all used at once.
+// TestPermitsExpire guards against bursts of permits that routers have accumulated.
 func TestPermitsExpire(t *testing.T) {
 	limits := throttler.NewLimits()
 	now := time.Unix(1_000_000, 0)
 	observation := throttler.Observation{Limit: masticway.RateLimit{IsSet: true, Rate: 5}}
 	limits.Observe(now, limitedServer, observation)
-	ask := func() throttler.Decision {
+	acquire := func() throttler.Decision {
 		v, _ := limits.Acquire(now, limitedServer)
 		return v
 	}
-	qt.Assert(t, ask(), qt.Equals, throttler.DecisionAsk)
-	qt.Assert(t, ask(), qt.Equals, throttler.DecisionWait)
+	qt.Assert(t, acquire(), qt.Equals, throttler.DecisionAsk)
+	qt.Assert(t, acquire(), qt.Equals, throttler.DecisionWait)
 	qt.Assert(t, limits.PermitsWanted(limitedServer), qt.Equals, 2)
 	limits.HandleReply(now, limitedServer, &throttler.PermitReply{Observed: observation, Granted: 3}, 1)
-	qt.Assert(t, ask(), qt.Equals, throttler.DecisionAdmitted)
+	qt.Assert(t, acquire(), qt.Equals, throttler.DecisionAdmitted)
 	now = now.Add(time.Second)
-	qt.Assert(t, ask(), qt.Equals, throttler.DecisionAsk, qt.Commentf("two permits have lapsed"))
+	qt.Assert(t, acquire(), qt.Equals, throttler.DecisionAsk, qt.Commentf("two permits have expired"))
 	limits.HandleReply(now, limitedServer, nil, 1)
-	qt.Assert(t, ask(), qt.Equals, throttler.DecisionRefused)
+	qt.Assert(t, acquire(), qt.Equals, throttler.DecisionRefused)
 	limits.ReturnPermit(now, limitedServer)
-	qt.Assert(t, ask(), qt.Equals, throttler.DecisionAdmitted)
-	qt.Assert(t, ask(), qt.Equals, throttler.DecisionRefused)
+	qt.Assert(t, acquire(), qt.Equals, throttler.DecisionAdmitted)
+	qt.Assert(t, acquire(), qt.Equals, throttler.DecisionRefused)
 }
--- a/throttler/tell.go
+++ b/throttler/tell.go
@@ -12,16 +12,18 @@
 )
 
 const (
-	// maxConcurrentNotify bounds the routers that are told side by side.
+	// maxConcurrentNotify is the maximum number of routers that are notified concurrently.
 	maxConcurrentNotify = 16
-	// notifyInterval separates two rounds of telling, so that a limit that changes with every answer costs little.
+	// notifyInterval is the minimum time between two rounds of notifications, so that a limit that changes with every answer
+	// costs little.
 	notifyInterval = 200 * time.Millisecond
-	// fetchRetryInterval separates two attempts of a router that has started to learn the limits, fetchPeers is how many others it asks in each.
+	// fetchRetryInterval is the time between two attempts of a starting router to fetch the known limits, and fetchPeers is the
+	// number of routers that each attempt asks.
 	fetchRetryInterval = 200 * time.Millisecond
 	fetchPeers         = 2
 )
 
-// Run learns the limits that other routers know, and tells others of those that have changed, until the context ends.
+// Run fetches the limits that other routers know, and then notifies other routers of changed limits, until the context ends.
 func (t *Throttler) Run(ctx context.Context) {
 	for ctx.Err() == nil && !t.FetchObservations(ctx) && t.Clock.Now().Sub(t.startedAt) < forwardPeriod {
 		select {
@@ -43,7 +45,7 @@
 	}
 }
 
-// FetchObservations asks some other routers for the limits that they know, and returns whether one has told.
+// FetchObservations asks some other routers for the limits that they know, and reports whether one of them replied.
 func (t *Throttler) FetchObservations(ctx context.Context) bool {
 	others := t.Peers()
 	rand.Shuffle(len(others), func(i, j int) { others[i], others[j] = others[j], others[i] })
@@ -52,7 +54,7 @@
 		observations, err := t.Routers.Observations(bounded, address)
 		cancel()
 		if err != nil {
-			t.Log.WithFields(logrus.Fields{"event": "limits_not_learnt", "address": address, "error": err}).Debug("a router did not tell the limits that it knows")
+			t.Log.WithFields(logrus.Fields{"event": "limits_not_learnt", "address": address, "error": err}).Debug("cannot fetch the known limits from a router")
 			continue
 		}
 		t.mu.Lock()
@@ -65,14 +67,15 @@
 	return false
 }
 
-// Observations returns the observations on all servers that have a limit now.
+// Observations returns the observations of all servers that currently have a limit.
 func (t *Throttler) Observations() Observations {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.limits.Observations(t.Clock.Now())
 }
 
-// NotifyPeers tells others of the limits that have changed: the owner all routers, any other one the owners.
+// NotifyPeers notifies other routers of changed limits: the owner notifies all routers, any other router notifies the owner and
+// the backup.
 func (t *Throttler) NotifyPeers(ctx context.Context) {
 	t.mu.Lock()
 	pending := t.pendingNotify
@@ -97,7 +100,7 @@
 		sem <- struct{}{}
 		wg.Go(func() {
 			defer func() { <-sem }()
-			// One that does not hear of it asks, or is told by the server.
+			// A router that misses the notification learns of the change from a permit reply or from the server.
 			if _, err := t.askRouter(ctx, address, askTimeout, PermitRequest{Server: server, Observed: t.observation(server)}); err == nil {
 				t.Metrics.Add(metricTold, 1)
 			}
--- a/throttler/throttler.go
+++ b/throttler/throttler.go
@@ -15,18 +15,19 @@
 )
 
 const (
-	// askTimeout bounds one question to another router, a few times the way between availability zones.
+	// askTimeout is the timeout of a request to another router, a few times the round-trip time between availability zones.
 	askTimeout = 120 * time.Millisecond
-	// forwardTimeout bounds a question that is passed on, so that the router that has put it still hears.
+	// forwardTimeout is the timeout of a forwarded permit request, short enough that the router that sent it still gets a reply.
 	forwardTimeout = 50 * time.Millisecond
-	// unresponsiveTime is how long a router is not asked that left a question without an answer.
+	// unresponsiveTime is how long a router is not asked after it left a request unanswered.
 	unresponsiveTime = time.Second
-	// maxOwners is how many routers may give permits for one limit: the first, and the backup where that one does not answer.
+	// maxOwners is the number of routers that may grant permits for one limit: the owner, and the backup if the owner does not
+	// reply.
 	maxOwners = 2
-	// backupShare is the part of a limit that the backup gives: with all that the owner gives, and what is on its way, it stays
-	// within one and a half times the limit in any 4 s.
+	// backupShare is the part of a limit that the backup grants. Together with the permits of the owner, and those not yet used,
+	// it stays within 1.5 times the limit in any 4 s.
 	backupShare = 0.2
-	// forwardPeriod is how long a router that has started passes questions on, until all others have counted it.
+	// forwardPeriod is how long a router that has started forwards permit requests, until all other routers know it.
 	forwardPeriod = 20 * time.Second
 )
 
@@ -41,47 +42,47 @@
 	metricTold       = "limits_told"
 )
 
-// Members knows the other routers.
+// Members provides the membership of the routers.
 type Members interface {
-	// Members returns how many routers there seem to be, zero when that is not known.
+	// Members returns the number of known routers, or zero if it is unknown.
 	Members() int
-	// Ranked names the addresses of the routers that something falls to, this one's among them, first to last.
+	// Ranked returns the addresses of the first max routers by their rank for a key. This router may be among them.
 	Ranked(key string, max int) []string
 }
 
-// Parts are what a throttler is made of.
+// Parts holds the dependencies of a throttler.
 type Parts struct {
 	Routers Routers
 	Members Members
-	// Peers names the addresses of the other routers, some of them before they are counted.
+	// Peers returns the addresses of the other routers. It includes some routers that are not yet counted as members.
 	Peers   func() []string
 	Clock   masticway.Clock
 	Log     *logrus.Entry
 	Metrics *measurer.Set
-	// Address is where other routers reach this one.
+	// Address is the address at which other routers reach this one.
 	Address string
 }
 
-// Throttler carries out what Limits decides.
+// Throttler applies the decisions of Limits and Backoffs, and exchanges permits and observations with other routers.
 type Throttler struct {
 	Parts
 	startedAt time.Time
-	// constrained is how many servers have a limit or have asked for rest, read by every request.
+	// constrained is the number of servers that have a limit or have asked for backoff. It is read by every request.
 	constrained atomic.Int64
 	wake        chan struct{}
 
 	mu       sync.Mutex
 	limits   *Limits
 	backoffs *Backoffs
-	// unresponsiveUntil are the routers that left a question without an answer, and until when they are not asked.
+	// unresponsiveUntil holds the routers that left a request unanswered, and the times until which they are not asked.
 	unresponsiveUntil map[string]time.Time
-	// pendingNotify are the servers of whose limit others have to hear.
+	// pendingNotify holds the servers of whose limits other routers must be notified.
 	pendingNotify map[masticway.ServerIncarnation]bool
 }
 
 var _ masticway.Throttler = (*Throttler)(nil)
 
-// New returns a throttler that knows no limit.
+// New returns a throttler without any limit.
 func New(p Parts) *Throttler {
 	return &Throttler{
 		Parts: p, startedAt: p.Clock.Now(), wake: make(chan struct{}, 1), limits: NewLimits(), backoffs: NewBackoffs(), unresponsiveUntil: map[string]time.Time{},
@@ -89,17 +90,17 @@
 	}
 }
 
-// Observe notes what the head of a server's answer says of the server.
+// Observe records what the headers of a server's answer say about the server.
 func (t *Throttler) Observe(server masticway.ServerIncarnation, a masticway.ServerAnswer) {
 	if a.Backoff > 0 {
 		t.startBackoff(server, a.Backoff)
 	}
 	if a.LimitInvalid {
-		t.Log.WithFields(logrus.Fields{"event": "server_limit_unreadable", "server": server}).Debug("a server's limit is no rate")
+		t.Log.WithFields(logrus.Fields{"event": "server_limit_unreadable", "server": server}).Debug("a server reported an invalid rate limit")
 		return
 	}
 	if !a.Limit.IsSet && !a.Signed && !a.NotRun {
-		// What a faulty server sends does not end a limit.
+		// An answer of a faulty server does not end a limit.
 		return
 	}
 	t.mu.Lock()
@@ -107,7 +108,7 @@
 	t.recordObservation(server, Observation{Limit: a.Limit}, "answer")
 }
 
-// startBackoff takes a server's word that it wants nothing from this router for a time.
+// startBackoff records that a server wants no requests from this router for a time.
 func (t *Throttler) startBackoff(server masticway.ServerIncarnation, requested time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -115,22 +116,23 @@
 	t.updateCounts()
 	t.Log.WithFields(logrus.Fields{
 		"event": "server_rests", "server": server, "asked_s": requested.Seconds(), "for_ms": remaining.Milliseconds(),
-	}).Info("a server wants nothing for a while")
+	}).Info("a server asked this router to back off")
 }
 
-// updateCounts counts the servers which not all requests may go to; the caller holds the lock.
+// updateCounts updates the number of servers that not all requests may go to. The caller must hold the lock.
 func (t *Throttler) updateCounts() {
 	t.constrained.Store(int64(t.limits.LimitedCount() + t.backoffs.Len()))
 	t.Metrics.Gauge(metricLimited, int64(t.limits.LimitedCount()))
 	t.Metrics.Gauge(metricResting, int64(t.backoffs.Len()))
 }
 
-// recordObservation takes an observation and tells of what it changes; the caller holds the lock.
+// recordObservation records an observation and handles the change that it causes. The caller must hold the lock.
 func (t *Throttler) recordObservation(server masticway.ServerIncarnation, o Observation, source string) {
 	t.handleChange(server, t.limits.Observe(t.Clock.Now(), server, o), o.Age, source)
 }
 
-// handleChange logs a change, and has others hear of what this router has heard from the server itself, or as its owner.
+// handleChange logs a change. It notifies other routers if this router observed the change in a server's answer, or if it owns
+// the limit and the limit has begun or ended. The caller must hold the lock.
 func (t *Throttler) handleChange(server masticway.ServerIncarnation, change Change, age time.Duration, source string) {
 	if change == ChangeNone {
 		return
@@ -148,13 +150,13 @@
 	}).Info("a server's limit changed")
 }
 
-// isOwner tells that this router owns a server's limit.
+// isOwner reports whether this router owns a server's limit.
 func (t *Throttler) isOwner(server masticway.ServerIncarnation) bool {
 	ranked := t.Members.Ranked(string(server), 1)
 	return len(ranked) > 0 && ranked[0] == t.Address
 }
 
-// Available returns the servers that may get a request now as far as this router knows.
+// Available returns the servers that may get a request now, as far as this router knows.
 func (t *Throttler) Available(servers []masticway.Server) []masticway.Server {
 	now := t.Clock.Now()
 	return t.exclude(servers, func(s masticway.ServerIncarnation) bool {
@@ -162,7 +164,7 @@
 	})
 }
 
-// Unlimited returns the servers that name no limit and do not rest.
+// Unlimited returns the servers that report no rate limit and have not asked this router to back off.
 func (t *Throttler) Unlimited(servers []masticway.Server) []masticway.Server {
 	now := t.Clock.Now()
 	return t.exclude(servers, func(s masticway.ServerIncarnation) bool {
@@ -170,7 +172,7 @@
 	})
 }
 
-// exclude returns the servers but some; most of the time no server says anything, and nothing is copied.
+// exclude returns the servers for which excluded returns false. Usually no server is constrained, and nothing is copied.
 func (t *Throttler) exclude(servers []masticway.Server, excluded func(masticway.ServerIncarnation) bool) []masticway.Server {
 	if t.constrained.Load() == 0 {
 		return servers
@@ -186,7 +188,7 @@
 	return kept
 }
 
-// Admit tells whether a server may get one more request from this router now.
+// Admit reports whether this router may send one more request to a server now.
 func (t *Throttler) Admit(ctx context.Context, server masticway.ServerIncarnation) bool {
 	if t.constrained.Load() == 0 {
 		return true
@@ -211,7 +213,7 @@
 	}
 }
 
-// acquire judges one request.
+// acquire decides on one request.
 func (t *Throttler) acquire(server masticway.ServerIncarnation) (d Decision, answered <-chan struct{}) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -222,19 +224,19 @@
 	return t.limits.Acquire(now, server)
 }
 
-// requestPermits asks the owner of a server's limit, or the backup in its place.
+// requestPermits asks the owner of a server's limit for permits, or the backup if the owner does not reply.
 func (t *Throttler) requestPermits(ctx context.Context, server masticway.ServerIncarnation) {
 	t.Metrics.Add(metricAsks, 1)
 	t.mu.Lock()
 	req := PermitRequest{Server: server, Observed: t.limits.Observation(t.Clock.Now(), server), Wanted: t.limits.PermitsWanted(server)}
 	t.mu.Unlock()
-	// What comes of it is for all requests at hand, whose callers stay.
+	// The reply serves all waiting requests, so it must arrive even if this request is canceled.
 	reply, from := t.askOwners(context.WithoutCancel(ctx), req)
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if reply == nil {
 		t.Metrics.Add(metricUnanswered, 1)
-		t.Log.WithFields(logrus.Fields{"event": "limit_owner_unreachable", "server": server, "members": t.Members.Members()}).Info("no router gives permits for a server")
+		t.Log.WithFields(logrus.Fields{"event": "limit_owner_unreachable", "server": server, "members": t.Members.Members()}).Info("no router grants permits for a server")
 	}
 	change := t.limits.HandleReply(t.Clock.Now(), server, reply, t.Members.Members())
 	if reply != nil {
@@ -242,7 +244,8 @@
 	}
 }
 
-// askOwners puts a question to the first router that answers it and returns where that is; nil when none does.
+// askOwners sends a permit request to the owner and the backup in turn. It returns the first reply and the address that it came
+// from, or nil if there is none.
 func (t *Throttler) askOwners(ctx context.Context, req PermitRequest) (*PermitReply, string) {
 	for _, address := range t.Members.Ranked(string(req.Server), maxOwners) {
 		reply, err := t.askRouter(ctx, address, askTimeout, req)
@@ -253,7 +256,7 @@
 	return nil, ""
 }
 
-// askRouter puts a question to one router, which may be this one. One that was silent just before is not asked.
+// askRouter sends a permit request to one router, which may be this one. It does not ask a router that was recently unresponsive.
 func (t *Throttler) askRouter(ctx context.Context, address string, timeout time.Duration, req PermitRequest) (PermitReply, error) {
 	if address == t.Address {
 		return t.Answer(ctx, req), nil
@@ -268,20 +271,20 @@
 		t.mu.Lock()
 		t.unresponsiveUntil[address] = t.Clock.Now().Add(unresponsiveTime)
 		t.mu.Unlock()
-		t.Log.WithFields(logrus.Fields{"event": "limit_ask_failed", "server": req.Server, "address": address, "error": err}).Info("a router did not answer about a limit")
+		t.Log.WithFields(logrus.Fields{"event": "limit_ask_failed", "server": req.Server, "address": address, "error": err}).Info("a router did not reply to a permit request")
 	}
 	return reply, err
 }
 
-// UnresponsiveError reports a router that is not asked since it left a question without an answer.
+// UnresponsiveError reports a router that is not asked because it recently left a request unanswered.
 type UnresponsiveError struct {
 	Address   string
 	Remaining time.Duration
 }
 
-// Error names the router.
+// Error returns a description with the router's address.
 func (e *UnresponsiveError) Error() string {
-	return fmt.Sprintf("router at %s was silent and is not asked for %v", e.Address, e.Remaining)
+	return fmt.Sprintf("router at %s was unresponsive and is not asked for %v", e.Address, e.Remaining)
 }
 
 func (t *Throttler) checkResponsive(address string) error {
@@ -296,7 +299,7 @@
 	return nil
 }
 
-// Answer answers another router's question, or this one's own.
+// Answer answers a permit request of another router or of this one.
 func (t *Throttler) Answer(ctx context.Context, req PermitRequest) PermitReply {
 	t.recordPeerObservation(req)
 	if req.Wanted <= 0 {
@@ -323,7 +326,7 @@
 	return PermitReply{Observed: t.observation(req.Server), NotOwner: true}
 }
 
-// recordPeerObservation takes the observation that a question brings.
+// recordPeerObservation records the observation in a permit request.
 func (t *Throttler) recordPeerObservation(req PermitRequest) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -344,14 +347,15 @@
 	return r
 }
 
-// ReturnPermit returns an admission for which nothing was sent.
+// ReturnPermit returns the permit of an admitted request that was not sent.
 func (t *Throttler) ReturnPermit(server masticway.ServerIncarnation) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.limits.ReturnPermit(t.Clock.Now(), server)
 }
 
-// Throttling returns why and for how long a server takes no request from this router; false when it may get one.
+// Throttling returns why and for how long a server must get no requests from this router. It returns false if the server may get
+// one.
 func (t *Throttler) Throttling(server masticway.ServerIncarnation) (masticway.Throttling, bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -363,7 +367,7 @@
 	return masticway.Throttling{Remaining: wait, Reason: fmt.Sprintf("%s takes %v requests a second", server, t.limits.Limit(server).Rate)}, wait > 0
 }
 
-// RetryAfter returns when a caller that is refused for a server's sake should come again.
+// RetryAfter returns how long a caller that is refused because of a server's limit should wait before it retries.
 func (t *Throttler) RetryAfter(server masticway.ServerIncarnation) time.Duration {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -374,7 +378,7 @@
 	return t.limits.RetryAfter(now, server, t.Members.Members())
 }
 
-// Keep forgets what is over, and servers that are not among some.
+// Keep removes expired entries, and the limits of servers that are not in the given set.
 func (t *Throttler) Keep(known map[masticway.ServerIncarnation]bool) {
 	if t.constrained.Load() == 0 {
 		return
--- a/throttler/world_test.go
+++ b/throttler/world_test.go
@@ -20,28 +20,28 @@
 )
 
 const (
-	// step is the time that the simulated fleet moves on at once.
+	// step is the time by which the simulation advances at once.
 	step = 20 * time.Millisecond
-	// window, overshoot and slack are the users' rule: in any window a server gets no more than the overshoot times what its limit allows,
-	// and the slack.
+	// window, overshoot and slack define the allowed number of requests: in any window, a server may get overshoot times what its
+	// limit allows, plus slack.
 	window    = 4 * time.Second
 	overshoot = 1.5
 	slack     = 5
-	// settleTime is how long the fleet has run when the server names its limit.
+	// settleTime is how long the fleet runs before the server reports its limit.
 	settleTime    = 25 * time.Second
 	limitedServer = masticway.ServerIncarnation("i-1")
 )
 
 var errCut = errors.New("cut off")
 
-// world is a simulated fleet in front of one server, in one goroutine.
+// world simulates a fleet in front of one server, in one goroutine.
 type world struct {
 	now     time.Time
 	random  *rand.Rand
 	routers []*simRouter
-	// isCut tells that two routers cannot reach each other.
+	// isCut reports whether messages from one router cannot reach another.
 	isCut func(from, to *simRouter) bool
-	// limit is the server's limit, sent tells when it got requests, and which of them were of routers that the rule excuses.
+	// limit is the server's rate limit. arrivals are the times of the requests that it got, except those of exempt routers.
 	limit        masticway.RateLimit
 	arrivals     []time.Duration
 	began        time.Time
@@ -49,18 +49,18 @@
 	requestCount int
 }
 
-// simRouter is one router of the world.
+// simRouter is one simulated router.
 type simRouter struct {
 	w        *world
 	address  string
 	throttle *throttler.Throttler
 	isDead   bool
-	// isExempt tells that the rule does not count its requests.
+	// isExempt is set if its requests are not counted.
 	isExempt bool
-	// members are the routers that it counts, ranked the same as they come for the server.
+	// members are the routers that it knows. ranked are their addresses, ranked for the server.
 	members []*simRouter
 	ranked  []string
-	// rankedMembers are those that were ranked.
+	// rankedMembers are the members for which ranked was computed.
 	rankedMembers []*simRouter
 }
 
@@ -70,7 +70,7 @@
 
 func (n *simRouter) Members() int { return len(n.members) }
 
-// peers are the others that it counts, or a seed.
+// peers returns the addresses of the other members, or that of a seed if there are no members.
 func (n *simRouter) peers() (all []string) {
 	for _, o := range n.members {
 		if o != n {
@@ -83,7 +83,7 @@
 	return all
 }
 
-// reach returns the other router, unless it is dead or cut off.
+// reach returns another router, unless it is dead or cut off.
 func (n *simRouter) reach(address string) (*simRouter, bool) {
 	for _, o := range n.w.routers {
 		if o.address == address && !o.isDead && (n.w.isCut == nil || !n.w.isCut(n, o)) {
@@ -114,7 +114,7 @@
 	return throttler.PermitReply{}, errCut
 }
 
-// Observations does the same for all limits.
+// Observations calls the other router directly.
 func (n *simRouter) Observations(_ context.Context, address string) (throttler.Observations, error) {
 	if o, ok := n.reach(address); ok {
 		return o.throttle.Observations(), nil
@@ -132,7 +132,7 @@
 	return w
 }
 
-// addRouter adds a router that only it itself counts.
+// addRouter adds a router that has no members yet.
 func (w *world) addRouter() *simRouter {
 	n := &simRouter{w: w, address: fmt.Sprintf("router-%d", len(w.routers))}
 	log, _ := test.NewNullLogger()
@@ -142,7 +142,7 @@
 	return n
 }
 
-// updateMembership has all routers count those that are alive.
+// updateMembership makes the live routers the members of all routers.
 func (w *world) updateMembership() {
 	alive := slices.DeleteFunc(slices.Clone(w.routers), func(n *simRouter) bool { return n.isDead })
 	for _, n := range w.routers {
@@ -152,7 +152,7 @@
 
 func (w *world) elapsed() time.Duration { return w.now.Sub(w.began) }
 
-// advance moves the world on; callers offer so many requests a second in all, at any router.
+// advance runs the simulation until a time. Callers send perSecond requests per second in total, to random routers.
 func (w *world) advance(until time.Duration, perSecond float64) {
 	for w.elapsed() < until {
 		w.now = w.now.Add(step)
@@ -169,7 +169,7 @@
 	}
 }
 
-// sendRequest has one caller come to a router.
+// sendRequest sends one request to a router.
 func (w *world) sendRequest(n *simRouter) {
 	if n.isDead {
 		return
@@ -186,12 +186,12 @@
 	n.throttle.Observe(limitedServer, masticway.ServerAnswer{Signed: true, Limit: w.limit})
 }
 
-// setLimit has the server name a limit; zero ends it.
+// setLimit sets the server's rate limit; zero removes it.
 func (w *world) setLimit(perSecond float64) {
 	w.limit = masticway.RateLimit{IsSet: perSecond > 0, Rate: perSecond}
 }
 
-// maxInWindow is the most arrivals in any window that begins at a time or later, and count the arrivals between two times.
+// maxInWindow returns the maximum number of arrivals in any window that begins at a time or later.
 func (w *world) maxInWindow(since time.Duration) (maxArrivals int) {
 	for i, first := range w.arrivals {
 		if first < since {
@@ -217,16 +217,16 @@
 	return n
 }
 
-// checkBound asserts the users' rule from a time on.
+// checkBound checks that no window that begins at a time or later has more requests than allowed.
 func (w *world) checkBound(t *testing.T, since time.Duration, perSecond float64) {
 	allowed := int(overshoot*perSecond*window.Seconds() + slack)
 	maxArrivals := w.maxInWindow(since)
-	t.Logf("%d arrivals in %v at the most, %d are allowed", maxArrivals, window, allowed)
+	t.Logf("at most %d arrivals in %v, %d are allowed", maxArrivals, window, allowed)
 	qt.Check(t, maxArrivals <= allowed, qt.IsTrue, qt.Commentf("%d requests in %v, %d are allowed", maxArrivals, window, allowed))
 }
 
-// TestRoutersShareLimit: the sum of what all routers send overruns a server, however few or many there are, or much less
-// reaches it than it takes.
+// TestRoutersShareLimit guards against a wrong division of a limit: the routers together overload the server, or send it much
+// less than it accepts, depending on their number.
 func TestRoutersShareLimit(t *testing.T) {
 	for _, routers := range []int{1, 5, 30, 300} {
 		for _, rate := range []float64{0.3, 1.1, 10, 60} {
@@ -238,22 +238,23 @@
 				w.advance(settleTime+20*time.Second, 200)
 				w.checkBound(t, settleTime+500*time.Millisecond, rate)
 				got := w.countIn(settleTime+4*time.Second, settleTime+20*time.Second)
-				qt.Check(t, float64(got) >= 0.75*rate*16-1, qt.IsTrue, qt.Commentf("%d requests in 16 s of the %v a second that it takes", got, rate))
+				qt.Check(t, float64(got) >= 0.75*rate*16-1, qt.IsTrue, qt.Commentf("%d requests in 16 s at a limit of %v per second", got, rate))
 			})
 		}
 	}
 }
 
-// TestLimitEndIsNoticed: after a limit has ended, routers that are not sent to the server go on keeping requests from it.
+// TestLimitEndIsNoticed guards against routers that go on withholding requests after a limit has ended, because they send nothing
+// to the server and thus do not see its answers.
 func TestLimitEndIsNoticed(t *testing.T) {
 	for name, tc := range map[string]struct {
 		routers int
 		rate    float64
 	}{
-		"few routers":                  {routers: 5, rate: 1.1},
-		"hundreds":                     {routers: 300, rate: 1.1},
-		"a server that takes nothing":  {routers: 30, rate: 1e-9},
-		"one of few that takes little": {routers: 300, rate: 0.2},
+		"few routers":               {routers: 5, rate: 1.1},
+		"many routers":              {routers: 300, rate: 1.1},
+		"a limit of nearly zero":    {routers: 30, rate: 1e-9},
+		"many routers, a low limit": {routers: 300, rate: 0.2},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -262,7 +263,7 @@
 			w.setLimit(tc.rate)
 			w.advance(settleTime+12*time.Second, 200)
 			w.setLimit(0)
-			// The next permit is due after ten seconds at the latest.
+			// The next permit is due after ten seconds at most.
 			w.advance(settleTime+24*time.Second, 200)
 			before := w.refusedCount
 			w.advance(settleTime+34*time.Second, 200)
@@ -271,7 +272,8 @@
 	}
 }
 
-// TestLimitHoldsWhileMembershipChanges: a router that dies, starts or is cut off has two routers divide one limit, each all of it.
+// TestLimitHoldsWhileMembershipChanges guards against two routers that both grant the full limit while a router dies, starts or
+// is cut off.
 func TestLimitHoldsWhileMembershipChanges(t *testing.T) {
 	// owner returns the router that owns the limit.
 	owner := func(w *world) *simRouter {
@@ -283,16 +285,16 @@
 		return nil
 	}
 	cases := map[string]func(w *world){
-		"the owner dies and is counted for 10 s more": func(w *world) {
+		"the owner dies and remains a member for 10 s": func(w *world) {
 			owner(w).isDead = true
 			w.advance(settleTime+20*time.Second, 200)
 			w.updateMembership()
 		},
-		"the owner is out of reach of half of the routers": func(w *world) {
+		"half of the requests to the owner fail": func(w *world) {
 			old := owner(w)
 			w.isCut = func(from, to *simRouter) bool { return to == old && w.random.IntN(2) == 0 }
 		},
-		"routers start and are counted one after the other": func(w *world) {
+		"routers start and become members one after the other": func(w *world) {
 			for range len(w.routers) / 2 {
 				w.addRouter()
 			}
@@ -302,7 +304,7 @@
 				w.advance(settleTime+10*time.Second+time.Duration(i)*10*time.Second/time.Duration(len(all)), 200)
 			}
 		},
-		"all start anew": func(w *world) {
+		"all routers restart": func(w *world) {
 			for _, n := range w.routers {
 				n.isDead = true
 			}
@@ -312,7 +314,7 @@
 			}
 			w.updateMembership()
 		},
-		"half of them lose the other half and count it for 10 s more": func(w *world) {
+		"the routers are split in halves, which remain members for 10 s": func(w *world) {
 			half := map[*simRouter]bool{}
 			for i, n := range w.routers {
 				half[n] = i%2 == 0
@@ -328,7 +330,7 @@
 			}
 		},
 	}
-	for name, change := range cases {
+	for name, disturb := range cases {
 		for _, routers := range []int{5, 30, 300} {
 			for _, rate := range []float64{1.1, 20} {
 				t.Run(fmt.Sprintf("%s, %d routers, %v a second", name, routers, rate), func(t *testing.T) {
@@ -337,19 +339,19 @@
 					w.advance(settleTime, 20)
 					w.setLimit(rate)
 					w.advance(settleTime+10*time.Second, 200)
-					change(w)
+					disturb(w)
 					from := w.elapsed()
 					w.advance(from+40*time.Second, 200)
 					w.checkBound(t, settleTime+500*time.Millisecond, rate)
 					got := w.countIn(from+20*time.Second, from+40*time.Second)
-					qt.Check(t, float64(got) >= 0.5*rate*20-1, qt.IsTrue, qt.Commentf("%d requests in 20 s of the %v a second that it takes", got, rate))
+					qt.Check(t, float64(got) >= 0.5*rate*20-1, qt.IsTrue, qt.Commentf("%d requests in 20 s at a limit of %v per second", got, rate))
 				})
 			}
 		}
 	}
 }
 
-// TestPermitRequestsAreBounded: hundreds of routers ask the owner of one server for every request.
+// TestPermitRequestsAreBounded guards against hundreds of routers that ask the owner of a server's limit for every request.
 func TestPermitRequestsAreBounded(t *testing.T) {
 	for _, routers := range []int{30, 300} {
 		t.Run(fmt.Sprint(routers), func(t *testing.T) {
@@ -366,7 +368,7 @@
 			before := asks()
 			w.advance(settleTime+12*time.Second, 2000)
 			perSecond := float64(asks()-before) / 10
-			t.Logf("%.0f questions a second", perSecond)
+			t.Logf("%.0f permit requests per second", perSecond)
 			qt.Check(t, perSecond <= 110, qt.IsTrue)
 		})
 	}
