--- a/examiner/digest.go
+++ b/examiner/digest.go
@@ -9,22 +9,22 @@
 	"github.com/masticway/masticway"
 )
 
-// digestBytes is the length of a digest: nobody can make a request that is taken for another one.
+// digestBytes is the length of a digest. It is long enough that nobody can construct a request with the digest of another one.
 const digestBytes = 16
 
-// Source is what a digest is made of.
+// Source holds the parts of a request that its digest is computed from.
 type Source struct {
-	// Workspace is who asks; it is empty on routes that need no key.
+	// Workspace is the caller's workspace. It is empty on routes that need no key.
 	Workspace string
 	Method    string
 	Host      string
-	// Target is the path and query as the caller wrote them.
+	// Target is the path and query as sent by the caller.
 	Target string
 	Body   []byte
 }
 
-// Digest returns the request's digest: the same for all attempts of a caller at the same thing, whatever their ids, keys and
-// time limits.
+// Digest returns the request's digest. It is the same for all of a caller's attempts at the same request, whatever their IDs,
+// keys and time limits.
 func Digest(s Source) masticway.RequestDigest {
 	sum := sha256.New()
 	for _, field := range []string{s.Workspace, s.Method, s.Host, s.Target} {
@@ -34,11 +34,11 @@
 	return masticway.RequestDigest(hex.EncodeToString(sum.Sum(nil)[:digestBytes]))
 }
 
-// add adds a field with its length, so that two fields are never taken for one.
+// add adds a field, preceded by its length so that different fields never yield the same input.
 func add(sum hash.Hash, field []byte) {
 	var length [8]byte
 	binary.BigEndian.PutUint64(length[:], uint64(len(field)))
-	// Writing to a hash never fails.
+	// Writing to a hash never returns an error.
 	_, _ = sum.Write(length[:])
 	_, _ = sum.Write(field)
 }
--- a/examiner/doc.go
+++ b/examiner/doc.go
@@ -1,20 +1,22 @@
-// Package examiner finds out which requests end the servers that run them, so
-// that they are kept from the servers and all others are not.
+// Package examiner determines which requests crash the servers that run them, so
+// that only these requests are kept from the servers.
 //
-// A server that ends takes with it all that it runs, so counting ends alone
-// would blame the innocent that ran beside the one at fault. A request that had
-// not begun its answer when its server ended, or that had more than one end
-// under it, is a suspect: it is sent on, but one run at a time in the whole
-// fleet, at a server where no other suspect runs. A good answer clears it. If
-// servers go on ending under it there, it is at fault, and it is kept from
-// servers for a time that grows with every further end.
+// A server that crashes takes down all requests that it runs, so counting crashes
+// alone would blame the requests that ran beside the one at fault. A request whose
+// answer had not begun when its server crashed, or that had more than one server
+// crash, is a suspect. It is still sent to servers, but runs in quarantine: only
+// once at a time in the whole fleet, on a server where no other suspect runs. A
+// successful answer clears it. If servers keep crashing during its quarantined
+// runs, the suspicion is proven, and it is not sent to servers for a time that
+// grows with every further crash.
 //
-// The evidence is a set of servers for each request, so that what two routers
-// found is joined by their union, in any order and however often it comes. It
-// stands in a row of the platform's store for each suspect, which all routers
-// follow; the same row makes a run apart one router's. While the store is away
-// routers tell each other directly.
+// The evidence is a set of server crashes for each request. The findings of two
+// routers are merged by the union of the sets, which is commutative and
+// idempotent. The evidence of each suspect is stored in a row of the platform's
+// row store, which all routers watch. The same row reserves a quarantined run for
+// one router. While the store is unavailable, routers send evidence to each other
+// directly.
 //
-// Register decides and Examiner carries out: the first reads no clock and opens
-// no connection.
+// Registry makes the decisions and uses neither a clock nor the network. Examiner
+// provides both.
 package examiner
--- a/examiner/examiner.go
+++ b/examiner/examiner.go
@@ -16,13 +16,14 @@
 )
 
 const (
-	// claimTimeout bounds how long a suspect waits for the store to make a run apart this router's; a store that is slower
-	// counts as away, and the router goes by what it knows itself.
+	// claimTimeout is the maximum time that a suspect waits for the store to reserve a quarantined run. A slower store is
+	// considered unavailable, and the router acts on its own information.
 	claimTimeout = 250 * time.Millisecond
-	// writeTimeout bounds one write of evidence, maxWriteRows the rows of one.
+	// writeTimeout is the timeout of one write of evidence, and maxWriteRows the maximum number of rows in it.
 	writeTimeout = 600 * time.Millisecond
 	maxWriteRows = 50
-	// writeInterval separates two attempts at the same evidence, idleInterval two looks at what is over.
+	// writeInterval is the minimum time between two attempts to write the same evidence. idleInterval is the time between two
+	// checks for expired suspects.
 	writeInterval = 100 * time.Millisecond
 	idleInterval  = time.Second
 )
@@ -41,17 +42,17 @@
 	metricReceived         = "suspects_heard"
 )
 
-// Members knows the other routers.
+// Members provides the membership of the routers.
 type Members interface {
-	// Owns tells whether this router is the one of all to which a key falls.
+	// Owns reports whether this router owns a key.
 	Owns(key string) bool
 }
 
-// Parts are what an examiner is made of.
+// Parts holds the dependencies of an examiner.
 type Parts struct {
 	Store    masticway.RowStore
 	Messages *messenger.Client
-	// Peers names the addresses of other routers.
+	// Peers returns the addresses of other routers.
 	Peers   func() []string
 	Members Members
 	Clock   masticway.Clock
@@ -60,26 +61,26 @@
 	Self    masticway.Incarnation
 }
 
-// Examiner carries out what Register decides.
+// Examiner applies the decisions of Registry, and exchanges evidence with the store and other routers.
 type Examiner struct {
 	Parts
-	// suspectCount is the number of beliefs, read by every request.
+	// suspectCount is the number of requests in the registry. It is read by every request.
 	suspectCount atomic.Int64
 	wake         chan struct{}
 
 	mu       sync.Mutex
 	registry *Registry
 	changed  chan struct{}
-	// provenSince are the requests that were told of as kept from servers.
+	// provenSince holds the requests that were reported as proven, and when.
 	provenSince map[masticway.RequestDigest]time.Time
-	// tableRead tells that the store's table has been read, first where the list of routers to tell begins.
+	// tableRead is set once the store's table has been read. nextPeer is the index of the peer to which evidence is sent next.
 	tableRead bool
 	nextPeer  int
 }
 
 var _ masticway.Examiner = (*Examiner)(nil)
 
-// New returns an examiner that knows no suspects.
+// New returns an examiner without suspects.
 func New(p Parts) *Examiner {
 	return &Examiner{
 		Parts: p, wake: make(chan struct{}, 1), registry: NewRegistry(p.Self, rand.Float64), changed: make(chan struct{}),
@@ -87,31 +88,33 @@
 	}
 }
 
-// HasNoSuspects tells that there is no suspect.
+// HasNoSuspects reports whether there are no suspects.
 func (e *Examiner) HasNoSuspects() bool { return e.suspectCount.Load() == 0 }
 
-// Status returns what is believed of a request.
+// Status returns the current status of a request.
 func (e *Examiner) Status(d masticway.RequestDigest) masticway.SuspectStatus {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.registry.Status(e.Clock.Now(), d)
 }
 
-// Changed returns a channel that is closed at the next change of a belief.
+// Changed returns a channel that is closed when the status of any request changes.
 func (e *Examiner) Changed() <-chan struct{} {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.changed
 }
 
-// QuarantineServers names the servers at which suspects run apart, and those of serious ones.
+// QuarantineServers returns the servers on which suspects run in quarantine. The set serious contains those whose suspect has
+// crashed more than one server.
 func (e *Examiner) QuarantineServers() (all, serious map[masticway.ServerIncarnation]bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.registry.QuarantineServers(e.Clock.Now())
 }
 
-// update changes beliefs, tells of those that have come or gone, and wakes who waits for them.
+// update changes the registry, logs the requests that become proven or cease to be, and wakes the goroutines that wait for a
+// change.
 func (e *Examiner) update(change func(now time.Time)) {
 	e.mu.Lock()
 	now := e.Clock.Now()
@@ -128,7 +131,7 @@
 	}
 }
 
-// reportProven tells of the requests that are kept from servers from now on, and of those that are not any more.
+// reportProven logs the requests that are no longer sent to servers from now on, and those that may be sent again.
 func (e *Examiner) reportProven(now time.Time) {
 	for d, state := range e.registry.suspects {
 		if _, reported := e.provenSince[d]; reported || len(state.stored.Crashes)+len(state.pending) < minCrashesToProve {
@@ -143,7 +146,7 @@
 		e.Log.WithFields(logrus.Fields{
 			"event": "request_proven", "digest": d, "path": state.stored.Path, "ends": len(s.Crashes), "servers": s.Crashes, "for_ms": s.Remaining.Milliseconds(),
 			"row_version": state.version,
-		}).Warn("servers end under a request; it is not sent to any")
+		}).Warn("a request crashes servers and is not sent to any")
 	}
 	for d, since := range e.provenSince {
 		s := e.registry.Status(now, d)
@@ -157,24 +160,24 @@
 	}
 }
 
-// ReportCrash notes the end of a server under a request.
+// ReportCrash records a server crash during a request.
 func (e *Examiner) ReportCrash(d masticway.RequestDigest, path string, crash masticway.ServerCrash) {
 	e.Metrics.Add(metricCrashes, 1)
 	e.update(func(now time.Time) { e.registry.RecordCrash(now, d, path, crash) })
 }
 
-// Clear notes that a server served a suspect well.
+// Clear records that a server has served a suspect without crashing.
 func (e *Examiner) Clear(d masticway.RequestDigest) {
 	e.Metrics.Add(metricCleared, 1)
 	e.update(func(time.Time) { e.registry.Clear(d) })
 }
 
-// Release ends a run apart that told nothing.
+// Release ends a run in quarantine that gave no evidence.
 func (e *Examiner) Release(d masticway.RequestDigest) {
 	e.update(func(time.Time) { e.registry.Release(d) })
 }
 
-// Claim makes a run apart this router's. Where the store doesn't answer, it goes by what this router knows.
+// Claim reserves a run in quarantine for this router. If the store does not reply, the router acts on its own information.
 func (e *Examiner) Claim(ctx context.Context, d masticway.RequestDigest, server masticway.ServerIncarnation) bool {
 	var c change
 	var ok bool
@@ -198,11 +201,11 @@
 	}
 	e.Log.WithFields(logrus.Fields{
 		"event": "run_apart", "digest": d, "path": c.record.Path, "server": server, "ends": len(c.record.Crashes), "row_version": c.version, "error": err,
-	}).Info("a suspect runs apart")
+	}).Info("a suspect runs in quarantine")
 	return true
 }
 
-// write changes rows and takes what comes of it; it fails with the store's errors.
+// write writes changes to the store and applies the result to the registry. It returns the store's errors.
 func (e *Examiner) write(ctx context.Context, changes []change) error {
 	w := masticway.RowWrite{}
 	for _, c := range changes {
@@ -232,7 +235,7 @@
 	return nil
 }
 
-// Take takes a reading of the store's table; a whole one has all its rows.
+// Take applies a reading of the store's table. If whole is set, the reading contains all rows.
 func (e *Examiner) Take(whole bool, reading masticway.RowReading) {
 	if !whole && len(reading.Rows) == 0 {
 		return
@@ -253,11 +256,12 @@
 
 func (e *Examiner) logErrors(errs []error) {
 	for _, err := range errs {
-		e.Log.WithFields(logrus.Fields{"event": "suspect_unreadable", "error": err}).Warn("suspect not taken")
+		e.Log.WithFields(logrus.Fields{"event": "suspect_unreadable", "error": err}).Warn("cannot decode a suspect")
 	}
 }
 
-// Run writes evidence, tells other routers of what the store does not take, and ends beliefs, until the context ends.
+// Run writes evidence to the store, sends other routers what the store does not accept, and removes expired suspects, until the
+// context ends.
 func (e *Examiner) Run(ctx context.Context) {
 	e.fetchFromPeers(ctx)
 	for ctx.Err() == nil {
@@ -273,7 +277,7 @@
 	}
 }
 
-// runOnce does what is due and tells whether something is left to do.
+// runOnce performs the work that is due and reports whether some is left.
 func (e *Examiner) runOnce(ctx context.Context) bool {
 	if e.HasNoSuspects() {
 		return false
@@ -301,7 +305,7 @@
 		e.share(ctx, unshared)
 	}
 	if failed {
-		// A store that is away is not asked without a pause, whatever else stirs.
+		// An unavailable store is not called again without a pause, even if wake is signaled.
 		select {
 		case <-ctx.Done():
 		case <-e.Clock.After(writeInterval):
--- a/examiner/record.go
+++ b/examiner/record.go
@@ -8,44 +8,45 @@
 	"github.com/masticway/masticway"
 )
 
-// The table of suspects; one part, so that several change in one transaction.
+// The table of suspects. It has a single part, so that several rows can change in one transaction.
 const (
-	// Table is the table's name.
+	// Table is the name of the table.
 	Table = "masticway_suspects"
-	// Part is its one part.
+	// Part is its only part.
 	Part = "suspects"
 )
 
 const (
-	// minCrashesToProve is how many servers have to have ended under a request until it is kept from them, minWeightToProve what those
-	// have to weigh together that ended while it was the only suspect there: two before its answer, since a server may also end
-	// by chance or by a request that nobody has suspected yet, or more of those that ended amid it.
+	// minCrashesToProve is the minimum number of servers that must have crashed during a request to prove the suspicion.
+	// minWeightToProve is the minimum total weight of the crashes during which it was the only suspect on the server. Two crashes
+	// before the answer suffice; one does not, since a server may also crash by chance or because of a request that is not a
+	// suspect yet. Crashes during the answer weigh less, so more of them are needed.
 	minCrashesToProve = 3
 	minWeightToProve  = 4
 	weightAnswered    = 1
 	weightUnanswered  = 2
-	// maxCrashes bounds the ends that are remembered of one request.
+	// maxCrashes is the maximum number of crashes that are kept for one request.
 	maxCrashes = 12
 )
 
-// Run is one run of a suspect apart from all others.
+// Run is one quarantined run of a suspect.
 type Run struct {
 	Router masticway.Incarnation       `json:"router"`
 	Server masticway.ServerIncarnation `json:"server"`
 }
 
-// Record is what the store holds of one suspect; it does not change.
+// Record is the stored evidence on one suspect. It is immutable.
 type Record struct {
-	// Path is the request's path, for operators.
+	// Path is the request's path, for diagnostics only.
 	Path    string                  `json:"path,omitempty"`
 	Crashes []masticway.ServerCrash `json:"ends"`
-	// Run is the run apart that is under way, if there is one.
+	// Run is the current quarantined run, if there is one.
 	Run *Run `json:"run,omitempty"`
-	// Retried is how often it has run apart again after it had been kept from servers.
+	// Retried is the number of times that the request has run in quarantine again after it had been blocked.
 	Retried int `json:"retried,omitempty"`
 }
 
-// DecodeRecord returns the record that a row holds; it fails with the error of the JSON decoder.
+// DecodeRecord returns the record in a row. It returns the errors of the JSON decoder.
 func DecodeRecord(row masticway.StoredRow) (Record, error) {
 	var r Record
 	if err := json.Unmarshal(row.Value, &r); err != nil {
@@ -57,13 +58,13 @@
 func (r Record) encode() []byte {
 	data, err := json.Marshal(r)
 	if err != nil {
-		// It holds strings, numbers and truths only.
+		// A record contains only strings, numbers and booleans, which can always be encoded.
 		panic(fmt.Sprintf("encoding a suspect: %v", err))
 	}
 	return data
 }
 
-// WithCrashes returns the record with more ends; what two routers say of one server is joined.
+// WithCrashes returns the record with additional crashes. Two reports on the same server are merged.
 func (r Record) WithCrashes(crashes ...masticway.ServerCrash) Record {
 	joined := slices.Clone(r.Crashes)
 	for _, crash := range crashes {
@@ -79,31 +80,32 @@
 	return r
 }
 
-// WithRun returns the record with a run apart under way, or with none.
+// WithRun returns the record with the given quarantined run, or without one if run is nil.
 func (r Record) WithRun(run *Run) Record {
 	r.Run = run
 	return r
 }
 
-// hasCrash tells that the record would not change with an end.
+// hasCrash reports whether the record already contains all information in a crash.
 func (r Record) hasCrash(crash masticway.ServerCrash) bool {
 	return slices.ContainsFunc(r.Crashes, func(c masticway.ServerCrash) bool {
 		return c.Server == crash.Server && (c.Quarantined || !crash.Quarantined) && (!c.Answered || crash.Answered)
 	})
 }
 
-// hasCrashOf tells that a server has ended under the request.
+// hasCrashOf reports whether a server has crashed during the request.
 func (r Record) hasCrashOf(server masticway.ServerIncarnation) bool {
 	return slices.ContainsFunc(r.Crashes, func(c masticway.ServerCrash) bool { return c.Server == server })
 }
 
-// isSuspect tells that the request is to run apart: servers hardly ever end twice under one by chance, and one that ends them
-// as it begins has had nothing of its answer.
+// isSuspect reports whether the request must run in quarantine. Two servers rarely crash during one request by chance, and a
+// request that crashes servers as soon as it begins has received nothing of its answer.
 func (r Record) isSuspect() bool {
 	return r.hasRepeatedCrashes() || slices.ContainsFunc(r.Crashes, func(c masticway.ServerCrash) bool { return !c.Answered })
 }
 
-// crashWeight is what the end of a server proves against the only suspect there: requests that end servers do so as they begin.
+// crashWeight returns how much the crash of a server counts against the only suspect on it. Requests that crash servers usually
+// do so as soon as they begin.
 func crashWeight(crash masticway.ServerCrash) int {
 	if crash.Answered {
 		return weightAnswered
@@ -111,5 +113,5 @@
 	return weightUnanswered
 }
 
-// hasRepeatedCrashes tells that more than one server ended under the request.
+// hasRepeatedCrashes reports whether more than one server has crashed during the request.
 func (r Record) hasRepeatedCrashes() bool { return len(r.Crashes) > 1 }
--- a/examiner/register.go
+++ b/examiner/register.go
@@ -8,88 +8,92 @@
 )
 
 const (
-	// firstBlockTime is how long a request at fault is kept from servers at first: where these end under whatever they run, all
-	// requests look at fault, and are to be served soon after the servers are mended. It runs apart once more then, and is
-	// kept away for repeatBlockTime if a server ends under it, for twice as long each further time, up to maxBlockTime.
+	// firstBlockTime is how long a proven request is blocked, that is, not sent to servers, for the first time. It is short
+	// because servers that crash whatever they run make every request look like the cause, and the requests must be served soon
+	// after the servers are repaired. Then the request runs in quarantine once more. If a server crashes again, the request is
+	// blocked for repeatBlockTime, and for twice as long each further time, up to maxBlockTime.
 	firstBlockTime  = 30 * time.Second
 	repeatBlockTime = 10 * time.Minute
 	maxBlockTime    = 6 * time.Hour
-	// maxDoublings is how often the time doubles at most.
+	// maxDoublings is the maximum number of times that the block time doubles.
 	maxDoublings = 10
-	// suspectTTL is how long a request stays a suspect after the last word of it.
+	// suspectTTL is how long a request remains a suspect after the last change of its evidence.
 	suspectTTL = 2 * time.Minute
-	// runLease is how long a run apart keeps others waiting of which nothing is heard: a server that ends under a request does
-	// so soon after it has begun, and its router may have died with it.
+	// runLease is how long a quarantined run blocks others if nothing is reported about it. A server that crashes because of a
+	// request does so soon after the start, and the router may have died together with it.
 	runLease = 1500 * time.Millisecond
-	// maxEvidenceDelay is how long other routers' evidence may take to arrive that another suspect ran at the same server, which
-	// both of them took to be free; a few times what a change of the store takes to reach all.
+	// maxEvidenceDelay is the maximum time until the evidence of other routers arrives that another suspect ran on the same
+	// server, which both routers considered free. It is a few times the propagation time of a change in the store.
 	maxEvidenceDelay = 300 * time.Millisecond
-	// maxSuspects bounds the requests that are remembered; the least suspected goes first.
+	// maxSuspects is the maximum number of requests in the registry. Above it, the weakest suspects are evicted first.
 	maxSuspects = 1000
-	// minWriteDelay is how long evidence that another router told is left to that one to write.
+	// minWriteDelay is the minimum time for which evidence from another router is left to that router to write. writeDelaySpread
+	// is the range of the random time added to it.
 	minWriteDelay    = 500 * time.Millisecond
 	writeDelaySpread = time.Second
 )
 
-// suspectState is what a router believes of one request.
+// suspectState is a router's information about one request.
 type suspectState struct {
-	// stored is the store's record at a version; zero where it has none.
+	// stored is the record in the store, at a version. It is zero if there is none.
 	stored  Record
 	version int64
-	// changedAt is when this router learnt of the newest change, by which beliefs end.
+	// changedAt is when this router learned of the latest change. Expiration counts from it.
 	changedAt time.Time
-	// pending are ends that the store is not known to have, since when, and from when on this router writes them.
+	// pending are the crashes that the store may not have, as of pendingSince. From writeAt on, this router writes them. sharedAt
+	// is when they were last sent to other routers.
 	pending      []masticway.ServerCrash
 	pendingSince time.Time
 	writeAt      time.Time
 	sharedAt     time.Time
-	// retried is how often it has run apart again after it had been kept from servers, as far as this router knows without
-	// the store.
+	// retried is the number of times that the request has run in quarantine again after it had been blocked, as far as this
+	// router knows without the store.
 	retried int
-	// run is this router's run apart.
+	// run is this router's current quarantined run.
 	run *Run
-	// cleared tells that the row is to go.
+	// cleared is set if the row must be deleted.
 	cleared bool
 }
 
-// record is the store's record with what it does not have yet.
-func (state *suspectState) record() Record {
-	record := state.stored.WithCrashes(state.pending...)
-	record.Retried = max(record.Retried, state.retried)
+// record returns the stored record, combined with the information that the store may not have.
+func (s *suspectState) record() Record {
+	record := s.stored.WithCrashes(s.pending...)
+	record.Retried = max(record.Retried, s.retried)
 	return record
 }
 
-// runStatus tells that the request runs apart at a time, and unreported where it did so for too long.
-func (state *suspectState) runStatus(now time.Time) (running bool, unreported masticway.ServerIncarnation) {
-	if state.run != nil {
+// runStatus reports whether the request is running in quarantine. If such a run has not been reported on for too long, unreported
+// is its server.
+func (s *suspectState) runStatus(now time.Time) (running bool, unreported masticway.ServerIncarnation) {
+	if s.run != nil {
 		return true, ""
 	}
-	if state.stored.Run == nil || state.record().hasCrashOf(state.stored.Run.Server) {
+	if s.stored.Run == nil || s.record().hasCrashOf(s.stored.Run.Server) {
 		return false, ""
 	}
-	if now.Sub(state.changedAt) < runLease {
+	if now.Sub(s.changedAt) < runLease {
 		return true, ""
 	}
-	return false, state.stored.Run.Server
+	return false, s.stored.Run.Server
 }
 
-// Registry holds beliefs about requests and decides on them; it is not safe for concurrent use.
+// Registry holds the state of all suspects and decides on them. It is not safe for concurrent use.
 type Registry struct {
 	self     masticway.Incarnation
 	suspects map[masticway.RequestDigest]*suspectState
-	// random draws a number from 0 to 1, by which routers do not all write the same evidence at once.
+	// random returns a random number from 0 to 1. It prevents all routers from writing the same evidence at the same time.
 	random func() float64
 }
 
-// NewRegistry returns a register without beliefs.
+// NewRegistry returns an empty registry.
 func NewRegistry(self masticway.Incarnation, random func() float64) *Registry {
 	return &Registry{self: self, suspects: map[masticway.RequestDigest]*suspectState{}, random: random}
 }
 
-// Len returns how many requests there are beliefs about.
+// Len returns the number of requests in the registry.
 func (r *Registry) Len() int { return len(r.suspects) }
 
-// Status returns what is believed of a request.
+// Status returns the current status of a request.
 func (r *Registry) Status(now time.Time, d masticway.RequestDigest) masticway.SuspectStatus {
 	state, ok := r.suspects[d]
 	if !ok || state.cleared {
@@ -107,7 +111,7 @@
 		return s
 	}
 	if now.Sub(state.changedAt) < maxEvidenceDelay {
-		// Until then it runs nowhere.
+		// Until the evidence is complete, the request must not run anywhere.
 		s.Running = true
 		return s
 	}
@@ -115,7 +119,7 @@
 	return s
 }
 
-// blockTime is how long a request is kept from servers.
+// blockTime returns how long a proven request is not sent to servers.
 func blockTime(record Record) time.Duration {
 	if record.Retried == 0 {
 		return firstBlockTime
@@ -123,8 +127,8 @@
 	return min(maxBlockTime, repeatBlockTime<<min(maxDoublings, record.Retried-1))
 }
 
-// isProven tells that a request is at fault: enough servers ended under it while it was the only suspect there. Ends that
-// another suspect shared prove nothing of either.
+// isProven reports whether a request is proven to crash servers: enough servers crashed during it while it was the only suspect
+// on them. A crash that involved two suspects proves nothing about either.
 func (r *Registry) isProven(d masticway.RequestDigest, record Record) bool {
 	if len(record.Crashes) < minCrashesToProve {
 		return false
@@ -138,7 +142,7 @@
 	return weight >= minWeightToProve
 }
 
-// hasOtherSuspect tells that a server ended under another suspect's run apart as well.
+// hasOtherSuspect reports whether a server also crashed during a quarantined run of another suspect.
 func (r *Registry) hasOtherSuspect(d masticway.RequestDigest, server masticway.ServerIncarnation) bool {
 	for other, state := range r.suspects {
 		if other == d || state.cleared {
@@ -151,7 +155,8 @@
 	return false
 }
 
-// QuarantineServers names the servers at which suspects run apart, and those of serious ones.
+// QuarantineServers returns the servers on which suspects run in quarantine. The set serious contains those whose suspect has
+// crashed more than one server.
 func (r *Registry) QuarantineServers(now time.Time) (all, serious map[masticway.ServerIncarnation]bool) {
 	all, serious = map[masticway.ServerIncarnation]bool{}, map[masticway.ServerIncarnation]bool{}
 	for _, state := range r.suspects {
@@ -170,7 +175,7 @@
 	return all, serious
 }
 
-// RecordCrash notes the end of a server under a request at this router; it ends a run apart.
+// RecordCrash records a server crash during a request of this router. It ends a quarantined run on that server.
 func (r *Registry) RecordCrash(now time.Time, d masticway.RequestDigest, path string, crash masticway.ServerCrash) {
 	state := r.getOrAdd(now, d)
 	if state == nil {
@@ -184,7 +189,7 @@
 	state.addCrashes(now, now, crash)
 }
 
-// Merge takes what another router tells of a request. It tells whether that was new.
+// Merge adds the evidence from another router. It reports whether any of it was new.
 func (r *Registry) Merge(now time.Time, entry Entry) bool {
 	var missing []masticway.ServerCrash
 	state, ok := r.suspects[entry.Digest]
@@ -208,24 +213,24 @@
 	return true
 }
 
-// addCrashes takes ends that the store is not known to have.
-func (state *suspectState) addCrashes(now, writeAt time.Time, crashes ...masticway.ServerCrash) {
+// addCrashes adds crashes that the store may not have.
+func (s *suspectState) addCrashes(now, writeAt time.Time, crashes ...masticway.ServerCrash) {
 	for _, crash := range crashes {
-		if state.record().hasCrash(crash) {
+		if s.record().hasCrash(crash) {
 			continue
 		}
-		if len(state.pending) == 0 {
-			state.pendingSince, state.writeAt, state.sharedAt = now, writeAt, time.Time{}
+		if len(s.pending) == 0 {
+			s.pendingSince, s.writeAt, s.sharedAt = now, writeAt, time.Time{}
 		}
-		if writeAt.Before(state.writeAt) {
-			state.writeAt = writeAt
+		if writeAt.Before(s.writeAt) {
+			s.writeAt = writeAt
 		}
-		state.pending = Record{Crashes: state.pending}.WithCrashes(crash).Crashes
-		state.changedAt = now
+		s.pending = Record{Crashes: s.pending}.WithCrashes(crash).Crashes
+		s.changedAt = now
 	}
 }
 
-// getOrAdd returns the belief about a request, a new one where there was none; nil where there is no room for it.
+// getOrAdd returns the state of a request, which is new if there was none. It returns nil if the registry is full.
 func (r *Registry) getOrAdd(now time.Time, d masticway.RequestDigest) *suspectState {
 	if state, ok := r.suspects[d]; ok {
 		return state
@@ -238,7 +243,8 @@
 	return state
 }
 
-// evict forgets the least suspected request of which no more than one end is known, the one without news for longest.
+// evict removes, among the requests with at most one crash and no run at this router, the one whose state changed longest ago. It
+// reports whether there was one.
 func (r *Registry) evict() bool {
 	var oldest masticway.RequestDigest
 	for d, state := range r.suspects {
@@ -256,8 +262,8 @@
 	return true
 }
 
-// Claim begins a run apart and returns the record that makes it this router's and the version that it replaces. It is not
-// to run where another run is under way or there is nothing to find out.
+// Claim starts a quarantined run. It returns the record that reserves the run for this router and the version that the record
+// replaces. It returns false if another run is in progress or if the request must not run in quarantine.
 func (r *Registry) Claim(now time.Time, d masticway.RequestDigest, server masticway.ServerIncarnation) (record Record, version int64, ok bool) {
 	s := r.Status(now, d)
 	if s.Suspicion != masticway.SuspicionQuarantined || s.Running {
@@ -273,14 +279,14 @@
 	return record, state.version, true
 }
 
-// Release ends this router's run apart without a finding.
+// Release ends this router's quarantined run without evidence.
 func (r *Registry) Release(d masticway.RequestDigest) {
 	if state, ok := r.suspects[d]; ok {
 		state.run = nil
 	}
 }
 
-// Clear notes that a request was served well.
+// Clear records that a request was served without a crash.
 func (r *Registry) Clear(d masticway.RequestDigest) {
 	state, ok := r.suspects[d]
 	if !ok {
@@ -293,7 +299,7 @@
 	state.run, state.pending, state.cleared = nil, nil, true
 }
 
-// ApplyRow takes a row of the store, or its end.
+// ApplyRow applies a row of the store, which may be deleted.
 func (r *Registry) ApplyRow(now time.Time, row masticway.StoredRow) error {
 	d := masticway.RequestDigest(row.Key)
 	state, known := r.suspects[d]
@@ -311,19 +317,19 @@
 	if state = r.getOrAdd(now, d); state == nil {
 		return nil
 	}
-	// Another router knows more since this one cleared it.
+	// Another router has added evidence since this one cleared the request.
 	state.cleared = false
 	state.setStored(now, record, row.Version)
 	return nil
 }
 
-// setStored takes the record that the store has now.
-func (state *suspectState) setStored(now time.Time, record Record, version int64) {
-	state.stored, state.version, state.changedAt = record, version, now
-	state.pending = slices.DeleteFunc(slices.Clone(state.pending), record.hasCrash)
+// setStored sets the record that is in the store, and drops pending crashes that it contains.
+func (s *suspectState) setStored(now time.Time, record Record, version int64) {
+	s.stored, s.version, s.changedAt = record, version, now
+	s.pending = slices.DeleteFunc(slices.Clone(s.pending), record.hasCrash)
 }
 
-// dropRow notes that the store has no row of a request.
+// dropRow records that the store has no row for a request.
 func (r *Registry) dropRow(d masticway.RequestDigest) {
 	state, ok := r.suspects[d]
 	if !ok {
@@ -336,7 +342,8 @@
 	state.stored, state.version, state.cleared = Record{Path: state.stored.Path}, 0, false
 }
 
-// ApplyTable takes a reading of the whole table: what it leaves out is gone.
+// ApplyTable applies a reading of the whole table. Rows that are missing in it have been deleted. It returns the errors of rows
+// that cannot be decoded.
 func (r *Registry) ApplyTable(now time.Time, reading masticway.RowReading) (errs []error) {
 	present := map[masticway.RequestDigest]bool{}
 	for _, row := range reading.Rows {
--- a/examiner/register_test.go
+++ b/examiner/register_test.go
@@ -16,34 +16,34 @@
 	return NewRegistry("r~1", func() float64 { return 0 })
 }
 
-// newCrash is the end of a server under a request that had had nothing of its answer.
-func newCrash(server string, apart bool) masticway.ServerCrash {
-	return masticway.ServerCrash{Server: masticway.ServerIncarnation(server), Quarantined: apart}
+// newCrash returns the crash of a server during a request whose answer had not begun.
+func newCrash(server string, quarantined bool) masticway.ServerCrash {
+	return masticway.ServerCrash{Server: masticway.ServerIncarnation(server), Quarantined: quarantined}
 }
 
 func TestSuspicion(t *testing.T) {
 	answered := masticway.ServerCrash{Server: "c", Answered: true}
 	for name, tc := range map[string]struct {
-		ends   []masticway.ServerCrash
-		others []masticway.ServerCrash
-		want   masticway.Suspicion
+		crashes []masticway.ServerCrash
+		others  []masticway.ServerCrash
+		want    masticway.Suspicion
 	}{
-		"nothing":                               {want: masticway.SuspicionNone},
-		"one end amid its answer":               {ends: []masticway.ServerCrash{answered}, want: masticway.SuspicionNone},
-		"one end before its answer":             {ends: []masticway.ServerCrash{newCrash("a", false)}, want: masticway.SuspicionQuarantined},
-		"two ends amid its answers":             {ends: []masticway.ServerCrash{answered, {Server: "d", Answered: true}}, want: masticway.SuspicionQuarantined},
-		"many ends beside others":               {ends: []masticway.ServerCrash{newCrash("a", false), newCrash("b", false), newCrash("c", false), newCrash("d", false), newCrash("e", false)}, want: masticway.SuspicionQuarantined},
-		"one end alone, two beside others":      {ends: []masticway.ServerCrash{newCrash("a", false), newCrash("b", false), newCrash("c", true)}, want: masticway.SuspicionQuarantined},
-		"two ends alone, none beside others":    {ends: []masticway.ServerCrash{newCrash("a", true), newCrash("b", true)}, want: masticway.SuspicionQuarantined},
-		"two ends alone, one beside others":     {ends: []masticway.ServerCrash{newCrash("a", false), newCrash("b", true), newCrash("c", true)}, want: masticway.SuspicionProven},
-		"two ends alone amid its answers":       {ends: []masticway.ServerCrash{newCrash("a", false), {Server: "b", Quarantined: true, Answered: true}, {Server: "c", Quarantined: true, Answered: true}}, want: masticway.SuspicionQuarantined},
-		"four ends alone amid its answers":      {ends: []masticway.ServerCrash{{Server: "a", Quarantined: true, Answered: true}, {Server: "b", Quarantined: true, Answered: true}, {Server: "c", Quarantined: true, Answered: true}, {Server: "d", Quarantined: true, Answered: true}}, want: masticway.SuspicionProven},
-		"one of them with another suspect":      {ends: []masticway.ServerCrash{newCrash("a", false), newCrash("b", true), newCrash("c", true)}, others: []masticway.ServerCrash{newCrash("c", true)}, want: masticway.SuspicionQuarantined},
-		"one of them beside a request at fault": {ends: []masticway.ServerCrash{newCrash("a", false), newCrash("b", true), newCrash("c", true)}, others: []masticway.ServerCrash{newCrash("c", false)}, want: masticway.SuspicionProven},
+		"nothing":                                              {want: masticway.SuspicionNone},
+		"one crash during the answer":                          {crashes: []masticway.ServerCrash{answered}, want: masticway.SuspicionNone},
+		"one crash before the answer":                          {crashes: []masticway.ServerCrash{newCrash("a", false)}, want: masticway.SuspicionQuarantined},
+		"two crashes during answers":                           {crashes: []masticway.ServerCrash{answered, {Server: "d", Answered: true}}, want: masticway.SuspicionQuarantined},
+		"many crashes without quarantine":                      {crashes: []masticway.ServerCrash{newCrash("a", false), newCrash("b", false), newCrash("c", false), newCrash("d", false), newCrash("e", false)}, want: masticway.SuspicionQuarantined},
+		"one crash in quarantine, two without":                 {crashes: []masticway.ServerCrash{newCrash("a", false), newCrash("b", false), newCrash("c", true)}, want: masticway.SuspicionQuarantined},
+		"two crashes in quarantine, none without":              {crashes: []masticway.ServerCrash{newCrash("a", true), newCrash("b", true)}, want: masticway.SuspicionQuarantined},
+		"two crashes in quarantine, one without":               {crashes: []masticway.ServerCrash{newCrash("a", false), newCrash("b", true), newCrash("c", true)}, want: masticway.SuspicionProven},
+		"two crashes during answers in quarantine":             {crashes: []masticway.ServerCrash{newCrash("a", false), {Server: "b", Quarantined: true, Answered: true}, {Server: "c", Quarantined: true, Answered: true}}, want: masticway.SuspicionQuarantined},
+		"four crashes during answers in quarantine":            {crashes: []masticway.ServerCrash{{Server: "a", Quarantined: true, Answered: true}, {Server: "b", Quarantined: true, Answered: true}, {Server: "c", Quarantined: true, Answered: true}, {Server: "d", Quarantined: true, Answered: true}}, want: masticway.SuspicionProven},
+		"one of them shared with another suspect":              {crashes: []masticway.ServerCrash{newCrash("a", false), newCrash("b", true), newCrash("c", true)}, others: []masticway.ServerCrash{newCrash("c", true)}, want: masticway.SuspicionQuarantined},
+		"one of them shared with a request outside quarantine": {crashes: []masticway.ServerCrash{newCrash("a", false), newCrash("b", true), newCrash("c", true)}, others: []masticway.ServerCrash{newCrash("c", false)}, want: masticway.SuspicionProven},
 	} {
 		t.Run(name, func(t *testing.T) {
 			r := newTestRegister()
-			for _, crash := range tc.ends {
+			for _, crash := range tc.crashes {
 				r.RecordCrash(testTime, "d", "/p", crash)
 			}
 			for _, crash := range tc.others {
@@ -58,7 +58,7 @@
 	r := newTestRegister()
 	r.RecordCrash(testTime, "suspect", "/p", newCrash("a", false))
 	for _, s := range []string{"a", "b", "c"} {
-		r.RecordCrash(testTime, "fault", "/p", newCrash(s, s != "a"))
+		r.RecordCrash(testTime, "crashing", "/p", newCrash(s, s != "a"))
 	}
 	owns := func(string) bool { return true }
 	r.ExpiredChanges(testTime.Add(suspectTTL-time.Millisecond), owns)
@@ -66,51 +66,50 @@
 	r.ExpiredChanges(testTime.Add(suspectTTL), owns)
 	qt.Assert(t, r.Status(testTime.Add(suspectTTL), "suspect").Suspicion, qt.Equals, masticway.SuspicionNone)
 
-	s := r.Status(testTime.Add(firstBlockTime-time.Second), "fault")
+	s := r.Status(testTime.Add(firstBlockTime-time.Second), "crashing")
 	qt.Assert(t, s.Suspicion, qt.Equals, masticway.SuspicionProven)
 	qt.Assert(t, s.Remaining, qt.Equals, time.Second)
-	// It is tried once more, and one more end keeps it away for far longer.
+	// The request runs once more, and another crash blocks it for much longer.
 	later := testTime.Add(firstBlockTime)
-	qt.Assert(t, r.Status(later, "fault").Suspicion, qt.Equals, masticway.SuspicionQuarantined)
-	claimed, _, ok := r.Claim(later, "fault", "d")
+	qt.Assert(t, r.Status(later, "crashing").Suspicion, qt.Equals, masticway.SuspicionQuarantined)
+	claimed, _, ok := r.Claim(later, "crashing", "d")
 	qt.Assert(t, ok, qt.IsTrue)
-	row := masticway.StoredRow{RowKey: masticway.RowKey{Key: "fault"}, Version: 1, Value: claimed.encode()}
+	row := masticway.StoredRow{RowKey: masticway.RowKey{Key: "crashing"}, Version: 1, Value: claimed.encode()}
 	qt.Assert(t, r.ApplyRow(later, row), qt.IsNil)
-	r.RecordCrash(later, "fault", "/p", newCrash("d", true))
-	qt.Assert(t, r.Status(later, "fault").Running, qt.IsTrue, qt.Commentf("it runs nowhere before others could have told of the same server"))
-	qt.Assert(t, r.Status(later.Add(maxEvidenceDelay), "fault").Remaining, qt.Equals, repeatBlockTime-maxEvidenceDelay)
+	r.RecordCrash(later, "crashing", "/p", newCrash("d", true))
+	qt.Assert(t, r.Status(later, "crashing").Running, qt.IsTrue, qt.Commentf("it must not run before evidence on the same server could have arrived"))
+	qt.Assert(t, r.Status(later.Add(maxEvidenceDelay), "crashing").Remaining, qt.Equals, repeatBlockTime-maxEvidenceDelay)
 	expired := r.ExpiredChanges(later.Add(2*repeatBlockTime), owns)
 	qt.Assert(t, expired, qt.HasLen, 1)
 	r.ExpiredChanges(later.Add(5*repeatBlockTime), owns)
 	qt.Assert(t, r.Len(), qt.Equals, 0)
 }
 
-// TestRetriesCountWithoutStore has a request at fault run apart once more while the store is away, at this router and at
-// another one that is told.
-//
-// Seen: it was kept from servers for the first, short time again and again, and ended a server each time. Cause: how often it
-// had been retried stood in the store's row alone. Proof: a second retry follows the first as soon as that one followed the proof.
+// TestRetriesCountWithoutStore guards against a proven request that is blocked only for the first, short time again and again,
+// and crashes a server each time. This happens if only the store's row counts the retries and the store is unavailable. The
+// second block must be longer both at the router of the retry and at a router that it shares its evidence with.
 func TestRetriesCountWithoutStore(t *testing.T) {
 	r, other := newTestRegister(), newTestRegister()
 	for _, s := range []string{"a", "b", "c"} {
-		r.RecordCrash(testTime, "fault", "/p", newCrash(s, s != "a"))
+		r.RecordCrash(testTime, "crashing", "/p", newCrash(s, s != "a"))
 	}
 	later := testTime.Add(firstBlockTime)
-	_, _, ok := r.Claim(later, "fault", "d")
+	_, _, ok := r.Claim(later, "crashing", "d")
 	qt.Assert(t, ok, qt.IsTrue)
-	r.RecordCrash(later, "fault", "/p", newCrash("d", true))
+	r.RecordCrash(later, "crashing", "/p", newCrash("d", true))
 	shared := r.Unshared(later.Add(shareDelay))
 	qt.Assert(t, shared, qt.HasLen, 1)
 	qt.Assert(t, other.Merge(later, shared[0]), qt.IsTrue)
-	qt.Assert(t, other.Merge(later, shared[0]), qt.IsFalse, qt.Commentf("nothing of it was new"))
-	for name, registry := range map[string]*Registry{"the router of the retry": r, "one that was told": other} {
-		s := registry.Status(later.Add(maxEvidenceDelay), "fault")
+	qt.Assert(t, other.Merge(later, shared[0]), qt.IsFalse, qt.Commentf("it contains no new evidence"))
+	for name, registry := range map[string]*Registry{"the router of the retry": r, "another router": other} {
+		s := registry.Status(later.Add(maxEvidenceDelay), "crashing")
 		qt.Assert(t, s.Suspicion, qt.Equals, masticway.SuspicionProven, qt.Commentf(name))
 		qt.Assert(t, s.Remaining, qt.Equals, repeatBlockTime-maxEvidenceDelay, qt.Commentf(name))
 	}
 }
 
-// TestCrashElsewhereKeepsQuarantinedRun has a server end of which the request had been left, while it runs apart at another one.
+// TestCrashElsewhereKeepsQuarantinedRun guards against ending a quarantined run when another server crashes that the request ran
+// on before.
 func TestCrashElsewhereKeepsQuarantinedRun(t *testing.T) {
 	r := newTestRegister()
 	r.RecordCrash(testTime, "d", "/p", newCrash("a", false))
@@ -122,7 +121,8 @@
 	qt.Assert(t, r.Status(testTime, "d").Running, qt.IsFalse)
 }
 
-// TestExpiredRowsAreDeletedByOwner has the store keep a row of a belief that is over.
+// TestExpiredRowsAreDeletedByOwner guards against rows of expired suspects that remain in the store, or that every router
+// deletes.
 func TestExpiredRowsAreDeletedByOwner(t *testing.T) {
 	r := newTestRegister()
 	row := masticway.StoredRow{RowKey: masticway.RowKey{Key: "d"}, Version: 7, Value: Record{Crashes: []masticway.ServerCrash{newCrash("a", false)}}.encode()}
@@ -140,20 +140,20 @@
 
 func TestSuspectsAreBounded(t *testing.T) {
 	r := newTestRegister()
-	r.RecordCrash(testTime, "fault", "/p", newCrash("a", false))
-	r.RecordCrash(testTime, "fault", "/p", newCrash("b", true))
+	r.RecordCrash(testTime, "crashing", "/p", newCrash("a", false))
+	r.RecordCrash(testTime, "crashing", "/p", newCrash("b", true))
 	for i := range 3 * maxSuspects {
 		r.RecordCrash(testTime.Add(time.Duration(i)), masticway.RequestDigest(fmt.Sprint(i)), "/p", newCrash("x", false))
 	}
 	qt.Assert(t, r.Len(), qt.Equals, maxSuspects)
-	qt.Assert(t, r.Status(testTime, "fault").Crashes, qt.HasLen, 2, qt.Commentf("the most suspected is kept"))
+	qt.Assert(t, r.Status(testTime, "crashing").Crashes, qt.HasLen, 2, qt.Commentf("the suspect with the most crashes must be kept"))
 	for i := range 3 * maxCrashes {
-		r.RecordCrash(testTime, "fault", "/p", newCrash(fmt.Sprint(i), true))
+		r.RecordCrash(testTime, "crashing", "/p", newCrash(fmt.Sprint(i), true))
 	}
-	qt.Assert(t, r.Status(testTime, "fault").Crashes, qt.HasLen, maxCrashes)
+	qt.Assert(t, r.Status(testTime, "crashing").Crashes, qt.HasLen, maxCrashes)
 }
 
-// TestQuarantinedRunOfDeadRouterTimesOut has a row say that a request runs apart at a router of which nothing is heard.
+// TestQuarantinedRunOfDeadRouterTimesOut guards against waiting forever for a quarantined run whose router has died.
 func TestQuarantinedRunOfDeadRouterTimesOut(t *testing.T) {
 	r := newTestRegister()
 	record := Record{Crashes: []masticway.ServerCrash{newCrash("a", false)}}.WithRun(&Run{Router: "dead~1", Server: "b"})
@@ -167,7 +167,7 @@
 	s = r.Status(later, "d")
 	qt.Assert(t, s.Running, qt.IsFalse)
 	qt.Assert(t, s.UnreportedServer, qt.Equals, masticway.ServerIncarnation("b"))
-	// Its server has ended: that is evidence as if the router had told.
+	// The server has crashed. This counts as evidence as if the run's router had reported it.
 	r.RecordCrash(later, "d", "/p", newCrash("b", true))
 	qt.Assert(t, r.Status(later, "d").UnreportedServer, qt.Equals, masticway.ServerIncarnation(""))
 	claimed, version, ok := r.Claim(later, "d", "c")
@@ -176,21 +176,21 @@
 	qt.Assert(t, claimed.Run.Router, qt.Equals, masticway.Incarnation("r~1"))
 }
 
-// TestEvidenceMergesInAnyOrder has two routers' words on the same servers joined in both orders, and twice.
+// TestEvidenceMergesInAnyOrder merges two routers' evidence on the same servers in both orders, and twice.
 func TestEvidenceMergesInAnyOrder(t *testing.T) {
 	one := []masticway.ServerCrash{newCrash("a", false), newCrash("b", true)}
 	two := []masticway.ServerCrash{{Server: "b", Answered: true}, newCrash("c", false)}
-	joined := Record{}.WithCrashes(one...).WithCrashes(two...).WithCrashes(one...)
-	qt.Assert(t, joined.Crashes, qt.HasLen, 3)
+	merged := Record{}.WithCrashes(one...).WithCrashes(two...).WithCrashes(one...)
+	qt.Assert(t, merged.Crashes, qt.HasLen, 3)
 	other := Record{}.WithCrashes(two...).WithCrashes(one...).WithCrashes(two...)
-	for _, e := range joined.Crashes {
-		qt.Assert(t, other.hasCrash(e), qt.IsTrue, qt.Commentf("%+v", e))
+	for _, crash := range merged.Crashes {
+		qt.Assert(t, other.hasCrash(crash), qt.IsTrue, qt.Commentf("%+v", crash))
 	}
-	qt.Assert(t, joined.hasCrash(masticway.ServerCrash{Server: "b", Quarantined: true, Answered: true}), qt.IsTrue)
+	qt.Assert(t, merged.hasCrash(masticway.ServerCrash{Server: "b", Quarantined: true, Answered: true}), qt.IsTrue)
 }
 
-// TestClearedRequestIsForgotten has a suspect served well while the store has a row of it, and another router's word that comes
-// before the row is deleted.
+// TestClearedRequestIsForgotten clears a suspect that has a row in the store. Evidence of another router that is written before
+// the row is deleted must not be lost.
 func TestClearedRequestIsForgotten(t *testing.T) {
 	r := newTestRegister()
 	row := masticway.StoredRow{RowKey: masticway.RowKey{Key: "d"}, Version: 1, Value: Record{Crashes: []masticway.ServerCrash{newCrash("a", false)}}.encode()}
@@ -203,5 +203,5 @@
 
 	newer := masticway.StoredRow{RowKey: row.RowKey, Version: 2, Value: Record{Crashes: []masticway.ServerCrash{newCrash("a", false), newCrash("b", false)}}.encode()}
 	r.ApplyConflict(testTime, due, []masticway.StoredRow{newer})
-	qt.Assert(t, r.Status(testTime, "d").Suspicion, qt.Equals, masticway.SuspicionQuarantined, qt.Commentf("a server ended under it elsewhere since"))
+	qt.Assert(t, r.Status(testTime, "d").Suspicion, qt.Equals, masticway.SuspicionQuarantined, qt.Commentf("a server has crashed elsewhere since"))
 }
--- a/examiner/tell.go
+++ b/examiner/tell.go
@@ -11,33 +11,35 @@
 	"github.com/masticway/masticway/messenger"
 )
 
-// pathSuspects is where routers tell each other of suspects.
+// pathSuspects is the path of the requests by which routers exchange evidence.
 const pathSuspects = "/peer/suspects"
 
 const (
-	// sendTimeout bounds one message to another router.
+	// sendTimeout is the timeout of one message to another router.
 	sendTimeout = 400 * time.Millisecond
-	// maxSharePeers bounds the routers that one tells at a time; each of them tells as many others in turn.
+	// maxSharePeers is the maximum number of routers to which evidence is sent at a time. Each of them sends it on to as many
+	// others.
 	maxSharePeers = 16
-	// maxFetchPeers bounds the routers that one which starts asks at a time, fetchRetryInterval separates two rounds.
+	// maxFetchPeers is the number of routers that a starting router asks in each round, and fetchRetryInterval the time between
+	// two rounds.
 	maxFetchPeers      = 2
 	fetchRetryInterval = 200 * time.Millisecond
 )
 
-// message is what one router tells another.
+// message is a message from one router to another.
 type message struct {
 	Entries []Entry `cbor:"1,keyasint,omitempty"`
-	// FetchAll tells that the sender has just started and wants to know all.
+	// FetchAll is set if the sender has just started and asks for all evidence.
 	FetchAll bool `cbor:"2,keyasint,omitempty"`
 }
 
-// share tells other routers of evidence, side by side.
+// share sends evidence to other routers concurrently.
 func (e *Examiner) share(ctx context.Context, entries []Entry) {
 	var wg sync.WaitGroup
 	for _, address := range e.pickPeers(maxSharePeers) {
 		wg.Go(func() {
 			if _, err := e.send(ctx, address, message{Entries: entries}); err != nil {
-				e.Log.WithFields(logrus.Fields{"event": "suspects_not_told", "address": address, "error": err}).Debug("a router was not told")
+				e.Log.WithFields(logrus.Fields{"event": "suspects_not_told", "address": address, "error": err}).Debug("cannot send suspects to a router")
 				return
 			}
 			e.Metrics.Add(metricShared, int64(len(entries)))
@@ -52,7 +54,7 @@
 	return messenger.Call[message](ctx, e.Messages, address, pathSuspects, msg)
 }
 
-// pickPeers are some of the other routers, others with each call.
+// pickPeers returns up to max of the other routers. Successive calls return different ones in turn.
 func (e *Examiner) pickPeers(max int) []string {
 	all := e.Peers()
 	e.mu.Lock()
@@ -65,7 +67,7 @@
 	return peers
 }
 
-// mergeEntries takes what another router tells.
+// mergeEntries adds the evidence from another router.
 func (e *Examiner) mergeEntries(entries []Entry) {
 	if len(entries) == 0 {
 		return
@@ -81,7 +83,7 @@
 	e.Metrics.Add(metricReceived, merged)
 }
 
-// fetchFromPeers asks other routers for what they know until one has told or the store has.
+// fetchFromPeers asks other routers for all evidence until one replies or the store's table has been read.
 func (e *Examiner) fetchFromPeers(ctx context.Context) {
 	for ctx.Err() == nil && !e.isTableRead() {
 		for _, address := range e.pickPeers(maxFetchPeers) {
@@ -104,7 +106,7 @@
 	return e.tableRead
 }
 
-// Serve answers other routers.
+// Serve registers the handler for the messages of other routers.
 func (e *Examiner) Serve(mux *http.ServeMux) {
 	messenger.Handle(mux, pathSuspects, func(_ context.Context, msg message) message {
 		e.mergeEntries(msg.Entries)
--- a/examiner/world_test.go
+++ b/examiner/world_test.go
@@ -16,30 +16,33 @@
 
 const (
 	tick = 10 * time.Millisecond
-	// detectionTime is the time in which all routers are to know, maxLaterSends how often a request at fault may be sent later.
+	// detectionTime is the time within which all routers must know a proven request. maxLaterSends is how often it may be sent to
+	// servers later.
 	detectionTime = 3 * time.Second
 	maxLaterSends = 3
-	// answerDelay is when an answer begins, clearDelay from when on it clears its request.
+	// answerDelay is the time from the start of a run to the start of its answer. clearDelay is the time from then on until the
+	// answer clears the request.
 	answerDelay = 100 * time.Millisecond
 	clearDelay  = time.Second
 )
 
-// simRequest is one caller's request, which comes again and again.
+// simRequest is one caller's request, which is repeated.
 type simRequest struct {
 	digest         masticway.RequestDigest
 	crashesServers bool
-	// duration is how long an answer takes, next when the request comes again.
+	// duration is how long an answer takes. nextAt is when the request is sent next.
 	duration time.Duration
 	nextAt   time.Time
 	router   int
-	// crashedAt are the servers that ended under it, sent when it was sent to servers, served how often it was.
+	// crashedAt are the times of the server crashes during the request. sentAt are the times at which it was sent to servers.
+	// served is the number of times that it was served.
 	crashedAt []time.Time
 	sentAt    []time.Time
 	served    int
 	isWaiting bool
 }
 
-// simRun is one request at one server.
+// simRun is one run of a request on one server.
 type simRun struct {
 	*simRequest
 	router      int
@@ -48,12 +51,12 @@
 	cleared     bool
 }
 
-// simRouter is a router: its beliefs, and the rows that are on their way to it.
+// simRouter is a router with its registry and the row changes that are in transit to it.
 type simRouter struct {
 	*Registry
 	pendingChanges []rowChange
-	// storeAwayUntil is until when the store does not serve it.
-	storeAwayUntil time.Time
+	// storeDownUntil is the time until which the store does not serve the router.
+	storeDownUntil time.Time
 }
 
 type rowChange struct {
@@ -61,7 +64,7 @@
 	row masticway.StoredRow
 }
 
-// world is a fleet in one goroutine: routers, servers that end under some requests, and the store between them.
+// world simulates a fleet in one goroutine: routers, servers that some requests crash, and the store.
 type world struct {
 	t            *testing.T
 	random       *rand.Rand
@@ -72,7 +75,7 @@
 	restartTimes []time.Time
 	startCount   int
 	requests     []*simRequest
-	// brokenUntil is until when every server ends under whatever it runs.
+	// brokenUntil is the time until which every server crashes whatever it runs.
 	brokenUntil time.Time
 }
 
@@ -97,7 +100,7 @@
 	return shortest + time.Duration(w.random.Int64N(int64(longest-shortest)+1))
 }
 
-// addRequests has callers ask for some things again and again; those at fault end the servers that run them.
+// addRequests adds n repeated requests. If crashesServers is set, they crash the servers that run them.
 func (w *world) addRequests(n int, crashesServers bool) {
 	for range n {
 		w.requests = append(w.requests, &simRequest{
@@ -107,10 +110,10 @@
 	}
 }
 
-// write changes rows for a router and sends what changed to all.
+// write writes changes for a router and sends them to all other routers.
 func (w *world) write(r *simRouter, changes []change) error {
-	if w.now.Before(r.storeAwayUntil) {
-		return errors.New("the store is away")
+	if w.now.Before(r.storeDownUntil) {
+		return errors.New("the store is down")
 	}
 	var write masticway.RowWrite
 	for _, c := range changes {
@@ -144,7 +147,7 @@
 	return nil
 }
 
-// advance lets a time pass.
+// advance runs the simulation for a time.
 func (w *world) advance(d time.Duration) {
 	for until := w.now.Add(d); w.now.Before(until); w.now = w.now.Add(tick) {
 		w.deliver()
@@ -162,17 +165,17 @@
 		}
 		for _, r := range w.routers {
 			if due := r.DueChanges(w.now, maxWriteRows); len(due) > 0 {
-				// What the store does not take stays due.
+				// Changes that the store rejects stay due.
 				_ = w.write(r, due)
 			}
 		}
 	}
 }
 
-// deliver brings the store's changes to the routers, and what these tell each other while it is away.
+// deliver delivers row changes to the routers, and the evidence that routers share while the store is down.
 func (w *world) deliver() {
 	for _, r := range w.routers {
-		for len(r.pendingChanges) > 0 && !w.now.Before(r.pendingChanges[0].at) && !w.now.Before(r.storeAwayUntil) {
+		for len(r.pendingChanges) > 0 && !w.now.Before(r.pendingChanges[0].at) && !w.now.Before(r.storeDownUntil) {
 			qt.Assert(w.t, r.ApplyRow(w.now, r.pendingChanges[0].row), qt.IsNil)
 			r.pendingChanges = r.pendingChanges[1:]
 		}
@@ -195,7 +198,7 @@
 	return all
 }
 
-// runServer has a server go on with what it runs, and end under a request at fault.
+// runServer advances the runs on a server, and crashes it if one of them is a crashing request.
 func (w *world) runServer(server masticway.ServerIncarnation) {
 	hasCrashed := false
 	runs := w.servers[server]
@@ -226,7 +229,7 @@
 	}
 }
 
-// crashServer ends a server under all that it runs.
+// crashServer crashes a server during all its runs.
 func (w *world) crashServer(server masticway.ServerIncarnation, runs []*simRun) {
 	delete(w.servers, server)
 	w.restartTimes = append(w.restartTimes, w.now.Add(500*time.Millisecond))
@@ -236,7 +239,7 @@
 			w.routers[run.router].RecordCrash(w.now, run.digest, "/p", masticway.ServerCrash{Server: server, Quarantined: run.quarantined, Answered: since >= answerDelay})
 		}
 		run.crashedAt = append(run.crashedAt, w.now)
-		// What was not at fault goes on at once, at the same router; the other comes again anywhere.
+		// Requests that do not crash servers are retried at once at the same router, the others later at any router.
 		run.nextAt = w.now
 		if run.crashesServers {
 			run.nextAt = w.now.Add(w.randomDuration(10*time.Millisecond, 400*time.Millisecond))
@@ -244,7 +247,7 @@
 	}
 }
 
-// arrive has a request come to a router, or look again there whether its turn has come.
+// arrive handles a request that arrives at a router or that waits there.
 func (w *world) arrive(q *simRequest) {
 	if !q.isWaiting && (q.crashesServers || len(q.crashedAt) == 0) {
 		q.router = w.random.IntN(len(w.routers))
@@ -254,7 +257,7 @@
 	q.isWaiting = false
 	switch {
 	case s.Suspicion == masticway.SuspicionProven:
-		qt.Assert(w.t, q.crashesServers || !w.brokenUntil.IsZero(), qt.IsTrue, qt.Commentf("%s is not at fault: %+v", q.digest, s.Crashes))
+		qt.Assert(w.t, q.crashesServers || !w.brokenUntil.IsZero(), qt.IsTrue, qt.Commentf("%s does not crash servers: %+v", q.digest, s.Crashes))
 		q.nextAt = w.now.Add(w.randomDuration(50*time.Millisecond, 400*time.Millisecond))
 		return
 	case s.Suspicion == masticway.SuspicionNone:
@@ -273,7 +276,7 @@
 	q.nextAt = w.now.Add(20 * time.Millisecond)
 }
 
-// claim has a request run apart, unless another router has it do so.
+// claim runs a request in quarantine, unless another router has reserved the run.
 func (w *world) claim(q *simRequest, r *simRouter, server masticway.ServerIncarnation) {
 	if record, version, ok := r.Claim(w.now, q.digest, server); ok {
 		err := w.write(r, []change{{digest: q.digest, record: record, version: version}})
@@ -285,9 +288,9 @@
 	}
 }
 
-// pickServer draws a server that is not among some.
+// pickServer returns a random server that is not excluded.
 func (w *world) pickServer(excluded map[masticway.ServerIncarnation]bool) masticway.ServerIncarnation {
-	free := slices.DeleteFunc(w.incarnations(), func(l masticway.ServerIncarnation) bool { return excluded[l] })
+	free := slices.DeleteFunc(w.incarnations(), func(server masticway.ServerIncarnation) bool { return excluded[server] })
 	if len(free) == 0 {
 		return ""
 	}
@@ -304,11 +307,11 @@
 	w.servers[server] = append(w.servers[server], &simRun{simRequest: q, router: q.router, startedAt: w.now, quarantined: quarantined})
 }
 
-// checkRequests checks what must hold of every request.
+// checkRequests checks the conditions that every request must meet.
 func (w *world) checkRequests() {
 	for _, q := range w.requests {
 		if !q.crashesServers {
-			qt.Assert(w.t, q.served > 0, qt.IsTrue, qt.Commentf("%s was never served, %d servers ended under it", q.digest, len(q.crashedAt)))
+			qt.Assert(w.t, q.served > 0, qt.IsTrue, qt.Commentf("%s was never served, %d servers crashed", q.digest, len(q.crashedAt)))
 			continue
 		}
 		if len(q.crashedAt) < minCrashesToProve {
@@ -316,28 +319,28 @@
 		}
 		known := q.crashedAt[minCrashesToProve-1].Add(detectionTime)
 		later := slices.DeleteFunc(slices.Clone(q.sentAt), func(at time.Time) bool { return !at.After(known) })
-		qt.Assert(w.t, len(later) <= maxLaterSends, qt.IsTrue, qt.Commentf("%s was sent %d times later", q.digest, len(later)))
+		qt.Assert(w.t, len(later) <= maxLaterSends, qt.IsTrue, qt.Commentf("%s was sent %d times after its detection", q.digest, len(later)))
 	}
 }
 
-// TestOnlyCrashingRequestsAreBlocked plays fleets in which some requests end the servers that run them and many others
-// share these servers, come again and are served.
+// TestOnlyCrashingRequestsAreBlocked simulates fleets in which some requests crash the servers that run them. Other requests on
+// these servers must still be served, and the crashing ones must be blocked.
 func TestOnlyCrashingRequestsAreBlocked(t *testing.T) {
 	for name, tc := range map[string]struct {
 		routers, servers, crashing, others int
-		// away is for how long the store serves nobody, from the first second on.
-		away  time.Duration
-		seeds uint64
-		// duration is for how long requests at fault come again, 15 s when it is zero.
+		// storeDowntime is how long the store is down, beginning after the first second.
+		storeDowntime time.Duration
+		seeds         uint64
+		// duration is how long the crashing requests are repeated; zero is 15 s.
 		duration time.Duration
 	}{
-		"one at fault":                       {routers: 5, servers: 18, crashing: 1, others: 40, seeds: 10},
-		"one at fault comes for long":        {routers: 5, servers: 18, crashing: 1, others: 20, seeds: 3, duration: 90 * time.Second},
-		"three at once":                      {routers: 5, servers: 18, crashing: 3, others: 40, seeds: 10},
-		"few servers":                        {routers: 3, servers: 4, crashing: 1, others: 12, seeds: 20},
-		"many routers":                       {routers: 100, servers: 60, crashing: 2, others: 100, seeds: 2},
-		"the store is away for a while":      {routers: 5, servers: 18, crashing: 1, others: 40, away: 5 * time.Second, seeds: 10},
-		"the store is away nearly all along": {routers: 5, servers: 18, crashing: 2, others: 40, away: 12 * time.Second, seeds: 10},
+		"one crashing request":                 {routers: 5, servers: 18, crashing: 1, others: 40, seeds: 10},
+		"one crashing request for a long time": {routers: 5, servers: 18, crashing: 1, others: 20, seeds: 3, duration: 90 * time.Second},
+		"three crashing requests":              {routers: 5, servers: 18, crashing: 3, others: 40, seeds: 10},
+		"few servers":                          {routers: 3, servers: 4, crashing: 1, others: 12, seeds: 20},
+		"many routers":                         {routers: 100, servers: 60, crashing: 2, others: 100, seeds: 2},
+		"the store is down for a while":        {routers: 5, servers: 18, crashing: 1, others: 40, storeDowntime: 5 * time.Second, seeds: 10},
+		"the store is down most of the time":   {routers: 5, servers: 18, crashing: 2, others: 40, storeDowntime: 12 * time.Second, seeds: 10},
 	} {
 		t.Run(name, func(t *testing.T) {
 			for seed := range tc.seeds {
@@ -345,7 +348,7 @@
 				w.addRequests(tc.others, false)
 				w.advance(time.Second)
 				for _, r := range w.routers {
-					r.storeAwayUntil = w.now.Add(tc.away)
+					r.storeDownUntil = w.now.Add(tc.storeDowntime)
 				}
 				w.addRequests(tc.crashing, true)
 				w.advance(max(tc.duration, 15*time.Second))
@@ -355,11 +358,12 @@
 	}
 }
 
-// TestRequestAtManyRoutersIsTriedOnce has a request at fault come to all routers in the same instant, again and again.
+// TestRequestAtManyRoutersIsTriedOnce sends a crashing request to all routers at the same instant, repeatedly. After the first
+// time, it may only be sent to servers as often as the proof needs, not once by each router.
 func TestRequestAtManyRoutersIsTriedOnce(t *testing.T) {
 	for seed := range uint64(20) {
 		w := newWorld(t, seed, 10, 30)
-		// Callers of the same thing share its digest.
+		// Requests with the same content have the same digest.
 		for i := range w.routers {
 			w.requests = append(w.requests, &simRequest{digest: "d", crashesServers: true, router: i, isWaiting: true, nextAt: w.now.Add(time.Second)})
 		}
@@ -381,26 +385,26 @@
 			}
 		}
 		qt.Assert(t, len(crashes) >= minCrashesToProve, qt.IsTrue)
-		qt.Assert(t, sent <= minWeightToProve/weightUnanswered, qt.IsTrue, qt.Commentf("seed %d: after the first ten at once it was sent %d times", seed, sent))
+		qt.Assert(t, sent <= minWeightToProve/weightUnanswered, qt.IsTrue, qt.Commentf("seed %d: after the first ten sends it was sent %d times", seed, sent))
 	}
 }
 
-// TestRequestsRecoverWithBrokenServers has every server end under whatever it runs for a while, as after a bad
-// release: all requests look at fault, and none is.
+// TestRequestsRecoverWithBrokenServers guards against requests that stay blocked after all servers have crashed whatever they
+// ran, as after a bad release, and have been repaired. Every request then looks like the cause of the crashes.
 func TestRequestsRecoverWithBrokenServers(t *testing.T) {
 	const (
-		mendedAfter = 6 * time.Second
-		servedAgain = 45 * time.Second
+		repairTime   = 6 * time.Second
+		recoveryTime = 45 * time.Second
 	)
 	for seed := range uint64(5) {
 		w := newWorld(t, seed, 3, 6)
 		w.addRequests(12, false)
-		w.brokenUntil = w.now.Add(mendedAfter)
-		w.advance(mendedAfter)
+		w.brokenUntil = w.now.Add(repairTime)
+		w.advance(repairTime)
 		for _, q := range w.requests {
 			qt.Assert(t, q.served, qt.Equals, 0)
 		}
-		w.advance(servedAgain)
+		w.advance(recoveryTime)
 		w.checkRequests()
 	}
 }
--- a/examiner/writes.go
+++ b/examiner/writes.go
@@ -6,7 +6,7 @@
 	"github.com/masticway/masticway"
 )
 
-// change is one row that is to be written, or to go.
+// change is a change of one row: a write of the record, or a deletion.
 type change struct {
 	digest  masticway.RequestDigest
 	record  Record
@@ -14,7 +14,7 @@
 	deleted bool
 }
 
-// DueChanges returns the rows that this router is to change now, a number of them at most.
+// DueChanges returns up to max changes of rows that this router must write now.
 func (r *Registry) DueChanges(now time.Time, max int) []change {
 	var due []change
 	for d, state := range r.suspects {
@@ -26,7 +26,7 @@
 			continue
 		}
 		ended := state.run == nil && state.stored.Run != nil && state.stored.Run.Router == r.self
-		// What was answered when its one server ended is nobody's business yet.
+		// A request with a single crash during its answer is not a suspect yet and is not written.
 		fresh := len(state.pending) > 0 && !now.Before(state.writeAt) && state.record().isSuspect()
 		if ended || fresh {
 			due = append(due, change{digest: d, record: state.record().WithRun(r.remainingRun(state)), version: state.version})
@@ -35,7 +35,8 @@
 	return due
 }
 
-// remainingRun is the run apart that a row keeps when it is written: another router's, or the one that this router has under way.
+// remainingRun returns the quarantined run to keep in a row that is written: that of another router, or this router's current
+// one.
 func (r *Registry) remainingRun(state *suspectState) *Run {
 	if state.stored.Run != nil && state.stored.Run.Router != r.self && !state.record().hasCrashOf(state.stored.Run.Server) {
 		return state.stored.Run
@@ -43,7 +44,7 @@
 	return state.run
 }
 
-// ApplyWrite notes that a row was changed.
+// ApplyWrite records that a change has been written.
 func (r *Registry) ApplyWrite(now time.Time, c change, version int64) {
 	state, ok := r.suspects[c.digest]
 	if !ok {
@@ -58,7 +59,8 @@
 	state.setStored(now, c.record, version)
 }
 
-// ApplyConflict takes the rows that stand in the way of some changes; those that are not among them are gone.
+// ApplyConflict applies the rows that conflict with some changes. A row that is missing among them has been deleted. It returns
+// the errors of rows that cannot be decoded.
 func (r *Registry) ApplyConflict(now time.Time, changes []change, rows []masticway.StoredRow) (errs []error) {
 	present := map[masticway.RequestDigest]bool{}
 	for _, row := range rows {
@@ -75,19 +77,19 @@
 	return errs
 }
 
-// ExpiredChanges returns the rows whose beliefs are over, for the router that owns them to delete, and forgets those of which the
-// store has none.
+// ExpiredChanges returns the deletions of the rows of expired suspects that this router owns. It removes expired suspects from
+// the registry if they have no row, or if the row's owner has not deleted it for long.
 func (r *Registry) ExpiredChanges(now time.Time, owns func(key string) bool) []change {
 	var expired []change
 	for d, state := range r.suspects {
 		age := now.Sub(state.changedAt)
 		if age < suspectTTL {
-			// No belief is over sooner, and most are this young.
+			// No suspect expires earlier, and most are this recent.
 			continue
 		}
 		ttl := suspectTTL
 		if record := state.record(); r.isProven(d, record) {
-			// It runs apart for a time after it may run again.
+			// A proven request is kept for some time after its block ends, because it then runs in quarantine.
 			ttl = 2 * max(repeatBlockTime, blockTime(record))
 		}
 		switch {
@@ -101,28 +103,28 @@
 	return expired
 }
 
-// Entry is what one router tells another of a request.
+// Entry is the evidence on one request that a router sends to another.
 type Entry struct {
 	Digest  masticway.RequestDigest `cbor:"1,keyasint"`
 	Path    string                  `cbor:"2,keyasint,omitempty"`
 	Crashes []masticway.ServerCrash `cbor:"3,keyasint"`
-	// Retried is how often it has run apart again after it had been kept from servers.
+	// Retried is the number of times that the request has run in quarantine again after it had been blocked.
 	Retried int `cbor:"4,keyasint,omitempty"`
 }
 
-// newEntry returns what is told of a request.
+// newEntry returns the entry for a request with a record.
 func newEntry(d masticway.RequestDigest, r Record) Entry {
 	return Entry{Digest: d, Path: r.Path, Crashes: r.Crashes, Retried: r.Retried}
 }
 
 const (
-	// shareDelay is how long the store may take for evidence before other routers are told directly, a multiple of its usual
-	// time; reshareInterval is when they are told again.
+	// shareDelay is how long the store may take to accept evidence before it is sent to other routers directly, a multiple of the
+	// usual time. reshareInterval is the time until it is sent again.
 	shareDelay      = 100 * time.Millisecond
 	reshareInterval = time.Second
 )
 
-// Unshared returns the evidence that the store should have by now, to be told to other routers.
+// Unshared returns the evidence that the store should have accepted by now, to be sent to other routers.
 func (r *Registry) Unshared(now time.Time) []Entry {
 	var entries []Entry
 	for d, state := range r.suspects {
