--- a/rotator/absence.go
+++ b/rotator/absence.go
@@ -2,20 +2,20 @@
 
 import "time"
 
-// absence is a router's time out of rotation.
+// absence is the state of a router's time out of rotation.
 type absence struct {
 	out   bool
 	until time.Time
-	// span is how long the last one was, endedAt when it ended.
+	// span is the duration of the last absence, and endedAt is when it ended.
 	span    time.Duration
 	endedAt time.Time
-	// pending brings the lease that was asked for, nil when none was.
+	// pending delivers the result of the current election. It is nil if there is none.
 	pending chan election
-	// retryAt is when a lease is asked for again.
+	// retryAt is when the next election may start after a lost one.
 	retryAt time.Time
 }
 
-// nextSpan is how long the next one is to be.
+// nextSpan returns the duration of the next absence.
 func (s absence) nextSpan(now time.Time) time.Duration {
 	if s.span == 0 || now.Sub(s.endedAt) > s.span {
 		return minOutTime
--- a/rotator/admission.go
+++ b/rotator/admission.go
@@ -3,37 +3,37 @@
 import "math"
 
 const (
-	// shrinkFactor is what is left of the bound on requests at work with each look that finds the router's own calls delayed,
-	// growFactor what it grows to with each that does not: it halves within 0.7 s and doubles within 1.5 s.
+	// shrinkFactor is applied to the limit on unanswered requests at each check that finds the router's own calls delayed,
+	// growFactor at each other check. The limit halves within 0.7 s and doubles within 1.5 s.
 	shrinkFactor = 0.9
 	growFactor   = 1.05
-	// minLimit is the least bound, so that what a router can still carry is known.
+	// minLimit is the minimum limit. Some requests must be admitted to find out how much the router can handle.
 	minLimit = 4
-	// rankShare is the part of the bound that is kept from requests for each rank that they are less urgent, largeShare the
-	// part that is kept from those that are larger than usual: of what can be carried most requests are served when the
-	// urgent and cheap ones go first.
+	// rankShare is the part of the limit that is withheld from requests for each rank below the most urgent. largeShare is the
+	// part that is withheld from requests that are larger than the average. Most requests are served if the urgent and small ones
+	// go first.
 	rankShare  = 0.03
 	largeShare = 0.3
-	// bodyMemoryShare is the part of the router's memory that bodies of requests may take; the rest is for answers, connections, what is
-	// known of servers and money, and the program.
+	// bodyMemoryShare is the part of the router's memory that request bodies may use. The rest is for answers, connections,
+	// information about servers and budgets, and the program.
 	bodyMemoryShare = 0.25
-	// sizeSamples is the number of requests over which the usual size is averaged.
+	// sizeSamples is the number of requests over which the size is averaged.
 	sizeSamples = 64
 )
 
-// admission bounds the requests at work, those without a part of their answer yet, while the router is overloaded, and always
-// the bytes that it holds of all requests, however slowly their callers read.
+// admission limits the number of unanswered requests, for which no part of the answer has arrived yet, while the router is
+// overloaded. It always limits the bytes held for all requests, however slowly their callers read.
 type admission struct {
 	unanswered int
-	// limit is how many may be; it is not in force when it is zero.
+	// limit is the maximum number of unanswered requests; zero is no limit.
 	limit float64
-	// averageSize is the usual size of a request in bytes.
+	// averageSize is the average size of a request in bytes.
 	averageSize float64
-	// heldBytes is the bytes of the requests that have not ended, maxHeldBytes how many there may be, or zero for any.
+	// heldBytes is the total size of the requests that have not ended. maxHeldBytes is its maximum; zero is no maximum.
 	heldBytes, maxHeldBytes int64
 }
 
-// admit counts a request in; false when it is to be refused.
+// admit admits a request. It returns false if the request must be refused.
 func (a *admission) admit(rank int, bytes int64) bool {
 	bytes = max(0, bytes)
 	if a.maxHeldBytes > 0 && a.heldBytes+bytes > a.maxHeldBytes {
@@ -56,11 +56,11 @@
 	return true
 }
 
-// markAnswered counts a request out of those at work, ended its bytes out of those held.
+// markAnswered removes a request from the unanswered ones, and release removes its bytes from those held.
 func (a *admission) markAnswered()       { a.unanswered-- }
 func (a *admission) release(bytes int64) { a.heldBytes -= max(0, bytes) }
 
-// adjust moves the bound.
+// adjust updates the limit.
 func (a *admission) adjust(overloaded, delayed bool) {
 	switch {
 	case !overloaded:
--- a/rotator/ballot.go
+++ b/rotator/ballot.go
@@ -9,13 +9,13 @@
 	"github.com/masticway/masticway/messenger"
 )
 
-// pathLease is the path of the calls about leases.
+// pathLease is the path of the requests for leases.
 const pathLease = "/peer/lease"
 
-// LeaseRequest asks a voter for a lease, or gives one back.
+// LeaseRequest asks a voter for a lease, or returns one.
 type LeaseRequest struct {
 	Instance string `cbor:"1,keyasint"`
-	// Duration is how long it is wanted; zero gives it back.
+	// Duration is the requested duration of the lease; zero returns the lease.
 	Duration time.Duration `cbor:"2,keyasint"`
 }
 
@@ -23,35 +23,35 @@
 	Granted bool `cbor:"1,keyasint"`
 }
 
-// Voters are the other routers that vote on leases.
+// Voters sends lease requests to the other routers that vote on leases.
 type Voters interface {
-	// Ask asks the one at an address, and returns whether it said yes.
+	// Ask sends a request to the voter at an address, and returns whether it was granted.
 	Ask(ctx context.Context, address string, req LeaseRequest) (bool, error)
 }
 
-// Client asks over connections between routers; it implements Voters.
+// Client sends requests over connections between routers. It implements Voters.
 type Client struct {
 	messages *messenger.Client
 }
 
-// NewClient returns a client that sends its calls with another.
+// NewClient returns a client that uses a messenger client.
 func NewClient(m *messenger.Client) *Client { return &Client{messages: m} }
 
-// Ask asks the voter at an address.
+// Ask sends a request to the voter at an address.
 func (c *Client) Ask(ctx context.Context, address string, req LeaseRequest) (bool, error) {
 	reply, err := messenger.Call[leaseReply](ctx, c.messages, address, pathLease, req)
 	return reply.Granted, err
 }
 
-// Serve answers other routers that ask for leases.
+// Serve registers the handler for the lease requests of other routers.
 func (r *Rotator) Serve(mux *http.ServeMux) {
 	messenger.Handle(mux, pathLease, func(_ context.Context, req LeaseRequest) leaseReply {
 		return leaseReply{Granted: r.Vote(req)}
 	})
 }
 
-// Vote gives another router or this one a lease, or takes it back; false when all leases are taken, or when this router is
-// overloaded itself: the other one's callers would come to it.
+// Vote grants a lease to this or another router, or takes it back. It returns false if all leases are taken, or if the request is
+// from another router and this router is overloaded itself, because the other router's callers would come to it.
 func (r *Rotator) Vote(req LeaseRequest) bool {
 	all := r.zoneRouters()
 	r.mu.Lock()
@@ -66,32 +66,33 @@
 	return r.granted.grant(r.parts.Clock.Now(), req.Instance, req.Duration, leasesPerVoter(len(all), min(maxVoters, len(all))))
 }
 
-// zoneRouters lists the routers of the availability zone, this one included.
+// zoneRouters returns the routers of the availability zone, including this one.
 func (r *Rotator) zoneRouters() []Neighbour {
 	return append(r.parts.Neighbours(), Neighbour{Instance: r.settings.Instance})
 }
 
-// election is what asking for a lease brought.
+// election is the result of asking the voters for a lease.
 type election struct {
 	began time.Time
-	// span is how long the lease is for.
+	// span is the duration of the lease.
 	span                   time.Duration
 	routers, voters, votes int
 }
 
-// isWon tells that most voters gave the lease.
+// isWon reports whether a majority of the voters granted the lease.
 func (e election) isWon() bool { return e.votes > e.voters/2 }
 
 // elect asks the voters for a lease.
 func (r *Rotator) elect(ctx context.Context, began time.Time, span time.Duration) election {
 	all := r.zoneRouters()
 	zoneVoters := selectVoters(r.settings.Zone, all)
-	// A vote outlasts the absence for which it is asked, whenever the question arrives.
+	// A vote is valid for longer than the absence that it allows, no matter when the request arrives.
 	votes := r.collectVotes(ctx, zoneVoters, LeaseRequest{Instance: r.settings.Instance, Duration: span + leaseTimeout})
 	return election{began: began, span: span, routers: len(all), voters: len(zoneVoters), votes: votes}
 }
 
-// collectVotes asks voters and returns how many of them said yes, most of them at least or all that did in time.
+// collectVotes sends a request to the voters and returns how many granted it. For a lease, it returns as soon as a majority has;
+// otherwise when all voters have replied or leaseTimeout has passed.
 func (r *Rotator) collectVotes(ctx context.Context, voters []Neighbour, req LeaseRequest) int {
 	ctx, cancel := context.WithTimeout(ctx, leaseTimeout)
 	defer cancel()
@@ -106,7 +107,7 @@
 			n++
 		}
 		if n > len(voters)/2 && req.Duration > 0 {
-			// Whoever has not answered yet may give its vote all the same; it lapses.
+			// Voters that have not replied yet may still grant their lease, which then expires.
 			break
 		}
 	}
@@ -115,7 +116,7 @@
 	return n
 }
 
-// askVoter asks one voter, which may be this router.
+// askVoter sends a request to one voter, which may be this router.
 func (r *Rotator) askVoter(ctx context.Context, voter Neighbour, req LeaseRequest) bool {
 	if voter.Instance == r.settings.Instance {
 		return r.Vote(req)
--- a/rotator/delays.go
+++ b/rotator/delays.go
@@ -3,24 +3,24 @@
 import "time"
 
 const (
-	// bucketSpan and buckets are how the last moments are divided: what is older than their product does not count.
+	// bucketSpan is the duration of a bucket, and buckets the number of buckets. Earlier calls do not count.
 	bucketSpan = 100 * time.Millisecond
 	buckets    = 6
-	// minCalls is how many calls must have ended within these moments to say anything.
+	// minCalls is the minimum number of calls in all buckets that is needed to compute the excess.
 	minCalls = 3
-	// baselineGrowth is by how much the usual time may grow in a second, so that a path that has become longer for good is
-	// usual after a while.
+	// baselineGrowth is how much the baseline may grow per second, so that it adapts to a network path that has become longer
+	// permanently.
 	baselineGrowth = time.Millisecond
 )
 
-// callTimes are the times that one kind of call took.
+// callTimes tracks the durations of one kind of call.
 type callTimes struct {
 	baseline   time.Duration
 	baselineAt time.Time
 	recent     [buckets]bucket
 }
 
-// bucket is the calls that ended within one span.
+// bucket summarizes the calls that ended within one bucketSpan.
 type bucket struct {
 	index int64
 	count int
@@ -29,7 +29,7 @@
 
 func bucketIndex(now time.Time) int64 { return now.UnixNano() / int64(bucketSpan) }
 
-// record counts a call that ended now.
+// record adds a call that ended now.
 func (d *callTimes) record(now time.Time, took time.Duration) {
 	if d.baselineAt.IsZero() || took < d.currentBaseline(now) {
 		d.baseline, d.baselineAt = took, now
@@ -43,13 +43,13 @@
 	b.min = min(b.min, took)
 }
 
-// currentBaseline is the least time seen, and what it may have grown by since.
+// currentBaseline returns the minimum duration ever observed, plus the growth since then.
 func (d *callTimes) currentBaseline(now time.Time) time.Duration {
 	return d.baseline + time.Duration(now.Sub(d.baselineAt).Seconds()*float64(baselineGrowth))
 }
 
-// excess is by how much the least of the last moments' calls was above the usual; false when there were too few. A burst
-// delays some calls, a link that stays full each of them.
+// excess returns by how much the minimum duration of the recent calls exceeds the baseline. It returns false if there were too
+// few calls. The minimum is used because a burst delays only some calls, but a saturated link delays all of them.
 func (d *callTimes) excess(now time.Time) (time.Duration, bool) {
 	n := bucketIndex(now)
 	count, fastest := 0, time.Duration(0)
--- a/rotator/load.go
+++ b/rotator/load.go
@@ -3,20 +3,21 @@
 import "time"
 
 const (
-	// overloadDelay is the delay of every call from which on a kind counts as delayed: with it a question to another router
-	// is answered too late for the request that waits for it. recoveryDelay is the one below which it does no more.
+	// overloadDelay is the delay at which a kind of call counts as delayed. With such a delay, the reply to a request
+	// to another router arrives too late for the caller's request that waits for it. recoveryDelay is the delay below which the
+	// kind no longer counts as delayed.
 	overloadDelay = 60 * time.Millisecond
 	recoveryDelay = 30 * time.Millisecond
-	// minUnansweredTime is what a call counts for at least that got no answer, however soon it was given up.
+	// minUnansweredTime is the minimum duration recorded for a call that got no reply, however soon it was canceled.
 	minUnansweredTime = 250 * time.Millisecond
-	// minDelayedKinds is how many kinds of calls must be delayed: one alone may be slow at its other end.
+	// minDelayedKinds is the number of kinds of calls that must be delayed. One kind alone may be slow at the remote end.
 	minDelayedKinds = 2
-	// overloadAfter and recoveryAfter are how long the delay must have stood, and been gone.
+	// overloadAfter and recoveryAfter are how long the delay must persist, or be gone, before the state changes.
 	overloadAfter = 200 * time.Millisecond
 	recoveryAfter = 1500 * time.Millisecond
 )
 
-// Kind is a kind of a router's own calls.
+// Kind is a kind of call that a router makes itself.
 type Kind string
 
 // The kinds of calls: to the row store, to other routers, and connections to servers.
@@ -26,20 +27,20 @@
 	KindServer Kind = "server"
 )
 
-// Load tells from the times of a router's own calls whether its link or its processor is full.
+// Load determines from the durations of a router's own calls whether its network link or CPU is saturated.
 type Load struct {
 	kinds map[Kind]*callTimes
-	// changingSince is when the present delay began, or when it ended; zero when the load is what it was found to be.
+	// changingSince is when the calls began to contradict the current state. It is zero if they agree with it.
 	changingSince time.Time
 	overloaded    bool
 }
 
-// NewLoad returns a load of which nothing is known yet.
+// NewLoad returns a Load without observations.
 func NewLoad() *Load {
 	return &Load{kinds: map[Kind]*callTimes{KindStore: {}, KindRouter: {}, KindServer: {}}}
 }
 
-// Record counts a call that ended now, after some time, with an answer or by its time limit.
+// Record adds a call that ended now, with a reply or by its timeout.
 func (l *Load) Record(now time.Time, k Kind, took time.Duration, answered bool) {
 	if !answered {
 		took = max(took, minUnansweredTime)
@@ -47,7 +48,7 @@
 	l.kinds[k].record(now, took)
 }
 
-// Delays are the present delays of the kinds of which enough is known.
+// Delays returns the current delays of the kinds with enough observations.
 func (l *Load) Delays(now time.Time) map[Kind]time.Duration {
 	all := map[Kind]time.Duration{}
 	for k, d := range l.kinds {
@@ -58,7 +59,7 @@
 	return all
 }
 
-// Update tells whether the router carries more than it can; it is to be asked several times a second.
+// Update updates the state and reports whether the router is overloaded. It must be called several times per second.
 func (l *Load) Update(now time.Time) bool {
 	threshold, minDuration := overloadDelay, overloadAfter
 	if l.overloaded {
@@ -77,7 +78,7 @@
 	return l.overloaded
 }
 
-// IsDelayed tells whether the router's own calls are delayed now.
+// IsDelayed reports whether the router's own calls are currently delayed.
 func (l *Load) IsDelayed(now time.Time) bool { return l.isDelayedBy(now, overloadDelay) }
 
 func (l *Load) isDelayedBy(now time.Time, threshold time.Duration) bool {
--- a/rotator/rotator.go
+++ b/rotator/rotator.go
@@ -16,17 +16,17 @@
 )
 
 const (
-	// checkInterval is how often the load is looked at.
+	// checkInterval is the interval at which the load is checked.
 	checkInterval = 100 * time.Millisecond
-	// minOutTime is how long a router stays out at first, maxOut at most: twice as long each time that it is overloaded again
-	// within as long after it came back, since the same callers come back to it.
+	// minOutTime is how long a router stays out of rotation the first time, and maxOutTime the maximum. The time doubles whenever
+	// the router is overloaded again within as long after its return, because the same callers come back to it.
 	minOutTime = 20 * time.Second
 	maxOutTime = 160 * time.Second
-	// leaseTimeout bounds the asking for a lease, over a full link.
+	// leaseTimeout is the timeout of an election, over a saturated link.
 	leaseTimeout = 3 * time.Second
-	// leaseRetryInterval separates two attempts at a lease.
+	// leaseRetryInterval is the minimum time between two elections.
 	leaseRetryInterval = 500 * time.Millisecond
-	// maxPauseWithoutLease is how long the listener may be paused without a lease.
+	// maxPauseWithoutLease is the maximum time for which the listener is paused without a lease.
 	maxPauseWithoutLease = 1500 * time.Millisecond
 )
 
@@ -36,36 +36,36 @@
 	metricOut        = "out_of_rotation"
 )
 
-// Settings are what a rotator is made with.
+// Settings configures a rotator.
 type Settings struct {
 	Instance string
 	// Zone is the availability zone whose routers share the leases.
 	Zone string
-	// Memory is the router's memory in bytes, of which requests may take a part; zero when it is not known.
+	// Memory is the router's memory in bytes, of which requests may use a part. It is zero if unknown.
 	Memory int64
 }
 
-// Listener is where callers' connections come in.
+// Listener accepts the connections of callers.
 type Listener interface {
-	// Pause has connections refused at once.
+	// Pause makes the listener refuse connections immediately.
 	Pause()
-	// Resume takes them again; it returns false when that has to be tried again.
+	// Resume makes the listener accept connections again. It returns false if it must be called again.
 	Resume() bool
 }
 
-// Parts are what a rotator works with.
+// Parts holds the dependencies of a rotator.
 type Parts struct {
 	Listener Listener
-	// Voters are reached over a full link, too.
+	// Voters must also work over a saturated link.
 	Voters  Voters
 	Clock   masticway.Clock
 	Log     *logrus.Entry
 	Metrics *measurer.Set
-	// Neighbours lists the other routers of the zone.
+	// Neighbours returns the other routers of the zone.
 	Neighbours func() []Neighbour
 }
 
-// Rotator says whether new callers are wanted.
+// Rotator controls the load of a router: it admits requests, and takes the router out of rotation.
 type Rotator struct {
 	settings Settings
 	parts    Parts
@@ -77,7 +77,8 @@
 	granted   grantedLeases
 	admission admission
 
-	// absence, paused and overloadedAt belong to the goroutine that runs: the last is when the present overload began.
+	// absence, paused and overloadedAt belong to the goroutine of Run. overloadedAt is when the current state, overloaded or not,
+	// began.
 	absence      absence
 	paused       bool
 	overloadedAt time.Time
@@ -88,38 +89,39 @@
 	return &Rotator{settings: s, parts: p, load: NewLoad(), admission: admission{maxHeldBytes: int64(bodyMemoryShare * float64(s.Memory))}}
 }
 
-// IsOut tells that the router is out of rotation.
+// IsOut reports whether the router is out of rotation.
 func (r *Rotator) IsOut() bool { return r.out.Load() }
 
-// Admit counts a request in; false when the router is overloaded and this one is too many, or would not fit.
+// Admit admits a request. It returns false if the request must be refused because the router is overloaded or the request does
+// not fit into memory.
 func (r *Rotator) Admit(rank int, bytes int64) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.admission.admit(rank, bytes)
 }
 
-// MarkAnswered counts an admitted request out of those at work.
+// MarkAnswered records that the first part of an admitted request's answer has arrived.
 func (r *Rotator) MarkAnswered() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.admission.markAnswered()
 }
 
-// Release counts out the bytes of an admitted request.
+// Release releases the bytes of an admitted request that has ended.
 func (r *Rotator) Release(bytes int64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.admission.release(bytes)
 }
 
-// Note counts one of the router's own calls, which ended after some time with an answer or without one.
+// Note records the duration of one of the router's own calls, and whether it was answered.
 func (r *Rotator) Note(k Kind, took time.Duration, answered bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.load.Record(r.parts.Clock.Now(), k, took, answered)
 }
 
-// Dial returns a function that makes connections to servers as another does, and counts how long that takes.
+// Dial wraps a dial function so that the durations of its calls are recorded.
 func (r *Rotator) Dial(dial func(ctx context.Context, network, address string) (net.Conn, error)) func(ctx context.Context, network, address string) (net.Conn, error) {
 	return func(ctx context.Context, network, address string) (net.Conn, error) {
 		began := r.parts.Clock.Now()
@@ -131,7 +133,7 @@
 	}
 }
 
-// Run looks after the rotation until the context ends.
+// Run controls the rotation until the context ends.
 func (r *Rotator) Run(ctx context.Context) {
 	wasOverloaded := false
 	for ctx.Err() == nil {
@@ -151,8 +153,9 @@
 	r.wg.Wait()
 }
 
-// updateListener pauses the listener while more comes than can be carried. Without a lease it goes on after a moment: callers whom no
-// router of the zone lets in would not even hear when to come back.
+// updateListener pauses the listener while more traffic arrives than the router can handle. Without a lease, it resumes the
+// listener after a short time. Otherwise callers that no router of the zone accepts would not even receive a refusal with a time
+// to retry.
 func (r *Rotator) updateListener(overloaded bool) {
 	pause := overloaded && (r.absence.out || r.parts.Clock.Now().Sub(r.overloadedAt) < maxPauseWithoutLease)
 	switch {
@@ -164,7 +167,7 @@
 	}
 }
 
-// measure tells whether the router is overloaded, and whether its own calls are delayed at this moment.
+// measure reports whether the router is overloaded, and whether its own calls are currently delayed.
 func (r *Rotator) measure() (overloaded, delayed bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -174,7 +177,7 @@
 	return overloaded, delayed
 }
 
-// logOverload logs that the overload has begun or ended.
+// logOverload logs the begin or the end of an overload.
 func (r *Rotator) logOverload(overloaded bool) {
 	fields := logrus.Fields{"event": "overload", "overloaded": overloaded}
 	gauge := int64(0)
@@ -187,10 +190,10 @@
 		fields["delay_ms_"+string(k)] = d.Milliseconds()
 	}
 	r.mu.Unlock()
-	r.parts.Log.WithFields(fields).Warn("the load of this router has changed")
+	r.parts.Log.WithFields(fields).Warn("overload of this router has begun or ended")
 }
 
-// updateRotation leaves the rotation or comes back to it, as is due.
+// updateRotation starts or finishes an election, or ends the absence, as required.
 func (r *Rotator) updateRotation(ctx context.Context, overloaded bool) {
 	now := r.parts.Clock.Now()
 	switch {
@@ -203,7 +206,7 @@
 	}
 }
 
-// requestLease asks for a lease, beside all else.
+// requestLease starts an election in a goroutine.
 func (r *Rotator) requestLease(ctx context.Context) {
 	pending := make(chan election, 1)
 	r.absence.pending = pending
@@ -212,7 +215,7 @@
 	r.wg.Go(func() { pending <- r.elect(ctx, now, span) })
 }
 
-// checkElection goes out of rotation once the lease that was asked for is there.
+// checkElection leaves the rotation if the current election has ended and is won.
 func (r *Rotator) checkElection(ctx context.Context) {
 	var e election
 	select {
@@ -230,25 +233,25 @@
 		r.returnLease(ctx)
 		// Routers that ask at the same time split the votes.
 		r.absence.retryAt = now.Add(leaseRetryInterval + rand.N(leaseRetryInterval))
-		line.Info("no lease out of rotation can be had now")
+		line.Info("cannot get a lease to leave the rotation")
 		return
 	}
 	r.absence.start(e.began, e.span)
 	r.out.Store(true)
 	r.parts.Metrics.Gauge(metricOut, 1)
-	line.Warn("this router leaves the rotation")
+	line.Warn("leaving the rotation")
 }
 
-// rejoin goes back into rotation and gives the lease up; voters that do not hear of it let it lapse.
+// rejoin returns to the rotation and returns the lease. Voters that do not receive the request let the lease expire.
 func (r *Rotator) rejoin(ctx context.Context) {
 	r.absence.end(r.parts.Clock.Now())
 	r.out.Store(false)
 	r.parts.Metrics.Gauge(metricOut, 0)
-	r.parts.Log.WithFields(logrus.Fields{"event": "rotation"}).Warn("this router is back in rotation")
+	r.parts.Log.WithFields(logrus.Fields{"event": "rotation"}).Warn("back in rotation")
 	r.returnLease(ctx)
 }
 
-// returnLease tells the voters that no lease is wanted.
+// returnLease returns this router's lease to the voters.
 func (r *Rotator) returnLease(ctx context.Context) {
 	r.wg.Go(func() {
 		r.collectVotes(ctx, selectVoters(r.settings.Zone, r.zoneRouters()), LeaseRequest{Instance: r.settings.Instance})
--- a/rotator/rotator_test.go
+++ b/rotator/rotator_test.go
@@ -20,14 +20,15 @@
 )
 
 const (
-	// step is how often the simulated zone moves on.
+	// step is the time by which the simulation advances at once.
 	step = 10 * time.Millisecond
-	// routerCapacity is how many requests a second a thin router's link carries; maxLinkDelay bounds how long packets wait for it.
+	// routerCapacity is the number of requests per second that a router's link can carry. maxLinkDelay is the maximum time that
+	// packets wait for the link.
 	routerCapacity = 130.0
 	maxLinkDelay   = 500 * time.Millisecond
-	// usualCallTime is what a router's own call takes over an idle link.
+	// usualCallTime is the duration of a router's own call over an idle link.
 	usualCallTime = 5 * time.Millisecond
-	// probeInterval is how often the balancer asks whether a router is ready; two misses take it out.
+	// probeInterval is the interval of the load balancer's readiness probes. A router is out of rotation after two failed probes.
 	probeInterval = time.Second
 )
 
@@ -42,7 +43,7 @@
 
 	mu     sync.Mutex
 	paused bool
-	// backlog is the requests that wait for the link.
+	// backlog is the number of requests that wait for the link.
 	backlog    float64
 	misses     int
 	leaveCount int
@@ -68,39 +69,40 @@
 	return m.paused
 }
 
-// inRotation tells what the balancer believes.
+// inRotation reports whether the load balancer considers the router ready.
 func (m *simRouter) inRotation() bool { return m.misses < 2 }
 
-// delay is how long a packet waits for the link.
+// delay returns how long a packet waits for the link.
 func (m *simRouter) delay() time.Duration {
 	return min(maxLinkDelay, time.Duration(m.backlog/m.capacity*float64(time.Second)))
 }
 
-// callerGroup are some callers of which each goes to the first router in rotation by an order of its own.
+// callerGroup is a group of callers. Each caller uses the first router in rotation in its own order.
 type callerGroup struct {
 	orders    [][]int
 	perSecond float64
 }
 
-// simZone is an availability zone behind a balancer that picks a router by the caller.
+// simZone is an availability zone behind a load balancer that selects a router by the caller.
 type simZone struct {
 	routers      []*simRouter
 	callerGroups []callerGroup
-	// isCut tells that routers do not reach each other.
+	// isCut is set if the routers cannot reach each other.
 	isCut bool
-	// callTime says what a router's own calls take, given the delay of its link; nil is usualCallTime and that delay.
+	// callTime returns the duration of a router's own call, given the delay of its link, and whether it is answered. If it is
+	// nil, calls take usualCallTime plus the delay.
 	callTime func(k rotator.Kind, n int, delay time.Duration) (took time.Duration, answered bool)
 
-	// usesAll tells that the balancer uses all routers, as fewer than half are ready.
+	// usesAll is set if the load balancer uses all routers because fewer than half are ready.
 	usesAll bool
 	steps   int
 
 	served, lost float64
-	// minReady is the least number of routers that said that they are ready.
+	// minReady is the minimum number of routers that were ready at the same time.
 	minReady int
 }
 
-// Ask carries a question to a voter.
+// Ask sends a lease request to a voter.
 func (z *simZone) Ask(_ context.Context, address string, req rotator.LeaseRequest) (bool, error) {
 	time.Sleep(usualCallTime)
 	if z.isCut {
@@ -141,7 +143,7 @@
 	return all
 }
 
-// addCallers adds callers that all come to one router first, with some requests a second in all.
+// addCallers adds callers that all prefer one router. perSecond is their total number of requests per second.
 func (z *simZone) addCallers(router int, perSecond float64) {
 	const callers = 26
 	random := rand.New(rand.NewPCG(3, uint64(router)))
@@ -153,7 +155,7 @@
 	z.callerGroups = append(z.callerGroups, c)
 }
 
-// advance lets requests come for a time.
+// advance runs the simulation for a time.
 func (z *simZone) advance(span time.Duration) {
 	for at := time.Duration(0); at < span; at += step {
 		if z.steps%int(probeInterval/step) == 0 {
@@ -173,7 +175,7 @@
 	}
 }
 
-// probe has the balancer ask each router whether it is ready.
+// probe performs the load balancer's readiness probes.
 func (z *simZone) probe() {
 	in := 0
 	for _, m := range z.routers {
@@ -189,7 +191,7 @@
 	z.usesAll = 2*in < len(z.routers)
 }
 
-// arrive brings requests of one caller to its router; a connection that is refused is tried once more, at another.
+// arrive sends requests of one caller to its router. A refused connection is tried once more, at another router.
 func (z *simZone) arrive(order []int, requests float64) {
 	tries := 0
 	for _, i := range order {
@@ -208,7 +210,7 @@
 	z.lost += requests
 }
 
-// processRequests moves the link on for a step and makes the router's own calls.
+// processRequests advances the link by one step and makes the router's own calls.
 func (m *simRouter) processRequests(n int) {
 	done := min(m.backlog, m.capacity*step.Seconds())
 	m.backlog -= done
@@ -226,7 +228,7 @@
 	}
 }
 
-// watch counts the routers that are ready, and how often each one left.
+// watch updates the minimum number of ready routers and the number of times that each router left.
 func (z *simZone) watch() {
 	ready := 0
 	for _, m := range z.routers {
@@ -250,63 +252,64 @@
 	return n
 }
 
-// close ends the routers and lets their calls end.
+// close stops the routers and waits for their calls to end.
 func (z *simZone) close(stop context.CancelFunc) {
 	stop()
 	time.Sleep(time.Second)
 }
 
-// TestUnevenLoad has a few callers with much traffic come to one thin router while its neighbours idle, as
-// a balancer brings about that picks routers by a hash of the caller; on another load all routers are full, or what is slow is
-// not the router.
+// TestUnevenLoad guards against a router that stays in rotation although most of a zone's traffic arrives at it while the others
+// are idle, as may happen with a load balancer that selects routers by a hash of the caller. It also guards against routers that
+// leave although all of them are overloaded, or although only a remote service is slow.
 func TestUnevenLoad(t *testing.T) {
-	alone := map[int]float64{0: 100, 1: 100, 2: 100, 3: 100, 4: 100, 5: 100, 6: 100}
+	evenLoad := map[int]float64{0: 100, 1: 100, 2: 100, 3: 100, 4: 100, 5: 100, 6: 100}
 	cases := map[string]struct {
 		routers   int
 		perSecond map[int]float64
-		cut       bool
-		calls     func(k rotator.Kind, n int, delay time.Duration) (time.Duration, bool)
-		// served is the least share of requests served, leavesLeast and leavesMost bound how often routers left.
-		served                  float64
-		leavesLeast, leavesMost int
-		// ready is the least number of routers that must always have been ready.
-		ready int
+		isCut     bool
+		callTime  func(k rotator.Kind, n int, delay time.Duration) (time.Duration, bool)
+		// minServed is the minimum share of requests that are served. minLeaves and maxLeaves bound the number of times that
+		// routers leave.
+		minServed            float64
+		minLeaves, maxLeaves int
+		// minReady is the minimum number of routers that must be ready at any time.
+		minReady int
 	}{
-		"nobody is overloaded": {routers: 7, perSecond: alone, served: 1, ready: 7},
-		"one router gets twice what it can carry": {
-			routers: 7, perSecond: map[int]float64{2: 260, 5: 40}, served: 0.95, leavesLeast: 1, leavesMost: 4, ready: 4,
+		"no router is overloaded": {routers: 7, perSecond: evenLoad, minServed: 1, minReady: 7},
+		"one router gets twice its capacity": {
+			routers: 7, perSecond: map[int]float64{2: 260, 5: 40}, minServed: 0.95, minLeaves: 1, maxLeaves: 4, minReady: 4,
 		},
-		"one router of four": {
-			routers: 4, perSecond: map[int]float64{1: 200}, served: 0.9, leavesLeast: 1, leavesMost: 3, ready: 3,
+		"one router of four is overloaded": {
+			routers: 4, perSecond: map[int]float64{1: 200}, minServed: 0.9, minLeaves: 1, maxLeaves: 3, minReady: 3,
 		},
-		"one router of sixty": {
-			routers: 60, perSecond: map[int]float64{17: 260}, served: 0.95, leavesLeast: 1, leavesMost: 4, ready: 31,
+		"one router of sixty is overloaded": {
+			routers: 60, perSecond: map[int]float64{17: 260}, minServed: 0.95, minLeaves: 1, maxLeaves: 4, minReady: 31,
 		},
-		"all are overloaded": {
-			routers: 7, served: 0.6, leavesMost: 3, ready: 4,
+		"all routers are overloaded": {
+			routers: 7, minServed: 0.6, maxLeaves: 3, minReady: 4,
 			perSecond: map[int]float64{0: 200, 1: 200, 2: 200, 3: 200, 4: 200, 5: 200, 6: 200},
 		},
-		"half of the routers are overloaded": {
-			routers: 7, served: 0.55, leavesLeast: 1, leavesMost: 12, ready: 4,
+		"three routers of seven are overloaded": {
+			routers: 7, minServed: 0.55, minLeaves: 1, maxLeaves: 12, minReady: 4,
 			perSecond: map[int]float64{0: 260, 2: 260, 4: 260},
 		},
-		"a router alone": {routers: 1, perSecond: map[int]float64{0: 200}, served: 0.5, ready: 1},
-		"two routers":    {routers: 2, perSecond: map[int]float64{0: 200}, served: 0.5, ready: 2},
-		"no voter is reached": {
-			routers: 7, perSecond: map[int]float64{2: 260}, cut: true, served: 0.4, ready: 7,
+		"a single router": {routers: 1, perSecond: map[int]float64{0: 200}, minServed: 0.5, minReady: 1},
+		"two routers":     {routers: 2, perSecond: map[int]float64{0: 200}, minServed: 0.5, minReady: 2},
+		"no voter is reachable": {
+			routers: 7, perSecond: map[int]float64{2: 260}, isCut: true, minServed: 0.4, minReady: 7,
 		},
 		"the store is slow": {
-			routers: 7, perSecond: alone, served: 1, ready: 7,
-			calls: func(k rotator.Kind, n int, delay time.Duration) (time.Duration, bool) {
+			routers: 7, perSecond: evenLoad, minServed: 1, minReady: 7,
+			callTime: func(k rotator.Kind, n int, delay time.Duration) (time.Duration, bool) {
 				if k == rotator.KindStore && n > 200 {
 					return 300 * time.Millisecond, true
 				}
 				return usualCallTime + delay, true
 			},
 		},
-		"the store and most servers are away": {
-			routers: 7, perSecond: alone, served: 1, ready: 7,
-			calls: func(k rotator.Kind, n int, delay time.Duration) (time.Duration, bool) {
+		"the store and most servers are down": {
+			routers: 7, perSecond: evenLoad, minServed: 1, minReady: 7,
+			callTime: func(k rotator.Kind, n int, delay time.Duration) (time.Duration, bool) {
 				if n > 200 && (k == rotator.KindStore || k == rotator.KindServer && n%10 != 0) {
 					return usualCallTime, false
 				}
@@ -314,8 +317,8 @@
 			},
 		},
 		"links lose packets": {
-			routers: 7, perSecond: alone, served: 1, ready: 7,
-			calls: func(_ rotator.Kind, n int, delay time.Duration) (time.Duration, bool) {
+			routers: 7, perSecond: evenLoad, minServed: 1, minReady: 7,
+			callTime: func(_ rotator.Kind, n int, delay time.Duration) (time.Duration, bool) {
 				if n > 200 && n%3 != 0 {
 					return 200 * time.Millisecond, true
 				}
@@ -328,31 +331,31 @@
 			synctest.Test(t, func(t *testing.T) {
 				ctx, stop := context.WithCancel(t.Context())
 				z := newZone(ctx, tc.routers)
-				z.isCut, z.callTime = tc.cut, tc.calls
+				z.isCut, z.callTime = tc.isCut, tc.callTime
 				z.advance(2 * time.Second)
 				for router, rate := range tc.perSecond {
 					z.addCallers(router, rate)
 				}
 				z.advance(60 * time.Second)
 				share := z.served / (z.served + z.lost)
-				t.Logf("served %.3f, routers left %d times, at least %d were ready", share, z.leaveCount(), z.minReady)
-				qt.Check(t, share >= tc.served, qt.IsTrue)
-				qt.Check(t, z.leaveCount() >= tc.leavesLeast && z.leaveCount() <= tc.leavesMost, qt.IsTrue)
-				qt.Check(t, z.minReady >= tc.ready, qt.IsTrue)
+				t.Logf("share served %.3f, routers left %d times, at least %d were ready", share, z.leaveCount(), z.minReady)
+				qt.Check(t, share >= tc.minServed, qt.IsTrue)
+				qt.Check(t, z.leaveCount() >= tc.minLeaves && z.leaveCount() <= tc.maxLeaves, qt.IsTrue)
+				qt.Check(t, z.minReady >= tc.minReady, qt.IsTrue)
 				z.close(stop)
 			})
 		})
 	}
 }
 
-// TestRouterRejoinsAfterOverload has the callers of an overloaded router leave: its listener goes on at once, it is back in rotation
-// when its lease ends, and the next overload takes it out for longer only if it comes soon.
+// TestRouterRejoinsAfterOverload removes the callers of an overloaded router. Its listener must resume at once, it must return to
+// the rotation when its lease ends, and the next overload must keep it out for longer only if it begins soon.
 func TestRouterRejoinsAfterOverload(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, stop := context.WithCancel(t.Context())
 		z := newZone(ctx, 7)
 		m := z.routers[3]
-		// outFor returns how long the router stays out after an overload.
+		// outFor overloads the router and returns how long it stays out of rotation.
 		outFor := func() time.Duration {
 			z.addCallers(3, 260)
 			z.advance(3 * time.Second)
@@ -374,8 +377,8 @@
 	})
 }
 
-// TestAdmissionPrefersUrgentRequests bounds the requests at work of an overloaded router that never leaves: urgent and small ones are
-// let in where others are refused, and all are once the load is gone.
+// TestAdmissionPrefersUrgentRequests limits the unanswered requests of an overloaded router that cannot leave. Urgent and small
+// requests must be admitted when others are refused, and all must be once the overload has ended.
 func TestAdmissionPrefersUrgentRequests(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, stop := context.WithCancel(t.Context())
@@ -401,17 +404,17 @@
 			}
 			return n
 		}
-		urgent, other, heavy := admitted(0, 100), admitted(9, 100), admitted(0, 100_000)
-		t.Logf("admitted at once: %d urgent, %d less urgent, %d large", urgent, other, heavy)
-		qt.Check(t, urgent > other && urgent > heavy && heavy > 0, qt.IsTrue)
+		urgent, other, large := admitted(0, 100), admitted(9, 100), admitted(0, 100_000)
+		t.Logf("admitted at once: %d urgent, %d less urgent, %d large", urgent, other, large)
+		qt.Check(t, urgent > other && urgent > large && large > 0, qt.IsTrue)
 		z.advance(5 * time.Second)
 		qt.Check(t, admitted(9, 100_000), qt.Equals, 100)
 		z.close(stop)
 	})
 }
 
-// TestHeldBytesAreBounded has callers that read so slowly that no request ends: bodies take a fourth of the memory at most,
-// and are let in again as others end.
+// TestHeldBytesAreBounded guards against running out of memory when callers read so slowly that no request ends: request bodies
+// must use at most a fourth of the memory, and are admitted again when others end.
 func TestHeldBytesAreBounded(t *testing.T) {
 	const memory, body = 160 << 20, 1 << 20
 	r := rotator.New(rotator.Settings{Memory: memory}, rotator.Parts{Clock: emulator.SteadyClock{}})
