--- a/sharer/ask.go
+++ b/sharer/ask.go
@@ -9,59 +9,59 @@
 	"github.com/masticway/masticway/messenger"
 )
 
-// pathTable is the path of the calls about shared tables.
+// pathTable is the path of the requests for shared tables.
 const pathTable = "/peer/table"
 
-// Request asks a reader for a table.
+// Request asks a reader for the rows of a table or their changes.
 type Request struct {
 	Table string `cbor:"1,keyasint"`
 	Part  string `cbor:"2,keyasint,omitempty"`
-	// Whole asks for all rows, else for the changes since a version, for which the reader waits at most so long.
+	// Whole requests all rows. Otherwise the request is for the changes since a version, for which the reader waits up to Wait.
 	Whole bool          `cbor:"3,keyasint,omitempty"`
 	Since int64         `cbor:"4,keyasint,omitempty"`
 	Wait  time.Duration `cbor:"5,keyasint,omitempty"`
 }
 
-// Reply is a reader's answer.
+// Reply is a reader's reply.
 type Reply struct {
 	Status  Status               `cbor:"1,keyasint"`
 	Reading masticway.RowReading `cbor:"2,keyasint"`
-	// Age is how long ago the reader had heard from the store.
+	// Age is the time since the reader last read from the store.
 	Age time.Duration `cbor:"3,keyasint"`
-	// Rate is what following the table costs the reader, in bytes a second.
+	// Rate is the traffic, in bytes per second, that watching the table causes at the reader.
 	Rate float64 `cbor:"4,keyasint"`
 }
 
-// Status says whether a reader can answer.
+// Status is the result of a request to a reader.
 type Status string
 
-// The verdicts: lost means that the changes since the version are not known any more, away that this router does not follow the
-// table, or has not heard from the store.
+// The results of a request. StatusHistoryLost is returned if the changes since the version are no longer known, and
+// StatusUnavailable if the router does not watch the table or has not read from the store recently.
 const (
 	StatusKnown       Status = "known"
 	StatusHistoryLost Status = "lost"
 	StatusUnavailable Status = "away"
 )
 
-// Readers are the other routers that follow tables for their zone.
+// Readers sends requests to the readers of the zone.
 type Readers interface {
 	Ask(ctx context.Context, address string, req Request) (Reply, error)
 }
 
-// Client asks over connections between routers; it implements Readers.
+// Client sends requests over connections between routers. It implements Readers.
 type Client struct {
 	messages *messenger.Client
 }
 
-// NewClient returns a client that sends its calls with another.
+// NewClient returns a client that uses a messenger client.
 func NewClient(m *messenger.Client) *Client { return &Client{messages: m} }
 
-// Ask asks the reader at an address.
+// Ask sends a request to the reader at an address.
 func (c *Client) Ask(ctx context.Context, address string, req Request) (Reply, error) {
 	return messenger.Fetch[Reply](ctx, c.messages, address, pathTable, req.Wait+replyMargin, req)
 }
 
-// Serve answers other routers.
+// Serve registers the handler for the requests of other routers.
 func (s *Store) Serve(mux *http.ServeMux) {
 	messenger.Handle(mux, pathTable, s.HandleRequest)
 }
--- a/sharer/cost.go
+++ b/sharer/cost.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// cost is a decaying mean of bytes a second.
+// cost is an exponentially decaying average of bytes per second.
 type cost struct {
 	sum float64
 	at  time.Time
@@ -23,7 +23,7 @@
 	c.at = now
 }
 
-// rate is the present mean.
+// rate returns the current average.
 func (c *cost) rate(now time.Time) float64 {
 	c.decay(now)
 	return c.sum / rateSpan.Seconds()
--- a/sharer/doc.go
+++ b/sharer/doc.go
@@ -1,14 +1,15 @@
-// Package sharer lets the routers of an availability zone follow a table of the
-// row store through a few of them.
+// Package sharer lets the routers of an availability zone watch a table of the row
+// store through a few of them.
 //
-// In a table in which every server writes each heartbeat, nearly all changes are
-// of no substance: only a number grows. Where each router followed it, the bytes
-// at the store grew with routers times servers. So two routers of each zone, its
-// readers by rendezvous hash, follow such a table themselves, and the others ask
-// them for what has changed in substance. All versions are the store's, so that a
-// router goes on from wherever it is, with a reader or without one.
+// In a table in which every server writes each of its heartbeats, nearly all
+// changes are irrelevant: only a number increases. If each router watched it, the
+// traffic of the store would grow with the number of routers times the number of
+// servers. Instead, two routers of each zone, its readers by rendezvous hash, watch
+// such a table themselves, and the others ask them for the relevant changes. All
+// versions are those of the store, so a router can continue from any version, with
+// or without a reader.
 //
-// A router follows the table itself as long as that takes little of its link,
-// and whenever no reader answers in time, or only with what is too old: whoever
-// dies, freezes, is cut off or lies behind is left for a while.
+// A router watches the table itself as long as this uses little of its bandwidth,
+// and whenever no reader replies in time with recent data. A reader that dies,
+// hangs, is cut off or lags behind is not asked again for a while.
 package sharer
--- a/sharer/sharer_test.go
+++ b/sharer/sharer_test.go
@@ -23,23 +23,23 @@
 
 const (
 	table = "servers"
-	// heartbeatInterval is how often a server writes its row, rowBytes how large it is.
+	// heartbeatInterval is how often a server writes its row, and rowBytes the size of the row.
 	heartbeatInterval = 3 * time.Second
 	rowBytes          = 230
-	// callInterval separates two calls of a router about the table.
+	// callInterval is the time between two calls of a router for the table.
 	callInterval = 150 * time.Millisecond
-	// readerCount is how many routers of a zone read for it.
+	// readerCount is the number of readers in a zone.
 	readerCount = 2
 )
 
 var errSilent = errors.New("no answer in time")
 
-// countingStore is a row store that counts what is read of it.
+// countingStore is a row store that counts its calls and the bytes read.
 type countingStore struct {
 	*emulator.Rows
 	bytes, calls atomic.Int64
-	// isAway tells that it answers nobody.
-	isAway atomic.Bool
+	// isDown is set if the store fails all calls.
+	isDown atomic.Bool
 }
 
 func (c *countingStore) Read(ctx context.Context, name, part string) (masticway.RowReading, error) {
@@ -52,27 +52,27 @@
 
 func (c *countingStore) count(reading masticway.RowReading, err error) (masticway.RowReading, error) {
 	c.calls.Add(1)
-	if c.isAway.Load() {
+	if c.isDown.Load() {
 		return masticway.RowReading{}, &masticway.UnavailableError{Service: "rows"}
 	}
 	c.bytes.Add(reading.Bytes())
 	return reading, err
 }
 
-// fleet is a zone of routers that follow the servers' table.
+// fleet is a zone of routers that watch the table of servers.
 type fleet struct {
 	store   *countingStore
 	routers []*simRouter
 }
 
-// simRouter follows the table as a mirror does.
+// simRouter watches the table and keeps a copy of it.
 type simRouter struct {
 	fleet  *fleet
 	name   string
 	number int
 	own    *countingStore
 	store  *sharer.Store
-	// isSilent tells that it answers nobody any more, slow that it does after a while.
+	// isSilent is set if the router replies to no requests.
 	isSilent atomic.Bool
 	since    int64
 
@@ -80,7 +80,7 @@
 	known map[string]string
 }
 
-// Ask carries a question to a reader.
+// Ask sends a request to a reader.
 func (f *fleet) Ask(ctx context.Context, address string, req sharer.Request) (sharer.Reply, error) {
 	for _, r := range f.routers {
 		if r.name != address {
@@ -95,7 +95,7 @@
 	return sharer.Reply{}, errSilent
 }
 
-// rowState is a row's state, without its number.
+// rowState returns the state in a row, without the heartbeat number.
 func rowState(_ string, value []byte) any {
 	state, _, _ := strings.Cut(string(value), " ")
 	return state
@@ -117,7 +117,7 @@
 		go f.writeHeartbeats(ctx, i, servers)
 	}
 	for _, r := range f.routers {
-		go r.follow(ctx)
+		go r.watch(ctx)
 	}
 	return f
 }
@@ -131,7 +131,7 @@
 	return []byte(v + strings.Repeat("x", max(0, rowBytes-len(v))))
 }
 
-// writeHeartbeats writes a server's row each heartbeat.
+// writeHeartbeats writes a server's row at each heartbeat.
 func (f *fleet) writeHeartbeats(ctx context.Context, server, servers int) {
 	time.Sleep(heartbeatInterval * time.Duration(server) / time.Duration(servers))
 	for n := 0; ctx.Err() == nil; n++ {
@@ -140,8 +140,8 @@
 	}
 }
 
-// follow keeps what is known of the table up to date.
-func (r *simRouter) follow(ctx context.Context) {
+// watch keeps the router's copy of the table up to date.
+func (r *simRouter) watch(ctx context.Context) {
 	for ctx.Err() == nil {
 		if r.since == 0 {
 			reading, err := r.store.Read(ctx, table, "")
@@ -179,14 +179,14 @@
 	}
 }
 
-// state is what the router knows of a server.
+// state returns a server's state in the router's copy.
 func (r *simRouter) state(server int) string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.known[key(server).Key]
 }
 
-// totals is what all routers have read of the store.
+// totals returns the bytes that all routers have read from the store, and the number of their calls.
 func (f *fleet) totals() (bytes, calls int64) {
 	for _, r := range f.routers {
 		bytes += r.own.bytes.Load()
@@ -195,14 +195,14 @@
 	return bytes, calls
 }
 
-// waitUntilKnown returns how long it takes until all routers that answer know something of a server; it fails after a while.
+// waitUntilKnown waits until all working routers know a state of a server, and returns how long this took. It fails after 10 s.
 func (f *fleet) waitUntilKnown(t *testing.T, server int, want string) time.Duration {
 	began := time.Now()
 	for time.Since(began) < 10*time.Second {
 		missing := 0
 		for _, r := range f.routers {
-			// Who is cut off or silent need not know.
-			if r.state(server) != want && !r.isSilent.Load() && !r.own.isAway.Load() {
+			// Routers that are cut off or silent need not know it.
+			if r.state(server) != want && !r.isSilent.Load() && !r.own.isDown.Load() {
 				missing++
 			}
 		}
@@ -215,64 +215,64 @@
 	return 0
 }
 
-func (f *fleet) close(stop context.CancelFunc) {
-	stop()
+func (f *fleet) stop(cancel context.CancelFunc) {
+	cancel()
 	time.Sleep(2 * heartbeatInterval)
 }
 
-// TestReadingsGrowWithServersNotWithTheirSquare has zones of routers follow the table in which two servers for each router write all
-// heartbeats. Followed by each router, the bytes at the store grow with routers times servers: 16 kB a second for each of 100 routers
-// and 65 kB for each of 400.
+// TestReadingsGrowWithServersNotWithTheirSquare guards against store traffic that grows with the number of routers times the
+// number of servers. There are two servers for each router, and all heartbeats are written to the table. If each router watched
+// it, this would cost 16 kB per second for each of 100 routers and 65 kB for each of 400.
 func TestReadingsGrowWithServersNotWithTheirSquare(t *testing.T) {
 	perRouter := map[int]float64{}
 	for _, routers := range []int{15, 100, 400} {
 		synctest.Test(t, func(t *testing.T) {
-			ctx, stop := context.WithCancel(t.Context())
+			ctx, cancel := context.WithCancel(t.Context())
 			f := newFleet(ctx, routers, 2*routers)
 			time.Sleep(6 * time.Second)
 			before, callsBefore := f.totals()
 			time.Sleep(10 * time.Second)
 			after, callsAfter := f.totals()
 			perRouter[routers] = float64(after-before) / 10 / float64(routers)
-			t.Logf("%d routers: %.0f bytes a second each, %.2f calls", routers, perRouter[routers], float64(callsAfter-callsBefore)/10/float64(routers))
-			f.close(stop)
+			t.Logf("%d routers: %.0f bytes and %.2f calls per second each", routers, perRouter[routers], float64(callsAfter-callsBefore)/10/float64(routers))
+			f.stop(cancel)
 		})
 	}
-	// What is cheap is followed by all; what is costly by two.
+	// All routers watch a table that causes little traffic, but only the two readers one that causes much.
 	qt.Check(t, perRouter[100] < 20_000, qt.IsTrue)
 	qt.Check(t, perRouter[400] < 1000, qt.IsTrue)
 }
 
-// TestChangesArriveInTime has a server leave, and another come, while readers are well, dead, frozen or cut off from the store: all
-// routers know in time, within the 2 s that deployments with the tightest bounds allow.
+// TestChangesArriveInTime changes the state of one server, and adds and removes another, while readers work, hang or are cut off
+// from the store. All routers must know of it in time, within the 2 s that deployments with the tightest limits allow.
 func TestChangesArriveInTime(t *testing.T) {
 	cases := map[string]struct {
-		trouble func(f *fleet)
-		known   time.Duration
+		disturb  func(f *fleet)
+		maxDelay time.Duration
 	}{
-		"calm":                      {trouble: func(*fleet) {}, known: time.Second},
-		"a reader is silent":        {trouble: func(f *fleet) { f.routers[0].isSilent.Store(true) }, known: 1500 * time.Millisecond},
-		"both readers are silent":   {trouble: func(f *fleet) { f.routers[0].isSilent.Store(true); f.routers[1].isSilent.Store(true) }, known: 2 * time.Second},
-		"a reader is cut off":       {trouble: func(f *fleet) { f.routers[0].own.isAway.Store(true) }, known: 2 * time.Second},
-		"both readers are cut off":  {trouble: func(f *fleet) { f.routers[0].own.isAway.Store(true); f.routers[1].own.isAway.Store(true) }, known: 2 * time.Second},
-		"one is silent, one is cut": {trouble: func(f *fleet) { f.routers[0].isSilent.Store(true); f.routers[1].own.isAway.Store(true) }, known: 2 * time.Second},
+		"no disturbance":            {disturb: func(*fleet) {}, maxDelay: time.Second},
+		"a reader is silent":        {disturb: func(f *fleet) { f.routers[0].isSilent.Store(true) }, maxDelay: 1500 * time.Millisecond},
+		"both readers are silent":   {disturb: func(f *fleet) { f.routers[0].isSilent.Store(true); f.routers[1].isSilent.Store(true) }, maxDelay: 2 * time.Second},
+		"a reader is cut off":       {disturb: func(f *fleet) { f.routers[0].own.isDown.Store(true) }, maxDelay: 2 * time.Second},
+		"both readers are cut off":  {disturb: func(f *fleet) { f.routers[0].own.isDown.Store(true); f.routers[1].own.isDown.Store(true) }, maxDelay: 2 * time.Second},
+		"one is silent, one is cut": {disturb: func(f *fleet) { f.routers[0].isSilent.Store(true); f.routers[1].own.isDown.Store(true) }, maxDelay: 2 * time.Second},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				ctx, stop := context.WithCancel(t.Context())
+				ctx, cancel := context.WithCancel(t.Context())
 				f := newFleet(ctx, 100, 900)
 				f.store.Put(key(2000), value("ready", 1))
 				time.Sleep(8 * time.Second)
-				tc.trouble(f)
+				tc.disturb(f)
 				f.store.Put(key(1000), value("ready", 1))
 				f.store.Put(key(2000), value("draining", 2))
 				took := max(f.waitUntilKnown(t, 2000, "draining"), f.waitUntilKnown(t, 1000, "ready"))
-				t.Logf("known after %v", took)
-				qt.Check(t, took <= tc.known, qt.IsTrue)
+				t.Logf("all routers know after %v", took)
+				qt.Check(t, took <= tc.maxDelay, qt.IsTrue)
 				f.store.Delete(key(1000))
 				qt.Check(t, f.waitUntilKnown(t, 1000, "") <= 2*time.Second, qt.IsTrue)
-				f.close(stop)
+				f.stop(cancel)
 			})
 		})
 	}
--- a/sharer/store.go
+++ b/sharer/store.go
@@ -12,18 +12,19 @@
 )
 
 const (
-	// maxDirectRate is what following a table may cost a router's link, in bytes a second, before it asks readers: a good part of
-	// what control may take. Below half of it the table is followed directly again.
+	// maxDirectRate is the maximum traffic, in bytes per second, that watching a table may cause at a router before it asks
+	// readers instead. It is a good part of the bandwidth for control traffic. Below half of it, the router watches the table
+	// directly again.
 	maxDirectRate = 32 << 10
-	// rateSpan is the time over which that cost is averaged.
+	// rateSpan is the time constant of the average traffic.
 	rateSpan = 5 * time.Second
-	// maxRequestWait is how long a reader may wait for a change, replyMargin how long its answer may take beyond that; a reader that
-	// is frozen is left within their sum.
+	// maxRequestWait is the maximum time that a reader waits for a change, and replyMargin the additional time that its reply may
+	// take. A reader that hangs is abandoned after their sum.
 	maxRequestWait = 400 * time.Millisecond
 	replyMargin    = 300 * time.Millisecond
-	// maxReaderAge is how long ago a reader may have heard from the store.
+	// maxReaderAge is the maximum age of a reader's data.
 	maxReaderAge = time.Second
-	// readerBackoff is how long a reader that failed is not asked again.
+	// readerBackoff is how long a reader is not asked after a failure.
 	readerBackoff = 5 * time.Second
 )
 
@@ -40,40 +41,41 @@
 	Substance  Substance
 }
 
-// Parts are what a store is made of.
+// Parts holds the dependencies of a store.
 type Parts struct {
 	Store   masticway.RowStore
 	Readers Readers
-	// Choose names the addresses of the zone's readers, best first, and whether this router is one of them; there are none
-	// before the routers are counted.
+	// Choose returns the addresses of the zone's readers, best first, and whether this router is one of them. There are no
+	// addresses until the membership of the routers is known.
 	Choose  func() (addresses []string, own bool)
 	Clock   masticway.Clock
 	Log     *logrus.Entry
 	Metrics *measurer.Set
 }
 
-// Store is a row store of which some tables are read through other routers where that is cheaper. It also answers those that
-// read through this one.
+// Store is a row store that reads some tables through other routers if this is cheaper, and serves the other routers that read
+// through this one.
 type Store struct {
 	masticway.RowStore
 	parts  Parts
 	tables map[string]*sharedTable
 }
 
-// sharedTable is what is known of one table; its lock guards all of it.
+// sharedTable is the state of one shared table. Its lock guards all fields.
 type sharedTable struct {
 	Table
 	mu   sync.Mutex
 	view *view
 	cost cost
-	// viaReaders tells that the table is read through readers, left which of these are not asked, and until when.
+	// viaReaders is set if the table is read through readers. retryAt holds the readers that failed and the times until which
+	// they are not asked.
 	viaReaders bool
 	retryAt    map[string]time.Time
 }
 
 var _ masticway.RowStore = (*Store)(nil)
 
-// New returns a store that shares some tables.
+// New returns a store that shares the given tables.
 func New(p Parts, tables ...Table) *Store {
 	s := &Store{RowStore: p.Store, parts: p, tables: map[string]*sharedTable{}}
 	for _, t := range tables {
@@ -98,7 +100,7 @@
 	return reading, err
 }
 
-// Watch returns the changes of a table; of a shared one, those in substance.
+// Watch returns the changes of a table. For a shared table, it may return only the relevant changes.
 func (s *Store) Watch(ctx context.Context, f masticway.WatchRequest) (masticway.RowReading, error) {
 	t, ok := s.tables[f.Table]
 	if !ok {
@@ -117,7 +119,7 @@
 	return reading, err
 }
 
-// askReaders asks the zone's readers in turn; false when the table is to be read directly.
+// askReaders asks the zone's readers in turn. It returns false if the table must be read directly.
 func (s *Store) askReaders(ctx context.Context, t *sharedTable, req Request) (Reply, bool) {
 	addresses, own := s.parts.Choose()
 	if own {
@@ -144,12 +146,12 @@
 		t.backOff(s.parts.Clock.Now(), address)
 		s.parts.Log.WithFields(logrus.Fields{
 			"event": "reader_left", "table": t.Name, "reader": address, "verdict": reply.Status, "age_ms": reply.Age.Milliseconds(), "error": err,
-		}).Info("a reader does not answer for the table")
+		}).Info("a reader cannot serve the table")
 	}
 	return Reply{}, false
 }
 
-// HandleRequest answers another router.
+// HandleRequest handles a request of another router.
 func (s *Store) HandleRequest(ctx context.Context, req Request) Reply {
 	t, ok := s.tables[req.Table]
 	if !ok || req.Part != t.Part {
@@ -169,7 +171,7 @@
 	return reply
 }
 
-// reply returns what is known now, and what is closed with the next change.
+// reply returns the reply from the current view, and a channel that is closed at the next relevant change.
 func (t *sharedTable) reply(now time.Time, req Request) (Reply, <-chan struct{}) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -178,7 +180,7 @@
 	case t.viaReaders || t.view.version == 0 || reply.Age > maxReaderAge:
 		reply.Status = StatusUnavailable
 	case !req.Whole && t.view.version < req.Since:
-		// Who asks has read the store itself a moment ago.
+		// The requesting router has recently read from the store itself.
 		reply.Reading = masticway.RowReading{Version: req.Since}
 	case req.Whole:
 		reply.Reading = t.view.all()
@@ -192,7 +194,7 @@
 	return reply, t.view.changed
 }
 
-// recordReading takes what was read directly.
+// recordReading updates the view from a direct reading of the store.
 func (t *sharedTable) recordReading(now time.Time, whole bool, reading masticway.RowReading) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -204,14 +206,14 @@
 	t.view.update(now, reading)
 }
 
-// useDirect notes that this router follows the table itself.
+// useDirect records that this router watches the table itself.
 func (t *sharedTable) useDirect() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.viaReaders = false
 }
 
-// useReaders tells that the table costs too much to follow it directly.
+// useReaders reports whether the table must be read through readers because watching it directly causes too much traffic.
 func (t *sharedTable) useReaders(now time.Time) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -221,7 +223,7 @@
 	return t.viaReaders
 }
 
-// updateReaderRate takes what following costs a reader, which knows when it has become cheap.
+// updateReaderRate switches back to watching the table directly if the traffic that it causes at a reader has become low.
 func (t *sharedTable) updateReaderRate(rate float64) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/sharer/view.go
+++ b/sharer/view.go
@@ -8,23 +8,26 @@
 	"github.com/masticway/masticway"
 )
 
-// maxDeleted bounds the deleted rows that a view remembers.
+// maxDeleted is the maximum number of deleted rows that a view stores.
 const maxDeleted = 2000
 
-// Substance is what of a row's value other routers have to hear of; values that compare equal are the same to them.
+// Substance computes the part of a row's value that is relevant to other routers. A change of the row is relevant only if the
+// result changes.
 type Substance func(key string, value []byte) any
 
-// view is one part of a table as a router knows it, with the versions at which rows last changed in substance.
+// view is a router's copy of one part of a table, with the versions of the last relevant change of each row.
 type view struct {
 	project Substance
 	rows    map[masticway.RowKey]viewRow
-	// deleted are rows that are gone, oldest first; who knows of less than the version floor has to read all.
+	// deleted are the deleted rows, oldest first. Changes since a version below floor are unknown, so all rows must be read
+	// again.
 	deleted []masticway.StoredRow
 	floor   int64
-	// version is the store's version up to which the view is right, at a time; it is zero before anything was read.
+	// version is the store's version that the view reflects, and readAt is when it was read. version is zero before the first
+	// reading.
 	version int64
 	readAt  time.Time
-	// changed is closed with each change of substance.
+	// changed is closed at each relevant change.
 	changed chan struct{}
 }
 
@@ -37,13 +40,13 @@
 	return &view{project: s, rows: map[masticway.RowKey]viewRow{}, changed: make(chan struct{})}
 }
 
-// replace takes a reading of all rows.
+// replace applies a reading of all rows.
 func (v *view) replace(now time.Time, reading masticway.RowReading) {
 	if reading.Version < v.version {
 		return
 	}
 	if v.version == 0 {
-		// What was deleted before is not known.
+		// Earlier deletions are unknown.
 		v.floor = reading.Version
 	}
 	present := map[masticway.RowKey]bool{}
@@ -59,7 +62,7 @@
 	v.update(now, masticway.RowReading{Rows: rows, Version: reading.Version})
 }
 
-// update takes changes since the version that was reached.
+// update applies the changes since the view's version.
 func (v *view) update(now time.Time, reading masticway.RowReading) {
 	if reading.Version < v.version {
 		return
@@ -75,7 +78,7 @@
 	}
 }
 
-// apply takes one row; false when nothing changed in substance.
+// apply applies one row and reports whether there was a relevant change.
 func (v *view) apply(row masticway.StoredRow) bool {
 	known, ok := v.rows[row.RowKey]
 	if row.Deleted {
@@ -98,7 +101,7 @@
 	return true
 }
 
-// all returns every row.
+// all returns all rows.
 func (v *view) all() masticway.RowReading {
 	reading := masticway.RowReading{Version: v.version}
 	for _, r := range v.rows {
@@ -108,7 +111,7 @@
 	return reading
 }
 
-// changesSince returns what has changed in substance since a version; false when that is not known any more.
+// changesSince returns the relevant changes since a version. It returns false if they are no longer known.
 func (v *view) changesSince(version int64) (masticway.RowReading, bool) {
 	if version < v.floor {
 		return masticway.RowReading{}, false
