--- a/chooser/cost.go
+++ b/chooser/cost.go
@@ -19,7 +19,7 @@
 	plainCost = 15.0
 )
 
-// ServerPolicy configures the costs of servers other than their load.
+// ServerPolicy configures the costs of a server that do not come from its load, and the limit for cold servers.
 type ServerPolicy struct {
 	// RankShare is the part of the prefill time of a prompt's shared parts that is added to the cost of a server for each rank.
 	// Without ranks, each router would choose a different server when the home is overloaded, and the parts would be prefilled
@@ -34,7 +34,7 @@
 	Cold ColdBound
 }
 
-func (s *Servers) cost(now time.Time, engine bool, p Prompt, server masticway.Server, home bool) float64 {
+func (s *Servers) cost(now time.Time, isEngine bool, p Prompt, server masticway.Server, isHome bool) float64 {
 	l := s.load(server.ID)
 	cost := l.failureRate * failureCost
 	if now.Before(l.avoidUntil) {
@@ -43,10 +43,10 @@
 	if server.Zone != p.Zone {
 		cost += zoneCost + s.policy.ZoneTokenCost*float64(p.Output)
 	}
-	if !engine {
+	if !isEngine {
 		return cost + float64(l.inFlight)*plainCost
 	}
-	uncached := float64(p.Tokens - l.cachedTokens(now, p, home))
+	uncached := float64(p.Tokens - l.cachedTokens(now, p, isHome))
 	return cost + (uncached+l.pendingPrefill)/tokensPerMillisecond + float64(l.inFlight)*runningCost + l.currentDelay(now)
 }
 
--- a/chooser/observations.go
+++ b/chooser/observations.go
@@ -55,11 +55,11 @@
 
 // cachedTokens estimates the number of leading prompt tokens in the engine's cache. At the home of the prompt, all shared parts
 // are assumed to be cached.
-func (l *serverLoad) cachedTokens(now time.Time, p Prompt, home bool) int {
+func (l *serverLoad) cachedTokens(now time.Time, p Prompt, isHome bool) int {
 	tokens := 0
 	for i, part := range p.Parts {
 		shared := i < len(p.Parts)-1
-		if at, ok := l.parts[part.ID]; (!ok || now.Sub(at) > partTTL) && (!home || !shared) {
+		if at, ok := l.parts[part.ID]; (!ok || now.Sub(at) > partTTL) && (!isHome || !shared) {
 			return tokens
 		}
 		tokens += part.Tokens
--- a/chooser/servers.go
+++ b/chooser/servers.go
@@ -51,10 +51,10 @@
 
 // Choose returns the index of the server with the lowest expected cost, and the cost in milliseconds. The index is -1 if there
 // are no servers.
-func (s *Servers) Choose(now time.Time, engine bool, p Prompt, servers []masticway.Server) (int, float64) {
+func (s *Servers) Choose(now time.Time, isEngine bool, p Prompt, servers []masticway.Server) (int, float64) {
 	s.choices++
 	var ranks []int
-	if part, ok := p.homePart(); ok && engine {
+	if part, ok := p.homePart(); ok && isEngine {
 		ranks = rankServers(part, servers)
 	}
 	rankCost := s.rankCost(p)
@@ -62,7 +62,7 @@
 	for i := range servers {
 		// Servers with equal costs take turns.
 		k := (i + s.choices) % len(servers)
-		cost := s.cost(now, engine, p, servers[k], ranks != nil && ranks[k] == 0)
+		cost := s.cost(now, isEngine, p, servers[k], ranks != nil && ranks[k] == 0)
 		if ranks != nil {
 			cost += float64(min(ranks[k], maxRank)) * rankCost
 		}
