--- a/throttler/limits.go
+++ b/throttler/limits.go
@@ -241,17 +241,17 @@
 }
 
 // Grant answers a permit request from the token bucket, which is filled at the given share of the limit.
-func (s *Limits) Grant(now time.Time, q PermitRequest, share float64) (r PermitReply) {
-	r.Observed = s.Observation(now, q.Server)
-	l, ok := s.servers[q.Server]
-	if !ok || !l.limit.IsSet || q.Wanted <= 0 {
+func (s *Limits) Grant(now time.Time, req PermitRequest, share float64) (r PermitReply) {
+	r.Observed = s.Observation(now, req.Server)
+	l, ok := s.servers[req.Server]
+	if !ok || !l.limit.IsSet || req.Wanted <= 0 {
 		return r
 	}
 	rate := l.rate() * share
 	depth := max(minBucketSize, l.rate()*bucketPeriod.Seconds())
 	l.tokens = min(depth, l.tokens+rate*now.Sub(l.tokensAt).Seconds())
 	l.tokensAt = now
-	r.Granted = min(q.Wanted, int(l.tokens))
+	r.Granted = min(req.Wanted, int(l.tokens))
 	l.tokens -= float64(r.Granted)
 	if r.Granted == 0 {
 		r.Wait = time.Duration((1 - l.tokens) / rate * float64(time.Second))
--- a/throttler/tell.go
+++ b/throttler/tell.go
@@ -102,7 +102,7 @@
 			defer func() { <-sem }()
 			// A router that misses the notification learns of the change from a permit reply or from the server.
 			if _, err := t.askRouter(ctx, address, askTimeout, PermitRequest{Server: server, Observed: t.observation(server)}); err == nil {
-				t.Metrics.Add(metricTold, 1)
+				t.Metrics.Add(metricNotified, 1)
 			}
 		})
 	}
--- a/throttler/throttler.go
+++ b/throttler/throttler.go
@@ -34,12 +34,12 @@
 // Names of metrics.
 const (
 	metricLimited    = "servers_limited"
-	metricResting    = "servers_resting"
+	metricBackoffs   = "servers_resting"
 	metricAsks       = "limit_asks"
 	metricUnanswered = "limit_asks_unanswered"
 	metricGranted    = "limit_permits_granted"
 	metricRefused    = "limit_refusals"
-	metricTold       = "limits_told"
+	metricNotified   = "limits_told"
 )
 
 // Members provides the membership of the routers.
@@ -123,7 +123,7 @@
 func (t *Throttler) updateCounts() {
 	t.constrained.Store(int64(t.limits.LimitedCount() + t.backoffs.Len()))
 	t.Metrics.Gauge(metricLimited, int64(t.limits.LimitedCount()))
-	t.Metrics.Gauge(metricResting, int64(t.backoffs.Len()))
+	t.Metrics.Gauge(metricBackoffs, int64(t.backoffs.Len()))
 }
 
 // recordObservation records an observation and handles the change that it causes. The caller must hold the lock.
