--- a/examiner/record.go
+++ b/examiner/record.go
@@ -66,17 +66,17 @@
 
 // WithCrashes returns the record with additional crashes. Two reports on the same server are merged.
 func (r Record) WithCrashes(crashes ...masticway.ServerCrash) Record {
-	joined := slices.Clone(r.Crashes)
+	merged := slices.Clone(r.Crashes)
 	for _, crash := range crashes {
-		i := slices.IndexFunc(joined, func(c masticway.ServerCrash) bool { return c.Server == crash.Server })
+		i := slices.IndexFunc(merged, func(c masticway.ServerCrash) bool { return c.Server == crash.Server })
 		if i < 0 {
-			joined = append(joined, crash)
+			merged = append(merged, crash)
 			continue
 		}
-		joined[i].Quarantined = joined[i].Quarantined || crash.Quarantined
-		joined[i].Answered = joined[i].Answered && crash.Answered
+		merged[i].Quarantined = merged[i].Quarantined || crash.Quarantined
+		merged[i].Answered = merged[i].Answered && crash.Answered
 	}
-	r.Crashes = joined[max(0, len(joined)-maxCrashes):]
+	r.Crashes = merged[max(0, len(merged)-maxCrashes):]
 	return r
 }
 
--- a/examiner/register.go
+++ b/examiner/register.go
@@ -317,7 +317,7 @@
 	if state = r.getOrAdd(now, d); state == nil {
 		return nil
 	}
-	// Another router has added evidence since this one cleared the request.
+	// If this router has cleared the request, another one has added evidence since.
 	state.cleared = false
 	state.setStored(now, record, row.Version)
 	return nil
--- a/examiner/tell.go
+++ b/examiner/tell.go
@@ -74,8 +74,8 @@
 	}
 	merged := int64(0)
 	e.update(func(now time.Time) {
-		for _, msg := range entries {
-			if e.registry.Merge(now, msg) {
+		for _, entry := range entries {
+			if e.registry.Merge(now, entry) {
 				merged++
 			}
 		}
@@ -87,9 +87,9 @@
 func (e *Examiner) fetchFromPeers(ctx context.Context) {
 	for ctx.Err() == nil && !e.isTableRead() {
 		for _, address := range e.pickPeers(maxFetchPeers) {
-			answer, err := e.send(ctx, address, message{FetchAll: true})
+			reply, err := e.send(ctx, address, message{FetchAll: true})
 			if err == nil {
-				e.mergeEntries(answer.Entries)
+				e.mergeEntries(reply.Entries)
 				return
 			}
 		}
