--- a/rotator/absence.go
+++ b/rotator/absence.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// absence is the state of a router's time out of rotation.
+// absence is the state of a router's absence from the rotation.
 type absence struct {
 	out   bool
 	until time.Time
--- a/rotator/delays.go
+++ b/rotator/delays.go
@@ -43,7 +43,7 @@
 	b.min = min(b.min, took)
 }
 
-// currentBaseline returns the minimum duration ever observed, plus the growth since then.
+// currentBaseline returns the baseline, which is a low duration observed in the past, plus its growth since then.
 func (d *callTimes) currentBaseline(now time.Time) time.Duration {
 	return d.baseline + time.Duration(now.Sub(d.baselineAt).Seconds()*float64(baselineGrowth))
 }
--- a/rotator/rotator.go
+++ b/rotator/rotator.go
@@ -100,7 +100,7 @@
 	return r.admission.admit(rank, bytes)
 }
 
-// MarkAnswered records that the first part of an admitted request's answer has arrived.
+// MarkAnswered records that the first part of an admitted request's answer has arrived, or that the request has ended without it.
 func (r *Rotator) MarkAnswered() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -190,7 +190,7 @@
 		fields["delay_ms_"+string(k)] = d.Milliseconds()
 	}
 	r.mu.Unlock()
-	r.parts.Log.WithFields(fields).Warn("overload of this router has begun or ended")
+	r.parts.Log.WithFields(fields).Warn("the overload of this router has begun or ended")
 }
 
 // updateRotation starts or finishes an election, or ends the absence, as required.
