--- a/sharer/ask.go
+++ b/sharer/ask.go
@@ -38,7 +38,7 @@
 // The results of a request. StatusHistoryLost is returned if the changes since the version are no longer known, and
 // StatusUnavailable if the router does not watch the table or has not read from the store recently.
 const (
-	StatusKnown       Status = "known"
+	StatusOK          Status = "known"
 	StatusHistoryLost Status = "lost"
 	StatusUnavailable Status = "away"
 )
--- a/sharer/sharer_test.go
+++ b/sharer/sharer_test.go
@@ -46,8 +46,8 @@
 	return c.count(c.Rows.Read(ctx, name, part))
 }
 
-func (c *countingStore) Watch(ctx context.Context, f masticway.WatchRequest) (masticway.RowReading, error) {
-	return c.count(c.Rows.Watch(ctx, f))
+func (c *countingStore) Watch(ctx context.Context, req masticway.WatchRequest) (masticway.RowReading, error) {
+	return c.count(c.Rows.Watch(ctx, req))
 }
 
 func (c *countingStore) count(reading masticway.RowReading, err error) (masticway.RowReading, error) {
--- a/sharer/store.go
+++ b/sharer/store.go
@@ -101,18 +101,18 @@
 }
 
 // Watch returns the changes of a table. For a shared table, it may return only the relevant changes.
-func (s *Store) Watch(ctx context.Context, f masticway.WatchRequest) (masticway.RowReading, error) {
-	t, ok := s.tables[f.Table]
+func (s *Store) Watch(ctx context.Context, req masticway.WatchRequest) (masticway.RowReading, error) {
+	t, ok := s.tables[req.Table]
 	if !ok {
-		return s.RowStore.Watch(ctx, f)
+		return s.RowStore.Watch(ctx, req)
 	}
-	if reply, ok := s.askReaders(ctx, t, Request{Table: f.Table, Part: t.Part, Since: f.Since, Wait: min(f.MaxWait, maxRequestWait)}); ok {
-		if reply.Status == StatusHistoryLost || f.MaxBytes > 0 && reply.Reading.Bytes() > f.MaxBytes {
-			return masticway.RowReading{}, &masticway.HistoryLostError{Table: f.Table, Since: f.Since, TooLarge: reply.Status != StatusHistoryLost}
+	if reply, ok := s.askReaders(ctx, t, Request{Table: req.Table, Part: t.Part, Since: req.Since, Wait: min(req.MaxWait, maxRequestWait)}); ok {
+		if reply.Status == StatusHistoryLost || req.MaxBytes > 0 && reply.Reading.Bytes() > req.MaxBytes {
+			return masticway.RowReading{}, &masticway.HistoryLostError{Table: req.Table, Since: req.Since, TooLarge: reply.Status != StatusHistoryLost}
 		}
 		return reply.Reading, nil
 	}
-	reading, err := s.RowStore.Watch(ctx, f)
+	reading, err := s.RowStore.Watch(ctx, req)
 	if err == nil {
 		t.recordReading(s.parts.Clock.Now(), false, reading)
 	}
@@ -159,7 +159,7 @@
 	}
 	s.parts.Metrics.Add(metricAnswered, 1)
 	reply, changed := t.reply(s.parts.Clock.Now(), req)
-	if reply.Status != StatusKnown || req.Whole || req.Wait <= 0 || len(reply.Reading.Rows) > 0 {
+	if reply.Status != StatusOK || req.Whole || req.Wait <= 0 || len(reply.Reading.Rows) > 0 {
 		return reply
 	}
 	select {
@@ -175,7 +175,7 @@
 func (t *sharedTable) reply(now time.Time, req Request) (Reply, <-chan struct{}) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	reply := Reply{Status: StatusKnown, Age: now.Sub(t.view.readAt), Rate: t.cost.rate(now)}
+	reply := Reply{Status: StatusOK, Age: now.Sub(t.view.readAt), Rate: t.cost.rate(now)}
 	switch {
 	case t.viaReaders || t.view.version == 0 || reply.Age > maxReaderAge:
 		reply.Status = StatusUnavailable
