--- a/rotator/absence.go
+++ b/rotator/absence.go
@@ -2,29 +2,29 @@
 
 import "time"
 
-// absence is a router's time out of rotation.
+// absence is the state of a router's absence from the rotation.
 type absence struct {
 	out   bool
 	until time.Time
-	// span is how long the last one was, backAt when it ended.
-	span   time.Duration
-	backAt time.Time
-	// asking brings the lease that was asked for, nil when none was.
-	asking chan election
-	// retryAt is when a lease is asked for again.
+	// span is the duration of the last absence, and endedAt is when it ended.
+	span    time.Duration
+	endedAt time.Time
+	// pending delivers the result of the current election. It is nil if there is none.
+	pending chan election
+	// retryAt is when the next election may start after a lost one.
 	retryAt time.Time
 }
 
-// next is how long the next one is to be.
-func (s absence) next(now time.Time) time.Duration {
-	if s.span == 0 || now.Sub(s.backAt) > s.span {
-		return outFirst
+// nextSpan returns the duration of the next absence.
+func (s absence) nextSpan(now time.Time) time.Duration {
+	if s.span == 0 || now.Sub(s.endedAt) > s.span {
+		return minOutTime
 	}
-	return min(outMost, 2*s.span)
+	return min(maxOutTime, 2*s.span)
 }
 
-func (s *absence) leave(now time.Time, span time.Duration) {
+func (s *absence) start(now time.Time, span time.Duration) {
 	s.out, s.span, s.until = true, span, now.Add(span)
 }
 
-func (s *absence) comeBack(now time.Time) { s.out, s.backAt = false, now }
+func (s *absence) end(now time.Time) { s.out, s.endedAt = false, now }
