--- a/treasurer/begin.go
+++ b/treasurer/begin.go
@@ -13,24 +13,24 @@
 	"github.com/masticway/masticway"
 )
 
-// begin takes over the instance's book; it returns false when the context ended first.
-func (t *Treasurer) begin(ctx context.Context) bool {
+// takeOver takes over the instance's book; it returns false when the context ended first.
+func (t *Treasurer) takeOver(ctx context.Context) bool {
 	for ctx.Err() == nil {
-		err := t.tryBegin(ctx)
+		err := t.tryTakeOver(ctx)
 		if err == nil {
 			return true
 		}
 		t.log.WithFields(logrus.Fields{"event": "money_begin_failed", "incarnation": t.self, "error": err}).Debug("book not taken over")
-		t.pause(ctx, beginPause)
+		t.sleep(ctx, callRetryInterval)
 	}
 	return false
 }
 
-func (t *Treasurer) tryBegin(ctx context.Context) error {
+func (t *Treasurer) tryTakeOver(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	t.mu.Lock()
-	key := t.purse.bookKey()
+	key := t.planner.checkpointKey()
 	t.mu.Unlock()
 	// The store's clock is read after the call is sent, so this is never earlier than the true time.
 	age := t.clock.Now().Sub(t.listeningAt)
@@ -39,7 +39,7 @@
 		return err
 	}
 	t.mu.Lock()
-	write, err := t.purse.Begin(row, at, at-age)
+	write, err := t.planner.TakeOver(row, at, at-age)
 	t.mu.Unlock()
 	if err != nil {
 		return err
@@ -50,9 +50,9 @@
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.purse.Began(t.clock.Now(), made.Version, made.StoreTime)
+	t.planner.CompleteTakeOver(t.clock.Now(), made.Version, made.StoreTime)
 	t.log.WithFields(logrus.Fields{
-		"event": "money_begun", "incarnation": t.self, "predecessors": len(t.purse.Predecessors()),
+		"event": "money_begun", "incarnation": t.self, "predecessors": len(t.planner.Predecessors()),
 	}).Info("book taken over")
 	return nil
 }
@@ -60,12 +60,12 @@
 // closePredecessors ends the grants of this instance's earlier incarnations.
 func (t *Treasurer) closePredecessors(ctx context.Context) {
 	t.mu.Lock()
-	ended := t.purse.Predecessors()
+	ended := t.planner.Predecessors()
 	t.mu.Unlock()
 	var closing sync.WaitGroup
-	places := make(chan struct{}, closingsAtOnce)
+	places := make(chan struct{}, maxConcurrentClosings)
 	for _, e := range ended {
-		for workspace, spent := range t.recall(ctx, e) {
+		for workspace, spent := range t.presumeSpent(ctx, e) {
 			closing.Go(func() {
 				places <- struct{}{}
 				defer func() { <-places }()
@@ -78,12 +78,12 @@
 		return
 	}
 	t.mu.Lock()
-	t.purse.Closed()
+	t.planner.ForgetPredecessors()
 	t.mu.Unlock()
 }
 
 // closeGrant closes one grant, however often other routers change the row meanwhile.
-func (t *Treasurer) closeGrant(ctx context.Context, ended Ended, workspace string, spent int64) {
+func (t *Treasurer) closeGrant(ctx context.Context, ended EndedIncarnation, workspace string, spent int64) {
 	key := accountKey(workspace, t.parts)
 	row, known := masticway.StoredRow{RowKey: key}, false
 	waited := false
@@ -94,35 +94,35 @@
 			known = err == nil
 		}
 		grants := len(ReadAccount(row).Grants)
-		if known && grants >= fewGrants && !waited {
+		if known && grants >= contendedGrants && !waited {
 			waited = true
-			t.pauseForOthers(ctx, grants)
+			t.sleepForContention(ctx, grants)
 			known = false
 			continue
 		}
 		if known {
-			err = t.tryClose(ctx, row, ended, workspace, spent)
+			err = t.tryCloseGrant(ctx, row, ended, workspace, spent)
 		}
 		if err == nil {
 			return
 		}
 		if conflict, ok := errors.AsType[*masticway.RowConflictError](err); ok && len(conflict.Rows) == 1 {
 			row = conflict.Rows[0]
-			t.pauseForOthers(ctx, grants)
+			t.sleepForContention(ctx, grants)
 			// The row has changed again by the time that others need for theirs.
-			known = grants < fewGrants
+			known = grants < contendedGrants
 			continue
 		}
 		known = false
-		t.pause(ctx, beginPause)
+		t.sleep(ctx, callRetryInterval)
 	}
 }
 
-// pauseForOthers waits for a random part of the time that the holders of so many grants of a row need for one write each
+// sleepForContention waits for a random part of the time that the holders of so many grants of a row need for one write each
 // to it: where all of them close grants at once, writes that meet would use up the store's rate.
-func (t *Treasurer) pauseForOthers(ctx context.Context, grants int) {
-	if longest := time.Duration(grants) * closingPause; longest > 0 {
-		t.pause(ctx, time.Duration(rand.Int64N(int64(longest))))
+func (t *Treasurer) sleepForContention(ctx context.Context, grants int) {
+	if longest := time.Duration(grants) * closingInterval; longest > 0 {
+		t.sleep(ctx, time.Duration(rand.Int64N(int64(longest))))
 	}
 }
 
@@ -139,7 +139,7 @@
 	return masticway.StoredRow{RowKey: key}, reading.StoreTime, err
 }
 
-func (t *Treasurer) tryClose(ctx context.Context, row masticway.StoredRow, ended Ended, workspace string, spent int64) error {
+func (t *Treasurer) tryCloseGrant(ctx context.Context, row masticway.StoredRow, ended EndedIncarnation, workspace string, spent int64) error {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	write, grant, err := CloseGrant(row, ended.Incarnation, spent)
@@ -151,8 +151,8 @@
 	}
 	t.log.WithFields(logrus.Fields{
 		"event": "grant_closed", "incarnation": ended.Incarnation, "workspace": workspace, "granted": grant.Granted,
-		"presumed": min(spent, grant.Granted), "taken": ended.Taken[workspace], "written": ended.Written[workspace],
-		"silent_ms": ended.Silence.Milliseconds(),
+		"presumed": min(spent, grant.Granted), "taken": ended.Taken[workspace], "written": ended.MaxUnwitnessed[workspace],
+		"silent_ms": ended.SinceBasis.Milliseconds(),
 	}).Info("grant of an ended incarnation closed")
 	return nil
 }
--- a/treasurer/death_test.go
+++ b/treasurer/death_test.go
@@ -14,24 +14,24 @@
 // unevenFleet is the load of a deployment with 31 routers in four availability zones: 310 metered requests a second for 24
 // workspaces, budgets for 1.3 times what they use in 34 s, and the largest workspace's callers all at one router.
 var unevenFleet = fleetLoad{
-	routers: 31, zones: 4, workspaces: 24, perSecond: 310, span: 8 * time.Second, prepaid: 5.5, stick: map[string]int{"w0": 17},
+	routers: 31, zones: 4, workspaces: 24, perSecond: 310, span: 8 * time.Second, budgetFactor: 5.5, pinned: map[string]int{"w0": 17},
 }
 
-// TestDeathOfAHolderCostsAWorkspaceLittle kills the router that has taken most of the largest workspace's budget; it is back
+// TestCrashedHolderLosesLittle kills the router that has taken most of the largest workspace's budget; it is back
 // after half a second. What is lost of a budget beyond 3% turns every later refusal into one that callers were owed.
 //
 // Seen: 1,787 of 2,272 refusals for money of a day were of one workspace, whose holder had been killed at second 4.5 with
 // 958,122 tokens written as taken; 1,317,487 were presumed of 4.6 million. How: all that its callers' router borrowed came from
 // the holder of its own availability zone, which promised three seconds of that ahead. Cause: witnesses were asked only after
 // a silence of three seconds, and the promise did not grow with the silence. Proof: grant_closed has taken, written, silent_ms.
-func TestDeathOfAHolderCostsAWorkspaceLittle(t *testing.T) {
+func TestCrashedHolderLosesLittle(t *testing.T) {
 	const workspace, mayBeLost = "w0", 0.03
-	f := openFleet(unevenFleet)
-	f.after(4500*time.Millisecond, func() {
+	f := startFleet(unevenFleet)
+	f.schedule(4500*time.Millisecond, func() {
 		var richest *fleetRouter
 		var most int64
 		for _, r := range f.routers {
-			for _, p := range r.purse.Positions() {
+			for _, p := range r.planner.Positions() {
 				if p.Workspace == workspace && p.Taken > most {
 					richest, most = r, p.Taken
 				}
@@ -40,16 +40,16 @@
 		f.kill(richest, 500*time.Millisecond)
 	})
 	f.run(f.load.span + 3*time.Second)
-	lost := f.lostOf(workspace)
+	lost := f.lostShareOf(workspace)
 	t.Logf("lost: %.4f of the budget", lost)
 	qt.Check(t, lost <= mayBeLost, qt.IsTrue)
-	qt.Check(t, f.summary(0, len(f.seconds)).refused() <= 0.01, qt.IsTrue)
-	f.noneOverspent(t)
+	qt.Check(t, f.summary(0, len(f.seconds)).refusedShare() <= 0.01, qt.IsTrue)
+	f.checkBudgets(t)
 }
 
-// TestShortSilenceCostsWhatItAllowed has a router die soon after its last book. Without witnesses all that its promise allowed
+// TestCrashInShortOutageLosesOnlyItsLimit has a router die soon after its last book. Without witnesses all that its promise allowed
 // until then is presumed, which grows with the silence; with them what they have heard of, and what needed none.
-func TestShortSilenceCostsWhatItAllowed(t *testing.T) {
+func TestCrashInShortOutageLosesOnlyItsLimit(t *testing.T) {
 	cases := map[string]struct {
 		silence time.Duration
 		// witnesses are those that remember, told whether they heard of what was taken.
@@ -65,67 +65,67 @@
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
-			b, witnesses := silentBench(t)
-			silence(b, tc.silence)
+			b, witnesses := newOutageHarness(t)
+			simulateOutage(b, tc.silence)
 			var stated int64
-			for _, s := range b.purse.Statements(b.now) {
+			for _, s := range b.planner.DueReports(b.now) {
 				if tc.told {
-					qt.Assert(t, witnesses[s.Witness.Instance()].Testified(s), qt.IsTrue)
+					qt.Assert(t, witnesses[s.Witness.Instance()].AcceptReport(s), qt.IsTrue)
 					stated = s.Taken["w"]
 				}
 			}
 			b.start("edge~2", 1_000_000)
-			ended := b.purse.Predecessors()
+			ended := b.planner.Predecessors()
 			qt.Assert(t, ended, qt.HasLen, 1)
 			var recalled []treasurer.Recollection
 			for i, w := range ended[0].Witnesses {
 				p := witnesses[w.Incarnation.Instance()]
 				if i >= tc.witnesses {
-					p = treasurer.NewPurse(treasurer.Settings{Incarnation: masticway.NewIncarnation(w.Incarnation.Instance(), "2"), Parts: 1})
+					p = treasurer.NewPlanner(treasurer.Settings{Incarnation: masticway.NewIncarnation(w.Incarnation.Instance(), "2"), Parts: 1})
 				}
-				recalled = append(recalled, p.Recall(w.Incarnation, ended[0].Incarnation))
+				recalled = append(recalled, p.FinalReports(w.Incarnation, ended[0].Incarnation))
 			}
-			known := ended[0].Known(recalled)["w"]
+			known := ended[0].PresumedSpent(recalled)["w"]
 			qt.Assert(t, known >= ended[0].Taken["w"], qt.IsTrue)
-			qt.Assert(t, ended[0].Written["w"] <= ended[0].Spent["w"], qt.IsTrue)
+			qt.Assert(t, ended[0].MaxUnwitnessed["w"] <= ended[0].MaxSpent["w"], qt.IsTrue)
 			if tc.witnesses == 0 {
-				qt.Assert(t, known, qt.Equals, ended[0].Spent["w"])
+				qt.Assert(t, known, qt.Equals, ended[0].MaxSpent["w"])
 				return
 			}
-			qt.Assert(t, known, qt.Equals, max(stated, ended[0].Written["w"]))
+			qt.Assert(t, known, qt.Equals, max(stated, ended[0].MaxUnwitnessed["w"]))
 		})
 	}
 }
 
-// TestWhatGoesOutAloneIsPresumed has a router answer as many requests as it may in a silence of which no witness hears: whatever
+// TestUnwitnessedSpendingIsPresumed has a router answer as many requests as it may in a silence of which no witness hears: whatever
 // has gone out counts as spent although its witnesses remember nothing. Each answer is taken for one that a caller got.
-func TestWhatGoesOutAloneIsPresumed(t *testing.T) {
+func TestUnwitnessedSpendingIsPresumed(t *testing.T) {
 	for _, length := range []time.Duration{100 * time.Millisecond, 700 * time.Millisecond, 1500 * time.Millisecond, 2900 * time.Millisecond, 5 * time.Second} {
 		t.Run(length.String(), func(t *testing.T) {
-			b := newBench(t, 1_000_000)
-			b.burst = 0.5
+			b := newHarness(t, 1_000_000)
+			b.burstShare = 0.5
 			b.start("edge~2", 1_000_000)
 			var peers []treasurer.Peer
-			witnesses := map[masticway.Incarnation]*treasurer.Purse{}
+			witnesses := map[masticway.Incarnation]*treasurer.Planner{}
 			for _, instance := range []string{"one", "two", "three"} {
 				i := masticway.NewIncarnation(instance, "1")
-				witnesses[i] = treasurer.NewPurse(treasurer.Settings{Incarnation: i, Parts: 1})
+				witnesses[i] = treasurer.NewPlanner(treasurer.Settings{Incarnation: i, Parts: 1})
 				peers = append(peers, treasurer.Peer{Witness: treasurer.Witness{Incarnation: i, Address: instance}})
 			}
-			b.purse.Count(4, peers)
+			b.planner.SetPeers(4, peers)
 			const need = 100
 			var asked []treasurer.HoldID
 			// answered are the requests whose answers were ready.
 			answered := map[treasurer.HoldID]bool{}
 			ask := func() {
 				asked = append(asked, b.hold(need))
-				for _, r := range b.purse.Borrowing(b.now) {
-					b.note(b.purse.Borrowed(b.now, r, nil, len(r.Lenders)))
+				for _, r := range b.planner.DueBorrowRounds(b.now) {
+					b.record(b.planner.CompleteBorrowRound(b.now, r, nil, len(r.Lenders)))
 				}
 				for _, id := range asked {
 					if slices.Contains(b.answered[id], treasurer.VerdictHeld) && !answered[id] {
 						answered[id] = true
-						b.note(b.purse.Clear(b.now, id))
+						b.record(b.planner.Clear(b.now, id))
 					}
 				}
 			}
@@ -138,9 +138,9 @@
 			for passed := time.Duration(0); passed < length; passed += 30 * time.Millisecond {
 				ask()
 				for _, s := range b.plan(30 * time.Millisecond) {
-					replies, err := b.purse.Done(b.now, s, masticway.RowReading{}, &masticway.UnavailableError{Service: "rows"})
+					replies, err := b.planner.CompleteStep(b.now, s, masticway.RowReading{}, &masticway.UnavailableError{Service: "rows"})
 					qt.Assert(t, err, qt.IsNil)
-					b.note(replies)
+					b.record(replies)
 				}
 			}
 			var got, alone int64
@@ -154,18 +154,18 @@
 			}
 			qt.Assert(t, alone > 0, qt.IsTrue, qt.Commentf("nothing went out in the silence"))
 			b.start("edge~3", 1_000_000)
-			for _, e := range b.purse.Predecessors() {
+			for _, e := range b.planner.Predecessors() {
 				if e.Incarnation != "edge~2" {
 					continue
 				}
 				var recalled []treasurer.Recollection
 				for _, w := range e.Witnesses {
-					recalled = append(recalled, witnesses[w.Incarnation].Recall(w.Incarnation, e.Incarnation))
+					recalled = append(recalled, witnesses[w.Incarnation].FinalReports(w.Incarnation, e.Incarnation))
 				}
-				known := e.Known(recalled)["w"]
-				t.Logf("%d went out, %d of it in the silence; %d are presumed, %d without witnesses", got, alone, known, e.Spent["w"])
+				known := e.PresumedSpent(recalled)["w"]
+				t.Logf("%d went out, %d of it in the silence; %d are presumed, %d without witnesses", got, alone, known, e.MaxSpent["w"])
 				qt.Assert(t, got <= known, qt.IsTrue)
-				qt.Assert(t, known <= e.Spent["w"], qt.IsTrue)
+				qt.Assert(t, known <= e.MaxSpent["w"], qt.IsTrue)
 				return
 			}
 			t.Fatal("nothing was left to close")
--- a/treasurer/demand.go
+++ b/treasurer/demand.go
@@ -8,8 +8,8 @@
 const (
 	// demandWindow is the time over which a workspace's demand is averaged.
 	demandWindow = 4 * time.Second
-	// leastSeen is the least time that the first demand is spread over.
-	leastSeen = 1500 * time.Millisecond
+	// minObservedSpan is the least time that the first demand is spread over.
+	minObservedSpan = 1500 * time.Millisecond
 )
 
 // average is a decaying mean of something a second.
@@ -29,7 +29,7 @@
 	}
 	m.at = now
 	// At the beginning the sum covers less than the whole window.
-	seen := max(leastSeen, now.Sub(m.firstAt))
+	seen := max(minObservedSpan, now.Sub(m.firstAt))
 	m.rate = m.sum / (demandWindow.Seconds() * (1 - math.Exp(-seen.Seconds()/demandWindow.Seconds())))
 }
 
@@ -43,11 +43,11 @@
 	m.decay(now)
 }
 
-// observe counts demand; what is declared at most is what has to be held.
-func (a *account) observe(now time.Time, need int64) {
+// observeDemand counts demand; what is declared at most is what has to be held.
+func (a *account) observeDemand(now time.Time, need int64) {
 	a.demand.add(now, float64(need))
-	if a.typical == 0 {
-		a.typical = float64(need)
+	if a.typicalNeed == 0 {
+		a.typicalNeed = float64(need)
 	}
-	a.typical += (float64(need) - a.typical) / 8
+	a.typicalNeed += (float64(need) - a.typicalNeed) / 8
 }
--- a/treasurer/doc.go
+++ b/treasurer/doc.go
@@ -22,7 +22,7 @@
 // Book for each instance in masticway_books, and a Presence for each router in
 // masticway_routers.
 //
-// Start. Treasurer.Run first takes over the instance's book (begin.go): tryBegin
+// Start. Treasurer.Run first takes over the instance's book (begin.go): tryTakeOver
 // reads the row, Purse.Begin makes the new one with Book.succeeded, and
 // Purse.Began notes that it is written. Purse.Plan asks nothing of the store
 // before that, so there is no grant without a book.
@@ -42,12 +42,12 @@
 // wants done: steps at the store (Plan), loans, and statements to witnesses.
 //
 // Promised. Somebody waits for a workspace that the book does not name, so the
-// book is due (bookDue in plan.go). writeBook puts in a Promise: Taken, Burst,
+// book is due (isCheckpointDue in plan.go). writeCheckpoint puts in a Promise: Taken, Burst,
 // and a Rate with its bounds Alone and Ahead. Treasurer.step sends the write, and
-// Purse.Done takes its outcome (outcome.go): with bookDone, kept makes this
+// Purse.Done takes its outcome (outcome.go): with completeCheckpoint, kept makes this
 // promise the only one in force. A write whose outcome is unknown leaves both its
 // own promise and the earlier one in force, and the lower one counts
-// (leastPromise). Purse.opened now holds for the workspace; until then its grant
+// (minLimit). Purse.opened now holds for the workspace; until then its grant
 // does not grow, so that a successor finds every grant.
 //
 // Granted, at a holder. Not every router keeps money of every workspace in hand:
@@ -56,8 +56,8 @@
 // They draw ahead of demand; all others borrow (see Lent). A thin budget has
 // fewer holders, down to one. Plan has the workspace's part read if its row is
 // not known (Purse.looked takes the answer). Purse.change says by how much the
-// grant should grow, for the requests that wait and for the reserve of reserveOf
-// (holders.go), and moveGrant writes the Account.WithGrant, expecting the version
+// grant should grow, for the requests that wait and for the reserve of reserve
+// (holders.go), and changeGrant writes the Account.WithGrant, expecting the version
 // that was seen. On success Purse.changed takes the new row, on a conflict Done
 // takes the row that came with it; either way learn sets what this incarnation is
 // granted.
@@ -68,7 +68,7 @@
 //
 // Held. serve adds the token to the account's taken and answers VerdictHeld. It
 // answers VerdictExhausted if a fresh look at the row shows that the need exceeds
-// what is left and in hand, though not in a router's first settleSpan, when
+// what is left and in hand, though not in a router's first startupGrace, when
 // grants of predecessors may still be open; and VerdictUnreachable if there may
 // be money that cannot be had in time.
 //
@@ -83,11 +83,11 @@
 // and hands it over (Purse.Lent): it stays taken and cleared in the lender's
 // grant. Here Borrowed keeps it as a Loan, and serve takes it.
 // Unused, it goes back by Repayments, Treasurer.repay and, at the lender,
-// Purse.Repaid; where the lender's answer did not arrive, Treasurer.giveUp has it
+// Purse.Repaid; where the lender's answer did not arrive, Treasurer.cancelRequest has it
 // take back whatever it lent (borrowers.go).
 //
 // Cleared. The upstream has answered, and before any of the answer goes to the
-// caller, Treasurer.Clear waits for Purse.openGates: what is cleared of the
+// caller, Treasurer.Clear waits for Purse.clearHolds: what is cleared of the
 // router's own money may not exceed Purse.promised. A book is due when more is
 // taken than the promises cover, so usually the next write opens the gate. While
 // the store is silent the promise's rate does (Promise.bound): a part of it alone
@@ -115,7 +115,7 @@
 // it is in Closed. Purse.Closed drops the Ended from the next book. A dead
 // incarnation's late write meets a newer version and comes to nothing; one that
 // was only frozen learns from the conflict at its book that it has a successor
-// (bookConflict), and Treasurer.fault ends its handing out of money.
+// (resolveCheckpoint), and Treasurer.fault ends its handing out of money.
 //
 // Each file's constants that are policy, which trade refusals, lateness and
 // losses against each other, stand apart from those that are mechanical.
--- a/treasurer/fleet_test.go
+++ b/treasurer/fleet_test.go
@@ -10,28 +10,28 @@
 
 // largeFleet is the load of the deployment with 103 routers in 6 availability zones: 960 metered requests a second for 40
 // workspaces, of which each router gets one in four seconds, and budgets for 30 s more when it begins.
-var largeFleet = fleetLoad{routers: 103, zones: 6, workspaces: 40, perSecond: 960, span: 8 * time.Second, prepaid: 3.75}
+var largeFleet = fleetLoad{routers: 103, zones: 6, workspaces: 40, perSecond: 960, span: 8 * time.Second, budgetFactor: 3.75}
 
-// hotFleet is the same with budgets that last for 7.5 times the usual of one workspace.
-var hotFleet = fleetLoad{routers: 103, zones: 6, workspaces: 40, perSecond: 960, span: 8 * time.Second, prepaid: 8}
+// burstFleet is the same with budgets that last for 7.5 times the usual of one workspace.
+var burstFleet = fleetLoad{routers: 103, zones: 6, workspaces: 40, perSecond: 960, span: 8 * time.Second, budgetFactor: 8}
 
-// stickyFleet is the same with some workspaces, the largest among them, whose callers all come to one router.
-var stickyFleet = fleetLoad{
-	routers: 103, zones: 6, workspaces: 40, perSecond: 960, span: 8 * time.Second, prepaid: 3.75,
-	stick: map[string]int{"w0": 13, "w3": 40, "w9": 77, "w20": 5},
+// pinnedFleet is the same with some workspaces, the largest among them, whose callers all come to one router.
+var pinnedFleet = fleetLoad{
+	routers: 103, zones: 6, workspaces: 40, perSecond: 960, span: 8 * time.Second, budgetFactor: 3.75,
+	pinned: map[string]int{"w0": 13, "w3": 40, "w9": 77, "w20": 5},
 }
 
-// thinFleet is the same with budgets that are nearly used up in the end.
-var thinFleet = fleetLoad{routers: 103, zones: 6, workspaces: 40, perSecond: 960, span: 8 * time.Second, prepaid: 1.15}
+// lowBudgetFleet is the same with budgets that are nearly used up in the end.
+var lowBudgetFleet = fleetLoad{routers: 103, zones: 6, workspaces: 40, perSecond: 960, span: 8 * time.Second, budgetFactor: 1.15}
 
-// TestLargeFleetServesOnWhatItHolds plays the load of a hundred routers and more, calm and under what such deployments
+// TestLargeFleetUnderFaults plays the load of a hundred routers and more, calm and under what such deployments
 // bring: routers that die, all at once or some, a store that is away, a workspace that sends many times its usual, callers
 // that move to another availability zone.
 //
 // With a hand at each router for each workspace, on the same load and in the same seconds, the calm case took 70,000
 // changes of grants instead of 800, and a loss of power of all left 2,700 grants to close instead of 240. The bounds are
 // what was measured, and half of it more.
-func TestLargeFleetServesOnWhatItHolds(t *testing.T) {
+func TestLargeFleetUnderFaults(t *testing.T) {
 	cases := map[string]struct {
 		load    fleetLoad
 		trouble func(*fleet)
@@ -41,45 +41,47 @@
 		closings             int
 	}{
 		"calm":              {load: largeFleet, trouble: func(*fleet) {}, refused: 0.001, lost: 0.01, calls: 1.2},
-		"calm, 300 routers": {load: fleetLoad{routers: 300, zones: 6, workspaces: 40, perSecond: 1600, span: 4 * time.Second, prepaid: 7.5}, trouble: func(*fleet) {}, refused: 0.001, lost: 0.01, calls: 1.5},
+		"calm, 300 routers": {load: fleetLoad{routers: 300, zones: 6, workspaces: 40, perSecond: 1600, span: 4 * time.Second, budgetFactor: 7.5}, trouble: func(*fleet) {}, refused: 0.001, lost: 0.01, calls: 1.5},
 		"a sixth is killed": {
 			load: largeFleet, refused: 0.002, lost: 0.045, calls: 1.2, closings: 60,
-			trouble: func(f *fleet) { f.after(3*time.Second, func() { f.killAll(f.every6th(), 3500*time.Millisecond) }) },
+			trouble: func(f *fleet) { f.schedule(3*time.Second, func() { f.killAll(f.everyFifth(), 3500*time.Millisecond) }) },
 		},
 		"all lose power": {
 			load: largeFleet, refused: 0.001, lost: 0.15, calls: 2, closings: 240,
-			trouble: func(f *fleet) { f.after(3*time.Second, func() { f.killAll(f.routers, 2*time.Second) }) },
+			trouble: func(f *fleet) { f.schedule(3*time.Second, func() { f.killAll(f.routers, 2*time.Second) }) },
 		},
 		"the store is away": {
 			load: largeFleet, refused: 0.03, lost: 0.02, calls: 1.2,
 			trouble: func(f *fleet) {
-				f.after(2*time.Second, func() { f.away = true })
-				f.after(6500*time.Millisecond, func() { f.away = false })
+				f.schedule(2*time.Second, func() { f.storeDown = true })
+				f.schedule(6500*time.Millisecond, func() { f.storeDown = false })
 			},
 		},
 		"all lose power while the store is away": {
 			load: largeFleet, refused: 0.09, lost: 0.35, calls: 3, closings: 240,
 			trouble: func(f *fleet) {
-				f.after(time.Second, func() { f.away = true })
-				f.after(3*time.Second, func() { f.killAll(f.routers, 2*time.Second) })
-				f.after(5500*time.Millisecond, func() { f.away = false })
+				f.schedule(time.Second, func() { f.storeDown = true })
+				f.schedule(3*time.Second, func() { f.killAll(f.routers, 2*time.Second) })
+				f.schedule(5500*time.Millisecond, func() { f.storeDown = false })
 			},
 		},
 		"a workspace sends 7.5 times its usual": {
-			load: hotFleet, refused: 0.002, lost: 0.01, calls: 1.2,
-			trouble: func(f *fleet) { f.after(2*time.Second, func() { f.share["w9"] *= 7.5 }) },
+			load: burstFleet, refused: 0.002, lost: 0.01, calls: 1.2,
+			trouble: func(f *fleet) { f.schedule(2*time.Second, func() { f.workspaceShare["w9"] *= 7.5 }) },
 		},
 		"the store is away, and some workspaces have few callers": {
-			load: stickyFleet, refused: 0.003, lost: 0.02, calls: 1.2,
+			load: pinnedFleet, refused: 0.003, lost: 0.02, calls: 1.2,
 			trouble: func(f *fleet) {
-				f.after(2*time.Second, func() { f.away = true })
-				f.after(6500*time.Millisecond, func() { f.away = false })
+				f.schedule(2*time.Second, func() { f.storeDown = true })
+				f.schedule(6500*time.Millisecond, func() { f.storeDown = false })
 			},
 		},
-		"budgets that end": {load: thinFleet, trouble: func(*fleet) {}, refused: 0.02, lost: 0.01, calls: 1.5},
+		"budgets that end": {load: lowBudgetFleet, trouble: func(*fleet) {}, refused: 0.02, lost: 0.01, calls: 1.5},
 		"half of a zone's callers move": {
 			load: largeFleet, refused: 0.001, lost: 0.01, calls: 1.2,
-			trouble: func(f *fleet) { f.after(2*time.Second, func() { f.zone[0] += f.zone[1] / 2; f.zone[1] /= 2 }) },
+			trouble: func(f *fleet) {
+				f.schedule(2*time.Second, func() { f.zoneShare[0] += f.zoneShare[1] / 2; f.zoneShare[1] /= 2 })
+			},
 		},
 		"a zone is cut off": {
 			load: largeFleet, refused: 0.02, lost: 0.02, calls: 1.5,
@@ -87,12 +89,12 @@
 				apart := func(is bool) func() {
 					return func() {
 						for _, r := range f.routers {
-							r.apart = is && r.zone == "zone-0"
+							r.partitioned = is && r.zone == "zone-0"
 						}
 					}
 				}
-				f.after(2*time.Second, apart(true))
-				f.after(5*time.Second, apart(false))
+				f.schedule(2*time.Second, apart(true))
+				f.schedule(5*time.Second, apart(false))
 			},
 		},
 		"a sixth is cut off": {
@@ -100,20 +102,20 @@
 			trouble: func(f *fleet) {
 				apart := func(is bool) func() {
 					return func() {
-						for _, r := range f.every6th() {
-							r.apart = is
+						for _, r := range f.everyFifth() {
+							r.partitioned = is
 						}
 					}
 				}
-				f.after(2*time.Second, apart(true))
-				f.after(5*time.Second, apart(false))
+				f.schedule(2*time.Second, apart(true))
+				f.schedule(5*time.Second, apart(false))
 			},
 		},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			f := openFleet(tc.load)
+			f := startFleet(tc.load)
 			tc.trouble(f)
 			f.run(f.load.span + 3*time.Second)
 			sum := f.summary(0, len(f.seconds))
@@ -123,48 +125,48 @@
 			}
 			slices.Sort(f.waits)
 			t.Logf("refused %.4f, lost %.4f, calls a request %.2f, closings %d, waits %v and %v for 99 in 100; steps %v",
-				sum.refused(), f.lost(), calls, f.closings, f.waits[len(f.waits)/2], f.waits[len(f.waits)*99/100], f.kinds)
-			qt.Check(t, sum.refused() <= tc.refused, qt.IsTrue)
-			qt.Check(t, f.lost() <= tc.lost, qt.IsTrue)
+				sum.refusedShare(), f.lostShare(), calls, f.closings, f.waits[len(f.waits)/2], f.waits[len(f.waits)*99/100], f.stepsByKind)
+			qt.Check(t, sum.refusedShare() <= tc.refused, qt.IsTrue)
+			qt.Check(t, f.lostShare() <= tc.lost, qt.IsTrue)
 			qt.Check(t, calls <= tc.calls, qt.IsTrue)
 			qt.Check(t, f.closings <= tc.closings, qt.IsTrue)
-			f.noneOverspent(t)
+			f.checkBudgets(t)
 		})
 	}
 }
 
-// TestMoneyIsWhereDemandIs has all callers of some workspaces come to one router each, whose links they fill, so that what
+// TestConcentratedDemandIsServed has all callers of some workspaces come to one router each, whose links they fill, so that what
 // it asks of others comes too late. Deployments in which a workspace has few callers bring that: a router that borrowed all
 // that it was asked for refused most of it while nearly the whole budget was left.
-func TestMoneyIsWhereDemandIs(t *testing.T) {
+func TestConcentratedDemandIsServed(t *testing.T) {
 	cases := map[string]struct {
 		load fleetLoad
 		far  time.Duration
 		// refused is the greatest share of these workspaces' requests that get no money, from the second second on.
 		refused float64
 	}{
-		"the link is idle":        {load: stickyFleet, refused: 0.001},
-		"the link is nearly full": {load: stickyFleet, far: 40 * time.Millisecond, refused: 0.005},
-		"the link is full":        {load: stickyFleet, far: 110 * time.Millisecond, refused: 0.02},
+		"the link is idle":        {load: pinnedFleet, refused: 0.001},
+		"the link is nearly full": {load: pinnedFleet, far: 40 * time.Millisecond, refused: 0.005},
+		"the link is full":        {load: pinnedFleet, far: 110 * time.Millisecond, refused: 0.02},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			f := openFleet(tc.load)
-			for _, n := range tc.load.stick {
-				f.routers[n].far = tc.far
+			f := startFleet(tc.load)
+			for _, n := range tc.load.pinned {
+				f.routers[n].extraLatency = tc.far
 			}
 			f.run(2 * time.Second)
 			f.asked, f.unreachable = map[string]int{}, map[string]int{}
 			f.run(f.load.span + time.Second)
 			var asked, unreachable int
-			for workspace := range tc.load.stick {
+			for workspace := range tc.load.pinned {
 				asked += f.asked[workspace]
 				unreachable += f.unreachable[workspace]
 			}
-			t.Logf("%d of %d refused, steps %v", unreachable, asked, f.kinds)
+			t.Logf("%d of %d refused, steps %v", unreachable, asked, f.stepsByKind)
 			qt.Check(t, float64(unreachable) <= tc.refused*float64(asked), qt.IsTrue)
-			f.noneOverspent(t)
+			f.checkBudgets(t)
 		})
 	}
 }
--- a/treasurer/holders.go
+++ b/treasurer/holders.go
@@ -14,19 +14,19 @@
 
 // The policy of holders: which routers keep money of a workspace in hand, and how much.
 const (
-	// keptRequests is how many usual requests each holder must be able to keep in hand; a budget with less left has
+	// minReserveRequests is how many usual requests each holder must be able to keep in hand; a budget with less left has
 	// fewer holders, down to one that holds all of it.
-	keptRequests = 8
-	// keptSpan is how much of all routers' demand the one holder of a thin budget keeps in hand.
-	keptSpan = 3 * time.Second
-	// keptBursts is how many times what a holder is asked for between two writes of its book it may lend in that time;
+	minReserveRequests = 8
+	// soleHolderWindow is how much of all routers' demand the one holder of a thin budget keeps in hand.
+	soleHolderWindow = 3 * time.Second
+	// lendBurstFactor is how many times what a holder is asked for between two writes of its book it may lend in that time;
 	// all of it is lost when the holder dies. With 0.3 s of demand for every fleet, a loss of power of thirty routers
 	// cost 1% of all budgets.
-	keptBursts = 2.0
-	// firstHand is the part of what is left that a holder keeps in hand before it has seen any demand.
-	firstHand = 0.01
-	// silentFor is how long a router that did not answer a question for money is asked after all others.
-	silentFor = time.Second
+	lendBurstFactor = 2.0
+	// initialReserveShare is the part of what is left that a holder keeps in hand before it has seen any demand.
+	initialReserveShare = 0.01
+	// unresponsiveTTL is how long a router that did not answer a question for money is asked after all others.
+	unresponsiveTTL = time.Second
 )
 
 // Peer is another router, as its presence tells.
@@ -38,13 +38,13 @@
 	Processors float64
 }
 
-// order lists the routers that hold money of a workspace while it is not thin: in each availability zone the first by
+// holderCandidates lists the routers that hold money of a workspace while it is not thin: in each availability zone the first by
 // rendezvous hash of the workspace and the instance, then the second ones, and so on until there are enough. All routers
 // that know the same peers agree on it without a word, also over restarts, and when they do not, nothing breaks: money
 // is only ever spent from a grant or a loan.
-func (p *Purse) order(a *account) []Peer {
-	if a.ordered != nil {
-		return a.ordered
+func (p *Planner) holderCandidates(a *account) []Peer {
+	if a.candidates != nil {
+		return a.candidates
 	}
 	zones := map[string][]Peer{}
 	for _, peer := range append(slices.Clone(p.peers), p.selfPeer()) {
@@ -63,17 +63,17 @@
 		enough = min(enough, p.settings.Holders)
 	}
 	a.rank = -1
-	for round := 0; len(a.ordered) < enough; round++ {
+	for round := 0; len(a.candidates) < enough; round++ {
 		for _, name := range names {
 			if members := zones[name]; round < len(members) {
 				if members[round].Incarnation == p.settings.Incarnation {
-					a.rank = len(a.ordered)
+					a.rank = len(a.candidates)
 				}
-				a.ordered = append(a.ordered, members[round])
+				a.candidates = append(a.candidates, members[round])
 			}
 		}
 	}
-	return a.ordered
+	return a.candidates
 }
 
 // weight is the rendezvous weight of a name for a workspace.
@@ -91,7 +91,7 @@
 	return -processors * processors / math.Log(drawn)
 }
 
-func (p *Purse) selfPeer() Peer {
+func (p *Planner) selfPeer() Peer {
 	return Peer{
 		Witness: Witness{Incarnation: p.settings.Incarnation, Address: p.settings.Address}, Zone: p.settings.Zone,
 		Processors: p.settings.Processors,
@@ -99,12 +99,12 @@
 }
 
 // holders lists the routers that should hold money of a workspace now: fewer than in its order when it is thin.
-func (p *Purse) holders(a *account) []Peer {
-	all := p.order(a)
-	if !a.known || a.typical == 0 {
+func (p *Planner) holders(a *account) []Peer {
+	all := p.holderCandidates(a)
+	if !a.rowKnown || a.typicalNeed == 0 {
 		return all
 	}
-	n := int(float64(a.unspent()) / (keptRequests * a.typical))
+	n := int(float64(a.unspent()) / (minReserveRequests * a.typicalNeed))
 	if a.rank == n && a.granted > a.taken {
 		// One that has money in hand does not give it back for a little noise.
 		n++
@@ -112,8 +112,8 @@
 	return all[:min(len(all), max(1, n))]
 }
 
-// ranked tells that this router is one of a workspace's holders, of which others borrow.
-func (p *Purse) ranked(a *account) bool {
+// isHolder tells that this router is one of a workspace's holders, of which others borrow.
+func (p *Planner) isHolder(a *account) bool {
 	if len(p.peers) == 0 {
 		return false
 	}
@@ -121,14 +121,16 @@
 	return a.rank >= 0 && a.rank < len(holders)
 }
 
-// holding tells that this router keeps money of a workspace in hand: it is one of its holders, or alone, or the workspace's
+// keepsReserve tells that this router keeps money of a workspace in hand: it is one of its holders, or alone, or the workspace's
 // demand comes to it.
-func (p *Purse) holding(a *account) bool { return len(p.peers) == 0 || p.ranked(a) || a.concentrated }
+func (p *Planner) keepsReserve(a *account) bool {
+	return len(p.peers) == 0 || p.isHolder(a) || a.concentrated
+}
 
-// delegated tells that this router leaves a workspace's money to its holders and borrows from them, as long as any of
+// borrowsFromHolders tells that this router leaves a workspace's money to its holders and borrows from them, as long as any of
 // them answers.
-func (p *Purse) delegated(now time.Time, a *account) bool {
-	return !p.holding(a) && now.Sub(a.aloneAt) > emptyFor
+func (p *Planner) borrowsFromHolders(now time.Time, a *account) bool {
+	return !p.keepsReserve(a) && now.Sub(a.noAnswerAt) > borrowBackoff
 }
 
 // fleetDemand is all routers' demand, of the others as of their last change of the row.
@@ -142,61 +144,61 @@
 	return all
 }
 
-// handShare is the part of what is left and its own that a router with a part of all demand keeps in hand, so that all
-// routers together have handTimes as much in hand as is left in the store. A router does not know what the others have
-// unspent: with d of the demand it aims at handTimes times d of what is left, which is this part of both.
-func handShare(d float64) float64 { return handTimes * d / (1 + handTimes*d) }
+// reserveShare is the part of what is left and its own that a router with a part of all demand keeps in hand, so that all
+// routers together have reserveRatio as much in hand as is left in the store. A router does not know what the others have
+// unspent: with d of the demand it aims at reserveRatio times d of what is left, which is this part of both.
+func reserveShare(d float64) float64 { return reserveRatio * d / (1 + reserveRatio*d) }
 
-// reserveOf is how much the router should keep in hand of a workspace beyond what it has taken.
-func (p *Purse) reserveOf(now time.Time, a *account) int64 {
-	spare := a.left() + max(0, a.free())
-	if spare <= 0 || !p.holding(a) {
+// reserve is how much the router should keep in hand of a workspace beyond what it has taken.
+func (p *Planner) reserve(now time.Time, a *account) int64 {
+	spare := a.ungranted() + max(0, a.free())
+	if spare <= 0 || !p.keepsReserve(a) {
 		return 0
 	}
 	want := int64(a.demand.rate * p.settings.Reserve.Seconds())
-	if a.demand.rate*demandWindow.Seconds() > a.typical/2 {
+	if a.demand.rate*demandWindow.Seconds() > a.typicalNeed/2 {
 		// A workspace with little traffic sends whole requests all the same.
-		want = max(want, int64(2*a.typical))
+		want = max(want, int64(2*a.typicalNeed))
 	}
-	if p.ranked(a) {
-		if a.demand.rate < 1 && now.Sub(p.beganAt) < settleSpan {
+	if p.isHolder(a) {
+		if a.demand.rate < 1 && now.Sub(p.startedAt) < startupGrace {
 			// Routers that start together do not know each other yet, and each would draw for all.
 			return 0
 		}
 		if len(p.holders(a)) == 1 {
 			all := a.fleetDemand(p.settings.Incarnation) + 1
-			return min(spare, max(want, int64(all*keptSpan.Seconds()), int64(keptRequests*a.typical)))
+			return min(spare, max(want, int64(all*soleHolderWindow.Seconds()), int64(minReserveRequests*a.typicalNeed)))
 		}
-		want = max(want, int64(firstHand*float64(spare)))
+		want = max(want, int64(initialReserveShare*float64(spare)))
 	}
-	share := int64(p.share(a))
-	if share < int64(a.typical/leastShare) {
+	share := int64(p.holderShare(a))
+	if share < int64(a.typicalNeed/minReserveDivisor) {
 		// So little in hand serves nobody, also together with others, and is missing elsewhere.
 		return 0
 	}
 	return min(want, share)
 }
 
-// share is the part of what is left, and of what the router has in hand, that falls to it as a holder.
-func (p *Purse) share(a *account) float64 {
-	spare := a.left() + max(0, a.free())
-	if spare <= 0 || !p.holding(a) {
+// holderShare is the part of what is left, and of what the router has in hand, that falls to it as a holder.
+func (p *Planner) holderShare(a *account) float64 {
+	spare := a.ungranted() + max(0, a.free())
+	if spare <= 0 || !p.keepsReserve(a) {
 		return 0
 	}
 	all := a.fleetDemand(p.settings.Incarnation) + 1
 	part := (a.demand.rate + 1) / all
-	if p.ranked(a) {
+	if p.isHolder(a) {
 		// Callers move between zones faster than the money can, so half of a holder's part is the same for all.
 		part = (part + 1/float64(len(p.holders(a)))) / 2
 	}
-	return float64(spare) * handShare(part)
+	return float64(spare) * reserveShare(part)
 }
 
 // lenders are the routers to ask for money of a workspace, best first: its holders, with each question another one of them
 // first, then others that had money in hand. Those that did not answer lately are asked last. All callers of a workspace may
 // come to one router; with the holder of its own availability zone first all that it borrowed was promised and in hand there:
 // the death of that one cost 5.7% of a budget, and in a cut the hands of the others were empty.
-func (p *Purse) lenders(now time.Time, a *account) []Witness {
+func (p *Planner) lenders(now time.Time, a *account) []Witness {
 	var all []Witness
 	add := func(o Peer) {
 		if o.Incarnation.Instance() != p.settings.Incarnation.Instance() && !slices.Contains(all, o.Witness) {
@@ -205,25 +207,25 @@
 	}
 	holders := p.holders(a)
 	for i := range holders {
-		add(holders[(int(p.nextMessage)+i)%len(holders)])
+		add(holders[(int(p.lastMessage)+i)%len(holders)])
 	}
-	for _, o := range p.richest(a) {
+	for _, o := range p.peersByUnspent(a) {
 		add(o)
 	}
 	for _, peer := range p.peers {
-		if len(all) >= lendersAsked {
+		if len(all) >= maxLenders {
 			break
 		}
 		add(peer)
 	}
 	slices.SortStableFunc(all, func(x, y Witness) int {
-		return cmp.Compare(p.lastSilent(now, x.Incarnation), p.lastSilent(now, y.Incarnation))
+		return cmp.Compare(p.unresponsiveRank(now, x.Incarnation), p.unresponsiveRank(now, y.Incarnation))
 	})
-	return all[:min(len(all), lendersAsked)]
+	return all[:min(len(all), maxLenders)]
 }
 
-// richest lists the other routers that have money in hand, most first.
-func (p *Purse) richest(a *account) []Peer {
+// peersByUnspent lists the other routers that have money in hand, most first.
+func (p *Planner) peersByUnspent(a *account) []Peer {
 	inHand := func(o Peer) int64 { return a.row.Grants[o.Incarnation].Granted - a.row.Grants[o.Incarnation].Taken }
 	var others []Peer
 	for _, peer := range p.peers {
@@ -237,9 +239,9 @@
 	return others
 }
 
-// lastSilent is 1 for a router that left a question without an answer a moment ago, else 0.
-func (p *Purse) lastSilent(now time.Time, i masticway.Incarnation) int {
-	if at, ok := p.silentAt[i.Instance()]; ok && now.Sub(at) < silentFor {
+// unresponsiveRank is 1 for a router that left a question without an answer a moment ago, else 0.
+func (p *Planner) unresponsiveRank(now time.Time, i masticway.Incarnation) int {
+	if at, ok := p.unansweredAt[i.Instance()]; ok && now.Sub(at) < unresponsiveTTL {
 		return 1
 	}
 	return 0
--- a/treasurer/holders_test.go
+++ b/treasurer/holders_test.go
@@ -12,8 +12,8 @@
 	"github.com/masticway/masticway/treasurer"
 )
 
-// peersOf names routers of some availability zones, in the order of their incarnations.
-func peersOf(routers, zones int, life string) []treasurer.Peer {
+// newPeers names routers of some availability zones, in the order of their incarnations.
+func newPeers(routers, zones int, life string) []treasurer.Peer {
 	var peers []treasurer.Peer
 	for i := range routers {
 		instance := fmt.Sprintf("edge-%03d", i)
@@ -25,9 +25,9 @@
 	return peers
 }
 
-// borrowerOf returns a purse of one router that knows the others and what a workspace has paid for.
-func borrowerOf(router treasurer.Peer, peers []treasurer.Peer, workspaces int) *treasurer.Purse {
-	p := treasurer.NewPurse(treasurer.Settings{
+// newBorrower returns a purse of one router that knows the others and what a workspace has paid for.
+func newBorrower(router treasurer.Peer, peers []treasurer.Peer, workspaces int) *treasurer.Planner {
+	p := treasurer.NewPlanner(treasurer.Settings{
 		Incarnation: router.Incarnation, Address: router.Address, Zone: router.Zone, Parts: 1, Reserve: 10 * time.Second, Holders: 6,
 	})
 	accounts := map[string]masticway.Account{}
@@ -36,23 +36,23 @@
 		accounts[name] = masticway.Account{Workspace: name, Prepaid: 1_000_000, HasLimit: true}
 	}
 	p.Configure(1, accounts)
-	p.Count(len(peers), peers)
+	p.SetPeers(len(peers), peers)
 	return p
 }
 
-// asked returns whom a purse asks for money of a workspace, which it has not at all; it is empty for a holder, which asks
+// lendersFor returns whom a purse asks for money of a workspace, which it has not at all; it is empty for a holder, which asks
 // nobody at first.
-func asked(p *treasurer.Purse, workspace string, now time.Time) []treasurer.Witness {
+func lendersFor(p *treasurer.Planner, workspace string, now time.Time) []treasurer.Witness {
 	p.Hold(now, workspace, 100, now.Add(time.Minute))
-	for _, r := range p.Borrowing(now) {
+	for _, r := range p.DueBorrowRounds(now) {
 		return r.Lenders
 	}
 	return nil
 }
 
-// TestHoldersAreAgreedOnWithoutAWord has each router of a fleet say whom it asks for each workspace. Deployments with 20 to
+// TestRoutersAgreeOnHolders has each router of a fleet say whom it asks for each workspace. Deployments with 20 to
 // 103 routers see one request in two to four seconds of a workspace at each router, so a hand at each of them lies idle.
-func TestHoldersAreAgreedOnWithoutAWord(t *testing.T) {
+func TestRoutersAgreeOnHolders(t *testing.T) {
 	const workspaces = 12
 	cases := map[string]struct{ routers, zones, holders int }{
 		"five routers in four zones: all":     {routers: 5, zones: 4, holders: 5},
@@ -64,17 +64,17 @@
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
-			peers := peersOf(tc.routers, tc.zones, "1")
+			peers := newPeers(tc.routers, tc.zones, "1")
 			holding := map[string]map[string]bool{}
 			load := map[string]int{}
 			for _, router := range peers {
-				p := borrowerOf(router, peers, workspaces)
+				p := newBorrower(router, peers, workspaces)
 				for i := range workspaces {
 					workspace := fmt.Sprintf("w%d", i)
 					if holding[workspace] == nil {
 						holding[workspace] = map[string]bool{}
 					}
-					if len(asked(p, workspace, epoch)) == 0 {
+					if len(lendersFor(p, workspace, epoch)) == 0 {
 						holding[workspace][router.Address] = true
 						load[router.Address]++
 					}
@@ -83,7 +83,7 @@
 			for workspace, holders := range holding {
 				qt.Assert(t, holders, qt.HasLen, tc.holders, qt.Commentf("%s", workspace))
 				for _, router := range peers {
-					lenders := asked(borrowerOf(router, peers, workspaces), workspace, epoch)
+					lenders := lendersFor(newBorrower(router, peers, workspaces), workspace, epoch)
 					if len(lenders) == 0 {
 						continue
 					}
@@ -99,25 +99,25 @@
 	}
 }
 
-// TestHoldersAreAskedInTurn has a router ask for money of one workspace again and again: each holder is asked first as often as
+// TestLendersRotate has a router ask for money of one workspace again and again: each holder is asked first as often as
 // any other, so that no holder's death and no empty hand is that of all which the router's callers use.
-func TestHoldersAreAskedInTurn(t *testing.T) {
+func TestLendersRotate(t *testing.T) {
 	const rounds = 4
-	peers := peersOf(103, 6, "1")
+	peers := newPeers(103, 6, "1")
 	for _, router := range peers {
-		p := borrowerOf(router, peers, 1)
+		p := newBorrower(router, peers, 1)
 		first := map[string]int{}
-		holders := len(asked(p, "w0", epoch))
+		holders := len(lendersFor(p, "w0", epoch))
 		if holders == 0 {
 			continue
 		}
-		p.Borrowed(epoch, treasurer.LoanRequest{Number: 1, Workspace: "w0", Need: 100}, nil, 0)
+		p.CompleteBorrowRound(epoch, treasurer.BorrowRound{Number: 1, Workspace: "w0", Need: 100}, nil, 0)
 		for i := range rounds * 6 {
 			now := epoch.Add(time.Duration(i+1) * time.Second)
-			asks := p.Borrowing(now)
+			asks := p.DueBorrowRounds(now)
 			qt.Assert(t, asks, qt.HasLen, 1)
 			first[asks[0].Lenders[0].Address]++
-			p.Borrowed(now, asks[0], nil, 0)
+			p.CompleteBorrowRound(now, asks[0], nil, 0)
 		}
 		qt.Assert(t, first, qt.HasLen, 6)
 		for address, n := range first {
@@ -126,10 +126,10 @@
 	}
 }
 
-func TestHoldersStayTheSameOverRestarts(t *testing.T) {
-	before, after := peersOf(30, 3, "1"), peersOf(30, 3, "2")
+func TestRestartsKeepHolders(t *testing.T) {
+	before, after := newPeers(30, 3, "1"), newPeers(30, 3, "2")
 	for i := range before {
-		first, second := asked(borrowerOf(before[i], before, 1), "w0", epoch), asked(borrowerOf(after[i], after, 1), "w0", epoch)
+		first, second := lendersFor(newBorrower(before[i], before, 1), "w0", epoch), lendersFor(newBorrower(after[i], after, 1), "w0", epoch)
 		qt.Assert(t, len(first), qt.Equals, len(second))
 		for k := range first {
 			qt.Assert(t, first[k].Address, qt.Equals, second[k].Address)
@@ -137,21 +137,21 @@
 	}
 }
 
-// TestSilentHolderIsAskedLast has a holder that is frozen or cut off: each question to it costs its timeout, so that it is
+// TestUnresponsiveHolderIsAskedLast has a holder that is frozen or cut off: each question to it costs its timeout, so that it is
 // asked once a second and not for each request.
-func TestSilentHolderIsAskedLast(t *testing.T) {
-	peers := peersOf(103, 6, "1")
+func TestUnresponsiveHolderIsAskedLast(t *testing.T) {
+	peers := newPeers(103, 6, "1")
 	for _, router := range peers {
-		p := borrowerOf(router, peers, 1)
+		p := newBorrower(router, peers, 1)
 		p.Hold(epoch, "w0", 100, epoch.Add(time.Minute))
-		for _, r := range p.Borrowing(epoch) {
+		for _, r := range p.DueBorrowRounds(epoch) {
 			silent := r.Lenders[0]
-			p.Unanswered(epoch, r, silent)
-			p.Borrowed(epoch, r, nil, 1)
+			p.CancelRequest(epoch, r, silent)
+			p.CompleteBorrowRound(epoch, r, nil, 1)
 			first := 0
 			for i := range 18 {
 				wait := time.Duration(i+1) * 100 * time.Millisecond
-				again := p.Borrowing(epoch.Add(wait))
+				again := p.DueBorrowRounds(epoch.Add(wait))
 				qt.Assert(t, again, qt.HasLen, 1)
 				place := slices.Index(again[0].Lenders, silent)
 				if wait < time.Second {
@@ -160,7 +160,7 @@
 				if place == 0 {
 					first++
 				}
-				p.Borrowed(epoch.Add(wait), again[0], nil, 0)
+				p.CompleteBorrowRound(epoch.Add(wait), again[0], nil, 0)
 			}
 			qt.Assert(t, first > 0, qt.IsTrue, qt.Commentf("it is asked again after a second"))
 			return
@@ -169,9 +169,9 @@
 	t.Fatal("nobody borrows")
 }
 
-// TestExhaustedIsSaidOnceAllHaveAnswered has a router with a row in which all is granted to others. What they have unspent
+// TestExhaustedNeedsAnswersFromAllPeers has a router with a row in which all is granted to others. What they have unspent
 // it cannot know, and while one of them does not answer, there may be money.
-func TestExhaustedIsSaidOnceAllHaveAnswered(t *testing.T) {
+func TestExhaustedNeedsAnswersFromAllPeers(t *testing.T) {
 	cases := map[string]struct {
 		unanswered int
 		want       treasurer.Verdict
@@ -182,7 +182,7 @@
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
-			b := newBench(t, 1000)
+			b := newHarness(t, 1000)
 			row := masticway.RowKey{Table: "masticway_accounts", Part: "0", Key: "w"}
 			b.rows.Put(row, []byte(`{"prepaid":1000,"version":1,"grants":{"one~1":{"granted":900}}}`))
 			b.run(3 * time.Second)
@@ -190,13 +190,13 @@
 			for _, instance := range []string{"edge", "one", "two", "three"} {
 				peers = append(peers, treasurer.Peer{Witness: treasurer.Witness{Incarnation: masticway.NewIncarnation(instance, "1"), Address: instance}})
 			}
-			b.purse.Count(4, peers)
-			id, replies := b.purse.Hold(b.now, "w", 500, b.now.Add(400*time.Millisecond))
-			b.note(replies)
+			b.planner.SetPeers(4, peers)
+			id, replies := b.planner.Hold(b.now, "w", 500, b.now.Add(400*time.Millisecond))
+			b.record(replies)
 			for range 20 {
 				b.run(30 * time.Millisecond)
-				for _, r := range b.purse.Borrowing(b.now) {
-					b.note(b.purse.Borrowed(b.now, r, nil, tc.unanswered))
+				for _, r := range b.planner.DueBorrowRounds(b.now) {
+					b.record(b.planner.CompleteBorrowRound(b.now, r, nil, tc.unanswered))
 				}
 			}
 			qt.Assert(t, b.answered[id], qt.DeepEquals, []treasurer.Verdict{tc.want})
@@ -204,19 +204,19 @@
 	}
 }
 
-// TestLoanOfASuccessorGoesBackToIt has a lender that was restarted since the borrower counted the routers: its successor
+// TestRepaymentGoesToActualLender has a lender that was restarted since the borrower counted the routers: its successor
 // lends, and what is not used goes back to that one. To the predecessor, nobody would take it.
-func TestLoanOfASuccessorGoesBackToIt(t *testing.T) {
-	peers := peersOf(103, 6, "1")
+func TestRepaymentGoesToActualLender(t *testing.T) {
+	peers := newPeers(103, 6, "1")
 	for _, router := range peers {
-		p := borrowerOf(router, peers, 1)
+		p := newBorrower(router, peers, 1)
 		id, _ := p.Hold(epoch, "w0", 100, epoch.Add(time.Minute))
-		for _, r := range p.Borrowing(epoch) {
+		for _, r := range p.DueBorrowRounds(epoch) {
 			successor := masticway.NewIncarnation(r.Lenders[0].Incarnation.Instance(), "2")
-			p.Borrowed(epoch, r, []treasurer.Loan{{Lender: successor, Address: r.Lenders[0].Address, Amount: r.Need}}, 0)
+			p.CompleteBorrowRound(epoch, r, []treasurer.Loan{{Lender: successor, Address: r.Lenders[0].Address, Amount: r.Need}}, 0)
 			p.Clear(epoch, id)
 			p.Settle(epoch, id, 60)
-			back := p.Repayments(epoch.Add(2 * time.Second))
+			back := p.DueRepayments(epoch.Add(2 * time.Second))
 			qt.Assert(t, back, qt.HasLen, 1)
 			qt.Assert(t, back[0].Lender, qt.Equals, successor)
 			qt.Assert(t, back[0].Address, qt.Equals, r.Lenders[0].Address)
@@ -227,9 +227,9 @@
 	t.Fatal("nobody borrows")
 }
 
-// TestRowForgetsWhoHasGivenAllBack has a hundred routers that draw for a workspace while they do not know each other, and
+// TestRowDropsEmptyGrants has a hundred routers that draw for a workspace while they do not know each other, and
 // give it back once they do.
-func TestRowForgetsWhoHasGivenAllBack(t *testing.T) {
+func TestRowDropsEmptyGrants(t *testing.T) {
 	var row treasurer.Account
 	for i := range 100 {
 		row = row.WithGrant(masticway.NewIncarnation(fmt.Sprint(i), "1"), treasurer.Grant{Granted: 10, Demand: 1})
@@ -244,23 +244,23 @@
 	qt.Assert(t, row.Closed, qt.Equals, int64(7))
 }
 
-// TestRoutersThatStartTogetherDrawNothingAhead has a router that has counted few others yet: it is a holder of everything
+// TestNoReserveDuringStartup has a router that has counted few others yet: it is a holder of everything
 // by what it knows, and so is each of a hundred that start with it.
-func TestRoutersThatStartTogetherDrawNothingAhead(t *testing.T) {
-	b := newBench(t, 1_000_000)
-	b.purse.Count(2, peersOf(2, 1, "1"))
+func TestNoReserveDuringStartup(t *testing.T) {
+	b := newHarness(t, 1_000_000)
+	b.planner.SetPeers(2, newPeers(2, 1, "1"))
 	b.run(1900 * time.Millisecond)
 	qt.Assert(t, b.account().Grants, qt.HasLen, 0)
 	b.run(300 * time.Millisecond)
 	qt.Assert(t, b.account().Grants, qt.HasLen, 1)
 }
 
-// TestNothingIsDrawnAheadWhileRoutersAreCounted has a router of a fleet that starts together count a few more others each second, for as
+// TestNoReserveWhilePeersChange has a router of a fleet that starts together count a few more others each second, for as
 // long as a store takes to bear the presences of hundreds. Each time it was a holder of workspaces that nobody had asked for, drew
 // for them and gave back when it knew better; 84 of one router's first 152 calls for money met another one's change.
-func TestNothingIsDrawnAheadWhileRoutersAreCounted(t *testing.T) {
-	b := newBench(t, 1_000_000)
-	all := peersOf(356, 6, "1")
+func TestNoReserveWhilePeersChange(t *testing.T) {
+	b := newHarness(t, 1_000_000)
+	all := newPeers(356, 6, "1")
 	grants := 0
 	drive := func(span time.Duration) {
 		for ; span > 0; span -= 50 * time.Millisecond {
@@ -268,12 +268,12 @@
 				if s.Workspace != "" {
 					grants++
 				}
-				b.carryOut(s)
+				b.complete(s)
 			}
 		}
 	}
 	for known := 10; known <= 60; known += 10 {
-		b.purse.Count(known+1, all[:known])
+		b.planner.SetPeers(known+1, all[:known])
 		drive(time.Second)
 	}
 	qt.Assert(t, grants, qt.Equals, 0)
--- a/treasurer/holds.go
+++ b/treasurer/holds.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// held is the money of one request: an amount of the router's own, and loans.
-type held struct {
+// hold is the money of one request: an amount of the router's own, and loans.
+type hold struct {
 	account *account
 	amount  int64
 	loans   []Loan
@@ -14,7 +14,7 @@
 }
 
 // settle gives back what was not used, borrowed money first; nothing can have been used of a hold that is not cleared.
-func (h held) settle(used int64) {
+func (h hold) settle(used int64) {
 	if !h.cleared {
 		used = 0
 	}
@@ -22,7 +22,7 @@
 		spent := min(used, l.Amount)
 		used -= spent
 		l.Amount -= spent
-		h.account.keepLoan(l)
+		h.account.addLoan(l)
 	}
 	back := h.amount - min(h.amount, used)
 	h.account.taken -= back
@@ -32,49 +32,49 @@
 }
 
 // Hold takes money for one request, or queues it until its deadline; workspaces that are not metered hold nothing.
-func (p *Purse) Hold(now time.Time, workspace string, need int64, deadline time.Time) (HoldID, []Reply) {
-	p.nextHold++
-	id := p.nextHold
+func (p *Planner) Hold(now time.Time, workspace string, need int64, deadline time.Time) (HoldID, []Reply) {
+	p.lastHold++
+	id := p.lastHold
 	a, ok := p.accounts[workspace]
 	if !ok {
 		return id, []Reply{{ID: id, Verdict: VerdictUnreachable}}
 	}
-	a.observe(now, need)
+	a.observeDemand(now, need)
 	a.arrivals.add(now, 1)
 	a.waiting = append(a.waiting, waiter{id: id, need: need, since: now, deadline: deadline})
-	return id, p.serve(now, a)
+	return id, p.serveQueue(now, a)
 }
 
 // Settle ends a hold with what was used of it; a hold that is not known has no effect.
-func (p *Purse) Settle(now time.Time, id HoldID, used int64) []Reply {
+func (p *Planner) Settle(now time.Time, id HoldID, used int64) []Reply {
 	h, ok := p.holds[id]
 	if !ok {
-		p.abandon(id)
+		p.dropWaiter(id)
 		return nil
 	}
 	delete(p.holds, id)
 	h.settle(max(0, used))
-	h.account.gates = slices.DeleteFunc(h.account.gates, func(g HoldID) bool { return g == id })
-	return p.serve(now, h.account)
+	h.account.awaitingClearance = slices.DeleteFunc(h.account.awaitingClearance, func(g HoldID) bool { return g == id })
+	return p.serveQueue(now, h.account)
 }
 
 // Clear asks that a hold's answer may go to the caller; the reply says when. Until then nothing of it may be given.
-func (p *Purse) Clear(now time.Time, id HoldID) []Reply {
+func (p *Planner) Clear(now time.Time, id HoldID) []Reply {
 	h, ok := p.holds[id]
 	if !ok {
 		return nil
 	}
-	h.account.gates = append(h.account.gates, id)
-	return p.openGates(now, h.account)
+	h.account.awaitingClearance = append(h.account.awaitingClearance, id)
+	return p.clearHolds(now, h.account)
 }
 
-// openGates clears holds as far as every promise allows; a small one need not wait for a great one before it.
-func (p *Purse) openGates(now time.Time, a *account) []Reply {
+// clearHolds clears holds as far as every promise allows; a small one need not wait for a great one before it.
+func (p *Planner) clearHolds(now time.Time, a *account) []Reply {
 	var replies []Reply
 	var shut []HoldID
-	for _, id := range a.gates {
+	for _, id := range a.awaitingClearance {
 		h := p.holds[id]
-		if !h.cleared && a.cleared+h.amount > p.promised(now, a) {
+		if !h.cleared && a.cleared+h.amount > p.currentLimit(now, a) {
 			shut = append(shut, id)
 			continue
 		}
@@ -84,20 +84,20 @@
 		}
 		replies = append(replies, Reply{ID: id, Verdict: VerdictCleared})
 	}
-	a.gates = shut
+	a.awaitingClearance = shut
 	return replies
 }
 
-// abandon drops a request that has stopped waiting.
-func (p *Purse) abandon(id HoldID) {
+// dropWaiter drops a request that has stopped waiting.
+func (p *Planner) dropWaiter(id HoldID) {
 	for _, a := range p.accounts {
 		a.waiting = slices.DeleteFunc(a.waiting, func(w waiter) bool { return w.id == id })
 	}
 }
 
-// serve answers the requests that can be answered now, in their order.
-func (p *Purse) serve(now time.Time, a *account) []Reply {
-	replies := p.openGates(now, a)
+// serveQueue answers the requests that can be answered now, in their order.
+func (p *Planner) serveQueue(now time.Time, a *account) []Reply {
+	replies := p.clearHolds(now, a)
 	for len(a.waiting) > 0 {
 		w := a.waiting[0]
 		verdict, ok := p.decide(now, a, w)
@@ -105,53 +105,53 @@
 			break
 		}
 		if verdict == VerdictHeld {
-			own := min(w.need, p.own(now, a))
+			own := min(w.need, p.available(now, a))
 			a.taken += own
-			p.holds[w.id] = &held{account: a, amount: own, loans: a.takeLoans(w.need - own)}
+			p.holds[w.id] = &hold{account: a, amount: own, loans: a.takeLoans(w.need - own)}
 		}
 		a.waiting = a.waiting[1:]
 		replies = append(replies, Reply{
-			ID: w.id, Verdict: verdict, Waited: now.Sub(w.since), Prepaid: a.prepaid, Left: a.left(), Free: a.free(),
-			Own: p.own(now, a) + a.loaned(), RowAge: now.Sub(a.seenAt), Asked: !a.borrowedAt.Before(w.since),
+			ID: w.id, Verdict: verdict, Waited: now.Sub(w.since), Prepaid: a.prepaid, Left: a.ungranted(), Free: a.free(),
+			Own: p.available(now, a) + a.loanBalance(), RowAge: now.Sub(a.rowSeenAt), Asked: !a.borrowedAt.Before(w.since),
 		})
 	}
 	return replies
 }
 
-func (p *Purse) decide(now time.Time, a *account, w waiter) (Verdict, bool) {
-	if w.need <= p.own(now, a)+a.loaned() {
+func (p *Planner) decide(now time.Time, a *account, w waiter) (Verdict, bool) {
+	if w.need <= p.available(now, a)+a.loanBalance() {
 		return VerdictHeld, true
 	}
-	if now.Before(w.deadline) && (a.borrowing || a.borrowedAt.Before(w.since) && now.Sub(a.emptyAt) > p.askAgain(a)) {
+	if now.Before(w.deadline) && (a.borrowing || a.borrowedAt.Before(w.since) && now.Sub(a.shortfallAt) > p.borrowRetryInterval(a)) {
 		// Others may have it.
 		return "", false
 	}
-	if len(p.peers) > 0 && !a.complete {
+	if len(p.peers) > 0 && !a.allAnswered {
 		// Who did not answer may have it.
-		return p.unreachable(now, a, w)
+		return p.decideUnreachable(now, a, w)
 	}
-	fresh := a.known && (!a.seenAt.Before(w.since) || now.Sub(a.seenAt) < freshFor)
-	if fresh && p.beyond(a, w.need) && now.Sub(p.beganAt) > settleSpan {
+	fresh := a.rowKnown && (!a.rowSeenAt.Before(w.since) || now.Sub(a.rowSeenAt) < rowTTL)
+	if fresh && p.exceedsBudget(a, w.need) && now.Sub(p.startedAt) > startupGrace {
 		return VerdictExhausted, true
 	}
-	return p.unreachable(now, a, w)
+	return p.decideUnreachable(now, a, w)
 }
 
-// unreachable ends a wait that is over, or in vain: a holder has nothing to wait for while the store is away, but what it
+// decideUnreachable ends a wait that is over, or in vain: a holder has nothing to wait for while the store is away, but what it
 // may lend others grows with the time that the store is silent.
-func (p *Purse) unreachable(now time.Time, a *account, w waiter) (Verdict, bool) {
-	if p.away(now) && !p.delegated(now, a) || !now.Before(w.deadline) {
+func (p *Planner) decideUnreachable(now time.Time, a *account, w waiter) (Verdict, bool) {
+	if p.isStoreUnavailable(now) && !p.borrowsFromHolders(now, a) || !now.Before(w.deadline) {
 		return VerdictUnreachable, true
 	}
 	return "", false
 }
 
-// beyond tells that a need certainly exceeds what is left and what this router has in hand.
-func (p *Purse) beyond(a *account, need int64) bool {
-	return need > a.left()+max(0, a.free())+a.loaned() && a.settled()
+// exceedsBudget tells that a need certainly exceeds what is left and what this router has in hand.
+func (p *Planner) exceedsBudget(a *account, need int64) bool {
+	return need > a.ungranted()+max(0, a.free())+a.loanBalance() && a.isGrantKnown()
 }
 
-// away tells that the store has failed for a while.
-func (p *Purse) away(now time.Time) bool {
-	return !p.failingSince.IsZero() && now.Sub(p.failingSince) > awayAfter
+// isStoreUnavailable tells that the store has failed for a while.
+func (p *Planner) isStoreUnavailable(now time.Time) bool {
+	return !p.failingSince.IsZero() && now.Sub(p.failingSince) > unavailableAfter
 }
--- a/treasurer/lending.go
+++ b/treasurer/lending.go
@@ -7,7 +7,7 @@
 )
 
 // borrow asks one router after the other until there is enough.
-func (t *Treasurer) borrow(ctx context.Context, r LoanRequest) {
+func (t *Treasurer) borrow(ctx context.Context, r BorrowRound) {
 	var loans []Loan
 	need := r.Need
 	asked, unanswered := 0, 0
@@ -17,11 +17,11 @@
 		}
 		asked++
 		asking, cancel := context.WithTimeout(ctx, lendTimeout)
-		loan, err := t.lender.Borrow(asking, l.Address, LoanAsk{Number: r.Number, Borrower: t.self, Workspace: r.Workspace, Need: need})
+		loan, err := t.peerClient.Borrow(asking, l.Address, LoanAsk{Number: r.Number, Borrower: t.self, Workspace: r.Workspace, Need: need})
 		cancel()
 		if err != nil {
 			unanswered++
-			t.giveUp(ctx, r, l)
+			t.cancelRequest(ctx, r, l)
 			t.log.WithFields(logrus.Fields{"event": "borrow_failed", "lender": l.Incarnation, "workspace": r.Workspace, "error": err}).Debug("router not reached")
 			continue
 		}
@@ -38,28 +38,28 @@
 	}).Debug("asked other routers for money")
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.answer(t.purse.Borrowed(t.clock.Now(), r, loans, unanswered))
+	t.deliver(t.planner.CompleteBorrowRound(t.clock.Now(), r, loans, unanswered))
 }
 
-// giveUp tells a lender whose answer did not arrive to keep what it may have lent.
-func (t *Treasurer) giveUp(ctx context.Context, r LoanRequest, l Witness) {
+// cancelRequest tells a lender whose answer did not arrive to keep what it may have lent.
+func (t *Treasurer) cancelRequest(ctx context.Context, r BorrowRound, l Witness) {
 	t.metrics.Add(metricUnanswered, 1)
 	t.mu.Lock()
-	unanswered := t.purse.Unanswered(t.clock.Now(), r, l)
+	unanswered := t.planner.CancelRequest(t.clock.Now(), r, l)
 	t.mu.Unlock()
-	t.steps.Go(func() { t.repay(ctx, unanswered) })
+	t.tasks.Go(func() { t.repay(ctx, unanswered) })
 }
 
 // repay gives a loan back; when the lender does not answer, the money stays counted as spent there.
 func (t *Treasurer) repay(ctx context.Context, r Repayment) {
-	for range repayTries {
+	for range maxRepayAttempts {
 		sending, cancel := context.WithTimeout(ctx, repayTimeout)
-		err := t.lender.Repay(sending, r.Address, r)
+		err := t.peerClient.Repay(sending, r.Address, r)
 		cancel()
 		if err == nil {
 			return
 		}
-		t.pause(ctx, beginPause)
+		t.sleep(ctx, callRetryInterval)
 		if ctx.Err() != nil {
 			return
 		}
@@ -71,7 +71,7 @@
 // Lend takes money out of this router's hands for another one; it waits until its book says so, or the context ends.
 func (t *Treasurer) Lend(ctx context.Context, ask LoanAsk) int64 {
 	t.mu.Lock()
-	id, amount := t.purse.Lend(t.clock.Now(), ask)
+	id, amount := t.planner.Lend(t.clock.Now(), ask)
 	t.mu.Unlock()
 	if amount == 0 {
 		t.metrics.Add(metricLendShort, 1)
@@ -80,12 +80,12 @@
 	waiting, cancel := context.WithTimeout(ctx, clearTimeout)
 	defer cancel()
 	if !t.Clear(waiting, id) {
-		t.metrics.Add(metricLendLate, 1)
+		t.metrics.Add(metricLendUncleared, 1)
 		t.Settle(id, 0)
 		return 0
 	}
 	t.mu.Lock()
-	lent := t.purse.Lent(id, ask)
+	lent := t.planner.CompleteLoan(id, ask)
 	t.mu.Unlock()
 	if !lent {
 		t.Settle(id, 0)
@@ -99,5 +99,5 @@
 func (t *Treasurer) Repaid(r Repayment) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.answer(t.purse.Repaid(t.clock.Now(), r))
+	t.deliver(t.planner.AcceptRepayment(t.clock.Now(), r))
 }
--- a/treasurer/loans.go
+++ b/treasurer/loans.go
@@ -8,20 +8,20 @@
 
 // The policy of loans: when and whom to ask, what to lend, and when to give back.
 const (
-	// borrowAfter is how long a request waits for the store before other routers are asked; the store answers the two
+	// borrowDelay is how long a request waits for the store before other routers are asked; the store answers the two
 	// calls that a request may need within 20 ms when it is well.
-	borrowAfter = 30 * time.Millisecond
-	// emptyFor is how long a router that draws from the store itself asks nobody again after a round that brought too
+	borrowDelay = 30 * time.Millisecond
+	// borrowBackoff is how long a router that draws from the store itself asks nobody again after a round that brought too
 	// little, and how long one that borrows draws itself once nobody has answered.
-	emptyFor = 300 * time.Millisecond
-	// refillTime is how long one that borrows waits after such a round: a holder's two calls to the store take that long.
-	refillTime = 40 * time.Millisecond
-	// repayAfter is how long borrowed money may lie unused.
-	repayAfter = time.Second
-	// leastPart is the part of what is asked for below which nothing is lent.
-	leastPart = 4
-	// lendersAsked bounds the routers that are asked in one round.
-	lendersAsked = 8
+	borrowBackoff = 300 * time.Millisecond
+	// refillInterval is how long one that borrows waits after such a round: a holder's two calls to the store take that long.
+	refillInterval = 40 * time.Millisecond
+	// idleLoanTTL is how long borrowed money may lie unused.
+	idleLoanTTL = time.Second
+	// minLoanDivisor is the part of what is asked for below which nothing is lent.
+	minLoanDivisor = 4
+	// maxLenders bounds the routers that are asked in one round.
+	maxLenders = 8
 )
 
 // Loan is money that another router has taken out of its own grant for this one. It counts as taken there, so that
@@ -33,8 +33,8 @@
 	Amount  int64
 }
 
-// LoanRequest asks other routers for money of one workspace.
-type LoanRequest struct {
+// BorrowRound asks other routers for money of one workspace.
+type BorrowRound struct {
 	// Number names the round of asking among all of the borrower's.
 	Number    int64
 	Workspace string
@@ -65,8 +65,8 @@
 	Address string `cbor:"-"`
 }
 
-// loaned is the borrowed money at hand.
-func (a *account) loaned() int64 {
+// loanBalance is the borrowed money at hand.
+func (a *account) loanBalance() int64 {
 	var sum int64
 	for _, l := range a.loans {
 		sum += l.Amount
@@ -88,8 +88,8 @@
 	return used
 }
 
-// keepLoan adds a loan to those at hand, if it is any.
-func (a *account) keepLoan(l Loan) {
+// addLoan adds a loan to those at hand, if it is any.
+func (a *account) addLoan(l Loan) {
 	if l.Amount <= 0 {
 		return
 	}
@@ -102,39 +102,39 @@
 	a.loans = append(a.loans, l)
 }
 
-// Borrowing returns whom to ask for money now: somebody has waited for the store, or there is nothing left to draw.
-func (p *Purse) Borrowing(now time.Time) []LoanRequest {
-	var asks []LoanRequest
-	for _, a := range p.ordered {
+// DueBorrowRounds returns whom to ask for money now: somebody has waited for the store, or there is nothing left to draw.
+func (p *Planner) DueBorrowRounds(now time.Time) []BorrowRound {
+	var asks []BorrowRound
+	for _, a := range p.sortedAccounts {
 		if len(a.waiting) == 0 || a.borrowing {
 			continue
 		}
 		w := a.waiting[0]
-		early := p.delegated(now, a) || a.known && p.beyond(a, w.need)
-		if now.Sub(w.since) < borrowAfter && !early || now.Sub(a.emptyAt) < p.askAgain(a) {
+		early := p.borrowsFromHolders(now, a) || a.rowKnown && p.exceedsBudget(a, w.need)
+		if now.Sub(w.since) < borrowDelay && !early || now.Sub(a.shortfallAt) < p.borrowRetryInterval(a) {
 			continue
 		}
-		need := a.needed() - a.loaned() - p.own(now, a)
+		need := a.queuedNeed() - a.loanBalance() - p.available(now, a)
 		if need <= 0 {
 			continue
 		}
 		a.borrowing = true
-		p.nextMessage++
-		asks = append(asks, LoanRequest{Number: p.nextMessage, Workspace: a.workspace, Need: need, Lenders: p.lenders(now, a)})
+		p.lastMessage++
+		asks = append(asks, BorrowRound{Number: p.lastMessage, Workspace: a.workspace, Need: need, Lenders: p.lenders(now, a)})
 	}
 	return asks
 }
 
-// askAgain is how long after a round that brought too little the next one begins.
-func (p *Purse) askAgain(a *account) time.Duration {
-	if p.holding(a) {
-		return emptyFor
+// borrowRetryInterval is how long after a round that brought too little the next one begins.
+func (p *Planner) borrowRetryInterval(a *account) time.Duration {
+	if p.keepsReserve(a) {
+		return borrowBackoff
 	}
-	return refillTime
+	return refillInterval
 }
 
-// Borrowed takes what one round of asking brought; of the routers that were asked, so many did not answer.
-func (p *Purse) Borrowed(now time.Time, r LoanRequest, loans []Loan, unanswered int) []Reply {
+// CompleteBorrowRound takes what one round of asking brought; of the routers that were asked, so many did not answer.
+func (p *Planner) CompleteBorrowRound(now time.Time, r BorrowRound, loans []Loan, unanswered int) []Reply {
 	a, ok := p.accounts[r.Workspace]
 	if !ok {
 		return nil
@@ -143,64 +143,64 @@
 	a.borrowedAt = now
 	var brought int64
 	for _, l := range loans {
-		a.keepLoan(l)
+		a.addLoan(l)
 		brought += l.Amount
 	}
-	a.complete = unanswered == 0
+	a.allAnswered = unanswered == 0
 	if brought < r.Need {
-		a.emptyAt = now
+		a.shortfallAt = now
 		if unanswered > 0 && unanswered == len(r.Lenders) {
-			a.aloneAt = now
+			a.noAnswerAt = now
 		}
 	}
-	return p.serve(now, a)
+	return p.serveQueue(now, a)
 }
 
-// Unanswered notes that a lender did not answer, and returns what tells it that its answer did not arrive.
-func (p *Purse) Unanswered(now time.Time, r LoanRequest, lender Witness) Repayment {
-	p.silentAt[lender.Incarnation.Instance()] = now
-	p.nextMessage++
+// CancelRequest notes that a lender did not answer, and returns what tells it that its answer did not arrive.
+func (p *Planner) CancelRequest(now time.Time, r BorrowRound, lender Witness) Repayment {
+	p.unansweredAt[lender.Incarnation.Instance()] = now
+	p.lastMessage++
 	return Repayment{
-		Number: p.nextMessage, Borrower: p.settings.Incarnation, Lender: lender.Incarnation, Address: lender.Address, Workspace: r.Workspace,
+		Number: p.lastMessage, Borrower: p.settings.Incarnation, Lender: lender.Incarnation, Address: lender.Address, Workspace: r.Workspace,
 		Ask: r.Number,
 	}
 }
 
 // Lend takes money out of what this router may still take, for another. The hold has to be cleared before the money
 // is handed over, and Lent ends it then; there is none when nothing can be lent.
-func (p *Purse) Lend(now time.Time, ask LoanAsk) (HoldID, int64) {
+func (p *Planner) Lend(now time.Time, ask LoanAsk) (HoldID, int64) {
 	a, ok := p.accounts[ask.Workspace]
 	if !ok || p.closing {
 		return 0, 0
 	}
 	from := p.borrower(ask.Borrower)
-	if _, known := from.asked[ask.Number]; known {
+	if _, known := from.loans[ask.Number]; known {
 		// Its borrower has given it up, or it came twice.
 		return 0, 0
 	}
-	a.observe(now, ask.Need)
-	a.others.add(now, float64(ask.Need))
-	amount := min(ask.Need, p.own(now, a)-a.needed())
-	if amount <= 0 || amount < ask.Need/leastPart {
+	a.observeDemand(now, ask.Need)
+	a.peerDemand.add(now, float64(ask.Need))
+	amount := min(ask.Need, p.available(now, a)-a.queuedNeed())
+	if amount <= 0 || amount < ask.Need/minLoanDivisor {
 		return 0, 0
 	}
-	p.nextHold++
+	p.lastHold++
 	a.taken += amount
-	p.holds[p.nextHold] = &held{account: a, amount: amount}
-	from.asked[ask.Number] = &askedLoan{at: now, amount: amount}
-	from.forget(now)
-	return p.nextHold, amount
+	p.holds[p.lastHold] = &hold{account: a, amount: amount}
+	from.loans[ask.Number] = &loanRecord{at: now, amount: amount}
+	from.dropExpired(now)
+	return p.lastHold, amount
 }
 
-// Lent notes that a cleared hold is handed to another router; it returns false when the hold was not cleared or the
+// CompleteLoan notes that a cleared hold is handed to another router; it returns false when the hold was not cleared or the
 // borrower has given the question up meanwhile, and then the hold is still to be settled.
-func (p *Purse) Lent(id HoldID, ask LoanAsk) bool {
+func (p *Planner) CompleteLoan(id HoldID, ask LoanAsk) bool {
 	h, ok := p.holds[id]
 	if !ok || !h.cleared {
 		return false
 	}
-	loan, known := p.borrower(ask.Borrower).asked[ask.Number]
-	if !known || loan.void {
+	loan, known := p.borrower(ask.Borrower).loans[ask.Number]
+	if !known || loan.canceled {
 		return false
 	}
 	loan.lent = true
@@ -209,35 +209,35 @@
 	return true
 }
 
-// Repaid takes back what another router did not use of a loan, once for each of the borrower's numbers.
-func (p *Purse) Repaid(now time.Time, r Repayment) []Reply {
+// AcceptRepayment takes back what another router did not use of a loan, once for each of the borrower's numbers.
+func (p *Planner) AcceptRepayment(now time.Time, r Repayment) []Reply {
 	a, ok := p.accounts[r.Workspace]
-	if !ok || r.Lender != p.settings.Incarnation && r.Ask == 0 || !p.borrower(r.Borrower).heard.first(r.Number) {
+	if !ok || r.Lender != p.settings.Incarnation && r.Ask == 0 || !p.borrower(r.Borrower).repayments.add(r.Number) {
 		return nil
 	}
 	amount := r.Amount
 	if r.Ask != 0 {
-		amount += p.borrower(r.Borrower).giveUp(now, r.Ask)
+		amount += p.borrower(r.Borrower).cancel(now, r.Ask)
 	}
 	back := min(amount, a.lent)
 	a.lent -= back
 	a.taken -= back
 	a.cleared -= back
-	return p.serve(now, a)
+	return p.serveQueue(now, a)
 }
 
-// Repayments returns what lies unused and should go back; it has left this router's hands when it is returned.
-func (p *Purse) Repayments(now time.Time) []Repayment {
+// DueRepayments returns what lies unused and should go back; it has left this router's hands when it is returned.
+func (p *Planner) DueRepayments(now time.Time) []Repayment {
 	var due []Repayment
-	for _, a := range p.ordered {
-		empty := a.emptyAt.Equal(a.borrowedAt)
-		if len(a.loans) == 0 || !p.closing && !empty && (len(a.waiting) > 0 || now.Sub(a.borrowedAt) < repayAfter) {
+	for _, a := range p.sortedAccounts {
+		empty := a.shortfallAt.Equal(a.borrowedAt)
+		if len(a.loans) == 0 || !p.closing && !empty && (len(a.waiting) > 0 || now.Sub(a.borrowedAt) < idleLoanTTL) {
 			continue
 		}
 		for _, l := range a.loans {
-			p.nextMessage++
+			p.lastMessage++
 			due = append(due, Repayment{
-				Number: p.nextMessage, Borrower: p.settings.Incarnation, Lender: l.Lender, Address: l.Address, Workspace: a.workspace, Amount: l.Amount,
+				Number: p.lastMessage, Borrower: p.settings.Incarnation, Lender: l.Lender, Address: l.Address, Workspace: a.workspace, Amount: l.Amount,
 			})
 		}
 		a.loans = nil
--- a/treasurer/presence_test.go
+++ b/treasurer/presence_test.go
@@ -17,15 +17,15 @@
 	"github.com/masticway/masticway/measurer"
 )
 
-// movedClock is moved by the test.
-type movedClock struct{ now time.Time }
+// manualClock is moved by the test.
+type manualClock struct{ now time.Time }
 
-func (c *movedClock) Now() time.Time                         { return c.now }
-func (c *movedClock) After(d time.Duration) <-chan time.Time { return time.After(d) }
+func (c *manualClock) Now() time.Time                         { return c.now }
+func (c *manualClock) After(d time.Duration) <-chan time.Time { return time.After(d) }
 
-// TestRoutersAreCountedByTheirPresence has five routers on one store. After an outage all presences are old, and who
+// TestCountRoutersByPresence has five routers on one store. After an outage all presences are old, and who
 // counts first must not take itself for alone; a router that is gone is left out after 12 s of others' counting.
-func TestRoutersAreCountedByTheirPresence(t *testing.T) {
+func TestCountRoutersByPresence(t *testing.T) {
 	const routers = 5
 	cases := map[string]struct {
 		// outage is how long nobody reaches the store, gone how long the last router has been gone before the last count.
@@ -40,7 +40,7 @@
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
-			clock := &movedClock{now: time.Date(2026, 12, 2, 9, 0, 0, 0, time.UTC)}
+			clock := &manualClock{now: time.Date(2026, 12, 2, 9, 0, 0, 0, time.UTC)}
 			rows := emulator.NewRows(clock.Now)
 			log := logrus.New()
 			log.SetOutput(io.Discard)
@@ -53,18 +53,18 @@
 			count := func(counting []*Treasurer) (n int) {
 				for _, r := range counting {
 					var err error
-					n, err = r.countOnce(t.Context())
+					n, err = r.countRouters(t.Context())
 					qt.Assert(t, err, qt.IsNil)
 				}
 				return n
 			}
 			for range 2 {
 				count(all)
-				clock.now = clock.now.Add(countPause)
+				clock.now = clock.now.Add(countInterval)
 			}
-			for passed := time.Duration(0); passed < tc.gone; passed += countPause {
+			for passed := time.Duration(0); passed < tc.gone; passed += countInterval {
 				count(all[:routers-1])
-				clock.now = clock.now.Add(countPause)
+				clock.now = clock.now.Add(countInterval)
 			}
 			clock.now = clock.now.Add(tc.outage)
 			qt.Assert(t, count(all[:1]), qt.Equals, tc.want)
@@ -73,55 +73,55 @@
 	}
 }
 
-// ratedPart is a row store of which one part takes a number of writes a second and refuses the others.
-type ratedPart struct {
+// rateLimitedStore is a row store of which one part takes a number of writes a second and refuses the others.
+type rateLimitedStore struct {
 	*emulator.Rows
 	perSecond int
 
 	mu sync.Mutex
 	// second is the present one; taken and refused count its writes, most is the most that came in one since watched.
-	second         time.Time
-	taken, refused int
-	most, reads    int
+	second            time.Time
+	accepted, refused int
+	maxWrites, reads  int
 }
 
-func (p *ratedPart) Write(ctx context.Context, w masticway.RowWrite) (masticway.RowReading, error) {
-	if !p.take() {
+func (p *rateLimitedStore) Write(ctx context.Context, w masticway.RowWrite) (masticway.RowReading, error) {
+	if !p.admit() {
 		return masticway.RowReading{}, &masticway.UnavailableError{Service: "rows", Reason: "over its rate", RateLimited: true}
 	}
 	return p.Rows.Write(ctx, w)
 }
 
-func (p *ratedPart) Read(ctx context.Context, table, part string) (masticway.RowReading, error) {
+func (p *rateLimitedStore) Read(ctx context.Context, table, part string) (masticway.RowReading, error) {
 	p.mu.Lock()
 	p.reads++
 	p.mu.Unlock()
 	return p.Rows.Read(ctx, table, part)
 }
 
-func (p *ratedPart) take() bool {
+func (p *rateLimitedStore) admit() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if now := time.Now().Truncate(time.Second); !now.Equal(p.second) {
-		p.second, p.taken, p.refused = now, 0, 0
+		p.second, p.accepted, p.refused = now, 0, 0
 	}
-	if p.taken >= p.perSecond {
+	if p.accepted >= p.perSecond {
 		p.refused++
 	} else {
-		p.taken++
+		p.accepted++
 	}
-	p.most = max(p.most, p.taken+p.refused)
+	p.maxWrites = max(p.maxWrites, p.accepted+p.refused)
 	return p.refused == 0
 }
 
-// TestManyRoutersCountEachOther starts routers together on a store whose part takes 200 writes a second, as a loss of power of all
+// TestManyRoutersStartTogether starts routers together on a store whose part takes 200 writes a second, as a loss of power of all
 // brings it about. A fleet of 356 routers, each of which tried again after 0.3 s, asked for 1,200 a second: 85% of them never
 // counted any, took themselves for alone, and drew money for all workspaces.
-func TestManyRoutersCountEachOther(t *testing.T) {
+func TestManyRoutersStartTogether(t *testing.T) {
 	for _, routers := range []int{100, 400} {
 		t.Run(fmt.Sprint(routers), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				store := &ratedPart{Rows: emulator.NewRows(time.Now), perSecond: 200}
+				store := &rateLimitedStore{Rows: emulator.NewRows(time.Now), perSecond: 200}
 				ctx, stop := context.WithCancel(t.Context())
 				log := logrus.New()
 				log.SetOutput(io.Discard)
@@ -131,8 +131,8 @@
 					r := New(store, nil, emulator.SteadyClock{}, logrus.NewEntry(log), measurer.New(), fmt.Sprintf("edge-%d", i), Settings{Address: fmt.Sprint(i), Parts: 1})
 					all = append(all, r)
 					wg.Go(func() {
-						r.recount(ctx)
-						r.count(ctx)
+						r.tryCount(ctx)
+						r.maintainPresence(ctx)
 					})
 				}
 				time.Sleep(40 * time.Second)
@@ -140,15 +140,15 @@
 					qt.Assert(t, r.Members() >= routers*17/20, qt.IsTrue, qt.Commentf("%s counts %d", r.self, r.Members()))
 				}
 				store.mu.Lock()
-				store.most, store.reads = 0, 0
+				store.maxWrites, store.reads = 0, 0
 				store.mu.Unlock()
 				time.Sleep(40 * time.Second)
 				for _, r := range all {
 					qt.Assert(t, r.Members(), qt.Equals, routers)
 				}
 				reads := float64(store.reads) / 40
-				t.Logf("%d routers: at most %d writes in a second, %.1f readings a second", routers, store.most, reads)
-				qt.Check(t, store.most <= 150, qt.IsTrue)
+				t.Logf("%d routers: at most %d writes in a second, %.1f readings a second", routers, store.maxWrites, reads)
+				qt.Check(t, store.maxWrites <= 150, qt.IsTrue)
 				qt.Check(t, reads <= 60, qt.IsTrue)
 				stop()
 				wg.Wait()
--- a/treasurer/purse.go
+++ b/treasurer/purse.go
@@ -10,74 +10,74 @@
 
 // The policy of a purse: how money is spread over routers, what a death may cost, and when a request is refused or waits.
 const (
-	// silentAfter is how long the store must have been silent before a promise's rate counts. What a book promises ahead
+	// outageThreshold is how long the store must have been silent before a promise's rate counts. What a book promises ahead
 	// serves in that time; a router that dies and is back within it strands no more than that. All routers of a deployment
 	// that lose power together had their books back after 0.6 to 2.5 s, and then no witness is left: with 2.2 s a loss of
 	// power for 2 s at 103 routers cost four seconds of all demand, with 3 s one.
-	silentAfter = 3 * time.Second
-	// burstSpan is the demand that a book lets its router take before the next one: three of a busy router's heartbeats.
-	// aloneSpan is the demand that may be taken in a silence of which no witness has heard. With all that is promised ahead
+	outageThreshold = 3 * time.Second
+	// burstWindow is the demand that a book lets its router take before the next one: three of a busy router's heartbeats.
+	// unwitnessedWindow is the demand that may be taken in a silence of which no witness has heard. With all that is promised ahead
 	// in the burst, a holder that died took 8% of a large budget with it and 9.2% of a day's requests were refused, for 0.5%
 	// with these.
-	burstSpan = 750 * time.Millisecond
-	aloneSpan = 1500 * time.Millisecond
-	// rateSpread is by how many standard deviations a promised rate is above the demand, which comes in lumps: with n
+	burstWindow       = 750 * time.Millisecond
+	unwitnessedWindow = 1500 * time.Millisecond
+	// rateDeviations is by how many standard deviations a promised rate is above the demand, which comes in lumps: with n
 	// requests at all holders in demandWindow, whose sizes spread as much as their mean, one deviation is 1/sqrt(n) of it: four
 	// times the demand for a request in the window, twice for nine. What is promised too much is lost when a router dies
 	// and its witnesses cannot be asked; with 1.5 times the demand at routers that saw five requests, 4.5% were refused on
 	// days with trouble instead of 3.7% with 4 times.
-	rateSpread = 3
-	// slowAnswer is the store's answer time above which a burst is promised for the demand of that time.
-	slowAnswer = 60 * time.Millisecond
-	// timelyFor is how long the store may take over a book before requests are admitted by promises only, and
-	// gateSlack how long an answer may then be expected to wait for its promise. With the whole of silentAfter fewer are
+	rateDeviations = 3
+	// slowStoreLatency is the store's answer time above which a burst is promised for the demand of that time.
+	slowStoreLatency = 60 * time.Millisecond
+	// timelyStoreLatency is how long the store may take over a book before requests are admitted by promises only, and
+	// clearanceSlack how long an answer may then be expected to wait for its promise. With the whole of outageThreshold fewer are
 	// refused and more are late, which is worth less: 0.69 against 0.73 on a calm day with two cuts.
-	timelyFor = 400 * time.Millisecond
-	gateSlack = 150 * time.Millisecond
-	// handTimes is how many times what is left in the store all routers together keep in hand; the rest is out of reach
+	timelyStoreLatency = 400 * time.Millisecond
+	clearanceSlack     = 150 * time.Millisecond
+	// reserveRatio is how many times what is left in the store all routers together keep in hand; the rest is out of reach
 	// in a cut.
-	handTimes = 4.0
-	// leastShare is the part of a usual request below which nothing is kept in hand; routers put such parts together.
-	leastShare = 3
-	// lowWater is the part of the reserve below which it is filled up, highWater the multiple above which it is returned.
-	lowWater  = 0.4
-	highWater = 2.5
-	// returnAfter is how long money of a workspace without a reserve may lie unused.
-	returnAfter = 250 * time.Millisecond
-	// awayAfter is how long the store must have failed before requests without money are refused at once.
-	awayAfter = 400 * time.Millisecond
-	// settleSpan is how long after its start a router takes no budget for exhausted: where many start together, the
+	reserveRatio = 4.0
+	// minReserveDivisor is the part of a usual request below which nothing is kept in hand; routers put such parts together.
+	minReserveDivisor = 3
+	// lowWatermark is the part of the reserve below which it is filled up, highWatermark the multiple above which it is returned.
+	lowWatermark  = 0.4
+	highWatermark = 2.5
+	// surplusTTL is how long money of a workspace without a reserve may lie unused.
+	surplusTTL = 250 * time.Millisecond
+	// unavailableAfter is how long the store must have failed before requests without money are refused at once.
+	unavailableAfter = 400 * time.Millisecond
+	// startupGrace is how long after its start a router takes no budget for exhausted: where many start together, the
 	// grants of their predecessors are still being closed.
-	settleSpan = 2 * time.Second
-	// freshFor is how long a look at a workspace's row may serve to refuse for exhaustion.
-	freshFor = 300 * time.Millisecond
+	startupGrace = 2 * time.Second
+	// rowTTL is how long a look at a workspace's row may serve to refuse for exhaustion.
+	rowTTL = 300 * time.Millisecond
 )
 
 // The mechanics of a purse: how often the store is called, as its rate and its failures allow.
 const (
-	// bookHeartbeat is how often the book of a router with demand is written, idleHeartbeat any other one, so that the
+	// busyCheckpointInterval is how often the book of a router with demand is written, idleCheckpointInterval any other one, so that the
 	// routers can be counted.
-	bookHeartbeat = 250 * time.Millisecond
-	idleHeartbeat = 4 * time.Second
-	// bookHeartbeatEach is the same for each router of a large fleet, whose heartbeats all come to one store: 330 books a second
+	busyCheckpointInterval = 250 * time.Millisecond
+	idleCheckpointInterval = 4 * time.Second
+	// busyCheckpointIntervalPerRouter is the same for each router of a large fleet, whose heartbeats all come to one store: 330 books a second
 	// however many there are.
-	bookHeartbeatEach = 3 * time.Millisecond
-	// bookPause separates two writes of a book; bookPauseEach is added for each router, so that all of them together
+	busyCheckpointIntervalPerRouter = 3 * time.Millisecond
+	// checkpointPause separates two writes of a book; checkpointPausePerRouter is added for each router, so that all of them together
 	// write less than 3,300 books a second, and a loan that waits for the book of one of a hundred comes in time.
-	bookPause     = 20 * time.Millisecond
-	bookPauseEach = 300 * time.Microsecond
-	// bookCredits is how many books may be written without that addition after a time without any.
-	bookCredits = 4.0
-	// retryPause separates attempts at the store after one that failed.
-	retryPause = 60 * time.Millisecond
-	// probePause separates attempts while the store fails; only the book is tried then.
-	probePause = 120 * time.Millisecond
-	// paceFirst and paceMost bound the pause between two changes of grants by one router once the store has refused a call
-	// for its rate: it doubles with each refusal and shrinks by paceStep with each call that is served, so that routers
+	checkpointPause          = 20 * time.Millisecond
+	checkpointPausePerRouter = 300 * time.Microsecond
+	// maxCheckpointCredit is how many books may be written without that addition after a time without any.
+	maxCheckpointCredit = 4.0
+	// changeRetryInterval separates attempts at the store after one that failed.
+	changeRetryInterval = 60 * time.Millisecond
+	// probeInterval separates attempts while the store fails; only the book is tried then.
+	probeInterval = 120 * time.Millisecond
+	// initialChangeInterval and maxChangeInterval bound the pause between two changes of grants by one router once the store has refused a call
+	// for its rate: it doubles with each refusal and shrinks by changeIntervalStep with each call that is served, so that routers
 	// which know nothing of each other share the rate.
-	paceFirst = 20 * time.Millisecond
-	paceMost  = 640 * time.Millisecond
-	paceStep  = 5 * time.Millisecond
+	initialChangeInterval = 20 * time.Millisecond
+	maxChangeInterval     = 640 * time.Millisecond
+	changeIntervalStep    = 5 * time.Millisecond
 )
 
 // Verdict answers a request for money.
@@ -144,42 +144,42 @@
 
 // account is what a router knows of one workspace.
 type account struct {
-	workspace string
-	prepaid   int64
-	version   int64
-	row       Account
-	// committed is what the row's closed part and all its grants come to, consumed what that part and all that holders had
+	workspace     string
+	prepaid       int64
+	configVersion int64
+	row           Account
+	// allocated is what the row's closed part and all its grants come to, consumed what that part and all that holders had
 	// taken come to.
-	committed int64
+	allocated int64
 	consumed  int64
 	// rowVersion is zero while there is no row, and known tells that this has been looked up.
 	rowVersion int64
-	known      bool
-	seenAt     time.Time
+	rowKnown   bool
+	rowSeenAt  time.Time
 	granted    int64
-	// moving tells that a change of the grant has been sent, which returns so much.
-	moving    bool
-	returning int64
+	// changeInFlight tells that a change of the grant has been sent, which returns so much.
+	changeInFlight bool
+	returning      int64
 	// retryAt is when the store is asked again after a failure.
 	retryAt time.Time
-	// doubted tells that earlier changes got no answer; the one that returns most takes doubt out of the grant.
-	doubted bool
-	doubt   int64
+	// unconfirmed tells that earlier changes got no answer; the one that returns most takes doubt out of the grant.
+	unconfirmed       bool
+	unconfirmedReturn int64
 	// taken is all holds and what was used, cleared the part of it whose answers may go out: only that is ever lost
 	// to the budget when this router dies, and promises bound it.
-	taken   int64
-	cleared int64
-	gates   []HoldID
+	taken             int64
+	cleared           int64
+	awaitingClearance []HoldID
 	// demand is the tokens a second that are asked for, others the part of it that other routers ask for, and arrivals the
 	// requests of this router's own callers.
-	demand   average
-	others   average
-	arrivals average
-	typical  float64
-	// ordered are the workspace's holders among the routers that are known, nil until they are worked out; rank is this
+	demand      average
+	peerDemand  average
+	arrivals    average
+	typicalNeed float64
+	// candidates are the workspace's holders among the routers that are known, nil until they are worked out; rank is this
 	// router's place among them, negative when it is none.
-	ordered []Peer
-	rank    int
+	candidates []Peer
+	rank       int
 	// concentrated tells that the demand comes to this router, though it is none of the holders.
 	concentrated bool
 	waiting      []waiter
@@ -188,48 +188,48 @@
 	lent       int64
 	borrowing  bool
 	borrowedAt time.Time
-	// emptyAt is when a round of asking last brought too little, complete tells that all who were asked then answered, and
-	// aloneAt is when last nobody did.
-	emptyAt  time.Time
-	complete bool
-	aloneAt  time.Time
-	// surplusAt is since when more lies unused than the reserve.
-	surplusAt time.Time
+	// shortfallAt is when a round of asking last brought too little, complete tells that all who were asked then answered, and
+	// noAnswerAt is when last nobody did.
+	shortfallAt time.Time
+	allAnswered bool
+	noAnswerAt  time.Time
+	// surplusSince is since when more lies unused than the reserve.
+	surplusSince time.Time
 }
 
 // setRow takes the row as the store has it, or as it will be once a newer configuration's word is in it.
 func (a *account) setRow(row Account) {
 	a.row = row
-	a.committed, a.consumed = row.Closed, row.Closed
+	a.allocated, a.consumed = row.Closed, row.Closed
 	for _, g := range row.Grants {
-		a.committed += g.Granted
+		a.allocated += g.Granted
 		a.consumed += min(g.Taken, g.Granted)
 	}
 }
 
-// left is what is not granted to anybody, by the newest configuration's word on what is prepaid.
-func (a *account) left() int64 { return a.newestPrepaid() - a.committed }
+// ungranted is what is not granted to anybody, by the newest configuration's word on what is prepaid.
+func (a *account) ungranted() int64 { return a.currentPrepaid() - a.allocated }
 
 // unspent is what is left and what all had in hand when they last changed their grants.
-func (a *account) unspent() int64 { return a.newestPrepaid() - a.consumed }
+func (a *account) unspent() int64 { return a.currentPrepaid() - a.consumed }
 
-func (a *account) newestPrepaid() int64 {
-	if a.version > a.row.Version {
+func (a *account) currentPrepaid() int64 {
+	if a.configVersion > a.row.Version {
 		return a.prepaid
 	}
 	return a.row.Prepaid
 }
 
-// usable is the grant less what may already have left it.
-func (a *account) usable() int64 { return a.granted - max(a.returning, a.doubt) }
+// usableGrant is the grant less what may already have left it.
+func (a *account) usableGrant() int64 { return a.granted - max(a.returning, a.unconfirmedReturn) }
 
-// settled tells that the store's view of the grant is known.
-func (a *account) settled() bool { return !a.moving && !a.doubted }
+// isGrantKnown tells that the store's view of the grant is known.
+func (a *account) isGrantKnown() bool { return !a.changeInFlight && !a.unconfirmed }
 
-func (a *account) free() int64 { return a.usable() - a.taken }
+func (a *account) free() int64 { return a.usableGrant() - a.taken }
 
-// needed is what the requests that wait ask for.
-func (a *account) needed() int64 {
+// queuedNeed is what the requests that wait ask for.
+func (a *account) queuedNeed() int64 {
 	var sum int64
 	for _, w := range a.waiting {
 		sum += w.need
@@ -237,76 +237,76 @@
 	return sum
 }
 
-// inForce is a promise that the store has, or may have.
-type inForce struct {
+// limitsInForce is a promise that the store has, or may have.
+type checkpointLimits struct {
 	sequence int64
 	// basis is when this router heard of the write on which the store counts.
-	basis    time.Time
-	promises map[string]Promise
+	basis  time.Time
+	limits map[string]SpendLimit
 	// witnesses are those that the book names, heard what each has taken a statement of, by workspace.
 	witnesses []Witness
-	heard     map[masticway.Incarnation]map[string]int64
+	acked     map[masticway.Incarnation]map[string]int64
 }
 
-// Purse decides about the money of one incarnation; it is not safe for concurrent use.
-type Purse struct {
+// Planner decides about the money of one incarnation; it is not safe for concurrent use.
+type Planner struct {
 	settings Settings
 	accounts map[string]*account
-	// ordered are the accounts in the workspaces' order.
-	ordered  []*account
-	holds    map[HoldID]*held
-	nextHold HoldID
+	// sortedAccounts are the accounts in the workspaces' order.
+	sortedAccounts []*account
+	holds          map[HoldID]*hold
+	lastHold       HoldID
 
-	inForce     []inForce
-	book        Book
-	bookVersion int64
-	bookBusy    bool
-	bookBasis   time.Time
-	bookAt      time.Time
-	// bookLeft is what was left of the credit for books when the last one was written.
-	bookLeft float64
-	// bookTook is the moving average of the store's time for a book.
-	bookTook time.Duration
-	members  int
-	peers    []Peer
-	// regrouped tells that the peers have become others since the last plan, regroupedAt when a plan last found so.
-	regrouped   bool
-	regroupedAt time.Time
-	// silentAt is when an instance last left a question for money without an answer.
-	silentAt     map[string]time.Time
-	looking      map[string]bool
-	bookRetry    time.Time
-	failingSince time.Time
-	// pace is the least pause between two changes of grants, movedAt when the last one was sent.
-	pace    time.Duration
-	movedAt time.Time
-	// began tells that the book carries this incarnation.
-	began   bool
-	beganAt time.Time
+	limitsInForce      []checkpointLimits
+	checkpoint         Checkpoint
+	checkpointVersion  int64
+	checkpointInFlight bool
+	checkpointBasis    time.Time
+	checkpointSentAt   time.Time
+	// checkpointCreditLeft is what was left of the credit for books when the last one was written.
+	checkpointCreditLeft float64
+	// checkpointLatency is the moving average of the store's time for a book.
+	checkpointLatency time.Duration
+	members           int
+	peers             []Peer
+	// peersChanged tells that the peers have become others since the last plan, peersChangedAt when a plan last found so.
+	peersChanged   bool
+	peersChangedAt time.Time
+	// unansweredAt is when an instance last left a question for money without an answer.
+	unansweredAt      map[string]time.Time
+	readsInFlight     map[string]bool
+	checkpointRetryAt time.Time
+	failingSince      time.Time
+	// changeInterval is the least pause between two changes of grants, lastChangeAt when the last one was sent.
+	changeInterval time.Duration
+	lastChangeAt   time.Time
+	// started tells that the book carries this incarnation.
+	started   bool
+	startedAt time.Time
 	// closing tells that no money is wanted any more.
 	closing bool
-	// borrowers is what is remembered of those that have asked for money, nextMessage numbers the own messages.
-	borrowers   map[masticway.Incarnation]*borrowerMemory
-	nextMessage int64
-	// testimonies are what other routers have stated, testifying the witnesses that are being told something.
-	testimonies map[masticway.Incarnation]testimony
-	testifying  map[masticway.Incarnation]bool
-	// statedAt is since when most witnesses have not heard a statement that is needed, zero when none is.
-	statedAt time.Time
+	// borrowers is what is remembered of those that have asked for money, lastMessage numbers the own messages.
+	borrowers   map[masticway.Incarnation]*borrowerState
+	lastMessage int64
+	// peerReports are what other routers have stated, testifying the witnesses that are being told something.
+	peerReports     map[masticway.Incarnation]issuerReports
+	reportsInFlight map[masticway.Incarnation]bool
+	// unackedSince is since when most witnesses have not heard a statement that is needed, zero when none is.
+	unackedSince time.Time
 }
 
-// NewPurse returns a purse without money.
-func NewPurse(s Settings) *Purse {
-	return &Purse{
-		settings: s, accounts: map[string]*account{}, holds: map[HoldID]*held{},
-		looking: map[string]bool{}, borrowers: map[masticway.Incarnation]*borrowerMemory{},
-		testimonies: map[masticway.Incarnation]testimony{}, testifying: map[masticway.Incarnation]bool{},
-		silentAt: map[string]time.Time{},
+// NewPlanner returns a purse without money.
+func NewPlanner(s Settings) *Planner {
+	return &Planner{
+		settings: s, accounts: map[string]*account{}, holds: map[HoldID]*hold{},
+		readsInFlight: map[string]bool{}, borrowers: map[masticway.Incarnation]*borrowerState{},
+		peerReports: map[masticway.Incarnation]issuerReports{}, reportsInFlight: map[masticway.Incarnation]bool{},
+		unansweredAt: map[string]time.Time{},
 	}
 }
 
 // Configure tells what each workspace has paid for, as of a configuration's version.
-func (p *Purse) Configure(version int64, accounts map[string]masticway.Account) {
+func (p *Planner) Configure(version int64, accounts map[string]masticway.Account) {
 	for workspace, paid := range accounts {
 		if !paid.HasLimit {
 			continue
@@ -315,56 +315,58 @@
 		if !ok {
 			a = &account{workspace: workspace}
 			p.accounts[workspace] = a
-			p.ordered = append(p.ordered, a)
+			p.sortedAccounts = append(p.sortedAccounts, a)
 		}
-		if version >= a.version {
-			a.prepaid, a.version = paid.Prepaid, version
+		if version >= a.configVersion {
+			a.prepaid, a.configVersion = paid.Prepaid, version
 		}
 	}
-	slices.SortFunc(p.ordered, func(x, y *account) int { return cmp.Compare(x.workspace, y.workspace) })
+	slices.SortFunc(p.sortedAccounts, func(x, y *account) int { return cmp.Compare(x.workspace, y.workspace) })
 }
 
-// admissible is the most that may be taken in all now. While the store answers in time the grant alone decides: the
+// maxTaken is the most that may be taken in all now. While the store answers in time the grant alone decides: the
 // promise will be there before the answer. Else promises do, as far as they reach soon.
-func (p *Purse) admissible(now time.Time, a *account) int64 {
-	if p.timely(now) {
-		return a.usable()
+func (p *Planner) maxTaken(now time.Time, a *account) int64 {
+	if p.isStoreTimely(now) {
+		return a.usableGrant()
 	}
-	if p.unheard(now) {
-		return min(a.usable(), p.promised(now, a))
+	if p.areReportsUnacked(now) {
+		return min(a.usableGrant(), p.currentLimit(now, a))
 	}
-	return min(a.usable(), p.expected(now.Add(gateSlack), a))
+	return min(a.usableGrant(), p.expectedLimit(now.Add(clearanceSlack), a))
 }
 
-// timely tells that the store can be expected to take the next book soon.
-func (p *Purse) timely(now time.Time) bool {
-	return p.failingSince.IsZero() && (!p.bookBusy || now.Sub(p.bookAt) < timelyFor)
+// isStoreTimely tells that the store can be expected to take the next book soon.
+func (p *Planner) isStoreTimely(now time.Time) bool {
+	return p.failingSince.IsZero() && (!p.checkpointInFlight || now.Sub(p.checkpointSentAt) < timelyStoreLatency)
 }
 
-// own is what the router may take now beside what it has.
-func (p *Purse) own(now time.Time, a *account) int64 { return max(0, p.admissible(now, a)-a.taken) }
+// available is what the router may take now beside what it has.
+func (p *Planner) available(now time.Time, a *account) int64 {
+	return max(0, p.maxTaken(now, a)-a.taken)
+}
 
-// Count tells how many routers there are, and which others can be asked for money and be witnesses.
-func (p *Purse) Count(members int, peers []Peer) {
+// SetPeers tells how many routers there are, and which others can be asked for money and be witnesses.
+func (p *Planner) SetPeers(members int, peers []Peer) {
 	p.members = members
 	others := slices.DeleteFunc(slices.Clone(peers), func(o Peer) bool { return o.Incarnation.Instance() == p.settings.Incarnation.Instance() })
 	if slices.Equal(others, p.peers) {
 		return
 	}
 	sameInstance := func(x, y Peer) bool { return x.Incarnation.Instance() == y.Incarnation.Instance() }
-	p.regrouped = p.regrouped || !slices.EqualFunc(others, p.peers, sameInstance)
+	p.peersChanged = p.peersChanged || !slices.EqualFunc(others, p.peers, sameInstance)
 	p.peers = others
 	for _, a := range p.accounts {
-		a.ordered = nil
+		a.candidates = nil
 	}
 }
 
 // Tick ends waits that are over.
-func (p *Purse) Tick(now time.Time) []Reply {
+func (p *Planner) Tick(now time.Time) []Reply {
 	var replies []Reply
-	for _, a := range p.ordered {
-		if len(a.waiting)+len(a.gates) > 0 {
-			replies = append(replies, p.serve(now, a)...)
+	for _, a := range p.sortedAccounts {
+		if len(a.waiting)+len(a.awaitingClearance) > 0 {
+			replies = append(replies, p.serveQueue(now, a)...)
 		}
 	}
 	return replies
@@ -381,11 +383,11 @@
 }
 
 // Positions lists what the router has, in the workspaces' order.
-func (p *Purse) Positions() []Position {
+func (p *Planner) Positions() []Position {
 	var all []Position
-	for _, a := range p.ordered {
+	for _, a := range p.sortedAccounts {
 		all = append(all, Position{
-			Workspace: a.workspace, Prepaid: a.prepaid, Left: a.left(), Granted: a.granted, Taken: a.taken, Waiting: len(a.waiting),
+			Workspace: a.workspace, Prepaid: a.prepaid, Left: a.ungranted(), Granted: a.granted, Taken: a.taken, Waiting: len(a.waiting),
 		})
 	}
 	return all
--- a/treasurer/purse_test.go
+++ b/treasurer/purse_test.go
@@ -13,65 +13,65 @@
 
 var epoch = time.Date(2026, 12, 2, 9, 0, 0, 0, time.UTC)
 
-// bench drives one purse on a row store, one step at a time.
-type bench struct {
-	t     *testing.T
-	now   time.Time
-	rows  *emulator.Rows
-	purse *treasurer.Purse
-	self  masticway.Incarnation
+// harness drives one purse on a row store, one step at a time.
+type harness struct {
+	t       *testing.T
+	now     time.Time
+	rows    *emulator.Rows
+	planner *treasurer.Planner
+	self    masticway.Incarnation
 	// answered collects what was replied, by hold.
 	answered map[treasurer.HoldID][]treasurer.Verdict
-	// burst is the part of what is in hand that books promise ahead.
-	burst float64
+	// burstShare is the part of what is in hand that books promise ahead.
+	burstShare float64
 }
 
-func newBench(t *testing.T, prepaid int64) *bench {
-	b := &bench{t: t, now: epoch, answered: map[treasurer.HoldID][]treasurer.Verdict{}}
+func newHarness(t *testing.T, prepaid int64) *harness {
+	b := &harness{t: t, now: epoch, answered: map[treasurer.HoldID][]treasurer.Verdict{}}
 	b.rows = emulator.NewRows(func() time.Time { return b.now })
 	b.start("edge~1", prepaid)
 	return b
 }
 
 // start begins a new incarnation on the instance, which has just begun to listen.
-func (b *bench) start(self masticway.Incarnation, prepaid int64) {
+func (b *harness) start(self masticway.Incarnation, prepaid int64) {
 	b.startAt(self, "-", b.now, prepaid)
 }
 
 // startAt begins one that has listened at an address for a while.
-func (b *bench) startAt(self masticway.Incarnation, address string, listening time.Time, prepaid int64) {
+func (b *harness) startAt(self masticway.Incarnation, address string, listening time.Time, prepaid int64) {
 	b.self = self
-	b.purse = treasurer.NewPurse(treasurer.Settings{Incarnation: self, Address: address, Parts: 1, Reserve: 10 * time.Second, BurstShare: b.burst})
-	b.purse.Configure(1, map[string]masticway.Account{"w": {Workspace: "w", Prepaid: prepaid, HasLimit: true}})
+	b.planner = treasurer.NewPlanner(treasurer.Settings{Incarnation: self, Address: address, Parts: 1, Reserve: 10 * time.Second, BurstShare: b.burstShare})
+	b.planner.Configure(1, map[string]masticway.Account{"w": {Workspace: "w", Prepaid: prepaid, HasLimit: true}})
 	book := b.rows.Row(masticway.RowKey{Table: "masticway_books", Part: "0", Key: self.Instance()})
-	write, err := b.purse.Begin(book, b.now.Sub(epoch), listening.Sub(epoch))
+	write, err := b.planner.TakeOver(book, b.now.Sub(epoch), listening.Sub(epoch))
 	qt.Assert(b.t, err, qt.IsNil)
 	made, err := b.rows.Apply(write)
 	qt.Assert(b.t, err, qt.IsNil)
-	b.purse.Began(b.now, made.Version, made.StoreTime)
+	b.planner.CompleteTakeOver(b.now, made.Version, made.StoreTime)
 }
 
-func (b *bench) note(replies []treasurer.Reply) {
+func (b *harness) record(replies []treasurer.Reply) {
 	for _, r := range replies {
 		b.answered[r.ID] = append(b.answered[r.ID], r.Verdict)
 	}
 }
 
-func (b *bench) hold(need int64) treasurer.HoldID {
-	id, replies := b.purse.Hold(b.now, "w", need, b.now.Add(time.Minute))
-	b.note(replies)
+func (b *harness) hold(need int64) treasurer.HoldID {
+	id, replies := b.planner.Hold(b.now, "w", need, b.now.Add(time.Minute))
+	b.record(replies)
 	return id
 }
 
 // plan lets time pass and returns what the purse wants to do.
-func (b *bench) plan(d time.Duration) []treasurer.Step {
+func (b *harness) plan(d time.Duration) []treasurer.Step {
 	b.now = b.now.Add(d)
-	b.note(b.purse.Tick(b.now))
-	return b.purse.Plan(b.now)
+	b.record(b.planner.Tick(b.now))
+	return b.planner.Plan(b.now)
 }
 
-// carryOut ends a step as the store would.
-func (b *bench) carryOut(s treasurer.Step) {
+// complete ends a step as the store would.
+func (b *harness) complete(s treasurer.Step) {
 	var reading masticway.RowReading
 	var err error
 	if s.Write == nil {
@@ -79,79 +79,79 @@
 	} else {
 		reading, err = b.rows.Apply(*s.Write)
 	}
-	replies, fault := b.purse.Done(b.now, s, reading, err)
+	replies, fault := b.planner.CompleteStep(b.now, s, reading, err)
 	qt.Assert(b.t, fault, qt.IsNil)
-	b.note(replies)
+	b.record(replies)
 }
 
 // run carries out everything that is wanted within a time.
-func (b *bench) run(d time.Duration) {
+func (b *harness) run(d time.Duration) {
 	for ; d > 0; d -= 30 * time.Millisecond {
 		for _, s := range b.plan(30 * time.Millisecond) {
-			b.carryOut(s)
+			b.complete(s)
 		}
 	}
 }
 
-func (b *bench) account() treasurer.Account {
+func (b *harness) account() treasurer.Account {
 	return treasurer.ReadAccount(b.rows.Row(masticway.RowKey{Table: "masticway_accounts", Part: "0", Key: "w"}))
 }
 
-func TestHoldIsClearedOnceTheBookSaysSo(t *testing.T) {
-	b := newBench(t, 1000)
+func TestHoldClearsOnceCheckpointCoversIt(t *testing.T) {
+	b := newHarness(t, 1000)
 	id := b.hold(100)
 	b.run(150 * time.Millisecond)
 	qt.Assert(t, b.answered[id], qt.DeepEquals, []treasurer.Verdict{treasurer.VerdictHeld, treasurer.VerdictCleared}[:1])
-	b.note(b.purse.Clear(b.now, id))
+	b.record(b.planner.Clear(b.now, id))
 	qt.Assert(t, b.answered[id], qt.DeepEquals, []treasurer.Verdict{treasurer.VerdictHeld, treasurer.VerdictCleared})
 }
 
-func TestAnswerWaitsWhileTheBookDoesNotKnowOfIt(t *testing.T) {
-	b := newBench(t, 100000)
+func TestClearWaitsForCheckpoint(t *testing.T) {
+	b := newHarness(t, 100000)
 	first := b.hold(100)
 	b.run(300 * time.Millisecond)
-	b.note(b.purse.Clear(b.now, first))
+	b.record(b.planner.Clear(b.now, first))
 	id := b.hold(100)
 	qt.Assert(t, b.answered[id], qt.DeepEquals, []treasurer.Verdict{treasurer.VerdictHeld})
-	b.note(b.purse.Clear(b.now, id))
+	b.record(b.planner.Clear(b.now, id))
 	qt.Assert(t, b.answered[id], qt.HasLen, 1)
 	b.run(90 * time.Millisecond)
 	qt.Assert(t, b.answered[id], qt.DeepEquals, []treasurer.Verdict{treasurer.VerdictHeld, treasurer.VerdictCleared})
 }
 
-func TestNoMoneyIsDrawnBeforeTheBookNamesTheWorkspace(t *testing.T) {
-	b := newBench(t, 1000)
+func TestNoGrantBeforeCheckpointNamesWorkspace(t *testing.T) {
+	b := newHarness(t, 1000)
 	b.hold(100)
 	for range 10 {
 		for _, s := range b.plan(30 * time.Millisecond) {
 			qt.Assert(t, s.Workspace, qt.Equals, "", qt.Commentf("a draw that a successor would not look for"))
 			if s.Write == nil {
-				b.carryOut(s)
+				b.complete(s)
 			}
 			// The write of the book stays without an answer.
 		}
 	}
 }
 
-func TestMoneyOnItsWayBackIsNotSpent(t *testing.T) {
+func TestReturnedGrantIsNotSpent(t *testing.T) {
 	outcomes := map[string]error{
 		"not answered yet": nil,
 		"answer lost":      &masticway.OutcomeUnknownError{Service: "rows"},
 	}
 	for name, outcome := range outcomes {
 		t.Run(name, func(t *testing.T) {
-			b := newBench(t, 1000)
+			b := newHarness(t, 1000)
 			id := b.hold(900)
 			b.run(150 * time.Millisecond)
-			b.note(b.purse.Settle(b.now, id, 0))
-			back := b.firstReturn()
+			b.record(b.planner.Settle(b.now, id, 0))
+			back := b.nextReturn()
 			if outcome != nil {
 				_, err := b.rows.Apply(*back.Write)
 				qt.Assert(t, err, qt.IsNil)
-				replies, fault := b.purse.Done(b.now, back, masticway.RowReading{}, outcome)
+				replies, fault := b.planner.CompleteStep(b.now, back, masticway.RowReading{}, outcome)
 				qt.Assert(t, fault, qt.IsNil)
-				b.note(replies)
-				b.answerBook()
+				b.record(replies)
+				b.completeCheckpoints()
 			}
 			next := b.hold(900)
 			qt.Assert(t, b.answered[next], qt.HasLen, 0, qt.Commentf("spent twice"))
@@ -159,36 +159,36 @@
 	}
 }
 
-// answerBook lets the store take the book again, but answer nothing about workspaces.
-func (b *bench) answerBook() {
+// completeCheckpoints lets the store take the book again, but answer nothing about workspaces.
+func (b *harness) completeCheckpoints() {
 	for range 20 {
 		for _, s := range b.plan(30 * time.Millisecond) {
 			if s.Part == "" {
-				b.carryOut(s)
+				b.complete(s)
 			}
 		}
 	}
 }
 
-// firstReturn waits for a change that gives money back.
-func (b *bench) firstReturn() treasurer.Step {
+// nextReturn waits for a change that gives money back.
+func (b *harness) nextReturn() treasurer.Step {
 	for range 3000 {
 		for _, s := range b.plan(30 * time.Millisecond) {
 			before := b.account().Grants[b.self].Granted
 			if s.Workspace == "w" && treasurer.ReadAccount(masticway.StoredRow{Value: s.Write.Puts[0].Value}).Grants[b.self].Granted < before {
 				return s
 			}
-			b.carryOut(s)
+			b.complete(s)
 		}
 	}
 	b.t.Fatal("nothing was given back")
 	return treasurer.Step{}
 }
 
-// TestAnswersOfASilencesFirstSecondsGoOutAhead has a cut of the store, of which the router cannot tell for two seconds
+// TestEarlyLimitClearsHoldsAtOutageStart has a cut of the store, of which the router cannot tell for two seconds
 // that it is one: 4% of what it has in hand is promised ahead, so that answers of that time need not wait. A great one
 // that is beyond it does not hold up small ones.
-func TestAnswersOfASilencesFirstSecondsGoOutAhead(t *testing.T) {
+func TestEarlyLimitClearsHoldsAtOutageStart(t *testing.T) {
 	cases := map[string]struct {
 		share float64
 		great int64
@@ -201,24 +201,24 @@
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
-			b := &bench{t: t, now: epoch, answered: map[treasurer.HoldID][]treasurer.Verdict{}, burst: tc.share}
+			b := &harness{t: t, now: epoch, answered: map[treasurer.HoldID][]treasurer.Verdict{}, burstShare: tc.share}
 			b.rows = emulator.NewRows(func() time.Time { return b.now })
 			b.start("edge~1", 100000)
 			for range 10 {
 				id := b.hold(400)
 				b.run(150 * time.Millisecond)
-				b.note(b.purse.Clear(b.now, id))
-				b.note(b.purse.Settle(b.now, id, 400))
+				b.record(b.planner.Clear(b.now, id))
+				b.record(b.planner.Settle(b.now, id, 400))
 			}
 			b.run(300 * time.Millisecond)
 			// From here on the store is silent.
 			if tc.great > 0 {
-				b.note(b.purse.Clear(b.now, b.hold(tc.great)))
+				b.record(b.planner.Clear(b.now, b.hold(tc.great)))
 			}
 			got := int64(0)
 			for range 5 {
 				id := b.hold(100)
-				b.note(b.purse.Clear(b.now, id))
+				b.record(b.planner.Clear(b.now, id))
 				got += int64(len(b.answered[id]) - 1)
 			}
 			qt.Assert(t, got, qt.Equals, tc.together)
@@ -227,31 +227,31 @@
 }
 
 // lend hands out all that is asked for.
-func (b *bench) lend(ask treasurer.LoanAsk) {
-	loan, amount := b.purse.Lend(b.now, ask)
+func (b *harness) lend(ask treasurer.LoanAsk) {
+	loan, amount := b.planner.Lend(b.now, ask)
 	qt.Assert(b.t, amount, qt.Equals, ask.Need)
-	b.note(b.purse.Clear(b.now, loan))
+	b.record(b.planner.Clear(b.now, loan))
 	b.run(120 * time.Millisecond)
 	qt.Assert(b.t, b.answered[loan], qt.DeepEquals, []treasurer.Verdict{treasurer.VerdictCleared})
-	qt.Assert(b.t, b.purse.Lent(loan, ask), qt.IsTrue)
+	qt.Assert(b.t, b.planner.CompleteLoan(loan, ask), qt.IsTrue)
 }
 
-func TestRepaymentCountsOnce(t *testing.T) {
-	b := newBench(t, 100000)
+func TestDuplicateRepaymentIsIgnored(t *testing.T) {
+	b := newHarness(t, 100000)
 	b.hold(1000)
 	b.run(300 * time.Millisecond)
 	b.lend(treasurer.LoanAsk{Number: 1, Borrower: "other~1", Workspace: "w", Need: 500})
-	before := b.purse.Positions()[0].Taken
+	before := b.planner.Positions()[0].Taken
 	back := treasurer.Repayment{Number: 1, Borrower: "other~1", Lender: b.self, Workspace: "w", Amount: 200}
-	b.purse.Repaid(b.now, back)
-	b.purse.Repaid(b.now, back)
-	qt.Assert(t, b.purse.Positions()[0].Taken, qt.Equals, before-200)
+	b.planner.AcceptRepayment(b.now, back)
+	b.planner.AcceptRepayment(b.now, back)
+	qt.Assert(t, b.planner.Positions()[0].Taken, qt.Equals, before-200)
 }
 
-// TestLoanWhoseAnswerDidNotArriveComesBack has the loss of an answer between routers: the lender counts the money as
+// TestLoanWithLostAnswerIsReturned has the loss of an answer between routers: the lender counts the money as
 // spent and the borrower never had it. On days with thirty routers that was 3% of all budgets, since questions time out
 // after 60 ms while the lender waits for its book.
-func TestLoanWhoseAnswerDidNotArriveComesBack(t *testing.T) {
+func TestLoanWithLostAnswerIsReturned(t *testing.T) {
 	const asked = 500
 	cases := map[string]struct {
 		// word is when the borrower's word that it has no answer arrives.
@@ -264,62 +264,62 @@
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
-			b := newBench(t, 100000)
+			b := newHarness(t, 100000)
 			b.hold(1000)
 			b.run(300 * time.Millisecond)
-			before := b.purse.Positions()[0].Taken
+			before := b.planner.Positions()[0].Taken
 			ask := treasurer.LoanAsk{Number: 7, Borrower: "other~1", Workspace: "w", Need: asked}
 			word := treasurer.Repayment{Number: 8, Borrower: "other~1", Lender: b.self, Workspace: "w", Ask: ask.Number}
 			if tc.word == "early" {
-				b.purse.Repaid(b.now, word)
+				b.planner.AcceptRepayment(b.now, word)
 			}
-			loan, amount := b.purse.Lend(b.now, ask)
+			loan, amount := b.planner.Lend(b.now, ask)
 			if tc.word == "early" {
 				qt.Assert(t, amount, qt.Equals, int64(0))
 				return
 			}
-			b.note(b.purse.Clear(b.now, loan))
+			b.record(b.planner.Clear(b.now, loan))
 			b.run(120 * time.Millisecond)
 			if tc.word == "waiting" {
-				b.purse.Repaid(b.now, word)
+				b.planner.AcceptRepayment(b.now, word)
 			}
-			waiting, lent := b.hold(b.purse.Positions()[0].Granted-b.purse.Positions()[0].Taken+1), b.purse.Lent(loan, ask)
+			waiting, lent := b.hold(b.planner.Positions()[0].Granted-b.planner.Positions()[0].Taken+1), b.planner.CompleteLoan(loan, ask)
 			qt.Assert(t, lent, qt.Equals, tc.lent)
 			if !lent {
 				// What was kept back goes to the request that waits for it.
-				b.note(b.purse.Settle(b.now, loan, 0))
+				b.record(b.planner.Settle(b.now, loan, 0))
 				qt.Assert(t, b.answered[waiting], qt.DeepEquals, []treasurer.Verdict{treasurer.VerdictHeld})
 			}
-			b.note(b.purse.Settle(b.now, waiting, 0))
+			b.record(b.planner.Settle(b.now, waiting, 0))
 			if tc.word == "late" {
-				qt.Assert(t, b.purse.Positions()[0].Taken, qt.Equals, before+asked)
-				b.purse.Repaid(b.now, word)
+				qt.Assert(t, b.planner.Positions()[0].Taken, qt.Equals, before+asked)
+				b.planner.AcceptRepayment(b.now, word)
 			}
-			b.purse.Repaid(b.now, word)
+			b.planner.AcceptRepayment(b.now, word)
 			word.Number++
-			b.purse.Repaid(b.now, word)
-			qt.Assert(t, b.purse.Positions()[0].Taken, qt.Equals, before, qt.Commentf("given back once, however often it is said"))
-			_, amount = b.purse.Lend(b.now, ask)
+			b.planner.AcceptRepayment(b.now, word)
+			qt.Assert(t, b.planner.Positions()[0].Taken, qt.Equals, before, qt.Commentf("given back once, however often it is said"))
+			_, amount = b.planner.Lend(b.now, ask)
 			qt.Assert(t, amount, qt.Equals, int64(0), qt.Commentf("nothing is lent for a question that was given up"))
 		})
 	}
 }
 
-// TestRepaymentsCountInAnyOrder has repayments of one borrower that overtake each other on the way, as those of several
+// TestRepaymentsMayArriveOutOfOrder has repayments of one borrower that overtake each other on the way, as those of several
 // workspaces at once do.
-func TestRepaymentsCountInAnyOrder(t *testing.T) {
-	b := newBench(t, 100000)
+func TestRepaymentsMayArriveOutOfOrder(t *testing.T) {
+	b := newHarness(t, 100000)
 	b.hold(1000)
 	b.run(300 * time.Millisecond)
 	b.lend(treasurer.LoanAsk{Number: 1, Borrower: "other~1", Workspace: "w", Need: 500})
-	before := b.purse.Positions()[0].Taken
+	before := b.planner.Positions()[0].Taken
 	for _, number := range []int64{4, 2, 3, 2, 4} {
-		b.purse.Repaid(b.now, treasurer.Repayment{Number: number, Borrower: "other~1", Lender: b.self, Workspace: "w", Amount: 100})
+		b.planner.AcceptRepayment(b.now, treasurer.Repayment{Number: number, Borrower: "other~1", Lender: b.self, Workspace: "w", Amount: 100})
 	}
-	qt.Assert(t, b.purse.Positions()[0].Taken, qt.Equals, before-300)
+	qt.Assert(t, b.planner.Positions()[0].Taken, qt.Equals, before-300)
 }
 
-func TestSuccessorClosesWhatThePromiseAllows(t *testing.T) {
+func TestSuccessorPresumesLimitSpent(t *testing.T) {
 	cases := map[string]struct {
 		down time.Duration
 		// least and most bound what counts as spent of a hold of 400 tokens that was cleared.
@@ -330,25 +330,25 @@
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
-			b := newBench(t, 100000)
+			b := newHarness(t, 100000)
 			id := b.hold(400)
 			b.run(300 * time.Millisecond)
-			b.note(b.purse.Clear(b.now, id))
+			b.record(b.planner.Clear(b.now, id))
 			qt.Assert(t, b.answered[id], qt.HasLen, 2)
 			b.now = b.now.Add(tc.down)
 			b.start("edge~2", 100000)
-			ended := b.purse.Predecessors()
+			ended := b.planner.Predecessors()
 			qt.Assert(t, ended, qt.HasLen, 1)
-			spent := ended[0].Spent["w"]
+			spent := ended[0].MaxSpent["w"]
 			qt.Assert(t, spent >= tc.least && spent <= tc.most, qt.IsTrue, qt.Commentf("%d", spent))
 		})
 	}
 }
 
-// TestPredecessorEndedBeforeItsSuccessorListened has a router that is killed in an outage of the store and restarted at
+// TestSuccessorsListenTimeBoundsSpending has a router that is killed in an outage of the store and restarted at
 // once, but takes its book over only when the store is back: what it was promised for that time was never taken. On days
 // with a kill in an outage that was 10% of all budgets.
-func TestPredecessorEndedBeforeItsSuccessorListened(t *testing.T) {
+func TestSuccessorsListenTimeBoundsSpending(t *testing.T) {
 	const held, outage = 400, 6 * time.Second
 	cases := map[string]struct {
 		address   string
@@ -365,21 +365,21 @@
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
-			b := newBench(t, 100000)
+			b := newHarness(t, 100000)
 			id := b.hold(held)
 			b.run(300 * time.Millisecond)
-			b.note(b.purse.Clear(b.now, id))
+			b.record(b.planner.Clear(b.now, id))
 			died := b.now
 			b.now = died.Add(outage)
 			b.startAt("edge~2", tc.address, died.Add(tc.downFor), 100000)
-			spent := b.purse.Predecessors()[0].Spent["w"]
+			spent := b.planner.Predecessors()[0].MaxSpent["w"]
 			qt.Assert(t, spent >= tc.least && spent <= tc.most, qt.IsTrue, qt.Commentf("%d", spent))
 		})
 	}
 }
 
-func TestLateDrawOfADeadIncarnationComesToNothing(t *testing.T) {
-	b := newBench(t, 1000)
+func TestLateGrantOfEndedIncarnationConflicts(t *testing.T) {
+	b := newHarness(t, 1000)
 	b.hold(600)
 	var draw treasurer.Step
 	for draw.Workspace == "" {
@@ -388,7 +388,7 @@
 				draw = s
 				continue
 			}
-			b.carryOut(s)
+			b.complete(s)
 		}
 	}
 	// The process dies while its draw is on the way; the next one closes a grant that is not there yet.
@@ -404,7 +404,7 @@
 	qt.Assert(t, err, qt.ErrorAs, &conflict)
 }
 
-func TestExhaustedAndUnreachableAreToldApart(t *testing.T) {
+func TestExhaustedDiffersFromUnreachable(t *testing.T) {
 	cases := map[string]struct {
 		faults emulator.RowFaults
 		need   int64
@@ -415,21 +415,21 @@
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
-			b := newBench(t, 1000)
+			b := newHarness(t, 1000)
 			b.run(3 * time.Second)
 			b.rows.SetFaults(tc.faults)
 			id := b.hold(tc.need)
 			for range 60 {
 				for _, s := range b.plan(30 * time.Millisecond) {
 					if tc.faults.Busy {
-						replies, _ := b.purse.Done(b.now, s, masticway.RowReading{}, &masticway.UnavailableError{Service: "rows"})
-						b.note(replies)
+						replies, _ := b.planner.CompleteStep(b.now, s, masticway.RowReading{}, &masticway.UnavailableError{Service: "rows"})
+						b.record(replies)
 						continue
 					}
-					b.carryOut(s)
+					b.complete(s)
 				}
-				for _, r := range b.purse.Borrowing(b.now) {
-					b.note(b.purse.Borrowed(b.now, r, nil, 0))
+				for _, r := range b.planner.DueBorrowRounds(b.now) {
+					b.record(b.planner.CompleteBorrowRound(b.now, r, nil, 0))
 				}
 			}
 			qt.Assert(t, b.answered[id], qt.DeepEquals, []treasurer.Verdict{tc.want})
@@ -437,36 +437,36 @@
 	}
 }
 
-func TestNothingIsExhaustedWhilePredecessorsMayBeOpen(t *testing.T) {
-	b := newBench(t, 1000)
-	id, replies := b.purse.Hold(b.now, "w", 2000, b.now.Add(150*time.Millisecond))
-	b.note(replies)
+func TestNoExhaustedVerdictDuringStartup(t *testing.T) {
+	b := newHarness(t, 1000)
+	id, replies := b.planner.Hold(b.now, "w", 2000, b.now.Add(150*time.Millisecond))
+	b.record(replies)
 	for range 10 {
 		b.run(30 * time.Millisecond)
-		for _, r := range b.purse.Borrowing(b.now) {
-			b.note(b.purse.Borrowed(b.now, r, nil, 0))
+		for _, r := range b.planner.DueBorrowRounds(b.now) {
+			b.record(b.planner.CompleteBorrowRound(b.now, r, nil, 0))
 		}
 	}
 	qt.Assert(t, b.answered[id], qt.DeepEquals, []treasurer.Verdict{treasurer.VerdictUnreachable})
 }
 
-// TestStoreOverItsRateIsAskedLess has a store that refuses every change of a grant for its rate, while it takes books. The
+// TestGrantChangesBackOffWhenRateLimited has a store that refuses every change of a grant for its rate, while it takes books. The
 // router spaces its changes out instead of taking the store for lost, and is back to its pace soon after.
-func TestStoreOverItsRateIsAskedLess(t *testing.T) {
-	b := newBench(t, 1000000)
+func TestGrantChangesBackOffWhenRateLimited(t *testing.T) {
+	b := newHarness(t, 1000000)
 	b.run(300 * time.Millisecond)
 	b.hold(1000)
 	changes, refused := 0, true
 	for range 100 {
 		for _, s := range b.plan(30 * time.Millisecond) {
 			if s.Workspace == "" || !refused {
-				b.carryOut(s)
+				b.complete(s)
 				continue
 			}
 			changes++
-			replies, err := b.purse.Done(b.now, s, masticway.RowReading{}, &masticway.UnavailableError{Service: "rows", RateLimited: true})
+			replies, err := b.planner.CompleteStep(b.now, s, masticway.RowReading{}, &masticway.UnavailableError{Service: "rows", RateLimited: true})
 			qt.Assert(t, err, qt.IsNil)
-			b.note(replies)
+			b.record(replies)
 		}
 	}
 	qt.Assert(t, changes > 2 && changes < 15, qt.IsTrue, qt.Commentf("%d changes in 3 s, 30 ms apart they would be 100", changes))
@@ -477,30 +477,30 @@
 	qt.Assert(t, b.answered[id], qt.DeepEquals, []treasurer.Verdict{treasurer.VerdictHeld})
 }
 
-func TestFailingStoreIsProbedByTheBookOnly(t *testing.T) {
-	b := newBench(t, 1000)
+func TestFailingStoreIsProbedByCheckpointOnly(t *testing.T) {
+	b := newHarness(t, 1000)
 	b.hold(100)
 	calls := 0
 	for range 100 {
 		for _, s := range b.plan(30 * time.Millisecond) {
 			calls++
-			replies, _ := b.purse.Done(b.now, s, masticway.RowReading{}, &masticway.UnavailableError{Service: "rows"})
-			b.note(replies)
+			replies, _ := b.planner.CompleteStep(b.now, s, masticway.RowReading{}, &masticway.UnavailableError{Service: "rows"})
+			b.record(replies)
 		}
 	}
 	qt.Assert(t, calls < 40, qt.IsTrue, qt.Commentf("%d calls in 3 s", calls))
 }
 
 func TestReplacedIncarnationIsSealed(t *testing.T) {
-	b := newBench(t, 1000)
-	old := b.purse
+	b := newHarness(t, 1000)
+	old := b.planner
 	b.start("edge~2", 1000)
 	var sealed *masticway.SealedError
 	for range 200 {
 		b.now = b.now.Add(50 * time.Millisecond)
 		for _, s := range old.Plan(b.now) {
 			reading, err := b.rows.Apply(*s.Write)
-			if _, fault := old.Done(b.now, s, reading, err); fault != nil {
+			if _, fault := old.CompleteStep(b.now, s, reading, err); fault != nil {
 				qt.Assert(t, fault, qt.ErrorAs, &sealed)
 				return
 			}
@@ -509,68 +509,68 @@
 	t.Fatal("the old incarnation never noticed")
 }
 
-func TestLoweredBudgetTakesBackWhatIsNotUsed(t *testing.T) {
-	b := newBench(t, 100000)
+func TestLoweredBudgetReturnsUnusedGrant(t *testing.T) {
+	b := newHarness(t, 100000)
 	b.hold(1000)
 	b.run(300 * time.Millisecond)
 	qt.Assert(t, b.account().Grants[b.self].Granted > 1000, qt.IsTrue)
-	b.purse.Configure(2, map[string]masticway.Account{"w": {Workspace: "w", Prepaid: 1500, HasLimit: true}})
+	b.planner.Configure(2, map[string]masticway.Account{"w": {Workspace: "w", Prepaid: 1500, HasLimit: true}})
 	b.run(time.Second)
 	qt.Assert(t, b.account().Grants[b.self].Granted <= 1500, qt.IsTrue, qt.Commentf("%d", b.account().Grants[b.self].Granted))
 }
 
-func TestShutdownLeavesOnlyWhatWasUsed(t *testing.T) {
-	b := newBench(t, 100000)
+func TestShutdownReturnsUnusedGrant(t *testing.T) {
+	b := newHarness(t, 100000)
 	id := b.hold(1000)
 	b.run(300 * time.Millisecond)
-	b.note(b.purse.Settle(b.now, id, 0))
+	b.record(b.planner.Settle(b.now, id, 0))
 	second := b.hold(700)
-	b.note(b.purse.Clear(b.now, second))
+	b.record(b.planner.Clear(b.now, second))
 	b.run(300 * time.Millisecond)
-	b.note(b.purse.Settle(b.now, second, 350))
-	b.purse.Close()
+	b.record(b.planner.Settle(b.now, second, 350))
+	b.planner.Close()
 	for range 100 {
-		if last, ok := b.purse.Final(b.now); ok {
-			b.carryOut(last)
+		if last, ok := b.planner.FinalCheckpoint(b.now); ok {
+			b.complete(last)
 			break
 		}
 		b.run(30 * time.Millisecond)
 	}
 	b.now = b.now.Add(20 * time.Second)
 	b.start("edge~2", 100000)
-	ended := b.purse.Predecessors()
+	ended := b.planner.Predecessors()
 	qt.Assert(t, ended, qt.HasLen, 1)
-	qt.Assert(t, ended[0].Spent["w"], qt.Equals, int64(350))
+	qt.Assert(t, ended[0].MaxSpent["w"], qt.Equals, int64(350))
 	qt.Assert(t, b.account().Grants["edge~1"].Granted, qt.Equals, int64(350))
 }
 
-func TestOlderRowTellsNothing(t *testing.T) {
-	b := newBench(t, 100000)
+func TestOlderRowIsIgnored(t *testing.T) {
+	b := newHarness(t, 100000)
 	b.hold(1000)
 	b.run(300 * time.Millisecond)
-	before := b.purse.Positions()
+	before := b.planner.Positions()
 	old := b.rows.Row(masticway.RowKey{Table: "masticway_accounts", Part: "0", Key: "w"})
 	old.Version--
 	old.Value = []byte(`{"prepaid":100000,"version":1,"grants":{"edge~1":{"granted":90000,"sequence":1}}}`)
-	replies, err := b.purse.Learn(b.now, []masticway.StoredRow{old})
+	replies, err := b.planner.ApplyChanges(b.now, []masticway.StoredRow{old})
 	qt.Assert(t, err, qt.IsNil)
-	b.note(replies)
-	qt.Assert(t, b.purse.Positions(), qt.DeepEquals, before)
+	b.record(replies)
+	qt.Assert(t, b.planner.Positions(), qt.DeepEquals, before)
 }
 
-func TestBookIsWrittenAtOnceWhenTheStoreIsBack(t *testing.T) {
-	b := newBench(t, 1000)
+func TestCheckpointIsWrittenAtOnceAfterOutage(t *testing.T) {
+	b := newHarness(t, 1000)
 	b.hold(100)
 	var failed int
 	for _, s := range b.plan(30 * time.Millisecond) {
 		failed++
-		replies, err := b.purse.Done(b.now, s, masticway.RowReading{}, &masticway.UnavailableError{Service: "rows"})
+		replies, err := b.planner.CompleteStep(b.now, s, masticway.RowReading{}, &masticway.UnavailableError{Service: "rows"})
 		qt.Assert(t, err, qt.IsNil)
-		b.note(replies)
+		b.record(replies)
 	}
 	qt.Assert(t, failed > 0, qt.IsTrue)
 	qt.Assert(t, b.plan(time.Millisecond), qt.HasLen, 0)
-	b.purse.StoreIsBack()
+	b.planner.RetryCheckpoint()
 	steps := b.plan(time.Millisecond)
 	qt.Assert(t, steps, qt.HasLen, 1)
 	qt.Assert(t, steps[0].Part, qt.Equals, "", qt.Commentf("the book goes first"))
--- a/treasurer/rows.go
+++ b/treasurer/rows.go
@@ -13,13 +13,13 @@
 
 // Tables of the money rows.
 const (
-	tableAccounts = "masticway_accounts"
-	tableBooks    = "masticway_books"
-	tableRouters  = "masticway_routers"
+	tableAccounts    = "masticway_accounts"
+	tableCheckpoints = "masticway_books"
+	tableRouters     = "masticway_routers"
 )
 
-// partRouters is the one part that tells of all routers, so that they are counted with one call.
-const partRouters = "routers"
+// routersPart is the one part that tells of all routers, so that they are counted with one call.
+const routersPart = "routers"
 
 // Presence is the row of a running router; At is the store's clock when it was written.
 type Presence struct {
@@ -86,67 +86,69 @@
 	return a
 }
 
-// Promise bounds what an incarnation takes from one workspace until its book is written again.
-type Promise struct {
+// SpendLimit bounds what an incarnation takes from one workspace until its book is written again.
+type SpendLimit struct {
 	Taken int64 `json:"taken"`
 	Burst int64 `json:"burst"`
 	// Rate is in tokens a second since the basis, in place of the burst, if it is more. It grows with the silence, since
 	// routers that are killed are mostly back within a second, and what they promised for longer would be lost. Alone bounds
-	// what it allows before a witness has heard of it, Ahead what it allows until the store has been silent for silentAfter.
-	Rate  int64 `json:"rate"`
-	Alone int64 `json:"alone,omitempty"`
-	Ahead int64 `json:"ahead,omitempty"`
+	// what it allows before a witness has heard of it, Ahead what it allows until the store has been silent for outageThreshold.
+	Rate           int64 `json:"rate"`
+	MaxUnwitnessed int64 `json:"alone,omitempty"`
+	MaxEarly       int64 `json:"ahead,omitempty"`
 }
 
 // bound returns the most that may have been taken so long after the promise's basis.
-func (p Promise) bound(passed time.Duration) int64 {
-	silent := p.silent(passed)
-	if passed < silentAfter {
-		silent = min(silent, p.Ahead)
+func (p SpendLimit) bound(passed time.Duration) int64 {
+	silent := p.rateBound(passed)
+	if passed < outageThreshold {
+		silent = min(silent, p.MaxEarly)
 	}
 	return p.Taken + max(p.Burst, silent)
 }
 
-// unwitnessed returns the part of that of which no witness has heard.
-func (p Promise) unwitnessed(passed time.Duration) int64 {
-	return p.Taken + max(p.Burst, min(p.silent(passed), p.Alone, p.Ahead))
+// unwitnessedBound returns the part of that of which no witness has heard.
+func (p SpendLimit) unwitnessedBound(passed time.Duration) int64 {
+	return p.Taken + max(p.Burst, min(p.rateBound(passed), p.MaxUnwitnessed, p.MaxEarly))
 }
 
-// silent is what the rate comes to after a time.
-func (p Promise) silent(passed time.Duration) int64 { return int64(float64(p.Rate) * passed.Seconds()) }
+// rateBound is what the rate comes to after a time.
+func (p SpendLimit) rateBound(passed time.Duration) int64 {
+	return int64(float64(p.Rate) * passed.Seconds())
+}
 
-// Ended is a dead incarnation whose grants are not all closed yet.
-type Ended struct {
+// EndedIncarnation is a dead incarnation whose grants are not all closed yet.
+type EndedIncarnation struct {
 	Incarnation masticway.Incarnation `json:"incarnation"`
-	// Spent is the most that it may have taken, by workspace, and Written what its last book says without what witnesses
+	// MaxSpent is the most that it may have taken, by workspace, and Written what its last book says without what witnesses
 	// have to hear of.
-	Spent   map[string]int64 `json:"spent"`
-	Written map[string]int64 `json:"written,omitempty"`
+	MaxSpent       map[string]int64 `json:"spent"`
+	MaxUnwitnessed map[string]int64 `json:"written,omitempty"`
 	// Taken is what its last book says without the bursts, and Silence how long after its basis the incarnation may have
 	// lived; they only tell where what is presumed comes from.
-	Taken   map[string]int64 `json:"taken,omitempty"`
-	Silence time.Duration    `json:"silence_ns,omitempty"`
+	Taken      map[string]int64 `json:"taken,omitempty"`
+	SinceBasis time.Duration    `json:"silence_ns,omitempty"`
 	// Witnesses know what it took beyond that, if most can be asked; Sequence is its last book's.
 	Witnesses []Witness `json:"witnesses,omitempty"`
 	Sequence  int64     `json:"sequence,omitempty"`
 }
 
-// Book is the row of one instance.
-type Book struct {
+// Checkpoint is the row of one instance.
+type Checkpoint struct {
 	Incarnation masticway.Incarnation `json:"incarnation"`
 	Sequence    int64                 `json:"sequence"`
 	// Address is where the incarnation listens, which no other process on the machine can at the same time.
 	Address string `json:"address,omitempty"`
 	// Basis is the store's clock at the last write that the writer knew to be made when it sent this one.
-	Basis    time.Duration      `json:"basis_ns"`
-	Promises map[string]Promise `json:"promises,omitempty"`
+	Basis  time.Duration         `json:"basis_ns"`
+	Limits map[string]SpendLimit `json:"promises,omitempty"`
 	// Witnesses remember what the incarnation takes beyond its promises' bursts.
-	Witnesses []Witness `json:"witnesses,omitempty"`
-	Ended     []Ended   `json:"ended,omitempty"`
+	Witnesses []Witness          `json:"witnesses,omitempty"`
+	Ended     []EndedIncarnation `json:"ended,omitempty"`
 }
 
-// start is when and where an incarnation began.
-type start struct {
+// startInfo is when and where an incarnation began.
+type startInfo struct {
 	incarnation masticway.Incarnation
 	address     string
 	// now is the store's clock, listening what it showed at the latest when the incarnation began to listen at its address.
@@ -154,34 +156,34 @@
 	listening time.Duration
 }
 
-// aliveUntil is the store's clock at which the incarnation that wrote a book had ended for certain: before another
+// endedBy is the store's clock at which the incarnation that wrote a book had ended for certain: before another
 // process could listen at its address, or else before its book was taken over.
-func (b Book) aliveUntil(s start) time.Duration {
+func (b Checkpoint) endedBy(s startInfo) time.Duration {
 	if b.Address == "" || b.Address != s.address {
 		return s.now
 	}
 	return min(s.now, s.listening)
 }
 
-// succeeded returns the book of a new incarnation, which closes what the old one left.
-func (b Book) succeeded(s start) Book {
-	ended := append([]Ended(nil), b.Ended...)
-	if len(b.Promises) > 0 {
-		passed := b.aliveUntil(s) - b.Basis
-		spent := make(map[string]int64, len(b.Promises))
-		written := make(map[string]int64, len(b.Promises))
-		taken := make(map[string]int64, len(b.Promises))
-		for workspace, p := range b.Promises {
+// successor returns the book of a new incarnation, which closes what the old one left.
+func (b Checkpoint) successor(s startInfo) Checkpoint {
+	ended := append([]EndedIncarnation(nil), b.Ended...)
+	if len(b.Limits) > 0 {
+		passed := b.endedBy(s) - b.Basis
+		spent := make(map[string]int64, len(b.Limits))
+		written := make(map[string]int64, len(b.Limits))
+		taken := make(map[string]int64, len(b.Limits))
+		for workspace, p := range b.Limits {
 			spent[workspace] = p.bound(passed)
-			written[workspace] = p.unwitnessed(passed)
+			written[workspace] = p.unwitnessedBound(passed)
 			taken[workspace] = p.Taken
 		}
-		ended = append(ended, Ended{
-			Incarnation: b.Incarnation, Spent: spent, Written: written, Taken: taken, Silence: passed, Sequence: b.Sequence,
+		ended = append(ended, EndedIncarnation{
+			Incarnation: b.Incarnation, MaxSpent: spent, MaxUnwitnessed: written, Taken: taken, SinceBasis: passed, Sequence: b.Sequence,
 			Witnesses: b.Witnesses,
 		})
 	}
-	return Book{Incarnation: s.incarnation, Address: s.address, Basis: s.now, Ended: ended}
+	return Checkpoint{Incarnation: s.incarnation, Address: s.address, Basis: s.now, Ended: ended}
 }
 
 // CloseGrant returns the write that ends an incarnation's grant in a workspace's row, and what the grant was. It writes
--- a/treasurer/treasurer.go
+++ b/treasurer/treasurer.go
@@ -25,47 +25,47 @@
 
 // The mechanics of a treasurer: timeouts, pauses and bounds of its calls.
 const (
-	// tick is how often waits and plans are looked at when nothing happens.
-	tick = 50 * time.Millisecond
+	// tickInterval is how often waits and plans are looked at when nothing happens.
+	tickInterval = 50 * time.Millisecond
 	// callTimeout bounds one call to the store.
 	callTimeout = 2 * time.Second
-	// beginPause separates attempts to take over the book.
-	beginPause = 100 * time.Millisecond
-	// closingsAtOnce bounds the grants of a predecessor that are closed at the same time.
-	closingsAtOnce = 6
-	// closingPause is a grant's part of the time over which closings of one row's grants are spread, the store's time for
+	// callRetryInterval separates attempts to take over the book.
+	callRetryInterval = 100 * time.Millisecond
+	// maxConcurrentClosings bounds the grants of a predecessor that are closed at the same time.
+	maxConcurrentClosings = 6
+	// closingInterval is a grant's part of the time over which closings of one row's grants are spread, the store's time for
 	// two writes of one part.
-	closingPause = 10 * time.Millisecond
-	// fewGrants is the number of grants in a row below which one that was given back with a conflict is probably the
+	closingInterval = 10 * time.Millisecond
+	// contendedGrants is the number of grants in a row below which one that was given back with a conflict is probably the
 	// newest yet.
-	fewGrants = 8
-	// followWait is how long one call of the accounts' feed may wait, followPause what separates two calls, and
-	// followPauseEach what is added for each router.
-	followWait      = 5 * time.Second
-	followPause     = 200 * time.Millisecond
-	followPauseEach = 6 * time.Millisecond
-	// repayTimeout and repayTries bound the giving back of a loan.
-	repayTimeout = 500 * time.Millisecond
-	repayTries   = 5
+	contendedGrants = 8
+	// watchWait is how long one call of the accounts' feed may wait, watchInterval what separates two calls, and
+	// watchIntervalPerRouter what is added for each router.
+	watchWait              = 5 * time.Second
+	watchInterval          = 200 * time.Millisecond
+	watchIntervalPerRouter = 6 * time.Millisecond
+	// repayTimeout and maxRepayAttempts bound the giving back of a loan.
+	repayTimeout     = 500 * time.Millisecond
+	maxRepayAttempts = 5
 )
 
 // Names of metrics.
 const (
-	metricSteps       = "money_store_calls"
-	metricFailures    = "money_store_failures"
-	metricConflicts   = "money_conflicts"
-	metricExhausted   = "money_exhausted"
-	metricUnreachable = "money_unreachable"
-	metricMembers     = "routers"
-	metricBorrowed    = "money_borrowed"
-	metricLent        = "money_lent"
-	metricNotRepaid   = "money_not_repaid"
-	metricUnanswered  = "money_asks_unanswered"
-	metricLendShort   = "money_lends_short"
-	metricLendLate    = "money_lends_unpromised"
-	metricStated      = "money_statements"
-	metricRecalled    = "money_recalled"
-	histogramHold     = "money_wait"
+	metricStoreCalls    = "money_store_calls"
+	metricStoreFailures = "money_store_failures"
+	metricConflicts     = "money_conflicts"
+	metricExhausted     = "money_exhausted"
+	metricUnreachable   = "money_unreachable"
+	metricRouters       = "routers"
+	metricBorrowed      = "money_borrowed"
+	metricLent          = "money_lent"
+	metricNotRepaid     = "money_not_repaid"
+	metricUnanswered    = "money_asks_unanswered"
+	metricLendShort     = "money_lends_short"
+	metricLendUncleared = "money_lends_unpromised"
+	metricReports       = "money_statements"
+	metricRecalled      = "money_recalled"
+	histogramHold       = "money_wait"
 )
 
 // Treasurer carries a purse's steps out and answers requests for money.
@@ -83,7 +83,7 @@
 	listeningAt time.Time
 
 	mu      sync.Mutex
-	purse   *Purse
+	planner *Planner
 	waiting map[HoldID]chan Reply
 	members int
 	sealed  bool
@@ -96,9 +96,9 @@
 	// peers are the other routers that can be reached, in the order of their incarnations.
 	peers []Peer
 
-	lender Lender
-	wake   chan struct{}
-	steps  sync.WaitGroup
+	peerClient Lender
+	wake       chan struct{}
+	tasks      sync.WaitGroup
 }
 
 // Lender asks another router for money and gives it back, and has it remember what is taken while the store is silent.
@@ -118,8 +118,8 @@
 func New(store masticway.RowStore, lender Lender, clock masticway.Clock, log *logrus.Entry, metrics *measurer.Set, instance string, s Settings) *Treasurer {
 	s.Incarnation = masticway.NewIncarnation(instance, uuid.NewString()[:8])
 	return &Treasurer{
-		store: store, lender: lender, clock: clock, log: log, metrics: metrics, self: s.Incarnation, parts: s.Parts, address: s.Address, zone: s.Zone, processors: s.Processors, listeningAt: clock.Now(),
-		purse:   NewPurse(s),
+		store: store, peerClient: lender, clock: clock, log: log, metrics: metrics, self: s.Incarnation, parts: s.Parts, address: s.Address, zone: s.Zone, processors: s.Processors, listeningAt: clock.Now(),
+		planner: NewPlanner(s),
 		waiting: map[HoldID]chan Reply{}, wake: make(chan struct{}, 1),
 	}
 }
@@ -160,7 +160,7 @@
 	if len(zone) == 0 {
 		return nil, false
 	}
-	for _, p := range t.rank(of, zone, most) {
+	for _, p := range t.rankPeers(of, zone, most) {
 		if p.Incarnation == t.self {
 			return nil, true
 		}
@@ -178,14 +178,14 @@
 	if !counted {
 		return nil
 	}
-	for _, p := range t.rank(of, peers, most) {
+	for _, p := range t.rankPeers(of, peers, most) {
 		addresses = append(addresses, p.Address)
 	}
 	return addresses
 }
 
-// rank returns the first of some peers and this router.
-func (t *Treasurer) rank(of string, peers []Peer, most int) []Peer {
+// rankPeers returns the first of some peers and this router.
+func (t *Treasurer) rankPeers(of string, peers []Peer, most int) []Peer {
 	self := Peer{Witness: Witness{Incarnation: t.self, Address: t.address}, Zone: t.zone, Processors: t.processors}
 	weights := map[masticway.Incarnation]float64{}
 	all := append(peers, self)
@@ -211,9 +211,9 @@
 // Configure tells what each workspace has paid for.
 func (t *Treasurer) Configure(d masticway.Deployment) {
 	t.mu.Lock()
-	t.purse.Configure(d.Version, d.Accounts)
+	t.planner.Configure(d.Version, d.Accounts)
 	t.mu.Unlock()
-	t.stir()
+	t.wakeUp()
 }
 
 // Hold takes money for a request; it waits at most so long, or until the context ends.
@@ -221,16 +221,16 @@
 	now := t.clock.Now()
 	answer := make(chan Reply, 1)
 	t.mu.Lock()
-	id, replies := t.purse.Hold(now, workspace, need, now.Add(wait))
+	id, replies := t.planner.Hold(now, workspace, need, now.Add(wait))
 	t.waiting[id] = answer
-	t.answer(replies)
+	t.deliver(replies)
 	t.mu.Unlock()
 	select {
 	case r := <-answer:
 		return r
 	default:
 	}
-	t.stir()
+	t.wakeUp()
 	select {
 	case r := <-answer:
 		t.metrics.Observe(histogramHold, workspace, r.Waited)
@@ -246,9 +246,9 @@
 	answer := make(chan Reply, 1)
 	t.mu.Lock()
 	t.waiting[id] = answer
-	t.answer(t.purse.Clear(t.clock.Now(), id))
+	t.deliver(t.planner.Clear(t.clock.Now(), id))
 	t.mu.Unlock()
-	t.stir()
+	t.wakeUp()
 	select {
 	case <-answer:
 		return true
@@ -264,12 +264,12 @@
 func (t *Treasurer) Settle(id HoldID, used int64) {
 	t.mu.Lock()
 	delete(t.waiting, id)
-	t.answer(t.purse.Settle(t.clock.Now(), id, used))
+	t.deliver(t.planner.Settle(t.clock.Now(), id, used))
 	t.mu.Unlock()
 }
 
-// answer hands replies out; the caller holds the lock.
-func (t *Treasurer) answer(replies []Reply) {
+// deliver hands replies out; the caller holds the lock.
+func (t *Treasurer) deliver(replies []Reply) {
 	for _, r := range replies {
 		if c, ok := t.waiting[r.ID]; ok {
 			delete(t.waiting, r.ID)
@@ -284,16 +284,16 @@
 	}
 }
 
-// StoreIsBack tells that the store answers again.
+// RetryCheckpoint tells that the store answers again.
 func (t *Treasurer) StoreIsBack() {
 	t.mu.Lock()
-	t.purse.StoreIsBack()
+	t.planner.RetryCheckpoint()
 	t.mu.Unlock()
-	t.stir()
+	t.wakeUp()
 }
 
-// stir makes the loop plan at once.
-func (t *Treasurer) stir() {
+// wakeUp makes the loop plan at once.
+func (t *Treasurer) wakeUp() {
 	select {
 	case t.wake <- struct{}{}:
 	default:
@@ -302,27 +302,27 @@
 
 // Run takes the book over and keeps the purse going until the context ends.
 func (t *Treasurer) Run(ctx context.Context) {
-	if !t.begin(ctx) {
+	if !t.takeOver(ctx) {
 		return
 	}
 	// Before the first draw, so that a hundred routers that start at once don't all draw for every workspace.
-	t.recount(ctx)
-	t.steps.Go(func() { t.closePredecessors(ctx) })
-	t.steps.Go(func() { t.follow(ctx) })
-	t.steps.Go(func() { t.count(ctx) })
+	t.tryCount(ctx)
+	t.tasks.Go(func() { t.closePredecessors(ctx) })
+	t.tasks.Go(func() { t.watchAccounts(ctx) })
+	t.tasks.Go(func() { t.maintainPresence(ctx) })
 	for ctx.Err() == nil && !t.isSealed() {
-		t.turn(ctx)
+		t.runOnce(ctx)
 		select {
 		case <-ctx.Done():
 		case <-t.wake:
-		case <-t.clock.After(tick):
+		case <-t.clock.After(tickInterval):
 		}
 	}
-	t.steps.Wait()
+	t.tasks.Wait()
 }
 
-// pause waits, at most until the context ends.
-func (t *Treasurer) pause(ctx context.Context, d time.Duration) {
+// sleep waits, at most until the context ends.
+func (t *Treasurer) sleep(ctx context.Context, d time.Duration) {
 	select {
 	case <-ctx.Done():
 	case <-t.clock.After(d):
@@ -335,31 +335,31 @@
 	return t.sealed
 }
 
-// turn ends waits and starts the steps that are due.
-func (t *Treasurer) turn(ctx context.Context) {
+// runOnce ends waits and starts the steps that are due.
+func (t *Treasurer) runOnce(ctx context.Context) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	now := t.clock.Now()
-	t.answer(t.purse.Tick(now))
-	for _, s := range t.purse.Plan(now) {
-		t.steps.Go(func() { _ = t.step(ctx, s) })
+	t.deliver(t.planner.Tick(now))
+	for _, s := range t.planner.Plan(now) {
+		t.tasks.Go(func() { _ = t.runStep(ctx, s) })
 	}
-	for _, s := range t.purse.Statements(now) {
-		t.steps.Go(func() { t.testify(ctx, s) })
+	for _, s := range t.planner.DueReports(now) {
+		t.tasks.Go(func() { t.sendReport(ctx, s) })
 	}
-	for _, r := range t.purse.Borrowing(now) {
-		t.steps.Go(func() { t.borrow(ctx, r) })
+	for _, r := range t.planner.DueBorrowRounds(now) {
+		t.tasks.Go(func() { t.borrow(ctx, r) })
 	}
-	for _, r := range t.purse.Repayments(now) {
-		t.steps.Go(func() { t.repay(ctx, r) })
+	for _, r := range t.planner.DueRepayments(now) {
+		t.tasks.Go(func() { t.repay(ctx, r) })
 	}
 }
 
-// step carries one step out.
-func (t *Treasurer) step(ctx context.Context, s Step) error {
+// runStep carries one step out.
+func (t *Treasurer) runStep(ctx context.Context, s Step) error {
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), callTimeout)
 	defer cancel()
-	t.metrics.Add(metricSteps, 1)
+	t.metrics.Add(metricStoreCalls, 1)
 	var reading masticway.RowReading
 	var err error
 	if s.Write == nil {
@@ -372,12 +372,12 @@
 	if err != nil {
 		t.noteFailure(s, err)
 	}
-	replies, fault := t.purse.Done(t.clock.Now(), s, reading, err)
-	t.answer(replies)
+	replies, fault := t.planner.CompleteStep(t.clock.Now(), s, reading, err)
+	t.deliver(replies)
 	if fault != nil {
-		t.fault(fault)
+		t.seal(fault)
 	}
-	t.stir()
+	t.wakeUp()
 	return err
 }
 
@@ -386,34 +386,34 @@
 		t.metrics.Add(metricConflicts, 1)
 		return
 	}
-	t.metrics.Add(metricFailures, 1)
+	t.metrics.Add(metricStoreFailures, 1)
 	t.log.WithFields(logrus.Fields{"event": "money_step_failed", "part": s.Part, "workspace": s.Workspace, "error": err}).Debug("step failed")
 }
 
-// fault ends the handing out of money; a sealed incarnation may not spend any more.
-func (t *Treasurer) fault(err error) {
+// seal ends the handing out of money; a sealed incarnation may not spend any more.
+func (t *Treasurer) seal(err error) {
 	if t.sealed {
 		return
 	}
 	t.sealed = true
 	t.log.WithFields(logrus.Fields{"event": "money_fault", "incarnation": t.self, "error": err}).Error("money is not handed out any more")
-	t.purse = NewPurse(Settings{Incarnation: t.self, Parts: t.parts})
+	t.planner = NewPlanner(Settings{Incarnation: t.self, Parts: t.parts})
 }
 
 // Close gives the money back and writes the last word into the book; nothing can be held any more.
 func (t *Treasurer) Close(ctx context.Context) {
 	t.mu.Lock()
-	t.purse.Close()
+	t.planner.Close()
 	t.mu.Unlock()
 	for ctx.Err() == nil && !t.isSealed() {
 		t.mu.Lock()
-		last, ok := t.purse.Final(t.clock.Now())
+		last, ok := t.planner.FinalCheckpoint(t.clock.Now())
 		t.mu.Unlock()
-		if ok && t.step(ctx, last) == nil {
+		if ok && t.runStep(ctx, last) == nil {
 			t.log.WithFields(logrus.Fields{"event": "money_closed", "incarnation": t.self}).Info("money given back")
 			return
 		}
-		t.turn(ctx)
-		t.pause(ctx, tick/5)
+		t.runOnce(ctx)
+		t.sleep(ctx, tickInterval/5)
 	}
 }
--- a/treasurer/watch.go
+++ b/treasurer/watch.go
@@ -11,39 +11,39 @@
 )
 
 const (
-	// feedMost is what the feed of all accounts may take of a router's link, in bytes a second: it has every change of every
+	// maxWatchRate is what the feed of all accounts may take of a router's link, in bytes a second: it has every change of every
 	// workspace, so that in a large fleet each router would read what all others write. Above it a router reads only the parts
 	// of the workspaces that it holds, one after the other.
-	feedMost = 60 << 10
-	// firstReads bounds the parts that all routers together read as they start: what the smallest stores answer in two seconds.
-	firstReads = 4000
-	// partsPause is how often each of these parts is read, partsPauseEach what each router adds to it, partsFor how long before
+	maxWatchRate = 60 << 10
+	// maxInitialReads bounds the parts that all routers together read as they start: what the smallest stores answer in two seconds.
+	maxInitialReads = 4000
+	// partsInterval is how often each of these parts is read, partsIntervalPerRouter what each router adds to it, watchRetryInterval how long before
 	// the feed is tried again. What others change meanwhile a holder learns from the conflicts of its own changes.
-	partsPause     = 4 * time.Second
-	partsPauseEach = 30 * time.Millisecond
-	partsFor       = 2 * time.Minute
+	partsInterval          = 4 * time.Second
+	partsIntervalPerRouter = 30 * time.Millisecond
+	watchRetryInterval     = 2 * time.Minute
 )
 
-// follow learns what other routers do to the workspaces, so that reserves shrink in time and money comes back.
-func (t *Treasurer) follow(ctx context.Context) {
+// watchAccounts learns what other routers do to the workspaces, so that reserves shrink in time and money comes back.
+func (t *Treasurer) watchAccounts(ctx context.Context) {
 	for ctx.Err() == nil {
-		t.followFeed(ctx)
-		t.log.WithFields(logrus.Fields{"event": "accounts_by_parts", "for_ms": partsFor.Milliseconds()}).Info("the feed of all accounts takes too much; own parts are read")
-		t.readOwnParts(ctx, t.clock.Now().Add(partsFor))
+		t.watchAllAccounts(ctx)
+		t.log.WithFields(logrus.Fields{"event": "accounts_by_parts", "for_ms": watchRetryInterval.Milliseconds()}).Info("the feed of all accounts takes too much; own parts are read")
+		t.pollOwnParts(ctx, t.clock.Now().Add(watchRetryInterval))
 	}
 }
 
-// followFeed follows the changes of all accounts until the context ends or they take too much.
-func (t *Treasurer) followFeed(ctx context.Context) {
+// watchAllAccounts follows the changes of all accounts until the context ends or they take too much.
+func (t *Treasurer) watchAllAccounts(ctx context.Context) {
 	since := int64(0)
 	read := average{}
 	for ctx.Err() == nil {
 		var reading masticway.RowReading
 		var err error
 		if since == 0 {
-			reading, err = t.readParts(ctx, t.firstParts())
+			reading, err = t.readParts(ctx, t.initialParts())
 		} else {
-			reading, err = t.store.Watch(ctx, masticway.WatchRequest{Table: tableAccounts, Since: since, MaxWait: followWait})
+			reading, err = t.store.Watch(ctx, masticway.WatchRequest{Table: tableAccounts, Since: since, MaxWait: watchWait})
 			read.add(t.clock.Now(), float64(reading.Bytes()))
 		}
 		if _, lost := errors.AsType[*masticway.HistoryLostError](err); lost {
@@ -51,38 +51,38 @@
 		}
 		if err == nil {
 			since = max(since, reading.Version)
-			t.learn(reading.Rows)
+			t.applyChanges(reading.Rows)
 		}
-		if read.sum > feedMost*demandWindow.Seconds() {
+		if read.sum > maxWatchRate*demandWindow.Seconds() {
 			return
 		}
-		t.pause(ctx, followPause+time.Duration(t.Members())*followPauseEach)
+		t.sleep(ctx, watchInterval+time.Duration(t.Members())*watchIntervalPerRouter)
 	}
 }
 
-// readOwnParts reads the parts of the workspaces that this router holds, in turn, until some time.
-func (t *Treasurer) readOwnParts(ctx context.Context, until time.Time) {
+// pollOwnParts reads the parts of the workspaces that this router holds, in turn, until some time.
+func (t *Treasurer) pollOwnParts(ctx context.Context, until time.Time) {
 	for ctx.Err() == nil && t.clock.Now().Before(until) {
 		parts := t.ownParts()
-		pause := max(partsPause, time.Duration(t.Members())*partsPauseEach)
+		pause := max(partsInterval, time.Duration(t.Members())*partsIntervalPerRouter)
 		for _, part := range parts {
 			// A failure is logged, and the part read again in its turn.
-			_ = t.step(ctx, Step{Part: part, sentAt: t.clock.Now()})
-			t.pause(ctx, pause/time.Duration(len(parts)))
+			_ = t.runStep(ctx, Step{Part: part, sentAt: t.clock.Now()})
+			t.sleep(ctx, pause/time.Duration(len(parts)))
 		}
 		if len(parts) == 0 {
-			t.pause(ctx, pause)
+			t.sleep(ctx, pause)
 		}
 	}
 }
 
-// firstParts lists the parts that are read before their changes are followed: all, unless the routers of a large fleet that start
+// initialParts lists the parts that are read before their changes are followed: all, unless the routers of a large fleet that start
 // together would ask the store for too many.
-func (t *Treasurer) firstParts() []string {
+func (t *Treasurer) initialParts() []string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	all, own := t.purse.parts(), t.purse.ownParts()
-	if len(own) == 0 || len(all)*t.members <= firstReads {
+	all, own := t.planner.accountParts(), t.planner.ownParts()
+	if len(own) == 0 || len(all)*t.members <= maxInitialReads {
 		return all
 	}
 	return own
@@ -92,18 +92,18 @@
 func (t *Treasurer) ownParts() []string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.purse.ownParts()
+	return t.planner.ownParts()
 }
 
-func (t *Treasurer) learn(rows []masticway.StoredRow) {
+func (t *Treasurer) applyChanges(rows []masticway.StoredRow) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	replies, err := t.purse.Learn(t.clock.Now(), rows)
-	t.answer(replies)
+	replies, err := t.planner.ApplyChanges(t.clock.Now(), rows)
+	t.deliver(replies)
 	if err != nil {
-		t.fault(err)
+		t.seal(err)
 	}
-	t.stir()
+	t.wakeUp()
 }
 
 // readParts reads some parts of the accounts; the version to follow from is that of the first reading, so that nothing is missed.
@@ -126,8 +126,8 @@
 func (t *Treasurer) logStatus() {
 	fields := logrus.Fields{"event": "money_status"}
 	for _, name := range []string{
-		metricSteps, metricFailures, metricConflicts, metricExhausted, metricUnreachable, metricMembers, metricBorrowed,
-		metricLent, metricNotRepaid, metricUnanswered, metricLendShort, metricLendLate, metricStated, metricRecalled,
+		metricStoreCalls, metricStoreFailures, metricConflicts, metricExhausted, metricUnreachable, metricRouters, metricBorrowed,
+		metricLent, metricNotRepaid, metricUnanswered, metricLendShort, metricLendUncleared, metricReports, metricRecalled,
 	} {
 		fields[name] = t.metrics.Count(name)
 	}
--- a/treasurer/watch_test.go
+++ b/treasurer/watch_test.go
@@ -17,34 +17,34 @@
 	"github.com/masticway/masticway/measurer"
 )
 
-// countedRows is a row store that counts what is read of the accounts.
-type countedRows struct {
+// countingStore is a row store that counts what is read of the accounts.
+type countingStore struct {
 	*emulator.Rows
 	bytes atomic.Int64
 }
 
-func (c *countedRows) Read(ctx context.Context, table, part string) (masticway.RowReading, error) {
+func (c *countingStore) Read(ctx context.Context, table, part string) (masticway.RowReading, error) {
 	return c.count(c.Rows.Read(ctx, table, part))
 }
 
-func (c *countedRows) Watch(ctx context.Context, f masticway.WatchRequest) (masticway.RowReading, error) {
+func (c *countingStore) Watch(ctx context.Context, f masticway.WatchRequest) (masticway.RowReading, error) {
 	return c.count(c.Rows.Watch(ctx, f))
 }
 
-func (c *countedRows) count(reading masticway.RowReading, err error) (masticway.RowReading, error) {
+func (c *countingStore) count(reading masticway.RowReading, err error) (masticway.RowReading, error) {
 	c.bytes.Add(reading.Bytes())
 	return reading, err
 }
 
-// TestAccountsAreReadByThoseThatHoldThem has a router follow the accounts while routers of a fleet change their grants, twice a second
+// TestLargeFleetReadsOnlyHeldParts has a router follow the accounts while routers of a fleet change their grants, twice a second
 // for each. Where every router reads what all others write, that is 115 kB a second for each of 356 routers.
-func TestAccountsAreReadByThoseThatHoldThem(t *testing.T) {
+func TestLargeFleetReadsOnlyHeldParts(t *testing.T) {
 	perSecond := map[int]float64{}
 	for _, routers := range []int{30, 100, 400} {
 		synctest.Test(t, func(t *testing.T) {
 			log := logrus.New()
 			log.SetOutput(io.Discard)
-			store := &countedRows{Rows: emulator.NewRows(time.Now)}
+			store := &countingStore{Rows: emulator.NewRows(time.Now)}
 			ctx, stop := context.WithCancel(t.Context())
 			r := New(store, nil, emulator.SteadyClock{}, logrus.NewEntry(log), measurer.New(), "edge-0", Settings{Address: "0", Parts: 64, Holders: 6, Zone: "z"})
 			accounts := map[string]masticway.Account{}
@@ -52,18 +52,18 @@
 				name := fmt.Sprintf("w%d", i)
 				accounts[name] = masticway.Account{Workspace: name, Prepaid: 1_000_000, HasLimit: true}
 			}
-			r.purse.Configure(1, accounts)
+			r.planner.Configure(1, accounts)
 			var peers []Peer
 			for i := 1; i < routers; i++ {
 				peers = append(peers, Peer{Witness: Witness{Incarnation: masticway.NewIncarnation(fmt.Sprintf("edge-%d", i), "1"), Address: fmt.Sprint(i)}, Zone: "z"})
 			}
-			r.purse.Count(routers, peers)
+			r.planner.SetPeers(routers, peers)
 			r.members, r.peers = routers, peers
 			go changeGrants(ctx, store, peers)
 			done := make(chan struct{})
 			go func() {
 				defer close(done)
-				r.follow(ctx)
+				r.watchAccounts(ctx)
 			}()
 			time.Sleep(20 * time.Second)
 			before := store.bytes.Load()
@@ -80,7 +80,7 @@
 }
 
 // changeGrants has as many workspaces as there are routers change their rows twice a second each.
-func changeGrants(ctx context.Context, store *countedRows, holders []Peer) {
+func changeGrants(ctx context.Context, store *countingStore, holders []Peer) {
 	const perRouter = 2
 	for n := 0; ctx.Err() == nil; n++ {
 		workspace := fmt.Sprintf("w%d", n%len(holders))
--- a/treasurer/witness.go
+++ b/treasurer/witness.go
@@ -10,14 +10,14 @@
 )
 
 const (
-	// witnessesNamed is how many other routers a book names. While the store is silent most of them have to have taken a
+	// maxWitnesses is how many other routers a book names. While the store is silent most of them have to have taken a
 	// statement before more goes out than the book says, so that a successor needs to ask only some: of three, two each.
 	// With two, of which one had to hear and both to be asked, a router that was restarted in a cut while another one was
 	// cost its workspace 10% of a budget.
-	witnessesNamed = 3
-	// unheardAfter is how long most witnesses may leave a statement without an answer before requests are admitted only by
+	maxWitnesses = 3
+	// unackedTimeout is how long most witnesses may leave a statement without an answer before requests are admitted only by
 	// what they have heard: two statements that time out, after which callers would wait for nothing.
-	unheardAfter = 300 * time.Millisecond
+	unackedTimeout = 300 * time.Millisecond
 )
 
 // Witness is a router that remembers what another one states while the store is silent.
@@ -51,55 +51,55 @@
 	Stated map[string]Stated `cbor:"2,keyasint"`
 }
 
-// testimony is what a witness remembers of one issuer.
-type testimony struct {
-	stated map[string]Stated
-	// over tells that a successor has asked; what the issuer states from then on is refused.
-	over bool
+// issuerReports is what a witness remembers of one issuer.
+type issuerReports struct {
+	reported map[string]Stated
+	// ended tells that a successor has asked; what the issuer states from then on is refused.
+	ended bool
 }
 
-// Testified takes another router's statement; it returns false when the issuer has ended or means another witness.
-func (p *Purse) Testified(s Statement) bool {
-	known := p.testimonies[s.Issuer]
-	if s.Witness != p.settings.Incarnation || known.over {
+// AcceptReport takes another router's statement; it returns false when the issuer has ended or means another witness.
+func (p *Planner) AcceptReport(s Statement) bool {
+	known := p.peerReports[s.Issuer]
+	if s.Witness != p.settings.Incarnation || known.ended {
 		return false
 	}
-	if known.stated == nil {
-		known.stated = map[string]Stated{}
+	if known.reported == nil {
+		known.reported = map[string]Stated{}
 	}
-	maps.DeleteFunc(known.stated, func(_ string, old Stated) bool { return old.Book < s.Oldest })
+	maps.DeleteFunc(known.reported, func(_ string, old Stated) bool { return old.Book < s.Oldest })
 	for workspace, taken := range s.Taken {
 		// One that was overtaken on the way must not make the newer one look as old as itself.
-		old := known.stated[workspace]
-		known.stated[workspace] = Stated{Taken: max(taken, old.Taken), Book: max(s.Newest, old.Book)}
+		old := known.reported[workspace]
+		known.reported[workspace] = Stated{Taken: max(taken, old.Taken), Book: max(s.Newest, old.Book)}
 	}
-	p.testimonies[s.Issuer] = known
+	p.peerReports[s.Issuer] = known
 	return true
 }
 
-// Recall tells a successor what an ended incarnation has stated to a witness, and takes no statement of it any more.
-func (p *Purse) Recall(witness, ended masticway.Incarnation) Recollection {
+// FinalReports tells a successor what an ended incarnation has stated to a witness, and takes no statement of it any more.
+func (p *Planner) FinalReports(witness, ended masticway.Incarnation) Recollection {
 	if witness != p.settings.Incarnation {
 		return Recollection{}
 	}
-	known := p.testimonies[ended]
-	known.over = true
-	p.testimonies[ended] = known
-	return Recollection{Same: true, Stated: maps.Clone(known.stated)}
+	known := p.peerReports[ended]
+	known.ended = true
+	p.peerReports[ended] = known
+	return Recollection{Same: true, Stated: maps.Clone(known.reported)}
 }
 
-// witnesses names the routers that follow this one in their order, which spreads the work evenly.
-func (p *Purse) witnesses() []Witness {
+// chooseWitnesses names the routers that follow this one in their order, which spreads the work evenly.
+func (p *Planner) chooseWitnesses() []Witness {
 	var others []Witness
 	for _, o := range p.peers {
 		others = append(others, o.Witness)
 	}
-	slices.SortFunc(others, func(x, y Witness) int { return compareFrom(p.settings.Incarnation, x.Incarnation, y.Incarnation) })
-	return others[:min(len(others), witnessesNamed)]
+	slices.SortFunc(others, func(x, y Witness) int { return compareCircular(p.settings.Incarnation, x.Incarnation, y.Incarnation) })
+	return others[:min(len(others), maxWitnesses)]
 }
 
-// compareFrom orders incarnations in a circle that begins behind one of them.
-func compareFrom(begin, x, y masticway.Incarnation) int {
+// compareCircular orders incarnations in a circle that begins behind one of them.
+func compareCircular(begin, x, y masticway.Incarnation) int {
 	if (x > begin) != (y > begin) {
 		if x > begin {
 			return -1
@@ -109,54 +109,54 @@
 	return cmp.Compare(x, y)
 }
 
-// bookLate tells that the store does not take the book as it usually does, so that what waits for it goes to the witnesses.
-func (p *Purse) bookLate(now time.Time) bool {
-	return !p.failingSince.IsZero() || p.bookBusy && now.Sub(p.bookAt) > slowAnswer
+// isCheckpointLate tells that the store does not take the book as it usually does, so that what waits for it goes to the witnesses.
+func (p *Planner) isCheckpointLate(now time.Time) bool {
+	return !p.failingSince.IsZero() || p.checkpointInFlight && now.Sub(p.checkpointSentAt) > slowStoreLatency
 }
 
-// unpromised is the most that has been taken of each workspace for which an answer waits for a promise.
-func (p *Purse) unpromised(now time.Time) map[string]int64 {
+// unclearedTaken is the most that has been taken of each workspace for which an answer waits for a promise.
+func (p *Planner) unclearedTaken(now time.Time) map[string]int64 {
 	taken := map[string]int64{}
 	for workspace, a := range p.accounts {
-		stated := min(a.taken, p.expected(now, a))
-		if len(a.gates) > 0 && stated > p.promised(now, a) {
+		stated := min(a.taken, p.expectedLimit(now, a))
+		if len(a.awaitingClearance) > 0 && stated > p.currentLimit(now, a) {
 			taken[workspace] = stated
 		}
 	}
 	return taken
 }
 
-// Statements returns what to tell the witnesses now: what waits for a promise that the silent store cannot take.
-func (p *Purse) Statements(now time.Time) []Statement {
+// DueReports returns what to tell the witnesses now: what waits for a promise that the silent store cannot take.
+func (p *Planner) DueReports(now time.Time) []Statement {
 	var taken map[string]int64
-	if p.bookLate(now) {
-		taken = p.unpromised(now)
+	if p.isCheckpointLate(now) {
+		taken = p.unclearedTaken(now)
 	}
 	if len(taken) == 0 {
-		p.statedAt = time.Time{}
+		p.unackedSince = time.Time{}
 		return nil
 	}
-	if p.statedAt.IsZero() {
-		p.statedAt = now
+	if p.unackedSince.IsZero() {
+		p.unackedSince = now
 	}
 	var due []Statement
-	for _, w := range p.named() {
-		if p.testifying[w.Incarnation] {
+	for _, w := range p.currentWitnesses() {
+		if p.reportsInFlight[w.Incarnation] {
 			continue
 		}
-		p.testifying[w.Incarnation] = true
+		p.reportsInFlight[w.Incarnation] = true
 		due = append(due, Statement{
 			Issuer: p.settings.Incarnation, Witness: w.Incarnation, Address: w.Address,
-			Oldest: p.inForce[0].sequence, Newest: p.book.Sequence, Taken: taken,
+			Oldest: p.limitsInForce[0].sequence, Newest: p.checkpoint.Sequence, Taken: taken,
 		})
 	}
 	return due
 }
 
-// named lists the witnesses of all books that the store may have.
-func (p *Purse) named() []Witness {
+// currentWitnesses lists the witnesses of all books that the store may have.
+func (p *Planner) currentWitnesses() []Witness {
 	var all []Witness
-	for _, f := range p.inForce {
+	for _, f := range p.limitsInForce {
 		for _, w := range f.witnesses {
 			if !slices.Contains(all, w) {
 				all = append(all, w)
@@ -166,46 +166,46 @@
 	return all
 }
 
-// Witnessed notes whether a witness has taken a statement, and returns the requests that this answers.
-func (p *Purse) Witnessed(now time.Time, s Statement, taken bool) []Reply {
-	delete(p.testifying, s.Witness)
+// CompleteReport notes whether a witness has taken a statement, and returns the requests that this answers.
+func (p *Planner) CompleteReport(now time.Time, s Statement, taken bool) []Reply {
+	delete(p.reportsInFlight, s.Witness)
 	if !taken {
 		return nil
 	}
-	for _, f := range p.inForce {
+	for _, f := range p.limitsInForce {
 		// A book that was sent after the statement was made is not one that it speaks of.
 		if f.sequence <= s.Newest {
-			f.hear(s)
+			f.recordAck(s)
 		}
 	}
-	if p.believed(now, s) {
-		p.statedAt = time.Time{}
+	if p.isAcked(now, s) {
+		p.unackedSince = time.Time{}
 	}
 	return p.Tick(now)
 }
 
-// hear notes what a witness of the book has taken.
-func (f inForce) hear(s Statement) {
+// recordAck notes what a witness of the book has taken.
+func (f checkpointLimits) recordAck(s Statement) {
 	if !slices.ContainsFunc(f.witnesses, func(w Witness) bool { return w.Incarnation == s.Witness }) {
 		return
 	}
-	known, ok := f.heard[s.Witness]
+	known, ok := f.acked[s.Witness]
 	if !ok {
 		known = map[string]int64{}
-		f.heard[s.Witness] = known
+		f.acked[s.Witness] = known
 	}
 	for workspace, amount := range s.Taken {
 		known[workspace] = max(known[workspace], amount)
 	}
 }
 
-// witnessed is what most witnesses of the book have heard of a workspace.
-func (f inForce) witnessed(workspace string) int64 {
+// quorumTaken is what most witnesses of the book have heard of a workspace.
+func (f checkpointLimits) quorumTaken(workspace string) int64 {
 	var heard []int64
-	for _, known := range f.heard {
+	for _, known := range f.acked {
 		heard = append(heard, known[workspace])
 	}
-	most := majority(len(f.witnesses))
+	most := quorum(len(f.witnesses))
 	if len(heard) < most {
 		return 0
 	}
@@ -213,42 +213,42 @@
 	return heard[len(heard)-most]
 }
 
-// majority is how many of a book's witnesses have to hear of something before it may go out.
-func majority(named int) int { return named/2 + 1 }
+// quorum is how many of a book's witnesses have to hear of something before it may go out.
+func quorum(named int) int { return named/2 + 1 }
 
-// believed tells that enough witnesses have heard of all that a statement says.
-func (p *Purse) believed(now time.Time, s Statement) bool {
+// isAcked tells that enough witnesses have heard of all that a statement says.
+func (p *Planner) isAcked(now time.Time, s Statement) bool {
 	for workspace, amount := range s.Taken {
-		if a, ok := p.accounts[workspace]; ok && p.promised(now, a) < amount {
+		if a, ok := p.accounts[workspace]; ok && p.currentLimit(now, a) < amount {
 			return false
 		}
 	}
 	return true
 }
 
-// unheard tells that most witnesses have not answered a statement for a while.
-func (p *Purse) unheard(now time.Time) bool {
-	return !p.statedAt.IsZero() && now.Sub(p.statedAt) > unheardAfter
+// areReportsUnacked tells that most witnesses have not answered a statement for a while.
+func (p *Planner) areReportsUnacked(now time.Time) bool {
+	return !p.unackedSince.IsZero() && now.Sub(p.unackedSince) > unackedTimeout
 }
 
-// Enough tells that so many of the named witnesses have answered that one of them has heard of whatever went out.
-func (e Ended) Enough(recalled []Recollection) bool {
+// HasQuorum tells that so many of the named witnesses have answered that one of them has heard of whatever went out.
+func (e EndedIncarnation) HasQuorum(recalled []Recollection) bool {
 	same := 0
 	for _, r := range recalled {
 		if r.Same {
 			same++
 		}
 	}
-	return same > len(e.Witnesses)-majority(len(e.Witnesses))
+	return same > len(e.Witnesses)-quorum(len(e.Witnesses))
 }
 
-// Known returns the most that an ended incarnation has taken, by workspace: what its last book says and its witnesses
+// PresumedSpent returns the most that an ended incarnation has taken, by workspace: what its last book says and its witnesses
 // remember, once enough of these have been asked. What they remember of books before its last one is in that book.
-func (e Ended) Known(recalled []Recollection) map[string]int64 {
-	if len(e.Witnesses) == 0 || !e.Enough(recalled) {
-		return e.Spent
+func (e EndedIncarnation) PresumedSpent(recalled []Recollection) map[string]int64 {
+	if len(e.Witnesses) == 0 || !e.HasQuorum(recalled) {
+		return e.MaxSpent
 	}
-	known := maps.Clone(e.Written)
+	known := maps.Clone(e.MaxUnwitnessed)
 	for _, r := range recalled {
 		for workspace, s := range r.Stated {
 			if r.Same && s.Book >= e.Sequence {
--- a/treasurer/witness_test.go
+++ b/treasurer/witness_test.go
@@ -11,43 +11,43 @@
 	"github.com/masticway/masticway/treasurer"
 )
 
-// silentBench has a purse with a grant, three witnesses, and a store that is about to become silent.
-func silentBench(t *testing.T) (*bench, map[string]*treasurer.Purse) {
-	b := newBench(t, 1_000_000)
-	witnesses := map[string]*treasurer.Purse{}
+// newOutageHarness has a purse with a grant, three witnesses, and a store that is about to become silent.
+func newOutageHarness(t *testing.T) (*harness, map[string]*treasurer.Planner) {
+	b := newHarness(t, 1_000_000)
+	witnesses := map[string]*treasurer.Planner{}
 	named := []treasurer.Peer{{Witness: treasurer.Witness{Incarnation: "edge~1"}}}
 	for _, instance := range []string{"one", "two", "three"} {
 		i := masticway.NewIncarnation(instance, "1")
-		witnesses[instance] = treasurer.NewPurse(treasurer.Settings{Incarnation: i, Parts: 1})
+		witnesses[instance] = treasurer.NewPlanner(treasurer.Settings{Incarnation: i, Parts: 1})
 		named = append(named, treasurer.Peer{Witness: treasurer.Witness{Incarnation: i, Address: instance}})
 	}
-	b.purse.Count(4, named)
+	b.planner.SetPeers(4, named)
 	for range 10 {
 		id := b.hold(100)
 		b.run(150 * time.Millisecond)
-		b.note(b.purse.Clear(b.now, id))
-		b.note(b.purse.Settle(b.now, id, 100))
+		b.record(b.planner.Clear(b.now, id))
+		b.record(b.planner.Settle(b.now, id, 100))
 	}
 	b.run(500 * time.Millisecond)
 	return b, witnesses
 }
 
-// silence lets the store fail for a while, with a request that waits for its promise.
-func silence(b *bench, d time.Duration) treasurer.HoldID {
+// simulateOutage lets the store fail for a while, with a request that waits for its promise.
+func simulateOutage(b *harness, d time.Duration) treasurer.HoldID {
 	var id treasurer.HoldID
 	for ; d > 0; d -= 30 * time.Millisecond {
 		for _, s := range b.plan(30 * time.Millisecond) {
-			replies, err := b.purse.Done(b.now, s, masticway.RowReading{}, &masticway.UnavailableError{Service: "rows"})
+			replies, err := b.planner.CompleteStep(b.now, s, masticway.RowReading{}, &masticway.UnavailableError{Service: "rows"})
 			qt.Assert(b.t, err, qt.IsNil)
-			b.note(replies)
+			b.record(replies)
 		}
 	}
 	id = b.hold(100)
-	b.note(b.purse.Clear(b.now, id))
+	b.record(b.planner.Clear(b.now, id))
 	return id
 }
 
-func TestNothingGoesOutBeforeAWitnessHasHeardOfIt(t *testing.T) {
+func TestClearNeedsWitnessQuorum(t *testing.T) {
 	cases := map[string]struct {
 		taken   []bool
 		cleared bool
@@ -62,15 +62,15 @@
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
-			b, _ := silentBench(t)
-			id := silence(b, 3*time.Second)
+			b, _ := newOutageHarness(t)
+			id := simulateOutage(b, 3*time.Second)
 			qt.Assert(t, b.answered[id], qt.DeepEquals, []treasurer.Verdict{treasurer.VerdictHeld})
-			statements := b.purse.Statements(b.now)
+			statements := b.planner.DueReports(b.now)
 			qt.Assert(t, statements, qt.HasLen, 3)
 			qt.Assert(t, statements[0].Taken["w"] >= 1100, qt.IsTrue)
-			qt.Assert(t, b.purse.Statements(b.now), qt.HasLen, 0, qt.Commentf("each witness is told one thing at a time"))
+			qt.Assert(t, b.planner.DueReports(b.now), qt.HasLen, 0, qt.Commentf("each witness is told one thing at a time"))
 			for i, taken := range tc.taken {
-				b.note(b.purse.Witnessed(b.now, statements[i], taken))
+				b.record(b.planner.CompleteReport(b.now, statements[i], taken))
 			}
 			got := len(b.answered[id]) == 2
 			qt.Assert(t, got, qt.Equals, tc.cleared)
@@ -78,35 +78,35 @@
 	}
 }
 
-func TestMostWitnessesHaveToHearOfEachAmount(t *testing.T) {
-	b, _ := silentBench(t)
-	silence(b, 3*time.Second)
-	for _, s := range b.purse.Statements(b.now)[:2] {
-		b.note(b.purse.Witnessed(b.now, s, true))
+func TestQuorumIsCountedPerAmount(t *testing.T) {
+	b, _ := newOutageHarness(t)
+	simulateOutage(b, 3*time.Second)
+	for _, s := range b.planner.DueReports(b.now)[:2] {
+		b.record(b.planner.CompleteReport(b.now, s, true))
 	}
 	id := b.hold(100)
-	b.note(b.purse.Clear(b.now, id))
+	b.record(b.planner.Clear(b.now, id))
 	qt.Assert(t, b.answered[id], qt.DeepEquals, []treasurer.Verdict{treasurer.VerdictHeld})
-	again := b.purse.Statements(b.now)
+	again := b.planner.DueReports(b.now)
 	qt.Assert(t, again, qt.HasLen, 2, qt.Commentf("the third witness has not answered yet"))
-	b.note(b.purse.Witnessed(b.now, again[0], true))
+	b.record(b.planner.CompleteReport(b.now, again[0], true))
 	qt.Assert(t, b.answered[id], qt.HasLen, 1)
-	b.note(b.purse.Witnessed(b.now, again[1], true))
+	b.record(b.planner.CompleteReport(b.now, again[1], true))
 	qt.Assert(t, b.answered[id], qt.HasLen, 2)
 }
 
-func TestRequestsAreAdmittedByWhatWasStatedOnceWitnessesAreSilent(t *testing.T) {
-	b, _ := silentBench(t)
-	silence(b, 3*time.Second)
-	qt.Assert(t, b.purse.Statements(b.now), qt.HasLen, 3)
+func TestUnackedReportsLimitAdmission(t *testing.T) {
+	b, _ := newOutageHarness(t)
+	simulateOutage(b, 3*time.Second)
+	qt.Assert(t, b.planner.DueReports(b.now), qt.HasLen, 3)
 	b.now = b.now.Add(500 * time.Millisecond)
 	id := b.hold(100)
 	b.now = b.now.Add(2 * time.Minute)
-	b.note(b.purse.Tick(b.now))
+	b.record(b.planner.Tick(b.now))
 	qt.Assert(t, b.answered[id], qt.DeepEquals, []treasurer.Verdict{treasurer.VerdictUnreachable})
 }
 
-func TestSuccessorBelievesItsPredecessorsWitnesses(t *testing.T) {
+func TestSuccessorUsesWitnessRecords(t *testing.T) {
 	cases := map[string]struct {
 		// told are the witnesses that hear the statement, restarted those that have lost their memory, silent those that
 		// cannot be asked.
@@ -127,15 +127,15 @@
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
-			b, witnesses := silentBench(t)
-			silence(b, 3*time.Second)
-			for _, s := range b.purse.Statements(b.now) {
+			b, witnesses := newOutageHarness(t)
+			simulateOutage(b, 3*time.Second)
+			for _, s := range b.planner.DueReports(b.now) {
 				if slices.Contains(tc.told, s.Witness.Instance()) {
-					qt.Assert(t, witnesses[s.Witness.Instance()].Testified(s), qt.IsTrue)
+					qt.Assert(t, witnesses[s.Witness.Instance()].AcceptReport(s), qt.IsTrue)
 				}
 			}
 			b.start("edge~2", 1_000_000)
-			ended := b.purse.Predecessors()
+			ended := b.planner.Predecessors()
 			qt.Assert(t, ended, qt.HasLen, 1)
 			var recalled []treasurer.Recollection
 			for _, w := range ended[0].Witnesses {
@@ -145,13 +145,13 @@
 				}
 				p := witnesses[instance]
 				if slices.Contains(tc.restarted, instance) {
-					p = treasurer.NewPurse(treasurer.Settings{Incarnation: masticway.NewIncarnation(instance, "2"), Parts: 1})
+					p = treasurer.NewPlanner(treasurer.Settings{Incarnation: masticway.NewIncarnation(instance, "2"), Parts: 1})
 				}
-				recalled = append(recalled, p.Recall(w.Incarnation, ended[0].Incarnation))
+				recalled = append(recalled, p.FinalReports(w.Incarnation, ended[0].Incarnation))
 			}
-			known := ended[0].Known(recalled)["w"]
+			known := ended[0].PresumedSpent(recalled)["w"]
 			if tc.presumed {
-				qt.Assert(t, known, qt.Equals, ended[0].Spent["w"])
+				qt.Assert(t, known, qt.Equals, ended[0].MaxSpent["w"])
 				qt.Assert(t, known > 1100, qt.IsTrue)
 				return
 			}
@@ -160,64 +160,64 @@
 	}
 }
 
-func TestWitnessTakesNothingMoreOnceASuccessorHasAsked(t *testing.T) {
-	w := treasurer.NewPurse(treasurer.Settings{Incarnation: "one~1", Parts: 1})
+func TestWitnessRefusesReportsAfterFinalReports(t *testing.T) {
+	w := treasurer.NewPlanner(treasurer.Settings{Incarnation: "one~1", Parts: 1})
 	s := treasurer.Statement{Issuer: "edge~1", Witness: "one~1", Newest: 3, Taken: map[string]int64{"w": 5}}
-	qt.Assert(t, w.Testified(s), qt.IsTrue)
-	qt.Assert(t, w.Recall("one~1", "edge~1"), qt.DeepEquals, treasurer.Recollection{Same: true, Stated: map[string]treasurer.Stated{"w": {Taken: 5, Book: 3}}})
-	qt.Assert(t, w.Testified(s), qt.IsFalse)
+	qt.Assert(t, w.AcceptReport(s), qt.IsTrue)
+	qt.Assert(t, w.FinalReports("one~1", "edge~1"), qt.DeepEquals, treasurer.Recollection{Same: true, Stated: map[string]treasurer.Stated{"w": {Taken: 5, Book: 3}}})
+	qt.Assert(t, w.AcceptReport(s), qt.IsFalse)
 	s.Issuer, s.Witness = "edge~2", "one~0"
-	qt.Assert(t, w.Testified(s), qt.IsFalse, qt.Commentf("it was meant for an earlier incarnation"))
-	qt.Assert(t, w.Recall("one~0", "edge~2").Same, qt.IsFalse)
+	qt.Assert(t, w.AcceptReport(s), qt.IsFalse, qt.Commentf("it was meant for an earlier incarnation"))
+	qt.Assert(t, w.FinalReports("one~0", "edge~2").Same, qt.IsFalse)
 }
 
-func TestStatementThatComesLateTakesNothingBack(t *testing.T) {
-	w := treasurer.NewPurse(treasurer.Settings{Incarnation: "one~1", Parts: 1})
+func TestLateReportLowersNothing(t *testing.T) {
+	w := treasurer.NewPlanner(treasurer.Settings{Incarnation: "one~1", Parts: 1})
 	late := treasurer.Statement{Issuer: "edge~1", Witness: "one~1", Oldest: 7, Newest: 8, Taken: map[string]int64{"w": 50}}
 	newer := treasurer.Statement{Issuer: "edge~1", Witness: "one~1", Oldest: 9, Newest: 10, Taken: map[string]int64{"w": 90}}
-	qt.Assert(t, w.Testified(newer), qt.IsTrue)
-	qt.Assert(t, w.Testified(late), qt.IsTrue)
-	ended := treasurer.Ended{
-		Spent: map[string]int64{"w": 500}, Written: map[string]int64{"w": 40}, Sequence: 10,
+	qt.Assert(t, w.AcceptReport(newer), qt.IsTrue)
+	qt.Assert(t, w.AcceptReport(late), qt.IsTrue)
+	ended := treasurer.EndedIncarnation{
+		MaxSpent: map[string]int64{"w": 500}, MaxUnwitnessed: map[string]int64{"w": 40}, Sequence: 10,
 		Witnesses: []treasurer.Witness{{Incarnation: "one~1"}},
 	}
-	qt.Assert(t, ended.Known([]treasurer.Recollection{w.Recall("one~1", "edge~1")}), qt.DeepEquals, map[string]int64{"w": 90})
+	qt.Assert(t, ended.PresumedSpent([]treasurer.Recollection{w.FinalReports("one~1", "edge~1")}), qt.DeepEquals, map[string]int64{"w": 90})
 }
 
-func TestStatementDoesNotSpeakForALaterBook(t *testing.T) {
-	b, _ := silentBench(t)
-	first := silence(b, 3*time.Second)
-	statements := b.purse.Statements(b.now)
+func TestReportDoesNotCountForLaterCheckpoint(t *testing.T) {
+	b, _ := newOutageHarness(t)
+	first := simulateOutage(b, 3*time.Second)
+	statements := b.planner.DueReports(b.now)
 	// The request gets nothing, the store has the next book at last, and then is silent again.
-	b.note(b.purse.Settle(b.now, first, 0))
+	b.record(b.planner.Settle(b.now, first, 0))
 	b.run(300 * time.Millisecond)
-	qt.Assert(t, b.purse.Statements(b.now), qt.HasLen, 0)
-	id := silence(b, 3*time.Second)
+	qt.Assert(t, b.planner.DueReports(b.now), qt.HasLen, 0)
+	id := simulateOutage(b, 3*time.Second)
 	for _, s := range statements {
-		b.note(b.purse.Witnessed(b.now, s, true))
+		b.record(b.planner.CompleteReport(b.now, s, true))
 	}
-	b.note(b.purse.Clear(b.now, id))
+	b.record(b.planner.Clear(b.now, id))
 	qt.Assert(t, b.answered[id], qt.DeepEquals, []treasurer.Verdict{treasurer.VerdictHeld})
 }
 
-func TestStatementsOfBooksThatAreGoneAreForgotten(t *testing.T) {
-	w := treasurer.NewPurse(treasurer.Settings{Incarnation: "one~1", Parts: 1})
+func TestReportsOfReplacedCheckpointsAreDropped(t *testing.T) {
+	w := treasurer.NewPlanner(treasurer.Settings{Incarnation: "one~1", Parts: 1})
 	first := treasurer.Statement{Issuer: "edge~1", Witness: "one~1", Oldest: 2, Newest: 3, Taken: map[string]int64{"v": 50, "w": 70}}
 	other := treasurer.Statement{Issuer: "edge~1", Witness: "one~1", Oldest: 2, Newest: 3, Taken: map[string]int64{"v": 60}}
 	second := treasurer.Statement{Issuer: "edge~1", Witness: "one~1", Oldest: 4, Newest: 4, Taken: map[string]int64{"w": 20}}
-	qt.Assert(t, w.Testified(first), qt.IsTrue)
-	qt.Assert(t, w.Testified(other), qt.IsTrue)
-	qt.Assert(t, w.Recall("one~1", "edge~1").Stated["w"], qt.Equals, treasurer.Stated{Taken: 70, Book: 3})
-	w = treasurer.NewPurse(treasurer.Settings{Incarnation: "one~1", Parts: 1})
-	qt.Assert(t, w.Testified(first), qt.IsTrue)
-	qt.Assert(t, w.Testified(second), qt.IsTrue)
-	r := w.Recall("one~1", "edge~1")
+	qt.Assert(t, w.AcceptReport(first), qt.IsTrue)
+	qt.Assert(t, w.AcceptReport(other), qt.IsTrue)
+	qt.Assert(t, w.FinalReports("one~1", "edge~1").Stated["w"], qt.Equals, treasurer.Stated{Taken: 70, Book: 3})
+	w = treasurer.NewPlanner(treasurer.Settings{Incarnation: "one~1", Parts: 1})
+	qt.Assert(t, w.AcceptReport(first), qt.IsTrue)
+	qt.Assert(t, w.AcceptReport(second), qt.IsTrue)
+	r := w.FinalReports("one~1", "edge~1")
 	qt.Assert(t, r.Stated, qt.DeepEquals, map[string]treasurer.Stated{"w": {Taken: 20, Book: 4}})
-	ended := treasurer.Ended{
-		Spent: map[string]int64{"w": 100}, Written: map[string]int64{"w": 15}, Sequence: 5,
+	ended := treasurer.EndedIncarnation{
+		MaxSpent: map[string]int64{"w": 100}, MaxUnwitnessed: map[string]int64{"w": 15}, Sequence: 5,
 		Witnesses: []treasurer.Witness{{Incarnation: "one~1"}},
 	}
-	qt.Assert(t, ended.Known([]treasurer.Recollection{r}), qt.DeepEquals, map[string]int64{"w": 15})
+	qt.Assert(t, ended.PresumedSpent([]treasurer.Recollection{r}), qt.DeepEquals, map[string]int64{"w": 15})
 	ended.Sequence = 4
-	qt.Assert(t, ended.Known([]treasurer.Recollection{r}), qt.DeepEquals, map[string]int64{"w": 20})
+	qt.Assert(t, ended.PresumedSpent([]treasurer.Recollection{r}), qt.DeepEquals, map[string]int64{"w": 20})
 }
