--- a/treasurer/world_test.go
+++ b/treasurer/world_test.go
@@ -17,42 +17,42 @@
 // workspaces of the world; each has its own prepaid budget.
 var workspaces = []string{"tailor", "salon"}
 
-// world is a fleet's money in one goroutine: purses, the rows, and nothing else. What callers got is counted outside.
-type world struct {
+// model is a fleet's money in one goroutine: purses, the rows, and nothing else. What callers got is counted outside.
+type model struct {
 	now     time.Time
 	rows    *emulator.Rows
-	routers []*worldRouter
+	routers []*modelRouter
 	version int64
 	prepaid map[string]int64
-	// most is the greatest budget that was ever in force, got what callers received.
-	most   map[string]int64
-	got    map[string]int64
-	late   []masticway.RowWrite
-	served int
-	serial int
-	// burst is the part of what is in hand that books promise ahead.
-	burst float64
+	// maxPrepaid is the greatest budget that was ever in force, got what callers received.
+	maxPrepaid      map[string]int64
+	delivered       map[string]int64
+	lateWrites      []masticway.RowWrite
+	deliveries      int
+	lastIncarnation int
+	// burstShare is the part of what is in hand that books promise ahead.
+	burstShare float64
 	// holders is how many routers hold money of a workspace, so that the others borrow; zero is all.
 	holders int
 }
 
-// worldRouter is one instance; a restart gives it a new purse.
-type worldRouter struct {
-	instance string
-	self     masticway.Incarnation
-	purse    *treasurer.Purse
-	begun    bool
-	steps    []treasurer.Step
-	holds    []*worldHold
-	ended    []treasurer.Ended
-	stated   []treasurer.Statement
-	strays   []treasurer.Statement
-	cut      bool
+// modelRouter is one instance; a restart gives it a new purse.
+type modelRouter struct {
+	instance       string
+	self           masticway.Incarnation
+	planner        *treasurer.Planner
+	started        bool
+	steps          []treasurer.Step
+	holds          []*modelHold
+	ended          []treasurer.EndedIncarnation
+	delayedReports []treasurer.Statement
+	strayReports   []treasurer.Statement
+	partitioned    bool
 	// startedAt is when the process began to listen.
 	startedAt time.Time
 }
 
-type worldHold struct {
+type modelHold struct {
 	id        treasurer.HoldID
 	workspace string
 	amount    int64
@@ -60,18 +60,18 @@
 	cleared   bool
 }
 
-func newWorld(t *rapid.T) *world {
-	w := &world{
-		now: time.Date(2026, 12, 2, 9, 0, 0, 0, time.UTC), prepaid: map[string]int64{}, most: map[string]int64{}, got: map[string]int64{},
+func newModel(t *rapid.T) *model {
+	w := &model{
+		now: time.Date(2026, 12, 2, 9, 0, 0, 0, time.UTC), prepaid: map[string]int64{}, maxPrepaid: map[string]int64{}, delivered: map[string]int64{},
 	}
-	w.burst = rapid.SampledFrom([]float64{0, 0.04, 0.5}).Draw(t, "burst")
+	w.burstShare = rapid.SampledFrom([]float64{0, 0.04, 0.5}).Draw(t, "burst")
 	w.holders = rapid.IntRange(0, 3).Draw(t, "holders")
 	w.rows = emulator.NewRows(func() time.Time { return w.now })
 	for _, workspace := range workspaces {
 		w.prepaid[workspace] = rapid.Int64Range(300, 4000).Draw(t, "prepaid")
 	}
 	for i := range rapid.IntRange(1, 4).Draw(t, "routers") {
-		r := &worldRouter{instance: fmt.Sprintf("edge-%d", i)}
+		r := &modelRouter{instance: fmt.Sprintf("edge-%d", i)}
 		w.routers = append(w.routers, r)
 		w.restart(r)
 	}
@@ -80,56 +80,56 @@
 }
 
 // configure puts a new version of the budgets in force at every router that can hear of it.
-func (w *world) configure() {
+func (w *model) configure() {
 	w.version++
 	accounts := map[string]masticway.Account{}
 	for workspace, prepaid := range w.prepaid {
-		w.most[workspace] = max(w.most[workspace], prepaid)
+		w.maxPrepaid[workspace] = max(w.maxPrepaid[workspace], prepaid)
 		accounts[workspace] = masticway.Account{Workspace: workspace, Prepaid: prepaid, HasLimit: true}
 	}
 	for _, r := range w.routers {
-		if !r.cut {
-			r.purse.Configure(w.version, accounts)
+		if !r.partitioned {
+			r.planner.Configure(w.version, accounts)
 		}
 	}
 }
 
 // restart ends a router's process, with all that it held, and starts a new one; the old one's writes may still come.
-func (w *world) restart(r *worldRouter) {
+func (w *model) restart(r *modelRouter) {
 	for _, s := range r.steps {
 		if s.Write != nil {
-			w.late = append(w.late, *s.Write)
+			w.lateWrites = append(w.lateWrites, *s.Write)
 		}
 	}
-	w.serial++
-	r.self = masticway.NewIncarnation(r.instance, fmt.Sprint(w.serial))
-	r.purse = treasurer.NewPurse(treasurer.Settings{Incarnation: r.self, Address: r.instance, Parts: 2, Reserve: 5 * time.Second, BurstShare: w.burst, Holders: w.holders})
+	w.lastIncarnation++
+	r.self = masticway.NewIncarnation(r.instance, fmt.Sprint(w.lastIncarnation))
+	r.planner = treasurer.NewPlanner(treasurer.Settings{Incarnation: r.self, Address: r.instance, Parts: 2, Reserve: 5 * time.Second, BurstShare: w.burstShare, Holders: w.holders})
 	r.startedAt = w.now
-	r.begun, r.steps, r.holds, r.ended, r.stated, r.strays = false, nil, nil, nil, nil, nil
+	r.started, r.steps, r.holds, r.ended, r.delayedReports, r.strayReports = false, nil, nil, nil, nil, nil
 	accounts := map[string]masticway.Account{}
 	for workspace, prepaid := range w.prepaid {
 		accounts[workspace] = masticway.Account{Workspace: workspace, Prepaid: prepaid, HasLimit: true}
 	}
-	r.purse.Configure(w.version, accounts)
+	r.planner.Configure(w.version, accounts)
 }
 
 // kill ends a router; what was cleared may have reached its caller whole.
-func (w *world) kill(r *worldRouter) {
+func (w *model) kill(r *modelRouter) {
 	for _, h := range r.holds {
 		if h.cleared {
-			w.got[h.workspace] += h.amount
+			w.delivered[h.workspace] += h.amount
 		}
 	}
 	w.restart(r)
 }
 
-// begin takes the book over, and closes what the predecessors left.
-func (w *world) begin(t *rapid.T, r *worldRouter) {
-	if r.cut || r.begun {
+// takeOver takes the book over, and closes what the predecessors left.
+func (w *model) takeOver(t *rapid.T, r *modelRouter) {
+	if r.partitioned || r.started {
 		return
 	}
 	reading := w.read("masticway_books", r.instance)
-	write, err := r.purse.Begin(reading.row, reading.at, reading.at-w.now.Sub(r.startedAt))
+	write, err := r.planner.TakeOver(reading.row, reading.at, reading.at-w.now.Sub(r.startedAt))
 	if err != nil {
 		t.Fatalf("beginning: %v", err)
 	}
@@ -137,25 +137,25 @@
 	if err != nil {
 		return
 	}
-	r.purse.Began(w.now, made.Version, made.StoreTime)
-	r.begun = true
-	r.ended = r.purse.Predecessors()
+	r.planner.CompleteTakeOver(w.now, made.Version, made.StoreTime)
+	r.started = true
+	r.ended = r.planner.Predecessors()
 	var peers []treasurer.Peer
 	for _, o := range w.routers {
 		peers = append(peers, treasurer.Peer{Witness: treasurer.Witness{Incarnation: o.self}})
 	}
 	for _, o := range w.routers {
-		o.purse.Count(len(peers), peers)
+		o.planner.SetPeers(len(peers), peers)
 	}
 }
 
-type worldReading struct {
+type rowReading struct {
 	row masticway.StoredRow
 	at  time.Duration
 }
 
-func (w *world) read(table, key string) worldReading {
-	out := worldReading{row: masticway.StoredRow{RowKey: masticway.RowKey{Table: table, Part: treasurer.PartOf(key, 2), Key: key}}}
+func (w *model) read(table, key string) rowReading {
+	out := rowReading{row: masticway.StoredRow{RowKey: masticway.RowKey{Table: table, Part: treasurer.PartOf(key, 2), Key: key}}}
 	all, err := w.rows.Read(context.Background(), table, out.row.Part)
 	if err != nil {
 		return out
@@ -169,12 +169,12 @@
 	return out
 }
 
-func (w *world) closePredecessors(t *rapid.T, r *worldRouter) {
-	if r.cut || len(r.ended) == 0 {
+func (w *model) closePredecessors(t *rapid.T, r *modelRouter) {
+	if r.partitioned || len(r.ended) == 0 {
 		return
 	}
 	for _, e := range r.ended {
-		for workspace, spent := range e.Known(w.recall(t, e)) {
+		for workspace, spent := range e.PresumedSpent(w.queryWitnesses(t, e)) {
 			reading := w.read("masticway_accounts", workspace)
 			write, _, err := treasurer.CloseGrant(reading.row, e.Incarnation, spent)
 			if err != nil {
@@ -186,63 +186,63 @@
 		}
 	}
 	r.ended = nil
-	r.purse.Closed()
+	r.planner.ForgetPredecessors()
 }
 
-// recall asks the witnesses of an ended incarnation, some of which cannot be reached.
-func (w *world) recall(t *rapid.T, e treasurer.Ended) []treasurer.Recollection {
+// queryWitnesses asks the witnesses of an ended incarnation, some of which cannot be reached.
+func (w *model) queryWitnesses(t *rapid.T, e treasurer.EndedIncarnation) []treasurer.Recollection {
 	var recalled []treasurer.Recollection
 	for _, named := range e.Witnesses {
 		for _, o := range w.routers {
 			if o.self.Instance() == named.Incarnation.Instance() && rapid.IntRange(0, 5).Draw(t, "reached") > 0 {
-				recalled = append(recalled, o.purse.Recall(named.Incarnation, e.Incarnation))
+				recalled = append(recalled, o.planner.FinalReports(named.Incarnation, e.Incarnation))
 			}
 		}
 	}
 	return recalled
 }
 
-// testify lets a router tell its witnesses what it has taken; statements and receipts may be lost, or come late.
-func (w *world) testify(t *rapid.T, r *worldRouter) {
-	due := append(r.purse.Statements(w.now), r.stated...)
-	strays := r.strays
-	r.stated, r.strays = nil, nil
+// sendReports lets a router tell its witnesses what it has taken; statements and receipts may be lost, or come late.
+func (w *model) sendReports(t *rapid.T, r *modelRouter) {
+	due := append(r.planner.DueReports(w.now), r.delayedReports...)
+	strays := r.strayReports
+	r.delayedReports, r.strayReports = nil, nil
 	for _, s := range due {
 		how := rapid.SampledFrom([]string{"ok", "ok", "ok", "lost", "unanswered", "late", "stray"}).Draw(t, "statement")
 		switch how {
 		case "late":
-			r.stated = append(r.stated, s)
+			r.delayedReports = append(r.delayedReports, s)
 			continue
 		case "stray":
 			// Its issuer gives it up, and it arrives behind newer ones.
-			r.strays = append(r.strays, s)
+			r.strayReports = append(r.strayReports, s)
 		}
-		taken := how != "lost" && how != "stray" && w.hear(s)
-		w.take(r, r.purse.Witnessed(w.now, s, taken && how == "ok"))
+		taken := how != "lost" && how != "stray" && w.acceptReport(s)
+		w.handleReplies(r, r.planner.CompleteReport(w.now, s, taken && how == "ok"))
 	}
 	for _, s := range strays {
-		w.hear(s)
+		w.acceptReport(s)
 	}
 }
 
-// hear gives a statement to the instance that it is meant for, and tells whether it was taken.
-func (w *world) hear(s treasurer.Statement) bool {
+// acceptReport gives a statement to the instance that it is meant for, and tells whether it was taken.
+func (w *model) acceptReport(s treasurer.Statement) bool {
 	for _, o := range w.routers {
 		if o.self.Instance() == s.Witness.Instance() {
-			return o.purse.Testified(s)
+			return o.planner.AcceptReport(s)
 		}
 	}
 	return false
 }
 
 // plan collects the steps that a purse wants.
-func (w *world) plan(r *worldRouter) {
-	w.take(r, r.purse.Tick(w.now))
-	r.steps = append(r.steps, r.purse.Plan(w.now)...)
+func (w *model) plan(r *modelRouter) {
+	w.handleReplies(r, r.planner.Tick(w.now))
+	r.steps = append(r.steps, r.planner.Plan(w.now)...)
 }
 
-// finish ends one step in a way that the draw decides.
-func (w *world) finish(t *rapid.T, r *worldRouter) {
+// completeStep ends one step in a way that the draw decides.
+func (w *model) completeStep(t *rapid.T, r *modelRouter) {
 	if len(r.steps) == 0 {
 		return
 	}
@@ -250,7 +250,7 @@
 	s := r.steps[i]
 	r.steps = append(r.steps[:i:i], r.steps[i+1:]...)
 	how := rapid.SampledFrom([]string{"ok", "ok", "ok", "nothing", "lost", "late"}).Draw(t, "how")
-	if r.cut {
+	if r.partitioned {
 		how = "nothing"
 		if s.Write != nil && rapid.Bool().Draw(t, "unsure") {
 			how = "never"
@@ -267,7 +267,7 @@
 	case s.Write == nil:
 		reading, err = w.rows.Read(t.Context(), "masticway_accounts", s.Part)
 	case how == "late":
-		w.late = append(w.late, *s.Write)
+		w.lateWrites = append(w.lateWrites, *s.Write)
 		err = unknown
 	default:
 		reading, err = w.rows.Apply(*s.Write)
@@ -275,8 +275,8 @@
 			err = unknown
 		}
 	}
-	replies, fault := r.purse.Done(w.now, s, reading, err)
-	w.take(r, replies)
+	replies, fault := r.planner.CompleteStep(w.now, s, reading, err)
+	w.handleReplies(r, replies)
 	if fault != nil {
 		if _, sealed := errors.AsType[*masticway.SealedError](fault); !sealed {
 			t.Fatalf("fault: %v", fault)
@@ -285,8 +285,8 @@
 	}
 }
 
-// take notes replies: a hold that is cleared may be delivered from then on.
-func (w *world) take(r *worldRouter, replies []treasurer.Reply) {
+// handleReplies notes replies: a hold that is cleared may be delivered from then on.
+func (w *model) handleReplies(r *modelRouter, replies []treasurer.Reply) {
 	for _, reply := range replies {
 		for i, h := range r.holds {
 			if h.id != reply.ID {
@@ -295,7 +295,7 @@
 			switch reply.Verdict {
 			case treasurer.VerdictHeld:
 				h.held = true
-				w.take(r, r.purse.Clear(w.now, h.id))
+				w.handleReplies(r, r.planner.Clear(w.now, h.id))
 			case treasurer.VerdictCleared:
 				h.cleared = true
 			default:
@@ -306,16 +306,16 @@
 	}
 }
 
-func (w *world) ask(t *rapid.T, r *worldRouter) {
+func (w *model) request(t *rapid.T, r *modelRouter) {
 	workspace := rapid.SampledFrom(workspaces).Draw(t, "workspace")
 	amount := rapid.Int64Range(1, 500).Draw(t, "amount")
-	id, replies := r.purse.Hold(w.now, workspace, amount, w.now.Add(5*time.Second))
-	r.holds = append(r.holds, &worldHold{id: id, workspace: workspace, amount: amount})
-	w.take(r, replies)
+	id, replies := r.planner.Hold(w.now, workspace, amount, w.now.Add(5*time.Second))
+	r.holds = append(r.holds, &modelHold{id: id, workspace: workspace, amount: amount})
+	w.handleReplies(r, replies)
 }
 
 // deliver ends one hold: only a cleared one can have given anything to its caller.
-func (w *world) deliver(t *rapid.T, r *worldRouter) {
+func (w *model) deliver(t *rapid.T, r *modelRouter) {
 	if len(r.holds) == 0 {
 		return
 	}
@@ -325,68 +325,68 @@
 	var used int64
 	if h.cleared {
 		used = rapid.Int64Range(0, h.amount).Draw(t, "used")
-		w.got[h.workspace] += used
-		w.served++
+		w.delivered[h.workspace] += used
+		w.deliveries++
 	}
-	w.take(r, r.purse.Settle(w.now, h.id, used))
+	w.handleReplies(r, r.planner.Settle(w.now, h.id, used))
 }
 
 // lend moves money between two routers; the answer or the repayment may be lost, and a repayment may come twice.
-func (w *world) lend(t *rapid.T, borrower *worldRouter) {
+func (w *model) lend(t *rapid.T, borrower *modelRouter) {
 	lender := rapid.SampledFrom(w.routers).Draw(t, "lender")
 	var words []treasurer.Repayment
-	for _, r := range borrower.purse.Borrowing(w.now) {
+	for _, r := range borrower.planner.DueBorrowRounds(w.now) {
 		var loans []treasurer.Loan
 		ask := treasurer.LoanAsk{Number: r.Number, Borrower: borrower.self, Workspace: r.Workspace, Need: r.Need}
 		if lender != borrower {
-			id, amount := lender.purse.Lend(w.now, ask)
+			id, amount := lender.planner.Lend(w.now, ask)
 			cleared := false
-			for _, reply := range lender.purse.Clear(w.now, id) {
+			for _, reply := range lender.planner.Clear(w.now, id) {
 				cleared = cleared || reply.ID == id
 			}
 			if cleared {
-				lent := lender.purse.Lent(id, ask)
+				lent := lender.planner.CompleteLoan(id, ask)
 				if !lent {
-					w.take(lender, lender.purse.Settle(w.now, id, 0))
+					w.handleReplies(lender, lender.planner.Settle(w.now, id, 0))
 				}
 				if lent && rapid.IntRange(0, 3).Draw(t, "arrives") > 0 {
 					loans = append(loans, treasurer.Loan{Lender: lender.self, Amount: amount})
 				} else {
-					words = append(words, borrower.purse.Unanswered(w.now, r, treasurer.Witness{Incarnation: lender.self}))
+					words = append(words, borrower.planner.CancelRequest(w.now, r, treasurer.Witness{Incarnation: lender.self}))
 				}
 			} else if amount > 0 {
-				w.take(lender, lender.purse.Settle(w.now, id, 0))
+				w.handleReplies(lender, lender.planner.Settle(w.now, id, 0))
 			}
 		}
-		w.take(borrower, borrower.purse.Borrowed(w.now, r, loans, 0))
+		w.handleReplies(borrower, borrower.planner.CompleteBorrowRound(w.now, r, loans, 0))
 	}
-	for _, repayment := range append(words, borrower.purse.Repayments(w.now)...) {
+	for _, repayment := range append(words, borrower.planner.DueRepayments(w.now)...) {
 		for range rapid.IntRange(0, 2).Draw(t, "times") {
 			for _, o := range w.routers {
-				w.take(o, o.purse.Repaid(w.now, repayment))
+				w.handleReplies(o, o.planner.AcceptRepayment(w.now, repayment))
 			}
 		}
 	}
 }
 
-func (w *world) learn(t *rapid.T, r *worldRouter) {
-	if r.cut {
+func (w *model) applyChanges(t *rapid.T, r *modelRouter) {
+	if r.partitioned {
 		return
 	}
 	for _, workspace := range workspaces {
-		replies, err := r.purse.Learn(w.now, []masticway.StoredRow{w.read("masticway_accounts", workspace).row})
+		replies, err := r.planner.ApplyChanges(w.now, []masticway.StoredRow{w.read("masticway_accounts", workspace).row})
 		if err != nil {
 			t.Fatalf("learning: %v", err)
 		}
-		w.take(r, replies)
+		w.handleReplies(r, replies)
 	}
 }
 
-// check holds what callers got, and what those that are being answered may still get, against the budgets.
-func (w *world) check(t *rapid.T) {
+// checkBudgets holds what callers got, and what those that are being answered may still get, against the budgets.
+func (w *model) checkBudgets(t *rapid.T) {
 	for _, workspace := range workspaces {
-		if w.got[workspace] > w.most[workspace] {
-			t.Fatalf("callers of %s got %d tokens of %d prepaid", workspace, w.got[workspace], w.most[workspace])
+		if w.delivered[workspace] > w.maxPrepaid[workspace] {
+			t.Fatalf("callers of %s got %d tokens of %d prepaid", workspace, w.delivered[workspace], w.maxPrepaid[workspace])
 		}
 		// Whatever callers got is spent or granted in the row; else it will be given out once more.
 		account := treasurer.ReadAccount(w.read("masticway_accounts", workspace).row)
@@ -394,8 +394,8 @@
 		for _, g := range account.Grants {
 			covered += g.Granted
 		}
-		if w.got[workspace] > covered {
-			t.Fatalf("callers of %s got %d tokens, the row knows of %d", workspace, w.got[workspace], covered)
+		if w.delivered[workspace] > covered {
+			t.Fatalf("callers of %s got %d tokens, the row knows of %d", workspace, w.delivered[workspace], covered)
 		}
 	}
 }
@@ -403,53 +403,53 @@
 func TestNoWorkspaceGetsMoreThanItPaidFor(t *testing.T) {
 	served := 0
 	rapid.Check(t, func(t *rapid.T) {
-		w := newWorld(t)
-		router := func(t *rapid.T) *worldRouter { return rapid.SampledFrom(w.routers).Draw(t, "router") }
+		w := newModel(t)
+		router := func(t *rapid.T) *modelRouter { return rapid.SampledFrom(w.routers).Draw(t, "router") }
 		t.Repeat(map[string]func(*rapid.T){
 			"time": func(t *rapid.T) {
 				w.now = w.now.Add(time.Duration(rapid.SampledFrom([]int{1, 5, 30, 30, 60, 120, 900, 3000}).Draw(t, "ms")) * time.Millisecond)
 			},
-			"begin":  func(t *rapid.T) { w.begin(t, router(t)) },
+			"begin":  func(t *rapid.T) { w.takeOver(t, router(t)) },
 			"close":  func(t *rapid.T) { w.closePredecessors(t, router(t)) },
-			"ask":    func(t *rapid.T) { w.ask(t, router(t)) },
+			"ask":    func(t *rapid.T) { w.request(t, router(t)) },
 			"plan":   func(t *rapid.T) { w.plan(router(t)) },
-			"finish": func(t *rapid.T) { w.finish(t, router(t)) },
+			"finish": func(t *rapid.T) { w.completeStep(t, router(t)) },
 			"turn": func(t *rapid.T) {
 				// One router does all that it wants, so that requests get anywhere.
 				r := router(t)
-				w.begin(t, r)
+				w.takeOver(t, r)
 				for range 4 {
 					w.now = w.now.Add(30 * time.Millisecond)
 					w.plan(r)
 					for len(r.steps) > 0 {
-						w.finish(t, r)
+						w.completeStep(t, r)
 					}
 				}
 			},
 			"island": func(t *rapid.T) {
 				// One router goes on without the store for a while, and then may die.
 				r := router(t)
-				r.cut = true
+				r.partitioned = true
 				w.now = w.now.Add(time.Duration(rapid.SampledFrom([]int{500, 2700, 3300}).Draw(t, "ms")) * time.Millisecond)
 				for range rapid.IntRange(1, 4).Draw(t, "turns") {
-					w.ask(t, r)
+					w.request(t, r)
 					w.plan(r)
 					for len(r.steps) > 0 {
-						w.finish(t, r)
+						w.completeStep(t, r)
 					}
-					w.testify(t, r)
+					w.sendReports(t, r)
 					w.deliver(t, r)
 					w.now = w.now.Add(50 * time.Millisecond)
 				}
-				r.cut = rapid.Bool().Draw(t, "still cut")
+				r.partitioned = rapid.Bool().Draw(t, "still cut")
 				if rapid.Bool().Draw(t, "dies") {
 					w.kill(r)
 				}
 			},
 			"deliver": func(t *rapid.T) { w.deliver(t, router(t)) },
 			"lend":    func(t *rapid.T) { w.lend(t, router(t)) },
-			"testify": func(t *rapid.T) { w.testify(t, router(t)) },
-			"learn":   func(t *rapid.T) { w.learn(t, router(t)) },
+			"testify": func(t *rapid.T) { w.sendReports(t, router(t)) },
+			"learn":   func(t *rapid.T) { w.applyChanges(t, router(t)) },
 			"kill": func(t *rapid.T) {
 				r := router(t)
 				if rapid.IntRange(0, 3).Draw(t, "really") > 0 {
@@ -459,24 +459,24 @@
 			},
 			"cut": func(t *rapid.T) {
 				r := router(t)
-				r.cut = !r.cut && rapid.IntRange(0, 2).Draw(t, "really") == 0
+				r.partitioned = !r.partitioned && rapid.IntRange(0, 2).Draw(t, "really") == 0
 			},
 			"late": func(t *rapid.T) {
-				if len(w.late) == 0 {
+				if len(w.lateWrites) == 0 {
 					return
 				}
-				i := rapid.IntRange(0, len(w.late)-1).Draw(t, "write")
-				_, _ = w.rows.Apply(w.late[i])
-				w.late = append(w.late[:i:i], w.late[i+1:]...)
+				i := rapid.IntRange(0, len(w.lateWrites)-1).Draw(t, "write")
+				_, _ = w.rows.Apply(w.lateWrites[i])
+				w.lateWrites = append(w.lateWrites[:i:i], w.lateWrites[i+1:]...)
 			},
 			"budget": func(t *rapid.T) {
 				workspace := rapid.SampledFrom(workspaces).Draw(t, "workspace")
 				w.prepaid[workspace] = max(0, w.prepaid[workspace]+rapid.Int64Range(-500, 600).Draw(t, "change"))
 				w.configure()
 			},
-			"": w.check,
+			"": w.checkBudgets,
 		})
-		served += w.served
+		served += w.deliveries
 	})
 	if served == 0 {
 		t.Fatal("the world never served anything, so it proves nothing")
