--- a/treasurer/plan.go
+++ b/treasurer/plan.go
@@ -10,21 +10,21 @@
 	"github.com/masticway/masticway"
 )
 
-// Step is one thing to do at the store; its outcome goes back to the purse that planned it.
+// Step is a call to the store; its outcome must be passed to the planner that returned it.
 type Step struct {
-	// Part is the part of the accounts that the step reads or changes; it is empty for the book.
+	// Part is the part of the accounts that the step reads or changes; it is empty for a checkpoint.
 	Part string
-	// Workspace is the one whose row the step changes; it is empty for a reading.
+	// Workspace is the workspace whose row the step changes; it is empty for a read and a checkpoint.
 	Workspace string
-	// Write is the change; nil asks for a reading of the part.
+	// Write is the change; nil means that the part is to be read.
 	Write *masticway.RowWrite
-	// sequence is the book's.
+	// sequence is the checkpoint's sequence number.
 	sequence int64
 	sentAt   time.Time
 }
 
-// Plan returns what should be done at the store now. At most one write of the book, one change of each workspace and
-// one reading of each part are under way.
+// Plan returns the calls to make to the store now. At most one checkpoint, one change of each workspace and one read of
+// each part are in flight at a time.
 func (p *Planner) Plan(now time.Time) []Step {
 	if !p.started {
 		return nil
@@ -45,21 +45,21 @@
 	if failing {
 		return steps
 	}
-	looks := map[string]bool{}
+	reads := map[string]bool{}
 	for _, a := range p.accountsByQueue() {
 		if a.changeInFlight || now.Before(a.retryAt) {
 			continue
 		}
 		delta := p.grantDelta(now, a)
 		if !a.rowKnown && (len(a.waiting) > 0 || delta != 0) || p.needsFreshRow(now, a) {
-			looks[PartOf(a.workspace, p.settings.Parts)] = true
+			reads[PartOf(a.workspace, p.settings.Parts)] = true
 		}
 		if delta != 0 && a.rowKnown && now.Sub(p.lastChangeAt) >= p.changeInterval {
 			p.lastChangeAt = now
 			steps = append(steps, p.changeGrant(now, a, delta))
 		}
 	}
-	for _, part := range slices.Sorted(maps.Keys(looks)) {
+	for _, part := range slices.Sorted(maps.Keys(reads)) {
 		if !p.readsInFlight[part] {
 			p.readsInFlight[part] = true
 			steps = append(steps, Step{Part: part, sentAt: now})
@@ -68,91 +68,92 @@
 	return steps
 }
 
-// accountsByQueue lists the accounts, first those for which somebody waits: a change may have to wait for the next one's turn.
+// accountsByQueue lists the accounts by the length of their queues, longest first, because a change may have to wait for
+// the next change interval.
 func (p *Planner) accountsByQueue() []*account {
 	all := slices.Clone(p.sortedAccounts)
 	slices.SortStableFunc(all, func(x, y *account) int { return cmp.Compare(len(y.waiting), len(x.waiting)) })
 	return all
 }
 
-// isCheckpointDue tells whether the book has to be written.
+// isCheckpointDue reports whether a checkpoint must be written now.
 func (p *Planner) isCheckpointDue(now time.Time) bool {
 	age := now.Sub(p.checkpointSentAt)
 	if age < checkpointPause || p.checkpointCredit(now) < 1 {
 		return false
 	}
-	pause := idleCheckpointInterval
+	interval := idleCheckpointInterval
 	for _, a := range p.sortedAccounts {
 		if p.needsFirstLimit(now, a) || a.taken > p.baseLimit(a) {
 			return true
 		}
 		if a.demand.rate > 1 && a.granted > 0 {
-			pause = p.checkpointInterval()
+			interval = p.checkpointInterval()
 		}
 	}
-	return age >= pause
+	return age >= interval
 }
 
-// checkpointInterval is how often the book of a router with demand is written, whatever it has taken.
+// checkpointInterval returns how often a router with demand writes a checkpoint even if it has taken nothing.
 func (p *Planner) checkpointInterval() time.Duration {
 	return max(busyCheckpointInterval, time.Duration(p.members)*busyCheckpointIntervalPerRouter)
 }
 
-// needsFirstLimit tells that the book has to name a workspace before money can be drawn for it.
+// needsFirstLimit reports whether a checkpoint must name a workspace before its grant can grow.
 func (p *Planner) needsFirstLimit(now time.Time, a *account) bool {
 	return !p.hasLimit(a) && p.mayDraw(now, a) && (len(a.waiting) > 0 || p.isHolder(a) || a.concentrated)
 }
 
-// checkpointCredit is how many books may be written now: they may come minCheckpointInterval apart, and a few sooner where none were written before. A
-// loan waits for the book of a router that mostly has nothing to write.
+// checkpointCredit returns how many checkpoints may be written now. One is gained each minCheckpointInterval, up to
+// maxCheckpointCredit, because a loan waits for the checkpoint of a router that is mostly idle.
 func (p *Planner) checkpointCredit(now time.Time) float64 {
 	return min(maxCheckpointCredit, p.checkpointCreditLeft+float64(now.Sub(p.checkpointSentAt))/float64(p.minCheckpointInterval()))
 }
 
-// minCheckpointInterval is the least time between two writes of the book, a few aside.
+// minCheckpointInterval returns the minimum average time between two checkpoints.
 func (p *Planner) minCheckpointInterval() time.Duration {
 	return checkpointPause + time.Duration(p.members)*checkpointPausePerRouter
 }
 
-// currentLimit is the most that every promise in force allows now, whatever has been granted.
+// currentLimit returns the most that every spend limit in force allows to be taken now, whatever is granted.
 func (p *Planner) currentLimit(now time.Time, a *account) int64 {
-	return p.minLimit(a, func(f checkpointLimits, promise SpendLimit) int64 {
-		passed := now.Sub(f.basis)
-		bound := promise.bound(passed)
+	return p.minLimit(a, func(f checkpointLimits, limit SpendLimit) int64 {
+		elapsed := now.Sub(f.basis)
+		bound := limit.bound(elapsed)
 		if len(f.witnesses) == 0 {
 			return bound
 		}
-		return max(promise.unwitnessedBound(passed), min(bound, f.quorumTaken(a.workspace)))
+		return max(limit.unwitnessedBound(elapsed), min(bound, f.quorumTaken(a.workspace)))
 	})
 }
 
-// expectedLimit is the same once the witnesses have heard of it.
+// expectedLimit is like currentLimit but assumes that the witnesses have acknowledged everything.
 func (p *Planner) expectedLimit(now time.Time, a *account) int64 {
-	return p.minLimit(a, func(f checkpointLimits, promise SpendLimit) int64 { return promise.bound(now.Sub(f.basis)) })
+	return p.minLimit(a, func(f checkpointLimits, limit SpendLimit) int64 { return limit.bound(now.Sub(f.basis)) })
 }
 
-// baseLimit is the same without what silence adds.
+// baseLimit is like currentLimit without what an unreachable store adds.
 func (p *Planner) baseLimit(a *account) int64 {
-	return p.minLimit(a, func(_ checkpointLimits, promise SpendLimit) int64 { return promise.unwitnessedBound(0) })
+	return p.minLimit(a, func(_ checkpointLimits, limit SpendLimit) int64 { return limit.unwitnessedBound(0) })
 }
 
 func (p *Planner) minLimit(a *account, bound func(checkpointLimits, SpendLimit) int64) int64 {
 	if len(p.limitsInForce) == 0 {
 		return 0
 	}
-	least := int64(math.MaxInt64)
+	lowest := int64(math.MaxInt64)
 	for _, f := range p.limitsInForce {
-		promise, ok := f.limits[a.workspace]
+		limit, ok := f.limits[a.workspace]
 		if !ok {
 			return 0
 		}
-		least = min(least, bound(f, promise))
+		lowest = min(lowest, bound(f, limit))
 	}
-	return least
+	return lowest
 }
 
-// hasLimit tells that every book that the store may have names the workspace; only then is money drawn for it, so
-// that a successor finds every grant.
+// hasLimit reports whether every checkpoint that the store may have names the workspace. Its grant grows only then, so that
+// a successor finds every grant.
 func (p *Planner) hasLimit(a *account) bool {
 	for _, f := range p.limitsInForce {
 		if _, ok := f.limits[a.workspace]; !ok {
@@ -162,63 +163,65 @@
 	return len(p.limitsInForce) > 0
 }
 
-// burst is how much of a workspace may be taken between two writes of the book, when these are slow or far apart.
-func (p *Planner) burst(a *account, ahead int64) int64 {
+// burst returns how much of a workspace may be taken between two checkpoints if these are slow or far apart.
+func (p *Planner) burst(a *account, early int64) int64 {
 	span := p.checkpointLatency
-	apart := p.minCheckpointInterval()
-	if apart > checkpointPause+slowStoreLatency {
-		span += apart
+	interval := p.minCheckpointInterval()
+	if interval > checkpointPause+slowStoreLatency {
+		span += interval
 	}
 	var burst int64
 	if span >= slowStoreLatency {
 		burst = int64(a.demand.rate * 2 * span.Seconds())
 	}
-	burst = max(burst, p.earlyBurst(a, ahead))
-	// Others wait for what a holder lends; a loan that has to wait for the book first comes too late for many.
-	burst = max(burst, int64(a.peerDemand.rate*lendBurstFactor*(apart+p.checkpointLatency).Seconds()))
+	burst = max(burst, p.earlyBurst(a, early))
+	// Other routers wait for loans from a holder, and a loan that must wait for the next checkpoint is mostly too late.
+	burst = max(burst, int64(a.peerDemand.rate*lendBurstFactor*(interval+p.checkpointLatency).Seconds()))
 	return min(burst, max(0, a.free()))
 }
 
-// earlyLimit is how much of a workspace may be taken in the first seconds of a silence, before its rate counts: answers that
-// come ready then would wait. It is a small part of what should be in hand, so that little is lost when all routers die;
-// what is in hand just before it is filled up is less than half of that.
+// earlyLimit returns how much of a workspace may be taken in the first seconds of an outage of the store, before its full
+// rate applies; otherwise responses that are ready then would have to wait. It is a small part of the reserve, so that
+// little is lost when all routers crash. Just before a refill the grant has less than half of the reserve free, hence the
+// share of the workspace's tokens.
 func (p *Planner) earlyLimit(a *account) int64 {
-	hand := max(float64(a.free()), p.holderShare(a))
-	// Before there was any demand, the hand itself is small.
-	span := max(a.demand.rate*outageThreshold.Seconds(), initialReserveShare*hand)
-	return int64(min(span, p.settings.BurstShare*hand))
+	reserve := max(float64(a.free()), p.holderShare(a))
+	// Until there was any demand, the reserve itself is small.
+	span := max(a.demand.rate*outageThreshold.Seconds(), initialReserveShare*reserve)
+	return int64(min(span, p.settings.BurstShare*reserve))
 }
 
-// earlyBurst is the part of what may be taken ahead that needs neither time nor a witness: a book for each answer would cost the
-// store more calls.
-func (p *Planner) earlyBurst(a *account, ahead int64) int64 {
+// earlyBurst returns the part of the early limit that may be taken at once and without witnesses; a checkpoint for each
+// response would take more calls to the store.
+func (p *Planner) earlyBurst(a *account, early int64) int64 {
 	if len(p.peers) == 0 {
-		return ahead
+		return early
 	}
-	return min(ahead, p.demandWithin(a, burstWindow))
+	return min(early, p.demandWithin(a, burstWindow))
 }
 
-// unwitnessedLimit is the part of which no witness has to hear. It is lost when the router dies, whoever lives on. A router that is cut
-// off from all others serves its own callers by it, and some that are cut off together lend to each other.
-func (p *Planner) unwitnessedLimit(a *account, ahead int64) int64 {
+// unwitnessedLimit returns the part of the early limit that needs no acknowledgement of witnesses. It is lost when the
+// router crashes, whichever other routers are up. A router that cannot reach any other one serves its own callers by it,
+// and routers that are partitioned off together lend to each other.
+func (p *Planner) unwitnessedLimit(a *account, early int64) int64 {
 	if a.concentrated {
-		// All of the workspace's demand is this router's, and would be lost at once.
-		return min(ahead, p.demandWithin(a, burstWindow))
+		// All of the workspace's demand is at this router, and would be lost at once.
+		return min(early, p.demandWithin(a, burstWindow))
 	}
 	own := max(0, a.demand.rate-a.peerDemand.rate)
-	return min(ahead, max(p.demandWithin(a, unwitnessedWindow), int64(own*outageThreshold.Seconds())))
+	return min(early, max(p.demandWithin(a, unwitnessedWindow), int64(own*outageThreshold.Seconds())))
 }
 
-// demandWithin is the demand of some time, a usual request at least.
+// demandWithin returns the demand of the given time, but at least one typical request.
 func (p *Planner) demandWithin(a *account, span time.Duration) int64 {
 	return max(int64(a.demand.rate*span.Seconds()), int64(a.typicalNeed))
 }
 
-// newLimit is what a book says of a workspace now.
+// newLimit returns the spend limit of a workspace for the next checkpoint.
 func (p *Planner) newLimit(a *account) SpendLimit {
-	ahead := p.earlyLimit(a)
+	early := p.earlyLimit(a)
 	return SpendLimit{
-		Taken: a.taken, Burst: p.burst(a, ahead), Rate: p.limitRate(a), MaxUnwitnessed: p.unwitnessedLimit(a, ahead), MaxEarly: ahead,
+		Taken: a.taken, Burst: p.burst(a, early), Rate: p.limitRate(a), MaxUnwitnessed: p.unwitnessedLimit(a, early), MaxEarly: early,
 	}
 }
 
@@ -249,23 +252,24 @@
 	}
 }
 
-// limitRate is what is taken of a workspace in a second of silence at the most. Holders lend to each other then, so it
-// is the requests of all of them whose spread counts: with that of each holder's own, two losses of power in one outage cost
-// 13.7 s of all demand at five routers for 10.1 s; 0.4% were refused in an outage of 7 s with either.
+// limitRate returns the most that is taken of a workspace in a second while the store does not answer. Holders lend to each
+// other then, so the deviation is that of the requests at all of them. With that of each holder's own requests, two power
+// losses in one outage cost 13.7 s of all demand at five routers, against 10.1 s; 0.4% were refused in an outage of 7 s
+// with either.
 func (p *Planner) limitRate(a *account) int64 {
-	seen := a.demand.rate * demandWindow.Seconds() / max(1, a.typicalNeed)
+	requests := a.demand.rate * demandWindow.Seconds() / max(1, a.typicalNeed)
 	if p.isHolder(a) {
-		seen *= float64(len(p.holders(a)))
+		requests *= float64(len(p.holders(a)))
 	}
-	return int64(a.demand.rate * (1 + rateDeviations/math.Sqrt(max(1, seen))))
+	return int64(a.demand.rate * (1 + rateDeviations/math.Sqrt(max(1, requests))))
 }
 
-// needsLimit tells that the book must name a workspace: it has a grant, or may get one.
+// needsLimit reports whether the checkpoint must name a workspace because it has a grant or may get one.
 func (p *Planner) needsLimit(now time.Time, a *account) bool {
 	return a.granted > 0 || !a.isGrantKnown() || a.taken > 0 || p.mayDraw(now, a)
 }
 
-// mayDraw tells that this router may draw money of a workspace from the store.
+// mayDraw reports whether this router may grow its grant of a workspace.
 func (p *Planner) mayDraw(now time.Time, a *account) bool {
 	return p.isHolder(a) || a.concentrated || (len(a.waiting) > 0 || a.demand.rate > 1) && !p.borrowsFromHolders(now, a)
 }
@@ -275,7 +279,7 @@
 	return masticway.RowKey{Table: tableCheckpoints, Part: PartOf(instance, p.settings.Parts), Key: instance}
 }
 
-// accountParts lists the parts of the store in which the accounts are.
+// accountParts lists the parts of the store that have the accounts.
 func (p *Planner) accountParts() []string {
 	known := map[string]bool{}
 	for workspace := range p.accounts {
@@ -284,7 +288,7 @@
 	return slices.Sorted(maps.Keys(known))
 }
 
-// ownParts lists the parts of the store in which the accounts are of which this router keeps money in hand, or has some.
+// ownParts lists the parts of the store that have the accounts of which this router has a grant or keeps a reserve.
 func (p *Planner) ownParts() []string {
 	own := map[string]bool{}
 	for workspace, a := range p.accounts {
@@ -295,12 +299,13 @@
 	return slices.Sorted(maps.Keys(own))
 }
 
-// needsFreshRow tells that somebody waits for money that, by an old look, is not there.
+// needsFreshRow reports whether a request waits for tokens that are not left according to an outdated row.
 func (p *Planner) needsFreshRow(now time.Time, a *account) bool {
 	return len(a.waiting) > 0 && a.rowKnown && p.exceedsBudget(a, a.waiting[0].need) && now.Sub(a.rowSeenAt) >= rowTTL
 }
 
-// changeGrant changes one workspace's grant. Each has a write of its own, so that a busy row conflicts alone.
+// changeGrant returns the write that changes one workspace's grant. Each workspace has its own write, so that a conflict on
+// one row affects no other.
 func (p *Planner) changeGrant(now time.Time, a *account, delta int64) Step {
 	a.changeInFlight, a.returning = true, max(0, -delta)
 	next := a.newestRow().WithGrant(p.settings.Incarnation, Grant{Granted: a.granted + delta, Taken: a.taken, Demand: int64(a.demand.rate)})
@@ -314,14 +319,14 @@
 	}
 }
 
-// newestRow returns the row with the newest configuration's word on what is prepaid.
+// newestRow returns the row with the prepaid amount of the newest configuration.
 func (a *account) newestRow() Account {
 	row := a.row
 	row.Prepaid, row.Version = a.currentPrepaid(), max(a.configVersion, row.Version)
 	return row
 }
 
-// grantDelta returns by how much the grant should grow or shrink now.
+// grantDelta returns by how much the grant should grow now; a negative result is an amount to return.
 func (p *Planner) grantDelta(now time.Time, a *account) int64 {
 	free := a.free()
 	left := a.ungranted()
@@ -329,7 +334,7 @@
 		return -max(0, free)
 	}
 	if left < 0 {
-		// The budget was lowered below what is out: give back what is not taken.
+		// The budget was lowered below what is granted: return what is not taken.
 		return -max(0, min(free, -left))
 	}
 	need := a.queuedNeed()
@@ -348,7 +353,7 @@
 		return min(left, need-free+reserve)
 	}
 	if need == 0 && a.demand.rate < 1 && now.Sub(p.peersChangedAt) < startupGrace {
-		// While many routers start, each that counts a few takes itself for a holder of most workspaces.
+		// While many routers start, each one that knows only a few peers computes that it holds most workspaces.
 		return 0
 	}
 	if float64(free-need) < lowWatermark*float64(reserve) {
--- a/treasurer/purse.go
+++ b/treasurer/purse.go
@@ -8,101 +8,108 @@
 	"github.com/masticway/masticway"
 )
 
-// The policy of a purse: how money is spread over routers, what a death may cost, and when a request is refused or waits.
+// These constants are policy: how tokens are spread over routers, what a router's crash may cost, and when a request is
+// refused or waits.
 const (
-	// outageThreshold is how long the store must have been silent before a promise's rate counts. What a book promises ahead
-	// serves in that time; a router that dies and is back within it strands no more than that. All routers of a deployment
-	// that lose power together had their books back after 0.6 to 2.5 s, and then no witness is left: with 2.2 s a loss of
-	// power for 2 s at 103 routers cost four seconds of all demand, with 3 s one.
+	// outageThreshold is how long the store must not have answered before the rate of a spend limit applies beyond its
+	// MaxEarly. Until then MaxEarly bounds spending; a router that crashes and is restarted within that time strands no
+	// more than that. When all routers of a deployment lost power together, they had written their checkpoints again after
+	// 0.6 to 2.5 s, and no witness was left: with 2.2 s, a power loss of 2 s at 103 routers cost four seconds of all
+	// demand; with 3 s it cost one.
 	outageThreshold = 3 * time.Second
-	// burstWindow is the demand that a book lets its router take before the next one: three of a busy router's heartbeats.
-	// unwitnessedWindow is the demand that may be taken in a silence of which no witness has heard. With all that is promised ahead
-	// in the burst, a holder that died took 8% of a large budget with it and 9.2% of a day's requests were refused, for 0.5%
-	// with these.
+	// burstWindow is the demand that a checkpoint lets its router take before the next one: three of a busy router's
+	// checkpoint intervals. unwitnessedWindow is the demand that may be taken during an outage of the store before a
+	// witness has acknowledged it. With all of MaxEarly in the burst, a holder that crashed took 8% of a large budget with
+	// it and 9.2% of a day's requests were refused, against 0.5% with these windows.
 	burstWindow       = 750 * time.Millisecond
 	unwitnessedWindow = 1500 * time.Millisecond
-	// rateDeviations is by how many standard deviations a promised rate is above the demand, which comes in lumps: with n
-	// requests at all holders in demandWindow, whose sizes spread as much as their mean, one deviation is 1/sqrt(n) of it: four
-	// times the demand for a request in the window, twice for nine. What is promised too much is lost when a router dies
-	// and its witnesses cannot be asked; with 1.5 times the demand at routers that saw five requests, 4.5% were refused on
-	// days with trouble instead of 3.7% with 4 times.
+	// rateDeviations is by how many standard deviations the rate of a spend limit exceeds the mean demand, which is bursty.
+	// With n requests at all holders in demandWindow, whose sizes spread as much as their mean, one standard deviation is
+	// 1/sqrt(n) of the mean: the rate is four times the demand for one request in the window, twice for nine. An excess is
+	// lost when a router crashes and its witnesses cannot be asked. With 1.5 times the demand at routers that saw five
+	// requests, 4.5% were refused on days with faults, against 3.7% with 4 times.
 	rateDeviations = 3
-	// slowStoreLatency is the store's answer time above which a burst is promised for the demand of that time.
+	// slowStoreLatency is the latency of the store above which the burst of a spend limit covers the demand of that time.
 	slowStoreLatency = 60 * time.Millisecond
-	// timelyStoreLatency is how long the store may take over a book before requests are admitted by promises only, and
-	// clearanceSlack how long an answer may then be expected to wait for its promise. With the whole of outageThreshold fewer are
-	// refused and more are late, which is worth less: 0.69 against 0.73 on a calm day with two cuts.
+	// timelyStoreLatency is how long the store may take to write a checkpoint before requests are admitted by spend limits
+	// only. clearanceSlack is how long a hold may then be expected to wait for its clearance. With the whole of
+	// outageThreshold fewer requests are refused and more are late, which is worth less: a score of 0.69 against 0.73 on a
+	// calm day with two network partitions.
 	timelyStoreLatency = 400 * time.Millisecond
 	clearanceSlack     = 150 * time.Millisecond
-	// reserveRatio is how many times what is left in the store all routers together keep in hand; the rest is out of reach
-	// in a cut.
+	// reserveRatio is the ratio of what all routers together keep in reserve to what remains ungranted in the store. What
+	// remains there cannot be reached during a network partition.
 	reserveRatio = 4.0
-	// minReserveDivisor is the part of a usual request below which nothing is kept in hand; routers put such parts together.
+	// minReserveDivisor divides the typical request to give the smallest reserve that a router keeps; several routers can
+	// combine such reserves.
 	minReserveDivisor = 3
-	// lowWatermark is the part of the reserve below which it is filled up, highWatermark the multiple above which it is returned.
+	// lowWatermark is the fraction of the reserve below which it is refilled, highWatermark the multiple above which the
+	// surplus is returned.
 	lowWatermark  = 0.4
 	highWatermark = 2.5
-	// surplusTTL is how long money of a workspace without a reserve may lie unused.
+	// surplusTTL is how long a surplus may remain unused before it is returned.
 	surplusTTL = 250 * time.Millisecond
-	// unavailableAfter is how long the store must have failed before requests without money are refused at once.
+	// unavailableAfter is how long the store must have failed before requests that no grant covers are refused at once.
 	unavailableAfter = 400 * time.Millisecond
-	// startupGrace is how long after its start a router takes no budget for exhausted: where many start together, the
-	// grants of their predecessors are still being closed.
+	// startupGrace is how long after its start a router reports no budget as exhausted: where many routers start together,
+	// the grants of their predecessors are still being closed.
 	startupGrace = 2 * time.Second
-	// rowTTL is how long a look at a workspace's row may serve to refuse for exhaustion.
+	// rowTTL is the maximum age of a workspace's row from which a budget is found exhausted.
 	rowTTL = 300 * time.Millisecond
 )
 
-// The mechanics of a purse: how often the store is called, as its rate and its failures allow.
+// These constants bound how often the store is called, given its rate limit and its failures.
 const (
-	// busyCheckpointInterval is how often the book of a router with demand is written, idleCheckpointInterval any other one, so that the
-	// routers can be counted.
+	// busyCheckpointInterval is how often a router with demand writes its checkpoint, idleCheckpointInterval how often any
+	// other router does.
 	busyCheckpointInterval = 250 * time.Millisecond
 	idleCheckpointInterval = 4 * time.Second
-	// busyCheckpointIntervalPerRouter is the same for each router of a large fleet, whose heartbeats all come to one store: 330 books a second
-	// however many there are.
+	// busyCheckpointIntervalPerRouter times the number of routers is the interval in a fleet for which that exceeds
+	// busyCheckpointInterval, because all routers write to one store: 330 checkpoints a second for any number of routers.
 	busyCheckpointIntervalPerRouter = 3 * time.Millisecond
-	// checkpointPause separates two writes of a book; checkpointPausePerRouter is added for each router, so that all of them together
-	// write less than 3,300 books a second, and a loan that waits for the book of one of a hundred comes in time.
+	// checkpointPause is the minimum time between two checkpoints of a router; checkpointPausePerRouter is added for each
+	// router of the fleet, so that all of them together write fewer than 3,300 checkpoints a second, and a loan that waits
+	// for a checkpoint in a fleet of a hundred routers still arrives in time.
 	checkpointPause          = 20 * time.Millisecond
 	checkpointPausePerRouter = 300 * time.Microsecond
-	// maxCheckpointCredit is how many books may be written without that addition after a time without any.
+	// maxCheckpointCredit is how many checkpoints a router may write checkpointPause apart after a time in which it wrote
+	// none.
 	maxCheckpointCredit = 4.0
-	// changeRetryInterval separates attempts at the store after one that failed.
+	// changeRetryInterval is the minimum time between a failed change of a grant and the next attempt.
 	changeRetryInterval = 60 * time.Millisecond
-	// probeInterval separates attempts while the store fails; only the book is tried then.
+	// probeInterval separates attempts while the store fails; only the checkpoint is tried then.
 	probeInterval = 120 * time.Millisecond
-	// initialChangeInterval and maxChangeInterval bound the pause between two changes of grants by one router once the store has refused a call
-	// for its rate: it doubles with each refusal and shrinks by changeIntervalStep with each call that is served, so that routers
-	// which know nothing of each other share the rate.
+	// initialChangeInterval and maxChangeInterval bound the minimum time between two changes of grants by one router once
+	// the store has refused a call because of its rate limit. The interval doubles with each refusal and shrinks by
+	// changeIntervalStep with each call that the store answers, so that routers share the rate without coordination.
 	initialChangeInterval = 20 * time.Millisecond
 	maxChangeInterval     = 640 * time.Millisecond
 	changeIntervalStep    = 5 * time.Millisecond
 )
 
-// Verdict answers a request for money.
+// Verdict is the decision on a hold.
 type Verdict string
 
-// The verdicts: unreachable means that there may be money, but it cannot be had now.
+// VerdictUnreachable means that tokens may be left but cannot be obtained now.
 const (
 	VerdictHeld        Verdict = "held"
 	VerdictExhausted   Verdict = "exhausted"
 	VerdictUnreachable Verdict = "unreachable"
-	// VerdictCleared answers for a hold that its answer may go to the caller.
+	// VerdictCleared means that the response covered by the hold may be sent to the caller.
 	VerdictCleared Verdict = "cleared"
 )
 
-// HoldID names a hold within one incarnation.
+// HoldID identifies a hold within one incarnation.
 type HoldID int64
 
-// Reply answers one request for money.
+// Reply reports a verdict on a hold.
 type Reply struct {
 	ID      HoldID
 	Verdict Verdict
 	Waited  time.Duration
-	// Prepaid, Left, Free and Own are what was known of the workspace: what is paid for, what no router has been granted,
-	// what this one had in hand, and what of that its promises allowed, with loans. RowAge is how old that knowledge
-	// was, and Asked tells that other routers were asked.
+	// The next four fields describe what was known of the workspace: the tokens prepaid, those not granted to any router,
+	// those free in this router's grant, and those that its spend limits and loans allowed to be taken. RowAge is the age
+	// of the row that they came from. The last field reports whether other routers were asked for a loan.
 	Prepaid int64
 	Left    int64
 	Free    int64
@@ -111,27 +118,29 @@
 	Asked   bool
 }
 
-// Settings are what a purse is made with.
+// Settings configures a planner and its treasurer.
 type Settings struct {
 	Incarnation masticway.Incarnation
-	// Address is where other routers reach this one; empty when they cannot.
+	// Address is where other routers reach this one; empty if they cannot.
 	Address string
-	// Parts is the number of parts over which workspaces and books are spread; all routers use the same, and it stays
-	// the same as long as there are rows.
+	// Parts is the number of parts (partitions) of the store over which the rows of workspaces and checkpoints are spread.
+	// All routers must use the same number, and it must not change as long as there are rows.
 	Parts int
-	// BurstShare is the part of what should be in hand of a workspace that may be taken ahead of the next book. With 0.15
-	// for 0.06, five days with trouble of thirty routers were worth 0.632 for 0.624, the calm one 0.598 for 0.565.
+	// BurstShare is the fraction of a workspace's reserve that may be taken before the next checkpoint. With 0.15 instead
+	// of 0.06, the score of five days with faults at thirty routers was 0.632 instead of 0.624, that of the calm day 0.598
+	// instead of 0.565.
 	BurstShare float64
-	// Holders is how many routers hold money of a workspace that is not thin, as far as there are so many, one or more in
-	// each availability zone; zero is all. The death of one of six puts a sixth of what is in hand out of reach until its
-	// successor has closed its grant. With a hand at each of 103 routers, more than half of a budget was in hands, and
-	// four of five calls to the store and 0.2 of a heavy day's worth were spent on keeping it there.
+	// Holders is how many routers hold a grant of a workspace whose budget is not low, at least one in each availability
+	// zone as far as there are enough; zero means all routers. When one of six crashes, a sixth of what is in reserve
+	// cannot be reached until its successor has closed its grant. With a reserve at each of 103 routers, more than half of
+	// a budget was in reserves, and keeping it there took four of five calls to the store and 0.2 of a heavy day's score.
 	Holders int
-	// Zone is the availability zone that the router is in.
+	// Zone is the availability zone of the router.
 	Zone string
-	// Processors is how many processors the router may use; routers with more are rather holders than others.
+	// Processors is how many processors the router may use; routers with more are preferred as holders.
 	Processors float64
-	// Reserve is how much demand a router keeps money for, to serve on while the store is away.
+	// Reserve is the demand, as a duration, for which a router keeps tokens in reserve, to serve requests while the store
+	// cannot be reached.
 	Reserve time.Duration
 }
 
@@ -142,62 +151,64 @@
 	deadline time.Time
 }
 
-// account is what a router knows of one workspace.
+// account is a router's state of one workspace.
 type account struct {
 	workspace     string
 	prepaid       int64
 	configVersion int64
 	row           Account
-	// allocated is what the row's closed part and all its grants come to, consumed what that part and all that holders had
-	// taken come to.
+	// allocated is the sum of the row's closed amount and all its grants; consumed is the sum of the closed amount and what
+	// all holders had taken of their grants.
 	allocated int64
 	consumed  int64
-	// rowVersion is zero while there is no row, and known tells that this has been looked up.
+	// rowVersion is zero while there is no row; rowKnown is set once the row, or its absence, has been read and no change
+	// of unknown outcome has followed.
 	rowVersion int64
 	rowKnown   bool
 	rowSeenAt  time.Time
 	granted    int64
-	// changeInFlight tells that a change of the grant has been sent, which returns so much.
+	// changeInFlight is set while a change of the grant is in flight; returning is what that change returns.
 	changeInFlight bool
 	returning      int64
-	// retryAt is when the store is asked again after a failure.
+	// retryAt is when the grant may be changed again after a failure.
 	retryAt time.Time
-	// unconfirmed tells that earlier changes got no answer; the one that returns most takes doubt out of the grant.
+	// unconfirmed is set while the outcome of an earlier change is unknown; unconfirmedReturn is the most that any such
+	// change returns.
 	unconfirmed       bool
 	unconfirmedReturn int64
-	// taken is all holds and what was used, cleared the part of it whose answers may go out: only that is ever lost
-	// to the budget when this router dies, and promises bound it.
+	// taken is the sum of all holds and of what was used; cleared is the part of it whose responses may be sent. Only what
+	// is cleared can be lost to the budget when this router crashes, and the spend limits bound it.
 	taken             int64
 	cleared           int64
 	awaitingClearance []HoldID
-	// demand is the tokens a second that are asked for, others the part of it that other routers ask for, and arrivals the
-	// requests of this router's own callers.
+	// demand is the rate of requested tokens in tokens a second, peerDemand the part of it that other routers request, and
+	// callerArrivals the rate of requests of this router's own callers.
 	demand      average
 	peerDemand  average
 	arrivals    average
 	typicalNeed float64
-	// candidates are the workspace's holders among the routers that are known, nil until they are worked out; rank is this
-	// router's place among them, negative when it is none.
+	// candidates lists the routers that may hold a grant of the workspace, nil until computed from the known peers; rank is
+	// this router's index in it, negative if it is not a candidate.
 	candidates []Peer
 	rank       int
-	// concentrated tells that the demand comes to this router, though it is none of the holders.
+	// concentrated is set if the workspace's demand arrives mostly at this router, although it is not a holder.
 	concentrated bool
 	waiting      []waiter
-	// loans are borrowed and not used, lent is what others have of this router's grant.
+	// loans are borrowed and unused; lent is the part of this router's grant that other routers have borrowed.
 	loans      []Loan
 	lent       int64
 	borrowing  bool
 	borrowedAt time.Time
-	// shortfallAt is when a round of asking last brought too little, complete tells that all who were asked then answered, and
-	// noAnswerAt is when last nobody did.
+	// shortfallAt is when a borrow round last returned too little, allAnswered is set if every router asked in the last
+	// round answered, and noAnswerAt is when none of them last did.
 	shortfallAt time.Time
 	allAnswered bool
 	noAnswerAt  time.Time
-	// surplusSince is since when more lies unused than the reserve.
+	// surplusSince is since when the grant has exceeded the reserve by more than highWatermark allows.
 	surplusSince time.Time
 }
 
-// setRow takes the row as the store has it, or as it will be once a newer configuration's word is in it.
+// setRow sets the row as the store has it, or as it will be when this router creates it.
 func (a *account) setRow(row Account) {
 	a.row = row
 	a.allocated, a.consumed = row.Closed, row.Closed
@@ -207,10 +218,10 @@
 	}
 }
 
-// ungranted is what is not granted to anybody, by the newest configuration's word on what is prepaid.
+// ungranted returns what is not granted to any router, by the newest configuration.
 func (a *account) ungranted() int64 { return a.currentPrepaid() - a.allocated }
 
-// unspent is what is left and what all had in hand when they last changed their grants.
+// unspent returns what is not granted and what all holders had free when they last changed their grants.
 func (a *account) unspent() int64 { return a.currentPrepaid() - a.consumed }
 
 func (a *account) currentPrepaid() int64 {
@@ -220,15 +231,15 @@
 	return a.row.Prepaid
 }
 
-// usableGrant is the grant less what may already have left it.
+// usableGrant returns the grant less what a change in flight or of unknown outcome may have returned.
 func (a *account) usableGrant() int64 { return a.granted - max(a.returning, a.unconfirmedReturn) }
 
-// isGrantKnown tells that the store's view of the grant is known.
+// isGrantKnown reports whether the grant in the store is known.
 func (a *account) isGrantKnown() bool { return !a.changeInFlight && !a.unconfirmed }
 
 func (a *account) free() int64 { return a.usableGrant() - a.taken }
 
-// queuedNeed is what the requests that wait ask for.
+// queuedNeed returns the sum of what the waiting requests need.
 func (a *account) queuedNeed() int64 {
 	var sum int64
 	for _, w := range a.waiting {
@@ -237,22 +248,22 @@
 	return sum
 }
 
-// limitsInForce is a promise that the store has, or may have.
+// checkpointLimits holds the spend limits of a checkpoint that the store has, or may have.
 type checkpointLimits struct {
 	sequence int64
-	// basis is when this router heard of the write on which the store counts.
+	// basis is when this router learned of the write whose store time is the checkpoint's Basis.
 	basis  time.Time
 	limits map[string]SpendLimit
-	// witnesses are those that the book names, heard what each has taken a statement of, by workspace.
+	// witnesses are those that the checkpoint names; acked is the amount that each has acknowledged, by workspace.
 	witnesses []Witness
 	acked     map[masticway.Incarnation]map[string]int64
 }
 
-// Planner decides about the money of one incarnation; it is not safe for concurrent use.
+// Planner decides how one incarnation grants, holds, lends and returns tokens. It is not safe for concurrent use.
 type Planner struct {
 	settings Settings
 	accounts map[string]*account
-	// sortedAccounts are the accounts in the workspaces' order.
+	// sortedAccounts lists the accounts, sorted by workspace.
 	sortedAccounts []*account
 	holds          map[HoldID]*hold
 	lastHold       HoldID
@@ -263,39 +274,42 @@
 	checkpointInFlight bool
 	checkpointBasis    time.Time
 	checkpointSentAt   time.Time
-	// checkpointCreditLeft is what was left of the credit for books when the last one was written.
+	// checkpointCreditLeft is the checkpoint credit that was left when the last checkpoint was sent.
 	checkpointCreditLeft float64
-	// checkpointLatency is the moving average of the store's time for a book.
+	// checkpointLatency is the moving average of the store's latency for checkpoints.
 	checkpointLatency time.Duration
 	members           int
 	peers             []Peer
-	// peersChanged tells that the peers have become others since the last plan, peersChangedAt when a plan last found so.
+	// peersChanged is set if the set of peer instances has changed since the last plan; peersChangedAt is when a plan last
+	// found that it had.
 	peersChanged   bool
 	peersChangedAt time.Time
-	// unansweredAt is when an instance last left a question for money without an answer.
+	// unansweredAt is when each instance last left a loan request unanswered.
 	unansweredAt      map[string]time.Time
 	readsInFlight     map[string]bool
 	checkpointRetryAt time.Time
 	failingSince      time.Time
-	// changeInterval is the least pause between two changes of grants, lastChangeAt when the last one was sent.
+	// changeInterval is the minimum time between two changes of grants; lastChangeAt is when the last one was sent.
 	changeInterval time.Duration
 	lastChangeAt   time.Time
-	// started tells that the book carries this incarnation.
+	// started is set once the store has a checkpoint of this incarnation.
 	started   bool
 	startedAt time.Time
-	// closing tells that no money is wanted any more.
+	// closing is set once Close was called: no more tokens are requested.
 	closing bool
-	// borrowers is what is remembered of those that have asked for money, lastMessage numbers the own messages.
+	// borrowers is the state kept for each router that has asked for a loan; lastMessage is the number of the last message
+	// sent.
 	borrowers   map[masticway.Incarnation]*borrowerState
 	lastMessage int64
-	// peerReports are what other routers have stated, testifying the witnesses that are being told something.
+	// peerReports is what other routers have reported to this one as a witness; reportsInFlight is the set of witnesses to
+	// which a report is in flight.
 	peerReports     map[masticway.Incarnation]issuerReports
 	reportsInFlight map[masticway.Incarnation]bool
-	// unackedSince is since when most witnesses have not heard a statement that is needed, zero when none is.
+	// unackedSince is since when a needed report lacks the acknowledgement of a quorum of witnesses; zero if none does.
 	unackedSince time.Time
 }
 
-// NewPlanner returns a purse without money.
+// NewPlanner returns a planner without grants.
 func NewPlanner(s Settings) *Planner {
 	return &Planner{
 		settings: s, accounts: map[string]*account{}, holds: map[HoldID]*hold{},
@@ -305,7 +319,7 @@
 	}
 }
 
-// Configure tells what each workspace has paid for, as of a configuration's version.
+// Configure sets what each workspace has prepaid, as of a configuration's version.
 func (p *Planner) Configure(version int64, accounts map[string]masticway.Account) {
 	for workspace, paid := range accounts {
 		if !paid.HasLimit {
@@ -324,8 +338,9 @@
 	slices.SortFunc(p.sortedAccounts, func(x, y *account) int { return cmp.Compare(x.workspace, y.workspace) })
 }
 
-// maxTaken is the most that may be taken in all now. While the store answers in time the grant alone decides: the
-// promise will be there before the answer. Else promises do, as far as they reach soon.
+// maxTaken returns the most that may be taken in all now. While the store answers in time only the grant bounds it, because
+// the spend limit will be written before the response is ready. Otherwise the spend limits bound it as well: as they are
+// expected to be after clearanceSlack, or as they are now if the witnesses do not acknowledge reports.
 func (p *Planner) maxTaken(now time.Time, a *account) int64 {
 	if p.isStoreTimely(now) {
 		return a.usableGrant()
@@ -336,17 +351,17 @@
 	return min(a.usableGrant(), p.expectedLimit(now.Add(clearanceSlack), a))
 }
 
-// isStoreTimely tells that the store can be expected to take the next book soon.
+// isStoreTimely reports whether the store can be expected to write the next checkpoint soon.
 func (p *Planner) isStoreTimely(now time.Time) bool {
 	return p.failingSince.IsZero() && (!p.checkpointInFlight || now.Sub(p.checkpointSentAt) < timelyStoreLatency)
 }
 
-// available is what the router may take now beside what it has.
+// available returns what may be taken now in addition to what is taken.
 func (p *Planner) available(now time.Time, a *account) int64 {
 	return max(0, p.maxTaken(now, a)-a.taken)
 }
 
-// SetPeers tells how many routers there are, and which others can be asked for money and be witnesses.
+// SetPeers sets the number of routers and the other routers that can lend and be witnesses.
 func (p *Planner) SetPeers(members int, peers []Peer) {
 	p.members = members
 	others := slices.DeleteFunc(slices.Clone(peers), func(o Peer) bool { return o.Incarnation.Instance() == p.settings.Incarnation.Instance() })
@@ -361,7 +376,7 @@
 	}
 }
 
-// Tick ends waits that are over.
+// Tick answers requests whose wait is over and clears holds whose spend limits have grown.
 func (p *Planner) Tick(now time.Time) []Reply {
 	var replies []Reply
 	for _, a := range p.sortedAccounts {
@@ -372,7 +387,7 @@
 	return replies
 }
 
-// Position is what a router has of one workspace.
+// Position is a router's state of one workspace.
 type Position struct {
 	Workspace string `json:"workspace"`
 	Prepaid   int64  `json:"prepaid"`
@@ -382,7 +397,7 @@
 	Waiting   int    `json:"waiting"`
 }
 
-// Positions lists what the router has, in the workspaces' order.
+// Positions lists the router's positions, sorted by workspace.
 func (p *Planner) Positions() []Position {
 	var all []Position
 	for _, a := range p.sortedAccounts {
--- a/treasurer/rows.go
+++ b/treasurer/rows.go
@@ -11,48 +11,50 @@
 	"github.com/masticway/masticway"
 )
 
-// Tables of the money rows.
+// Tables of the rows that the treasurer keeps.
 const (
 	tableAccounts    = "masticway_accounts"
 	tableCheckpoints = "masticway_books"
 	tableRouters     = "masticway_routers"
 )
 
-// routersPart is the one part that tells of all routers, so that they are counted with one call.
+// routersPart is the one part that has the presences of all routers, so that one call reads them all.
 const routersPart = "routers"
 
 // Presence is the row of a running router; At is the store's clock when it was written.
 type Presence struct {
 	Incarnation masticway.Incarnation `json:"incarnation"`
-	// Address is where other routers reach it; empty when they cannot.
+	// Address is where other routers reach it; empty if they cannot.
 	Address string `json:"address,omitempty"`
-	// Zone is the availability zone that it is in.
+	// Zone is the availability zone of the router.
 	Zone string `json:"zone,omitempty"`
 	// Processors is how many processors it may use.
 	Processors float64       `json:"processors,omitempty"`
 	At         time.Duration `json:"at_ns"`
 }
 
-// Grant is money that one incarnation may spend.
+// Grant is the part of a budget that one incarnation may spend.
 type Grant struct {
 	Granted int64 `json:"granted"`
-	// Taken is what the holder had taken of it then: all know what is in hands, give or take what has been taken since.
+	// Taken is what the holder had taken of the grant when it last changed it, so that other routers can estimate what it
+	// has free.
 	Taken int64 `json:"taken,omitempty"`
-	// Demand is the tokens a second that the holder was asked for then; what is kept in hand is shared by it.
+	// Demand is the demand at the holder at that time, in tokens a second; routers size their reserves by their shares of
+	// the total.
 	Demand int64 `json:"demand,omitempty"`
 }
 
-// Account is the row of one workspace: Closed plus all grants never exceed Prepaid when a grant grows.
+// Account is the row of one workspace. When a grant grows, the sum of Closed and all grants does not exceed Prepaid.
 type Account struct {
-	// Prepaid and Version are the newest configuration's word that any router has brought here.
+	// Prepaid and Version come from the newest configuration that any router has written here.
 	Prepaid int64 `json:"prepaid"`
 	Version int64 `json:"version"`
-	// Closed is what ended incarnations have spent, or may have.
+	// Closed is what ended incarnations have spent or are presumed to have spent.
 	Closed int64                           `json:"closed"`
 	Grants map[masticway.Incarnation]Grant `json:"grants,omitempty"`
 }
 
-// Left returns what is not granted to anybody; it is negative after a budget was lowered.
+// Left returns what is not granted to any router; it is negative after a budget was lowered below that.
 func (a Account) Left() int64 {
 	left := a.Prepaid - a.Closed
 	for _, g := range a.Grants {
@@ -61,8 +63,8 @@
 	return left
 }
 
-// WithGrant returns the account with one incarnation's grant replaced. One that has given all back is not kept: every
-// router reads each row, and a row with a hundred grants of nothing takes ten times as long to read.
+// WithGrant returns the account with one incarnation's grant replaced. An empty grant is removed: every router reads each
+// row, and a row with a hundred empty grants takes ten times as long to read.
 func (a Account) WithGrant(i masticway.Incarnation, g Grant) Account {
 	grants := maps.Clone(a.Grants)
 	if grants == nil {
@@ -77,7 +79,7 @@
 	return a
 }
 
-// WithClosed returns the account without an incarnation's grant, of which so much counts as spent.
+// WithClosed returns the account without an incarnation's grant, of which the given amount counts as spent.
 func (a Account) WithClosed(i masticway.Incarnation, spent int64) Account {
 	grants := maps.Clone(a.Grants)
 	delete(grants, i)
@@ -86,78 +88,81 @@
 	return a
 }
 
-// SpendLimit bounds what an incarnation takes from one workspace until its book is written again.
+// SpendLimit bounds what an incarnation takes from one workspace until its next checkpoint.
 type SpendLimit struct {
 	Taken int64 `json:"taken"`
 	Burst int64 `json:"burst"`
-	// Rate is in tokens a second since the basis, in place of the burst, if it is more. It grows with the silence, since
-	// routers that are killed are mostly back within a second, and what they promised for longer would be lost. Alone bounds
-	// what it allows before a witness has heard of it, Ahead what it allows until the store has been silent for outageThreshold.
+	// Rate is in tokens a second since the basis; it replaces Burst where it allows more. It allows more the longer the
+	// store does not answer, because routers that are killed are mostly restarted within a second, and what their limits
+	// allowed for a longer time would be lost. MaxUnwitnessed bounds what Rate allows before witnesses have acknowledged
+	// it, MaxEarly what it allows until the store has not answered for outageThreshold.
 	Rate           int64 `json:"rate"`
 	MaxUnwitnessed int64 `json:"alone,omitempty"`
 	MaxEarly       int64 `json:"ahead,omitempty"`
 }
 
-// bound returns the most that may have been taken so long after the promise's basis.
-func (p SpendLimit) bound(passed time.Duration) int64 {
-	silent := p.rateBound(passed)
-	if passed < outageThreshold {
-		silent = min(silent, p.MaxEarly)
+// bound returns the most that may have been taken the given time after the basis.
+func (p SpendLimit) bound(elapsed time.Duration) int64 {
+	byRate := p.rateBound(elapsed)
+	if elapsed < outageThreshold {
+		byRate = min(byRate, p.MaxEarly)
 	}
-	return p.Taken + max(p.Burst, silent)
+	return p.Taken + max(p.Burst, byRate)
 }
 
-// unwitnessedBound returns the part of that of which no witness has heard.
-func (p SpendLimit) unwitnessedBound(passed time.Duration) int64 {
-	return p.Taken + max(p.Burst, min(p.rateBound(passed), p.MaxUnwitnessed, p.MaxEarly))
+// unwitnessedBound returns the part of bound that needs no acknowledgement of witnesses.
+func (p SpendLimit) unwitnessedBound(elapsed time.Duration) int64 {
+	return p.Taken + max(p.Burst, min(p.rateBound(elapsed), p.MaxUnwitnessed, p.MaxEarly))
 }
 
-// rateBound is what the rate comes to after a time.
-func (p SpendLimit) rateBound(passed time.Duration) int64 {
-	return int64(float64(p.Rate) * passed.Seconds())
+// rateBound returns what the rate allows after the given time.
+func (p SpendLimit) rateBound(elapsed time.Duration) int64 {
+	return int64(float64(p.Rate) * elapsed.Seconds())
 }
 
-// EndedIncarnation is a dead incarnation whose grants are not all closed yet.
+// EndedIncarnation is an incarnation that has ended and whose grants are not all closed yet.
 type EndedIncarnation struct {
 	Incarnation masticway.Incarnation `json:"incarnation"`
-	// MaxSpent is the most that it may have taken, by workspace, and Written what its last book says without what witnesses
-	// have to hear of.
+	// MaxSpent is the most that it may have taken, by workspace; MaxUnwitnessed is the part of that which needed no
+	// acknowledgement of witnesses.
 	MaxSpent       map[string]int64 `json:"spent"`
 	MaxUnwitnessed map[string]int64 `json:"written,omitempty"`
-	// Taken is what its last book says without the bursts, and Silence how long after its basis the incarnation may have
-	// lived; they only tell where what is presumed comes from.
+	// Taken is what its last checkpoint has as taken, and SinceBasis the time from that checkpoint's basis to the latest
+	// time at which the incarnation may have run. Both only explain in logs where a presumed amount comes from.
 	Taken      map[string]int64 `json:"taken,omitempty"`
 	SinceBasis time.Duration    `json:"silence_ns,omitempty"`
-	// Witnesses know what it took beyond that, if most can be asked; Sequence is its last book's.
+	// Witnesses know what it took beyond MaxUnwitnessed, if a quorum of them answers; Sequence is that of its last
+	// checkpoint.
 	Witnesses []Witness `json:"witnesses,omitempty"`
 	Sequence  int64     `json:"sequence,omitempty"`
 }
 
-// Checkpoint is the row of one instance.
+// Checkpoint is the row of one instance: it bounds what its incarnation may spend until the next one.
 type Checkpoint struct {
 	Incarnation masticway.Incarnation `json:"incarnation"`
 	Sequence    int64                 `json:"sequence"`
-	// Address is where the incarnation listens, which no other process on the machine can at the same time.
+	// Address is where the incarnation listens; no other process on the machine can listen there at the same time.
 	Address string `json:"address,omitempty"`
-	// Basis is the store's clock at the last write that the writer knew to be made when it sent this one.
+	// Basis is the store's clock at the last write that was known to be made when this one was sent.
 	Basis  time.Duration         `json:"basis_ns"`
 	Limits map[string]SpendLimit `json:"promises,omitempty"`
-	// Witnesses remember what the incarnation takes beyond its promises' bursts.
+	// Witnesses remember what the incarnation takes beyond the unwitnessed part of its limits.
 	Witnesses []Witness          `json:"witnesses,omitempty"`
 	Ended     []EndedIncarnation `json:"ended,omitempty"`
 }
 
-// startInfo is when and where an incarnation began.
+// startInfo describes the start of an incarnation.
 type startInfo struct {
 	incarnation masticway.Incarnation
 	address     string
-	// now is the store's clock, listening what it showed at the latest when the incarnation began to listen at its address.
+	// now is the store's clock; listening is an upper bound of that clock when the incarnation began to listen at its
+	// address.
 	now       time.Duration
 	listening time.Duration
 }
 
-// endedBy is the store's clock at which the incarnation that wrote a book had ended for certain: before another
-// process could listen at its address, or else before its book was taken over.
+// endedBy returns the store's clock by which the incarnation that wrote the checkpoint had certainly ended: when another
+// process listened at its address, or else when its checkpoint was taken over.
 func (b Checkpoint) endedBy(s startInfo) time.Duration {
 	if b.Address == "" || b.Address != s.address {
 		return s.now
@@ -165,29 +170,29 @@
 	return min(s.now, s.listening)
 }
 
-// successor returns the book of a new incarnation, which closes what the old one left.
+// successor returns the first checkpoint of a new incarnation, which lists the old one as ended.
 func (b Checkpoint) successor(s startInfo) Checkpoint {
 	ended := append([]EndedIncarnation(nil), b.Ended...)
 	if len(b.Limits) > 0 {
-		passed := b.endedBy(s) - b.Basis
-		spent := make(map[string]int64, len(b.Limits))
-		written := make(map[string]int64, len(b.Limits))
+		elapsed := b.endedBy(s) - b.Basis
+		maxSpent := make(map[string]int64, len(b.Limits))
+		maxUnwitnessed := make(map[string]int64, len(b.Limits))
 		taken := make(map[string]int64, len(b.Limits))
 		for workspace, p := range b.Limits {
-			spent[workspace] = p.bound(passed)
-			written[workspace] = p.unwitnessedBound(passed)
+			maxSpent[workspace] = p.bound(elapsed)
+			maxUnwitnessed[workspace] = p.unwitnessedBound(elapsed)
 			taken[workspace] = p.Taken
 		}
 		ended = append(ended, EndedIncarnation{
-			Incarnation: b.Incarnation, MaxSpent: spent, MaxUnwitnessed: written, Taken: taken, SinceBasis: passed, Sequence: b.Sequence,
+			Incarnation: b.Incarnation, MaxSpent: maxSpent, MaxUnwitnessed: maxUnwitnessed, Taken: taken, SinceBasis: elapsed, Sequence: b.Sequence,
 			Witnesses: b.Witnesses,
 		})
 	}
 	return Checkpoint{Incarnation: s.incarnation, Address: s.address, Basis: s.now, Ended: ended}
 }
 
-// CloseGrant returns the write that ends an incarnation's grant in a workspace's row, and what the grant was. It writes
-// the row even without a grant, so that a late draw of the dead incarnation finds a newer version and comes to nothing.
+// CloseGrant returns the write that removes an ended incarnation's grant from a workspace's row, and the grant. It writes
+// the row even without a grant, so that a late write of the ended incarnation conflicts with a newer version.
 func CloseGrant(row masticway.StoredRow, ended masticway.Incarnation, spent int64) (masticway.RowWrite, Grant, error) {
 	account, err := decode[Account](row)
 	if err != nil {
@@ -199,12 +204,12 @@
 	}, account.Grants[ended], nil
 }
 
-// accountKey is where a workspace's row is kept.
+// accountKey returns the key of a workspace's row.
 func accountKey(workspace string, parts int) masticway.RowKey {
 	return masticway.RowKey{Table: tableAccounts, Part: PartOf(workspace, parts), Key: workspace}
 }
 
-// PartOf is the part of the store in which a workspace's or an instance's row is kept.
+// PartOf returns the part of the store that has the row of a workspace or an instance.
 func PartOf(key string, parts int) string {
 	h := fnv.New32a()
 	_, _ = h.Write([]byte(key))
@@ -214,8 +219,8 @@
 func encode(v any) []byte {
 	data, err := json.Marshal(v)
 	if err != nil {
-		// The rows hold numbers and strings only.
-		panic(fmt.Sprintf("encoding a money row: %v", err))
+		// The rows consist of numbers and strings, which can always be encoded.
+		panic(fmt.Sprintf("encoding a row: %v", err))
 	}
 	return data
 }
@@ -226,12 +231,12 @@
 		return v, nil
 	}
 	if err := json.Unmarshal(row.Value, &v); err != nil {
-		return v, fmt.Errorf("decoding money row %s/%s/%s: %w", row.Table, row.Part, row.Key, err)
+		return v, fmt.Errorf("decoding row %s/%s/%s: %w", row.Table, row.Part, row.Key, err)
 	}
 	return v, nil
 }
 
-// ReadAccount decodes a workspace's row for operators and tests; a row that cannot be read is empty.
+// ReadAccount decodes a workspace's row for operators and tests; it returns an empty account if the row is invalid.
 func ReadAccount(row masticway.StoredRow) Account {
 	a, err := decode[Account](row)
 	if err != nil {
