--- a/treasurer/holds.go
+++ b/treasurer/holds.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// hold is the money of one request: an amount of the router's own, and loans.
+// hold is what was reserved for one request: an amount of the router's own grant, and loans.
 type hold struct {
 	account *account
 	amount  int64
@@ -13,7 +13,8 @@
 	cleared bool
 }
 
-// settle gives back what was not used, borrowed money first; nothing can have been used of a hold that is not cleared.
+// settle returns what was not used, where loans count as used first. Nothing can have been used of a hold that is not
+// cleared.
 func (h hold) settle(used int64) {
 	if !h.cleared {
 		used = 0
@@ -24,14 +25,15 @@
 		l.Amount -= spent
 		h.account.addLoan(l)
 	}
-	back := h.amount - min(h.amount, used)
-	h.account.taken -= back
+	unused := h.amount - min(h.amount, used)
+	h.account.taken -= unused
 	if h.cleared {
-		h.account.cleared -= back
+		h.account.cleared -= unused
 	}
 }
 
-// Hold takes money for one request, or queues it until its deadline; workspaces that are not metered hold nothing.
+// Hold reserves tokens for one request, or queues it until its deadline. The verdict is unreachable for a workspace without
+// a budget.
 func (p *Planner) Hold(now time.Time, workspace string, need int64, deadline time.Time) (HoldID, []Reply) {
 	p.lastHold++
 	id := p.lastHold
@@ -45,7 +47,8 @@
 	return id, p.serveQueue(now, a)
 }
 
-// Settle ends a hold with what was used of it; a hold that is not known has no effect.
+// Settle ends a hold of which the given amount was used; it does nothing but drop the waiting request if there is no such
+// hold.
 func (p *Planner) Settle(now time.Time, id HoldID, used int64) []Reply {
 	h, ok := p.holds[id]
 	if !ok {
@@ -58,7 +61,7 @@
 	return p.serveQueue(now, h.account)
 }
 
-// Clear asks that a hold's answer may go to the caller; the reply says when. Until then nothing of it may be given.
+// Clear asks for clearance of a hold. No part of the response may be sent before a reply with VerdictCleared.
 func (p *Planner) Clear(now time.Time, id HoldID) []Reply {
 	h, ok := p.holds[id]
 	if !ok {
@@ -68,14 +71,14 @@
 	return p.clearHolds(now, h.account)
 }
 
-// clearHolds clears holds as far as every promise allows; a small one need not wait for a great one before it.
+// clearHolds clears the holds that every spend limit allows; a small one does not wait behind a large one.
 func (p *Planner) clearHolds(now time.Time, a *account) []Reply {
 	var replies []Reply
-	var shut []HoldID
+	var blocked []HoldID
 	for _, id := range a.awaitingClearance {
 		h := p.holds[id]
 		if !h.cleared && a.cleared+h.amount > p.currentLimit(now, a) {
-			shut = append(shut, id)
+			blocked = append(blocked, id)
 			continue
 		}
 		if !h.cleared {
@@ -84,18 +87,18 @@
 		}
 		replies = append(replies, Reply{ID: id, Verdict: VerdictCleared})
 	}
-	a.awaitingClearance = shut
+	a.awaitingClearance = blocked
 	return replies
 }
 
-// dropWaiter drops a request that has stopped waiting.
+// dropWaiter removes a request that has stopped waiting.
 func (p *Planner) dropWaiter(id HoldID) {
 	for _, a := range p.accounts {
 		a.waiting = slices.DeleteFunc(a.waiting, func(w waiter) bool { return w.id == id })
 	}
 }
 
-// serveQueue answers the requests that can be answered now, in their order.
+// serveQueue answers waiting requests in order until one must wait on.
 func (p *Planner) serveQueue(now time.Time, a *account) []Reply {
 	replies := p.clearHolds(now, a)
 	for len(a.waiting) > 0 {
@@ -123,11 +126,11 @@
 		return VerdictHeld, true
 	}
 	if now.Before(w.deadline) && (a.borrowing || a.borrowedAt.Before(w.since) && now.Sub(a.shortfallAt) > p.borrowRetryInterval(a)) {
-		// Others may have it.
+		// Other routers may have the tokens.
 		return "", false
 	}
 	if len(p.peers) > 0 && !a.allAnswered {
-		// Who did not answer may have it.
+		// A router that did not answer may have the tokens.
 		return p.decideUnreachable(now, a, w)
 	}
 	fresh := a.rowKnown && (!a.rowSeenAt.Before(w.since) || now.Sub(a.rowSeenAt) < rowTTL)
@@ -137,8 +140,8 @@
 	return p.decideUnreachable(now, a, w)
 }
 
-// decideUnreachable ends a wait that is over, or in vain: a holder has nothing to wait for while the store is away, but what it
-// may lend others grows with the time that the store is silent.
+// decideUnreachable ends a wait that is over or pointless. While the store is unavailable a router with its own grant has
+// nothing to wait for, but what holders may lend to others grows with time.
 func (p *Planner) decideUnreachable(now time.Time, a *account, w waiter) (Verdict, bool) {
 	if p.isStoreUnavailable(now) && !p.borrowsFromHolders(now, a) || !now.Before(w.deadline) {
 		return VerdictUnreachable, true
@@ -146,12 +149,12 @@
 	return "", false
 }
 
-// exceedsBudget tells that a need certainly exceeds what is left and what this router has in hand.
+// exceedsBudget reports whether a need certainly exceeds what is ungranted and what this router has free or borrowed.
 func (p *Planner) exceedsBudget(a *account, need int64) bool {
 	return need > a.ungranted()+max(0, a.free())+a.loanBalance() && a.isGrantKnown()
 }
 
-// isStoreUnavailable tells that the store has failed for a while.
+// isStoreUnavailable reports whether the store has failed for longer than unavailableAfter.
 func (p *Planner) isStoreUnavailable(now time.Time) bool {
 	return !p.failingSince.IsZero() && now.Sub(p.failingSince) > unavailableAfter
 }
--- a/treasurer/outcome.go
+++ b/treasurer/outcome.go
@@ -7,8 +7,8 @@
 	"github.com/masticway/masticway"
 )
 
-// CompleteStep takes the outcome of a step and returns the requests that it answers. It fails with a masticway.SealedError
-// when another incarnation has taken over this instance's book, and with decoding errors.
+// CompleteStep applies the outcome of a step and returns the replies that result. It fails with a masticway.SealedError if
+// another incarnation has taken over this instance's checkpoint, or if a row cannot be decoded.
 func (p *Planner) CompleteStep(now time.Time, s Step, reading masticway.RowReading, err error) ([]Reply, error) {
 	if s.Part == "" {
 		return p.completeCheckpoint(now, s, reading, err)
@@ -37,43 +37,45 @@
 	p.changeInterval -= min(p.changeInterval, changeIntervalStep)
 }
 
-// backOff spaces the changes of grants out further: the store has refused one for its rate.
+// backOff doubles the interval between changes of grants after the store has refused a call because of its rate limit.
 func (p *Planner) backOff() {
 	p.changeInterval = min(maxChangeInterval, max(initialChangeInterval, 2*p.changeInterval))
 }
 
-// RetryCheckpoint lets the book be written at once: until the store has it, the death of this router costs its workspaces
-// what the promised rate allowed for the whole outage.
+// RetryCheckpoint allows the checkpoint to be written at once. Until the store has it, a crash of this router costs its
+// workspaces what the rate of the spend limits allowed for the whole outage.
 func (p *Planner) RetryCheckpoint() { p.checkpointRetryAt = time.Time{} }
 
-// noteStoreFailure notes that the store failed a call that was sent at a time.
+// noteStoreFailure records that the store failed a call sent at the given time.
 func (p *Planner) noteStoreFailure(sentAt time.Time) {
 	if p.failingSince.IsZero() {
 		p.failingSince = sentAt
 	}
 }
 
-// noteStepFailure notes a step that failed; it tells whether nothing was done for certain, and whether that was for the rate.
-func (p *Planner) noteStepFailure(s Step, err error) (nothing, busy bool) {
-	unavailable, nothing := errors.AsType[*masticway.UnavailableError](err)
-	busy = nothing && unavailable.RateLimited
-	if busy {
+// noteStepFailure records a failed step. It reports whether the step certainly changed nothing, and whether the store
+// refused it because of its rate limit.
+func (p *Planner) noteStepFailure(s Step, err error) (notRun, rateLimited bool) {
+	unavailable, notRun := errors.AsType[*masticway.UnavailableError](err)
+	rateLimited = notRun && unavailable.RateLimited
+	if rateLimited {
 		p.backOff()
 	} else {
 		p.noteStoreFailure(s.sentAt)
 	}
-	return nothing, busy
+	return notRun, rateLimited
 }
 
-// failChange notes a step that brought nothing; a change whose outcome is unknown stays pending until the row is seen.
+// failChange records a failed read or change of accounts. A change of unknown outcome remains unconfirmed until a newer row
+// is read.
 func (p *Planner) failChange(now time.Time, s Step, err error) {
-	nothing, _ := p.noteStepFailure(s, err)
+	notRun, _ := p.noteStepFailure(s, err)
 	a, ok := p.accounts[s.Workspace]
 	if !ok {
 		return
 	}
 	a.retryAt = now.Add(max(changeRetryInterval, p.changeInterval))
-	if nothing {
+	if notRun {
 		p.endChange(s)
 		return
 	}
@@ -82,14 +84,14 @@
 	a.changeInFlight, a.returning = false, 0
 }
 
-// endChange notes that a step's write is not under way any more.
+// endChange records that a step's change is no longer in flight.
 func (p *Planner) endChange(s Step) {
 	if a, ok := p.accounts[s.Workspace]; ok {
 		a.changeInFlight, a.returning = false, 0
 	}
 }
 
-// completeChange notes a committed change: its rows tell the grants from now on.
+// completeChange applies a committed change.
 func (p *Planner) completeChange(now time.Time, s Step, reading masticway.RowReading) ([]Reply, error) {
 	p.endChange(s)
 	var rows []masticway.StoredRow
@@ -99,7 +101,7 @@
 	return p.applyRows(now, s, rows)
 }
 
-// completeRead notes a reading of a whole part, where a missing row is one that does not exist.
+// completeRead applies a read of a whole part; a row that is missing there does not exist.
 func (p *Planner) completeRead(now time.Time, s Step, reading masticway.RowReading) ([]Reply, error) {
 	found := map[string]bool{}
 	for _, r := range reading.Rows {
@@ -115,7 +117,7 @@
 	return p.applyRows(now, s, reading.Rows)
 }
 
-// applyRows takes rows as the store had them after a step was sent.
+// applyRows applies rows that were read, or returned with a conflict, after the step was sent.
 func (p *Planner) applyRows(now time.Time, s Step, rows []masticway.StoredRow) ([]Reply, error) {
 	var replies []Reply
 	for _, r := range rows {
@@ -134,9 +136,9 @@
 	return replies, nil
 }
 
-// ApplyChanges takes rows that a feed of the accounts brought.
+// ApplyChanges applies the rows that a watch of the accounts returned.
 //
-// The rows that it did not bring have not changed, so everything known is as fresh as the feed's answer.
+// All other rows have not changed, so every known row is as fresh as the watch's answer.
 func (p *Planner) ApplyChanges(now time.Time, rows []masticway.StoredRow) ([]Reply, error) {
 	var replies []Reply
 	for _, a := range p.sortedAccounts {
@@ -146,7 +148,7 @@
 	}
 	for _, r := range rows {
 		a, ok := p.accounts[r.Key]
-		// A change whose outcome is unknown is left to a look-up, which also finds that it was not made.
+		// The outcome of a change is found out by a read, which also finds that the change was not made.
 		if !ok || !a.rowKnown && a.unconfirmed {
 			continue
 		}
@@ -158,14 +160,14 @@
 	return replies, nil
 }
 
-// applyRow takes a newer row of a workspace. Changes without an answer are resolved by any newer row: either the row
-// has them, or the version that they expected is gone and they can never be made.
+// applyRow applies a newer row of a workspace. Any newer row resolves changes of unknown outcome: either it includes them,
+// or the version that they expected is gone and they can never be made.
 func (p *Planner) applyRow(a *account, r masticway.StoredRow) error {
 	if r.Version < a.rowVersion {
 		return nil
 	}
 	if r.Version == a.rowVersion {
-		// Read again at the version that changes without an answer expect: they may still be made.
+		// The row is still at the version that changes of unknown outcome expect, so they may yet be made.
 		a.rowKnown = true
 		return nil
 	}
@@ -183,7 +185,7 @@
 	return nil
 }
 
-// completeCheckpoint takes the outcome of a write of the book.
+// completeCheckpoint applies the outcome of writing a checkpoint.
 func (p *Planner) completeCheckpoint(now time.Time, s Step, reading masticway.RowReading, err error) ([]Reply, error) {
 	p.checkpointInFlight = false
 	if conflict, ok := errors.AsType[*masticway.RowConflictError](err); ok {
@@ -191,12 +193,12 @@
 		return p.resolveCheckpoint(now, conflict.Rows)
 	}
 	if err != nil {
-		nothing, busy := p.noteStepFailure(s, err)
-		if nothing {
+		notRun, rateLimited := p.noteStepFailure(s, err)
+		if notRun {
 			p.dropLimits(s.sequence)
 		}
 		p.checkpointRetryAt = now.Add(probeInterval)
-		if busy {
+		if rateLimited {
 			p.checkpointRetryAt = now.Add(p.changeInterval)
 		}
 		return p.Tick(now), nil
@@ -210,7 +212,7 @@
 	return p.Tick(now), nil
 }
 
-// keepOnlyLimits makes one promise the only one in force.
+// keepOnlyLimits leaves only the spend limits of the given checkpoint in force.
 func (p *Planner) keepOnlyLimits(sequence int64) {
 	for _, f := range p.limitsInForce {
 		if f.sequence == sequence {
@@ -220,7 +222,7 @@
 	}
 }
 
-// dropLimits forgets a promise that the store certainly does not have.
+// dropLimits drops the spend limits of a checkpoint that the store certainly does not have.
 func (p *Planner) dropLimits(sequence int64) {
 	for i, f := range p.limitsInForce {
 		if f.sequence == sequence {
@@ -230,28 +232,29 @@
 	}
 }
 
-// resolveCheckpoint finds which of the writes without an answer was made after all.
+// resolveCheckpoint finds out which of the checkpoints of unknown outcome the store has.
 func (p *Planner) resolveCheckpoint(now time.Time, rows []masticway.StoredRow) ([]Reply, error) {
 	for _, r := range rows {
 		if r.Key != p.checkpointKey().Key {
 			continue
 		}
-		book, err := decode[Checkpoint](r)
+		checkpoint, err := decode[Checkpoint](r)
 		if err != nil {
 			return nil, err
 		}
-		if book.Incarnation != p.settings.Incarnation {
+		if checkpoint.Incarnation != p.settings.Incarnation {
 			return nil, &masticway.SealedError{Incarnation: p.settings.Incarnation}
 		}
 		p.checkpointVersion = r.Version
-		// The store's clock at that write is not known; the older basis is the safe one.
-		p.keepOnlyLimits(book.Sequence)
+		// The store's clock at that write is unknown; the older basis is safe.
+		p.keepOnlyLimits(checkpoint.Sequence)
 	}
 	return p.Tick(now), nil
 }
 
-// TakeOver returns the book of a new incarnation from its predecessor's row; the caller writes it, then tells Began. The
-// store's clock showed now when the row was read, and listening at the latest when this process began to listen.
+// TakeOver returns the write that replaces the checkpoint row of the predecessor, which the caller must make before it
+// calls CompleteTakeOver. now is the store's clock when the row was read, listening an upper bound of it when this process
+// began to listen.
 func (p *Planner) TakeOver(row masticway.StoredRow, now, listening time.Duration) (masticway.RowWrite, error) {
 	old, err := decode[Checkpoint](row)
 	if err != nil {
@@ -266,7 +269,7 @@
 	}, nil
 }
 
-// CompleteTakeOver notes that the store has this incarnation's first book.
+// CompleteTakeOver records that the store has this incarnation's first checkpoint.
 func (p *Planner) CompleteTakeOver(now time.Time, version int64, at time.Duration) {
 	p.started, p.startedAt = true, now
 	p.checkpointVersion = version
@@ -279,14 +282,14 @@
 // Predecessors lists the ended incarnations whose grants are still open.
 func (p *Planner) Predecessors() []EndedIncarnation { return p.checkpoint.Ended }
 
-// ForgetPredecessors notes that the grants of all predecessors are closed; the next write of the book leaves them out.
+// ForgetPredecessors records that the grants of all predecessors are closed; the next checkpoint omits them.
 func (p *Planner) ForgetPredecessors() { p.checkpoint.Ended = nil }
 
-// Close makes the purse give everything back that is not held.
+// Close makes the planner return all that is not held.
 func (p *Planner) Close() { p.closing = true }
 
-// FinalCheckpoint returns the last write of the book once everything is given back that can be: each promise then says what
-// was taken, and nothing more will be.
+// FinalCheckpoint returns the last checkpoint once all that can be returned has been: its limits are what was taken, and
+// nothing more will be taken.
 func (p *Planner) FinalCheckpoint(now time.Time) (Step, bool) {
 	if !p.started || p.checkpointInFlight || !p.closing {
 		return Step{}, false
@@ -297,10 +300,10 @@
 		}
 	}
 	step := p.writeCheckpoint(now)
-	last := p.limitsInForce[len(p.limitsInForce)-1].limits
-	for workspace := range last {
-		// What is still under way may be answered after this book.
-		last[workspace] = SpendLimit{Taken: p.accounts[workspace].taken}
+	limits := p.limitsInForce[len(p.limitsInForce)-1].limits
+	for workspace := range limits {
+		// Responses still in progress may be sent after this checkpoint.
+		limits[workspace] = SpendLimit{Taken: p.accounts[workspace].taken}
 	}
 	step.Write.Puts[0].Value = encode(p.checkpoint)
 	return step, true
