--- a/treasurer/borrowers.go
+++ b/treasurer/borrowers.go
@@ -8,19 +8,19 @@
 )
 
 const (
-	// loanRecordTTL is how long a lender remembers a question: longer than its borrower tries to tell it that the answer
-	// did not arrive.
+	// loanRecordTTL is how long a lender remembers a loan request: longer than the borrower tries to cancel it after its
+	// response was lost.
 	loanRecordTTL = 10 * time.Second
-	// messageNumberWindow is how far behind the newest number of a borrower an older one may come and still counts; messages
-	// that are under way at the same time overtake each other by a few dozen.
+	// messageNumberWindow is how far a message number may lag behind the borrower's newest and still be accepted;
+	// concurrent messages overtake each other by a few dozen.
 	messageNumberWindow = 1024
 )
 
-// loanRecord is what a question brought.
+// loanRecord is what was lent for one loan request.
 type loanRecord struct {
 	at     time.Time
 	amount int64
-	// lent tells that the money was handed over, void that the borrower wants it no more.
+	// lent is set once the tokens were handed over, canceled once the borrower has canceled the request.
 	lent     bool
 	canceled bool
 }
@@ -31,7 +31,7 @@
 	loans      map[int64]*loanRecord
 }
 
-// borrower returns the memory of one borrower.
+// borrower returns the state of one borrower.
 func (p *Planner) borrower(i masticway.Incarnation) *borrowerState {
 	m, ok := p.borrowers[i]
 	if !ok {
@@ -41,34 +41,34 @@
 	return m
 }
 
-// dropExpired drops questions that nobody speaks of any more.
+// dropExpired drops the records of requests that can no longer be canceled.
 func (m *borrowerState) dropExpired(now time.Time) {
 	maps.DeleteFunc(m.loans, func(_ int64, loan *loanRecord) bool { return now.Sub(loan.at) > loanRecordTTL })
 }
 
-// cancelRequest makes a question void and returns what was handed over for it.
+// cancel cancels a loan request and returns what was handed over for it.
 func (m *borrowerState) cancel(now time.Time, number int64) int64 {
 	loan, known := m.loans[number]
 	if !known {
-		// The question comes after this word, or never.
+		// The cancellation has overtaken the request, or the request was lost.
 		m.loans[number] = &loanRecord{at: now, canceled: true}
 		return 0
 	}
-	again := loan.canceled
+	alreadyCanceled := loan.canceled
 	loan.canceled = true
-	if again || !loan.lent {
+	if alreadyCanceled || !loan.lent {
 		return 0
 	}
 	return loan.amount
 }
 
-// numberSet tells which numbers have come before, whatever their order.
+// numberSet is a set of message numbers, which may arrive in any order.
 type numberSet struct {
 	newest int64
 	seen   map[int64]struct{}
 }
 
-// add tells that a number comes for the first time; one that is far too old counts as seen.
+// add adds a number and reports whether it is new; one that is too old is not.
 func (n *numberSet) add(number int64) bool {
 	if _, again := n.seen[number]; again || number <= n.newest-messageNumberWindow {
 		return false
--- a/treasurer/concentration.go
+++ b/treasurer/concentration.go
@@ -2,25 +2,27 @@
 
 import "time"
 
-// The policy of concentrated demand: when a router that is none of a workspace's holders draws for itself.
+// These constants are policy: when a router that is not a holder of a workspace draws its own grant because demand is
+// concentrated there.
 const (
-	// concentratedRate is how many requests a second of a workspace must come to a router before it draws for them, so that
-	// a router with little traffic of many workspaces keeps no money of all of them.
+	// concentratedRate is how many requests a second of a workspace must arrive at a router before it draws for them, so
+	// that a router with little traffic of many workspaces holds no grants of all of them.
 	concentratedRate = 3.0
-	// dispersedFactor is the part of both bounds below which a router that draws for itself stops: demand comes in lumps.
+	// dispersedFactor is the fraction of both thresholds below which the router stops drawing; it leaves a margin because
+	// demand is bursty.
 	dispersedFactor = 0.5
 )
 
-// updateConcentration notes whether a workspace's demand comes to this router rather than to others. Such a router is a holder of
-// its own accord: what it would borrow comes over the same link as its callers' requests, late when these fill it. Others
-// need not agree, as money is only ever spent from a grant or a loan.
+// updateConcentration updates whether a workspace's demand arrives mostly at this router. Such a router holds a grant
+// although it is not one of the holders: what it would borrow arrives over the same network link as its callers' requests,
+// and late if these saturate it. Other routers need not know, because tokens are only ever spent from a grant or a loan.
 func (p *Planner) updateConcentration(now time.Time, a *account) {
 	if a.arrivals.sum == 0 {
 		return
 	}
 	p.holderCandidates(a)
 	if a.rank >= 0 || now.Sub(p.startedAt) < startupGrace {
-		// Where many routers start together, the first ones get what is meant for all.
+		// Where many routers start together, the first ones receive the traffic of all.
 		a.concentrated = false
 		return
 	}
@@ -34,7 +36,7 @@
 	a.concentrated = a.arrivals.rate >= requests && own >= part*all && !p.isBudgetLow(a)
 }
 
-// isBudgetLow tells that what is left of a workspace's budget is too little for all that should hold money of it.
+// isBudgetLow reports whether too little of a workspace's budget is left for all of its candidates to hold some.
 func (p *Planner) isBudgetLow(a *account) bool {
 	return a.rowKnown && len(p.holders(a)) < len(p.holderCandidates(a))
 }
--- a/treasurer/demand.go
+++ b/treasurer/demand.go
@@ -6,34 +6,34 @@
 )
 
 const (
-	// demandWindow is the time over which a workspace's demand is averaged.
+	// demandWindow is the time constant of the moving averages of demand.
 	demandWindow = 4 * time.Second
-	// minObservedSpan is the least time that the first demand is spread over.
+	// minObservedSpan is the minimum time over which the first demand is averaged.
 	minObservedSpan = 1500 * time.Millisecond
 )
 
-// average is a decaying mean of something a second.
+// average is an exponentially decaying mean of a rate a second.
 type average struct {
-	// rate is the mean a second, as of the last time that it was brought up to date.
+	// rate is the mean a second as of the last update.
 	rate float64
 	sum  float64
 	at   time.Time
-	// firstAt is when the first came, so that the average is not low at the beginning.
+	// firstAt is when the first amount was added; it corrects the initial bias of the average.
 	firstAt time.Time
 }
 
-// decay lets what came long ago count less.
+// decay reduces the weight of earlier amounts.
 func (m *average) decay(now time.Time) {
-	if passed := now.Sub(m.at); passed > 0 {
-		m.sum *= math.Exp(-passed.Seconds() / demandWindow.Seconds())
+	if elapsed := now.Sub(m.at); elapsed > 0 {
+		m.sum *= math.Exp(-elapsed.Seconds() / demandWindow.Seconds())
 	}
 	m.at = now
-	// At the beginning the sum covers less than the whole window.
-	seen := max(minObservedSpan, now.Sub(m.firstAt))
-	m.rate = m.sum / (demandWindow.Seconds() * (1 - math.Exp(-seen.Seconds()/demandWindow.Seconds())))
+	// At first the sum covers less than the whole window.
+	observed := max(minObservedSpan, now.Sub(m.firstAt))
+	m.rate = m.sum / (demandWindow.Seconds() * (1 - math.Exp(-observed.Seconds()/demandWindow.Seconds())))
 }
 
-// add counts an amount that comes now.
+// add adds an amount at the given time.
 func (m *average) add(now time.Time, amount float64) {
 	if m.firstAt.IsZero() {
 		m.firstAt = now
@@ -43,7 +43,7 @@
 	m.decay(now)
 }
 
-// observeDemand counts demand; what is declared at most is what has to be held.
+// observeDemand adds to the demand the most that a request may use.
 func (a *account) observeDemand(now time.Time, need int64) {
 	a.demand.add(now, float64(need))
 	if a.typicalNeed == 0 {
--- a/treasurer/holders.go
+++ b/treasurer/holders.go
@@ -12,36 +12,36 @@
 	"github.com/masticway/masticway"
 )
 
-// The policy of holders: which routers keep money of a workspace in hand, and how much.
+// These constants are policy: which routers keep a reserve of a workspace's tokens, and how much.
 const (
-	// minReserveRequests is how many usual requests each holder must be able to keep in hand; a budget with less left has
-	// fewer holders, down to one that holds all of it.
+	// minReserveRequests is how many typical requests each holder must be able to keep in reserve. A budget with less left
+	// has fewer holders, down to one for all of it.
 	minReserveRequests = 8
-	// soleHolderWindow is how much of all routers' demand the one holder of a thin budget keeps in hand.
+	// soleHolderWindow is the total demand, as a duration, that the one holder of a low budget keeps in reserve.
 	soleHolderWindow = 3 * time.Second
-	// lendBurstFactor is how many times what a holder is asked for between two writes of its book it may lend in that time;
-	// all of it is lost when the holder dies. With 0.3 s of demand for every fleet, a loss of power of thirty routers
+	// lendBurstFactor is how many times the demand of other routers between two checkpoints a holder may lend in that time.
+	// All of it is lost if the holder crashes: with 0.3 s of demand for every size of fleet, a power loss of thirty routers
 	// cost 1% of all budgets.
 	lendBurstFactor = 2.0
-	// initialReserveShare is the part of what is left that a holder keeps in hand before it has seen any demand.
+	// initialReserveShare is the fraction of the tokens left that a holder keeps in reserve before it has seen any demand.
 	initialReserveShare = 0.01
-	// unresponsiveTTL is how long a router that did not answer a question for money is asked after all others.
+	// unresponsiveTTL is how long a router that left a loan request unanswered is asked only after all others.
 	unresponsiveTTL = time.Second
 )
 
-// Peer is another router, as its presence tells.
+// Peer is another router, as its presence describes it.
 type Peer struct {
 	Witness
-	// Zone is the availability zone that it is in; empty when it did not say.
+	// Zone is the router's availability zone; empty if unknown.
 	Zone string
-	// Processors is how many processors it may use, which may be a part of one; zero when it did not say.
+	// Processors is how many processors it may use, which may be a fraction; zero if unknown.
 	Processors float64
 }
 
-// holderCandidates lists the routers that hold money of a workspace while it is not thin: in each availability zone the first by
-// rendezvous hash of the workspace and the instance, then the second ones, and so on until there are enough. All routers
-// that know the same peers agree on it without a word, also over restarts, and when they do not, nothing breaks: money
-// is only ever spent from a grant or a loan.
+// holderCandidates lists the routers that hold grants of a workspace unless its budget is low: in each availability zone
+// the first by rendezvous hash of the workspace and the instance, then the second of each, and so on until there are
+// enough. All routers that know the same peers compute the same list, also after restarts. Where they differ the budget is
+// still safe, because tokens are only ever spent from a grant or a loan.
 func (p *Planner) holderCandidates(a *account) []Peer {
 	if a.candidates != nil {
 		return a.candidates
@@ -50,7 +50,7 @@
 	for _, peer := range append(slices.Clone(p.peers), p.selfPeer()) {
 		zones[peer.Zone] = append(zones[peer.Zone], peer)
 	}
-	// Zones and routers are ranked by their names, so that each workspace has another order.
+	// Zones are ranked by a hash of the workspace and their names, so that workspaces differ in their order of zones.
 	names := slices.Sorted(maps.Keys(zones))
 	slices.SortStableFunc(names, func(x, y string) int { return cmp.Compare(weight(a.workspace, y), weight(a.workspace, x)) })
 	for _, members := range zones {
@@ -58,12 +58,12 @@
 			return cmp.Compare(y.weight(a.workspace), x.weight(a.workspace))
 		})
 	}
-	enough := len(p.peers) + 1
+	limit := len(p.peers) + 1
 	if p.settings.Holders > 0 {
-		enough = min(enough, p.settings.Holders)
+		limit = min(limit, p.settings.Holders)
 	}
 	a.rank = -1
-	for round := 0; len(a.candidates) < enough; round++ {
+	for round := 0; len(a.candidates) < limit; round++ {
 		for _, name := range names {
 			if members := zones[name]; round < len(members) {
 				if members[round].Incarnation == p.settings.Incarnation {
@@ -79,16 +79,17 @@
 // weight is the rendezvous weight of a name for a workspace.
 func weight(workspace, name string) uint64 { return xxhash.Sum64String(workspace + "\x00" + name) }
 
-// weight is the router's weight for a workspace: of two, the one with twice the processors comes first four times as often.
-// Others wait for what a holder lends, and with a seventh of a processor a router is often busy for longer than they do.
+// weight is the router's rendezvous weight for a workspace: of two routers, one with twice the processors comes first four
+// times as often. Other routers wait for a holder's loans, and a router with a seventh of a processor is often busy for
+// longer than they can wait.
 func (o Peer) weight(workspace string) float64 {
 	const steps = 1 << 53
-	drawn := (float64(weight(workspace, o.Incarnation.Instance())>>11) + 0.5) / steps
+	uniform := (float64(weight(workspace, o.Incarnation.Instance())>>11) + 0.5) / steps
 	processors := o.Processors
 	if processors <= 0 {
 		processors = 1
 	}
-	return -processors * processors / math.Log(drawn)
+	return -processors * processors / math.Log(uniform)
 }
 
 func (p *Planner) selfPeer() Peer {
@@ -98,7 +99,7 @@
 	}
 }
 
-// holders lists the routers that should hold money of a workspace now: fewer than in its order when it is thin.
+// holders lists the routers that should hold grants of a workspace now: fewer than all candidates if its budget is low.
 func (p *Planner) holders(a *account) []Peer {
 	all := p.holderCandidates(a)
 	if !a.rowKnown || a.typicalNeed == 0 {
@@ -106,13 +107,13 @@
 	}
 	n := int(float64(a.unspent()) / (minReserveRequests * a.typicalNeed))
 	if a.rank == n && a.granted > a.taken {
-		// One that has money in hand does not give it back for a little noise.
+		// Avoid that a router with unused tokens returns them because of small fluctuations.
 		n++
 	}
 	return all[:min(len(all), max(1, n))]
 }
 
-// isHolder tells that this router is one of a workspace's holders, of which others borrow.
+// isHolder reports whether this router is one of a workspace's holders, from which others borrow.
 func (p *Planner) isHolder(a *account) bool {
 	if len(p.peers) == 0 {
 		return false
@@ -121,19 +122,19 @@
 	return a.rank >= 0 && a.rank < len(holders)
 }
 
-// keepsReserve tells that this router keeps money of a workspace in hand: it is one of its holders, or alone, or the workspace's
-// demand comes to it.
+// keepsReserve reports whether this router keeps a reserve of a workspace's tokens: if it is the only router, is one of the
+// holders, or has the demand concentrated at it.
 func (p *Planner) keepsReserve(a *account) bool {
 	return len(p.peers) == 0 || p.isHolder(a) || a.concentrated
 }
 
-// borrowsFromHolders tells that this router leaves a workspace's money to its holders and borrows from them, as long as any of
-// them answers.
+// borrowsFromHolders reports whether this router borrows a workspace's tokens from its holders instead of drawing a grant,
+// as it does unless none of them has answered lately.
 func (p *Planner) borrowsFromHolders(now time.Time, a *account) bool {
 	return !p.keepsReserve(a) && now.Sub(a.noAnswerAt) > borrowBackoff
 }
 
-// fleetDemand is all routers' demand, of the others as of their last change of the row.
+// fleetDemand returns the demand at all routers, that at other routers as of their last change of the row.
 func (a *account) fleetDemand(self masticway.Incarnation) float64 {
 	all := a.demand.rate
 	for i, g := range a.row.Grants {
@@ -144,20 +145,21 @@
 	return all
 }
 
-// reserveShare is the part of what is left and its own that a router with a part of all demand keeps in hand, so that all
-// routers together have reserveRatio as much in hand as is left in the store. A router does not know what the others have
-// unspent: with d of the demand it aims at reserveRatio times d of what is left, which is this part of both.
+// reserveShare is the fraction of the ungranted tokens and its own free ones that a router with the given share of all
+// demand keeps in reserve, so that all reserves together are reserveRatio times what is left in the store. A router does
+// not know what the others have unspent: with the share d of the demand it aims at reserveRatio times d of what is left,
+// which is this fraction of both.
 func reserveShare(d float64) float64 { return reserveRatio * d / (1 + reserveRatio*d) }
 
-// reserve is how much the router should keep in hand of a workspace beyond what it has taken.
+// reserve returns how much of a workspace the router should keep free in its grant beyond what it has taken.
 func (p *Planner) reserve(now time.Time, a *account) int64 {
-	spare := a.ungranted() + max(0, a.free())
-	if spare <= 0 || !p.keepsReserve(a) {
+	pool := a.ungranted() + max(0, a.free())
+	if pool <= 0 || !p.keepsReserve(a) {
 		return 0
 	}
 	want := int64(a.demand.rate * p.settings.Reserve.Seconds())
 	if a.demand.rate*demandWindow.Seconds() > a.typicalNeed/2 {
-		// A workspace with little traffic sends whole requests all the same.
+		// However little traffic a workspace has, a request needs its whole amount at once.
 		want = max(want, int64(2*a.typicalNeed))
 	}
 	if p.isHolder(a) {
@@ -167,37 +169,38 @@
 		}
 		if len(p.holders(a)) == 1 {
 			all := a.fleetDemand(p.settings.Incarnation) + 1
-			return min(spare, max(want, int64(all*soleHolderWindow.Seconds()), int64(minReserveRequests*a.typicalNeed)))
+			return min(pool, max(want, int64(all*soleHolderWindow.Seconds()), int64(minReserveRequests*a.typicalNeed)))
 		}
-		want = max(want, int64(initialReserveShare*float64(spare)))
+		want = max(want, int64(initialReserveShare*float64(pool)))
 	}
 	share := int64(p.holderShare(a))
 	if share < int64(a.typicalNeed/minReserveDivisor) {
-		// So little in hand serves nobody, also together with others, and is missing elsewhere.
+		// A reserve this small serves no request, not even combined with others, and is missing elsewhere.
 		return 0
 	}
 	return min(want, share)
 }
 
-// holderShare is the part of what is left, and of what the router has in hand, that falls to it as a holder.
+// holderShare returns this router's share of the ungranted tokens and its own free ones.
 func (p *Planner) holderShare(a *account) float64 {
-	spare := a.ungranted() + max(0, a.free())
-	if spare <= 0 || !p.keepsReserve(a) {
+	pool := a.ungranted() + max(0, a.free())
+	if pool <= 0 || !p.keepsReserve(a) {
 		return 0
 	}
 	all := a.fleetDemand(p.settings.Incarnation) + 1
 	part := (a.demand.rate + 1) / all
 	if p.isHolder(a) {
-		// Callers move between zones faster than the money can, so half of a holder's part is the same for all.
+		// Traffic can shift between zones faster than tokens can, so half of a holder's share is the same for all.
 		part = (part + 1/float64(len(p.holders(a)))) / 2
 	}
-	return float64(spare) * reserveShare(part)
+	return float64(pool) * reserveShare(part)
 }
 
-// lenders are the routers to ask for money of a workspace, best first: its holders, with each question another one of them
-// first, then others that had money in hand. Those that did not answer lately are asked last. All callers of a workspace may
-// come to one router; with the holder of its own availability zone first all that it borrowed was promised and in hand there:
-// the death of that one cost 5.7% of a budget, and in a cut the hands of the others were empty.
+// lenders returns the routers to ask for a loan, in this order: the workspace's holders, starting with another one for each
+// request, then others that had tokens free. Routers that left a request unanswered lately come last. All callers of a
+// workspace may use one router. If that router always asked the holder of its own availability zone first, everything it
+// borrowed was within the spend limit of that one: its crash cost 5.7% of a budget, and during a partition the other
+// holders' reserves were empty.
 func (p *Planner) lenders(now time.Time, a *account) []Witness {
 	var all []Witness
 	add := func(o Peer) {
@@ -224,7 +227,7 @@
 	return all[:min(len(all), maxLenders)]
 }
 
-// peersByUnspent lists the other routers that have money in hand, most first.
+// peersByUnspent lists the other routers that had tokens free, most first.
 func (p *Planner) peersByUnspent(a *account) []Peer {
 	inHand := func(o Peer) int64 { return a.row.Grants[o.Incarnation].Granted - a.row.Grants[o.Incarnation].Taken }
 	var others []Peer
@@ -239,7 +242,7 @@
 	return others
 }
 
-// unresponsiveRank is 1 for a router that left a question without an answer a moment ago, else 0.
+// unresponsiveRank returns 1 for a router that left a loan request unanswered within unresponsiveTTL, else 0.
 func (p *Planner) unresponsiveRank(now time.Time, i masticway.Incarnation) int {
 	if at, ok := p.unansweredAt[i.Instance()]; ok && now.Sub(at) < unresponsiveTTL {
 		return 1
--- a/treasurer/lending.go
+++ b/treasurer/lending.go
@@ -6,7 +6,7 @@
 	"github.com/sirupsen/logrus"
 )
 
-// borrow asks one router after the other until there is enough.
+// borrow asks the lenders one after the other until the need is met.
 func (t *Treasurer) borrow(ctx context.Context, r BorrowRound) {
 	var loans []Loan
 	need := r.Need
@@ -16,13 +16,13 @@
 			break
 		}
 		asked++
-		asking, cancel := context.WithTimeout(ctx, lendTimeout)
-		loan, err := t.peerClient.Borrow(asking, l.Address, LoanAsk{Number: r.Number, Borrower: t.self, Workspace: r.Workspace, Need: need})
+		callCtx, cancel := context.WithTimeout(ctx, lendTimeout)
+		loan, err := t.peerClient.Borrow(callCtx, l.Address, LoanAsk{Number: r.Number, Borrower: t.self, Workspace: r.Workspace, Need: need})
 		cancel()
 		if err != nil {
 			unanswered++
 			t.cancelRequest(ctx, r, l)
-			t.log.WithFields(logrus.Fields{"event": "borrow_failed", "lender": l.Incarnation, "workspace": r.Workspace, "error": err}).Debug("router not reached")
+			t.log.WithFields(logrus.Fields{"event": "borrow_failed", "lender": l.Incarnation, "workspace": r.Workspace, "error": err}).Debug("lender not reached")
 			continue
 		}
 		loan.Address = l.Address
@@ -35,13 +35,13 @@
 	t.metrics.Add(metricBorrowed, r.Need-need)
 	t.log.WithFields(logrus.Fields{
 		"event": "borrowed", "workspace": r.Workspace, "needed": r.Need, "amount": r.Need - need, "asked": asked, "unanswered": unanswered,
-	}).Debug("asked other routers for money")
+	}).Debug("asked other routers for a loan")
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.deliver(t.planner.CompleteBorrowRound(t.clock.Now(), r, loans, unanswered))
 }
 
-// cancelRequest tells a lender whose answer did not arrive to keep what it may have lent.
+// cancelRequest tells a lender whose response did not arrive to take back what it may have lent.
 func (t *Treasurer) cancelRequest(ctx context.Context, r BorrowRound, l Witness) {
 	t.metrics.Add(metricUnanswered, 1)
 	t.mu.Lock()
@@ -50,11 +50,11 @@
 	t.tasks.Go(func() { t.repay(ctx, unanswered) })
 }
 
-// repay gives a loan back; when the lender does not answer, the money stays counted as spent there.
+// repay repays a loan. If the lender does not answer, the tokens remain counted as taken there.
 func (t *Treasurer) repay(ctx context.Context, r Repayment) {
 	for range maxRepayAttempts {
-		sending, cancel := context.WithTimeout(ctx, repayTimeout)
-		err := t.peerClient.Repay(sending, r.Address, r)
+		callCtx, cancel := context.WithTimeout(ctx, repayTimeout)
+		err := t.peerClient.Repay(callCtx, r.Address, r)
 		cancel()
 		if err == nil {
 			return
@@ -65,10 +65,10 @@
 		}
 	}
 	t.metrics.Add(metricNotRepaid, r.Amount)
-	t.log.WithFields(logrus.Fields{"event": "not_repaid", "lender": r.Lender, "workspace": r.Workspace, "amount": r.Amount}).Warn("loan not given back")
+	t.log.WithFields(logrus.Fields{"event": "not_repaid", "lender": r.Lender, "workspace": r.Workspace, "amount": r.Amount}).Warn("loan not repaid")
 }
 
-// Lend takes money out of this router's hands for another one; it waits until its book says so, or the context ends.
+// Lend takes tokens out of this router's grant for another router. It waits until they are cleared, or the context is done.
 func (t *Treasurer) Lend(ctx context.Context, ask LoanAsk) int64 {
 	t.mu.Lock()
 	id, amount := t.planner.Lend(t.clock.Now(), ask)
@@ -77,9 +77,9 @@
 		t.metrics.Add(metricLendShort, 1)
 		return 0
 	}
-	waiting, cancel := context.WithTimeout(ctx, clearTimeout)
+	clearCtx, cancel := context.WithTimeout(ctx, clearTimeout)
 	defer cancel()
-	if !t.Clear(waiting, id) {
+	if !t.Clear(clearCtx, id) {
 		t.metrics.Add(metricLendUncleared, 1)
 		t.Settle(id, 0)
 		return 0
@@ -95,7 +95,7 @@
 	return amount
 }
 
-// Repaid takes back what another router has not used.
+// Repaid takes back what another router has not used of a loan.
 func (t *Treasurer) Repaid(r Repayment) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/treasurer/loans.go
+++ b/treasurer/loans.go
@@ -6,26 +6,27 @@
 	"github.com/masticway/masticway"
 )
 
-// The policy of loans: when and whom to ask, what to lend, and when to give back.
+// These constants are policy: when and whom to ask for a loan, what to lend, and when to repay.
 const (
-	// borrowDelay is how long a request waits for the store before other routers are asked; the store answers the two
-	// calls that a request may need within 20 ms when it is well.
+	// borrowDelay is how long a request waits for the store before other routers are asked; a healthy store answers the two
+	// calls that a request may need within 20 ms.
 	borrowDelay = 30 * time.Millisecond
-	// borrowBackoff is how long a router that draws from the store itself asks nobody again after a round that brought too
-	// little, and how long one that borrows draws itself once nobody has answered.
+	// borrowBackoff is how long a router that draws its own grant asks no lender after a round that returned too little,
+	// and how long a router that otherwise borrows draws its own grant after no lender has answered.
 	borrowBackoff = 300 * time.Millisecond
-	// refillInterval is how long one that borrows waits after such a round: a holder's two calls to the store take that long.
+	// refillInterval is how long a router that borrows waits after such a round: it is the time of a holder's two calls to
+	// the store.
 	refillInterval = 40 * time.Millisecond
-	// idleLoanTTL is how long borrowed money may lie unused.
+	// idleLoanTTL is how long a loan may remain unused before it is repaid.
 	idleLoanTTL = time.Second
-	// minLoanDivisor is the part of what is asked for below which nothing is lent.
+	// minLoanDivisor divides the requested amount to give the smallest loan.
 	minLoanDivisor = 4
-	// maxLenders bounds the routers that are asked in one round.
+	// maxLenders bounds the lenders of one round.
 	maxLenders = 8
 )
 
-// Loan is money that another router has taken out of its own grant for this one. It counts as taken there, so that
-// neither router's death can make it be spent twice.
+// Loan is an amount that another router has taken out of its own grant for this one. It counts as taken there, so that it
+// is not spent twice if either router crashes.
 type Loan struct {
 	Lender masticway.Incarnation
 	// Address is where the lender was reached.
@@ -33,17 +34,17 @@
 	Amount  int64
 }
 
-// BorrowRound asks other routers for money of one workspace.
+// BorrowRound is one round of asking other routers for tokens of a workspace, one after the other, until the need is met.
 type BorrowRound struct {
-	// Number names the round of asking among all of the borrower's.
+	// Number identifies the round within the borrower.
 	Number    int64
 	Workspace string
 	Need      int64
-	// Lenders are the routers that probably have most, best first.
+	// Lenders are the routers to ask, best first.
 	Lenders []Witness
 }
 
-// LoanAsk is what one router is asked in a round; borrower and number name it.
+// LoanAsk is a request to one router of a round; the borrower and the number identify it.
 type LoanAsk struct {
 	Number    int64                 `cbor:"1,keyasint"`
 	Borrower  masticway.Incarnation `cbor:"2,keyasint"`
@@ -51,21 +52,21 @@
 	Need      int64                 `cbor:"4,keyasint"`
 }
 
-// Repayment gives back what was borrowed and not used; its number lets the lender count it once.
+// Repayment returns what was borrowed and not used; the lender counts each number once.
 type Repayment struct {
 	Number    int64                 `cbor:"1,keyasint"`
 	Borrower  masticway.Incarnation `cbor:"2,keyasint"`
 	Lender    masticway.Incarnation `cbor:"3,keyasint"`
 	Workspace string                `cbor:"4,keyasint"`
 	Amount    int64                 `cbor:"5,keyasint"`
-	// Ask is a question whose answer did not arrive: whatever it brought is given back, and nothing is lent for it any
-	// more. It is zero when there was an answer.
+	// This is the number of a request whose response did not arrive, zero if there is none: the lender takes back whatever
+	// it has lent for the request, and lends nothing more for it.
 	Ask int64 `cbor:"6,keyasint,omitempty"`
-	// Address is where the lender is reached; it is not told.
+	// Address is where the lender is reached; it is not sent.
 	Address string `cbor:"-"`
 }
 
-// loanBalance is the borrowed money at hand.
+// loanBalance returns the sum of the unused loans.
 func (a *account) loanBalance() int64 {
 	var sum int64
 	for _, l := range a.loans {
@@ -74,21 +75,21 @@
 	return sum
 }
 
-// takeLoans takes money out of the loans at hand and says whose it was.
+// takeLoans takes an amount out of the loans and returns the loans that it came from.
 func (a *account) takeLoans(amount int64) []Loan {
-	var used []Loan
+	var taken []Loan
 	for amount > 0 && len(a.loans) > 0 {
 		part := min(amount, a.loans[0].Amount)
-		used = append(used, Loan{Lender: a.loans[0].Lender, Address: a.loans[0].Address, Amount: part})
+		taken = append(taken, Loan{Lender: a.loans[0].Lender, Address: a.loans[0].Address, Amount: part})
 		amount -= part
 		if a.loans[0].Amount -= part; a.loans[0].Amount == 0 {
 			a.loans = a.loans[1:]
 		}
 	}
-	return used
+	return taken
 }
 
-// addLoan adds a loan to those at hand, if it is any.
+// addLoan adds a loan, unless it is empty.
 func (a *account) addLoan(l Loan) {
 	if l.Amount <= 0 {
 		return
@@ -102,7 +103,8 @@
 	a.loans = append(a.loans, l)
 }
 
-// DueBorrowRounds returns whom to ask for money now: somebody has waited for the store, or there is nothing left to draw.
+// DueBorrowRounds returns the rounds to start now: for requests that have waited for the store, or whose need the store
+// cannot meet.
 func (p *Planner) DueBorrowRounds(now time.Time) []BorrowRound {
 	var asks []BorrowRound
 	for _, a := range p.sortedAccounts {
@@ -125,7 +127,7 @@
 	return asks
 }
 
-// borrowRetryInterval is how long after a round that brought too little the next one begins.
+// borrowRetryInterval is how long after a round that returned too little the next one may start.
 func (p *Planner) borrowRetryInterval(a *account) time.Duration {
 	if p.keepsReserve(a) {
 		return borrowBackoff
@@ -133,7 +135,8 @@
 	return refillInterval
 }
 
-// CompleteBorrowRound takes what one round of asking brought; of the routers that were asked, so many did not answer.
+// CompleteBorrowRound adds the loans that a round returned; unanswered is how many of the lenders that were asked did not
+// answer.
 func (p *Planner) CompleteBorrowRound(now time.Time, r BorrowRound, loans []Loan, unanswered int) []Reply {
 	a, ok := p.accounts[r.Workspace]
 	if !ok {
@@ -141,13 +144,13 @@
 	}
 	a.borrowing = false
 	a.borrowedAt = now
-	var brought int64
+	var received int64
 	for _, l := range loans {
 		a.addLoan(l)
-		brought += l.Amount
+		received += l.Amount
 	}
 	a.allAnswered = unanswered == 0
-	if brought < r.Need {
+	if received < r.Need {
 		a.shortfallAt = now
 		if unanswered > 0 && unanswered == len(r.Lenders) {
 			a.noAnswerAt = now
@@ -156,7 +159,7 @@
 	return p.serveQueue(now, a)
 }
 
-// CancelRequest notes that a lender did not answer, and returns what tells it that its answer did not arrive.
+// CancelRequest records that a lender did not answer, and returns the repayment that cancels the request there.
 func (p *Planner) CancelRequest(now time.Time, r BorrowRound, lender Witness) Repayment {
 	p.unansweredAt[lender.Incarnation.Instance()] = now
 	p.lastMessage++
@@ -166,16 +169,16 @@
 	}
 }
 
-// Lend takes money out of what this router may still take, for another. The hold has to be cleared before the money
-// is handed over, and Lent ends it then; there is none when nothing can be lent.
+// Lend takes tokens for another router out of what may be taken. Its hold must be cleared before the tokens are handed
+// over, and is ended by CompleteLoan; there is none if nothing can be lent.
 func (p *Planner) Lend(now time.Time, ask LoanAsk) (HoldID, int64) {
 	a, ok := p.accounts[ask.Workspace]
 	if !ok || p.closing {
 		return 0, 0
 	}
-	from := p.borrower(ask.Borrower)
-	if _, known := from.loans[ask.Number]; known {
-		// Its borrower has given it up, or it came twice.
+	borrower := p.borrower(ask.Borrower)
+	if _, known := borrower.loans[ask.Number]; known {
+		// The borrower has canceled the request, or this is a duplicate.
 		return 0, 0
 	}
 	a.observeDemand(now, ask.Need)
@@ -187,13 +190,13 @@
 	p.lastHold++
 	a.taken += amount
 	p.holds[p.lastHold] = &hold{account: a, amount: amount}
-	from.loans[ask.Number] = &loanRecord{at: now, amount: amount}
-	from.dropExpired(now)
+	borrower.loans[ask.Number] = &loanRecord{at: now, amount: amount}
+	borrower.dropExpired(now)
 	return p.lastHold, amount
 }
 
-// CompleteLoan notes that a cleared hold is handed to another router; it returns false when the hold was not cleared or the
-// borrower has given the question up meanwhile, and then the hold is still to be settled.
+// CompleteLoan ends a cleared hold because its tokens are handed to another router. It returns false if the hold is not
+// cleared or the borrower has canceled the request meanwhile; the caller must then settle the hold.
 func (p *Planner) CompleteLoan(id HoldID, ask LoanAsk) bool {
 	h, ok := p.holds[id]
 	if !ok || !h.cleared {
@@ -209,7 +212,7 @@
 	return true
 }
 
-// AcceptRepayment takes back what another router did not use of a loan, once for each of the borrower's numbers.
+// AcceptRepayment takes back what another router did not use of a loan, once for each number.
 func (p *Planner) AcceptRepayment(now time.Time, r Repayment) []Reply {
 	a, ok := p.accounts[r.Workspace]
 	if !ok || r.Lender != p.settings.Incarnation && r.Ask == 0 || !p.borrower(r.Borrower).repayments.add(r.Number) {
@@ -219,19 +222,19 @@
 	if r.Ask != 0 {
 		amount += p.borrower(r.Borrower).cancel(now, r.Ask)
 	}
-	back := min(amount, a.lent)
-	a.lent -= back
-	a.taken -= back
-	a.cleared -= back
+	returned := min(amount, a.lent)
+	a.lent -= returned
+	a.taken -= returned
+	a.cleared -= returned
 	return p.serveQueue(now, a)
 }
 
-// DueRepayments returns what lies unused and should go back; it has left this router's hands when it is returned.
+// DueRepayments removes the loans that are unused and due, and returns them as repayments.
 func (p *Planner) DueRepayments(now time.Time) []Repayment {
 	var due []Repayment
 	for _, a := range p.sortedAccounts {
-		empty := a.shortfallAt.Equal(a.borrowedAt)
-		if len(a.loans) == 0 || !p.closing && !empty && (len(a.waiting) > 0 || now.Sub(a.borrowedAt) < idleLoanTTL) {
+		short := a.shortfallAt.Equal(a.borrowedAt)
+		if len(a.loans) == 0 || !p.closing && !short && (len(a.waiting) > 0 || now.Sub(a.borrowedAt) < idleLoanTTL) {
 			continue
 		}
 		for _, l := range a.loans {
