--- a/treasurer/testimony.go
+++ b/treasurer/testimony.go
@@ -10,68 +10,72 @@
 )
 
 const (
-	// reportTimeout bounds one statement, many times the way between availability zones.
+	// reportTimeout bounds one report to a witness; it is many times the latency between availability zones.
 	reportTimeout = 150 * time.Millisecond
-	// witnessTimeout bounds one question to a witness, maxWitnessAttempts how often it is asked: until then the predecessor's
-	// grants stay open, and a witness that is being restarted answers within a second or so that it knows nothing.
+	// witnessTimeout bounds one call to a witness for its record, maxWitnessAttempts the number of attempts. Until they are
+	// over the predecessor's grants stay open; a witness that is being restarted answers within about a second that it has
+	// no record.
 	witnessTimeout     = 300 * time.Millisecond
 	maxWitnessAttempts = 3
 )
 
-// sendReport gives one statement to one witness.
+// sendReport sends one report to one witness.
 func (t *Treasurer) sendReport(ctx context.Context, s Statement) {
-	asking, cancel := context.WithTimeout(ctx, reportTimeout)
+	callCtx, cancel := context.WithTimeout(ctx, reportTimeout)
 	defer cancel()
-	taken, err := t.peerClient.Testify(asking, s.Address, s)
+	accepted, err := t.peerClient.Testify(callCtx, s.Address, s)
 	if err != nil {
 		t.log.WithFields(logrus.Fields{"event": "statement_failed", "witness": s.Witness, "error": err}).Debug("witness not reached")
 	}
 	t.metrics.Add(metricReports, 1)
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.deliver(t.planner.CompleteReport(t.clock.Now(), s, taken))
+	t.deliver(t.planner.CompleteReport(t.clock.Now(), s, accepted))
 }
 
-// Testified takes another router's statement.
+// Testified accepts another router's report, unless its sender has ended, the report is for another incarnation, or this
+// router is sealed.
 func (t *Treasurer) Testified(s Statement) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return !t.sealed && t.planner.AcceptReport(s)
 }
 
-// Recall tells a successor what an ended incarnation has stated here.
+// Recall returns what an ended incarnation has reported to this router.
 func (t *Treasurer) Recall(witness, ended masticway.Incarnation) Recollection {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if t.sealed {
-		// What was remembered went with the purse.
+		// The record went with the planner.
 		return Recollection{}
 	}
 	return t.planner.FinalReports(witness, ended)
 }
 
-// presumeSpent finds out what a predecessor has taken: from its witnesses if enough can be asked, else by its promises.
+// presumeSpent returns what a predecessor is presumed to have spent, by workspace: from its witnesses if enough of them
+// answer, else from its spend limits.
 func (t *Treasurer) presumeSpent(ctx context.Context, e EndedIncarnation) map[string]int64 {
-	recalled := t.queryWitnesses(ctx, e)
-	known := e.PresumedSpent(recalled)
-	var presumed, spared int64
+	records := t.queryWitnesses(ctx, e)
+	presumedSpent := e.PresumedSpent(records)
+	var presumed, saved int64
 	for workspace, spent := range e.MaxSpent {
-		presumed += known[workspace]
-		spared += spent - known[workspace]
+		presumed += presumedSpent[workspace]
+		saved += spent - presumedSpent[workspace]
 	}
-	t.metrics.Add(metricRecalled, spared)
+	t.metrics.Add(metricRecalled, saved)
 	t.log.WithFields(logrus.Fields{
-		"event": "predecessor_recalled", "incarnation": e.Incarnation, "witnesses": len(e.Witnesses), "answered": len(recalled),
-		"presumed": presumed, "spared": spared,
-	}).Info("what a predecessor has taken")
-	return known
+		"event": "predecessor_recalled", "incarnation": e.Incarnation, "witnesses": len(e.Witnesses), "answered": len(records),
+		"presumed": presumed, "spared": saved,
+	}).Info("presumed what a predecessor has spent")
+	return presumedSpent
 }
 
-// queryWitnesses asks the witnesses of an ended incarnation, all at once, until enough of them have answered or all were tried.
+// queryWitnesses asks the witnesses of an ended incarnation concurrently, until enough of them have answered or all were
+// tried.
 func (t *Treasurer) queryWitnesses(ctx context.Context, e EndedIncarnation) []Recollection {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	// A witness that cannot be asked brings nothing.
+	// A witness that does not answer contributes no record.
 	answers := make(chan []Recollection, len(e.Witnesses))
 	for _, w := range e.Witnesses {
 		t.tasks.Go(func() {
@@ -83,21 +87,21 @@
 			answers <- []Recollection{r}
 		})
 	}
-	var recalled []Recollection
+	var records []Recollection
 	for range e.Witnesses {
-		recalled = append(recalled, <-answers...)
-		if e.HasQuorum(recalled) {
+		records = append(records, <-answers...)
+		if e.HasQuorum(records) {
 			break
 		}
 	}
-	return recalled
+	return records
 }
 
-// queryWitness asks one witness, a few times.
+// queryWitness asks one witness, up to maxWitnessAttempts times.
 func (t *Treasurer) queryWitness(ctx context.Context, w Witness, ended masticway.Incarnation) (Recollection, bool) {
 	for range maxWitnessAttempts {
-		asking, cancel := context.WithTimeout(ctx, witnessTimeout)
-		r, err := t.peerClient.Recall(asking, w.Address, w.Incarnation, ended)
+		callCtx, cancel := context.WithTimeout(ctx, witnessTimeout)
+		r, err := t.peerClient.Recall(callCtx, w.Address, w.Incarnation, ended)
 		cancel()
 		if err == nil {
 			return r, true
--- a/treasurer/witness.go
+++ b/treasurer/witness.go
@@ -10,85 +10,90 @@
 )
 
 const (
-	// maxWitnesses is how many other routers a book names. While the store is silent most of them have to have taken a
-	// statement before more goes out than the book says, so that a successor needs to ask only some: of three, two each.
-	// With two, of which one had to hear and both to be asked, a router that was restarted in a cut while another one was
-	// cost its workspace 10% of a budget.
+	// maxWitnesses is how many other routers a checkpoint names as witnesses. While the store cannot be reached, a majority
+	// of them must accept a report before more is cleared than the checkpoint covers, so that a successor needs answers
+	// from only some: two of three in both cases. With two witnesses, of which one had to accept and both had to answer, a
+	// router that was restarted during a partition at the same time as one of them cost its workspace 10% of a budget.
 	maxWitnesses = 3
-	// unackedTimeout is how long most witnesses may leave a statement without an answer before requests are admitted only by
-	// what they have heard: two statements that time out, after which callers would wait for nothing.
+	// unackedTimeout is how long a report may lack a quorum before requests are admitted only by what the witnesses have
+	// acknowledged: the time of two reports that time out. After it callers would wait for nothing.
 	unackedTimeout = 300 * time.Millisecond
 )
 
-// Witness is a router that remembers what another one states while the store is silent.
+// Witness is a router that remembers what another router reports while the store cannot be reached.
 type Witness struct {
 	Incarnation masticway.Incarnation `json:"incarnation"`
 	Address     string                `json:"address"`
 }
 
-// Statement is the most that its issuer has taken, by workspace, where that is more than its book says.
+// Statement reports the most that its sender has taken, by workspace, where that exceeds what its checkpoint covers.
 type Statement struct {
 	Issuer masticway.Incarnation `cbor:"1,keyasint"`
-	// Witness is whom it is for; another incarnation on the instance has not seen the ones before and takes none.
+	// Witness is the recipient. Another incarnation on its instance lacks the earlier reports and must refuse this one.
 	Witness masticway.Incarnation `cbor:"2,keyasint"`
-	// Oldest and Newest are the books that may be the issuer's last when it dies now.
+	// These are the sequence numbers of the oldest and the newest checkpoint that may be the sender's last if it crashes
+	// now.
 	Oldest int64            `cbor:"3,keyasint"`
 	Newest int64            `cbor:"4,keyasint"`
 	Taken  map[string]int64 `cbor:"5,keyasint"`
-	// Address is where the witness is reached; it is not told.
+	// Address is where the witness is reached; it is not sent.
 	Address string `cbor:"-"`
 }
 
-// Stated is one workspace's part of a statement, and the newest book when it was made: a later book says the same itself.
+// Stated is a report about one workspace, with the newest checkpoint when it was made: a later checkpoint covers the same
+// amount.
 type Stated struct {
 	Taken int64 `cbor:"1,keyasint"`
 	Book  int64 `cbor:"2,keyasint"`
 }
 
-// Recollection is what a witness remembers of an ended incarnation; Same tells that it is the witness that was named.
+// Recollection is a witness's record of what an ended incarnation has reported to it. Its first field is set if the
+// incarnation that answers is the one named as the witness.
 type Recollection struct {
 	Same   bool              `cbor:"1,keyasint"`
 	Stated map[string]Stated `cbor:"2,keyasint"`
 }
 
-// issuerReports is what a witness remembers of one issuer.
+// issuerReports is a witness's record of one sender.
 type issuerReports struct {
 	reported map[string]Stated
-	// ended tells that a successor has asked; what the issuer states from then on is refused.
+	// ended is set once a successor has asked for the record; further reports of the sender are refused.
 	ended bool
 }
 
-// AcceptReport takes another router's statement; it returns false when the issuer has ended or means another witness.
+// AcceptReport accepts another router's report. It returns false if the sender has ended or the report is for another
+// incarnation.
 func (p *Planner) AcceptReport(s Statement) bool {
-	known := p.peerReports[s.Issuer]
-	if s.Witness != p.settings.Incarnation || known.ended {
+	record := p.peerReports[s.Issuer]
+	if s.Witness != p.settings.Incarnation || record.ended {
 		return false
 	}
-	if known.reported == nil {
-		known.reported = map[string]Stated{}
+	if record.reported == nil {
+		record.reported = map[string]Stated{}
 	}
-	maps.DeleteFunc(known.reported, func(_ string, old Stated) bool { return old.Book < s.Oldest })
+	maps.DeleteFunc(record.reported, func(_ string, old Stated) bool { return old.Book < s.Oldest })
 	for workspace, taken := range s.Taken {
-		// One that was overtaken on the way must not make the newer one look as old as itself.
-		old := known.reported[workspace]
-		known.reported[workspace] = Stated{Taken: max(taken, old.Taken), Book: max(s.Newest, old.Book)}
+		// Reports may arrive out of order: an older one must not lower the amount or the checkpoint of a newer one.
+		old := record.reported[workspace]
+		record.reported[workspace] = Stated{Taken: max(taken, old.Taken), Book: max(s.Newest, old.Book)}
 	}
-	p.peerReports[s.Issuer] = known
+	p.peerReports[s.Issuer] = record
 	return true
 }
 
-// FinalReports tells a successor what an ended incarnation has stated to a witness, and takes no statement of it any more.
+// FinalReports returns what an ended incarnation has reported to a witness, and refuses further reports of it.
 func (p *Planner) FinalReports(witness, ended masticway.Incarnation) Recollection {
 	if witness != p.settings.Incarnation {
 		return Recollection{}
 	}
-	known := p.peerReports[ended]
-	known.ended = true
-	p.peerReports[ended] = known
-	return Recollection{Same: true, Stated: maps.Clone(known.reported)}
+	record := p.peerReports[ended]
+	record.ended = true
+	p.peerReports[ended] = record
+	return Recollection{Same: true, Stated: maps.Clone(record.reported)}
 }
 
-// chooseWitnesses names the routers that follow this one in their order, which spreads the work evenly.
+// chooseWitnesses returns the routers that follow this one in the circular order of incarnations, which spreads the load
+// evenly.
 func (p *Planner) chooseWitnesses() []Witness {
 	var others []Witness
 	for _, o := range p.peers {
@@ -98,7 +103,7 @@
 	return others[:min(len(others), maxWitnesses)]
 }
 
-// compareCircular orders incarnations in a circle that begins behind one of them.
+// compareCircular compares incarnations in the circular order that starts after begin.
 func compareCircular(begin, x, y masticway.Incarnation) int {
 	if (x > begin) != (y > begin) {
 		if x > begin {
@@ -109,24 +114,26 @@
 	return cmp.Compare(x, y)
 }
 
-// isCheckpointLate tells that the store does not take the book as it usually does, so that what waits for it goes to the witnesses.
+// isCheckpointLate reports whether the store takes longer than usual for a checkpoint, so that what waits for it must be
+// reported to witnesses.
 func (p *Planner) isCheckpointLate(now time.Time) bool {
 	return !p.failingSince.IsZero() || p.checkpointInFlight && now.Sub(p.checkpointSentAt) > slowStoreLatency
 }
 
-// unclearedTaken is the most that has been taken of each workspace for which an answer waits for a promise.
+// unclearedTaken returns the amount taken of each workspace that has holds waiting for clearance, as far as reports can
+// clear them.
 func (p *Planner) unclearedTaken(now time.Time) map[string]int64 {
 	taken := map[string]int64{}
 	for workspace, a := range p.accounts {
-		stated := min(a.taken, p.expectedLimit(now, a))
-		if len(a.awaitingClearance) > 0 && stated > p.currentLimit(now, a) {
-			taken[workspace] = stated
+		amount := min(a.taken, p.expectedLimit(now, a))
+		if len(a.awaitingClearance) > 0 && amount > p.currentLimit(now, a) {
+			taken[workspace] = amount
 		}
 	}
 	return taken
 }
 
-// DueReports returns what to tell the witnesses now: what waits for a promise that the silent store cannot take.
+// DueReports returns the reports to send now, for holds that wait for a spend limit while the store is late.
 func (p *Planner) DueReports(now time.Time) []Statement {
 	var taken map[string]int64
 	if p.isCheckpointLate(now) {
@@ -153,7 +160,7 @@
 	return due
 }
 
-// currentWitnesses lists the witnesses of all books that the store may have.
+// currentWitnesses lists the witnesses of all checkpoints that the store may have.
 func (p *Planner) currentWitnesses() []Witness {
 	var all []Witness
 	for _, f := range p.limitsInForce {
@@ -166,14 +173,14 @@
 	return all
 }
 
-// CompleteReport notes whether a witness has taken a statement, and returns the requests that this answers.
-func (p *Planner) CompleteReport(now time.Time, s Statement, taken bool) []Reply {
+// CompleteReport records whether a witness has accepted a report, and returns the replies that result.
+func (p *Planner) CompleteReport(now time.Time, s Statement, accepted bool) []Reply {
 	delete(p.reportsInFlight, s.Witness)
-	if !taken {
+	if !accepted {
 		return nil
 	}
 	for _, f := range p.limitsInForce {
-		// A book that was sent after the statement was made is not one that it speaks of.
+		// The report says nothing about checkpoints that were sent after it was made.
 		if f.sequence <= s.Newest {
 			f.recordAck(s)
 		}
@@ -184,39 +191,39 @@
 	return p.Tick(now)
 }
 
-// recordAck notes what a witness of the book has taken.
+// recordAck records what a witness of the checkpoint has acknowledged.
 func (f checkpointLimits) recordAck(s Statement) {
 	if !slices.ContainsFunc(f.witnesses, func(w Witness) bool { return w.Incarnation == s.Witness }) {
 		return
 	}
-	known, ok := f.acked[s.Witness]
+	acked, ok := f.acked[s.Witness]
 	if !ok {
-		known = map[string]int64{}
-		f.acked[s.Witness] = known
+		acked = map[string]int64{}
+		f.acked[s.Witness] = acked
 	}
 	for workspace, amount := range s.Taken {
-		known[workspace] = max(known[workspace], amount)
+		acked[workspace] = max(acked[workspace], amount)
 	}
 }
 
-// quorumTaken is what most witnesses of the book have heard of a workspace.
+// quorumTaken returns the amount of a workspace that a quorum of the checkpoint's witnesses has acknowledged.
 func (f checkpointLimits) quorumTaken(workspace string) int64 {
-	var heard []int64
-	for _, known := range f.acked {
-		heard = append(heard, known[workspace])
+	var amounts []int64
+	for _, acked := range f.acked {
+		amounts = append(amounts, acked[workspace])
 	}
-	most := quorum(len(f.witnesses))
-	if len(heard) < most {
+	needed := quorum(len(f.witnesses))
+	if len(amounts) < needed {
 		return 0
 	}
-	slices.Sort(heard)
-	return heard[len(heard)-most]
+	slices.Sort(amounts)
+	return amounts[len(amounts)-needed]
 }
 
-// quorum is how many of a book's witnesses have to hear of something before it may go out.
-func quorum(named int) int { return named/2 + 1 }
+// quorum returns how many of a checkpoint's witnesses must acknowledge an amount before it is cleared.
+func quorum(witnesses int) int { return witnesses/2 + 1 }
 
-// isAcked tells that enough witnesses have heard of all that a statement says.
+// isAcked reports whether a quorum of witnesses has acknowledged all of a report.
 func (p *Planner) isAcked(now time.Time, s Statement) bool {
 	for workspace, amount := range s.Taken {
 		if a, ok := p.accounts[workspace]; ok && p.currentLimit(now, a) < amount {
@@ -226,35 +233,37 @@
 	return true
 }
 
-// areReportsUnacked tells that most witnesses have not answered a statement for a while.
+// areReportsUnacked reports whether reports have lacked a quorum for longer than unackedTimeout.
 func (p *Planner) areReportsUnacked(now time.Time) bool {
 	return !p.unackedSince.IsZero() && now.Sub(p.unackedSince) > unackedTimeout
 }
 
-// HasQuorum tells that so many of the named witnesses have answered that one of them has heard of whatever went out.
-func (e EndedIncarnation) HasQuorum(recalled []Recollection) bool {
-	same := 0
-	for _, r := range recalled {
+// HasQuorum reports whether so many of the named witnesses have answered that at least one of them has acknowledged
+// whatever was cleared.
+func (e EndedIncarnation) HasQuorum(records []Recollection) bool {
+	answered := 0
+	for _, r := range records {
 		if r.Same {
-			same++
+			answered++
 		}
 	}
-	return same > len(e.Witnesses)-quorum(len(e.Witnesses))
+	return answered > len(e.Witnesses)-quorum(len(e.Witnesses))
 }
 
-// PresumedSpent returns the most that an ended incarnation has taken, by workspace: what its last book says and its witnesses
-// remember, once enough of these have been asked. What they remember of books before its last one is in that book.
-func (e EndedIncarnation) PresumedSpent(recalled []Recollection) map[string]int64 {
-	if len(e.Witnesses) == 0 || !e.HasQuorum(recalled) {
+// PresumedSpent returns the most that an ended incarnation can have spent, by workspace: what its last checkpoint allows
+// without witnesses and what these remember, if enough of them have answered, else all that its limits allow. What they
+// remember of earlier checkpoints is covered by the last one.
+func (e EndedIncarnation) PresumedSpent(records []Recollection) map[string]int64 {
+	if len(e.Witnesses) == 0 || !e.HasQuorum(records) {
 		return e.MaxSpent
 	}
-	known := maps.Clone(e.MaxUnwitnessed)
-	for _, r := range recalled {
+	presumed := maps.Clone(e.MaxUnwitnessed)
+	for _, r := range records {
 		for workspace, s := range r.Stated {
 			if r.Same && s.Book >= e.Sequence {
-				known[workspace] = max(known[workspace], s.Taken)
+				presumed[workspace] = max(presumed[workspace], s.Taken)
 			}
 		}
 	}
-	return known
+	return presumed
 }
