--- a/treasurer/begin.go
+++ b/treasurer/begin.go
@@ -13,14 +13,14 @@
 	"github.com/masticway/masticway"
 )
 
-// takeOver takes over the instance's book; it returns false when the context ended first.
+// takeOver takes over the instance's checkpoint; it returns false if the context was done first.
 func (t *Treasurer) takeOver(ctx context.Context) bool {
 	for ctx.Err() == nil {
 		err := t.tryTakeOver(ctx)
 		if err == nil {
 			return true
 		}
-		t.log.WithFields(logrus.Fields{"event": "money_begin_failed", "incarnation": t.self, "error": err}).Debug("book not taken over")
+		t.log.WithFields(logrus.Fields{"event": "money_begin_failed", "incarnation": t.self, "error": err}).Debug("checkpoint not taken over")
 		t.sleep(ctx, callRetryInterval)
 	}
 	return false
@@ -32,43 +32,44 @@
 	t.mu.Lock()
 	key := t.planner.checkpointKey()
 	t.mu.Unlock()
-	// The store's clock is read after the call is sent, so this is never earlier than the true time.
-	age := t.clock.Now().Sub(t.listeningAt)
+	// The store's clock is read after the call is sent, so the start of listening that is computed from it is never too
+	// early.
+	listeningFor := t.clock.Now().Sub(t.listeningAt)
 	row, at, err := t.readRow(ctx, key)
 	if err != nil {
 		return err
 	}
 	t.mu.Lock()
-	write, err := t.planner.TakeOver(row, at, at-age)
+	write, err := t.planner.TakeOver(row, at, at-listeningFor)
 	t.mu.Unlock()
 	if err != nil {
 		return err
 	}
-	made, err := t.store.Write(ctx, write)
+	written, err := t.store.Write(ctx, write)
 	if err != nil {
 		return err
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.planner.CompleteTakeOver(t.clock.Now(), made.Version, made.StoreTime)
+	t.planner.CompleteTakeOver(t.clock.Now(), written.Version, written.StoreTime)
 	t.log.WithFields(logrus.Fields{
 		"event": "money_begun", "incarnation": t.self, "predecessors": len(t.planner.Predecessors()),
-	}).Info("book taken over")
+	}).Info("checkpoint taken over")
 	return nil
 }
 
-// closePredecessors ends the grants of this instance's earlier incarnations.
+// closePredecessors closes the grants of this instance's earlier incarnations.
 func (t *Treasurer) closePredecessors(ctx context.Context) {
 	t.mu.Lock()
 	ended := t.planner.Predecessors()
 	t.mu.Unlock()
 	var closing sync.WaitGroup
-	places := make(chan struct{}, maxConcurrentClosings)
+	slots := make(chan struct{}, maxConcurrentClosings)
 	for _, e := range ended {
 		for workspace, spent := range t.presumeSpent(ctx, e) {
 			closing.Go(func() {
-				places <- struct{}{}
-				defer func() { <-places }()
+				slots <- struct{}{}
+				defer func() { <-slots }()
 				t.closeGrant(ctx, e, workspace, spent)
 			})
 		}
@@ -82,7 +83,7 @@
 	t.mu.Unlock()
 }
 
-// closeGrant closes one grant, however often other routers change the row meanwhile.
+// closeGrant closes one grant, retrying for as long as other routers change the row at the same time.
 func (t *Treasurer) closeGrant(ctx context.Context, ended EndedIncarnation, workspace string, spent int64) {
 	key := accountKey(workspace, t.parts)
 	row, known := masticway.StoredRow{RowKey: key}, false
@@ -109,7 +110,7 @@
 		if conflict, ok := errors.AsType[*masticway.RowConflictError](err); ok && len(conflict.Rows) == 1 {
 			row = conflict.Rows[0]
 			t.sleepForContention(ctx, grants)
-			// The row has changed again by the time that others need for theirs.
+			// By the time that the other writers need, the row will have changed again.
 			known = grants < contendedGrants
 			continue
 		}
@@ -118,15 +119,15 @@
 	}
 }
 
-// sleepForContention waits for a random part of the time that the holders of so many grants of a row need for one write each
-// to it: where all of them close grants at once, writes that meet would use up the store's rate.
+// sleepForContention sleeps for a random part of the time in which the holders of that many grants of a row can each write
+// it once. Where all of them close grants at once, conflicting writes would exhaust the store's rate.
 func (t *Treasurer) sleepForContention(ctx context.Context, grants int) {
-	if longest := time.Duration(grants) * closingInterval; longest > 0 {
-		t.sleep(ctx, time.Duration(rand.Int64N(int64(longest))))
+	if span := time.Duration(grants) * closingInterval; span > 0 {
+		t.sleep(ctx, time.Duration(rand.Int64N(int64(span))))
 	}
 }
 
-// readRow reads one row, with version zero when there is none, and the store's clock.
+// readRow reads one row, with version zero if it does not exist, and the store's clock.
 func (t *Treasurer) readRow(ctx context.Context, key masticway.RowKey) (masticway.StoredRow, time.Duration, error) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
--- a/treasurer/presence.go
+++ b/treasurer/presence.go
@@ -13,50 +13,51 @@
 	"github.com/masticway/masticway"
 )
 
-// The policy of counting: which routers share the money and the retries.
+// These constants are policy: which routers count as running, which share budgets and retries.
 const (
-	// presenceTTL is how old the presence of a router may be that counts, beyond the time for which this router has not
-	// counted itself: after an outage all are old, and routers that took themselves for alone would each use the retries
-	// that are meant for all. Where presences are written less often, it is presenceTTLIntervals of their pauses.
+	// presenceTTL is the maximum age of a presence that counts, in addition to the time since this router last counted.
+	// After an outage all presences are old, and routers that believed to be the only ones would each use the retries meant
+	// for all. Where presences are written less often, it is presenceTTLIntervals of their intervals.
 	presenceTTL          = 12 * time.Second
 	presenceTTLIntervals = 4
 )
 
-// The mechanics of counting: the pace of its calls.
+// These constants bound how often presences are read and written.
 const (
-	// initialCountInterval is the pause before routers are counted again after a start, when most of them may be starting too; it
-	// doubles up to countInterval.
+	// initialCountInterval is the interval between counts after a start, when most routers may be starting too; it doubles
+	// up to countInterval.
 	initialCountInterval = 300 * time.Millisecond
-	// countInterval is how often each router writes its presence in a small fleet, announceIntervalPerRouter what each router adds to it in a
-	// large one: all presences are in one part of the store, which takes 200 writes a second, so that half of that is used
-	// however many routers there are.
+	// countInterval is how often each router writes its presence in a small fleet, announceIntervalPerRouter what each
+	// router contributes to the interval in a large one. All presences are in one part of the store, which takes 200 writes
+	// a second; with this interval they use half of that for any number of routers.
 	countInterval             = 3 * time.Second
 	announceIntervalPerRouter = 10 * time.Millisecond
-	// maxCountRate bounds what reading all presences takes of a router's link, in bytes a second.
+	// maxCountRate bounds the rate at which a router reads all presences, in bytes a second.
 	maxCountRate = 4 << 10
 )
 
-// announceInterval is how often each of so many routers writes its presence.
+// announceInterval returns how often each of the given number of routers writes its presence.
 func announceInterval(routers int) time.Duration {
 	return max(countInterval, time.Duration(routers)*announceIntervalPerRouter)
 }
 
-// maintainPresence keeps the number of routers, and tells them of this one.
+// maintainPresence keeps this router's presence and the count of routers up to date until the context is done.
 func (t *Treasurer) maintainPresence(ctx context.Context) {
-	pause := initialCountInterval
+	interval := initialCountInterval
 	for ctx.Err() == nil {
 		t.logStatus()
-		// Routers that were refused together do not come back together.
-		t.sleep(ctx, pause/2+rand.N(pause))
+		// The jitter keeps routers that were refused at the same time from retrying at the same time.
+		t.sleep(ctx, interval/2+rand.N(interval))
 		if t.refreshPresence(ctx) {
-			pause = min(2*pause, announceInterval(t.Members()))
+			interval = min(2*interval, announceInterval(t.Members()))
 		} else {
-			pause = min(2*pause, countInterval)
+			interval = min(2*interval, countInterval)
 		}
 	}
 }
 
-// refreshPresence writes this router's presence, and counts all first when that is due; false when it could not.
+// refreshPresence writes this router's presence, and counts all routers first if that is due. It reports whether it
+// succeeded.
 func (t *Treasurer) refreshPresence(ctx context.Context) bool {
 	if t.isCountDue() {
 		return t.tryCount(ctx)
@@ -68,15 +69,15 @@
 	return err == nil
 }
 
-// isCountDue tells that the presences of all are to be read again: the more there are, the less often.
+// isCountDue reports whether all presences must be read again; the larger they are, the less often that is.
 func (t *Treasurer) isCountDue() bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	pause := time.Duration(t.countedBytes) * time.Second / maxCountRate
-	return t.countedAt.IsZero() || t.clock.Now().Sub(t.countedAt) >= pause
+	interval := time.Duration(t.countedBytes) * time.Second / maxCountRate
+	return t.countedAt.IsZero() || t.clock.Now().Sub(t.countedAt) >= interval
 }
 
-// tryCount counts the routers and tells of this one; false when either failed.
+// tryCount counts the routers and writes this one's presence. It reports whether both succeeded.
 func (t *Treasurer) tryCount(ctx context.Context) bool {
 	_, err := t.countRouters(ctx)
 	if err != nil {
@@ -85,20 +86,20 @@
 	return err == nil
 }
 
-// countRouters counts the routers whose presences are young, this one included, tells the purse of them, and writes the own
-// presence. What was counted holds whether or not that write succeeds.
+// countRouters counts the routers whose presences are recent, including this one, passes them to the planner, and writes
+// this router's presence. The count is valid even if that write fails.
 func (t *Treasurer) countRouters(ctx context.Context) (int, error) {
 	reading, err := t.store.Read(ctx, tableRouters, routersPart)
 	if err != nil {
 		return 0, err
 	}
-	own := int64(0)
+	ownVersion := int64(0)
 	var peers []Peer
-	alive := max(presenceTTL, presenceTTLIntervals*announceInterval(len(reading.Rows))) + t.sinceLastCount()
+	ttl := max(presenceTTL, presenceTTLIntervals*announceInterval(len(reading.Rows))) + t.sinceLastCount()
 	n := 1
 	for _, r := range reading.Rows {
 		if r.Key == t.self.Instance() {
-			own = r.Version
+			ownVersion = r.Version
 			continue
 		}
 		p, err := decode[Presence](r)
@@ -106,7 +107,7 @@
 			t.log.WithFields(logrus.Fields{"event": "presence_unreadable", "instance_of": r.Key, "error": err}).Warn("router not counted")
 			continue
 		}
-		if reading.StoreTime-p.At >= alive {
+		if reading.StoreTime-p.At >= ttl {
 			continue
 		}
 		n++
@@ -115,22 +116,22 @@
 		}
 	}
 	slices.SortFunc(peers, func(x, y Peer) int { return cmp.Compare(x.Incarnation, y.Incarnation) })
-	t.setCount(n, peers, reading, own)
+	t.setCount(n, peers, reading, ownVersion)
 	return n, t.writePresence(ctx)
 }
 
-// setCount takes a count.
-func (t *Treasurer) setCount(n int, peers []Peer, reading masticway.RowReading, own int64) {
+// setCount records a count.
+func (t *Treasurer) setCount(n int, peers []Peer, reading masticway.RowReading, ownVersion int64) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.peers, t.members = peers, n
 	t.countedAt, t.countedBytes = t.clock.Now(), reading.Bytes()
-	t.presence = presenceRow{version: own, storeTime: reading.StoreTime, readAt: t.countedAt}
+	t.presence = presenceRow{version: ownVersion, storeTime: reading.StoreTime, readAt: t.countedAt}
 	t.planner.SetPeers(n, peers)
 	t.metrics.Gauge(metricRouters, int64(n))
 }
 
-// sinceLastCount is for how long this router has not counted the others, zero before it has for the first time.
+// sinceLastCount returns the time since the routers were last counted, zero if they never were.
 func (t *Treasurer) sinceLastCount() time.Duration {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -143,7 +144,7 @@
 // presenceRow is what is known of this router's own row.
 type presenceRow struct {
 	version int64
-	// storeTime is the store's clock when this router's clock showed since; the store's may be a little further.
+	// storeTime was the store's clock when this router's clock was readAt, or slightly before.
 	storeTime time.Duration
 	readAt    time.Time
 }
@@ -151,21 +152,22 @@
 // writePresence writes this router's presence.
 func (t *Treasurer) writePresence(ctx context.Context) error {
 	t.mu.Lock()
-	known := t.presence
+	row := t.presence
 	t.mu.Unlock()
 	key := masticway.RowKey{Table: tableRouters, Part: routersPart, Key: t.self.Instance()}
-	at := known.storeTime + t.clock.Now().Sub(known.readAt)
-	made, err := t.store.Write(ctx, masticway.RowWrite{
-		Expected: []masticway.RowVersion{{RowKey: key, Version: known.version}},
-		Puts:     []masticway.RowPut{{RowKey: key, Value: encode(Presence{Incarnation: t.self, Address: t.address, Zone: t.zone, Processors: t.processors, At: at})}},
+	storeTime := row.storeTime + t.clock.Now().Sub(row.readAt)
+	written, err := t.store.Write(ctx, masticway.RowWrite{
+		Expected: []masticway.RowVersion{{RowKey: key, Version: row.version}},
+		Puts:     []masticway.RowPut{{RowKey: key, Value: encode(Presence{Incarnation: t.self, Address: t.address, Zone: t.zone, Processors: t.processors, At: storeTime})}},
 	})
 	if conflict, ok := errors.AsType[*masticway.RowConflictError](err); ok {
-		// A write without an answer was made after all, or a predecessor's row was not read; the next write expects what is there.
+		// Either an earlier write of unknown outcome was made, or a predecessor's row was not read. The next write expects
+		// the version that is there.
 		t.setPresenceVersion(versionOf(conflict.Rows, key))
 		return nil
 	}
 	if err == nil {
-		t.setPresenceVersion(made.Version)
+		t.setPresenceVersion(written.Version)
 	}
 	return err
 }
@@ -176,7 +178,7 @@
 	t.presence.version = version
 }
 
-// versionOf returns the version of a row among those that came with a conflict, zero when it is not there.
+// versionOf returns the version of a row among those returned with a conflict, zero if it is not among them.
 func versionOf(rows []masticway.StoredRow, key masticway.RowKey) int64 {
 	for _, r := range rows {
 		if r.RowKey == key && !r.Deleted {
--- a/treasurer/treasurer.go
+++ b/treasurer/treasurer.go
@@ -15,36 +15,36 @@
 	"github.com/masticway/masticway/measurer"
 )
 
-// The policy of a treasurer: how long a request may wait for what other routers lend.
+// These constants are policy: how long a request may wait for a loan from another router.
 const (
-	// lendTimeout bounds one question to another router, a few times the way between availability zones and the wait for
-	// its book, which clearTimeout bounds: what it lends should arrive in time.
+	// lendTimeout bounds one loan request to another router: a few times the latency between availability zones plus the
+	// wait for the lender's checkpoint, which clearTimeout bounds.
 	lendTimeout  = 60 * time.Millisecond
 	clearTimeout = 45 * time.Millisecond
 )
 
-// The mechanics of a treasurer: timeouts, pauses and bounds of its calls.
+// These constants are timeouts, intervals and bounds of the treasurer's calls.
 const (
-	// tickInterval is how often waits and plans are looked at when nothing happens.
+	// tickInterval is how often waits and plans are checked if no event occurs.
 	tickInterval = 50 * time.Millisecond
 	// callTimeout bounds one call to the store.
 	callTimeout = 2 * time.Second
-	// callRetryInterval separates attempts to take over the book.
+	// callRetryInterval separates attempts of a call that failed.
 	callRetryInterval = 100 * time.Millisecond
-	// maxConcurrentClosings bounds the grants of a predecessor that are closed at the same time.
+	// maxConcurrentClosings bounds how many grants of predecessors are closed at the same time.
 	maxConcurrentClosings = 6
-	// closingInterval is a grant's part of the time over which closings of one row's grants are spread, the store's time for
-	// two writes of one part.
+	// closingInterval is the time for each grant over which closings of one row's grants are spread: the store's time for
+	// two writes to one part.
 	closingInterval = 10 * time.Millisecond
-	// contendedGrants is the number of grants in a row below which one that was given back with a conflict is probably the
-	// newest yet.
+	// contendedGrants is the number of grants in a row from which on writes to it conflict so often that the row returned
+	// with a conflict is probably outdated already.
 	contendedGrants = 8
-	// watchWait is how long one call of the accounts' feed may wait, watchInterval what separates two calls, and
-	// watchIntervalPerRouter what is added for each router.
+	// watchWait is how long one call of the accounts' watch may wait for changes. Two calls are watchInterval apart, plus
+	// watchIntervalPerRouter for each router.
 	watchWait              = 5 * time.Second
 	watchInterval          = 200 * time.Millisecond
 	watchIntervalPerRouter = 6 * time.Millisecond
-	// repayTimeout and maxRepayAttempts bound the giving back of a loan.
+	// repayTimeout and maxRepayAttempts bound the attempts to repay a loan.
 	repayTimeout     = 500 * time.Millisecond
 	maxRepayAttempts = 5
 )
@@ -68,7 +68,8 @@
 	histogramHold       = "money_wait"
 )
 
-// Treasurer carries a purse's steps out and answers requests for money.
+// Treasurer keeps the prepaid budgets for one router: it carries out what its planner decides and answers requests for
+// tokens.
 type Treasurer struct {
 	store   masticway.RowStore
 	clock   masticway.Clock
@@ -76,7 +77,7 @@
 	metrics *measurer.Set
 	self    masticway.Incarnation
 	parts   int
-	// address is where other routers reach this one; it has been listened at since listeningAt.
+	// address is where other routers reach this one; the process has listened there since listeningAt.
 	address     string
 	zone        string
 	processors  float64
@@ -88,12 +89,13 @@
 	members int
 	sealed  bool
 
-	// countedAt is when the routers were last counted, countedBytes what their presences took, presence the own one.
+	// countedAt is when the routers were last counted, countedBytes the size of their presences, and presence this router's
+	// own.
 	countedAt    time.Time
 	countedBytes int64
 	presence     presenceRow
 
-	// peers are the other routers that can be reached, in the order of their incarnations.
+	// peers lists the other routers that can be reached, sorted by incarnation.
 	peers []Peer
 
 	peerClient Lender
@@ -101,19 +103,20 @@
 	tasks      sync.WaitGroup
 }
 
-// Lender asks another router for money and gives it back, and has it remember what is taken while the store is silent.
+// Lender calls other routers: to borrow and repay tokens, and to use them as witnesses of what is taken while the store
+// cannot be reached.
 type Lender interface {
-	// Borrow returns what the router at an address lends, which may be nothing, and which incarnation that is.
+	// Borrow returns what the router at the address lends, which may be nothing, and the incarnation that lent it.
 	Borrow(ctx context.Context, address string, ask LoanAsk) (Loan, error)
-	// Repay fails when the lender may not have heard of it; a repayment may be sent again.
+	// Repay fails if the lender may not have received the repayment; a repayment may be sent again.
 	Repay(ctx context.Context, address string, r Repayment) error
-	// Testify gives a statement to a witness and tells whether it took it.
+	// Testify sends a report to a witness and reports whether the witness accepted it.
 	Testify(ctx context.Context, address string, s Statement) (bool, error)
-	// Recall asks a witness what an ended incarnation has stated.
+	// Recall asks a witness what an ended incarnation has reported to it.
 	Recall(ctx context.Context, address string, witness, ended masticway.Incarnation) (Recollection, error)
 }
 
-// New returns a treasurer for a new incarnation on an instance; the process already listens at the settings' address,
+// New returns a treasurer for a new incarnation on an instance. The process must already listen at the settings' address,
 // where others reach it.
 func New(store masticway.RowStore, lender Lender, clock masticway.Clock, log *logrus.Entry, metrics *measurer.Set, instance string, s Settings) *Treasurer {
 	s.Incarnation = masticway.NewIncarnation(instance, uuid.NewString()[:8])
@@ -124,10 +127,10 @@
 	}
 }
 
-// Self names this incarnation.
+// Self returns the router's incarnation.
 func (t *Treasurer) Self() masticway.Incarnation { return t.self }
 
-// Peers names the addresses of the other routers.
+// Peers returns the addresses of the other routers that can be reached, sorted.
 func (t *Treasurer) Peers() []string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -139,28 +142,29 @@
 	return all
 }
 
-// Members returns how many routers there seem to be, this one included; zero when they have not been counted.
+// Members returns the number of running routers, including this one; zero until they were counted.
 func (t *Treasurer) Members() int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.members
 }
 
-// Neighbours lists the other routers in this one's availability zone that can be reached.
+// Neighbours returns the other routers in this one's availability zone that can be reached.
 func (t *Treasurer) Neighbours() []Peer {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return slices.DeleteFunc(slices.Clone(t.peers), func(o Peer) bool { return o.Zone != t.zone })
 }
 
-// Readers names the addresses of the routers of this one's availability zone that read something for it, best first, by rendezvous
-// hash and processors, and tells whether this one is among them. There are none before the routers are counted.
-func (t *Treasurer) Readers(of string, most int) (addresses []string, own bool) {
+// Readers returns the addresses of the routers in this one's availability zone that read the given key for their zone, best
+// first, by rendezvous hash and processors. If this router is one of them, it returns true and no addresses. There are none
+// until the routers were counted.
+func (t *Treasurer) Readers(key string, limit int) (addresses []string, isReader bool) {
 	zone := t.Neighbours()
 	if len(zone) == 0 {
 		return nil, false
 	}
-	for _, p := range t.rankPeers(of, zone, most) {
+	for _, p := range t.rankPeers(key, zone, limit) {
 		if p.Incarnation == t.self {
 			return nil, true
 		}
@@ -169,35 +173,35 @@
 	return addresses, false
 }
 
-// Ranked names the addresses of the routers that something falls to, this one's among them, first by rendezvous hash and processors
-// to last. There are none before the routers are counted.
-func (t *Treasurer) Ranked(of string, most int) (addresses []string) {
+// Ranked returns the addresses of the first routers for a key by rendezvous hash and processors, this router's own
+// included. There are none until the routers were counted.
+func (t *Treasurer) Ranked(key string, limit int) (addresses []string) {
 	t.mu.Lock()
 	counted, peers := t.members > 0, slices.Clone(t.peers)
 	t.mu.Unlock()
 	if !counted {
 		return nil
 	}
-	for _, p := range t.rankPeers(of, peers, most) {
+	for _, p := range t.rankPeers(key, peers, limit) {
 		addresses = append(addresses, p.Address)
 	}
 	return addresses
 }
 
-// rankPeers returns the first of some peers and this router.
-func (t *Treasurer) rankPeers(of string, peers []Peer, most int) []Peer {
+// rankPeers returns the first routers for a key among the given peers and this router.
+func (t *Treasurer) rankPeers(key string, peers []Peer, limit int) []Peer {
 	self := Peer{Witness: Witness{Incarnation: t.self, Address: t.address}, Zone: t.zone, Processors: t.processors}
 	weights := map[masticway.Incarnation]float64{}
 	all := append(peers, self)
 	for _, p := range all {
-		weights[p.Incarnation] = p.weight(of)
+		weights[p.Incarnation] = p.weight(key)
 	}
 	slices.SortFunc(all, func(x, y Peer) int { return cmp.Compare(weights[y.Incarnation], weights[x.Incarnation]) })
-	return all[:min(most, len(all))]
+	return all[:min(limit, len(all))]
 }
 
-// Owns tells whether this router is the one of all to which a key falls, by rendezvous hash; nobody is before the routers
-// were counted.
+// Owns reports whether this router is the one to which a key is assigned by rendezvous hash; no router owns a key until the
+// routers were counted.
 func (t *Treasurer) Owns(key string) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -208,7 +212,7 @@
 	return !slices.ContainsFunc(t.peers, func(o Peer) bool { return weight(key, o.Incarnation.Instance()) > own })
 }
 
-// Configure tells what each workspace has paid for.
+// Configure sets what each workspace has prepaid.
 func (t *Treasurer) Configure(d masticway.Deployment) {
 	t.mu.Lock()
 	t.planner.Configure(d.Version, d.Accounts)
@@ -216,12 +220,12 @@
 	t.wakeUp()
 }
 
-// Hold takes money for a request; it waits at most so long, or until the context ends.
-func (t *Treasurer) Hold(ctx context.Context, workspace string, need int64, wait time.Duration) Reply {
+// Hold reserves tokens for a request. It waits at most the given time, or until the context is done.
+func (t *Treasurer) Hold(ctx context.Context, workspace string, need int64, maxWait time.Duration) Reply {
 	now := t.clock.Now()
 	answer := make(chan Reply, 1)
 	t.mu.Lock()
-	id, replies := t.planner.Hold(now, workspace, need, now.Add(wait))
+	id, replies := t.planner.Hold(now, workspace, need, now.Add(maxWait))
 	t.waiting[id] = answer
 	t.deliver(replies)
 	t.mu.Unlock()
@@ -241,7 +245,8 @@
 	}
 }
 
-// Clear waits until a hold's answer may go to the caller; it returns false when the context ended first.
+// Clear waits until the response covered by a hold may be sent to the caller; it returns false if the context was done
+// first.
 func (t *Treasurer) Clear(ctx context.Context, id HoldID) bool {
 	answer := make(chan Reply, 1)
 	t.mu.Lock()
@@ -260,7 +265,7 @@
 	}
 }
 
-// Settle ends a hold with what was used of it.
+// Settle ends a hold of which the given amount was used.
 func (t *Treasurer) Settle(id HoldID, used int64) {
 	t.mu.Lock()
 	delete(t.waiting, id)
@@ -268,7 +273,7 @@
 	t.mu.Unlock()
 }
 
-// deliver hands replies out; the caller holds the lock.
+// deliver passes replies to the goroutines that wait for them; t.mu must be held.
 func (t *Treasurer) deliver(replies []Reply) {
 	for _, r := range replies {
 		if c, ok := t.waiting[r.ID]; ok {
@@ -284,7 +289,7 @@
 	}
 }
 
-// RetryCheckpoint tells that the store answers again.
+// StoreIsBack tells the treasurer that the store answers again.
 func (t *Treasurer) StoreIsBack() {
 	t.mu.Lock()
 	t.planner.RetryCheckpoint()
@@ -292,7 +297,7 @@
 	t.wakeUp()
 }
 
-// wakeUp makes the loop plan at once.
+// wakeUp makes the loop in Run plan at once.
 func (t *Treasurer) wakeUp() {
 	select {
 	case t.wake <- struct{}{}:
@@ -300,12 +305,13 @@
 	}
 }
 
-// Run takes the book over and keeps the purse going until the context ends.
+// Run takes over the checkpoint and serves requests until the context is done.
 func (t *Treasurer) Run(ctx context.Context) {
 	if !t.takeOver(ctx) {
 		return
 	}
-	// Before the first draw, so that a hundred routers that start at once don't all draw for every workspace.
+	// The routers are counted before the first grant, so that a hundred routers that start at the same time don't all draw
+	// for every workspace.
 	t.tryCount(ctx)
 	t.tasks.Go(func() { t.closePredecessors(ctx) })
 	t.tasks.Go(func() { t.watchAccounts(ctx) })
@@ -321,7 +327,7 @@
 	t.tasks.Wait()
 }
 
-// sleep waits, at most until the context ends.
+// sleep waits for the given time, or until the context is done.
 func (t *Treasurer) sleep(ctx context.Context, d time.Duration) {
 	select {
 	case <-ctx.Done():
@@ -335,7 +341,7 @@
 	return t.sealed
 }
 
-// runOnce ends waits and starts the steps that are due.
+// runOnce ends waits and starts the calls that are due.
 func (t *Treasurer) runOnce(ctx context.Context) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -355,7 +361,7 @@
 	}
 }
 
-// runStep carries one step out.
+// runStep carries out one step.
 func (t *Treasurer) runStep(ctx context.Context, s Step) error {
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), callTimeout)
 	defer cancel()
@@ -387,30 +393,30 @@
 		return
 	}
 	t.metrics.Add(metricStoreFailures, 1)
-	t.log.WithFields(logrus.Fields{"event": "money_step_failed", "part": s.Part, "workspace": s.Workspace, "error": err}).Debug("step failed")
+	t.log.WithFields(logrus.Fields{"event": "money_step_failed", "part": s.Part, "workspace": s.Workspace, "error": err}).Debug("store call failed")
 }
 
-// seal ends the handing out of money; a sealed incarnation may not spend any more.
+// seal stops serving requests, because a sealed incarnation must not spend any more; t.mu must be held.
 func (t *Treasurer) seal(err error) {
 	if t.sealed {
 		return
 	}
 	t.sealed = true
-	t.log.WithFields(logrus.Fields{"event": "money_fault", "incarnation": t.self, "error": err}).Error("money is not handed out any more")
+	t.log.WithFields(logrus.Fields{"event": "money_fault", "incarnation": t.self, "error": err}).Error("no more tokens are spent")
 	t.planner = NewPlanner(Settings{Incarnation: t.self, Parts: t.parts})
 }
 
-// Close gives the money back and writes the last word into the book; nothing can be held any more.
+// Close returns what is free of the grants and writes the final checkpoint. Nothing can be held after it.
 func (t *Treasurer) Close(ctx context.Context) {
 	t.mu.Lock()
 	t.planner.Close()
 	t.mu.Unlock()
 	for ctx.Err() == nil && !t.isSealed() {
 		t.mu.Lock()
-		last, ok := t.planner.FinalCheckpoint(t.clock.Now())
+		final, ok := t.planner.FinalCheckpoint(t.clock.Now())
 		t.mu.Unlock()
-		if ok && t.runStep(ctx, last) == nil {
-			t.log.WithFields(logrus.Fields{"event": "money_closed", "incarnation": t.self}).Info("money given back")
+		if ok && t.runStep(ctx, final) == nil {
+			t.log.WithFields(logrus.Fields{"event": "money_closed", "incarnation": t.self}).Info("unused tokens returned")
 			return
 		}
 		t.runOnce(ctx)
--- a/treasurer/watch.go
+++ b/treasurer/watch.go
@@ -11,32 +11,35 @@
 )
 
 const (
-	// maxWatchRate is what the feed of all accounts may take of a router's link, in bytes a second: it has every change of every
-	// workspace, so that in a large fleet each router would read what all others write. Above it a router reads only the parts
-	// of the workspaces that it holds, one after the other.
+	// maxWatchRate bounds the rate at which a router reads the watch of all accounts, in bytes a second. The watch returns
+	// every change of every workspace, so in a large fleet each router would read what all others write. Above this rate a
+	// router only polls the parts that have its own workspaces.
 	maxWatchRate = 60 << 10
-	// maxInitialReads bounds the parts that all routers together read as they start: what the smallest stores answer in two seconds.
+	// maxInitialReads bounds the parts that all routers together read as they start: it is what the smallest stores answer
+	// in two seconds.
 	maxInitialReads = 4000
-	// partsInterval is how often each of these parts is read, partsIntervalPerRouter what each router adds to it, watchRetryInterval how long before
-	// the feed is tried again. What others change meanwhile a holder learns from the conflicts of its own changes.
+	// partsInterval is how often each of these parts is read, plus partsIntervalPerRouter for each router, and
+	// watchRetryInterval how long until the watch is tried again. Meanwhile a holder learns of other routers' changes from
+	// the conflicts of its own.
 	partsInterval          = 4 * time.Second
 	partsIntervalPerRouter = 30 * time.Millisecond
 	watchRetryInterval     = 2 * time.Minute
 )
 
-// watchAccounts learns what other routers do to the workspaces, so that reserves shrink in time and money comes back.
+// watchAccounts keeps the accounts up to date with other routers' changes, so that reserves shrink in time and returned
+// tokens are found.
 func (t *Treasurer) watchAccounts(ctx context.Context) {
 	for ctx.Err() == nil {
 		t.watchAllAccounts(ctx)
-		t.log.WithFields(logrus.Fields{"event": "accounts_by_parts", "for_ms": watchRetryInterval.Milliseconds()}).Info("the feed of all accounts takes too much; own parts are read")
+		t.log.WithFields(logrus.Fields{"event": "accounts_by_parts", "for_ms": watchRetryInterval.Milliseconds()}).Info("watch of all accounts exceeds its rate; polling own parts")
 		t.pollOwnParts(ctx, t.clock.Now().Add(watchRetryInterval))
 	}
 }
 
-// watchAllAccounts follows the changes of all accounts until the context ends or they take too much.
+// watchAllAccounts applies the changes of all accounts until the context is done or they exceed maxWatchRate.
 func (t *Treasurer) watchAllAccounts(ctx context.Context) {
 	since := int64(0)
-	read := average{}
+	traffic := average{}
 	for ctx.Err() == nil {
 		var reading masticway.RowReading
 		var err error
@@ -44,40 +47,40 @@
 			reading, err = t.readParts(ctx, t.initialParts())
 		} else {
 			reading, err = t.store.Watch(ctx, masticway.WatchRequest{Table: tableAccounts, Since: since, MaxWait: watchWait})
-			read.add(t.clock.Now(), float64(reading.Bytes()))
+			traffic.add(t.clock.Now(), float64(reading.Bytes()))
 		}
-		if _, lost := errors.AsType[*masticway.HistoryLostError](err); lost {
+		if _, historyLost := errors.AsType[*masticway.HistoryLostError](err); historyLost {
 			since = 0
 		}
 		if err == nil {
 			since = max(since, reading.Version)
 			t.applyChanges(reading.Rows)
 		}
-		if read.sum > maxWatchRate*demandWindow.Seconds() {
+		if traffic.sum > maxWatchRate*demandWindow.Seconds() {
 			return
 		}
 		t.sleep(ctx, watchInterval+time.Duration(t.Members())*watchIntervalPerRouter)
 	}
 }
 
-// pollOwnParts reads the parts of the workspaces that this router holds, in turn, until some time.
+// pollOwnParts reads the parts with this router's workspaces in turn, until the given time.
 func (t *Treasurer) pollOwnParts(ctx context.Context, until time.Time) {
 	for ctx.Err() == nil && t.clock.Now().Before(until) {
 		parts := t.ownParts()
-		pause := max(partsInterval, time.Duration(t.Members())*partsIntervalPerRouter)
+		interval := max(partsInterval, time.Duration(t.Members())*partsIntervalPerRouter)
 		for _, part := range parts {
-			// A failure is logged, and the part read again in its turn.
+			// A failure is logged, and the part is read again in the next turn.
 			_ = t.runStep(ctx, Step{Part: part, sentAt: t.clock.Now()})
-			t.sleep(ctx, pause/time.Duration(len(parts)))
+			t.sleep(ctx, interval/time.Duration(len(parts)))
 		}
 		if len(parts) == 0 {
-			t.sleep(ctx, pause)
+			t.sleep(ctx, interval)
 		}
 	}
 }
 
-// initialParts lists the parts that are read before their changes are followed: all, unless the routers of a large fleet that start
-// together would ask the store for too many.
+// initialParts lists the parts to read before the watch starts: all, unless the routers of a large fleet that start
+// together would exceed maxInitialReads.
 func (t *Treasurer) initialParts() []string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -88,7 +91,7 @@
 	return own
 }
 
-// ownParts lists the parts of the workspaces of which this router keeps money in hand.
+// ownParts lists the parts with workspaces of which this router has a grant or keeps a reserve.
 func (t *Treasurer) ownParts() []string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -106,7 +109,8 @@
 	t.wakeUp()
 }
 
-// readParts reads some parts of the accounts; the version to follow from is that of the first reading, so that nothing is missed.
+// readParts reads some parts of the accounts. The version to watch from is that of the first read, so that no change is
+// missed.
 func (t *Treasurer) readParts(ctx context.Context, parts []string) (masticway.RowReading, error) {
 	var all masticway.RowReading
 	for i, part := range parts {
@@ -122,7 +126,7 @@
 	return all, nil
 }
 
-// logStatus writes what the money cost and brought so far, in calls and tokens.
+// logStatus logs the counters of store calls, loans and reports.
 func (t *Treasurer) logStatus() {
 	fields := logrus.Fields{"event": "money_status"}
 	for _, name := range []string{
@@ -131,5 +135,5 @@
 	} {
 		fields[name] = t.metrics.Count(name)
 	}
-	t.log.WithFields(fields).Info("money so far")
+	t.log.WithFields(fields).Info("status of prepaid budgets")
 }
