--- a/treasurer/holders_test.go
+++ b/treasurer/holders_test.go
@@ -12,20 +12,20 @@
 	"github.com/masticway/masticway/treasurer"
 )
 
-// newPeers names routers of some availability zones, in the order of their incarnations.
-func newPeers(routers, zones int, life string) []treasurer.Peer {
+// newPeers returns routers spread over availability zones, sorted by incarnation.
+func newPeers(routers, zones int, generation string) []treasurer.Peer {
 	var peers []treasurer.Peer
 	for i := range routers {
 		instance := fmt.Sprintf("edge-%03d", i)
 		peers = append(peers, treasurer.Peer{
-			Witness: treasurer.Witness{Incarnation: masticway.NewIncarnation(instance, life), Address: instance},
+			Witness: treasurer.Witness{Incarnation: masticway.NewIncarnation(instance, generation), Address: instance},
 			Zone:    fmt.Sprintf("zone-%d", i%zones),
 		})
 	}
 	return peers
 }
 
-// newBorrower returns a purse of one router that knows the others and what a workspace has paid for.
+// newBorrower returns the planner of a router that knows its peers and what each workspace has prepaid.
 func newBorrower(router treasurer.Peer, peers []treasurer.Peer, workspaces int) *treasurer.Planner {
 	p := treasurer.NewPlanner(treasurer.Settings{
 		Incarnation: router.Incarnation, Address: router.Address, Zone: router.Zone, Parts: 1, Reserve: 10 * time.Second, Holders: 6,
@@ -40,8 +40,8 @@
 	return p
 }
 
-// lendersFor returns whom a purse asks for money of a workspace, which it has not at all; it is empty for a holder, which asks
-// nobody at first.
+// lendersFor returns the routers that a planner without a grant asks for a loan; it is empty for a holder, which does not
+// ask at first.
 func lendersFor(p *treasurer.Planner, workspace string, now time.Time) []treasurer.Witness {
 	p.Hold(now, workspace, 100, now.Add(time.Minute))
 	for _, r := range p.DueBorrowRounds(now) {
@@ -50,8 +50,9 @@
 	return nil
 }
 
-// TestRoutersAgreeOnHolders has each router of a fleet say whom it asks for each workspace. Deployments with 20 to
-// 103 routers see one request in two to four seconds of a workspace at each router, so a hand at each of them lies idle.
+// TestRoutersAgreeOnHolders computes which routers each router of a fleet asks for each workspace. In deployments with 20
+// to 103 routers, each router sees a request of a workspace only every two to four seconds, so a reserve at every router
+// would be unused.
 func TestRoutersAgreeOnHolders(t *testing.T) {
 	const workspaces = 12
 	cases := map[string]struct{ routers, zones, holders int }{
@@ -99,8 +100,8 @@
 	}
 }
 
-// TestLendersRotate has a router ask for money of one workspace again and again: each holder is asked first as often as
-// any other, so that no holder's death and no empty hand is that of all which the router's callers use.
+// TestLendersRotate has a router ask for loans of one workspace repeatedly: each holder must be asked first equally often,
+// so that neither the crash nor the empty reserve of one holder affects all of the router's callers.
 func TestLendersRotate(t *testing.T) {
 	const rounds = 4
 	peers := newPeers(103, 6, "1")
@@ -137,23 +138,23 @@
 	}
 }
 
-// TestUnresponsiveHolderIsAskedLast has a holder that is frozen or cut off: each question to it costs its timeout, so that it is
-// asked once a second and not for each request.
+// TestUnresponsiveHolderIsAskedLast has a holder that is frozen or unreachable. Each request to it costs the timeout, so it
+// must be asked first only once a second and not for each request.
 func TestUnresponsiveHolderIsAskedLast(t *testing.T) {
 	peers := newPeers(103, 6, "1")
 	for _, router := range peers {
 		p := newBorrower(router, peers, 1)
 		p.Hold(epoch, "w0", 100, epoch.Add(time.Minute))
 		for _, r := range p.DueBorrowRounds(epoch) {
-			silent := r.Lenders[0]
-			p.CancelRequest(epoch, r, silent)
+			unresponsive := r.Lenders[0]
+			p.CancelRequest(epoch, r, unresponsive)
 			p.CompleteBorrowRound(epoch, r, nil, 1)
 			first := 0
 			for i := range 18 {
 				wait := time.Duration(i+1) * 100 * time.Millisecond
 				again := p.DueBorrowRounds(epoch.Add(wait))
 				qt.Assert(t, again, qt.HasLen, 1)
-				place := slices.Index(again[0].Lenders, silent)
+				place := slices.Index(again[0].Lenders, unresponsive)
 				if wait < time.Second {
 					qt.Assert(t, place, qt.Equals, len(again[0].Lenders)-1, qt.Commentf("after %v", wait))
 				}
@@ -162,15 +163,15 @@
 				}
 				p.CompleteBorrowRound(epoch.Add(wait), again[0], nil, 0)
 			}
-			qt.Assert(t, first > 0, qt.IsTrue, qt.Commentf("it is asked again after a second"))
+			qt.Assert(t, first > 0, qt.IsTrue, qt.Commentf("it must be asked first again after a second"))
 			return
 		}
 	}
-	t.Fatal("nobody borrows")
+	t.Fatal("no router borrows")
 }
 
-// TestExhaustedNeedsAnswersFromAllPeers has a router with a row in which all is granted to others. What they have unspent
-// it cannot know, and while one of them does not answer, there may be money.
+// TestExhaustedNeedsAnswersFromAllPeers has a router with a row that is granted to others entirely. It cannot know what
+// they have unspent, so while one of them does not answer there may be tokens left.
 func TestExhaustedNeedsAnswersFromAllPeers(t *testing.T) {
 	cases := map[string]struct {
 		unanswered int
@@ -204,8 +205,8 @@
 	}
 }
 
-// TestRepaymentGoesToActualLender has a lender that was restarted since the borrower counted the routers: its successor
-// lends, and what is not used goes back to that one. To the predecessor, nobody would take it.
+// TestRepaymentGoesToActualLender has a lender that was restarted after the borrower counted the routers. Its successor
+// lends, so the unused part must be repaid to the successor; nobody would accept a repayment to the predecessor.
 func TestRepaymentGoesToActualLender(t *testing.T) {
 	peers := newPeers(103, 6, "1")
 	for _, router := range peers {
@@ -216,19 +217,19 @@
 			p.CompleteBorrowRound(epoch, r, []treasurer.Loan{{Lender: successor, Address: r.Lenders[0].Address, Amount: r.Need}}, 0)
 			p.Clear(epoch, id)
 			p.Settle(epoch, id, 60)
-			back := p.DueRepayments(epoch.Add(2 * time.Second))
-			qt.Assert(t, back, qt.HasLen, 1)
-			qt.Assert(t, back[0].Lender, qt.Equals, successor)
-			qt.Assert(t, back[0].Address, qt.Equals, r.Lenders[0].Address)
-			qt.Assert(t, back[0].Amount, qt.Equals, int64(40))
+			repayments := p.DueRepayments(epoch.Add(2 * time.Second))
+			qt.Assert(t, repayments, qt.HasLen, 1)
+			qt.Assert(t, repayments[0].Lender, qt.Equals, successor)
+			qt.Assert(t, repayments[0].Address, qt.Equals, r.Lenders[0].Address)
+			qt.Assert(t, repayments[0].Amount, qt.Equals, int64(40))
 			return
 		}
 	}
-	t.Fatal("nobody borrows")
+	t.Fatal("no router borrows")
 }
 
-// TestRowDropsEmptyGrants has a hundred routers that draw for a workspace while they do not know each other, and
-// give it back once they do.
+// TestRowDropsEmptyGrants has a hundred routers that draw grants of a workspace before they know each other, and return
+// them afterwards.
 func TestRowDropsEmptyGrants(t *testing.T) {
 	var row treasurer.Account
 	for i := range 100 {
@@ -244,8 +245,8 @@
 	qt.Assert(t, row.Closed, qt.Equals, int64(7))
 }
 
-// TestNoReserveDuringStartup has a router that has counted few others yet: it is a holder of everything
-// by what it knows, and so is each of a hundred that start with it.
+// TestNoReserveDuringStartup has a router that knows few peers yet. It computes that it holds every workspace, and so does
+// each of a hundred routers that start with it.
 func TestNoReserveDuringStartup(t *testing.T) {
 	b := newHarness(t, 1_000_000)
 	b.planner.SetPeers(2, newPeers(2, 1, "1"))
@@ -255,9 +256,10 @@
 	qt.Assert(t, b.account().Grants, qt.HasLen, 1)
 }
 
-// TestNoReserveWhilePeersChange has a router of a fleet that starts together count a few more others each second, for as
-// long as a store takes to bear the presences of hundreds. Each time it was a holder of workspaces that nobody had asked for, drew
-// for them and gave back when it knew better; 84 of one router's first 152 calls for money met another one's change.
+// TestNoReserveWhilePeersChange has a router that starts with a fleet and counts a few more peers each second, as long as
+// the store takes to accept the presences of hundreds of routers. After each count it was the holder of workspaces without
+// requests, drew grants for them and returned these after the next count; 84 of one router's first 152 store calls
+// conflicted with another router's change.
 func TestNoReserveWhilePeersChange(t *testing.T) {
 	b := newHarness(t, 1_000_000)
 	all := newPeers(356, 6, "1")
@@ -277,7 +279,7 @@
 		drive(time.Second)
 	}
 	qt.Assert(t, grants, qt.Equals, 0)
-	// Who is asked for money draws at once.
+	// With a request waiting, the grant is drawn at once.
 	id := b.hold(1000)
 	drive(500 * time.Millisecond)
 	qt.Assert(t, b.answered[id], qt.DeepEquals, []treasurer.Verdict{treasurer.VerdictHeld})
--- a/treasurer/main_test.go
+++ b/treasurer/main_test.go
@@ -8,7 +8,7 @@
 
 func TestMain(m *testing.M) {
 	flag.Parse()
-	// The same steps at every run; a longer search sets the flag.
+	// Runs are repeatable by default; set the flag to search longer.
 	if f := flag.Lookup("rapid.seed"); f.Value.String() == "0" {
 		_ = flag.Set("rapid.seed", "20261202")
 		_ = flag.Set("rapid.nofailfile", "true")
--- a/treasurer/purse_test.go
+++ b/treasurer/purse_test.go
@@ -13,16 +13,16 @@
 
 var epoch = time.Date(2026, 12, 2, 9, 0, 0, 0, time.UTC)
 
-// harness drives one purse on a row store, one step at a time.
+// harness drives one planner on a row store, one step at a time.
 type harness struct {
 	t       *testing.T
 	now     time.Time
 	rows    *emulator.Rows
 	planner *treasurer.Planner
 	self    masticway.Incarnation
-	// answered collects what was replied, by hold.
+	// answered collects the verdicts of each hold.
 	answered map[treasurer.HoldID][]treasurer.Verdict
-	// burstShare is the part of what is in hand that books promise ahead.
+	// burstShare is the planner's Settings.BurstShare.
 	burstShare float64
 }
 
@@ -33,22 +33,22 @@
 	return b
 }
 
-// start begins a new incarnation on the instance, which has just begun to listen.
+// start starts a new incarnation on the instance, which has just begun to listen.
 func (b *harness) start(self masticway.Incarnation, prepaid int64) {
 	b.startAt(self, "-", b.now, prepaid)
 }
 
-// startAt begins one that has listened at an address for a while.
+// startAt starts an incarnation that has listened at the address since the given time.
 func (b *harness) startAt(self masticway.Incarnation, address string, listening time.Time, prepaid int64) {
 	b.self = self
 	b.planner = treasurer.NewPlanner(treasurer.Settings{Incarnation: self, Address: address, Parts: 1, Reserve: 10 * time.Second, BurstShare: b.burstShare})
 	b.planner.Configure(1, map[string]masticway.Account{"w": {Workspace: "w", Prepaid: prepaid, HasLimit: true}})
-	book := b.rows.Row(masticway.RowKey{Table: "masticway_books", Part: "0", Key: self.Instance()})
-	write, err := b.planner.TakeOver(book, b.now.Sub(epoch), listening.Sub(epoch))
+	row := b.rows.Row(masticway.RowKey{Table: "masticway_books", Part: "0", Key: self.Instance()})
+	write, err := b.planner.TakeOver(row, b.now.Sub(epoch), listening.Sub(epoch))
 	qt.Assert(b.t, err, qt.IsNil)
-	made, err := b.rows.Apply(write)
+	written, err := b.rows.Apply(write)
 	qt.Assert(b.t, err, qt.IsNil)
-	b.planner.CompleteTakeOver(b.now, made.Version, made.StoreTime)
+	b.planner.CompleteTakeOver(b.now, written.Version, written.StoreTime)
 }
 
 func (b *harness) record(replies []treasurer.Reply) {
@@ -63,14 +63,14 @@
 	return id
 }
 
-// plan lets time pass and returns what the purse wants to do.
+// plan advances the time and returns the steps that the planner wants.
 func (b *harness) plan(d time.Duration) []treasurer.Step {
 	b.now = b.now.Add(d)
 	b.record(b.planner.Tick(b.now))
 	return b.planner.Plan(b.now)
 }
 
-// complete ends a step as the store would.
+// complete carries out a step as the store would.
 func (b *harness) complete(s treasurer.Step) {
 	var reading masticway.RowReading
 	var err error
@@ -84,7 +84,7 @@
 	b.record(replies)
 }
 
-// run carries out everything that is wanted within a time.
+// run advances the time and carries out all steps that the planner wants.
 func (b *harness) run(d time.Duration) {
 	for ; d > 0; d -= 30 * time.Millisecond {
 		for _, s := range b.plan(30 * time.Millisecond) {
@@ -124,19 +124,19 @@
 	b.hold(100)
 	for range 10 {
 		for _, s := range b.plan(30 * time.Millisecond) {
-			qt.Assert(t, s.Workspace, qt.Equals, "", qt.Commentf("a draw that a successor would not look for"))
+			qt.Assert(t, s.Workspace, qt.Equals, "", qt.Commentf("a grant that a successor would not find"))
 			if s.Write == nil {
 				b.complete(s)
 			}
-			// The write of the book stays without an answer.
+			// The write of the checkpoint remains unanswered.
 		}
 	}
 }
 
 func TestReturnedGrantIsNotSpent(t *testing.T) {
 	outcomes := map[string]error{
-		"not answered yet": nil,
-		"answer lost":      &masticway.OutcomeUnknownError{Service: "rows"},
+		"in flight":   nil,
+		"answer lost": &masticway.OutcomeUnknownError{Service: "rows"},
 	}
 	for name, outcome := range outcomes {
 		t.Run(name, func(t *testing.T) {
@@ -144,11 +144,11 @@
 			id := b.hold(900)
 			b.run(150 * time.Millisecond)
 			b.record(b.planner.Settle(b.now, id, 0))
-			back := b.nextReturn()
+			returning := b.nextReturn()
 			if outcome != nil {
-				_, err := b.rows.Apply(*back.Write)
+				_, err := b.rows.Apply(*returning.Write)
 				qt.Assert(t, err, qt.IsNil)
-				replies, fault := b.planner.CompleteStep(b.now, back, masticway.RowReading{}, outcome)
+				replies, fault := b.planner.CompleteStep(b.now, returning, masticway.RowReading{}, outcome)
 				qt.Assert(t, fault, qt.IsNil)
 				b.record(replies)
 				b.completeCheckpoints()
@@ -159,7 +159,7 @@
 	}
 }
 
-// completeCheckpoints lets the store take the book again, but answer nothing about workspaces.
+// completeCheckpoints carries out checkpoints but leaves all other steps unanswered.
 func (b *harness) completeCheckpoints() {
 	for range 20 {
 		for _, s := range b.plan(30 * time.Millisecond) {
@@ -170,7 +170,7 @@
 	}
 }
 
-// nextReturn waits for a change that gives money back.
+// nextReturn carries out steps until one returns tokens, and returns that one.
 func (b *harness) nextReturn() treasurer.Step {
 	for range 3000 {
 		for _, s := range b.plan(30 * time.Millisecond) {
@@ -181,23 +181,23 @@
 			b.complete(s)
 		}
 	}
-	b.t.Fatal("nothing was given back")
+	b.t.Fatal("no tokens were returned")
 	return treasurer.Step{}
 }
 
-// TestEarlyLimitClearsHoldsAtOutageStart has a cut of the store, of which the router cannot tell for two seconds
-// that it is one: 4% of what it has in hand is promised ahead, so that answers of that time need not wait. A great one
-// that is beyond it does not hold up small ones.
+// TestEarlyLimitClearsHoldsAtOutageStart has an outage of the store which the router cannot detect for two seconds. The
+// spend limit allows 4% of the reserve early, so that responses of that time need not wait. A large hold beyond it must not
+// block small ones.
 func TestEarlyLimitClearsHoldsAtOutageStart(t *testing.T) {
 	cases := map[string]struct {
 		share float64
-		great int64
-		// together is how many of five small answers go out.
-		together int64
+		large int64
+		// want is how many of five small holds are cleared.
+		want int64
 	}{
-		"nothing ahead":            {together: 0},
-		"ahead":                    {share: 0.04, together: 5},
-		"behind one that is great": {share: 0.04, great: 5000, together: 5},
+		"no early limit":         {want: 0},
+		"within the early limit": {share: 0.04, want: 5},
+		"behind a large one":     {share: 0.04, large: 5000, want: 5},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -211,22 +211,22 @@
 				b.record(b.planner.Settle(b.now, id, 400))
 			}
 			b.run(300 * time.Millisecond)
-			// From here on the store is silent.
-			if tc.great > 0 {
-				b.record(b.planner.Clear(b.now, b.hold(tc.great)))
+			// From here on the store does not answer.
+			if tc.large > 0 {
+				b.record(b.planner.Clear(b.now, b.hold(tc.large)))
 			}
-			got := int64(0)
+			cleared := int64(0)
 			for range 5 {
 				id := b.hold(100)
 				b.record(b.planner.Clear(b.now, id))
-				got += int64(len(b.answered[id]) - 1)
+				cleared += int64(len(b.answered[id]) - 1)
 			}
-			qt.Assert(t, got, qt.Equals, tc.together)
+			qt.Assert(t, cleared, qt.Equals, tc.want)
 		})
 	}
 }
 
-// lend hands out all that is asked for.
+// lend lends all that is asked for.
 func (b *harness) lend(ask treasurer.LoanAsk) {
 	loan, amount := b.planner.Lend(b.now, ask)
 	qt.Assert(b.t, amount, qt.Equals, ask.Need)
@@ -242,25 +242,25 @@
 	b.run(300 * time.Millisecond)
 	b.lend(treasurer.LoanAsk{Number: 1, Borrower: "other~1", Workspace: "w", Need: 500})
 	before := b.planner.Positions()[0].Taken
-	back := treasurer.Repayment{Number: 1, Borrower: "other~1", Lender: b.self, Workspace: "w", Amount: 200}
-	b.planner.AcceptRepayment(b.now, back)
-	b.planner.AcceptRepayment(b.now, back)
+	repayment := treasurer.Repayment{Number: 1, Borrower: "other~1", Lender: b.self, Workspace: "w", Amount: 200}
+	b.planner.AcceptRepayment(b.now, repayment)
+	b.planner.AcceptRepayment(b.now, repayment)
 	qt.Assert(t, b.planner.Positions()[0].Taken, qt.Equals, before-200)
 }
 
-// TestLoanWithLostAnswerIsReturned has the loss of an answer between routers: the lender counts the money as
-// spent and the borrower never had it. On days with thirty routers that was 3% of all budgets, since questions time out
-// after 60 ms while the lender waits for its book.
+// TestLoanWithLostAnswerIsReturned loses the response to a loan request: the lender counts the tokens as taken and the
+// borrower never had them. In runs with thirty routers that lost 3% of all budgets, because requests time out after 60 ms
+// while the lender waits for its checkpoint.
 func TestLoanWithLostAnswerIsReturned(t *testing.T) {
 	const asked = 500
 	cases := map[string]struct {
-		// word is when the borrower's word that it has no answer arrives.
-		word string
-		lent bool
+		// arrival is when the borrower's cancellation arrives.
+		arrival string
+		lent    bool
 	}{
-		"after the money was handed over": {word: "late", lent: true},
-		"while the lender waits":          {word: "waiting"},
-		"before the question":             {word: "early"},
+		"after the tokens were handed over": {arrival: "late", lent: true},
+		"while the lender waits":            {arrival: "waiting"},
+		"before the request":                {arrival: "early"},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -269,44 +269,44 @@
 			b.run(300 * time.Millisecond)
 			before := b.planner.Positions()[0].Taken
 			ask := treasurer.LoanAsk{Number: 7, Borrower: "other~1", Workspace: "w", Need: asked}
-			word := treasurer.Repayment{Number: 8, Borrower: "other~1", Lender: b.self, Workspace: "w", Ask: ask.Number}
-			if tc.word == "early" {
-				b.planner.AcceptRepayment(b.now, word)
+			cancellation := treasurer.Repayment{Number: 8, Borrower: "other~1", Lender: b.self, Workspace: "w", Ask: ask.Number}
+			if tc.arrival == "early" {
+				b.planner.AcceptRepayment(b.now, cancellation)
 			}
 			loan, amount := b.planner.Lend(b.now, ask)
-			if tc.word == "early" {
+			if tc.arrival == "early" {
 				qt.Assert(t, amount, qt.Equals, int64(0))
 				return
 			}
 			b.record(b.planner.Clear(b.now, loan))
 			b.run(120 * time.Millisecond)
-			if tc.word == "waiting" {
-				b.planner.AcceptRepayment(b.now, word)
+			if tc.arrival == "waiting" {
+				b.planner.AcceptRepayment(b.now, cancellation)
 			}
 			waiting, lent := b.hold(b.planner.Positions()[0].Granted-b.planner.Positions()[0].Taken+1), b.planner.CompleteLoan(loan, ask)
 			qt.Assert(t, lent, qt.Equals, tc.lent)
 			if !lent {
-				// What was kept back goes to the request that waits for it.
+				// What was not lent goes to the waiting request.
 				b.record(b.planner.Settle(b.now, loan, 0))
 				qt.Assert(t, b.answered[waiting], qt.DeepEquals, []treasurer.Verdict{treasurer.VerdictHeld})
 			}
 			b.record(b.planner.Settle(b.now, waiting, 0))
-			if tc.word == "late" {
+			if tc.arrival == "late" {
 				qt.Assert(t, b.planner.Positions()[0].Taken, qt.Equals, before+asked)
-				b.planner.AcceptRepayment(b.now, word)
+				b.planner.AcceptRepayment(b.now, cancellation)
 			}
-			b.planner.AcceptRepayment(b.now, word)
-			word.Number++
-			b.planner.AcceptRepayment(b.now, word)
-			qt.Assert(t, b.planner.Positions()[0].Taken, qt.Equals, before, qt.Commentf("given back once, however often it is said"))
+			b.planner.AcceptRepayment(b.now, cancellation)
+			cancellation.Number++
+			b.planner.AcceptRepayment(b.now, cancellation)
+			qt.Assert(t, b.planner.Positions()[0].Taken, qt.Equals, before, qt.Commentf("returned once, however often the cancellation arrives"))
 			_, amount = b.planner.Lend(b.now, ask)
-			qt.Assert(t, amount, qt.Equals, int64(0), qt.Commentf("nothing is lent for a question that was given up"))
+			qt.Assert(t, amount, qt.Equals, int64(0), qt.Commentf("nothing may be lent for a canceled request"))
 		})
 	}
 }
 
-// TestRepaymentsMayArriveOutOfOrder has repayments of one borrower that overtake each other on the way, as those of several
-// workspaces at once do.
+// TestRepaymentsMayArriveOutOfOrder has repayments of one borrower that overtake each other, as concurrent ones for several
+// workspaces do.
 func TestRepaymentsMayArriveOutOfOrder(t *testing.T) {
 	b := newHarness(t, 100000)
 	b.hold(1000)
@@ -321,12 +321,12 @@
 
 func TestSuccessorPresumesLimitSpent(t *testing.T) {
 	cases := map[string]struct {
-		down time.Duration
-		// least and most bound what counts as spent of a hold of 400 tokens that was cleared.
+		downtime time.Duration
+		// least and most bound what counts as spent of a cleared hold of 400 tokens.
 		least, most int64
 	}{
-		"back at once":       {down: 200 * time.Millisecond, least: 400, most: 500},
-		"back after seconds": {down: 3 * time.Second, least: 501, most: 5000},
+		"restarted at once":   {downtime: 200 * time.Millisecond, least: 400, most: 500},
+		"restarted after 3 s": {downtime: 3 * time.Second, least: 501, most: 5000},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -335,7 +335,7 @@
 			b.run(300 * time.Millisecond)
 			b.record(b.planner.Clear(b.now, id))
 			qt.Assert(t, b.answered[id], qt.HasLen, 2)
-			b.now = b.now.Add(tc.down)
+			b.now = b.now.Add(tc.downtime)
 			b.start("edge~2", 100000)
 			ended := b.planner.Predecessors()
 			qt.Assert(t, ended, qt.HasLen, 1)
@@ -345,23 +345,23 @@
 	}
 }
 
-// TestSuccessorsListenTimeBoundsSpending has a router that is killed in an outage of the store and restarted at
-// once, but takes its book over only when the store is back: what it was promised for that time was never taken. On days
-// with a kill in an outage that was 10% of all budgets.
+// TestSuccessorsListenTimeBoundsSpending has a router that is killed during an outage of the store and restarted at once,
+// but can take over its checkpoint only after the outage. What the spend limit allowed for that time was never taken;
+// presuming it lost 10% of all budgets on days with a kill in an outage.
 func TestSuccessorsListenTimeBoundsSpending(t *testing.T) {
 	const held, outage = 400, 6 * time.Second
 	cases := map[string]struct {
 		address   string
-		downFor   time.Duration
+		downtime  time.Duration
 		witnesses bool
 		// least and most bound what counts as spent.
 		least, most int64
 	}{
-		"restarted at once":   {address: "-", downFor: 300 * time.Millisecond, least: held, most: held + 100},
-		"dark for a while":    {address: "-", downFor: 3 * time.Second, least: held + 101, most: 5000},
-		"at another address":  {address: "elsewhere", downFor: 300 * time.Millisecond, least: 5001, most: 10000},
-		"back with the store": {address: "-", downFor: outage, least: 5001, most: 10000},
-		"without an address":  {address: "", downFor: 300 * time.Millisecond, least: 5001, most: 10000},
+		"restarted at once":          {address: "-", downtime: 300 * time.Millisecond, least: held, most: held + 100},
+		"restarted after 3 s":        {address: "-", downtime: 3 * time.Second, least: held + 101, most: 5000},
+		"at another address":         {address: "elsewhere", downtime: 300 * time.Millisecond, least: 5001, most: 10000},
+		"restarted after the outage": {address: "-", downtime: outage, least: 5001, most: 10000},
+		"without an address":         {address: "", downtime: 300 * time.Millisecond, least: 5001, most: 10000},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -369,9 +369,9 @@
 			id := b.hold(held)
 			b.run(300 * time.Millisecond)
 			b.record(b.planner.Clear(b.now, id))
-			died := b.now
-			b.now = died.Add(outage)
-			b.startAt("edge~2", tc.address, died.Add(tc.downFor), 100000)
+			crashedAt := b.now
+			b.now = crashedAt.Add(outage)
+			b.startAt("edge~2", tc.address, crashedAt.Add(tc.downtime), 100000)
 			spent := b.planner.Predecessors()[0].MaxSpent["w"]
 			qt.Assert(t, spent >= tc.least && spent <= tc.most, qt.IsTrue, qt.Commentf("%d", spent))
 		})
@@ -381,25 +381,25 @@
 func TestLateGrantOfEndedIncarnationConflicts(t *testing.T) {
 	b := newHarness(t, 1000)
 	b.hold(600)
-	var draw treasurer.Step
-	for draw.Workspace == "" {
+	var change treasurer.Step
+	for change.Workspace == "" {
 		for _, s := range b.plan(30 * time.Millisecond) {
 			if s.Workspace != "" {
-				draw = s
+				change = s
 				continue
 			}
 			b.complete(s)
 		}
 	}
-	// The process dies while its draw is on the way; the next one closes a grant that is not there yet.
+	// The process crashes while its grant is in flight; the next one closes a grant that does not exist yet.
 	b.start("edge~2", 1000)
-	row := b.rows.Row(draw.Write.Puts[0].RowKey)
+	row := b.rows.Row(change.Write.Puts[0].RowKey)
 	closing, grant, err := treasurer.CloseGrant(row, "edge~1", 600)
 	qt.Assert(t, err, qt.IsNil)
 	qt.Assert(t, grant.Granted, qt.Equals, int64(0))
 	_, err = b.rows.Apply(closing)
 	qt.Assert(t, err, qt.IsNil)
-	_, err = b.rows.Apply(*draw.Write)
+	_, err = b.rows.Apply(*change.Write)
 	var conflict *masticway.RowConflictError
 	qt.Assert(t, err, qt.ErrorAs, &conflict)
 }
@@ -411,7 +411,7 @@
 		want   treasurer.Verdict
 	}{
 		"more than is left": {need: 2000, want: treasurer.VerdictExhausted},
-		"store away":        {need: 500, faults: emulator.RowFaults{Busy: true}, want: treasurer.VerdictUnreachable},
+		"store unavailable": {need: 500, faults: emulator.RowFaults{Busy: true}, want: treasurer.VerdictUnreachable},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -450,8 +450,9 @@
 	qt.Assert(t, b.answered[id], qt.DeepEquals, []treasurer.Verdict{treasurer.VerdictUnreachable})
 }
 
-// TestGrantChangesBackOffWhenRateLimited has a store that refuses every change of a grant for its rate, while it takes books. The
-// router spaces its changes out instead of taking the store for lost, and is back to its pace soon after.
+// TestGrantChangesBackOffWhenRateLimited has a store that refuses every change of a grant because of its rate limit but
+// accepts checkpoints. The router must increase the interval between changes instead of treating the store as unavailable,
+// and recover soon after.
 func TestGrantChangesBackOffWhenRateLimited(t *testing.T) {
 	b := newHarness(t, 1000000)
 	b.run(300 * time.Millisecond)
@@ -469,7 +470,7 @@
 			b.record(replies)
 		}
 	}
-	qt.Assert(t, changes > 2 && changes < 15, qt.IsTrue, qt.Commentf("%d changes in 3 s, 30 ms apart they would be 100", changes))
+	qt.Assert(t, changes > 2 && changes < 15, qt.IsTrue, qt.Commentf("%d changes in 3 s; without backoff there would be 100", changes))
 	refused = false
 	b.run(time.Second)
 	id := b.hold(2000)
@@ -506,7 +507,7 @@
 			}
 		}
 	}
-	t.Fatal("the old incarnation never noticed")
+	t.Fatal("the old incarnation was never sealed")
 }
 
 func TestLoweredBudgetReturnsUnusedGrant(t *testing.T) {
@@ -530,8 +531,8 @@
 	b.record(b.planner.Settle(b.now, second, 350))
 	b.planner.Close()
 	for range 100 {
-		if last, ok := b.planner.FinalCheckpoint(b.now); ok {
-			b.complete(last)
+		if final, ok := b.planner.FinalCheckpoint(b.now); ok {
+			b.complete(final)
 			break
 		}
 		b.run(30 * time.Millisecond)
@@ -573,5 +574,5 @@
 	b.planner.RetryCheckpoint()
 	steps := b.plan(time.Millisecond)
 	qt.Assert(t, steps, qt.HasLen, 1)
-	qt.Assert(t, steps[0].Part, qt.Equals, "", qt.Commentf("the book goes first"))
+	qt.Assert(t, steps[0].Part, qt.Equals, "", qt.Commentf("the checkpoint must be written first"))
 }
