--- a/treasurer/death_test.go
+++ b/treasurer/death_test.go
@@ -11,19 +11,19 @@
 	"github.com/masticway/masticway/treasurer"
 )
 
-// unevenFleet is the load of a deployment with 31 routers in four availability zones: 310 metered requests a second for 24
-// workspaces, budgets for 1.3 times what they use in 34 s, and the largest workspace's callers all at one router.
+// unevenFleet is the load of a deployment with 31 routers in four availability zones: 310 requests a second for 24
+// workspaces with budgets for 1.3 times what they use in 34 s. The callers of the largest workspace all use one router.
 var unevenFleet = fleetLoad{
 	routers: 31, zones: 4, workspaces: 24, perSecond: 310, span: 8 * time.Second, budgetFactor: 5.5, pinned: map[string]int{"w0": 17},
 }
 
-// TestCrashedHolderLosesLittle kills the router that has taken most of the largest workspace's budget; it is back
-// after half a second. What is lost of a budget beyond 3% turns every later refusal into one that callers were owed.
+// TestCrashedHolderLosesLittle kills the router that has taken most of the largest workspace's budget and restarts it after
+// half a second. Beyond the 3% that may be lost, every later refusal denies callers what was paid for.
 //
-// Seen: 1,787 of 2,272 refusals for money of a day were of one workspace, whose holder had been killed at second 4.5 with
-// 958,122 tokens written as taken; 1,317,487 were presumed of 4.6 million. How: all that its callers' router borrowed came from
-// the holder of its own availability zone, which promised three seconds of that ahead. Cause: witnesses were asked only after
-// a silence of three seconds, and the promise did not grow with the silence. Proof: grant_closed has taken, written, silent_ms.
+// It guards against a spend limit that is far above what was taken: a borrower that asked only the holder of its own
+// availability zone made that holder promise three seconds of all its demand, without witnesses and from the start of the
+// silence on. 1,317,487 of 4.6 million tokens were presumed spent of 958,122 written as taken, and 1,787 of a day's 2,272
+// refusals for lack of tokens hit that workspace. The log event grant_closed has the fields taken, written and silent_ms.
 func TestCrashedHolderLosesLittle(t *testing.T) {
 	const workspace, mayBeLost = "w0", 0.03
 	f := startFleet(unevenFleet)
@@ -47,58 +47,60 @@
 	f.checkBudgets(t)
 }
 
-// TestCrashInShortOutageLosesOnlyItsLimit has a router die soon after its last book. Without witnesses all that its promise allowed
-// until then is presumed, which grows with the silence; with them what they have heard of, and what needed none.
+// TestCrashInShortOutageLosesOnlyItsLimit crashes a router soon after its last checkpoint. Without witnesses, all that its
+// spend limit allowed until then is presumed, which grows with the time since the checkpoint; with witnesses, what they
+// have acknowledged and what needed none.
 func TestCrashInShortOutageLosesOnlyItsLimit(t *testing.T) {
 	cases := map[string]struct {
-		silence time.Duration
-		// witnesses are those that remember, told whether they heard of what was taken.
+		outage time.Duration
+		// witnesses is how many of them still remember; reported is set if they received the report.
 		witnesses int
-		told      bool
+		reported  bool
 	}{
-		"at once":                            {silence: 60 * time.Millisecond, witnesses: 3},
-		"after half a second":                {silence: 500 * time.Millisecond, witnesses: 3},
-		"after half a second, all restarted": {silence: 500 * time.Millisecond},
-		"after two seconds":                  {silence: 2 * time.Second, witnesses: 3},
-		"after two seconds, told":            {silence: 2 * time.Second, witnesses: 2, told: true},
-		"after two seconds, all restarted":   {silence: 2 * time.Second},
+		"at once":                            {outage: 60 * time.Millisecond, witnesses: 3},
+		"after half a second":                {outage: 500 * time.Millisecond, witnesses: 3},
+		"after half a second, all restarted": {outage: 500 * time.Millisecond},
+		"after two seconds":                  {outage: 2 * time.Second, witnesses: 3},
+		"after two seconds, reported":        {outage: 2 * time.Second, witnesses: 2, reported: true},
+		"after two seconds, all restarted":   {outage: 2 * time.Second},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
 			b, witnesses := newOutageHarness(t)
-			simulateOutage(b, tc.silence)
-			var stated int64
+			simulateOutage(b, tc.outage)
+			var reportedAmount int64
 			for _, s := range b.planner.DueReports(b.now) {
-				if tc.told {
+				if tc.reported {
 					qt.Assert(t, witnesses[s.Witness.Instance()].AcceptReport(s), qt.IsTrue)
-					stated = s.Taken["w"]
+					reportedAmount = s.Taken["w"]
 				}
 			}
 			b.start("edge~2", 1_000_000)
 			ended := b.planner.Predecessors()
 			qt.Assert(t, ended, qt.HasLen, 1)
-			var recalled []treasurer.Recollection
+			var records []treasurer.Recollection
 			for i, w := range ended[0].Witnesses {
 				p := witnesses[w.Incarnation.Instance()]
 				if i >= tc.witnesses {
 					p = treasurer.NewPlanner(treasurer.Settings{Incarnation: masticway.NewIncarnation(w.Incarnation.Instance(), "2"), Parts: 1})
 				}
-				recalled = append(recalled, p.FinalReports(w.Incarnation, ended[0].Incarnation))
+				records = append(records, p.FinalReports(w.Incarnation, ended[0].Incarnation))
 			}
-			known := ended[0].PresumedSpent(recalled)["w"]
-			qt.Assert(t, known >= ended[0].Taken["w"], qt.IsTrue)
+			presumed := ended[0].PresumedSpent(records)["w"]
+			qt.Assert(t, presumed >= ended[0].Taken["w"], qt.IsTrue)
 			qt.Assert(t, ended[0].MaxUnwitnessed["w"] <= ended[0].MaxSpent["w"], qt.IsTrue)
 			if tc.witnesses == 0 {
-				qt.Assert(t, known, qt.Equals, ended[0].MaxSpent["w"])
+				qt.Assert(t, presumed, qt.Equals, ended[0].MaxSpent["w"])
 				return
 			}
-			qt.Assert(t, known, qt.Equals, max(stated, ended[0].MaxUnwitnessed["w"]))
+			qt.Assert(t, presumed, qt.Equals, max(reportedAmount, ended[0].MaxUnwitnessed["w"]))
 		})
 	}
 }
 
-// TestUnwitnessedSpendingIsPresumed has a router answer as many requests as it may in a silence of which no witness hears: whatever
-// has gone out counts as spent although its witnesses remember nothing. Each answer is taken for one that a caller got.
+// TestUnwitnessedSpendingIsPresumed has a router send as many responses as it may during an outage in which no witness
+// receives a report. Whatever was sent must count as spent although the witnesses remember nothing. Each response is
+// assumed to have reached its caller.
 func TestUnwitnessedSpendingIsPresumed(t *testing.T) {
 	for _, length := range []time.Duration{100 * time.Millisecond, 700 * time.Millisecond, 1500 * time.Millisecond, 2900 * time.Millisecond, 5 * time.Second} {
 		t.Run(length.String(), func(t *testing.T) {
@@ -115,7 +117,7 @@
 			b.planner.SetPeers(4, peers)
 			const need = 100
 			var asked []treasurer.HoldID
-			// answered are the requests whose answers were ready.
+			// answered holds the requests whose responses were ready.
 			answered := map[treasurer.HoldID]bool{}
 			ask := func() {
 				asked = append(asked, b.hold(need))
@@ -143,32 +145,32 @@
 					b.record(replies)
 				}
 			}
-			var got, alone int64
+			var delivered, unwitnessed int64
 			for i, id := range asked {
 				if slices.Contains(b.answered[id], treasurer.VerdictCleared) {
-					got += need
+					delivered += need
 					if i >= before {
-						alone += need
+						unwitnessed += need
 					}
 				}
 			}
-			qt.Assert(t, alone > 0, qt.IsTrue, qt.Commentf("nothing went out in the silence"))
+			qt.Assert(t, unwitnessed > 0, qt.IsTrue, qt.Commentf("nothing was cleared during the outage"))
 			b.start("edge~3", 1_000_000)
 			for _, e := range b.planner.Predecessors() {
 				if e.Incarnation != "edge~2" {
 					continue
 				}
-				var recalled []treasurer.Recollection
+				var records []treasurer.Recollection
 				for _, w := range e.Witnesses {
-					recalled = append(recalled, witnesses[w.Incarnation].FinalReports(w.Incarnation, e.Incarnation))
+					records = append(records, witnesses[w.Incarnation].FinalReports(w.Incarnation, e.Incarnation))
 				}
-				known := e.PresumedSpent(recalled)["w"]
-				t.Logf("%d went out, %d of it in the silence; %d are presumed, %d without witnesses", got, alone, known, e.MaxSpent["w"])
-				qt.Assert(t, got <= known, qt.IsTrue)
-				qt.Assert(t, known <= e.MaxSpent["w"], qt.IsTrue)
+				presumed := e.PresumedSpent(records)["w"]
+				t.Logf("%d delivered, %d of it during the outage; %d presumed, %d without witnesses", delivered, unwitnessed, presumed, e.MaxSpent["w"])
+				qt.Assert(t, delivered <= presumed, qt.IsTrue)
+				qt.Assert(t, presumed <= e.MaxSpent["w"], qt.IsTrue)
 				return
 			}
-			t.Fatal("nothing was left to close")
+			t.Fatal("no predecessor left a grant to close")
 		})
 	}
 }
--- a/treasurer/presence_test.go
+++ b/treasurer/presence_test.go
@@ -17,26 +17,28 @@
 	"github.com/masticway/masticway/measurer"
 )
 
-// manualClock is moved by the test.
+// manualClock is a clock that the test advances.
 type manualClock struct{ now time.Time }
 
 func (c *manualClock) Now() time.Time                         { return c.now }
 func (c *manualClock) After(d time.Duration) <-chan time.Time { return time.After(d) }
 
-// TestCountRoutersByPresence has five routers on one store. After an outage all presences are old, and who
-// counts first must not take itself for alone; a router that is gone is left out after 12 s of others' counting.
+// TestCountRoutersByPresence has five routers on one store. After an outage all presences are old, and the router that
+// counts first must not conclude that it is the only one. A router that has ended is left out after the others have counted
+// for 12 s.
 func TestCountRoutersByPresence(t *testing.T) {
 	const routers = 5
 	cases := map[string]struct {
-		// outage is how long nobody reaches the store, gone how long the last router has been gone before the last count.
-		outage, gone time.Duration
-		want         int
+		// outage is how long no router reaches the store; downtime is how long ago the last router ended before the last
+		// count.
+		outage, downtime time.Duration
+		want             int
 	}{
-		"all are there":           {want: routers},
-		"after an outage of 10 s": {outage: 10 * time.Second, want: routers},
-		"after one of a minute":   {outage: time.Minute, want: routers},
-		"one is just gone":        {gone: 6 * time.Second, want: routers},
-		"one is gone":             {gone: 18 * time.Second, want: routers - 1},
+		"all are running":          {want: routers},
+		"after an outage of 10 s":  {outage: 10 * time.Second, want: routers},
+		"after an outage of 1 min": {outage: time.Minute, want: routers},
+		"one ended 6 s ago":        {downtime: 6 * time.Second, want: routers},
+		"one ended 18 s ago":       {downtime: 18 * time.Second, want: routers - 1},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -62,7 +64,7 @@
 				count(all)
 				clock.now = clock.now.Add(countInterval)
 			}
-			for passed := time.Duration(0); passed < tc.gone; passed += countInterval {
+			for passed := time.Duration(0); passed < tc.downtime; passed += countInterval {
 				count(all[:routers-1])
 				clock.now = clock.now.Add(countInterval)
 			}
@@ -73,13 +75,14 @@
 	}
 }
 
-// rateLimitedStore is a row store of which one part takes a number of writes a second and refuses the others.
+// rateLimitedStore is a row store that accepts a limited number of writes a second.
 type rateLimitedStore struct {
 	*emulator.Rows
 	perSecond int
 
 	mu sync.Mutex
-	// second is the present one; taken and refused count its writes, most is the most that came in one since watched.
+	// second is the current second; accepted and refused count its writes, and maxWrites is the maximum of both in a second
+	// since it was reset.
 	second            time.Time
 	accepted, refused int
 	maxWrites, reads  int
@@ -114,9 +117,9 @@
 	return p.refused == 0
 }
 
-// TestManyRoutersStartTogether starts routers together on a store whose part takes 200 writes a second, as a loss of power of all
-// brings it about. A fleet of 356 routers, each of which tried again after 0.3 s, asked for 1,200 a second: 85% of them never
-// counted any, took themselves for alone, and drew money for all workspaces.
+// TestManyRoutersStartTogether starts routers at the same time, as after a power loss of all of them, on a store whose part
+// accepts 200 writes a second. When each of 356 routers retried after 0.3 s, they sent 1,200 writes a second: 85% of the
+// routers never finished a count, concluded that they were alone, and drew grants of all workspaces.
 func TestManyRoutersStartTogether(t *testing.T) {
 	for _, routers := range []int{100, 400} {
 		t.Run(fmt.Sprint(routers), func(t *testing.T) {
@@ -147,7 +150,7 @@
 					qt.Assert(t, r.Members(), qt.Equals, routers)
 				}
 				reads := float64(store.reads) / 40
-				t.Logf("%d routers: at most %d writes in a second, %.1f readings a second", routers, store.maxWrites, reads)
+				t.Logf("%d routers: at most %d writes in a second, %.1f reads a second", routers, store.maxWrites, reads)
 				qt.Check(t, store.maxWrites <= 150, qt.IsTrue)
 				qt.Check(t, reads <= 60, qt.IsTrue)
 				stop()
--- a/treasurer/watch_test.go
+++ b/treasurer/watch_test.go
@@ -17,7 +17,7 @@
 	"github.com/masticway/masticway/measurer"
 )
 
-// countingStore is a row store that counts what is read of the accounts.
+// countingStore is a row store that counts the bytes read.
 type countingStore struct {
 	*emulator.Rows
 	bytes atomic.Int64
@@ -36,8 +36,8 @@
 	return reading, err
 }
 
-// TestLargeFleetReadsOnlyHeldParts has a router follow the accounts while routers of a fleet change their grants, twice a second
-// for each. Where every router reads what all others write, that is 115 kB a second for each of 356 routers.
+// TestLargeFleetReadsOnlyHeldParts has a router watch the accounts while the other routers of a fleet change their grants
+// twice a second each. If every router read what all others write, that would be 115 kB a second at each of 356 routers.
 func TestLargeFleetReadsOnlyHeldParts(t *testing.T) {
 	perSecond := map[int]float64{}
 	for _, routers := range []int{30, 100, 400} {
@@ -79,7 +79,7 @@
 	qt.Check(t, perSecond[400] <= 6000, qt.IsTrue)
 }
 
-// changeGrants has as many workspaces as there are routers change their rows twice a second each.
+// changeGrants changes the rows of as many workspaces as there are routers, each twice a second.
 func changeGrants(ctx context.Context, store *countingStore, holders []Peer) {
 	const perRouter = 2
 	for n := 0; ctx.Err() == nil; n++ {
--- a/treasurer/witness_test.go
+++ b/treasurer/witness_test.go
@@ -11,17 +11,18 @@
 	"github.com/masticway/masticway/treasurer"
 )
 
-// newOutageHarness has a purse with a grant, three witnesses, and a store that is about to become silent.
+// newOutageHarness returns a planner with a grant and three witnesses, and the witnesses, just before an outage of the
+// store.
 func newOutageHarness(t *testing.T) (*harness, map[string]*treasurer.Planner) {
 	b := newHarness(t, 1_000_000)
 	witnesses := map[string]*treasurer.Planner{}
-	named := []treasurer.Peer{{Witness: treasurer.Witness{Incarnation: "edge~1"}}}
+	peers := []treasurer.Peer{{Witness: treasurer.Witness{Incarnation: "edge~1"}}}
 	for _, instance := range []string{"one", "two", "three"} {
 		i := masticway.NewIncarnation(instance, "1")
 		witnesses[instance] = treasurer.NewPlanner(treasurer.Settings{Incarnation: i, Parts: 1})
-		named = append(named, treasurer.Peer{Witness: treasurer.Witness{Incarnation: i, Address: instance}})
+		peers = append(peers, treasurer.Peer{Witness: treasurer.Witness{Incarnation: i, Address: instance}})
 	}
-	b.planner.SetPeers(4, named)
+	b.planner.SetPeers(4, peers)
 	for range 10 {
 		id := b.hold(100)
 		b.run(150 * time.Millisecond)
@@ -32,7 +33,7 @@
 	return b, witnesses
 }
 
-// simulateOutage lets the store fail for a while, with a request that waits for its promise.
+// simulateOutage has the store fail for the given time, and then adds a hold that waits for its clearance.
 func simulateOutage(b *harness, d time.Duration) treasurer.HoldID {
 	var id treasurer.HoldID
 	for ; d > 0; d -= 30 * time.Millisecond {
@@ -49,31 +50,31 @@
 
 func TestClearNeedsWitnessQuorum(t *testing.T) {
 	cases := map[string]struct {
-		taken   []bool
-		cleared bool
+		accepted []bool
+		cleared  bool
 	}{
-		"no witness answers":       {},
-		"all refuse":               {taken: []bool{false, false, false}},
-		"one alone has taken it":   {taken: []bool{true}},
-		"one of three":             {taken: []bool{false, true, false}},
-		"two of three":             {taken: []bool{true, false, true}, cleared: true},
-		"two, and the third waits": {taken: []bool{true, true}, cleared: true},
-		"all have taken it":        {taken: []bool{true, true, true}, cleared: true},
+		"no witness answers":               {},
+		"all refuse":                       {accepted: []bool{false, false, false}},
+		"only the first accepts":           {accepted: []bool{true}},
+		"only the second accepts":          {accepted: []bool{false, true, false}},
+		"two of three accept":              {accepted: []bool{true, false, true}, cleared: true},
+		"two accept, the third is pending": {accepted: []bool{true, true}, cleared: true},
+		"all accept":                       {accepted: []bool{true, true, true}, cleared: true},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
 			b, _ := newOutageHarness(t)
 			id := simulateOutage(b, 3*time.Second)
 			qt.Assert(t, b.answered[id], qt.DeepEquals, []treasurer.Verdict{treasurer.VerdictHeld})
-			statements := b.planner.DueReports(b.now)
-			qt.Assert(t, statements, qt.HasLen, 3)
-			qt.Assert(t, statements[0].Taken["w"] >= 1100, qt.IsTrue)
-			qt.Assert(t, b.planner.DueReports(b.now), qt.HasLen, 0, qt.Commentf("each witness is told one thing at a time"))
-			for i, taken := range tc.taken {
-				b.record(b.planner.CompleteReport(b.now, statements[i], taken))
+			reports := b.planner.DueReports(b.now)
+			qt.Assert(t, reports, qt.HasLen, 3)
+			qt.Assert(t, reports[0].Taken["w"] >= 1100, qt.IsTrue)
+			qt.Assert(t, b.planner.DueReports(b.now), qt.HasLen, 0, qt.Commentf("only one report to each witness may be in flight"))
+			for i, taken := range tc.accepted {
+				b.record(b.planner.CompleteReport(b.now, reports[i], taken))
 			}
-			got := len(b.answered[id]) == 2
-			qt.Assert(t, got, qt.Equals, tc.cleared)
+			cleared := len(b.answered[id]) == 2
+			qt.Assert(t, cleared, qt.Equals, tc.cleared)
 		})
 	}
 }
@@ -108,54 +109,54 @@
 
 func TestSuccessorUsesWitnessRecords(t *testing.T) {
 	cases := map[string]struct {
-		// told are the witnesses that hear the statement, restarted those that have lost their memory, silent those that
-		// cannot be asked.
-		told, restarted, silent []string
-		presumed                bool
-		spent                   int64
+		// reported are the witnesses that receive the report, restarted those that have lost their record, unreachable
+		// those that do not answer.
+		reported, restarted, unreachable []string
+		presumed                         bool
+		spent                            int64
 	}{
-		"all heard of 1100":               {told: []string{"one", "two", "three"}, spent: 1100},
-		"two heard, one is asked":         {told: []string{"one", "two"}, silent: []string{"one"}, spent: 1100},
-		"two heard, one is restarted":     {told: []string{"one", "two"}, restarted: []string{"two"}, spent: 1100},
-		"one heard of 1100":               {told: []string{"three"}, spent: 1100},
-		"nothing was stated":              {spent: 1000},
-		"one was restarted":               {restarted: []string{"two"}, spent: 1000},
-		"two were restarted":              {restarted: []string{"two", "one"}, presumed: true},
-		"one restarted, one not asked":    {told: []string{"one", "two"}, restarted: []string{"two"}, silent: []string{"one"}, presumed: true},
-		"all routers were restarted":      {restarted: []string{"one", "two", "three"}, presumed: true},
-		"no witness can be asked in time": {silent: []string{"one", "two", "three"}, presumed: true},
+		"all accepted 1100":                {reported: []string{"one", "two", "three"}, spent: 1100},
+		"two accepted, one is unreachable": {reported: []string{"one", "two"}, unreachable: []string{"one"}, spent: 1100},
+		"two accepted, one is restarted":   {reported: []string{"one", "two"}, restarted: []string{"two"}, spent: 1100},
+		"one accepted 1100":                {reported: []string{"three"}, spent: 1100},
+		"nothing was reported":             {spent: 1000},
+		"one was restarted":                {restarted: []string{"two"}, spent: 1000},
+		"two were restarted":               {restarted: []string{"two", "one"}, presumed: true},
+		"one restarted, one unreachable":   {reported: []string{"one", "two"}, restarted: []string{"two"}, unreachable: []string{"one"}, presumed: true},
+		"all routers were restarted":       {restarted: []string{"one", "two", "three"}, presumed: true},
+		"no witness is reachable":          {unreachable: []string{"one", "two", "three"}, presumed: true},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
 			b, witnesses := newOutageHarness(t)
 			simulateOutage(b, 3*time.Second)
 			for _, s := range b.planner.DueReports(b.now) {
-				if slices.Contains(tc.told, s.Witness.Instance()) {
+				if slices.Contains(tc.reported, s.Witness.Instance()) {
 					qt.Assert(t, witnesses[s.Witness.Instance()].AcceptReport(s), qt.IsTrue)
 				}
 			}
 			b.start("edge~2", 1_000_000)
 			ended := b.planner.Predecessors()
 			qt.Assert(t, ended, qt.HasLen, 1)
-			var recalled []treasurer.Recollection
+			var records []treasurer.Recollection
 			for _, w := range ended[0].Witnesses {
 				instance := w.Incarnation.Instance()
-				if slices.Contains(tc.silent, instance) {
+				if slices.Contains(tc.unreachable, instance) {
 					continue
 				}
 				p := witnesses[instance]
 				if slices.Contains(tc.restarted, instance) {
 					p = treasurer.NewPlanner(treasurer.Settings{Incarnation: masticway.NewIncarnation(instance, "2"), Parts: 1})
 				}
-				recalled = append(recalled, p.FinalReports(w.Incarnation, ended[0].Incarnation))
+				records = append(records, p.FinalReports(w.Incarnation, ended[0].Incarnation))
 			}
-			known := ended[0].PresumedSpent(recalled)["w"]
+			presumedSpent := ended[0].PresumedSpent(records)["w"]
 			if tc.presumed {
-				qt.Assert(t, known, qt.Equals, ended[0].MaxSpent["w"])
-				qt.Assert(t, known > 1100, qt.IsTrue)
+				qt.Assert(t, presumedSpent, qt.Equals, ended[0].MaxSpent["w"])
+				qt.Assert(t, presumedSpent > 1100, qt.IsTrue)
 				return
 			}
-			qt.Assert(t, known, qt.Equals, tc.spent)
+			qt.Assert(t, presumedSpent, qt.Equals, tc.spent)
 		})
 	}
 }
@@ -167,7 +168,7 @@
 	qt.Assert(t, w.FinalReports("one~1", "edge~1"), qt.DeepEquals, treasurer.Recollection{Same: true, Stated: map[string]treasurer.Stated{"w": {Taken: 5, Book: 3}}})
 	qt.Assert(t, w.AcceptReport(s), qt.IsFalse)
 	s.Issuer, s.Witness = "edge~2", "one~0"
-	qt.Assert(t, w.AcceptReport(s), qt.IsFalse, qt.Commentf("it was meant for an earlier incarnation"))
+	qt.Assert(t, w.AcceptReport(s), qt.IsFalse, qt.Commentf("the report is for an earlier incarnation"))
 	qt.Assert(t, w.FinalReports("one~0", "edge~2").Same, qt.IsFalse)
 }
 
@@ -187,13 +188,13 @@
 func TestReportDoesNotCountForLaterCheckpoint(t *testing.T) {
 	b, _ := newOutageHarness(t)
 	first := simulateOutage(b, 3*time.Second)
-	statements := b.planner.DueReports(b.now)
-	// The request gets nothing, the store has the next book at last, and then is silent again.
+	reports := b.planner.DueReports(b.now)
+	// The request ends without a response, the store takes the next checkpoint, and then fails again.
 	b.record(b.planner.Settle(b.now, first, 0))
 	b.run(300 * time.Millisecond)
 	qt.Assert(t, b.planner.DueReports(b.now), qt.HasLen, 0)
 	id := simulateOutage(b, 3*time.Second)
-	for _, s := range statements {
+	for _, s := range reports {
 		b.record(b.planner.CompleteReport(b.now, s, true))
 	}
 	b.record(b.planner.Clear(b.now, id))
