--- a/treasurer/fleet_test.go
+++ b/treasurer/fleet_test.go
@@ -8,84 +8,84 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// largeFleet is the load of the deployment with 103 routers in 6 availability zones: 960 metered requests a second for 40
-// workspaces, of which each router gets one in four seconds, and budgets for 30 s more when it begins.
+// largeFleet is the load of a deployment with 103 routers in six availability zones: 960 requests a second for 40
+// workspaces, so that each router gets one for a workspace in four seconds, and budgets that last 30 s from the start.
 var largeFleet = fleetLoad{routers: 103, zones: 6, workspaces: 40, perSecond: 960, span: 8 * time.Second, budgetFactor: 3.75}
 
-// burstFleet is the same with budgets that last for 7.5 times the usual of one workspace.
+// burstFleet is the same with budgets that last while one workspace sends 7.5 times its usual load.
 var burstFleet = fleetLoad{routers: 103, zones: 6, workspaces: 40, perSecond: 960, span: 8 * time.Second, budgetFactor: 8}
 
-// pinnedFleet is the same with some workspaces, the largest among them, whose callers all come to one router.
+// pinnedFleet is the same with some workspaces, the largest among them, whose callers all use one router.
 var pinnedFleet = fleetLoad{
 	routers: 103, zones: 6, workspaces: 40, perSecond: 960, span: 8 * time.Second, budgetFactor: 3.75,
 	pinned: map[string]int{"w0": 13, "w3": 40, "w9": 77, "w20": 5},
 }
 
-// lowBudgetFleet is the same with budgets that are nearly used up in the end.
+// lowBudgetFleet is the same with budgets that are nearly used up at the end.
 var lowBudgetFleet = fleetLoad{routers: 103, zones: 6, workspaces: 40, perSecond: 960, span: 8 * time.Second, budgetFactor: 1.15}
 
-// TestLargeFleetUnderFaults plays the load of a hundred routers and more, calm and under what such deployments
-// bring: routers that die, all at once or some, a store that is away, a workspace that sends many times its usual, callers
-// that move to another availability zone.
+// TestLargeFleetUnderFaults simulates the load of a hundred routers and more without faults and with those that such
+// deployments have: routers that crash, all of them or some, an outage of the store, a workspace that sends many times its
+// usual load, and callers that move to another availability zone.
 //
-// With a hand at each router for each workspace, on the same load and in the same seconds, the calm case took 70,000
-// changes of grants instead of 800, and a loss of power of all left 2,700 grants to close instead of 240. The bounds are
-// what was measured, and half of it more.
+// It guards against a reserve of each workspace at each router: with the same load, the run without faults then took 70,000
+// changes of grants instead of 800, and a power loss of all routers left 2,700 grants to close instead of 240. The bounds
+// are one and a half times the measured values.
 func TestLargeFleetUnderFaults(t *testing.T) {
 	cases := map[string]struct {
-		load    fleetLoad
-		trouble func(*fleet)
-		// refused is the greatest share of all requests that get no money, lost that of all budgets that is gone in the
-		// end, and calls the most calls to the store a request.
+		load  fleetLoad
+		fault func(*fleet)
+		// refused is the maximum share of requests that get no tokens, lost that of all budgets that is lost in the end,
+		// and calls the maximum number of store calls for each request.
 		refused, lost, calls float64
 		closings             int
 	}{
-		"calm":              {load: largeFleet, trouble: func(*fleet) {}, refused: 0.001, lost: 0.01, calls: 1.2},
-		"calm, 300 routers": {load: fleetLoad{routers: 300, zones: 6, workspaces: 40, perSecond: 1600, span: 4 * time.Second, budgetFactor: 7.5}, trouble: func(*fleet) {}, refused: 0.001, lost: 0.01, calls: 1.5},
-		"a sixth is killed": {
+		"no fault":              {load: largeFleet, fault: func(*fleet) {}, refused: 0.001, lost: 0.01, calls: 1.2},
+		"no fault, 300 routers": {load: fleetLoad{routers: 300, zones: 6, workspaces: 40, perSecond: 1600, span: 4 * time.Second, budgetFactor: 7.5}, fault: func(*fleet) {}, refused: 0.001, lost: 0.01, calls: 1.5},
+		"a fifth is killed": {
 			load: largeFleet, refused: 0.002, lost: 0.045, calls: 1.2, closings: 60,
-			trouble: func(f *fleet) { f.schedule(3*time.Second, func() { f.killAll(f.everyFifth(), 3500*time.Millisecond) }) },
+			fault: func(f *fleet) { f.schedule(3*time.Second, func() { f.killAll(f.everyFifth(), 3500*time.Millisecond) }) },
 		},
 		"all lose power": {
 			load: largeFleet, refused: 0.001, lost: 0.15, calls: 2, closings: 240,
-			trouble: func(f *fleet) { f.schedule(3*time.Second, func() { f.killAll(f.routers, 2*time.Second) }) },
+			fault: func(f *fleet) { f.schedule(3*time.Second, func() { f.killAll(f.routers, 2*time.Second) }) },
 		},
-		"the store is away": {
+		"store outage": {
 			load: largeFleet, refused: 0.03, lost: 0.02, calls: 1.2,
-			trouble: func(f *fleet) {
+			fault: func(f *fleet) {
 				f.schedule(2*time.Second, func() { f.storeDown = true })
 				f.schedule(6500*time.Millisecond, func() { f.storeDown = false })
 			},
 		},
-		"all lose power while the store is away": {
+		"all lose power during a store outage": {
 			load: largeFleet, refused: 0.09, lost: 0.35, calls: 3, closings: 240,
-			trouble: func(f *fleet) {
+			fault: func(f *fleet) {
 				f.schedule(time.Second, func() { f.storeDown = true })
 				f.schedule(3*time.Second, func() { f.killAll(f.routers, 2*time.Second) })
 				f.schedule(5500*time.Millisecond, func() { f.storeDown = false })
 			},
 		},
-		"a workspace sends 7.5 times its usual": {
+		"a workspace sends 7.5 times its usual load": {
 			load: burstFleet, refused: 0.002, lost: 0.01, calls: 1.2,
-			trouble: func(f *fleet) { f.schedule(2*time.Second, func() { f.workspaceShare["w9"] *= 7.5 }) },
+			fault: func(f *fleet) { f.schedule(2*time.Second, func() { f.workspaceShare["w9"] *= 7.5 }) },
 		},
-		"the store is away, and some workspaces have few callers": {
+		"store outage, and some workspaces have few callers": {
 			load: pinnedFleet, refused: 0.003, lost: 0.02, calls: 1.2,
-			trouble: func(f *fleet) {
+			fault: func(f *fleet) {
 				f.schedule(2*time.Second, func() { f.storeDown = true })
 				f.schedule(6500*time.Millisecond, func() { f.storeDown = false })
 			},
 		},
-		"budgets that end": {load: lowBudgetFleet, trouble: func(*fleet) {}, refused: 0.02, lost: 0.01, calls: 1.5},
+		"budgets are nearly used up": {load: lowBudgetFleet, fault: func(*fleet) {}, refused: 0.02, lost: 0.01, calls: 1.5},
 		"half of a zone's callers move": {
 			load: largeFleet, refused: 0.001, lost: 0.01, calls: 1.2,
-			trouble: func(f *fleet) {
+			fault: func(f *fleet) {
 				f.schedule(2*time.Second, func() { f.zoneShare[0] += f.zoneShare[1] / 2; f.zoneShare[1] /= 2 })
 			},
 		},
-		"a zone is cut off": {
+		"a zone is partitioned off": {
 			load: largeFleet, refused: 0.02, lost: 0.02, calls: 1.5,
-			trouble: func(f *fleet) {
+			fault: func(f *fleet) {
 				apart := func(is bool) func() {
 					return func() {
 						for _, r := range f.routers {
@@ -97,9 +97,9 @@
 				f.schedule(5*time.Second, apart(false))
 			},
 		},
-		"a sixth is cut off": {
+		"a fifth is partitioned off": {
 			load: largeFleet, refused: 0.02, lost: 0.02, calls: 1.5,
-			trouble: func(f *fleet) {
+			fault: func(f *fleet) {
 				apart := func(is bool) func() {
 					return func() {
 						for _, r := range f.everyFifth() {
@@ -116,7 +116,7 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			f := startFleet(tc.load)
-			tc.trouble(f)
+			tc.fault(f)
 			f.run(f.load.span + 3*time.Second)
 			sum := f.summary(0, len(f.seconds))
 			calls := float64(f.calls) / float64(sum.asked)
@@ -124,7 +124,7 @@
 				t.Logf("second %d: %d asked, %d held, %d exhausted, %d unreachable", second, s.asked, s.held, s.exhausted, s.unreachable)
 			}
 			slices.Sort(f.waits)
-			t.Logf("refused %.4f, lost %.4f, calls a request %.2f, closings %d, waits %v and %v for 99 in 100; steps %v",
+			t.Logf("refused %.4f, lost %.4f, calls for each request %.2f, closings %d, median wait %v, 99th percentile %v; steps %v",
 				sum.refusedShare(), f.lostShare(), calls, f.closings, f.waits[len(f.waits)/2], f.waits[len(f.waits)*99/100], f.stepsByKind)
 			qt.Check(t, sum.refusedShare() <= tc.refused, qt.IsTrue)
 			qt.Check(t, f.lostShare() <= tc.lost, qt.IsTrue)
@@ -135,26 +135,26 @@
 	}
 }
 
-// TestConcentratedDemandIsServed has all callers of some workspaces come to one router each, whose links they fill, so that what
-// it asks of others comes too late. Deployments in which a workspace has few callers bring that: a router that borrowed all
-// that it was asked for refused most of it while nearly the whole budget was left.
+// TestConcentratedDemandIsServed has all callers of some workspaces use one router each, whose network link they saturate,
+// so that loans arrive too late. Deployments with few callers in a workspace have such loads. A router that borrowed
+// everything refused most of the requests while nearly the whole budget was left.
 func TestConcentratedDemandIsServed(t *testing.T) {
 	cases := map[string]struct {
-		load fleetLoad
-		far  time.Duration
-		// refused is the greatest share of these workspaces' requests that get no money, from the second second on.
+		load         fleetLoad
+		extraLatency time.Duration
+		// refused is the maximum share of these workspaces' requests that get no tokens, after the first two seconds.
 		refused float64
 	}{
 		"the link is idle":        {load: pinnedFleet, refused: 0.001},
-		"the link is nearly full": {load: pinnedFleet, far: 40 * time.Millisecond, refused: 0.005},
-		"the link is full":        {load: pinnedFleet, far: 110 * time.Millisecond, refused: 0.02},
+		"the link is nearly full": {load: pinnedFleet, extraLatency: 40 * time.Millisecond, refused: 0.005},
+		"the link is full":        {load: pinnedFleet, extraLatency: 110 * time.Millisecond, refused: 0.02},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			f := startFleet(tc.load)
 			for _, n := range tc.load.pinned {
-				f.routers[n].extraLatency = tc.far
+				f.routers[n].extraLatency = tc.extraLatency
 			}
 			f.run(2 * time.Second)
 			f.asked, f.unreachable = map[string]int{}, map[string]int{}
--- a/treasurer/simulation_test.go
+++ b/treasurer/simulation_test.go
@@ -19,40 +19,41 @@
 )
 
 const (
-	// fleetStoreLatency and fleetNetworkLatency are the time of one call to the store and the way to another router, as deployments with a
-	// hundred routers measure them: 4 ms an answer, 0.5 ms between availability zones.
+	// fleetStoreLatency and fleetNetworkLatency are the latencies of a call to the store and of a message to another
+	// router, as measured in deployments with a hundred routers: 4 ms, and 0.5 ms between availability zones.
 	fleetStoreLatency   = 4 * time.Millisecond
 	fleetNetworkLatency = 500 * time.Microsecond
-	// fleetTick, fleetCountInterval, fleetLendTimeout and fleetClearTimeout are the pauses and bounds of the treasurer that drives a purse.
+	// fleetTick, fleetCountInterval, fleetLendTimeout and fleetClearTimeout are those of the treasurer that drives a
+	// planner.
 	fleetTick          = 50 * time.Millisecond
 	fleetCountInterval = 3 * time.Second
 	fleetLendTimeout   = 60 * time.Millisecond
 	fleetClearTimeout  = 45 * time.Millisecond
-	// fleetHoldTimeout is how long a request waits for money: half of the 500 ms in which a short answer should begin.
+	// fleetHoldTimeout is how long a request waits for tokens: half of the 500 ms in which a short response should begin.
 	fleetHoldTimeout = 250 * time.Millisecond
-	// fleetFirstByte and fleetStreamTime are when an answer begins, and how long it then takes.
+	// fleetFirstByte is when a response begins, and fleetStreamTime how long it then takes.
 	fleetFirstByte  = 150 * time.Millisecond
 	fleetStreamTime = 300 * time.Millisecond
 	// fleetParts is the number of parts of the store.
 	fleetParts = 64
 )
 
-// fleetLoad says how large a fleet is and what it is asked for.
+// fleetLoad describes the size of a fleet and its load.
 type fleetLoad struct {
 	routers, zones, workspaces int
-	// perSecond is the requests of all callers, span how long they come.
+	// perSecond is the total rate of requests, span how long they arrive.
 	perSecond float64
 	span      time.Duration
-	// pinned are the routers, by number, at which all requests for some workspaces come.
+	// pinned is the index of the router at which all requests of a workspace arrive.
 	pinned map[string]int
-	// budgetFactor is the budget of a workspace, as a multiple of what its callers use in the whole span.
+	// budgetFactor is the budget of a workspace as a multiple of what its callers use in the whole span.
 	budgetFactor float64
 }
 
-// fleetEvent is something that happens at a time.
+// fleetEvent is an event of the simulation.
 type fleetEvent struct {
 	at time.Time
-	// number keeps events of one moment in the order in which they were planned.
+	// number orders events of the same time by when they were scheduled.
 	number int
 	do     func()
 }
@@ -71,7 +72,7 @@
 	return last
 }
 
-// fleet is a whole deployment's money in one goroutine and simulated time, with its traffic.
+// fleet simulates all routers of a deployment and their traffic in one goroutine.
 type fleet struct {
 	load         fleetLoad
 	random       *rand.Rand
@@ -84,17 +85,17 @@
 	names        []string
 	prepaid      map[string]int64
 	changedRows  []masticway.StoredRow
-	// workspaceShare is the part of the traffic that a workspace, and zone the part that an availability zone gets.
+	// workspaceShare is each workspace's share of the traffic, zoneShare that of each availability zone.
 	workspaceShare map[string]float64
 	zoneShare      []float64
-	// storeDown tells that the store is silent for everybody.
+	// storeDown is set during an outage of the store.
 	storeDown bool
-	// calls counts the calls to the store, kinds those of purses by what they are for.
+	// calls counts the calls to the store, stepsByKind the planners' steps.
 	calls       int
 	stepsByKind map[string]int
-	// delivered is what callers of each workspace received.
+	// delivered is the amount that callers of each workspace received.
 	delivered map[string]int64
-	// asked and unreachable count the requests of each workspace, and those of them that got no answer about money.
+	// asked counts the requests of each workspace, and unreachable those of them with that verdict.
 	asked           map[string]int
 	unreachable     map[string]int
 	seconds         []fleetSecond
@@ -103,7 +104,7 @@
 	lastIncarnation int
 }
 
-// fleetSecond counts the requests that came in one second by what became of them.
+// fleetSecond counts the requests that arrived in one second by their verdicts.
 type fleetSecond struct {
 	asked, held, exhausted, unreachable int
 }
@@ -113,14 +114,14 @@
 	instance, zone string
 	self           masticway.Incarnation
 	planner        *treasurer.Planner
-	// generation is a number that changes with each start, so that what was under way for an earlier one is dropped.
+	// generation increases with each start, so that events scheduled for an earlier one are dropped.
 	generation  int
 	alive       bool
 	wakePending bool
 	partitioned bool
 	changesSeen int
 	holds       map[treasurer.HoldID]*fleetHold
-	// extraLatency is how much longer a way to or from the router takes each time, as over a full link.
+	// extraLatency is added to each message to or from the router, as over a saturated link.
 	extraLatency   time.Duration
 	listeningSince time.Time
 	clearances     map[treasurer.HoldID]func(bool)
@@ -142,7 +143,7 @@
 	for i := range load.workspaces {
 		name := fmt.Sprintf("w%d", i)
 		f.names = append(f.names, name)
-		// A few workspaces are large: each next one is asked for a little less.
+		// A few workspaces are large: each next one has a little less load.
 		f.workspaceShare[name] = 1 / math.Pow(float64(i+1), 0.5)
 		sum += f.workspaceShare[name]
 	}
@@ -160,7 +161,7 @@
 	return f
 }
 
-// startFleet returns a fleet whose routers have started a while ago, as its traffic begins.
+// startFleet returns a fleet whose routers started five seconds ago, at the start of its traffic.
 func startFleet(load fleetLoad) *fleet {
 	f := newFleet(load)
 	for _, r := range f.routers {
@@ -172,25 +173,25 @@
 	return f
 }
 
-// fleetMeanUse is what a request uses in the mean, fleetMeanNeed the most that it declares: as tailoring drafts, notes and
-// counter questions of the large deployment together do.
+// fleetMeanUse is the mean number of tokens that a request uses, fleetMeanNeed the mean of what it declares as its maximum,
+// for the mix of requests of a large deployment.
 const (
 	fleetMeanUse  = 3300
 	fleetMeanNeed = 4700
 )
 
-// need draws the most that a request declares: many small ones, a few of over 20,000 tokens.
+// need draws what a request declares as its maximum: many small amounts, a few of over 20,000 tokens.
 func (f *fleet) need() int64 {
 	return int64(math.Min(30000, math.Exp(f.random.NormFloat64()*0.9-0.405)*fleetMeanNeed)) + 100
 }
 
-// schedule plans something.
+// schedule schedules an event.
 func (f *fleet) schedule(d time.Duration, do func()) {
 	f.lastEvent++
 	heap.Push(&f.events, fleetEvent{at: f.now.Add(d), number: f.lastEvent, do: do})
 }
 
-// run lets time pass.
+// run runs the simulation for the given time.
 func (f *fleet) run(d time.Duration) {
 	end := f.now.Add(d)
 	for len(f.events) > 0 && !f.events[0].at.After(end) {
@@ -201,7 +202,7 @@
 	f.now = end
 }
 
-// start begins a new incarnation on an instance.
+// start starts a new incarnation on an instance.
 func (f *fleet) start(r *fleetRouter) {
 	f.lastIncarnation++
 	r.generation++
@@ -217,33 +218,33 @@
 		accounts[name] = masticway.Account{Workspace: name, Prepaid: prepaid, HasLimit: true}
 	}
 	r.planner.Configure(1, accounts)
-	life := r.generation
-	f.schedule(0, func() { f.takeOver(r, life) })
-	f.repeat(r, life, fleetTick, func() { f.runOnce(r) })
-	f.repeat(r, life, 200*time.Millisecond+6*time.Millisecond*time.Duration(f.load.routers), func() { f.deliverChanges(r) })
-	f.repeat(r, life, fleetCountInterval, func() { f.updatePeers(r) })
+	generation := r.generation
+	f.schedule(0, func() { f.takeOver(r, generation) })
+	f.repeat(r, generation, fleetTick, func() { f.runOnce(r) })
+	f.repeat(r, generation, 200*time.Millisecond+6*time.Millisecond*time.Duration(f.load.routers), func() { f.deliverChanges(r) })
+	f.repeat(r, generation, fleetCountInterval, func() { f.updatePeers(r) })
 }
 
-// repeat repeats something for as long as a life lasts, begun at a random moment.
-func (f *fleet) repeat(r *fleetRouter, life int, pause time.Duration, do func()) {
+// repeat calls do at the given interval while the generation lasts, starting at a random time.
+func (f *fleet) repeat(r *fleetRouter, generation int, interval time.Duration, do func()) {
 	var again func()
 	again = func() {
-		if r.generation != life || !r.alive {
+		if r.generation != generation || !r.alive {
 			return
 		}
 		do()
-		f.schedule(pause, again)
+		f.schedule(interval, again)
 	}
-	f.schedule(time.Duration(f.random.Int64N(int64(pause))), again)
+	f.schedule(time.Duration(f.random.Int64N(int64(interval))), again)
 }
 
-// takeOver writes the instance's book for a new incarnation and closes what the predecessor left.
-func (f *fleet) takeOver(r *fleetRouter, life int) {
-	if r.generation != life || !r.alive {
+// takeOver writes the first checkpoint of a new incarnation and closes its predecessor's grants.
+func (f *fleet) takeOver(r *fleetRouter, generation int) {
+	if r.generation != generation || !r.alive {
 		return
 	}
 	if f.storeDown || r.partitioned {
-		f.schedule(100*time.Millisecond, func() { f.takeOver(r, life) })
+		f.schedule(100*time.Millisecond, func() { f.takeOver(r, generation) })
 		return
 	}
 	f.calls += 2
@@ -252,16 +253,16 @@
 	if err != nil {
 		panic(err)
 	}
-	made, err := f.rows.Apply(write)
+	written, err := f.rows.Apply(write)
 	if err != nil {
 		panic(err)
 	}
 	f.schedule(2*fleetStoreLatency, func() {
-		if r.generation != life || !r.alive {
+		if r.generation != generation || !r.alive {
 			return
 		}
 		f.updatePeers(r)
-		r.planner.CompleteTakeOver(f.now, made.Version, made.StoreTime)
+		r.planner.CompleteTakeOver(f.now, written.Version, written.StoreTime)
 		for _, e := range r.planner.Predecessors() {
 			for workspace, spent := range e.PresumedSpent(f.queryWitnesses(e)) {
 				f.closings++
@@ -283,18 +284,18 @@
 	f.apply(write)
 }
 
-// apply makes a write and keeps what it changed for the feeds.
+// apply applies a write and records the changed rows for watches.
 func (f *fleet) apply(write masticway.RowWrite) (masticway.RowReading, error) {
-	made, err := f.rows.Apply(write)
+	written, err := f.rows.Apply(write)
 	if err != nil {
-		return made, err
+		return written, err
 	}
 	for _, put := range write.Puts {
 		if put.Table == "masticway_accounts" {
 			f.changedRows = append(f.changedRows, f.rows.Row(put.RowKey))
 		}
 	}
-	return made, nil
+	return written, nil
 }
 
 func (f *fleet) queryWitnesses(e treasurer.EndedIncarnation) []treasurer.Recollection {
@@ -312,7 +313,7 @@
 	return f.routers[n]
 }
 
-// updatePeers tells a router of the others; one that is gone still counts for a while.
+// updatePeers passes all routers to one of them; a router that has ended still counts.
 func (f *fleet) updatePeers(r *fleetRouter) {
 	if !r.alive || f.storeDown || r.partitioned {
 		return
@@ -325,7 +326,7 @@
 	r.planner.SetPeers(len(f.routers), peers)
 }
 
-// deliverChanges brings a router the rows that have changed.
+// deliverChanges passes the changed rows to a router.
 func (f *fleet) deliverChanges(r *fleetRouter) {
 	if f.storeDown || r.partitioned {
 		return
@@ -344,28 +345,28 @@
 	f.wakeUp(r)
 }
 
-// wakeUp has a router look at what is due as soon as the present event is over.
+// wakeUp has a router check what is due after the current event.
 func (f *fleet) wakeUp(r *fleetRouter) {
 	if r.wakePending {
 		return
 	}
 	r.wakePending = true
-	life := r.generation
+	generation := r.generation
 	f.schedule(0, func() {
 		r.wakePending = false
-		if r.generation == life && r.alive {
+		if r.generation == generation && r.alive {
 			f.runOnce(r)
 		}
 	})
 }
 
-// runOnce does what a treasurer does each time that it wakes.
+// runOnce does what Treasurer.runOnce does.
 func (f *fleet) runOnce(r *fleetRouter) {
 	f.handleReplies(r, r.planner.Tick(f.now))
-	life := r.generation
+	generation := r.generation
 	alive := func(do func()) func() {
 		return func() {
-			if r.generation == life && r.alive {
+			if r.generation == generation && r.alive {
 				do()
 				f.wakeUp(r)
 			}
@@ -381,28 +382,28 @@
 				f.schedule(150*time.Millisecond, alive(func() { f.handleReplies(r, r.planner.CompleteReport(f.now, s, false)) }))
 				return
 			}
-			taken := o.planner.AcceptReport(s)
-			f.schedule(fleetNetworkLatency, alive(func() { f.handleReplies(r, r.planner.CompleteReport(f.now, s, taken)) }))
+			accepted := o.planner.AcceptReport(s)
+			f.schedule(fleetNetworkLatency, alive(func() { f.handleReplies(r, r.planner.CompleteReport(f.now, s, accepted)) }))
 		})
 	}
 	for _, ask := range r.planner.DueBorrowRounds(f.now) {
 		f.borrow(r, ask, ask.Lenders, nil, 0, alive)
 	}
-	for _, back := range r.planner.DueRepayments(f.now) {
-		f.repay(back)
+	for _, repayment := range r.planner.DueRepayments(f.now) {
+		f.repay(repayment)
 	}
 }
 
-func (f *fleet) repay(back treasurer.Repayment) {
+func (f *fleet) repay(repayment treasurer.Repayment) {
 	f.schedule(fleetNetworkLatency, func() {
-		if o := f.router(back.Lender); o.alive {
-			f.handleReplies(o, o.planner.AcceptRepayment(f.now, back))
+		if o := f.router(repayment.Lender); o.alive {
+			f.handleReplies(o, o.planner.AcceptRepayment(f.now, repayment))
 			f.wakeUp(o)
 		}
 	})
 }
 
-// runStep carries out one call to the store.
+// runStep simulates one call to the store.
 func (f *fleet) runStep(r *fleetRouter, s treasurer.Step, alive func(func()) func()) {
 	f.calls++
 	kind := "book"
@@ -480,7 +481,7 @@
 	})
 }
 
-// lend takes money out at a lender, which may have to wait for its book.
+// lend lends tokens, which may have to wait for the lender's checkpoint.
 func (f *fleet) lend(o *fleetRouter, ask treasurer.LoanAsk, answer func(int64)) {
 	id, amount := o.planner.Lend(f.now, ask)
 	if amount == 0 {
@@ -496,9 +497,9 @@
 		}
 		answer(amount)
 	}
-	life := o.generation
+	generation := o.generation
 	f.schedule(fleetClearTimeout, func() {
-		if late, ok := o.clearances[id]; ok && o.generation == life {
+		if late, ok := o.clearances[id]; ok && o.generation == generation {
 			late(false)
 		}
 	})
@@ -506,9 +507,9 @@
 	f.wakeUp(o)
 }
 
-// handleReplies notes replies, and lets requests that have money go on.
+// handleReplies handles replies and continues the requests that have tokens.
 func (f *fleet) handleReplies(r *fleetRouter, replies []treasurer.Reply) {
-	life := r.generation
+	generation := r.generation
 	for _, reply := range replies {
 		if cleared, ok := r.clearances[reply.ID]; ok && reply.Verdict == treasurer.VerdictCleared {
 			cleared(true)
@@ -523,13 +524,13 @@
 			f.seconds[h.second].held++
 			f.waits = append(f.waits, reply.Waited)
 			f.schedule(fleetFirstByte, func() {
-				if r.generation == life && r.alive {
+				if r.generation == generation && r.alive {
 					f.handleReplies(r, r.planner.Clear(f.now, reply.ID))
 					f.wakeUp(r)
 				}
 			})
 		case treasurer.VerdictCleared:
-			f.schedule(fleetStreamTime, func() { f.deliver(r, life, reply.ID, h) })
+			f.schedule(fleetStreamTime, func() { f.deliver(r, generation, reply.ID, h) })
 		case treasurer.VerdictExhausted:
 			f.seconds[h.second].exhausted++
 			delete(r.holds, reply.ID)
@@ -541,18 +542,19 @@
 	}
 }
 
-// deliver ends an answer; its caller has got it even if its router has died since, as the last bytes may be on the way.
-func (f *fleet) deliver(r *fleetRouter, life int, id treasurer.HoldID, h *fleetHold) {
+// deliver ends a response. Its caller has received it even if its router has crashed since, because the last bytes may have
+// been in flight.
+func (f *fleet) deliver(r *fleetRouter, generation int, id treasurer.HoldID, h *fleetHold) {
 	used := h.need * 7 / 10
 	f.delivered[h.workspace] += used
-	if r.generation == life && r.alive {
+	if r.generation == generation && r.alive {
 		delete(r.holds, id)
 		f.handleReplies(r, r.planner.Settle(f.now, id, used))
 		f.wakeUp(r)
 	}
 }
 
-// startTraffic lets requests come for the load's whole span.
+// startTraffic schedules requests for the whole span of the load.
 func (f *fleet) startTraffic() {
 	f.trafficStart = f.now
 	end := f.now.Add(f.load.span)
@@ -566,7 +568,7 @@
 	}
 }
 
-// startArrivals lets requests for one workspace come from one zone, at random routers of it.
+// startArrivals schedules the requests for one workspace in one zone, at random routers of it.
 func (f *fleet) startArrivals(name string, z int, end time.Time) {
 	var next func()
 	next = func() {
@@ -581,7 +583,7 @@
 }
 
 func (f *fleet) sendRequest(name string, z int) {
-	// The balancer sends nothing to instances that are not there, and what comes from few callers always to the same.
+	// The load balancer uses only running instances, and always the same one for pinned workspaces.
 	var r *fleetRouter
 	if n, ok := f.load.pinned[name]; ok && f.routers[n].alive {
 		r = f.routers[n]
@@ -609,13 +611,13 @@
 	f.wakeUp(r)
 }
 
-// kill ends a router, which is back after a while.
-func (f *fleet) kill(r *fleetRouter, back time.Duration) {
+// kill ends a router and restarts it after the given time.
+func (f *fleet) kill(r *fleetRouter, downtime time.Duration) {
 	r.alive = false
-	f.schedule(back, func() { f.start(r) })
+	f.schedule(downtime, func() { f.start(r) })
 }
 
-// summary is the sum over some seconds.
+// summary returns the sum over a range of seconds.
 func (f *fleet) summary(from, to int) fleetSecond {
 	var sum fleetSecond
 	for _, s := range f.seconds[from:min(to, len(f.seconds))] {
@@ -627,52 +629,52 @@
 	return sum
 }
 
-// refusedShare is the share of requests in some seconds that got no money.
+// refusedShare returns the share of requests that got no tokens.
 func (s fleetSecond) refusedShare() float64 {
 	return float64(s.exhausted+s.unreachable) / math.Max(1, float64(s.asked))
 }
 
-// lostShare is the part of all budgets that nobody has any more and no caller got.
+// lostShare returns the share of all budgets that no router has and no caller received.
 func (f *fleet) lostShare() float64 { return f.lostShareOf(f.names...) }
 
-// lostShareOf is the same for the budgets of some workspaces.
+// lostShareOf is like lostShare for the budgets of some workspaces.
 func (f *fleet) lostShareOf(names ...string) float64 {
-	var prepaid, known int64
+	var prepaid, accounted int64
 	for _, name := range names {
 		row := f.rows.Row(masticway.RowKey{Table: "masticway_accounts", Part: treasurer.PartOf(name, fleetParts), Key: name})
 		account := treasurer.ReadAccount(row)
 		prepaid += f.prepaid[name]
-		known += account.Left() + f.delivered[name]
+		accounted += account.Left() + f.delivered[name]
 		if row.Version == 0 {
-			known += f.prepaid[name]
+			accounted += f.prepaid[name]
 		}
 	}
 	for _, r := range f.routers {
 		for _, p := range r.planner.Positions() {
 			if slices.Contains(names, p.Workspace) {
-				known += p.Granted - p.Taken
+				accounted += p.Granted - p.Taken
 			}
 		}
 	}
-	return float64(prepaid-known) / float64(prepaid)
+	return float64(prepaid-accounted) / float64(prepaid)
 }
 
-// checkBudgets checks that callers of no workspace got more than was paid for.
+// checkBudgets checks that no workspace's callers received more than was prepaid.
 func (f *fleet) checkBudgets(t *testing.T) {
 	t.Helper()
-	for name, got := range f.delivered {
-		qt.Check(t, got <= f.prepaid[name], qt.IsTrue, qt.Commentf("callers of %s got %d of %d", name, got, f.prepaid[name]))
+	for name, delivered := range f.delivered {
+		qt.Check(t, delivered <= f.prepaid[name], qt.IsTrue, qt.Commentf("callers of %s received %d of %d", name, delivered, f.prepaid[name]))
 	}
 }
 
-// killAll ends routers, which are back after a while.
-func (f *fleet) killAll(routers []*fleetRouter, back time.Duration) {
+// killAll ends routers and restarts them after the given time.
+func (f *fleet) killAll(routers []*fleetRouter, downtime time.Duration) {
 	for _, r := range routers {
-		f.kill(r, back)
+		f.kill(r, downtime)
 	}
 }
 
-// everyFifth is a sixth of all routers, of each availability zone some.
+// everyFifth returns every fifth router, with some of each availability zone.
 func (f *fleet) everyFifth() []*fleetRouter {
 	var some []*fleetRouter
 	for i := 0; i < len(f.routers); i += 5 {
--- a/treasurer/world_test.go
+++ b/treasurer/world_test.go
@@ -14,29 +14,29 @@
 	"github.com/masticway/masticway/treasurer"
 )
 
-// workspaces of the world; each has its own prepaid budget.
+// workspaces are those of the model, each with a prepaid budget of its own.
 var workspaces = []string{"tailor", "salon"}
 
-// model is a fleet's money in one goroutine: purses, the rows, and nothing else. What callers got is counted outside.
+// model is the planners of a fleet and the rows, in one goroutine. It counts itself what callers received.
 type model struct {
 	now     time.Time
 	rows    *emulator.Rows
 	routers []*modelRouter
 	version int64
 	prepaid map[string]int64
-	// maxPrepaid is the greatest budget that was ever in force, got what callers received.
+	// maxPrepaid is the largest budget that was ever in force, delivered what callers received.
 	maxPrepaid      map[string]int64
 	delivered       map[string]int64
 	lateWrites      []masticway.RowWrite
 	deliveries      int
 	lastIncarnation int
-	// burstShare is the part of what is in hand that books promise ahead.
+	// burstShare is the planners' Settings.BurstShare.
 	burstShare float64
-	// holders is how many routers hold money of a workspace, so that the others borrow; zero is all.
+	// holders is how many routers hold grants of a workspace while the others borrow; zero means all.
 	holders int
 }
 
-// modelRouter is one instance; a restart gives it a new purse.
+// modelRouter is one instance; a restart gives it a new planner.
 type modelRouter struct {
 	instance       string
 	self           masticway.Incarnation
@@ -79,7 +79,7 @@
 	return w
 }
 
-// configure puts a new version of the budgets in force at every router that can hear of it.
+// configure applies a new version of the budgets at every router that can be reached.
 func (w *model) configure() {
 	w.version++
 	accounts := map[string]masticway.Account{}
@@ -94,7 +94,7 @@
 	}
 }
 
-// restart ends a router's process, with all that it held, and starts a new one; the old one's writes may still come.
+// restart ends a router's process with all its holds and starts a new one; writes in flight may still arrive.
 func (w *model) restart(r *modelRouter) {
 	for _, s := range r.steps {
 		if s.Write != nil {
@@ -113,7 +113,7 @@
 	r.planner.Configure(w.version, accounts)
 }
 
-// kill ends a router; what was cleared may have reached its caller whole.
+// kill crashes a router; all that was cleared may have reached its callers.
 func (w *model) kill(r *modelRouter) {
 	for _, h := range r.holds {
 		if h.cleared {
@@ -123,7 +123,7 @@
 	w.restart(r)
 }
 
-// takeOver takes the book over, and closes what the predecessors left.
+// takeOver takes over the checkpoint, notes the predecessors to close, and updates all routers' peers.
 func (w *model) takeOver(t *rapid.T, r *modelRouter) {
 	if r.partitioned || r.started {
 		return
@@ -131,13 +131,13 @@
 	reading := w.read("masticway_books", r.instance)
 	write, err := r.planner.TakeOver(reading.row, reading.at, reading.at-w.now.Sub(r.startedAt))
 	if err != nil {
-		t.Fatalf("beginning: %v", err)
+		t.Fatalf("taking over: %v", err)
 	}
-	made, err := w.rows.Apply(write)
+	written, err := w.rows.Apply(write)
 	if err != nil {
 		return
 	}
-	r.planner.CompleteTakeOver(w.now, made.Version, made.StoreTime)
+	r.planner.CompleteTakeOver(w.now, written.Version, written.StoreTime)
 	r.started = true
 	r.ended = r.planner.Predecessors()
 	var peers []treasurer.Peer
@@ -178,10 +178,10 @@
 			reading := w.read("masticway_accounts", workspace)
 			write, _, err := treasurer.CloseGrant(reading.row, e.Incarnation, spent)
 			if err != nil {
-				t.Fatalf("closing: %v", err)
+				t.Fatalf("closing a grant: %v", err)
 			}
 			if _, err := w.rows.Apply(write); err != nil {
-				t.Fatalf("closing with nobody between: %v", err)
+				t.Fatalf("closing a grant without concurrent writes: %v", err)
 			}
 		}
 	}
@@ -191,41 +191,41 @@
 
 // queryWitnesses asks the witnesses of an ended incarnation, some of which cannot be reached.
 func (w *model) queryWitnesses(t *rapid.T, e treasurer.EndedIncarnation) []treasurer.Recollection {
-	var recalled []treasurer.Recollection
+	var records []treasurer.Recollection
 	for _, named := range e.Witnesses {
 		for _, o := range w.routers {
 			if o.self.Instance() == named.Incarnation.Instance() && rapid.IntRange(0, 5).Draw(t, "reached") > 0 {
-				recalled = append(recalled, o.planner.FinalReports(named.Incarnation, e.Incarnation))
+				records = append(records, o.planner.FinalReports(named.Incarnation, e.Incarnation))
 			}
 		}
 	}
-	return recalled
+	return records
 }
 
-// sendReports lets a router tell its witnesses what it has taken; statements and receipts may be lost, or come late.
+// sendReports sends a router's reports to its witnesses; reports and acknowledgements may be lost or delayed.
 func (w *model) sendReports(t *rapid.T, r *modelRouter) {
 	due := append(r.planner.DueReports(w.now), r.delayedReports...)
-	strays := r.strayReports
+	strayReports := r.strayReports
 	r.delayedReports, r.strayReports = nil, nil
 	for _, s := range due {
-		how := rapid.SampledFrom([]string{"ok", "ok", "ok", "lost", "unanswered", "late", "stray"}).Draw(t, "statement")
-		switch how {
+		outcome := rapid.SampledFrom([]string{"ok", "ok", "ok", "lost", "unanswered", "late", "stray"}).Draw(t, "statement")
+		switch outcome {
 		case "late":
 			r.delayedReports = append(r.delayedReports, s)
 			continue
 		case "stray":
-			// Its issuer gives it up, and it arrives behind newer ones.
+			// The sender has given up on the report, which arrives after newer ones.
 			r.strayReports = append(r.strayReports, s)
 		}
-		taken := how != "lost" && how != "stray" && w.acceptReport(s)
-		w.handleReplies(r, r.planner.CompleteReport(w.now, s, taken && how == "ok"))
+		accepted := outcome != "lost" && outcome != "stray" && w.acceptReport(s)
+		w.handleReplies(r, r.planner.CompleteReport(w.now, s, accepted && outcome == "ok"))
 	}
-	for _, s := range strays {
+	for _, s := range strayReports {
 		w.acceptReport(s)
 	}
 }
 
-// acceptReport gives a statement to the instance that it is meant for, and tells whether it was taken.
+// acceptReport passes a report to its witness and reports whether it was accepted.
 func (w *model) acceptReport(s treasurer.Statement) bool {
 	for _, o := range w.routers {
 		if o.self.Instance() == s.Witness.Instance() {
@@ -235,13 +235,13 @@
 	return false
 }
 
-// plan collects the steps that a purse wants.
+// plan collects the steps that a planner wants.
 func (w *model) plan(r *modelRouter) {
 	w.handleReplies(r, r.planner.Tick(w.now))
 	r.steps = append(r.steps, r.planner.Plan(w.now)...)
 }
 
-// completeStep ends one step in a way that the draw decides.
+// completeStep ends one step with a random outcome.
 func (w *model) completeStep(t *rapid.T, r *modelRouter) {
 	if len(r.steps) == 0 {
 		return
@@ -249,29 +249,29 @@
 	i := rapid.IntRange(0, len(r.steps)-1).Draw(t, "step")
 	s := r.steps[i]
 	r.steps = append(r.steps[:i:i], r.steps[i+1:]...)
-	how := rapid.SampledFrom([]string{"ok", "ok", "ok", "nothing", "lost", "late"}).Draw(t, "how")
+	outcome := rapid.SampledFrom([]string{"ok", "ok", "ok", "nothing", "lost", "late"}).Draw(t, "how")
 	if r.partitioned {
-		how = "nothing"
+		outcome = "nothing"
 		if s.Write != nil && rapid.Bool().Draw(t, "unsure") {
-			how = "never"
+			outcome = "never"
 		}
 	}
 	var reading masticway.RowReading
 	var err error
-	unknown := &masticway.OutcomeUnknownError{Service: "rows", Reason: how}
+	unknown := &masticway.OutcomeUnknownError{Service: "rows", Reason: outcome}
 	switch {
-	case how == "nothing":
-		err = &masticway.UnavailableError{Service: "rows", Reason: how}
-	case how == "never":
+	case outcome == "nothing":
+		err = &masticway.UnavailableError{Service: "rows", Reason: outcome}
+	case outcome == "never":
 		err = unknown
 	case s.Write == nil:
 		reading, err = w.rows.Read(t.Context(), "masticway_accounts", s.Part)
-	case how == "late":
+	case outcome == "late":
 		w.lateWrites = append(w.lateWrites, *s.Write)
 		err = unknown
 	default:
 		reading, err = w.rows.Apply(*s.Write)
-		if how == "lost" {
+		if outcome == "lost" {
 			err = unknown
 		}
 	}
@@ -279,13 +279,13 @@
 	w.handleReplies(r, replies)
 	if fault != nil {
 		if _, sealed := errors.AsType[*masticway.SealedError](fault); !sealed {
-			t.Fatalf("fault: %v", fault)
+			t.Fatalf("completing a step: %v", fault)
 		}
 		w.restart(r)
 	}
 }
 
-// handleReplies notes replies: a hold that is cleared may be delivered from then on.
+// handleReplies handles replies: a cleared hold may be delivered from then on.
 func (w *model) handleReplies(r *modelRouter, replies []treasurer.Reply) {
 	for _, reply := range replies {
 		for i, h := range r.holds {
@@ -314,7 +314,7 @@
 	w.handleReplies(r, replies)
 }
 
-// deliver ends one hold: only a cleared one can have given anything to its caller.
+// deliver ends one hold; only a cleared one can have given anything to its caller.
 func (w *model) deliver(t *rapid.T, r *modelRouter) {
 	if len(r.holds) == 0 {
 		return
@@ -331,10 +331,10 @@
 	w.handleReplies(r, r.planner.Settle(w.now, h.id, used))
 }
 
-// lend moves money between two routers; the answer or the repayment may be lost, and a repayment may come twice.
+// lend has one router borrow from another; the response may be lost, and repayments may be lost or duplicated.
 func (w *model) lend(t *rapid.T, borrower *modelRouter) {
 	lender := rapid.SampledFrom(w.routers).Draw(t, "lender")
-	var words []treasurer.Repayment
+	var cancellations []treasurer.Repayment
 	for _, r := range borrower.planner.DueBorrowRounds(w.now) {
 		var loans []treasurer.Loan
 		ask := treasurer.LoanAsk{Number: r.Number, Borrower: borrower.self, Workspace: r.Workspace, Need: r.Need}
@@ -352,7 +352,7 @@
 				if lent && rapid.IntRange(0, 3).Draw(t, "arrives") > 0 {
 					loans = append(loans, treasurer.Loan{Lender: lender.self, Amount: amount})
 				} else {
-					words = append(words, borrower.planner.CancelRequest(w.now, r, treasurer.Witness{Incarnation: lender.self}))
+					cancellations = append(cancellations, borrower.planner.CancelRequest(w.now, r, treasurer.Witness{Incarnation: lender.self}))
 				}
 			} else if amount > 0 {
 				w.handleReplies(lender, lender.planner.Settle(w.now, id, 0))
@@ -360,7 +360,7 @@
 		}
 		w.handleReplies(borrower, borrower.planner.CompleteBorrowRound(w.now, r, loans, 0))
 	}
-	for _, repayment := range append(words, borrower.planner.DueRepayments(w.now)...) {
+	for _, repayment := range append(cancellations, borrower.planner.DueRepayments(w.now)...) {
 		for range rapid.IntRange(0, 2).Draw(t, "times") {
 			for _, o := range w.routers {
 				w.handleReplies(o, o.planner.AcceptRepayment(w.now, repayment))
@@ -376,32 +376,32 @@
 	for _, workspace := range workspaces {
 		replies, err := r.planner.ApplyChanges(w.now, []masticway.StoredRow{w.read("masticway_accounts", workspace).row})
 		if err != nil {
-			t.Fatalf("learning: %v", err)
+			t.Fatalf("applying changes: %v", err)
 		}
 		w.handleReplies(r, replies)
 	}
 }
 
-// checkBudgets holds what callers got, and what those that are being answered may still get, against the budgets.
+// checkBudgets checks what callers received against the budgets and the rows.
 func (w *model) checkBudgets(t *rapid.T) {
 	for _, workspace := range workspaces {
 		if w.delivered[workspace] > w.maxPrepaid[workspace] {
-			t.Fatalf("callers of %s got %d tokens of %d prepaid", workspace, w.delivered[workspace], w.maxPrepaid[workspace])
+			t.Fatalf("callers of %s received %d tokens of %d prepaid", workspace, w.delivered[workspace], w.maxPrepaid[workspace])
 		}
-		// Whatever callers got is spent or granted in the row; else it will be given out once more.
+		// Whatever callers received must be closed or granted in the row, or it would be granted again.
 		account := treasurer.ReadAccount(w.read("masticway_accounts", workspace).row)
 		covered := account.Closed
 		for _, g := range account.Grants {
 			covered += g.Granted
 		}
 		if w.delivered[workspace] > covered {
-			t.Fatalf("callers of %s got %d tokens, the row knows of %d", workspace, w.delivered[workspace], covered)
+			t.Fatalf("callers of %s received %d tokens, the row has %d as closed or granted", workspace, w.delivered[workspace], covered)
 		}
 	}
 }
 
 func TestNoWorkspaceGetsMoreThanItPaidFor(t *testing.T) {
-	served := 0
+	deliveries := 0
 	rapid.Check(t, func(t *rapid.T) {
 		w := newModel(t)
 		router := func(t *rapid.T) *modelRouter { return rapid.SampledFrom(w.routers).Draw(t, "router") }
@@ -415,7 +415,7 @@
 			"plan":   func(t *rapid.T) { w.plan(router(t)) },
 			"finish": func(t *rapid.T) { w.completeStep(t, router(t)) },
 			"turn": func(t *rapid.T) {
-				// One router does all that it wants, so that requests get anywhere.
+				// One router carries out all its steps, so that requests make progress.
 				r := router(t)
 				w.takeOver(t, r)
 				for range 4 {
@@ -427,7 +427,7 @@
 				}
 			},
 			"island": func(t *rapid.T) {
-				// One router goes on without the store for a while, and then may die.
+				// One router runs without the store for a while, and then may crash.
 				r := router(t)
 				r.partitioned = true
 				w.now = w.now.Add(time.Duration(rapid.SampledFrom([]int{500, 2700, 3300}).Draw(t, "ms")) * time.Millisecond)
@@ -476,10 +476,10 @@
 			},
 			"": w.checkBudgets,
 		})
-		served += w.deliveries
+		deliveries += w.deliveries
 	})
-	if served == 0 {
-		t.Fatal("the world never served anything, so it proves nothing")
+	if deliveries == 0 {
+		t.Fatal("no hold was delivered, so the test proves nothing")
 	}
-	t.Logf("%d holds were delivered", served)
+	t.Logf("%d holds were delivered", deliveries)
 }
