--- a/treasurer/death_test.go
+++ b/treasurer/death_test.go
@@ -21,9 +21,10 @@
 // half a second. Beyond the 3% that may be lost, every later refusal denies callers what was paid for.
 //
 // It guards against a spend limit that is far above what was taken: a borrower that asked only the holder of its own
-// availability zone made that holder promise three seconds of all its demand, without witnesses and from the start of the
-// silence on. 1,317,487 of 4.6 million tokens were presumed spent of 958,122 written as taken, and 1,787 of a day's 2,272
-// refusals for lack of tokens hit that workspace. The log event grant_closed has the fields taken, written and silent_ms.
+// availability zone made that holder's limit allow three seconds of all its demand, at once and without witnesses. Of a
+// budget of 4.6 million tokens 1,317,487 were presumed spent, where 958,122 were written as taken, and 1,787 of a day's
+// 2,272 refusals for lack of tokens hit that workspace. The log event grant_closed has the fields taken, written and
+// silent_ms.
 func TestCrashedHolderLosesLittle(t *testing.T) {
 	const workspace, mayBeLost = "w0", 0.03
 	f := startFleet(unevenFleet)
--- a/treasurer/demand.go
+++ b/treasurer/demand.go
@@ -15,19 +15,19 @@
 // average is an exponentially decaying mean of a rate a second.
 type average struct {
 	// rate is the mean a second as of the last update.
-	rate float64
-	sum  float64
-	at   time.Time
+	rate      float64
+	sum       float64
+	updatedAt time.Time
 	// firstAt is when the first amount was added; it corrects the initial bias of the average.
 	firstAt time.Time
 }
 
 // decay reduces the weight of earlier amounts.
 func (m *average) decay(now time.Time) {
-	if elapsed := now.Sub(m.at); elapsed > 0 {
+	if elapsed := now.Sub(m.updatedAt); elapsed > 0 {
 		m.sum *= math.Exp(-elapsed.Seconds() / demandWindow.Seconds())
 	}
-	m.at = now
+	m.updatedAt = now
 	// At first the sum covers less than the whole window.
 	observed := max(minObservedSpan, now.Sub(m.firstAt))
 	m.rate = m.sum / (demandWindow.Seconds() * (1 - math.Exp(-observed.Seconds()/demandWindow.Seconds())))
--- a/treasurer/doc.go
+++ b/treasurer/doc.go
@@ -83,7 +83,7 @@
 // been spent, what of that needed no witness, and the witnesses. closePredecessors then settles: Treasurer.presumeSpent
 // (testimony.go) has EndedIncarnation.PresumedSpent combine what the checkpoint says with what the witnesses remember, or take
 // the bound of the limits if too few of them answer, and closeGrant writes CloseGrant's row, in which Account.WithClosed ends
-// the grant, adds what counts as spent to Closed, and leaves the rest to Account.Left, for any router. The token is settled:
+// the grant, adds what counts as spent to Closed, and leaves the rest to Account.Ungranted, for any router. The token is settled:
 // it is in Closed. Planner.ForgetPredecessors drops the EndedIncarnation from the next checkpoint. A late write of an ended
 // incarnation conflicts with a newer version and has no effect. An incarnation that was only frozen learns from the conflict
 // at its checkpoint that it has a successor (resolveCheckpoint), and Treasurer.seal stops it from spending.
--- a/treasurer/loans.go
+++ b/treasurer/loans.go
@@ -106,14 +106,14 @@
 // DueBorrowRounds returns the rounds to start now: for requests that have waited for the store, or whose need the store
 // cannot meet.
 func (p *Planner) DueBorrowRounds(now time.Time) []BorrowRound {
-	var asks []BorrowRound
+	var rounds []BorrowRound
 	for _, a := range p.sortedAccounts {
 		if len(a.waiting) == 0 || a.borrowing {
 			continue
 		}
 		w := a.waiting[0]
-		early := p.borrowsFromHolders(now, a) || a.rowKnown && p.exceedsBudget(a, w.need)
-		if now.Sub(w.since) < borrowDelay && !early || now.Sub(a.shortfallAt) < p.borrowRetryInterval(a) {
+		immediate := p.borrowsFromHolders(now, a) || a.rowKnown && p.exceedsBudget(a, w.need)
+		if now.Sub(w.since) < borrowDelay && !immediate || now.Sub(a.shortfallAt) < p.borrowRetryInterval(a) {
 			continue
 		}
 		need := a.queuedNeed() - a.loanBalance() - p.available(now, a)
@@ -122,9 +122,9 @@
 		}
 		a.borrowing = true
 		p.lastMessage++
-		asks = append(asks, BorrowRound{Number: p.lastMessage, Workspace: a.workspace, Need: need, Lenders: p.lenders(now, a)})
+		rounds = append(rounds, BorrowRound{Number: p.lastMessage, Workspace: a.workspace, Need: need, Lenders: p.lenders(now, a)})
 	}
-	return asks
+	return rounds
 }
 
 // borrowRetryInterval is how long after a round that returned too little the next one may start.
--- a/treasurer/presence.go
+++ b/treasurer/presence.go
@@ -107,7 +107,7 @@
 			t.log.WithFields(logrus.Fields{"event": "presence_unreadable", "instance_of": r.Key, "error": err}).Warn("router not counted")
 			continue
 		}
-		if reading.StoreTime-p.At >= ttl {
+		if reading.StoreTime-p.StoreTime >= ttl {
 			continue
 		}
 		n++
@@ -158,7 +158,7 @@
 	storeTime := row.storeTime + t.clock.Now().Sub(row.readAt)
 	written, err := t.store.Write(ctx, masticway.RowWrite{
 		Expected: []masticway.RowVersion{{RowKey: key, Version: row.version}},
-		Puts:     []masticway.RowPut{{RowKey: key, Value: encode(Presence{Incarnation: t.self, Address: t.address, Zone: t.zone, Processors: t.processors, At: storeTime})}},
+		Puts:     []masticway.RowPut{{RowKey: key, Value: encode(Presence{Incarnation: t.self, Address: t.address, Zone: t.zone, Processors: t.processors, StoreTime: storeTime})}},
 	})
 	if conflict, ok := errors.AsType[*masticway.RowConflictError](err); ok {
 		// Either an earlier write of unknown outcome was made, or a predecessor's row was not read. The next write expects
--- a/treasurer/purse.go
+++ b/treasurer/purse.go
@@ -303,7 +303,7 @@
 	lastMessage int64
 	// peerReports is what other routers have reported to this one as a witness; reportsInFlight is the set of witnesses to
 	// which a report is in flight.
-	peerReports     map[masticway.Incarnation]issuerReports
+	peerReports     map[masticway.Incarnation]senderReports
 	reportsInFlight map[masticway.Incarnation]bool
 	// unackedSince is since when a needed report lacks the acknowledgement of a quorum of witnesses; zero if none does.
 	unackedSince time.Time
@@ -314,7 +314,7 @@
 	return &Planner{
 		settings: s, accounts: map[string]*account{}, holds: map[HoldID]*hold{},
 		readsInFlight: map[string]bool{}, borrowers: map[masticway.Incarnation]*borrowerState{},
-		peerReports: map[masticway.Incarnation]issuerReports{}, reportsInFlight: map[masticway.Incarnation]bool{},
+		peerReports: map[masticway.Incarnation]senderReports{}, reportsInFlight: map[masticway.Incarnation]bool{},
 		unansweredAt: map[string]time.Time{},
 	}
 }
@@ -391,7 +391,7 @@
 type Position struct {
 	Workspace string `json:"workspace"`
 	Prepaid   int64  `json:"prepaid"`
-	Left      int64  `json:"left"`
+	Ungranted int64  `json:"left"`
 	Granted   int64  `json:"granted"`
 	Taken     int64  `json:"taken"`
 	Waiting   int    `json:"waiting"`
@@ -402,7 +402,7 @@
 	var all []Position
 	for _, a := range p.sortedAccounts {
 		all = append(all, Position{
-			Workspace: a.workspace, Prepaid: a.prepaid, Left: a.ungranted(), Granted: a.granted, Taken: a.taken, Waiting: len(a.waiting),
+			Workspace: a.workspace, Prepaid: a.prepaid, Ungranted: a.ungranted(), Granted: a.granted, Taken: a.taken, Waiting: len(a.waiting),
 		})
 	}
 	return all
--- a/treasurer/rows.go
+++ b/treasurer/rows.go
@@ -21,7 +21,7 @@
 // routersPart is the one part that has the presences of all routers, so that one call reads them all.
 const routersPart = "routers"
 
-// Presence is the row of a running router; At is the store's clock when it was written.
+// Presence is the row of a running router; StoreTime is the store's clock when it was written.
 type Presence struct {
 	Incarnation masticway.Incarnation `json:"incarnation"`
 	// Address is where other routers reach it; empty if they cannot.
@@ -30,7 +30,7 @@
 	Zone string `json:"zone,omitempty"`
 	// Processors is how many processors it may use.
 	Processors float64       `json:"processors,omitempty"`
-	At         time.Duration `json:"at_ns"`
+	StoreTime  time.Duration `json:"at_ns"`
 }
 
 // Grant is the part of a budget that one incarnation may spend.
@@ -54,8 +54,8 @@
 	Grants map[masticway.Incarnation]Grant `json:"grants,omitempty"`
 }
 
-// Left returns what is not granted to any router; it is negative after a budget was lowered below that.
-func (a Account) Left() int64 {
+// Ungranted returns what is not granted to any router; it is negative after a budget was lowered below that.
+func (a Account) Ungranted() int64 {
 	left := a.Prepaid - a.Closed
 	for _, g := range a.Grants {
 		left -= g.Granted
--- a/treasurer/simulation_test.go
+++ b/treasurer/simulation_test.go
@@ -406,9 +406,9 @@
 // runStep simulates one call to the store.
 func (f *fleet) runStep(r *fleetRouter, s treasurer.Step, alive func(func()) func()) {
 	f.calls++
-	kind := "book"
+	kind := "checkpoint"
 	if s.Part != "" && s.Write == nil {
-		kind = "look"
+		kind = "read"
 	} else if s.Part != "" {
 		kind = "grant"
 	}
@@ -644,7 +644,7 @@
 		row := f.rows.Row(masticway.RowKey{Table: "masticway_accounts", Part: treasurer.PartOf(name, fleetParts), Key: name})
 		account := treasurer.ReadAccount(row)
 		prepaid += f.prepaid[name]
-		accounted += account.Left() + f.delivered[name]
+		accounted += account.Ungranted() + f.delivered[name]
 		if row.Version == 0 {
 			accounted += f.prepaid[name]
 		}
--- a/treasurer/witness.go
+++ b/treasurer/witness.go
@@ -54,8 +54,8 @@
 	Stated map[string]Stated `cbor:"2,keyasint"`
 }
 
-// issuerReports is a witness's record of one sender.
-type issuerReports struct {
+// senderReports is a witness's record of one sender.
+type senderReports struct {
 	reported map[string]Stated
 	// ended is set once a successor has asked for the record; further reports of the sender are refused.
 	ended bool
