--- a/treasurer/death_test.go
+++ b/treasurer/death_test.go
@@ -103,8 +103,8 @@
 // receives a report. Whatever was sent must count as spent although the witnesses remember nothing. Each response is
 // assumed to have reached its caller.
 func TestUnwitnessedSpendingIsPresumed(t *testing.T) {
-	for _, length := range []time.Duration{100 * time.Millisecond, 700 * time.Millisecond, 1500 * time.Millisecond, 2900 * time.Millisecond, 5 * time.Second} {
-		t.Run(length.String(), func(t *testing.T) {
+	for _, outage := range []time.Duration{100 * time.Millisecond, 700 * time.Millisecond, 1500 * time.Millisecond, 2900 * time.Millisecond, 5 * time.Second} {
+		t.Run(outage.String(), func(t *testing.T) {
 			b := newHarness(t, 1_000_000)
 			b.burstShare = 0.5
 			b.start("edge~2", 1_000_000)
@@ -126,7 +126,7 @@
 					b.record(b.planner.CompleteBorrowRound(b.now, r, nil, len(r.Lenders)))
 				}
 				for _, id := range asked {
-					if slices.Contains(b.answered[id], treasurer.VerdictHeld) && !answered[id] {
+					if slices.Contains(b.verdicts[id], treasurer.VerdictHeld) && !answered[id] {
 						answered[id] = true
 						b.record(b.planner.Clear(b.now, id))
 					}
@@ -138,7 +138,7 @@
 			}
 			b.run(300 * time.Millisecond)
 			before := len(asked)
-			for passed := time.Duration(0); passed < length; passed += 30 * time.Millisecond {
+			for elapsed := time.Duration(0); elapsed < outage; elapsed += 30 * time.Millisecond {
 				ask()
 				for _, s := range b.plan(30 * time.Millisecond) {
 					replies, err := b.planner.CompleteStep(b.now, s, masticway.RowReading{}, &masticway.UnavailableError{Service: "rows"})
@@ -148,7 +148,7 @@
 			}
 			var delivered, unwitnessed int64
 			for i, id := range asked {
-				if slices.Contains(b.answered[id], treasurer.VerdictCleared) {
+				if slices.Contains(b.verdicts[id], treasurer.VerdictCleared) {
 					delivered += need
 					if i >= before {
 						unwitnessed += need
--- a/treasurer/fleet_test.go
+++ b/treasurer/fleet_test.go
@@ -86,29 +86,29 @@
 		"a zone is partitioned off": {
 			load: largeFleet, refused: 0.02, lost: 0.02, calls: 1.5,
 			fault: func(f *fleet) {
-				apart := func(is bool) func() {
+				partition := func(partitioned bool) func() {
 					return func() {
 						for _, r := range f.routers {
-							r.partitioned = is && r.zone == "zone-0"
+							r.partitioned = partitioned && r.zone == "zone-0"
 						}
 					}
 				}
-				f.schedule(2*time.Second, apart(true))
-				f.schedule(5*time.Second, apart(false))
+				f.schedule(2*time.Second, partition(true))
+				f.schedule(5*time.Second, partition(false))
 			},
 		},
 		"a fifth is partitioned off": {
 			load: largeFleet, refused: 0.02, lost: 0.02, calls: 1.5,
 			fault: func(f *fleet) {
-				apart := func(is bool) func() {
+				partition := func(partitioned bool) func() {
 					return func() {
 						for _, r := range f.everyFifth() {
-							r.partitioned = is
+							r.partitioned = partitioned
 						}
 					}
 				}
-				f.schedule(2*time.Second, apart(true))
-				f.schedule(5*time.Second, apart(false))
+				f.schedule(2*time.Second, partition(true))
+				f.schedule(5*time.Second, partition(false))
 			},
 		},
 	}
--- a/treasurer/holders_test.go
+++ b/treasurer/holders_test.go
@@ -66,22 +66,22 @@
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
 			peers := newPeers(tc.routers, tc.zones, "1")
-			holding := map[string]map[string]bool{}
+			holdersOf := map[string]map[string]bool{}
 			load := map[string]int{}
 			for _, router := range peers {
 				p := newBorrower(router, peers, workspaces)
 				for i := range workspaces {
 					workspace := fmt.Sprintf("w%d", i)
-					if holding[workspace] == nil {
-						holding[workspace] = map[string]bool{}
+					if holdersOf[workspace] == nil {
+						holdersOf[workspace] = map[string]bool{}
 					}
 					if len(lendersFor(p, workspace, epoch)) == 0 {
-						holding[workspace][router.Address] = true
+						holdersOf[workspace][router.Address] = true
 						load[router.Address]++
 					}
 				}
 			}
-			for workspace, holders := range holding {
+			for workspace, holders := range holdersOf {
 				qt.Assert(t, holders, qt.HasLen, tc.holders, qt.Commentf("%s", workspace))
 				for _, router := range peers {
 					lenders := lendersFor(newBorrower(router, peers, workspaces), workspace, epoch)
@@ -200,7 +200,7 @@
 					b.record(b.planner.CompleteBorrowRound(b.now, r, nil, tc.unanswered))
 				}
 			}
-			qt.Assert(t, b.answered[id], qt.DeepEquals, []treasurer.Verdict{tc.want})
+			qt.Assert(t, b.verdicts[id], qt.DeepEquals, []treasurer.Verdict{tc.want})
 		})
 	}
 }
@@ -282,5 +282,5 @@
 	// With a request waiting, the grant is drawn at once.
 	id := b.hold(1000)
 	drive(500 * time.Millisecond)
-	qt.Assert(t, b.answered[id], qt.DeepEquals, []treasurer.Verdict{treasurer.VerdictHeld})
+	qt.Assert(t, b.verdicts[id], qt.DeepEquals, []treasurer.Verdict{treasurer.VerdictHeld})
 }
--- a/treasurer/presence_test.go
+++ b/treasurer/presence_test.go
@@ -64,7 +64,7 @@
 				count(all)
 				clock.now = clock.now.Add(countInterval)
 			}
-			for passed := time.Duration(0); passed < tc.downtime; passed += countInterval {
+			for elapsed := time.Duration(0); elapsed < tc.downtime; elapsed += countInterval {
 				count(all[:routers-1])
 				clock.now = clock.now.Add(countInterval)
 			}
--- a/treasurer/purse_test.go
+++ b/treasurer/purse_test.go
@@ -20,14 +20,14 @@
 	rows    *emulator.Rows
 	planner *treasurer.Planner
 	self    masticway.Incarnation
-	// answered collects the verdicts of each hold.
-	answered map[treasurer.HoldID][]treasurer.Verdict
+	// verdicts lists what each hold was answered.
+	verdicts map[treasurer.HoldID][]treasurer.Verdict
 	// burstShare is the planner's Settings.BurstShare.
 	burstShare float64
 }
 
 func newHarness(t *testing.T, prepaid int64) *harness {
-	b := &harness{t: t, now: epoch, answered: map[treasurer.HoldID][]treasurer.Verdict{}}
+	b := &harness{t: t, now: epoch, verdicts: map[treasurer.HoldID][]treasurer.Verdict{}}
 	b.rows = emulator.NewRows(func() time.Time { return b.now })
 	b.start("edge~1", prepaid)
 	return b
@@ -53,7 +53,7 @@
 
 func (b *harness) record(replies []treasurer.Reply) {
 	for _, r := range replies {
-		b.answered[r.ID] = append(b.answered[r.ID], r.Verdict)
+		b.verdicts[r.ID] = append(b.verdicts[r.ID], r.Verdict)
 	}
 }
 
@@ -101,9 +101,9 @@
 	b := newHarness(t, 1000)
 	id := b.hold(100)
 	b.run(150 * time.Millisecond)
-	qt.Assert(t, b.answered[id], qt.DeepEquals, []treasurer.Verdict{treasurer.VerdictHeld, treasurer.VerdictCleared}[:1])
+	qt.Assert(t, b.verdicts[id], qt.DeepEquals, []treasurer.Verdict{treasurer.VerdictHeld, treasurer.VerdictCleared}[:1])
 	b.record(b.planner.Clear(b.now, id))
-	qt.Assert(t, b.answered[id], qt.DeepEquals, []treasurer.Verdict{treasurer.VerdictHeld, treasurer.VerdictCleared})
+	qt.Assert(t, b.verdicts[id], qt.DeepEquals, []treasurer.Verdict{treasurer.VerdictHeld, treasurer.VerdictCleared})
 }
 
 func TestClearWaitsForCheckpoint(t *testing.T) {
@@ -112,11 +112,11 @@
 	b.run(300 * time.Millisecond)
 	b.record(b.planner.Clear(b.now, first))
 	id := b.hold(100)
-	qt.Assert(t, b.answered[id], qt.DeepEquals, []treasurer.Verdict{treasurer.VerdictHeld})
+	qt.Assert(t, b.verdicts[id], qt.DeepEquals, []treasurer.Verdict{treasurer.VerdictHeld})
 	b.record(b.planner.Clear(b.now, id))
-	qt.Assert(t, b.answered[id], qt.HasLen, 1)
+	qt.Assert(t, b.verdicts[id], qt.HasLen, 1)
 	b.run(90 * time.Millisecond)
-	qt.Assert(t, b.answered[id], qt.DeepEquals, []treasurer.Verdict{treasurer.VerdictHeld, treasurer.VerdictCleared})
+	qt.Assert(t, b.verdicts[id], qt.DeepEquals, []treasurer.Verdict{treasurer.VerdictHeld, treasurer.VerdictCleared})
 }
 
 func TestNoGrantBeforeCheckpointNamesWorkspace(t *testing.T) {
@@ -154,7 +154,7 @@
 				b.completeCheckpoints()
 			}
 			next := b.hold(900)
-			qt.Assert(t, b.answered[next], qt.HasLen, 0, qt.Commentf("spent twice"))
+			qt.Assert(t, b.verdicts[next], qt.HasLen, 0, qt.Commentf("spent twice"))
 		})
 	}
 }
@@ -201,7 +201,7 @@
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
-			b := &harness{t: t, now: epoch, answered: map[treasurer.HoldID][]treasurer.Verdict{}, burstShare: tc.share}
+			b := &harness{t: t, now: epoch, verdicts: map[treasurer.HoldID][]treasurer.Verdict{}, burstShare: tc.share}
 			b.rows = emulator.NewRows(func() time.Time { return b.now })
 			b.start("edge~1", 100000)
 			for range 10 {
@@ -219,7 +219,7 @@
 			for range 5 {
 				id := b.hold(100)
 				b.record(b.planner.Clear(b.now, id))
-				cleared += int64(len(b.answered[id]) - 1)
+				cleared += int64(len(b.verdicts[id]) - 1)
 			}
 			qt.Assert(t, cleared, qt.Equals, tc.want)
 		})
@@ -232,7 +232,7 @@
 	qt.Assert(b.t, amount, qt.Equals, ask.Need)
 	b.record(b.planner.Clear(b.now, loan))
 	b.run(120 * time.Millisecond)
-	qt.Assert(b.t, b.answered[loan], qt.DeepEquals, []treasurer.Verdict{treasurer.VerdictCleared})
+	qt.Assert(b.t, b.verdicts[loan], qt.DeepEquals, []treasurer.Verdict{treasurer.VerdictCleared})
 	qt.Assert(b.t, b.planner.CompleteLoan(loan, ask), qt.IsTrue)
 }
 
@@ -288,7 +288,7 @@
 			if !lent {
 				// What was not lent goes to the waiting request.
 				b.record(b.planner.Settle(b.now, loan, 0))
-				qt.Assert(t, b.answered[waiting], qt.DeepEquals, []treasurer.Verdict{treasurer.VerdictHeld})
+				qt.Assert(t, b.verdicts[waiting], qt.DeepEquals, []treasurer.Verdict{treasurer.VerdictHeld})
 			}
 			b.record(b.planner.Settle(b.now, waiting, 0))
 			if tc.arrival == "late" {
@@ -322,11 +322,11 @@
 func TestSuccessorPresumesLimitSpent(t *testing.T) {
 	cases := map[string]struct {
 		downtime time.Duration
-		// least and most bound what counts as spent of a cleared hold of 400 tokens.
-		least, most int64
+		// minSpent and most bound what counts as spent of a cleared hold of 400 tokens.
+		minSpent, maxSpent int64
 	}{
-		"restarted at once":   {downtime: 200 * time.Millisecond, least: 400, most: 500},
-		"restarted after 3 s": {downtime: 3 * time.Second, least: 501, most: 5000},
+		"restarted at once":   {downtime: 200 * time.Millisecond, minSpent: 400, maxSpent: 500},
+		"restarted after 3 s": {downtime: 3 * time.Second, minSpent: 501, maxSpent: 5000},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -334,13 +334,13 @@
 			id := b.hold(400)
 			b.run(300 * time.Millisecond)
 			b.record(b.planner.Clear(b.now, id))
-			qt.Assert(t, b.answered[id], qt.HasLen, 2)
+			qt.Assert(t, b.verdicts[id], qt.HasLen, 2)
 			b.now = b.now.Add(tc.downtime)
 			b.start("edge~2", 100000)
 			ended := b.planner.Predecessors()
 			qt.Assert(t, ended, qt.HasLen, 1)
 			spent := ended[0].MaxSpent["w"]
-			qt.Assert(t, spent >= tc.least && spent <= tc.most, qt.IsTrue, qt.Commentf("%d", spent))
+			qt.Assert(t, spent >= tc.minSpent && spent <= tc.maxSpent, qt.IsTrue, qt.Commentf("%d", spent))
 		})
 	}
 }
@@ -354,14 +354,14 @@
 		address   string
 		downtime  time.Duration
 		witnesses bool
-		// least and most bound what counts as spent.
-		least, most int64
+		// minSpent and most bound what counts as spent.
+		minSpent, maxSpent int64
 	}{
-		"restarted at once":          {address: "-", downtime: 300 * time.Millisecond, least: held, most: held + 100},
-		"restarted after 3 s":        {address: "-", downtime: 3 * time.Second, least: held + 101, most: 5000},
-		"at another address":         {address: "elsewhere", downtime: 300 * time.Millisecond, least: 5001, most: 10000},
-		"restarted after the outage": {address: "-", downtime: outage, least: 5001, most: 10000},
-		"without an address":         {address: "", downtime: 300 * time.Millisecond, least: 5001, most: 10000},
+		"restarted at once":          {address: "-", downtime: 300 * time.Millisecond, minSpent: held, maxSpent: held + 100},
+		"restarted after 3 s":        {address: "-", downtime: 3 * time.Second, minSpent: held + 101, maxSpent: 5000},
+		"at another address":         {address: "elsewhere", downtime: 300 * time.Millisecond, minSpent: 5001, maxSpent: 10000},
+		"restarted after the outage": {address: "-", downtime: outage, minSpent: 5001, maxSpent: 10000},
+		"without an address":         {address: "", downtime: 300 * time.Millisecond, minSpent: 5001, maxSpent: 10000},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -373,7 +373,7 @@
 			b.now = crashedAt.Add(outage)
 			b.startAt("edge~2", tc.address, crashedAt.Add(tc.downtime), 100000)
 			spent := b.planner.Predecessors()[0].MaxSpent["w"]
-			qt.Assert(t, spent >= tc.least && spent <= tc.most, qt.IsTrue, qt.Commentf("%d", spent))
+			qt.Assert(t, spent >= tc.minSpent && spent <= tc.maxSpent, qt.IsTrue, qt.Commentf("%d", spent))
 		})
 	}
 }
@@ -432,7 +432,7 @@
 					b.record(b.planner.CompleteBorrowRound(b.now, r, nil, 0))
 				}
 			}
-			qt.Assert(t, b.answered[id], qt.DeepEquals, []treasurer.Verdict{tc.want})
+			qt.Assert(t, b.verdicts[id], qt.DeepEquals, []treasurer.Verdict{tc.want})
 		})
 	}
 }
@@ -447,7 +447,7 @@
 			b.record(b.planner.CompleteBorrowRound(b.now, r, nil, 0))
 		}
 	}
-	qt.Assert(t, b.answered[id], qt.DeepEquals, []treasurer.Verdict{treasurer.VerdictUnreachable})
+	qt.Assert(t, b.verdicts[id], qt.DeepEquals, []treasurer.Verdict{treasurer.VerdictUnreachable})
 }
 
 // TestGrantChangesBackOffWhenRateLimited has a store that refuses every change of a grant because of its rate limit but
@@ -475,7 +475,7 @@
 	b.run(time.Second)
 	id := b.hold(2000)
 	b.run(300 * time.Millisecond)
-	qt.Assert(t, b.answered[id], qt.DeepEquals, []treasurer.Verdict{treasurer.VerdictHeld})
+	qt.Assert(t, b.verdicts[id], qt.DeepEquals, []treasurer.Verdict{treasurer.VerdictHeld})
 }
 
 func TestFailingStoreIsProbedByCheckpointOnly(t *testing.T) {
--- a/treasurer/witness_test.go
+++ b/treasurer/witness_test.go
@@ -33,7 +33,7 @@
 	return b, witnesses
 }
 
-// simulateOutage has the store fail for the given time, and then adds a hold that waits for its clearance.
+// simulateOutage has the store fail for the given time, and then asks for clearance of a new hold.
 func simulateOutage(b *harness, d time.Duration) treasurer.HoldID {
 	var id treasurer.HoldID
 	for ; d > 0; d -= 30 * time.Millisecond {
@@ -65,7 +65,7 @@
 		t.Run(name, func(t *testing.T) {
 			b, _ := newOutageHarness(t)
 			id := simulateOutage(b, 3*time.Second)
-			qt.Assert(t, b.answered[id], qt.DeepEquals, []treasurer.Verdict{treasurer.VerdictHeld})
+			qt.Assert(t, b.verdicts[id], qt.DeepEquals, []treasurer.Verdict{treasurer.VerdictHeld})
 			reports := b.planner.DueReports(b.now)
 			qt.Assert(t, reports, qt.HasLen, 3)
 			qt.Assert(t, reports[0].Taken["w"] >= 1100, qt.IsTrue)
@@ -73,7 +73,7 @@
 			for i, taken := range tc.accepted {
 				b.record(b.planner.CompleteReport(b.now, reports[i], taken))
 			}
-			cleared := len(b.answered[id]) == 2
+			cleared := len(b.verdicts[id]) == 2
 			qt.Assert(t, cleared, qt.Equals, tc.cleared)
 		})
 	}
@@ -87,13 +87,13 @@
 	}
 	id := b.hold(100)
 	b.record(b.planner.Clear(b.now, id))
-	qt.Assert(t, b.answered[id], qt.DeepEquals, []treasurer.Verdict{treasurer.VerdictHeld})
+	qt.Assert(t, b.verdicts[id], qt.DeepEquals, []treasurer.Verdict{treasurer.VerdictHeld})
 	again := b.planner.DueReports(b.now)
 	qt.Assert(t, again, qt.HasLen, 2, qt.Commentf("the third witness has not answered yet"))
 	b.record(b.planner.CompleteReport(b.now, again[0], true))
-	qt.Assert(t, b.answered[id], qt.HasLen, 1)
+	qt.Assert(t, b.verdicts[id], qt.HasLen, 1)
 	b.record(b.planner.CompleteReport(b.now, again[1], true))
-	qt.Assert(t, b.answered[id], qt.HasLen, 2)
+	qt.Assert(t, b.verdicts[id], qt.HasLen, 2)
 }
 
 func TestUnackedReportsLimitAdmission(t *testing.T) {
@@ -104,7 +104,7 @@
 	id := b.hold(100)
 	b.now = b.now.Add(2 * time.Minute)
 	b.record(b.planner.Tick(b.now))
-	qt.Assert(t, b.answered[id], qt.DeepEquals, []treasurer.Verdict{treasurer.VerdictUnreachable})
+	qt.Assert(t, b.verdicts[id], qt.DeepEquals, []treasurer.Verdict{treasurer.VerdictUnreachable})
 }
 
 func TestSuccessorUsesWitnessRecords(t *testing.T) {
@@ -198,7 +198,7 @@
 		b.record(b.planner.CompleteReport(b.now, s, true))
 	}
 	b.record(b.planner.Clear(b.now, id))
-	qt.Assert(t, b.answered[id], qt.DeepEquals, []treasurer.Verdict{treasurer.VerdictHeld})
+	qt.Assert(t, b.verdicts[id], qt.DeepEquals, []treasurer.Verdict{treasurer.VerdictHeld})
 }
 
 func TestReportsOfReplacedCheckpointsAreDropped(t *testing.T) {
