--- a/treasurer/doc.go
+++ b/treasurer/doc.go
@@ -19,7 +19,7 @@
 // workspace in masticway_accounts, a Checkpoint for each instance in masticway_books, and a Presence for each router in
 // masticway_routers.
 //
-// Start. Treasurer.Run first takes over the instance's checkpoint (begin.go): tryTakeOver reads the row, Planner.TakeOver
+// Start. Treasurer.Run first takes over the instance's checkpoint (takeover.go): tryTakeOver reads the row, Planner.TakeOver
 // makes the new one with Checkpoint.successor, and Planner.CompleteTakeOver records that it is written. Planner.Plan asks
 // nothing of the store before that, so there is no grant without a checkpoint.
 //
@@ -81,7 +81,7 @@
 // Planner.FinalCheckpoint allows no more than what is taken. One that crashes leaves the spend limits that it had. In both
 // cases the instance's next incarnation finds them: Checkpoint.successor lists an EndedIncarnation with the most that may have
 // been spent, what of that needed no witness, and the witnesses. closePredecessors then settles: Treasurer.presumeSpent
-// (testimony.go) has EndedIncarnation.PresumedSpent combine what the checkpoint says with what the witnesses remember, or take
+// (reports.go) has EndedIncarnation.PresumedSpent combine what the checkpoint says with what the witnesses remember, or take
 // the bound of the limits if too few of them answer, and closeGrant writes CloseGrant's row, in which Account.WithClosed ends
 // the grant, adds what counts as spent to Closed, and leaves the rest to Account.Ungranted, for any router. The token is settled:
 // it is in Closed. Planner.ForgetPredecessors drops the EndedIncarnation from the next checkpoint. A late write of an ended
--- a/treasurer/purse_test.go
+++ b/treasurer/planner_test.go
@@ -322,7 +322,7 @@
 func TestSuccessorPresumesLimitSpent(t *testing.T) {
 	cases := map[string]struct {
 		downtime time.Duration
-		// minSpent and most bound what counts as spent of a cleared hold of 400 tokens.
+		// minSpent and maxSpent bound what counts as spent of a cleared hold of 400 tokens.
 		minSpent, maxSpent int64
 	}{
 		"restarted at once":   {downtime: 200 * time.Millisecond, minSpent: 400, maxSpent: 500},
@@ -354,7 +354,7 @@
 		address   string
 		downtime  time.Duration
 		witnesses bool
-		// minSpent and most bound what counts as spent.
+		// minSpent and maxSpent bound what counts as spent.
 		minSpent, maxSpent int64
 	}{
 		"restarted at once":          {address: "-", downtime: 300 * time.Millisecond, minSpent: held, maxSpent: held + 100},
