--- a/treasurer/loans.go
+++ b/treasurer/loans.go
@@ -6,26 +6,27 @@
 	"github.com/masticway/masticway"
 )
 
-// The policy of loans: when and whom to ask, what to lend, and when to give back.
+// These constants are policy: when and whom to ask for a loan, what to lend, and when to repay.
 const (
-	// borrowAfter is how long a request waits for the store before other routers are asked; the store answers the two
-	// calls that a request may need within 20 ms when it is well.
-	borrowAfter = 30 * time.Millisecond
-	// emptyFor is how long a router that draws from the store itself asks nobody again after a round that brought too
-	// little, and how long one that borrows draws itself once nobody has answered.
-	emptyFor = 300 * time.Millisecond
-	// refillTime is how long one that borrows waits after such a round: a holder's two calls to the store take that long.
-	refillTime = 40 * time.Millisecond
-	// repayAfter is how long borrowed money may lie unused.
-	repayAfter = time.Second
-	// leastPart is the part of what is asked for below which nothing is lent.
-	leastPart = 4
-	// lendersAsked bounds the routers that are asked in one round.
-	lendersAsked = 8
+	// borrowDelay is how long a request waits for the store before other routers are asked; a healthy store answers the two
+	// calls that a request may need within 20 ms.
+	borrowDelay = 30 * time.Millisecond
+	// borrowBackoff is how long a router that draws its own grant asks no lender after a round that returned too little,
+	// and how long a router that otherwise borrows draws its own grant after no lender has answered.
+	borrowBackoff = 300 * time.Millisecond
+	// refillInterval is how long a router that borrows waits after such a round: it is the time of a holder's two calls to
+	// the store.
+	refillInterval = 40 * time.Millisecond
+	// idleLoanTTL is how long a loan may remain unused before it is repaid.
+	idleLoanTTL = time.Second
+	// minLoanDivisor divides the requested amount to give the smallest loan.
+	minLoanDivisor = 4
+	// maxLenders bounds the lenders of one round.
+	maxLenders = 8
 )
 
-// Loan is money that another router has taken out of its own grant for this one. It counts as taken there, so that
-// neither router's death can make it be spent twice.
+// Loan is an amount that another router has taken out of its own grant for this one. It counts as taken there, so that it
+// is not spent twice if either router crashes.
 type Loan struct {
 	Lender masticway.Incarnation
 	// Address is where the lender was reached.
@@ -33,17 +34,17 @@
 	Amount  int64
 }
 
-// LoanRequest asks other routers for money of one workspace.
-type LoanRequest struct {
-	// Number names the round of asking among all of the borrower's.
+// BorrowRound is one round of asking other routers for tokens of a workspace, one after the other, until the need is met.
+type BorrowRound struct {
+	// Number identifies the round within the borrower.
 	Number    int64
 	Workspace string
 	Need      int64
-	// Lenders are the routers that probably have most, best first.
+	// Lenders are the routers to ask, best first.
 	Lenders []Witness
 }
 
-// LoanAsk is what one router is asked in a round; borrower and number name it.
+// LoanAsk is a request to one router of a round; the borrower and the number identify it.
 type LoanAsk struct {
 	Number    int64                 `cbor:"1,keyasint"`
 	Borrower  masticway.Incarnation `cbor:"2,keyasint"`
@@ -51,22 +52,22 @@
 	Need      int64                 `cbor:"4,keyasint"`
 }
 
-// Repayment gives back what was borrowed and not used; its number lets the lender count it once.
+// Repayment returns what was borrowed and not used; the lender counts each number once.
 type Repayment struct {
 	Number    int64                 `cbor:"1,keyasint"`
 	Borrower  masticway.Incarnation `cbor:"2,keyasint"`
 	Lender    masticway.Incarnation `cbor:"3,keyasint"`
 	Workspace string                `cbor:"4,keyasint"`
 	Amount    int64                 `cbor:"5,keyasint"`
-	// Ask is a question whose answer did not arrive: whatever it brought is given back, and nothing is lent for it any
-	// more. It is zero when there was an answer.
+	// This is the number of a request whose response did not arrive, zero if there is none: the lender takes back whatever
+	// it has lent for the request, and lends nothing more for it.
 	Ask int64 `cbor:"6,keyasint,omitempty"`
-	// Address is where the lender is reached; it is not told.
+	// Address is where the lender is reached; it is not sent.
 	Address string `cbor:"-"`
 }
 
-// loaned is the borrowed money at hand.
-func (a *account) loaned() int64 {
+// loanBalance returns the sum of the unused loans.
+func (a *account) loanBalance() int64 {
 	var sum int64
 	for _, l := range a.loans {
 		sum += l.Amount
@@ -74,22 +75,22 @@
 	return sum
 }
 
-// takeLoans takes money out of the loans at hand and says whose it was.
+// takeLoans takes an amount out of the loans and returns the loans that it came from.
 func (a *account) takeLoans(amount int64) []Loan {
-	var used []Loan
+	var taken []Loan
 	for amount > 0 && len(a.loans) > 0 {
 		part := min(amount, a.loans[0].Amount)
-		used = append(used, Loan{Lender: a.loans[0].Lender, Address: a.loans[0].Address, Amount: part})
+		taken = append(taken, Loan{Lender: a.loans[0].Lender, Address: a.loans[0].Address, Amount: part})
 		amount -= part
 		if a.loans[0].Amount -= part; a.loans[0].Amount == 0 {
 			a.loans = a.loans[1:]
 		}
 	}
-	return used
+	return taken
 }
 
-// keepLoan adds a loan to those at hand, if it is any.
-func (a *account) keepLoan(l Loan) {
+// addLoan adds a loan, unless it is empty.
+func (a *account) addLoan(l Loan) {
 	if l.Amount <= 0 {
 		return
 	}
@@ -102,105 +103,107 @@
 	a.loans = append(a.loans, l)
 }
 
-// Borrowing returns whom to ask for money now: somebody has waited for the store, or there is nothing left to draw.
-func (p *Purse) Borrowing(now time.Time) []LoanRequest {
-	var asks []LoanRequest
-	for _, a := range p.ordered {
+// DueBorrowRounds returns the rounds to start now: for requests that have waited for the store, or whose need the store
+// cannot meet.
+func (p *Planner) DueBorrowRounds(now time.Time) []BorrowRound {
+	var rounds []BorrowRound
+	for _, a := range p.sortedAccounts {
 		if len(a.waiting) == 0 || a.borrowing {
 			continue
 		}
 		w := a.waiting[0]
-		early := p.delegated(now, a) || a.known && p.beyond(a, w.need)
-		if now.Sub(w.since) < borrowAfter && !early || now.Sub(a.emptyAt) < p.askAgain(a) {
+		immediate := p.borrowsFromHolders(now, a) || a.rowKnown && p.exceedsBudget(a, w.need)
+		if now.Sub(w.since) < borrowDelay && !immediate || now.Sub(a.shortfallAt) < p.borrowRetryInterval(a) {
 			continue
 		}
-		need := a.needed() - a.loaned() - p.own(now, a)
+		need := a.queuedNeed() - a.loanBalance() - p.available(now, a)
 		if need <= 0 {
 			continue
 		}
 		a.borrowing = true
-		p.nextMessage++
-		asks = append(asks, LoanRequest{Number: p.nextMessage, Workspace: a.workspace, Need: need, Lenders: p.lenders(now, a)})
+		p.lastMessage++
+		rounds = append(rounds, BorrowRound{Number: p.lastMessage, Workspace: a.workspace, Need: need, Lenders: p.lenders(now, a)})
 	}
-	return asks
+	return rounds
 }
 
-// askAgain is how long after a round that brought too little the next one begins.
-func (p *Purse) askAgain(a *account) time.Duration {
-	if p.holding(a) {
-		return emptyFor
+// borrowRetryInterval is how long after a round that returned too little the next one may start.
+func (p *Planner) borrowRetryInterval(a *account) time.Duration {
+	if p.keepsReserve(a) {
+		return borrowBackoff
 	}
-	return refillTime
+	return refillInterval
 }
 
-// Borrowed takes what one round of asking brought; of the routers that were asked, so many did not answer.
-func (p *Purse) Borrowed(now time.Time, r LoanRequest, loans []Loan, unanswered int) []Reply {
+// CompleteBorrowRound adds the loans that a round returned; unanswered is how many of the lenders that were asked did not
+// answer.
+func (p *Planner) CompleteBorrowRound(now time.Time, r BorrowRound, loans []Loan, unanswered int) []Reply {
 	a, ok := p.accounts[r.Workspace]
 	if !ok {
 		return nil
 	}
 	a.borrowing = false
 	a.borrowedAt = now
-	var brought int64
+	var received int64
 	for _, l := range loans {
-		a.keepLoan(l)
-		brought += l.Amount
+		a.addLoan(l)
+		received += l.Amount
 	}
-	a.complete = unanswered == 0
-	if brought < r.Need {
-		a.emptyAt = now
+	a.allAnswered = unanswered == 0
+	if received < r.Need {
+		a.shortfallAt = now
 		if unanswered > 0 && unanswered == len(r.Lenders) {
-			a.aloneAt = now
+			a.noAnswerAt = now
 		}
 	}
-	return p.serve(now, a)
+	return p.serveQueue(now, a)
 }
 
-// Unanswered notes that a lender did not answer, and returns what tells it that its answer did not arrive.
-func (p *Purse) Unanswered(now time.Time, r LoanRequest, lender Witness) Repayment {
-	p.silentAt[lender.Incarnation.Instance()] = now
-	p.nextMessage++
+// CancelRequest records that a lender did not answer, and returns the repayment that cancels the request there.
+func (p *Planner) CancelRequest(now time.Time, r BorrowRound, lender Witness) Repayment {
+	p.unansweredAt[lender.Incarnation.Instance()] = now
+	p.lastMessage++
 	return Repayment{
-		Number: p.nextMessage, Borrower: p.settings.Incarnation, Lender: lender.Incarnation, Address: lender.Address, Workspace: r.Workspace,
+		Number: p.lastMessage, Borrower: p.settings.Incarnation, Lender: lender.Incarnation, Address: lender.Address, Workspace: r.Workspace,
 		Ask: r.Number,
 	}
 }
 
-// Lend takes money out of what this router may still take, for another. The hold has to be cleared before the money
-// is handed over, and Lent ends it then; there is none when nothing can be lent.
-func (p *Purse) Lend(now time.Time, ask LoanAsk) (HoldID, int64) {
+// Lend takes tokens for another router out of what may be taken. Its hold must be cleared before the tokens are handed
+// over, and is ended by CompleteLoan; there is none if nothing can be lent.
+func (p *Planner) Lend(now time.Time, ask LoanAsk) (HoldID, int64) {
 	a, ok := p.accounts[ask.Workspace]
 	if !ok || p.closing {
 		return 0, 0
 	}
-	from := p.borrower(ask.Borrower)
-	if _, known := from.asked[ask.Number]; known {
-		// Its borrower has given it up, or it came twice.
+	borrower := p.borrower(ask.Borrower)
+	if _, known := borrower.loans[ask.Number]; known {
+		// The borrower has canceled the request, or this is a duplicate.
 		return 0, 0
 	}
-	a.observe(now, ask.Need)
-	a.others.add(now, float64(ask.Need))
-	amount := min(ask.Need, p.own(now, a)-a.needed())
-	if amount <= 0 || amount < ask.Need/leastPart {
+	a.observeDemand(now, ask.Need)
+	a.peerDemand.add(now, float64(ask.Need))
+	amount := min(ask.Need, p.available(now, a)-a.queuedNeed())
+	if amount <= 0 || amount < ask.Need/minLoanDivisor {
 		return 0, 0
 	}
-	p.nextHold++
+	p.lastHold++
 	a.taken += amount
-	p.holds[p.nextHold] = &held{account: a, amount: amount}
-	from.asked[ask.Number] = &askedLoan{at: now, amount: amount}
-	from.forget(now)
-	return p.nextHold, amount
+	p.holds[p.lastHold] = &hold{account: a, amount: amount}
+	borrower.loans[ask.Number] = &loanRecord{at: now, amount: amount}
+	borrower.dropExpired(now)
+	return p.lastHold, amount
 }
 
-// Lent notes that a cleared hold is handed to another router; it returns false when the hold was not cleared or the
-// borrower has given the question up meanwhile, and then the hold is still to be settled.
-func (p *Purse) Lent(id HoldID, ask LoanAsk) bool {
+// CompleteLoan ends a cleared hold because its tokens are handed to another router. It returns false if the hold is not
+// cleared or the borrower has canceled the request meanwhile; the caller must then settle the hold.
+func (p *Planner) CompleteLoan(id HoldID, ask LoanAsk) bool {
 	h, ok := p.holds[id]
 	if !ok || !h.cleared {
 		return false
 	}
-	loan, known := p.borrower(ask.Borrower).asked[ask.Number]
-	if !known || loan.void {
+	loan, known := p.borrower(ask.Borrower).loans[ask.Number]
+	if !known || loan.canceled {
 		return false
 	}
 	loan.lent = true
@@ -209,35 +212,35 @@
 	return true
 }
 
-// Repaid takes back what another router did not use of a loan, once for each of the borrower's numbers.
-func (p *Purse) Repaid(now time.Time, r Repayment) []Reply {
+// AcceptRepayment takes back what another router did not use of a loan, once for each number.
+func (p *Planner) AcceptRepayment(now time.Time, r Repayment) []Reply {
 	a, ok := p.accounts[r.Workspace]
-	if !ok || r.Lender != p.settings.Incarnation && r.Ask == 0 || !p.borrower(r.Borrower).heard.first(r.Number) {
+	if !ok || r.Lender != p.settings.Incarnation && r.Ask == 0 || !p.borrower(r.Borrower).repayments.add(r.Number) {
 		return nil
 	}
 	amount := r.Amount
 	if r.Ask != 0 {
-		amount += p.borrower(r.Borrower).giveUp(now, r.Ask)
+		amount += p.borrower(r.Borrower).cancel(now, r.Ask)
 	}
-	back := min(amount, a.lent)
-	a.lent -= back
-	a.taken -= back
-	a.cleared -= back
-	return p.serve(now, a)
+	returned := min(amount, a.lent)
+	a.lent -= returned
+	a.taken -= returned
+	a.cleared -= returned
+	return p.serveQueue(now, a)
 }
 
-// Repayments returns what lies unused and should go back; it has left this router's hands when it is returned.
-func (p *Purse) Repayments(now time.Time) []Repayment {
+// DueRepayments removes the loans that are unused and due, and returns them as repayments.
+func (p *Planner) DueRepayments(now time.Time) []Repayment {
 	var due []Repayment
-	for _, a := range p.ordered {
-		empty := a.emptyAt.Equal(a.borrowedAt)
-		if len(a.loans) == 0 || !p.closing && !empty && (len(a.waiting) > 0 || now.Sub(a.borrowedAt) < repayAfter) {
+	for _, a := range p.sortedAccounts {
+		short := a.shortfallAt.Equal(a.borrowedAt)
+		if len(a.loans) == 0 || !p.closing && !short && (len(a.waiting) > 0 || now.Sub(a.borrowedAt) < idleLoanTTL) {
 			continue
 		}
 		for _, l := range a.loans {
-			p.nextMessage++
+			p.lastMessage++
 			due = append(due, Repayment{
-				Number: p.nextMessage, Borrower: p.settings.Incarnation, Lender: l.Lender, Address: l.Address, Workspace: a.workspace, Amount: l.Amount,
+				Number: p.lastMessage, Borrower: p.settings.Incarnation, Lender: l.Lender, Address: l.Address, Workspace: a.workspace, Amount: l.Amount,
 			})
 		}
 		a.loans = nil
