--- a/router/answers.go
+++ b/router/answers.go
@@ -11,25 +11,25 @@
 	"github.com/masticway/masticway"
 )
 
-// wholeWriter keeps an answer until it is whole.
-type wholeWriter struct {
+// bufferedWriter keeps an answer until it is whole.
+type bufferedWriter struct {
 	text strings.Builder
 }
 
-func (w *wholeWriter) chunk(c masticway.Chunk) { w.text.WriteString(c.Text) }
+func (w *bufferedWriter) writeChunk(c masticway.Chunk) { w.text.WriteString(c.Text) }
 
 // chatWriter writes a chat completion, as a stream of events or whole.
 type chatWriter struct {
 	to      http.ResponseWriter
 	q       request
 	stream  bool
-	begun   bool
+	started bool
 	created int64
 	text    strings.Builder
 }
 
 func newChatWriter(to http.ResponseWriter, q request, stream bool) *chatWriter {
-	return &chatWriter{to: to, q: q, stream: stream, created: q.received.Unix()}
+	return &chatWriter{to: to, q: q, stream: stream, created: q.receivedAt.Unix()}
 }
 
 type chatMessage struct {
@@ -59,38 +59,38 @@
 	Usage   *chatUsage   `json:"usage,omitempty"`
 }
 
-func (w *chatWriter) answer(object string, choice chatChoice, usage *chatUsage) chatAnswer {
+func (w *chatWriter) newAnswer(object string, choice chatChoice, usage *chatUsage) chatAnswer {
 	return chatAnswer{
 		ID: "chatcmpl-" + w.q.id, Object: object, Created: w.created, Model: w.q.call.Model,
 		Choices: []chatChoice{choice}, Usage: usage,
 	}
 }
 
-func (w *chatWriter) chunk(c masticway.Chunk) {
+func (w *chatWriter) writeChunk(c masticway.Chunk) {
 	if !w.stream {
 		w.text.WriteString(c.Text)
 		return
 	}
-	w.begin()
+	w.startStream()
 	delta := &chatMessage{Content: c.Text}
 	if c.Index == 0 {
 		delta.Role = "assistant"
 	}
-	w.event(w.answer("chat.completion.chunk", chatChoice{Delta: delta}, nil))
+	w.writeEvent(w.newAnswer("chat.completion.chunk", chatChoice{Delta: delta}, nil))
 }
 
-func (w *chatWriter) begin() {
-	if w.begun {
+func (w *chatWriter) startStream() {
+	if w.started {
 		return
 	}
-	w.begun = true
+	w.started = true
 	w.to.Header().Set("Content-Type", "text/event-stream")
 	w.to.Header().Set("Cache-Control", "no-cache")
 	w.to.WriteHeader(http.StatusOK)
 }
 
-// event writes one event; a caller that has gone is noticed by its context, not here.
-func (w *chatWriter) event(v any) {
+// writeEvent writes one event; a caller that has gone is noticed by its context, not here.
+func (w *chatWriter) writeEvent(v any) {
 	data, err := json.Marshal(v)
 	if err != nil {
 		return
@@ -101,13 +101,13 @@
 	}
 }
 
-// end writes the rest of the answer; a stream that broke off ends with an error and never as if complete.
-func (w *chatWriter) end(out result, err error) error {
-	if err != nil && !w.begun {
+// finish writes the rest of the answer; a stream that broke off ends with an error and never as if complete.
+func (w *chatWriter) finish(out result, err error) error {
+	if err != nil && !w.started {
 		return err
 	}
 	if refused, ok := errors.AsType[*masticway.RefusalError](err); ok {
-		w.event(errorBody(refused))
+		w.writeEvent(errorBody(refused))
 		return nil
 	}
 	reason := out.outcome.Reason
@@ -116,17 +116,17 @@
 	}
 	usage := &chatUsage{out.usage.Prompt, out.usage.Completion, out.usage.Prompt + out.usage.Completion}
 	if !w.stream {
-		return w.whole(reason, usage)
+		return w.writeWhole(reason, usage)
 	}
-	w.begin()
-	w.event(w.answer("chat.completion.chunk", chatChoice{Delta: &chatMessage{}, FinishReason: &reason}, usage))
+	w.startStream()
+	w.writeEvent(w.newAnswer("chat.completion.chunk", chatChoice{Delta: &chatMessage{}, FinishReason: &reason}, usage))
 	fmt.Fprint(w.to, "data: [DONE]\n\n")
 	return nil
 }
 
-func (w *chatWriter) whole(reason string, usage *chatUsage) error {
+func (w *chatWriter) writeWhole(reason string, usage *chatUsage) error {
 	message := &chatMessage{Role: "assistant", Content: w.text.String()}
-	data, err := json.Marshal(w.answer("chat.completion", chatChoice{Message: message, FinishReason: &reason}, usage))
+	data, err := json.Marshal(w.newAnswer("chat.completion", chatChoice{Message: message, FinishReason: &reason}, usage))
 	if err != nil {
 		return fmt.Errorf("encoding an answer: %w", err)
 	}
--- a/router/bank.go
+++ b/router/bank.go
@@ -18,88 +18,88 @@
 )
 
 const (
-	// moveRetry separates attempts to learn what became of a move.
-	moveRetry = 200 * time.Millisecond
+	// moveRetryInterval separates attempts to learn what became of a move.
+	moveRetryInterval = 200 * time.Millisecond
 	// moveTimeout bounds one attempt at a move.
 	moveTimeout = 3 * time.Second
-	// bankTick is how often waits and idle money are looked at.
-	bankTick = 20 * time.Millisecond
-	// sureAfter is how long a keeper must have been one before its memory of identities is complete.
-	sureAfter = 2 * time.Minute
+	// tickInterval is how often waits and idle money are looked at.
+	tickInterval = 20 * time.Millisecond
+	// memoryCompleteAfter is how long a keeper must have been one before its memory of identities is complete.
+	memoryCompleteAfter = 2 * time.Minute
 )
 
-// bank is the shell around the keeper: it moves money in the table and answers hold requests.
-type bank struct {
+// budgetManager is the shell around the keeper: it moves money in the table and answers hold requests.
+type budgetManager struct {
 	self    masticway.Incarnation
 	clock   masticway.Clock
 	log     *logrus.Entry
 	book    *bookkeeper.Book
 	metrics *measurer.Set
-	// fenced is called when the table says that this incarnation is sealed.
-	fenced func()
-	// mine tells whether this router keeps a budget now.
-	mine func(budget string) bool
-	// opened is closed once the links row is there.
-	opened   chan struct{}
-	openOnce sync.Once
-	// askPeers is called when a budget is short and others have open grants.
-	askPeers func(budget string, payers []masticway.Incarnation)
+	// onSealed is called when the table says that this incarnation is sealed.
+	onSealed func()
+	// isKeeper tells whether this router keeps a budget now.
+	isKeeper func(budget string) bool
+	// linksOpened is closed once the links row is there.
+	linksOpened chan struct{}
+	openOnce    sync.Once
+	// requestReturn is called when a budget is short and others have open grants.
+	requestReturn func(budget string, payers []masticway.Incarnation)
 
 	mu      sync.Mutex
 	keeper  *keeper.Keeper
 	limits  *limiter.Contracts
 	waiting map[masticway.HoldID]func(keeper.Reply)
-	// counted are the holds that the contract limits count as open.
-	counted map[masticway.HoldID]string
-	// refuses tells that this incarnation is sealed, so that no money can come.
-	refuses bool
-	// faulted tells that a step outside a chart has been logged.
-	faulted bool
-
-	linksMu sync.Mutex
-	links   bookkeeper.Links
-	version int64
-	goneAt  map[masticway.Incarnation]time.Time
+	// holdWorkspaces are the holds that the contract limits count as open.
+	holdWorkspaces map[masticway.HoldID]string
+	// sealed tells that this incarnation is sealed, so that no money can come.
+	sealed bool
+	// faultLogged tells that a step outside a chart has been logged.
+	faultLogged bool
+
+	linksMu      sync.Mutex
+	links        bookkeeper.Links
+	linksVersion int64
+	goneAt       map[masticway.Incarnation]time.Time
 
 	ctx context.Context
 	wg  *sync.WaitGroup
 }
 
-func newBank(ctx context.Context, wg *sync.WaitGroup, self masticway.Incarnation, s Money, clock masticway.Clock, log *logrus.Entry, book *bookkeeper.Book, metrics *measurer.Set) *bank {
-	return &bank{
+func newBudgetManager(ctx context.Context, wg *sync.WaitGroup, self masticway.Incarnation, s Money, clock masticway.Clock, log *logrus.Entry, book *bookkeeper.Book, metrics *measurer.Set) *budgetManager {
+	return &budgetManager{
 		self: self, clock: clock, log: log, book: book, metrics: metrics,
 		keeper: keeper.New(keeper.Settings{
 			Incarnation: self, Policy: s.Policy, Slices: s.Slices, IdleAfter: s.IdleAfter.Std(),
 		}, clock.Now()),
-		limits:  limiter.NewContracts(),
-		waiting: map[masticway.HoldID]func(keeper.Reply){},
-		counted: map[masticway.HoldID]string{},
-		links:   bookkeeper.Links{Incarnation: self, State: bookkeeper.LinksOpen},
-		goneAt:  map[masticway.Incarnation]time.Time{},
-		opened:  make(chan struct{}),
-		ctx:     ctx, wg: wg,
+		limits:         limiter.NewContracts(),
+		waiting:        map[masticway.HoldID]func(keeper.Reply){},
+		holdWorkspaces: map[masticway.HoldID]string{},
+		links:          bookkeeper.Links{Incarnation: self, State: bookkeeper.LinksOpen},
+		goneAt:         map[masticway.Incarnation]time.Time{},
+		linksOpened:    make(chan struct{}),
+		ctx:            ctx, wg: wg,
 	}
 }
 
-// open writes the first links row; nothing is drawn before.
-func (b *bank) open(ctx context.Context) error {
+// openLinks writes the first links row; nothing is drawn before.
+func (b *budgetManager) openLinks(ctx context.Context) error {
 	version, err := b.book.OpenLinks(ctx, b.self)
 	if err != nil {
 		return err
 	}
 	b.linksMu.Lock()
 	defer b.linksMu.Unlock()
-	b.version = version
-	b.openOnce.Do(func() { close(b.opened) })
+	b.linksVersion = version
+	b.openOnce.Do(func() { close(b.linksOpened) })
 	return nil
 }
 
 // hold asks the own keeper; reply is called once, possibly before hold returns.
-func (b *bank) hold(r keeper.HoldRequest, c masticway.Contract, reply func(linker.HoldIs)) {
+func (b *budgetManager) hold(r keeper.HoldRequest, c masticway.Contract, reply func(linker.HoldIs)) {
 	now := b.clock.Now()
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if b.refuses {
+	if b.sealed {
 		reply(linker.HoldIs{Verdict: keeper.VerdictElsewhere})
 		return
 	}
@@ -108,11 +108,11 @@
 		reply(linker.HoldIs{Limit: string(limit), Retry: retry})
 		return
 	}
-	sure := now.Sub(b.keeper.Started()) > sureAfter
-	b.counted[r.ID] = c.Workspace
+	sure := now.Sub(b.keeper.Started()) > memoryCompleteAfter
+	b.holdWorkspaces[r.ID] = c.Workspace
 	b.waiting[r.ID] = func(a keeper.Reply) {
 		if a.Verdict != keeper.VerdictHeld {
-			b.uncount(r.ID)
+			b.releaseLimit(r.ID)
 		}
 		reply(linker.HoldIs{Verdict: a.Verdict, Grant: a.Grant, Amount: a.Amount, Waited: a.Waited, Open: a.Open, Sure: sure})
 	}
@@ -120,10 +120,10 @@
 }
 
 // refuseAll answers those who wait for money, and from now on all who ask, because this incarnation is sealed.
-func (b *bank) refuseAll() {
+func (b *budgetManager) refuseAll() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.refuses = true
+	b.sealed = true
 	for id, reply := range b.waiting {
 		delete(b.waiting, id)
 		reply(keeper.Reply{ID: id, Verdict: keeper.VerdictElsewhere})
@@ -131,36 +131,36 @@
 	}
 }
 
-func (b *bank) resize(id masticway.HoldID, amount masticway.Amount) {
+func (b *budgetManager) resize(id masticway.HoldID, amount masticway.Amount) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.apply(b.keeper.Resize(b.clock.Now(), id, amount))
 }
 
-func (b *bank) settle(s linker.Settle) {
+func (b *budgetManager) settle(s linker.Settle) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.uncount(s.Hold)
+	b.releaseLimit(s.Hold)
 	delete(b.waiting, s.Hold)
 	b.apply(b.keeper.Settle(b.clock.Now(), s.Hold, s.Charges))
 }
 
-// uncount takes a hold out of the contract limits; the caller holds the lock.
-func (b *bank) uncount(id masticway.HoldID) {
-	if workspace, ok := b.counted[id]; ok {
-		delete(b.counted, id)
+// releaseLimit takes a hold out of the contract limits; the caller holds the lock.
+func (b *budgetManager) releaseLimit(id masticway.HoldID) {
+	if workspace, ok := b.holdWorkspaces[id]; ok {
+		delete(b.holdWorkspaces, id)
 		b.limits.Done(workspace)
 	}
 }
 
-func (b *bank) giveBack(budget string) {
+func (b *budgetManager) returnFree(budget string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.apply(b.keeper.GiveBack(b.clock.Now(), budget, !b.mine(budget)))
+	b.apply(b.keeper.GiveBack(b.clock.Now(), budget, !b.isKeeper(budget)))
 }
 
 // apply carries out the keeper's effects; the caller holds the lock.
-func (b *bank) apply(effects []keeper.Effect) {
+func (b *budgetManager) apply(effects []keeper.Effect) {
 	for _, e := range effects {
 		switch e := e.(type) {
 		case keeper.Reply:
@@ -171,23 +171,23 @@
 		case keeper.Move:
 			b.wg.Go(func() { b.move(e) })
 		case keeper.AskPeers:
-			b.wg.Go(func() { b.askPeers(e.Budget, e.Payers) })
+			b.wg.Go(func() { b.requestReturn(e.Budget, e.Payers) })
 		}
 	}
 }
 
 // move carries a move out, and stays with it while its outcome is unknown.
-func (b *bank) move(m keeper.Move) {
+func (b *budgetManager) move(m keeper.Move) {
 	unknown := false
 	for b.ctx.Err() == nil {
 		result, err := b.tryMove(m)
 		if err == nil {
 			b.metrics.Add(metricMoves, 1)
-			b.moved(result)
+			b.completeMove(result)
 			return
 		}
 		if _, ok := errors.AsType[*masticway.SealedError](err); ok {
-			b.fenced()
+			b.onSealed()
 			return
 		}
 		if _, ok := errors.AsType[*masticway.ConflictError](err); ok {
@@ -196,32 +196,32 @@
 		}
 		if _, ok := errors.AsType[*masticway.UnavailableError](err); ok && !unknown {
 			b.metrics.Add(metricMovesFailed, 1)
-			b.moved(keeper.MoveResult{Move: m, Failed: true})
+			b.completeMove(keeper.MoveResult{Move: m, Failed: true})
 			return
 		}
 		unknown = true
 		b.metrics.Add(metricMovesUnknown, 1)
 		b.log.WithFields(logrus.Fields{"event": "move_outcome_unknown", "budget": m.Grant.Budget, "error": err}).Warn("outcome of a move unknown")
-		b.pause(moveRetry)
+		b.sleep(moveRetryInterval)
 	}
 }
 
-func (b *bank) tryMove(m keeper.Move) (keeper.MoveResult, error) {
+func (b *budgetManager) tryMove(m keeper.Move) (keeper.MoveResult, error) {
 	ctx, cancel := context.WithTimeout(b.ctx, moveTimeout)
 	defer cancel()
 	b.linksMu.Lock()
-	version := b.version
+	version := b.linksVersion
 	b.linksMu.Unlock()
 	return b.book.Move(ctx, m, version)
 }
 
-func (b *bank) moved(r keeper.MoveResult) {
+func (b *budgetManager) completeMove(r keeper.MoveResult) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.apply(b.keeper.Moved(b.clock.Now(), r))
 }
 
-func (b *bank) pause(d time.Duration) {
+func (b *budgetManager) sleep(d time.Duration) {
 	select {
 	case <-b.ctx.Done():
 	case <-b.clock.After(d):
@@ -229,13 +229,13 @@
 }
 
 // refreshLinks reads back the links row after a conflict or a lost answer.
-func (b *bank) refreshLinks() {
+func (b *budgetManager) refreshLinks() {
 	b.linksMu.Lock()
 	defer b.linksMu.Unlock()
 	b.readLinks()
 }
 
-func (b *bank) readLinks() {
+func (b *budgetManager) readLinks() {
 	ctx, cancel := context.WithTimeout(b.ctx, moveTimeout)
 	defer cancel()
 	links, version, err := b.book.Links(ctx, b.self)
@@ -243,28 +243,28 @@
 		return
 	}
 	if version == 0 || links.State == bookkeeper.LinksSealed {
-		b.fenced()
+		b.onSealed()
 		return
 	}
 	b.links = links
-	b.version = version
+	b.linksVersion = version
 }
 
-// link records sidecars in the durable set before any is used; it waits until that is done.
-func (b *bank) link(ctx context.Context, sidecars ...masticway.Incarnation) bool {
+// register records sidecars in the durable set before any is used; it waits until that is done.
+func (b *budgetManager) register(ctx context.Context, sidecars ...masticway.Incarnation) bool {
 	for ctx.Err() == nil && b.ctx.Err() == nil {
-		if b.tryLink(sidecars) {
+		if b.tryRegister(sidecars) {
 			return true
 		}
-		b.pause(moveRetry)
+		b.sleep(moveRetryInterval)
 	}
 	return false
 }
 
-func (b *bank) tryLink(sidecars []masticway.Incarnation) bool {
+func (b *budgetManager) tryRegister(sidecars []masticway.Incarnation) bool {
 	b.linksMu.Lock()
 	defer b.linksMu.Unlock()
-	if b.version == 0 {
+	if b.linksVersion == 0 {
 		// The first row must be written by open: made here, it would look like somebody else's and seal this router.
 		return false
 	}
@@ -282,28 +282,28 @@
 }
 
 // putLinks replaces the links row; the caller holds linksMu.
-func (b *bank) putLinks(next bookkeeper.Links) bool {
+func (b *budgetManager) putLinks(next bookkeeper.Links) bool {
 	ctx, cancel := context.WithTimeout(b.ctx, moveTimeout)
 	defer cancel()
-	version, err := b.book.PutLinks(ctx, next, b.version)
+	version, err := b.book.PutLinks(ctx, next, b.linksVersion)
 	if err == nil {
 		b.links = next
-		b.version = version
+		b.linksVersion = version
 		return true
 	}
 	b.readLinks()
 	return false
 }
 
-// linked tells whether the durable set holds a sidecar.
-func (b *bank) linked(sidecar masticway.Incarnation) bool {
+// isRegistered tells whether the durable set holds a sidecar.
+func (b *budgetManager) isRegistered(sidecar masticway.Incarnation) bool {
 	b.linksMu.Lock()
 	defer b.linksMu.Unlock()
 	return b.links.Has(sidecar)
 }
 
-// gone records that a sidecar is gone for certain, so that it can leave the durable set.
-func (b *bank) gone(sidecar masticway.Incarnation) {
+// markGone records that a sidecar is gone for certain, so that it can leave the durable set.
+func (b *budgetManager) markGone(sidecar masticway.Incarnation) {
 	b.linksMu.Lock()
 	defer b.linksMu.Unlock()
 	if _, known := b.goneAt[sidecar]; !known && b.links.Has(sidecar) {
@@ -311,17 +311,17 @@
 	}
 }
 
-// absorb takes sidecars out of the durable set once every hold that may have used them is settled.
-func (b *bank) absorb() {
+// removeGone takes sidecars out of the durable set once every hold that may have used them is settled.
+func (b *budgetManager) removeGone() {
 	b.linksMu.Lock()
 	defer b.linksMu.Unlock()
 	for sidecar, at := range b.goneAt {
 		b.mu.Lock()
-		oldest, any := b.keeper.OldestHold()
+		oldest, hasHolds := b.keeper.OldestHold()
 		spent := b.keeper.SpentBy(sidecar)
 		open, _ := b.keeper.OpenGrants()
 		b.mu.Unlock()
-		if any && !oldest.After(at) {
+		if hasHolds && !oldest.After(at) {
 			continue
 		}
 		next := b.links
@@ -338,19 +338,19 @@
 	}
 }
 
-// tidy returns idle money and hands over the budgets that another router keeps now.
-func (b *bank) tidy() {
+// returnIdle returns idle money and hands over the budgets that another router keeps now.
+func (b *budgetManager) returnIdle() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.apply(b.keeper.Tidy(b.clock.Now()))
 	for _, budget := range b.keeper.Budgets() {
-		if !b.mine(budget) {
+		if !b.isKeeper(budget) {
 			b.apply(b.keeper.Yield(b.clock.Now(), budget))
 		}
 	}
 }
 
-func (b *bank) tick() {
+func (b *budgetManager) tick() {
 	now := b.clock.Now()
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -359,14 +359,14 @@
 	budgets, holds := b.keeper.Size()
 	b.metrics.Gauge(metricBudgets, int64(budgets))
 	b.metrics.Gauge(metricHolds, int64(holds))
-	if err := b.keeper.Fault(); err != nil && !b.faulted {
-		b.faulted = true
+	if err := b.keeper.Fault(); err != nil && !b.faultLogged {
+		b.faultLogged = true
 		b.log.WithFields(logrus.Fields{"event": "chart_fault", "error": err}).Error("step outside the chart")
 	}
 }
 
 // drain returns all money; it reports false when the context ended first.
-func (b *bank) drain(ctx context.Context) bool {
+func (b *budgetManager) drain(ctx context.Context) bool {
 	for {
 		b.mu.Lock()
 		b.apply(b.keeper.Drain(b.clock.Now()))
@@ -378,24 +378,24 @@
 		select {
 		case <-ctx.Done():
 			return false
-		case <-b.clock.After(bankTick):
+		case <-b.clock.After(tickInterval):
 		}
 	}
 }
 
-func (b *bank) holdsOf(sender masticway.Incarnation) []keeper.HeldFor {
+func (b *budgetManager) holdsOf(sender masticway.Incarnation) []keeper.HeldFor {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.keeper.HoldsOf(sender)
 }
 
-func (b *bank) openGrants() ([]int64, int64) {
+func (b *budgetManager) openGrants() ([]int64, int64) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.keeper.OpenGrants()
 }
 
-func (b *bank) position(budget string) (keeper.Position, bool) {
+func (b *budgetManager) position(budget string) (keeper.Position, bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.keeper.Position(budget)
--- a/router/budgets.go
+++ b/router/budgets.go
@@ -35,7 +35,7 @@
 	Here *keeper.Position `json:"here,omitempty"`
 }
 
-func (r *Router) showBudget(ctx context.Context, o operation) (any, error) {
+func (r *Router) showBudget(ctx context.Context, o operatorRequest) (any, error) {
 	b, err := r.book.Budget(ctx, o.path("budget"))
 	if err != nil {
 		return nil, err
@@ -55,7 +55,7 @@
 		}
 		status.Grants = append(status.Grants, s)
 	}
-	if p, ok := r.bank.position(b.ID); ok {
+	if p, ok := r.budgets.position(b.ID); ok {
 		status.Here = &p
 	}
 	return status, nil
@@ -85,7 +85,7 @@
 	return s
 }
 
-func (r *Router) topUp(ctx context.Context, o operation) (any, error) {
+func (r *Router) topUp(ctx context.Context, o operatorRequest) (any, error) {
 	data, err := readOperatorBody(o)
 	if err != nil {
 		return nil, err
--- a/router/callers.go
+++ b/router/callers.go
@@ -27,31 +27,31 @@
 	headerRequest       = "Masticway-Request-Id"
 	headerClass         = "Masticway-Class"
 	headerNonRepeatable = "Masticway-Non-Repeatable"
-	// keyLimit bounds a caller's idempotency key in bytes.
-	keyLimit = 200
+	// maxKeyBytes bounds a caller's idempotency key in bytes.
+	maxKeyBytes = 200
 )
 
 // CallerHandler serves callers.
 func (r *Router) CallerHandler() http.Handler {
 	ws := new(restful.WebService).Path("/v1").Consumes("*/*").Produces("*/*")
-	ws.Route(ws.POST("/chat/completions").To(r.caller(r.chat)))
-	ws.Route(ws.GET("/models").To(r.caller(r.models)))
+	ws.Route(ws.POST("/chat/completions").To(r.handleCaller(r.chat)))
+	ws.Route(ws.GET("/models").To(r.handleCaller(r.models)))
 	for _, method := range []string{http.MethodGet, http.MethodPost, http.MethodPut, http.MethodPatch, http.MethodDelete} {
-		ws.Route(ws.Method(method).Path("/services/{service}/{path:*}").To(r.caller(r.callService)))
+		ws.Route(ws.Method(method).Path("/services/{service}/{path:*}").To(r.handleCaller(r.callService)))
 	}
-	return r.withHealth(ws)
+	return r.newMux(ws)
 }
 
-func (r *Router) nextID() string {
-	return explainer.RequestID(r.self, strconv.FormatUint(r.serial.Add(1), 36))
+func (r *Router) newRequestID() string {
+	return explainer.RequestID(r.self, strconv.FormatUint(r.lastRequestNumber.Add(1), 36))
 }
 
-// withHealth puts a web service beside health and readiness.
-func (r *Router) withHealth(ws *restful.WebService) *http.ServeMux {
+// newMux puts a web service beside health and readiness.
+func (r *Router) newMux(ws *restful.WebService) *http.ServeMux {
 	container := restful.NewContainer()
 	container.Add(ws)
 	container.ServiceErrorHandler(func(e restful.ServiceError, _ *restful.Request, response *restful.Response) {
-		response.ResponseWriter.Header().Set(headerRequest, r.nextID())
+		response.ResponseWriter.Header().Set(headerRequest, r.newRequestID())
 		writeRefusal(response.ResponseWriter, &masticway.RefusalError{
 			Status: e.Code, Code: "no_such_path", Message: e.Message, Fate: masticway.FateNotRun,
 		})
@@ -68,8 +68,8 @@
 	return mux
 }
 
-// calling is an authenticated caller's request.
-type calling struct {
+// callerRequest is an authenticated caller's request.
+type callerRequest struct {
 	http     *http.Request
 	to       http.ResponseWriter
 	config   configurer.Snapshot
@@ -78,13 +78,13 @@
 	path     func(name string) string
 }
 
-// caller authenticates a request and writes the one error body.
-func (r *Router) caller(f func(context.Context, calling) error) restful.RouteFunction {
+// handleCaller authenticates a request and writes the one error body.
+func (r *Router) handleCaller(f func(context.Context, callerRequest) error) restful.RouteFunction {
 	return func(request *restful.Request, response *restful.Response) {
 		// Counted before the check whether this router drains, so that a drain misses nobody.
-		r.open.Add(1)
-		defer r.open.Add(-1)
-		id := r.nextID()
+		r.openRequests.Add(1)
+		defer r.openRequests.Add(-1)
+		id := r.newRequestID()
 		response.ResponseWriter.Header().Set(headerRequest, id)
 		err := r.authenticate(request, response, id, f)
 		if err == nil {
@@ -98,7 +98,7 @@
 	}
 }
 
-func (r *Router) authenticate(request *restful.Request, response *restful.Response, id string, f func(context.Context, calling) error) error {
+func (r *Router) authenticate(request *restful.Request, response *restful.Response, id string, f func(context.Context, callerRequest) error) error {
 	if !r.Ready() {
 		return refusal(http.StatusServiceUnavailable, "not_serving", "this router is starting or leaving", time.Second)
 	}
@@ -108,7 +108,7 @@
 	if key == "" || !ok {
 		return refusal(http.StatusUnauthorized, "bad_key", "the key is missing or unknown", 0)
 	}
-	return f(request.Request.Context(), calling{
+	return f(request.Request.Context(), callerRequest{
 		http: request.Request, to: response.ResponseWriter, config: config, contract: contract, id: id,
 		path: request.PathParameter,
 	})
@@ -137,8 +137,8 @@
 	}{detail{e.Code, e.Message, e.Fate, e.RetryAfter.Milliseconds()}}
 }
 
-// body reads a bounded body.
-func (r *Router) body(c calling) ([]byte, error) {
+// readBody reads a bounded body.
+func (r *Router) readBody(c callerRequest) ([]byte, error) {
 	data, err := io.ReadAll(http.MaxBytesReader(c.to, c.http.Body, r.settings.BodyLimit))
 	if _, ok := errors.AsType[*http.MaxBytesError](err); ok {
 		return nil, refusal(http.StatusRequestEntityTooLarge, "body_too_large", fmt.Sprintf("the body is over %d bytes", r.settings.BodyLimit), 0)
@@ -149,13 +149,13 @@
 	return data, nil
 }
 
-// identify fills in what every request has: identity, class and contract.
-func (r *Router) identify(c calling) (request, error) {
-	q := request{id: c.id, contract: c.contract, revision: c.config.Revision(), received: r.clock.Now(), class: c.contract.Class}
+// newRequest fills in what every request has: identity, class and contract.
+func (r *Router) newRequest(c callerRequest) (request, error) {
+	q := request{id: c.id, contract: c.contract, revision: c.config.Revision(), receivedAt: r.clock.Now(), class: c.contract.Class}
 	key := c.http.Header.Get(headerKey)
-	q.tracked = key != ""
+	q.hasCallerKey = key != ""
 	switch {
-	case len(key) > keyLimit || strings.ContainsAny(key, "\r\n/"):
+	case len(key) > maxKeyBytes || strings.ContainsAny(key, "\r\n/"):
 		return q, refusal(http.StatusUnprocessableEntity, "bad_idempotency_key", "the key is too long or holds a slash", 0)
 	case key == "" && c.contract.RequireIdempotencyKey:
 		return q, refusal(http.StatusUnprocessableEntity, "idempotency_key_required", "the contract requires an Idempotency-Key", 0)
@@ -178,31 +178,31 @@
 }
 
 type chatBody struct {
-	Model    string          `json:"model"`
-	Messages json.RawMessage `json:"messages"`
-	Stream   bool            `json:"stream"`
-	Max      *int            `json:"max_tokens"`
-	MaxNew   *int            `json:"max_completion_tokens"`
+	Model               string          `json:"model"`
+	Messages            json.RawMessage `json:"messages"`
+	Stream              bool            `json:"stream"`
+	MaxTokens           *int            `json:"max_tokens"`
+	MaxCompletionTokens *int            `json:"max_completion_tokens"`
 }
 
 // chat serves POST /v1/chat/completions.
-func (r *Router) chat(ctx context.Context, c calling) error {
-	data, err := r.body(c)
+func (r *Router) chat(ctx context.Context, c callerRequest) error {
+	data, err := r.readBody(c)
 	if err != nil {
 		return err
 	}
-	q, stream, err := r.checkChat(c, data)
+	q, stream, err := r.parseChatRequest(c, data)
 	if err != nil {
 		return err
 	}
 	w := newChatWriter(c.to, q, stream)
 	out, err := r.newExchange(q, w, ctx.Done()).run(context.WithoutCancel(ctx))
-	return w.end(out, err)
+	return w.finish(out, err)
 }
 
-// checkChat turns a caller's body into a request, or says what is wrong with it.
-func (r *Router) checkChat(c calling, data []byte) (request, bool, error) {
-	q, err := r.identify(c)
+// parseChatRequest turns a caller's body into a request, or says what is wrong with it.
+func (r *Router) parseChatRequest(c callerRequest, data []byte) (request, bool, error) {
+	q, err := r.newRequest(c)
 	if err != nil {
 		return q, false, err
 	}
@@ -221,7 +221,7 @@
 	q.model = model
 	q.call.Model = model.Name
 	q.call.Prompt = body.Messages
-	q.promptBound = len(body.Messages) + messageOverhead*messages
+	q.maxPromptTokens = len(body.Messages) + messageOverhead*messages
 	q.call.MaxOutput = defaultMaxOutput
 	if terms.MaxOutput > 0 {
 		q.call.MaxOutput = terms.MaxOutput
@@ -230,9 +230,9 @@
 	if terms.MinOutput > 0 {
 		q.minOutput = terms.MinOutput
 	}
-	for _, named := range []*int{body.Max, body.MaxNew} {
+	for _, named := range []*int{body.MaxTokens, body.MaxCompletionTokens} {
 		if named != nil {
-			q.namedMaximum = true
+			q.hasMaxOutput = true
 			q.call.MaxOutput = min(q.call.MaxOutput, *named)
 		}
 	}
@@ -259,7 +259,7 @@
 			return body, 0, refusal(http.StatusUnprocessableEntity, "bad_messages", "each message needs role and content", 0)
 		}
 	}
-	for _, named := range []*int{body.Max, body.MaxNew} {
+	for _, named := range []*int{body.MaxTokens, body.MaxCompletionTokens} {
 		if named != nil && (*named < 1 || *named > maxTokensLimit) {
 			return body, 0, refusal(http.StatusUnprocessableEntity, "bad_max_tokens", fmt.Sprintf("the maximum is from 1 to %d", maxTokensLimit), 0)
 		}
@@ -268,7 +268,7 @@
 }
 
 // models serves GET /v1/models.
-func (r *Router) models(_ context.Context, c calling) error {
+func (r *Router) models(_ context.Context, c callerRequest) error {
 	type entry struct {
 		ID     string `json:"id"`
 		Object string `json:"object"`
@@ -287,12 +287,12 @@
 }
 
 // callService serves /v1/services/{service}/{path}.
-func (r *Router) callService(ctx context.Context, c calling) error {
-	data, err := r.body(c)
+func (r *Router) callService(ctx context.Context, c callerRequest) error {
+	data, err := r.readBody(c)
 	if err != nil {
 		return err
 	}
-	q, err := r.identify(c)
+	q, err := r.newRequest(c)
 	if err != nil {
 		return err
 	}
@@ -316,7 +316,7 @@
 	}
 	q.call.ContentType = c.http.Header.Get("Content-Type")
 	q.call.Body = data
-	w := &wholeWriter{}
+	w := &bufferedWriter{}
 	out, err := r.newExchange(q, w, ctx.Done()).run(context.WithoutCancel(ctx))
 	if err != nil {
 		return err
--- a/router/claims.go
+++ b/router/claims.go
@@ -13,14 +13,14 @@
 )
 
 const (
-	prefixClaim = "claim/"
+	claimPrefix = "claim/"
 	// claimTimeout bounds all work on one claim before the request is refused.
 	claimTimeout = 2 * time.Second
 	// recordTimeout bounds the wait for an outcome to be recorded before the caller is answered.
-	recordTimeout = 5 * time.Second
-	claimPause    = 100 * time.Millisecond
-	// recordLimit bounds the recorded body in bytes; a longer one is answered but not replayed.
-	recordLimit = 256 << 10
+	recordTimeout      = 5 * time.Second
+	claimRetryInterval = 100 * time.Millisecond
+	// maxRecordedBody bounds the recorded body in bytes; a longer one is answered but not replayed.
+	maxRecordedBody = 256 << 10
 )
 
 // claimState tells what is recorded of a non-repeatable request.
@@ -36,7 +36,7 @@
 	Request     string                `json:"request"`
 	Sender      masticway.Incarnation `json:"sender"`
 	State       claimState            `json:"state"`
-	At          time.Time             `json:"at"`
+	ClaimedAt   time.Time             `json:"at"`
 	Status      int                   `json:"status,omitempty"`
 	ContentType string                `json:"content_type,omitempty"`
 	Reason      string                `json:"reason,omitempty"`
@@ -53,40 +53,40 @@
 // claimRun claims the identity before anything is dispatched; done tells that the answer is already there.
 func (x *exchange) claimRun(ctx context.Context) (out result, done bool, err error) {
 	c := &claim{
-		key: prefixClaim + string(x.q.identity),
-		row: claimRow{Request: x.q.id, Sender: x.r.self, State: claimOpen, At: x.r.clock.Now()},
+		key: claimPrefix + string(x.q.identity),
+		row: claimRow{Request: x.q.id, Sender: x.r.self, State: claimOpen, ClaimedAt: x.r.clock.Now()},
 	}
-	standing, err := x.r.insertClaim(ctx, c)
+	existing, err := x.r.insertClaim(ctx, c)
 	if err != nil {
 		x.step(eventRefused)
-		x.r.wg.Go(func() { x.r.dropClaim(c) })
+		x.r.wg.Go(func() { x.r.deleteClaim(c) })
 		return result{}, true, refusal(http.StatusServiceUnavailable, "claim_unavailable", "the request cannot be claimed now", time.Second)
 	}
-	if standing.Request == c.row.Request {
+	if existing.Request == c.row.Request {
 		x.claim = c
 		return result{}, false, nil
 	}
 	x.settle()
 	x.step(eventAttached)
-	if standing.State == claimDone {
-		return x.replayed(standing), true, nil
+	if existing.State == claimDone {
+		return x.replayClaim(existing), true, nil
 	}
-	if x.found(ctx) {
+	if x.findRun(ctx) {
 		x.state = x.chart.Initial()
 		x.step(eventAdmitted)
-		out, err := x.joinFound(ctx)
+		out, err := x.joinRun(ctx)
 		return out, true, err
 	}
 	x.step(eventLost)
 	return result{}, true, unknownOutcome()
 }
 
-// recorded looks for the recorded outcome of a non-repeatable identity that was billed already.
-func (x *exchange) recorded(ctx context.Context) bool {
+// findRecorded looks for the recorded outcome of a non-repeatable identity that was billed already.
+func (x *exchange) findRecorded(ctx context.Context) bool {
 	if !x.q.nonRepeatable {
 		return false
 	}
-	row, version, err := x.r.readClaim(ctx, prefixClaim+string(x.q.identity))
+	row, version, err := x.r.readClaim(ctx, claimPrefix+string(x.q.identity))
 	if err != nil || version == 0 || row.State != claimDone {
 		return false
 	}
@@ -94,8 +94,8 @@
 	return true
 }
 
-// replayed gives the caller a recorded outcome.
-func (x *exchange) replayed(row claimRow) result {
+// replayClaim gives the caller a recorded outcome.
+func (x *exchange) replayClaim(row claimRow) result {
 	x.step(eventFinished)
 	x.relay(masticway.Chunk{Text: row.Body, Tokens: row.Usage.Completion})
 	return result{
@@ -138,7 +138,7 @@
 		select {
 		case <-ctx.Done():
 			return claimRow{}, ctx.Err()
-		case <-r.clock.After(claimPause):
+		case <-r.clock.After(claimRetryInterval):
 		}
 	}
 }
@@ -153,14 +153,14 @@
 	return c, row.Version, err
 }
 
-// endClaim records the outcome before the caller is answered, or frees the identity when nothing ran.
-func (x *exchange) endClaim(_ context.Context, out result, err error) {
+// completeClaim records the outcome before the caller is answered, or frees the identity when nothing ran.
+func (x *exchange) completeClaim(_ context.Context, out result, err error) {
 	if x.claim == nil {
 		return
 	}
 	refused, isRefusal := errors.AsType[*masticway.RefusalError](err)
 	if isRefusal && refused.Fate == masticway.FateNotRun {
-		x.r.dropClaim(x.claim)
+		x.r.deleteClaim(x.claim)
 		return
 	}
 	if isRefusal && refused.Fate == masticway.FateUnknown {
@@ -172,7 +172,7 @@
 	row.ContentType = out.outcome.ContentType
 	row.Reason = out.outcome.Reason
 	row.Usage = out.usage
-	if x.text.Len() <= recordLimit {
+	if x.text.Len() <= maxRecordedBody {
 		row.Body = x.text.String()
 	}
 	if isRefusal {
@@ -190,14 +190,14 @@
 	if err != nil {
 		return false
 	}
-	return r.changeClaim(key, row.Request, recordTimeout, value)
+	return r.updateClaim(key, row.Request, recordTimeout, value)
 }
 
-// dropClaim removes this request's own row, because the request certainly did not run.
-func (r *Router) dropClaim(c *claim) { r.changeClaim(c.key, c.row.Request, recordTimeout, nil) }
+// deleteClaim removes this request's own row, because the request certainly did not run.
+func (r *Router) deleteClaim(c *claim) { r.updateClaim(c.key, c.row.Request, recordTimeout, nil) }
 
-func (r *Router) changeClaim(key, request string, within time.Duration, value []byte) bool {
-	ctx, cancel := context.WithTimeout(r.ctx, within)
+func (r *Router) updateClaim(key, request string, timeout time.Duration, value []byte) bool {
+	ctx, cancel := context.WithTimeout(r.ctx, timeout)
 	defer cancel()
 	for {
 		row, version, err := r.readClaim(ctx, key)
@@ -220,7 +220,7 @@
 		select {
 		case <-ctx.Done():
 			return false
-		case <-r.clock.After(claimPause):
+		case <-r.clock.After(claimRetryInterval):
 		}
 	}
 }
--- a/router/configuration.go
+++ b/router/configuration.go
@@ -10,18 +10,18 @@
 	"github.com/masticway/masticway/linker"
 )
 
-// wantPause separates two questions for changes.
-const wantPause = 200 * time.Millisecond
+// changeRequestInterval separates two questions for changes.
+const changeRequestInterval = 200 * time.Millisecond
 
 // loadConfig reads the whole configuration from the table, or from a peer when the table is down.
 func (r *Router) loadConfig(ctx context.Context) error {
-	asked := r.clock.Now()
+	readAt := r.clock.Now()
 	full, err := r.store.Full(ctx)
 	if err == nil {
-		r.confirm(asked)
+		r.confirm(readAt)
 	} else {
 		var ok bool
-		if full, ok = r.peers.config(ctx); !ok {
+		if full, ok = r.peers.fetchConfig(ctx); !ok {
 			return err
 		}
 	}
@@ -35,22 +35,22 @@
 // confirm records that the applied revision was the newest accepted one at a time.
 func (r *Router) confirm(at time.Time) {
 	for {
-		seen := r.confirmed.Load()
-		if at.UnixNano() <= seen || r.confirmed.CompareAndSwap(seen, at.UnixNano()) {
+		seen := r.confirmedAt.Load()
+		if at.UnixNano() <= seen || r.confirmedAt.CompareAndSwap(seen, at.UnixNano()) {
 			return
 		}
 	}
 }
 
-// unseen is how long ago the applied revision was certainly the newest.
-func (r *Router) unseen() time.Duration {
-	return max(0, time.Duration(r.clock.Now().UnixNano()-r.confirmed.Load()))
+// configAge is how long ago the applied revision was certainly the newest.
+func (r *Router) configAge() time.Duration {
+	return max(0, time.Duration(r.clock.Now().UnixNano()-r.confirmedAt.Load()))
 }
 
 // isStale tells whether the setting forbids serving with a configuration unconfirmed for so long.
 func (r *Router) isStale() bool {
 	limit := r.settings.StaleAfter.Std()
-	return limit > 0 && r.unseen() > limit
+	return limit > 0 && r.configAge() > limit
 }
 
 // publish makes the applied configuration visible to readers; the caller holds configMu.
@@ -59,13 +59,13 @@
 	r.snapshot.Store(&s)
 	r.metrics.Gauge(metricRevision, int64(s.Revision()))
 	select {
-	case r.applied <- struct{}{}:
+	case r.configApplied <- struct{}{}:
 	default:
 	}
 }
 
-// learn applies changes that the table, a peer or a sidecar gave, and makes them known.
-func (r *Router) learn(changes []masticway.Change) {
+// applyChanges applies changes that the table, a peer or a sidecar gave, and makes them known.
+func (r *Router) applyChanges(changes []masticway.Change) {
 	began := time.Now()
 	r.configMu.Lock()
 	applied, gap := r.config.Apply(changes)
@@ -77,26 +77,26 @@
 		r.metrics.Observe(histogramConfigApply, "change", time.Since(began))
 		r.log.WithFields(logrus.Fields{"event": "config_applied", "revision": applied[len(applied)-1].Revision}).Info("configuration applied")
 		// Those who lack it see it in the heartbeat and ask one of many for it.
-		r.sendBeats()
+		r.sendHeartbeats()
 	}
 	if gap {
 		r.wg.Go(r.pollConfig)
 	}
 }
 
-// wantFrom asks a peer for what this router lacks, not more than one in a while, because many know it at once.
-func (r *Router) wantFrom(c *linker.Conn, revision masticway.Revision) {
+// requestChanges asks a peer for what this router lacks, not more than one in a while, because many know it at once.
+func (r *Router) requestChanges(c *linker.Conn, revision masticway.Revision) {
 	applied := r.snapshot.Load().Revision()
 	now := r.clock.Now().UnixNano()
-	asked := r.wanted.Load()
-	if revision <= applied || now-asked < int64(wantPause) || !r.wanted.CompareAndSwap(asked, now) {
+	last := r.changesRequestedAt.Load()
+	if revision <= applied || now-last < int64(changeRequestInterval) || !r.changesRequestedAt.CompareAndSwap(last, now) {
 		return
 	}
 	_ = c.Send(linker.Message{Want: &linker.Want{After: applied}})
 }
 
-// passOn answers a peer that lacks changes, as far as they are kept here.
-func (r *Router) passOn(c *linker.Conn, after masticway.Revision) {
+// sendChanges answers a peer that lacks changes, as far as they are kept here.
+func (r *Router) sendChanges(c *linker.Conn, after masticway.Revision) {
 	r.configMu.Lock()
 	changes := r.config.After(after)
 	upto := r.config.Snapshot().Revision()
@@ -106,16 +106,16 @@
 
 // pollConfig looks at the head revision in the table and applies what is new.
 func (r *Router) pollConfig() {
-	ctx, cancel := r.background()
+	ctx, cancel := r.platformContext()
 	defer cancel()
-	asked := r.clock.Now()
+	readAt := r.clock.Now()
 	head, err := r.store.Head(ctx)
 	if err != nil {
 		return
 	}
 	current := r.snapshot.Load().Revision()
 	if head <= current {
-		r.confirm(asked)
+		r.confirm(readAt)
 		return
 	}
 	changes, err := r.store.Changes(ctx, current+1, head)
@@ -123,5 +123,5 @@
 		r.log.WithFields(logrus.Fields{"event": "config_not_read", "read": len(changes), "error": err}).Warn("cannot read changes")
 	}
 	// What came is applied although the rest did not: the next look goes on after it instead of reading it again.
-	r.learn(changes)
+	r.applyChanges(changes)
 }
--- a/router/configuration_test.go
+++ b/router/configuration_test.go
@@ -16,13 +16,13 @@
 	"github.com/masticway/masticway/measurer"
 )
 
-// TestManyChangesAreReadFromASlowTable has more changes than one look at the table has time for.
-func TestManyChangesAreReadFromASlowTable(t *testing.T) {
+// TestPollConfigKeepsProgressOnSlowTable has more changes than one look at the table has time for.
+func TestPollConfigKeepsProgressOnSlowTable(t *testing.T) {
 	const (
 		changes = 10
-		// slowness of each call in milliseconds: all changes take longer than platformTimeout.
-		slowness = 500
-		looks    = 3
+		// delayMillis of each call in milliseconds: all changes take longer than platformTimeout.
+		delayMillis = 500
+		polls       = 3
 	)
 	platform := emulator.NewPlatform(0)
 	server := httptest.NewServer(platform.Handler())
@@ -43,8 +43,8 @@
 	for n := range changes {
 		putChange(n + 1)
 	}
-	platform.Table.SetFaults(emulator.TableFaults{Slow: slowness})
-	for range looks {
+	platform.Table.SetFaults(emulator.TableFaults{Slow: delayMillis})
+	for range polls {
 		r.pollConfig()
 	}
 	qt.Assert(t, r.snapshot.Load().Revision(), qt.Equals, loaded+changes)
--- a/router/exchange.go
+++ b/router/exchange.go
@@ -44,34 +44,34 @@
 	defaultMaxOutput = 1024
 	// defaultMinOutput is the least output worth starting for when the contract names none.
 	defaultMinOutput = 16
-	// defaultHoldWait is how long a request waits for money when the contract does not say.
-	defaultHoldWait = 300 * time.Millisecond
+	// defaultHoldTimeout is how long a request waits for money when the contract does not say.
+	defaultHoldTimeout = 300 * time.Millisecond
 	// messageOverhead bounds the tokens that surround one message of a prompt.
 	messageOverhead = 8
-	// duplicateWait is how long a repeated request looks for the run of the first.
-	duplicateWait  = 10 * time.Second
-	duplicatePause = 100 * time.Millisecond
-	// noUpstreamWait is how long a request waits while no upstream of its kind is usable.
-	noUpstreamWait = 2 * time.Second
+	// duplicateTimeout is how long a repeated request looks for the run of the first.
+	duplicateTimeout  = 10 * time.Second
+	duplicateInterval = 100 * time.Millisecond
+	// noUpstreamTimeout is how long a request waits while no upstream of its kind is usable.
+	noUpstreamTimeout = 2 * time.Second
 )
 
 // request is what a caller asks for, checked against its contract; it does not change.
 type request struct {
 	id       string
 	identity masticway.Identity
-	// tracked tells that the caller chose the key, so that it may ask again.
-	tracked       bool
-	contract      masticway.Contract
-	revision      masticway.Revision
-	class         masticway.Class
-	model         masticway.Model
-	service       masticway.Service
-	call          masticway.Call
-	promptBound   int
-	minOutput     int
-	namedMaximum  bool
-	nonRepeatable bool
-	received      time.Time
+	// hasCallerKey tells that the caller chose the key, so that it may ask again.
+	hasCallerKey    bool
+	contract        masticway.Contract
+	revision        masticway.Revision
+	class           masticway.Class
+	model           masticway.Model
+	service         masticway.Service
+	call            masticway.Call
+	maxPromptTokens int
+	minOutput       int
+	hasMaxOutput    bool
+	nonRepeatable   bool
+	receivedAt      time.Time
 }
 
 func (q request) pool() string {
@@ -89,10 +89,10 @@
 	return q.model.Cost(prompt, output)
 }
 
-// receiver takes an answer on behalf of the caller.
-type receiver interface {
-	// chunk takes the next piece; it may block while the caller is slow.
-	chunk(c masticway.Chunk)
+// chunkWriter takes an answer on behalf of the caller.
+type chunkWriter interface {
+	// writeChunk takes the next piece; it may block while the caller is slow.
+	writeChunk(c masticway.Chunk)
 }
 
 // result is how an exchange ended, if it was not refused.
@@ -103,48 +103,48 @@
 
 // exchange carries one request from admission to its bill.
 type exchange struct {
-	r       *Router
-	q       request
-	to      receiver
-	gone    <-chan struct{}
-	chart   charter.Chart
-	state   charter.State
-	trace   explainer.Trace
-	hold    *heldMoney
-	exact   bool
-	attempt int
-	// next is the next piece of the answer, began the one at which the present attempt began.
-	next     int
-	began    int
-	text     strings.Builder
-	tokens   int
-	prompt   int
-	history  retrier.History
-	excluded map[string]bool
-	first    time.Time
-	last     time.Time
-	claim    *claim
+	r             *Router
+	q             request
+	to            chunkWriter
+	callerDone    <-chan struct{}
+	chart         charter.Chart
+	state         charter.State
+	trace         explainer.Trace
+	hold          *moneyHold
+	promptCounted bool
+	attempt       int
+	// nextChunk is the next piece of the answer, began the one at which the present attempt began.
+	nextChunk    int
+	attemptStart int
+	text         strings.Builder
+	outputTokens int
+	promptTokens int
+	history      retrier.History
+	excluded     map[string]bool
+	firstTokenAt time.Time
+	lastTokenAt  time.Time
+	claim        *claim
 	// replay is the recorded outcome of this identity, if its run has left the sidecar's memory.
 	replay *claimRow
-	// ran is the most that can be said of the attempts so far.
-	ran masticway.Fate
+	// fate is the most that can be said of the attempts so far.
+	fate masticway.Fate
 	// endedEarly tells that the identity's last run left no whole answer to attach to.
 	endedEarly bool
-	// unanswered tells that a sidecar did not say whether it has a run of the identity.
-	unanswered bool
-	// join is the run that another request with this identity started.
-	join *joinPoint
+	// searchIncomplete tells that a sidecar did not say whether it has a run of the identity.
+	searchIncomplete bool
+	// found is the run that another request with this identity started.
+	found *foundRun
 }
 
 var requestChart = charter.MustLoad(charter.Request)
 
-func (r *Router) newExchange(q request, to receiver, gone <-chan struct{}) *exchange {
+func (r *Router) newExchange(q request, to chunkWriter, gone <-chan struct{}) *exchange {
 	return &exchange{
-		r: r, q: q, to: to, gone: gone, chart: requestChart, state: requestChart.Initial(),
-		excluded: map[string]bool{}, ran: masticway.FateNotRun,
+		r: r, q: q, to: to, callerDone: gone, chart: requestChart, state: requestChart.Initial(),
+		excluded: map[string]bool{}, fate: masticway.FateNotRun,
 		trace: explainer.Trace{
 			Request: q.id, Identity: q.identity, Workspace: q.contract.Workspace, Revision: q.revision,
-			Target: q.pool(), Class: q.class, Received: q.received,
+			Target: q.pool(), Class: q.class, Received: q.receivedAt,
 		},
 	}
 }
@@ -159,10 +159,10 @@
 	x.state = next
 }
 
-// callerGone tells whether the caller has left.
-func (x *exchange) callerGone() bool {
+// isCallerGone tells whether the caller has left.
+func (x *exchange) isCallerGone() bool {
 	select {
-	case <-x.gone:
+	case <-x.callerDone:
 		return true
 	default:
 		return false
@@ -182,25 +182,25 @@
 }
 
 func (x *exchange) serve(ctx context.Context) (result, error) {
-	if err := x.money(ctx); err != nil {
+	if err := x.acquireHold(ctx); err != nil {
 		x.step(eventRefused)
 		return result{}, err
 	}
-	if x.join != nil {
-		return x.joinFound(ctx)
+	if x.found != nil {
+		return x.joinRun(ctx)
 	}
 	if x.replay != nil {
 		x.step(eventAttached)
-		return x.replayed(*x.replay), nil
+		return x.replayClaim(*x.replay), nil
 	}
-	if x.q.nonRepeatable && x.q.tracked {
+	if x.q.nonRepeatable && x.q.hasCallerKey {
 		out, done, err := x.claimRun(ctx)
 		if done || err != nil {
 			return out, err
 		}
 	}
 	x.step(eventHeld)
-	return x.attempts(ctx)
+	return x.runAttempts(ctx)
 }
 
 // refusal builds the final answer to a request that certainly did not run.
@@ -208,22 +208,22 @@
 	return &masticway.RefusalError{Status: status, Code: code, Message: message, Fate: masticway.FateNotRun, RetryAfter: retry}
 }
 
-// note keeps the most that can be said of all attempts: once one may have run, "not run" is never said again.
-func (x *exchange) note(f masticway.Fate) {
-	if f == masticway.FateRan || (f == masticway.FateUnknown && x.ran == masticway.FateNotRun) {
-		x.ran = f
+// mergeFate keeps the most that can be said of all attempts: once one may have run, "not run" is never said again.
+func (x *exchange) mergeFate(f masticway.Fate) {
+	if f == masticway.FateRan || (f == masticway.FateUnknown && x.fate == masticway.FateNotRun) {
+		x.fate = f
 	}
 }
 
 // withFate makes a refusal tell what became of the attempts before it.
 func (x *exchange) withFate(err error) error {
 	refused, ok := errors.AsType[*masticway.RefusalError](err)
-	if !ok || x.ran == masticway.FateNotRun {
+	if !ok || x.fate == masticway.FateNotRun {
 		return err
 	}
-	refused.Fate = x.ran
+	refused.Fate = x.fate
 	refused.Status = http.StatusBadGateway
-	if x.ran == masticway.FateUnknown {
+	if x.fate == masticway.FateUnknown {
 		refused.Status = http.StatusGatewayTimeout
 	}
 	return refused
@@ -236,54 +236,54 @@
 	}
 }
 
-// ending is how one attempt ended; its fate is final unless it is unknown.
-type ending struct {
+// attemptResult is how one attempt ended; its fate is final unless it is unknown.
+type attemptResult struct {
 	fate  masticway.Fate
 	cause retrier.Cause
 	final *sealer.Final
 	// existing is the run that already has the identity.
 	existing *masticway.RunKey
-	// rehold tells that the payer is sealed, so that another hold is needed.
-	rehold bool
-	// vanished tells that the sidecar is gone for certain, and what it ran with it.
-	vanished bool
-	// ended tells that the upstream has ended under the run, rather than the run alone.
-	ended  bool
-	reason string
+	// needsNewHold tells that the payer is sealed, so that another hold is needed.
+	needsNewHold bool
+	// sidecarGone tells that the sidecar is gone for certain, and what it ran with it.
+	sidecarGone bool
+	// upstreamEnded tells that the upstream has ended under the run, rather than the run alone.
+	upstreamEnded bool
+	reason        string
 }
 
-// attempts tries upstreams until the whole answer is there or the rules say to stop.
-func (x *exchange) attempts(ctx context.Context) (result, error) {
+// runAttempts tries upstreams until the whole answer is there or the rules say to stop.
+func (x *exchange) runAttempts(ctx context.Context) (result, error) {
 	for {
-		p, work, err := x.place(ctx)
+		p, work, err := x.acquireSlot(ctx)
 		if err != nil {
 			x.step(eventRefused)
 			return result{}, err
 		}
-		x.began = x.next
-		e := x.tryAt(ctx, p, work)
-		x.note(e.fate)
+		x.attemptStart = x.nextChunk
+		e := x.runAttempt(ctx, p, work)
+		x.mergeFate(e.fate)
 		if e.final != nil && e.final.Complete {
 			x.step(eventFinished)
 			return result{outcome: e.final.Outcome, usage: x.usage(e.final)}, nil
 		}
 		if e.existing != nil {
 			x.settle()
-			if x.next > 0 {
+			if x.nextChunk > 0 {
 				// Another run's answer must not be joined to the part that was given; asked again, the caller gets it whole.
 				x.step(eventLost)
 				return result{}, &masticway.RefusalError{
 					Status: http.StatusBadGateway, Code: "upstream_failed", Fate: masticway.FateRan,
-					Message: "the answer goes on under another request with this key; ask again", RetryAfter: duplicatePause,
+					Message: "the answer goes on under another request with this key; ask again", RetryAfter: duplicateInterval,
 				}
 			}
-			if x.found(ctx) {
-				return x.joinFound(ctx)
+			if x.findRun(ctx) {
+				return x.joinRun(ctx)
 			}
 			x.step(eventLost)
 			return result{}, unknownOutcome()
 		}
-		if err := x.afterFailure(ctx, e); err != nil {
+		if err := x.handleFailure(ctx, e); err != nil {
 			return result{}, err
 		}
 	}
@@ -292,15 +292,15 @@
 // usage counts the whole answer, whatever attempts it took.
 func (x *exchange) usage(f *sealer.Final) masticway.Usage {
 	u := f.Outcome.Usage
-	if x.prompt > 0 {
-		u.Prompt = x.prompt
+	if x.promptTokens > 0 {
+		u.Prompt = x.promptTokens
 	}
-	u.Completion = x.tokens
+	u.Completion = x.outputTokens
 	return u
 }
 
-// afterFailure applies the retry rules to a failed attempt; an error ends the request.
-func (x *exchange) afterFailure(ctx context.Context, e ending) error {
+// handleFailure applies the retry rules to a failed attempt; an error ends the request.
+func (x *exchange) handleFailure(ctx context.Context, e attemptResult) error {
 	if e.fate == masticway.FateUnknown && x.q.nonRepeatable {
 		x.step(eventLost)
 		return unknownOutcome()
@@ -309,14 +309,14 @@
 		// Nothing undoes a seal; the caller is served by the next incarnation.
 		return x.giveUp(e)
 	}
-	resumable := (x.q.call.Service == "" || x.next == 0) && (e.final == nil || e.final.Disrupted)
+	resumable := (x.q.call.Service == "" || x.nextChunk == 0) && (e.final == nil || e.final.Disrupted)
 	x.r.retryMu.Lock()
 	action, history, wait := x.r.retrier.Decide(retrier.Failure{
-		Cause: e.cause, Fate: e.fate, NonRepeatable: x.q.nonRepeatable, Resumable: resumable, Ended: e.ended, Progress: x.next > x.began,
+		Cause: e.cause, Fate: e.fate, NonRepeatable: x.q.nonRepeatable, Resumable: resumable, Ended: e.upstreamEnded, Progress: x.nextChunk > x.attemptStart,
 	}, x.history)
 	x.r.retryMu.Unlock()
 	x.history = history
-	if action == retrier.ActionFail || (x.callerGone() && !x.q.tracked) || x.r.ctx.Err() != nil {
+	if action == retrier.ActionFail || (x.isCallerGone() && !x.q.hasCallerKey) || x.r.ctx.Err() != nil {
 		return x.giveUp(e)
 	}
 	x.r.metrics.Add(metricRetries, 1)
@@ -326,22 +326,22 @@
 		x.step(eventDisrupted)
 	}
 	if wait > 0 {
-		x.r.bank.pause(wait)
+		x.r.budgets.sleep(wait)
 	}
-	if x.hold != nil && x.tokens == 0 && x.hold.spent() > 0 {
+	if x.hold != nil && x.outputTokens == 0 && x.hold.spent() > 0 {
 		// The lost attempt's prompt was paid for and nothing came of it. The hold covers one prompt, so going on
 		// under it would cut the answer short: that attempt is given back, and the next has a hold of its own.
 		x.settleAs(biller.KindSuperseded)
 	}
-	if x.hold == nil || e.rehold {
+	if x.hold == nil || e.needsNewHold {
 		x.settleAs(biller.KindPart)
-		return x.moneyAgain(ctx)
+		return x.reacquireHold(ctx)
 	}
 	return nil
 }
 
 // giveUp turns the last failure into the caller's answer, at once.
-func (x *exchange) giveUp(e ending) error {
+func (x *exchange) giveUp(e attemptResult) error {
 	switch {
 	case e.fate == masticway.FateNotRun:
 		x.step(eventNotRun)
@@ -358,8 +358,8 @@
 	}
 }
 
-// place gets a slot at an upstream whose use the payer's durable set covers.
-func (x *exchange) place(_ context.Context) (place, chooser.Work, error) {
+// acquireSlot gets a slot at an upstream whose use the payer's durable set covers.
+func (x *exchange) acquireSlot(_ context.Context) (slot, chooser.Work, error) {
 	q := x.q
 	work := chooser.Work{PromptBytes: len(q.call.Prompt), Zone: x.r.settings.Zone}
 	if q.call.Service == "" {
@@ -369,8 +369,8 @@
 	if q.class == masticway.ClassBatch {
 		wait = x.r.settings.Queue.BatchWait.Std()
 	}
-	if !x.r.upstreams.offers(q.pool()) {
-		wait = min(wait, noUpstreamWait)
+	if !x.r.upstreams.hasUsable(q.pool()) {
+		wait = min(wait, noUpstreamTimeout)
 	}
 	began := x.r.clock.Now()
 	payer := x.hold.grant.Payer
@@ -379,16 +379,16 @@
 		// Better the same upstream again than none.
 		excluded = nil
 	}
-	p, estimate, err := x.r.upstreams.acquire(x.gone, &waitingPlace{
+	p, estimate, err := x.r.upstreams.acquire(x.callerDone, &slotRequest{
 		entry: limiter.Entry{
 			ID: q.id + fmt.Sprint(x.attempt), Workspace: q.contract.Workspace, Class: q.class, Priority: q.contract.Priority,
 			Pool: q.pool(), Deadline: began.Add(wait),
 		},
 		work: work,
 		allowed: func(t tracker.Upstream) bool {
-			return !excluded[t.Instance.ID] && x.r.peers.covers(payer, t.Incarnation)
+			return !excluded[t.Instance.ID] && x.r.peers.hasRegistered(payer, t.Incarnation)
 		},
-		placed: make(chan place, 1),
+		granted: make(chan slot, 1),
 	})
 	queued := x.r.clock.Now().Sub(began)
 	x.r.metrics.Observe(histogramQueue, string(q.class), queued)
@@ -404,13 +404,13 @@
 // finish settles, records and logs the end of the exchange.
 func (x *exchange) finish(ctx context.Context, out result, err error) {
 	x.settle()
-	x.endClaim(ctx, out, err)
+	x.completeClaim(ctx, out, err)
 	now := x.r.clock.Now()
 	x.trace.Usage = out.usage
-	x.trace.Took = masticway.Duration(now.Sub(x.q.received))
+	x.trace.Took = masticway.Duration(now.Sub(x.q.receivedAt))
 	fields := logrus.Fields{
 		"event": "request", "request": x.q.id, "workspace": x.q.contract.Workspace, "target": x.q.pool(),
-		"attempts": len(x.trace.Attempts), "bill": x.trace.Bill, "ms": now.Sub(x.q.received).Milliseconds(),
+		"attempts": len(x.trace.Attempts), "bill": x.trace.Bill, "ms": now.Sub(x.q.receivedAt).Milliseconds(),
 	}
 	if refused, ok := errors.AsType[*masticway.RefusalError](err); ok {
 		x.trace.Refusal = refused.Code
@@ -422,8 +422,8 @@
 		}
 	} else {
 		x.r.metrics.Add(metricAnswers, 1)
-		x.r.metrics.Observe(histogramWhole, string(x.q.class), now.Sub(x.q.received))
-		x.r.metrics.Observe(histogramWhole, "workspace "+x.q.contract.Workspace, now.Sub(x.q.received))
+		x.r.metrics.Observe(histogramWhole, string(x.q.class), now.Sub(x.q.receivedAt))
+		x.r.metrics.Observe(histogramWhole, "workspace "+x.q.contract.Workspace, now.Sub(x.q.receivedAt))
 	}
 	if !x.chart.Final(x.state) {
 		x.step(eventAnswered)
--- a/router/join.go
+++ b/router/join.go
@@ -9,16 +9,16 @@
 	"github.com/masticway/masticway/sealer"
 )
 
-// joinPoint is where a run of the same identity was found.
-type joinPoint struct {
+// foundRun is where a run of the same identity was found.
+type foundRun struct {
 	conn   *linker.Conn
 	status sealer.Status
 }
 
-// found looks for a run of the same identity at the sidecars.
-func (x *exchange) found(ctx context.Context) bool {
-	status, conn, all := x.r.upstreams.find(ctx, x.q.identity)
-	x.unanswered = !all
+// findRun looks for a run of the same identity at the sidecars.
+func (x *exchange) findRun(ctx context.Context) bool {
+	status, conn, complete := x.r.upstreams.findRun(ctx, x.q.identity)
+	x.searchIncomplete = !complete
 	if conn == nil {
 		return false
 	}
@@ -27,24 +27,24 @@
 		x.attempt = status.Run.Attempt
 		return false
 	}
-	x.join = &joinPoint{conn: conn, status: status}
+	x.found = &foundRun{conn: conn, status: status}
 	x.trace.Attached = true
 	x.attempt = status.Run.Attempt
 	x.r.metrics.Add(metricAttached, 1)
 	return true
 }
 
-// joinFound relays the answer of a run that another request with the same identity started.
-func (x *exchange) joinFound(ctx context.Context) (result, error) {
+// joinRun relays the answer of a run that another request with the same identity started.
+func (x *exchange) joinRun(ctx context.Context) (result, error) {
 	x.step(eventAttached)
-	if status := x.join.status; status.Resumed > 0 {
+	if status := x.found.status; status.Resumed > 0 {
 		// The run goes on where an earlier attempt ended, so what that one gave comes first.
 		x.relay(masticway.Chunk{Text: status.ResumedText, Tokens: status.Resumed})
 	}
-	f := x.newFollow(x.join.conn.Peer())
-	defer x.r.upstreams.follows.remove(f)
-	_ = x.join.conn.Send(linker.Message{Attach: &sealer.Attach{Run: f.run, From: 0}})
-	e := x.followRun(ctx, f, true, chooser.Work{})
+	f := x.newFeed(x.found.conn.Peer())
+	defer x.r.upstreams.feeds.remove(f)
+	_ = x.found.conn.Send(linker.Message{Attach: &sealer.Attach{Run: f.run, From: 0}})
+	e := x.relayRun(ctx, f, true, chooser.Work{})
 	if e.final != nil && e.final.Complete {
 		x.step(eventFinished)
 		return result{outcome: e.final.Outcome, usage: x.usage(e.final)}, nil
@@ -55,9 +55,9 @@
 	}
 	// The run ended early and its own router may be dead: the answer goes on under this one's money.
 	x.step(eventDisrupted)
-	x.join = nil
-	if err := x.moneyAgain(ctx); err != nil {
+	x.found = nil
+	if err := x.reacquireHold(ctx); err != nil {
 		return result{}, err
 	}
-	return x.attempts(ctx)
+	return x.runAttempts(ctx)
 }
--- a/router/money.go
+++ b/router/money.go
@@ -14,18 +14,18 @@
 	"github.com/masticway/masticway/linker"
 )
 
-// heldMoney is money taken for a request.
-type heldMoney struct {
+// moneyHold is money taken for a request.
+type moneyHold struct {
 	id      masticway.HoldID
 	grant   masticway.GrantKey
 	amount  masticway.Amount
-	taken   time.Time
+	takenAt time.Time
 	charges []keeper.Charge
 	// presumed is what a vanished sidecar may have run.
 	presumed masticway.Amount
 }
 
-func (h *heldMoney) spent() masticway.Amount {
+func (h *moneyHold) spent() masticway.Amount {
 	var sum masticway.Amount
 	for _, c := range h.charges {
 		sum += c.Amount
@@ -34,52 +34,52 @@
 }
 
 // holdBounds returns the most and the least that the rest of the request may cost.
-func (x *exchange) holdBounds() (most, least masticway.Amount) {
+func (x *exchange) holdBounds() (maxCost, minCost masticway.Amount) {
 	q := x.q
-	prompt := q.promptBound
-	if x.exact {
-		prompt = x.prompt
+	prompt := q.maxPromptTokens
+	if x.promptCounted {
+		prompt = x.promptTokens
 	}
-	if x.next > 0 {
+	if x.nextChunk > 0 {
 		prompt = 0
 	}
-	rest := q.call.MaxOutput - x.tokens
-	most = q.cost(prompt, rest)
-	if q.namedMaximum || q.call.Service != "" {
-		return most, most
+	rest := q.call.MaxOutput - x.outputTokens
+	maxCost = q.cost(prompt, rest)
+	if q.hasMaxOutput || q.call.Service != "" {
+		return maxCost, maxCost
 	}
-	return most, q.cost(prompt, min(rest, q.minOutput))
+	return maxCost, q.cost(prompt, min(rest, q.minOutput))
 }
 
-// money takes a hold, or finds the run that the same identity already has.
-func (x *exchange) money(ctx context.Context) error {
-	deadline := x.r.clock.Now().Add(duplicateWait)
+// acquireHold takes a hold, or finds the run that the same identity already has.
+func (x *exchange) acquireHold(ctx context.Context) error {
+	deadline := x.r.clock.Now().Add(duplicateTimeout)
 	for x.r.ctx.Err() == nil {
-		h, id := x.askHold(ctx)
+		h, id := x.requestHold(ctx)
 		if h.Limit != "" {
 			return refusal(http.StatusTooManyRequests, "limit_"+h.Limit, "the contract's "+h.Limit+" limit is reached", h.Retry)
 		}
 		switch h.Verdict {
 		case keeper.VerdictHeld:
-			x.take(h, id)
-			if x.q.tracked && !h.Sure && x.next == 0 && x.found(ctx) {
+			x.setHold(h, id)
+			if x.q.hasCallerKey && !h.Sure && x.nextChunk == 0 && x.findRun(ctx) {
 				x.settle()
 			}
 			return nil
 		case keeper.VerdictDuplicate:
-			if x.found(ctx) || x.recorded(ctx) {
+			if x.findRun(ctx) || x.findRecorded(ctx) {
 				return nil
 			}
-			over := !h.Open && !x.endedEarly && !x.unanswered
-			if over || x.r.clock.Now().After(deadline) || x.callerGone() {
+			over := !h.Open && !x.endedEarly && !x.searchIncomplete
+			if over || x.r.clock.Now().After(deadline) || x.isCallerGone() {
 				return &masticway.RefusalError{
 					Status: http.StatusConflict, Code: "answer_not_available", Fate: masticway.FateUnknown,
 					Message: "this key was used and its answer is not available", RetryAfter: time.Second,
 				}
 			}
-			x.r.bank.pause(duplicatePause)
+			x.r.budgets.sleep(duplicateInterval)
 		case keeper.VerdictExhausted:
-			if x.exact || !x.countExactly(ctx) {
+			if x.promptCounted || !x.countPrompt(ctx) {
 				return refusal(http.StatusPaymentRequired, "budget_exhausted", "the prepaid budget does not cover the request", 0)
 			}
 		default:
@@ -93,49 +93,49 @@
 	return refusal(http.StatusServiceUnavailable, "budget_unreachable", "the budget cannot be reached now", time.Second)
 }
 
-func (x *exchange) askHold(ctx context.Context) (linker.HoldIs, masticway.HoldID) {
-	most, least := x.holdBounds()
+func (x *exchange) requestHold(ctx context.Context) (linker.HoldIs, masticway.HoldID) {
+	maxCost, minCost := x.holdBounds()
 	wait := x.q.contract.HoldWait.Std()
 	if wait == 0 {
-		wait = defaultHoldWait
+		wait = defaultHoldTimeout
 	}
 	return x.r.peers.hold(ctx, keeper.HoldRequest{
 		ID: masticway.HoldID(uuid.NewString()), Budget: x.q.contract.Budget, Identity: x.q.identity, Sender: x.r.self,
-		Most: most, Least: least, Tracked: x.q.tracked && x.next == 0, Again: x.endedEarly,
+		Most: maxCost, Least: minCost, Tracked: x.q.hasCallerKey && x.nextChunk == 0, Again: x.endedEarly,
 		Horizon: x.q.contract.Horizon.Std(), Wait: wait,
 	}, x.q.contract)
 }
 
-func (x *exchange) take(h linker.HoldIs, id masticway.HoldID) {
-	x.hold = &heldMoney{id: id, grant: h.Grant, amount: h.Amount, taken: x.r.clock.Now()}
-	most, _ := x.holdBounds()
+func (x *exchange) setHold(h linker.HoldIs, id masticway.HoldID) {
+	x.hold = &moneyHold{id: id, grant: h.Grant, amount: h.Amount, takenAt: x.r.clock.Now()}
+	maxCost, _ := x.holdBounds()
 	x.trace.Holds = append(x.trace.Holds, explainer.Hold{
-		ID: id, Payer: string(h.Grant.Payer), Bound: most, Amount: h.Amount, Exact: x.exact, Waited: masticway.Duration(h.Waited),
+		ID: id, Payer: string(h.Grant.Payer), Bound: maxCost, Amount: h.Amount, Exact: x.promptCounted, Waited: masticway.Duration(h.Waited),
 	})
 	x.r.metrics.Observe(histogramHold, string(x.q.class), h.Waited)
 }
 
-// countExactly learns the prompt's true token count, so that a thin budget is not refused on the byte bound.
-func (x *exchange) countExactly(ctx context.Context) bool {
+// countPrompt learns the prompt's true token count, so that a thin budget is not refused on the byte bound.
+func (x *exchange) countPrompt(ctx context.Context) bool {
 	if !x.r.settings.Money.ExactCount || x.q.call.Service != "" {
 		return false
 	}
-	n := x.r.upstreams.count(ctx, x.q.pool(), x.q.call.Prompt)
+	n := x.r.upstreams.countTokens(ctx, x.q.pool(), x.q.call.Prompt)
 	if n < 0 {
 		return false
 	}
 	x.r.metrics.Add(metricExactCounts, 1)
-	x.prompt = n
-	x.exact = true
+	x.promptTokens = n
+	x.promptCounted = true
 	return true
 }
 
-// moneyAgain takes a new hold for the rest of a request that has already begun.
-func (x *exchange) moneyAgain(ctx context.Context) error {
-	tracked := x.q.tracked
-	x.q.tracked = false
-	defer func() { x.q.tracked = tracked }()
-	err := x.money(ctx)
+// reacquireHold takes a new hold for the rest of a request that has already begun.
+func (x *exchange) reacquireHold(ctx context.Context) error {
+	tracked := x.q.hasCallerKey
+	x.q.hasCallerKey = false
+	defer func() { x.q.hasCallerKey = tracked }()
+	err := x.acquireHold(ctx)
 	if err != nil {
 		x.step(eventRefused)
 	}
@@ -152,13 +152,13 @@
 	}
 	x.hold = nil
 	x.trace.Bill += h.spent()
-	x.r.settleHold(x.q, h, kind, masticway.Usage{Prompt: x.prompt, Completion: x.tokens})
+	x.r.settleHold(x.q, h, kind, masticway.Usage{Prompt: x.promptTokens, Completion: x.outputTokens})
 }
 
 // settleHold ends a hold and writes its bill.
-func (r *Router) settleHold(q request, h *heldMoney, kind biller.Kind, usage masticway.Usage) {
+func (r *Router) settleHold(q request, h *moneyHold, kind biller.Kind, usage masticway.Usage) {
 	r.peers.settle(h.grant.Payer, linker.Settle{Hold: h.id, Charges: h.charges})
-	r.metrics.Observe(histogramSettle, string(q.class), r.clock.Now().Sub(h.taken))
+	r.metrics.Observe(histogramSettle, string(q.class), r.clock.Now().Sub(h.takenAt))
 	if h.spent() == 0 {
 		return
 	}
--- a/router/operators.go
+++ b/router/operators.go
@@ -25,51 +25,51 @@
 )
 
 const (
-	operatorTimeout   = 5 * time.Second
-	operatorBodyLimit = 1 << 20
-	// historyMost bounds the changes that one history answer shows.
-	historyMost = 50
+	operatorTimeout = 5 * time.Second
+	maxOperatorBody = 1 << 20
+	// maxHistory bounds the changes that one history answer shows.
+	maxHistory = 50
 )
 
 // OperatorHandler serves operators, on a listener and with a token of their own.
 func (r *Router) OperatorHandler() http.Handler {
 	ws := new(restful.WebService).Path("/admin/v1").Consumes("*/*").Produces("*/*")
-	ws.Route(ws.GET("/contracts").To(r.operator(r.listContracts)))
-	ws.Route(ws.GET("/contracts/{workspace}").To(r.operator(r.getContract)))
-	ws.Route(ws.PUT("/contracts/{workspace}").To(r.operator(r.putContract)))
-	ws.Route(ws.DELETE("/contracts/{workspace}").To(r.operator(r.removeContract)))
-	ws.Route(ws.GET("/catalog").To(r.operator(r.getCatalog)))
-	ws.Route(ws.PUT("/catalog").To(r.operator(r.putCatalog)))
-	ws.Route(ws.GET("/config/history").To(r.operator(r.configHistory)))
-	ws.Route(ws.GET("/config/status").To(r.operator(r.configStatus)))
-	ws.Route(ws.GET("/budgets/{budget}").To(r.operator(r.showBudget)))
-	ws.Route(ws.POST("/budgets/{budget}/top-ups").To(r.operator(r.topUp)))
-	ws.Route(ws.GET("/upstreams").To(r.operator(r.listUpstreams)))
-	ws.Route(ws.POST("/upstreams/{instance}/orders").To(r.operator(r.order)))
-	ws.Route(ws.GET("/requests/{request}").To(r.operator(r.explain)))
-	mux := r.withHealth(ws)
+	ws.Route(ws.GET("/contracts").To(r.handleOperator(r.listContracts)))
+	ws.Route(ws.GET("/contracts/{workspace}").To(r.handleOperator(r.getContract)))
+	ws.Route(ws.PUT("/contracts/{workspace}").To(r.handleOperator(r.putContract)))
+	ws.Route(ws.DELETE("/contracts/{workspace}").To(r.handleOperator(r.removeContract)))
+	ws.Route(ws.GET("/catalog").To(r.handleOperator(r.getCatalog)))
+	ws.Route(ws.PUT("/catalog").To(r.handleOperator(r.putCatalog)))
+	ws.Route(ws.GET("/config/history").To(r.handleOperator(r.configHistory)))
+	ws.Route(ws.GET("/config/status").To(r.handleOperator(r.configStatus)))
+	ws.Route(ws.GET("/budgets/{budget}").To(r.handleOperator(r.showBudget)))
+	ws.Route(ws.POST("/budgets/{budget}/top-ups").To(r.handleOperator(r.topUp)))
+	ws.Route(ws.GET("/upstreams").To(r.handleOperator(r.listUpstreams)))
+	ws.Route(ws.POST("/upstreams/{instance}/orders").To(r.handleOperator(r.sendOrder)))
+	ws.Route(ws.GET("/requests/{request}").To(r.handleOperator(r.explain)))
+	mux := r.newMux(ws)
 	// Metrics name workspaces, so callers do not see them.
 	mux.Handle("GET /debug/vars", r.metrics)
 	return mux
 }
 
-// operation is an authenticated operator's request.
-type operation struct {
+// operatorRequest is an authenticated operator's request.
+type operatorRequest struct {
 	http *http.Request
 	to   http.ResponseWriter
 	path func(name string) string
 }
 
 // changeID is the operator's idempotency key, or one made here.
-func (o operation) changeID() string {
+func (o operatorRequest) changeID() string {
 	if id := o.http.Header.Get(headerKey); id != "" {
 		return id
 	}
 	return uuid.NewString()
 }
 
-// base is the revision that a change is based on.
-func (o operation) base() (masticway.Revision, error) {
+// baseRevision is the revision that a change is based on.
+func (o operatorRequest) baseRevision() (masticway.Revision, error) {
 	value := strings.Trim(o.http.Header.Get("If-Match"), `"`)
 	if value == "*" {
 		return configurer.AnyRevision, nil
@@ -81,7 +81,7 @@
 	return masticway.Revision(n), nil
 }
 
-func (r *Router) operator(f func(context.Context, operation) (any, error)) restful.RouteFunction {
+func (r *Router) handleOperator(f func(context.Context, operatorRequest) (any, error)) restful.RouteFunction {
 	return func(request *restful.Request, response *restful.Response) {
 		w := response.ResponseWriter
 		if !authenticator.Equal(authenticator.Bearer(request.Request), r.secrets.AdminToken) {
@@ -90,7 +90,7 @@
 		}
 		ctx, cancel := context.WithTimeout(request.Request.Context(), operatorTimeout)
 		defer cancel()
-		out, err := f(ctx, operation{http: request.Request, to: w, path: request.PathParameter})
+		out, err := f(ctx, operatorRequest{http: request.Request, to: w, path: request.PathParameter})
 		if err != nil {
 			writeOperatorError(w, err)
 			return
@@ -151,8 +151,8 @@
 	})
 }
 
-func readOperatorBody(o operation) ([]byte, error) {
-	data, err := io.ReadAll(http.MaxBytesReader(o.to, o.http.Body, operatorBodyLimit))
+func readOperatorBody(o operatorRequest) ([]byte, error) {
+	data, err := io.ReadAll(http.MaxBytesReader(o.to, o.http.Body, maxOperatorBody))
 	if err != nil {
 		return nil, refusal(http.StatusRequestEntityTooLarge, "body_too_large", "the body is too large", 0)
 	}
@@ -179,12 +179,12 @@
 	State charter.State `json:"state"`
 }
 
-func (r *Router) listContracts(context.Context, operation) (any, error) {
+func (r *Router) listContracts(context.Context, operatorRequest) (any, error) {
 	s := r.snapshot.Load()
 	return ContractsAnswer{Revision: s.Revision(), Contracts: s.Contracts()}, nil
 }
 
-func (r *Router) getContract(ctx context.Context, o operation) (any, error) {
+func (r *Router) getContract(ctx context.Context, o operatorRequest) (any, error) {
 	c, revision, err := r.store.Contract(ctx, o.path("workspace"))
 	if err != nil {
 		return nil, err
@@ -193,7 +193,7 @@
 	return ContractAnswer{Revision: revision, Contract: c}, nil
 }
 
-func (r *Router) putContract(ctx context.Context, o operation) (any, error) {
+func (r *Router) putContract(ctx context.Context, o operatorRequest) (any, error) {
 	data, err := readOperatorBody(o)
 	if err != nil {
 		return nil, err
@@ -205,14 +205,14 @@
 	if c.Workspace != o.path("workspace") {
 		return nil, refusal(http.StatusUnprocessableEntity, "invalid", "the workspace in the path and in the body differ", 0)
 	}
-	return r.change(ctx, o, masticway.Change{Contract: &c})
+	return r.putChange(ctx, o, masticway.Change{Contract: &c})
 }
 
-func (r *Router) removeContract(ctx context.Context, o operation) (any, error) {
-	return r.change(ctx, o, masticway.Change{Removed: o.path("workspace")})
+func (r *Router) removeContract(ctx context.Context, o operatorRequest) (any, error) {
+	return r.putChange(ctx, o, masticway.Change{Removed: o.path("workspace")})
 }
 
-func (r *Router) getCatalog(ctx context.Context, _ operation) (any, error) {
+func (r *Router) getCatalog(ctx context.Context, _ operatorRequest) (any, error) {
 	c, revision, err := r.store.Catalog(ctx)
 	return struct {
 		Revision masticway.Revision `json:"revision"`
@@ -220,7 +220,7 @@
 	}{revision, c}, err
 }
 
-func (r *Router) putCatalog(ctx context.Context, o operation) (any, error) {
+func (r *Router) putCatalog(ctx context.Context, o operatorRequest) (any, error) {
 	data, err := readOperatorBody(o)
 	if err != nil {
 		return nil, err
@@ -229,11 +229,11 @@
 	if err != nil {
 		return nil, err
 	}
-	return r.change(ctx, o, masticway.Change{Catalog: &c})
+	return r.putChange(ctx, o, masticway.Change{Catalog: &c})
 }
 
-func (r *Router) change(ctx context.Context, o operation, c masticway.Change) (any, error) {
-	base, err := o.base()
+func (r *Router) putChange(ctx context.Context, o operatorRequest, c masticway.Change) (any, error) {
+	base, err := o.baseRevision()
 	if err != nil {
 		return nil, err
 	}
@@ -247,12 +247,12 @@
 	return ChangeAnswer{Revision: accepted.Revision, ID: accepted.ID, State: configurer.Standing(nil, false)}, nil
 }
 
-func (r *Router) configHistory(ctx context.Context, _ operation) (any, error) {
+func (r *Router) configHistory(ctx context.Context, _ operatorRequest) (any, error) {
 	head, err := r.store.Head(ctx)
 	if err != nil {
 		return nil, err
 	}
-	changes, err := r.store.Changes(ctx, max(1, head-historyMost+1), head)
+	changes, err := r.store.Changes(ctx, max(1, head-maxHistory+1), head)
 	return struct {
 		Changes []masticway.Change `json:"changes"`
 	}{changes}, err
@@ -268,7 +268,7 @@
 	Behind  []string            `json:"behind,omitempty"`
 }
 
-func (r *Router) configStatus(ctx context.Context, _ operation) (any, error) {
+func (r *Router) configStatus(ctx context.Context, _ operatorRequest) (any, error) {
 	head, err := r.store.Head(ctx)
 	if err != nil {
 		return nil, err
@@ -288,7 +288,7 @@
 	return status, nil
 }
 
-func (r *Router) listUpstreams(context.Context, operation) (any, error) {
+func (r *Router) listUpstreams(context.Context, operatorRequest) (any, error) {
 	type entry struct {
 		Instance    string                `json:"instance"`
 		Incarnation masticway.Incarnation `json:"incarnation"`
@@ -310,13 +310,13 @@
 	}{list}, nil
 }
 
-func (r *Router) order(ctx context.Context, o operation) (any, error) {
+func (r *Router) sendOrder(ctx context.Context, o operatorRequest) (any, error) {
 	data, err := readOperatorBody(o)
 	if err != nil {
 		return nil, err
 	}
-	var wanted masticway.Order
-	if err := json.Unmarshal(data, &wanted); err != nil || wanted.Action == "" {
+	var order masticway.Order
+	if err := json.Unmarshal(data, &order); err != nil || order.Action == "" {
 		return nil, refusal(http.StatusBadRequest, "malformed_json", "the body holds action and target", 0)
 	}
 	instance := o.path("instance")
@@ -324,27 +324,27 @@
 	if conn == nil {
 		return nil, refusal(http.StatusServiceUnavailable, "no_upstream", "the upstream's sidecar cannot be reached", time.Second)
 	}
-	numbered, err := r.book.NextFence(ctx, instance, o.changeID(), wanted)
+	numberedOrder, err := r.book.NextFence(ctx, instance, o.changeID(), order)
 	if err != nil {
 		return nil, err
 	}
-	answer, err := conn.Ask(ctx, linker.Message{Order: &numbered})
+	answer, err := conn.Ask(ctx, linker.Message{Order: &numberedOrder})
 	if err != nil || answer.OrderIs == nil {
 		return nil, &masticway.OutcomeUnknownError{Service: "sidecar", ID: instance, Reason: "no answer to the order"}
 	}
 	if !answer.OrderIs.Done {
 		return nil, refusal(http.StatusConflict, "order_refused", answer.OrderIs.Reason, 0)
 	}
-	return numbered, nil
+	return numberedOrder, nil
 }
 
 // explain finds a request's trace here, at the peer that served it, or in the object store.
-func (r *Router) explain(ctx context.Context, o operation) (any, error) {
+func (r *Router) explain(ctx context.Context, o operatorRequest) (any, error) {
 	id := o.path("request")
 	if t, ok := r.traces.Get(id); ok {
 		return t, nil
 	}
-	for _, c := range r.peers.linked() {
+	for _, c := range r.peers.allConns() {
 		a, err := c.Ask(ctx, linker.Message{Explain: &linker.Explain{Request: id}})
 		if err == nil && a.Explained != nil && len(a.Explained.Trace) > 0 {
 			return json.RawMessage(a.Explained.Trace), nil
--- a/router/peer_money.go
+++ b/router/peer_money.go
@@ -10,26 +10,26 @@
 )
 
 const (
-	// settleRetry separates attempts to report a settlement to its keeper.
-	settleRetry = 100 * time.Millisecond
+	// settleRetryInterval separates attempts to report a settlement to its keeper.
+	settleRetryInterval = 100 * time.Millisecond
 	// holdGrace is how long beyond a request's own wait a remote keeper may take.
 	holdGrace = 700 * time.Millisecond
 )
 
-type pendingSettle struct {
-	payer  masticway.Incarnation
-	settle linker.Settle
+type pendingSettlement struct {
+	payer      masticway.Incarnation
+	settlement linker.Settle
 }
 
 // hold asks a budget's keeper for money, or this router's own when the keeper cannot be reached.
 func (p *peers) hold(ctx context.Context, request keeper.HoldRequest, c masticway.Contract) (linker.HoldIs, masticway.HoldID) {
 	target := p.keeperFor(request.Budget)
 	if conn := p.conn(target); conn != nil {
-		asking, cancel := context.WithTimeout(ctx, request.Wait+holdGrace)
+		callCtx, cancel := context.WithTimeout(ctx, request.Wait+holdGrace)
 		defer cancel()
 		// The link may still write it when the wait is over.
-		asked := request
-		answer, err := conn.Ask(asking, linker.Message{Hold: &asked})
+		sent := request
+		answer, err := conn.Ask(callCtx, linker.Message{Hold: &sent})
 		if err == nil && answer.HoldIs != nil && answer.HoldIs.Verdict != keeper.VerdictElsewhere {
 			return *answer.HoldIs, request.ID
 		}
@@ -43,7 +43,7 @@
 		p.router.metrics.Add(metricFallbackHolds, 1)
 	}
 	reply := make(chan linker.HoldIs, 1)
-	p.router.bank.hold(request, c, func(h linker.HoldIs) { reply <- h })
+	p.router.budgets.hold(request, c, func(h linker.HoldIs) { reply <- h })
 	var h linker.HoldIs
 	select {
 	case h = <-reply:
@@ -57,7 +57,7 @@
 // resize passes a smaller bound to the hold's payer.
 func (p *peers) resize(payer masticway.Incarnation, id masticway.HoldID, amount masticway.Amount) {
 	if payer == p.router.self {
-		p.router.bank.resize(id, amount)
+		p.router.budgets.resize(id, amount)
 		return
 	}
 	if c := p.conn(payer); c != nil {
@@ -68,16 +68,16 @@
 // settle reports a hold's charges to its payer, and stays with it until the payer has them or is sealed.
 func (p *peers) settle(payer masticway.Incarnation, s linker.Settle) {
 	if payer == p.router.self {
-		p.router.bank.settle(s)
+		p.router.budgets.settle(s)
 		return
 	}
 	p.mu.Lock()
-	p.unsettled[s.Hold] = pendingSettle{payer: payer, settle: s}
+	p.unsettled[s.Hold] = pendingSettlement{payer: payer, settlement: s}
 	p.mu.Unlock()
-	p.router.wg.Go(func() { p.keepSettling(payer, s) })
+	p.router.wg.Go(func() { p.retrySettle(payer, s) })
 }
 
-func (p *peers) keepSettling(payer masticway.Incarnation, s linker.Settle) {
+func (p *peers) retrySettle(payer masticway.Incarnation, s linker.Settle) {
 	for p.router.ctx.Err() == nil {
 		if p.trySettle(payer, s) || p.router.recovery.isRecovered(payer) {
 			p.mu.Lock()
@@ -85,7 +85,7 @@
 			p.mu.Unlock()
 			return
 		}
-		p.router.bank.pause(settleRetry)
+		p.router.budgets.sleep(settleRetryInterval)
 	}
 }
 
@@ -94,14 +94,14 @@
 	if c == nil {
 		return false
 	}
-	ctx, cancel := context.WithTimeout(p.router.ctx, askTimeout)
+	ctx, cancel := context.WithTimeout(p.router.ctx, callTimeout)
 	defer cancel()
 	_, err := c.Ask(ctx, linker.Message{Settle: &s})
 	return err == nil
 }
 
-// flushSettlements waits until all settlements have been acknowledged.
-func (p *peers) flushSettlements(ctx context.Context) {
+// waitForSettlements waits until all settlements have been acknowledged.
+func (p *peers) waitForSettlements(ctx context.Context) {
 	for {
 		p.mu.Lock()
 		left := len(p.unsettled)
@@ -112,25 +112,25 @@
 		select {
 		case <-ctx.Done():
 			return
-		case <-p.router.clock.After(bankTick):
+		case <-p.router.clock.After(tickInterval):
 		}
 	}
 }
 
-// askBack asks those who have open grants of a budget to return idle money, in whatever region they are.
-func (p *peers) askBack(budget string, payers []masticway.Incarnation) {
+// requestReturn asks those who have open grants of a budget to return idle money, in whatever region they are.
+func (p *peers) requestReturn(budget string, payers []masticway.Incarnation) {
 	m := linker.Message{GiveBack: &linker.GiveBack{Budget: budget}}
 	for _, payer := range payers {
 		if c := p.conn(payer); c != nil {
 			_ = c.Send(m)
 			continue
 		}
-		p.router.wg.Go(func() { p.askFar(payer, m) })
+		p.router.wg.Go(func() { p.requestReturnByDialing(payer, m) })
 	}
 }
 
-// askFar asks a router that this one keeps no link to.
-func (p *peers) askFar(payer masticway.Incarnation, m linker.Message) {
+// requestReturnByDialing asks a router that this one keeps no link to.
+func (p *peers) requestReturnByDialing(payer masticway.Incarnation, m linker.Message) {
 	ctx, cancel := context.WithTimeout(p.router.ctx, platformTimeout)
 	defer cancel()
 	row, err := p.router.book.Daemon(ctx, payer)
@@ -156,7 +156,7 @@
 		_ = c.Answer(m, linker.Message{HoldIs: &linker.HoldIs{Verdict: keeper.VerdictElsewhere}})
 		return
 	}
-	p.router.bank.hold(*m.Hold, contract, func(h linker.HoldIs) {
+	p.router.budgets.hold(*m.Hold, contract, func(h linker.HoldIs) {
 		_ = c.Answer(m, linker.Message{HoldIs: &h})
 	})
 }
--- a/router/peer_reach.go
+++ b/router/peer_reach.go
@@ -8,51 +8,51 @@
 	"github.com/masticway/masticway/linker"
 )
 
-// reachMissing asks a peer to record the sidecars that its money may be used at and that it is not known to have.
-func (p *peers) reachMissing(c *linker.Conn) bool {
+// registerMissing asks a peer to record the sidecars that its money may be used at and that it is not known to have.
+func (p *peers) registerMissing(c *linker.Conn) bool {
 	missing := []masticway.Incarnation{}
-	for _, s := range p.router.upstreams.linked() {
-		if sidecar := s.Peer().Incarnation; !p.covers(c.Peer().Incarnation, sidecar) {
+	for _, s := range p.router.upstreams.allConns() {
+		if sidecar := s.Peer().Incarnation; !p.hasRegistered(c.Peer().Incarnation, sidecar) {
 			missing = append(missing, sidecar)
 		}
 	}
-	return p.askReach(c, missing)
+	return p.requestRegistration(c, missing)
 }
 
-// reachAll brings all peers up to date; it is repeated, so that a sidecar that came meanwhile is not missed.
-func (p *peers) reachAll() {
-	sidecars := p.router.upstreams.linked()
-	for _, c := range p.lacking(sidecars) {
-		p.router.wg.Go(func() { p.reachMissing(c) })
+// registerAll brings all peers up to date; it is repeated, so that a sidecar that came meanwhile is not missed.
+func (p *peers) registerAll() {
+	sidecars := p.router.upstreams.allConns()
+	for _, c := range p.unregisteredPeers(sidecars) {
+		p.router.wg.Go(func() { p.registerMissing(c) })
 	}
 }
 
-// lacking lists the peers that are not known to have recorded every one of the sidecars.
-func (p *peers) lacking(sidecars []*linker.Conn) []*linker.Conn {
+// unregisteredPeers lists the peers that are not known to have recorded every one of the sidecars.
+func (p *peers) unregisteredPeers(sidecars []*linker.Conn) []*linker.Conn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	var lacking []*linker.Conn
+	var unregistered []*linker.Conn
 	for inc, c := range p.conns {
-		reached := p.reached[inc]
+		reached := p.registered[inc]
 		if slices.ContainsFunc(sidecars, func(s *linker.Conn) bool { return !reached[s.Peer().Incarnation] }) {
-			lacking = append(lacking, c)
+			unregistered = append(unregistered, c)
 		}
 	}
-	return lacking
+	return unregistered
 }
 
-func (p *peers) askReach(c *linker.Conn, sidecars []masticway.Incarnation) bool {
-	ctx, cancel := context.WithTimeout(p.router.ctx, reachTimeout)
+func (p *peers) requestRegistration(c *linker.Conn, sidecars []masticway.Incarnation) bool {
+	ctx, cancel := context.WithTimeout(p.router.ctx, registerTimeout)
 	defer cancel()
 	if _, err := c.Ask(ctx, linker.Message{Reach: &linker.Reach{Sidecars: sidecars}}); err != nil {
 		return false
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	set, ok := p.reached[c.Peer().Incarnation]
+	set, ok := p.registered[c.Peer().Incarnation]
 	if !ok {
 		set = map[masticway.Incarnation]bool{}
-		p.reached[c.Peer().Incarnation] = set
+		p.registered[c.Peer().Incarnation] = set
 	}
 	for _, s := range sidecars {
 		set[s] = true
@@ -60,30 +60,30 @@
 	return true
 }
 
-// covers tells whether a payer's durable set is known to hold a sidecar.
-func (p *peers) covers(payer, sidecar masticway.Incarnation) bool {
+// hasRegistered tells whether a payer's durable set is known to hold a sidecar.
+func (p *peers) hasRegistered(payer, sidecar masticway.Incarnation) bool {
 	if payer == p.router.self {
-		return p.router.bank.linked(sidecar)
+		return p.router.budgets.isRegistered(sidecar)
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.reached[payer][sidecar]
+	return p.registered[payer][sidecar]
 }
 
-func (p *peers) answerReach(c *linker.Conn, m linker.Message) {
+func (p *peers) answerRegistration(c *linker.Conn, m linker.Message) {
 	ctx, cancel := c.Bind(p.router.ctx)
 	defer cancel()
-	if p.router.bank.link(ctx, m.Reach.Sidecars...) {
-		p.recorded(ctx, c)
+	if p.router.budgets.register(ctx, m.Reach.Sidecars...) {
+		p.addInbound(ctx, c)
 		_ = c.Answer(m, linker.Message{Reached: &linker.Reached{}})
 	}
 }
 
-// recorded notes that this router may be counted among the keepers at the other end of a link.
-func (p *peers) recorded(ctx context.Context, c *linker.Conn) {
+// addInbound notes that this router may be counted among the keepers at the other end of a link.
+func (p *peers) addInbound(ctx context.Context, c *linker.Conn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if _, again := p.counted[c]; !again && ctx.Err() == nil {
-		p.counted[c] = false
+	if _, known := p.inbound[c]; !known && ctx.Err() == nil {
+		p.inbound[c] = false
 	}
 }
--- a/router/peers.go
+++ b/router/peers.go
@@ -17,11 +17,11 @@
 )
 
 const (
-	// reachTimeout bounds one request to a peer to record a sidecar.
-	reachTimeout = 5 * time.Second
-	// configPause is how long a peer that was asked for its configuration may say nothing large; the whole is not bounded,
+	// registerTimeout bounds one request to a peer to record a sidecar.
+	registerTimeout = 5 * time.Second
+	// configIdleTimeout is how long a peer that was asked for its configuration may say nothing large; the whole is not bounded,
 	// because the next peer would send the same bytes over the same link.
-	configPause = 5 * time.Second
+	configIdleTimeout = 5 * time.Second
 )
 
 // peers is the set of other routers: who keeps which budget, and the links to them.
@@ -29,56 +29,56 @@
 	router   *Router
 	listener *linker.Listener
 
-	mu      sync.Mutex
-	conns   map[masticway.Incarnation]*linker.Conn
-	stops   map[string]context.CancelFunc
-	reached map[masticway.Incarnation]map[masticway.Incarnation]bool
-	leaving map[masticway.Incarnation]bool
-	// listed tells that the instance list has been read.
-	listed bool
-	// counted are the links that peers dialed and on which this router has recorded their sidecars; true ones have
+	mu         sync.Mutex
+	conns      map[masticway.Incarnation]*linker.Conn
+	cancels    map[string]context.CancelFunc
+	registered map[masticway.Incarnation]map[masticway.Incarnation]bool
+	draining   map[masticway.Incarnation]bool
+	// instancesRead tells that the instance list has been read.
+	instancesRead bool
+	// inbound are the links that peers dialed and on which this router has recorded their sidecars; true ones have
 	// brought a heartbeat since, which a peer sends once it counts this router among the keepers.
-	counted map[*linker.Conn]bool
-	// heard is when each peer last said something, and silent those that have not for too long.
-	heard  map[masticway.Incarnation]time.Time
-	silent map[masticway.Incarnation]bool
-	// ring places budgets at the routers that are alive; it is made anew when they change.
-	ring *rendezvous.Rendezvous
+	inbound map[*linker.Conn]bool
+	// lastMessageAt is when each peer last said something, and silent those that have not for too long.
+	lastMessageAt map[masticway.Incarnation]time.Time
+	silent        map[masticway.Incarnation]bool
+	// placement places budgets at the routers that are alive; it is made anew when they change.
+	placement *rendezvous.Rendezvous
 	// unsettled are settlements that their keeper has not acknowledged.
-	unsettled map[masticway.HoldID]pendingSettle
+	unsettled map[masticway.HoldID]pendingSettlement
 }
 
 func newPeers(r *Router) *peers {
 	p := &peers{
-		router: r, conns: map[masticway.Incarnation]*linker.Conn{}, stops: map[string]context.CancelFunc{},
-		reached:   map[masticway.Incarnation]map[masticway.Incarnation]bool{},
-		leaving:   map[masticway.Incarnation]bool{},
-		counted:   map[*linker.Conn]bool{},
-		heard:     map[masticway.Incarnation]time.Time{},
-		silent:    map[masticway.Incarnation]bool{},
-		unsettled: map[masticway.HoldID]pendingSettle{},
+		router: r, conns: map[masticway.Incarnation]*linker.Conn{}, cancels: map[string]context.CancelFunc{},
+		registered:    map[masticway.Incarnation]map[masticway.Incarnation]bool{},
+		draining:      map[masticway.Incarnation]bool{},
+		inbound:       map[*linker.Conn]bool{},
+		lastMessageAt: map[masticway.Incarnation]time.Time{},
+		silent:        map[masticway.Incarnation]bool{},
+		unsettled:     map[masticway.HoldID]pendingSettlement{},
 	}
-	p.listener = linker.NewListener(r.identity(), p.handle, func(*linker.Conn) {}, p.discount)
+	p.listener = linker.NewListener(r.identity(), p.handle, func(*linker.Conn) {}, p.removeInbound)
 	return p
 }
 
 func (p *peers) close() { p.listener.Close() }
 
-// list links to the live routers of the region and lets go of those that ended.
-func (p *peers) list(instances []masticway.Instance) {
+// updateInstances links to the live routers of the region and lets go of those that ended.
+func (p *peers) updateInstances(instances []masticway.Instance) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.listed = true
+	p.instancesRead = true
 	for _, i := range instances {
-		own := i.ID == p.router.settings.Instance || i.Region != p.router.settings.Region
-		if i.Role != masticway.RoleRouter || own {
+		excluded := i.ID == p.router.settings.Instance || i.Region != p.router.settings.Region
+		if i.Role != masticway.RoleRouter || excluded {
 			continue
 		}
-		stop, linked := p.stops[i.ID]
+		stop, linked := p.cancels[i.ID]
 		switch {
 		case i.State == masticway.InstanceEnded && linked:
 			stop()
-			delete(p.stops, i.ID)
+			delete(p.cancels, i.ID)
 		case i.State != masticway.InstanceEnded && !linked:
 			p.dial(i)
 		}
@@ -87,80 +87,80 @@
 
 func (p *peers) dial(i masticway.Instance) {
 	ctx, stop := context.WithCancel(p.router.ctx)
-	p.stops[i.ID] = stop
-	d := p.router.dialer(p.handle, p.up, p.down)
+	p.cancels[i.ID] = stop
+	d := p.router.dialer(p.handle, p.linkUp, p.linkDown)
 	p.router.wg.Go(func() { d.Keep(ctx, i.Address) })
 }
 
-func (p *peers) up(c *linker.Conn) {
-	_ = c.Send(p.beatMessage())
+func (p *peers) linkUp(c *linker.Conn) {
+	_ = c.Send(p.heartbeatMessage())
 	p.router.wg.Go(func() {
-		if !p.reachMissing(c) {
+		if !p.registerMissing(c) {
 			// Without it nothing of the peer's money could be used; the next dial asks again.
 			c.Close()
 			return
 		}
-		p.router.recovery.note(c.Peer())
-		p.count(c)
+		p.router.recovery.watchPeer(c.Peer())
+		p.addKeeper(c)
 		// With this beat the peer knows that it is counted.
-		_ = c.Send(p.beatMessage())
+		_ = c.Send(p.heartbeatMessage())
 	})
 }
 
-// count takes a peer among the keepers.
-func (p *peers) count(c *linker.Conn) {
+// addKeeper takes a peer among the keepers.
+func (p *peers) addKeeper(c *linker.Conn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.conns[c.Peer().Incarnation] = c
-	p.heard[c.Peer().Incarnation] = p.router.clock.Now()
-	p.ring = nil
+	p.lastMessageAt[c.Peer().Incarnation] = p.router.clock.Now()
+	p.placement = nil
 }
 
-// discount forgets a link that a peer dialed.
-func (p *peers) discount(c *linker.Conn) {
+// removeInbound forgets a link that a peer dialed.
+func (p *peers) removeInbound(c *linker.Conn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	delete(p.counted, c)
+	delete(p.inbound, c)
 }
 
-// met tells whether this router and every listed router of its region count each other among the keepers.
-func (p *peers) met() bool {
+// isReady tells whether this router and every listed router of its region count each other among the keepers.
+func (p *peers) isReady() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	both := map[string]bool{}
-	for c, counted := range p.counted {
-		if counted && p.conns[c.Peer().Incarnation] != nil {
-			both[c.Peer().Instance] = true
+	mutual := map[string]bool{}
+	for c, acknowledged := range p.inbound {
+		if acknowledged && p.conns[c.Peer().Incarnation] != nil {
+			mutual[c.Peer().Instance] = true
 		}
 	}
-	for instance := range p.stops {
-		if !both[instance] {
+	for instance := range p.cancels {
+		if !mutual[instance] {
 			return false
 		}
 	}
-	return p.listed
+	return p.instancesRead
 }
 
-// beatMessage is the heartbeat to a peer.
-func (p *peers) beatMessage() linker.Message {
+// heartbeatMessage is the heartbeat to a peer.
+func (p *peers) heartbeatMessage() linker.Message {
 	r := p.router
-	return linker.Message{Beat: &linker.Beat{Revision: r.snapshot.Load().Revision(), Leaving: r.draining.Load(), Unseen: r.unseen()}}
+	return linker.Message{Beat: &linker.Beat{Revision: r.snapshot.Load().Revision(), Leaving: r.draining.Load(), Unseen: r.configAge()}}
 }
 
-func (p *peers) down(c *linker.Conn) {
+func (p *peers) linkDown(c *linker.Conn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.conns[c.Peer().Incarnation] == c {
 		delete(p.conns, c.Peer().Incarnation)
-		delete(p.leaving, c.Peer().Incarnation)
-		delete(p.heard, c.Peer().Incarnation)
+		delete(p.draining, c.Peer().Incarnation)
+		delete(p.lastMessageAt, c.Peer().Incarnation)
 		delete(p.silent, c.Peer().Incarnation)
-		p.ring = nil
+		p.placement = nil
 	}
 }
 
-// linked returns the links to peers that this router dialed.
-func (p *peers) linked() []*linker.Conn {
+// allConns returns the links to peers that this router dialed.
+func (p *peers) allConns() []*linker.Conn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return slices.AppendSeq(make([]*linker.Conn, 0, len(p.conns)), maps.Values(p.conns))
@@ -172,16 +172,16 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for inc := range p.conns {
-		silent := now.Sub(p.heard[inc]) > p.router.settings.SuspectAfter.Std()
+		silent := now.Sub(p.lastMessageAt[inc]) > p.router.settings.SuspectAfter.Std()
 		if silent != p.silent[inc] {
 			p.silent[inc] = silent
-			p.ring = nil
+			p.placement = nil
 		}
 	}
 }
 
-// hears tells whether a peer is linked and not silent.
-func (p *peers) hears(inc masticway.Incarnation) bool {
+// isResponsive tells whether a peer is linked and not silent.
+func (p *peers) isResponsive(inc masticway.Incarnation) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.conns[inc] != nil && !p.silent[inc]
@@ -193,18 +193,18 @@
 	return p.conns[inc]
 }
 
-// alive lists this router and the peers it can reach, in a fixed order.
-func (p *peers) alive() []string {
+// liveNames lists this router and the peers it can reach, in a fixed order.
+func (p *peers) liveNames() []string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.aliveLocked()
+	return p.liveNamesLocked()
 }
 
-// aliveLocked is alive for callers that hold the lock.
-func (p *peers) aliveLocked() []string {
+// liveNamesLocked is alive for callers that hold the lock.
+func (p *peers) liveNamesLocked() []string {
 	alive := []string{string(p.router.self)}
 	for inc := range p.conns {
-		if !p.leaving[inc] && !p.silent[inc] {
+		if !p.draining[inc] && !p.silent[inc] {
 			alive = append(alive, string(inc))
 		}
 	}
@@ -219,10 +219,10 @@
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.ring == nil {
-		p.ring = rendezvous.New(p.aliveLocked(), xxhash.Sum64String)
+	if p.placement == nil {
+		p.placement = rendezvous.New(p.liveNamesLocked(), xxhash.Sum64String)
 	}
-	return masticway.Incarnation(p.ring.Lookup(budget))
+	return masticway.Incarnation(p.placement.Lookup(budget))
 }
 
 // rank returns this router's place in the order in which routers take a task; its cost grows with their number.
@@ -230,7 +230,7 @@
 	weight := func(name string) uint64 { return xxhash.Sum64String(task + "/" + name) }
 	own := weight(string(p.router.self))
 	n := 0
-	for _, name := range p.alive() {
+	for _, name := range p.liveNames() {
 		if weight(name) > own {
 			n++
 		}
@@ -238,35 +238,35 @@
 	return n
 }
 
-// config asks peers for their configuration; a draining or starting peer has none to give.
-func (p *peers) config(ctx context.Context) (configurer.Full, bool) {
-	for _, c := range p.linked() {
-		if full, ok := p.askConfig(ctx, c); ok {
+// fetchConfig asks peers for their configuration; a draining or starting peer has none to give.
+func (p *peers) fetchConfig(ctx context.Context) (configurer.Full, bool) {
+	for _, c := range p.allConns() {
+		if full, ok := p.requestConfig(ctx, c); ok {
 			return full, true
 		}
 	}
 	return configurer.Full{}, false
 }
 
-func (p *peers) askConfig(ctx context.Context, c *linker.Conn) (configurer.Full, bool) {
-	asking, cancel := context.WithCancel(ctx)
+func (p *peers) requestConfig(ctx context.Context, c *linker.Conn) (configurer.Full, bool) {
+	callCtx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	p.router.wg.Go(func() { p.keepUp(asking, c) })
-	a, err := c.AskLarge(asking, linker.Message{WantConfig: &linker.WantConfig{}}, configPause)
+	p.router.wg.Go(func() { p.keepAlive(callCtx, c) })
+	a, err := c.AskLarge(callCtx, linker.Message{WantConfig: &linker.WantConfig{}}, configIdleTimeout)
 	if err != nil || a.Config == nil || a.Config.Revision == 0 {
 		return configurer.Full{}, false
 	}
 	return *a.Config, true
 }
 
-// keepUp sends heartbeats to one peer, which ends a silent link; the usual ones begin once there is a configuration.
-func (p *peers) keepUp(ctx context.Context, c *linker.Conn) {
+// keepAlive sends heartbeats to one peer, which ends a silent link; the usual ones begin once there is a configuration.
+func (p *peers) keepAlive(ctx context.Context, c *linker.Conn) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case <-p.router.clock.After(p.router.settings.HeartbeatInterval.Std()):
-			_ = c.Send(p.beatMessage())
+			_ = c.Send(p.heartbeatMessage())
 		}
 	}
 }
@@ -276,30 +276,30 @@
 	r := p.router
 	p.mu.Lock()
 	if p.conns[c.Peer().Incarnation] != nil {
-		p.heard[c.Peer().Incarnation] = r.clock.Now()
+		p.lastMessageAt[c.Peer().Incarnation] = r.clock.Now()
 	}
 	p.mu.Unlock()
 	switch {
 	case m.Hold != nil:
 		p.answerHold(c, m)
 	case m.Settle != nil:
-		r.bank.settle(*m.Settle)
+		r.budgets.settle(*m.Settle)
 		_ = c.Answer(m, linker.Message{Settled: &linker.Settled{}})
 	case m.Resize != nil:
-		r.bank.resize(m.Resize.Hold, m.Resize.Amount)
+		r.budgets.resize(m.Resize.Hold, m.Resize.Amount)
 	case m.GiveBack != nil:
-		r.bank.giveBack(m.GiveBack.Budget)
+		r.budgets.returnFree(m.GiveBack.Budget)
 		if m.Call != 0 {
 			_ = c.Answer(m, linker.Message{Settled: &linker.Settled{}})
 		}
 	case m.Reach != nil:
-		r.wg.Go(func() { p.answerReach(c, m) })
+		r.wg.Go(func() { p.answerRegistration(c, m) })
 	case m.Changes != nil:
-		r.learn(m.Changes.List)
+		r.applyChanges(m.Changes.List)
 	case m.Want != nil:
-		r.passOn(c, m.Want.After)
+		r.sendChanges(c, m.Want.After)
 	case m.Beat != nil:
-		p.beat(c, *m.Beat)
+		p.handleHeartbeat(c, *m.Beat)
 	case m.WantConfig != nil:
 		full := r.snapshot.Load().Full()
 		_ = c.Answer(m, linker.Message{Config: &full})
@@ -308,20 +308,20 @@
 	}
 }
 
-func (p *peers) beat(c *linker.Conn, b linker.Beat) {
+func (p *peers) handleHeartbeat(c *linker.Conn, b linker.Beat) {
 	p.mu.Lock()
-	if _, recorded := p.counted[c]; recorded {
-		p.counted[c] = true
+	if _, recorded := p.inbound[c]; recorded {
+		p.inbound[c] = true
 	}
 	if b.Leaving {
-		p.leaving[c.Peer().Incarnation] = true
-		p.ring = nil
+		p.draining[c.Peer().Incarnation] = true
+		p.placement = nil
 	}
 	p.mu.Unlock()
 	if b.Revision == p.router.snapshot.Load().Revision() {
 		p.router.confirm(p.router.clock.Now().Add(-b.Unseen))
 	}
-	p.router.wantFrom(c, b.Revision)
+	p.router.requestChanges(c, b.Revision)
 }
 
 func (p *peers) answerExplain(c *linker.Conn, m linker.Message) {
--- a/router/peers_test.go
+++ b/router/peers_test.go
@@ -20,8 +20,8 @@
 const (
 	// slowLink is 10 Mbit/s, the slowest link of a router, in bytes a second.
 	slowLink = 10_000_000 / 8
-	// largeConfig takes 8.4 s on a slow link, in bytes.
-	largeConfig = 10 << 20
+	// largeConfigBytes takes 8.4 s on a slow link, in bytes.
+	largeConfigBytes = 10 << 20
 	// configLimit is over twice what a large configuration takes.
 	configLimit = 30 * time.Second
 )
@@ -47,8 +47,8 @@
 		}
 	}
 	var wg sync.WaitGroup
-	beating := func(c *linker.Conn) { wg.Go(func() { sendBeats(c) }) }
-	l := linker.NewListener(peerIdentity(instance), answer, beating, func(*linker.Conn) {})
+	startHeartbeats := func(c *linker.Conn) { wg.Go(func() { sendHeartbeats(c) }) }
+	l := linker.NewListener(peerIdentity(instance), answer, startHeartbeats, func(*linker.Conn) {})
 	server := httptest.NewServer(l)
 	link := emulator.NewLink(slowLink)
 	address, err := link.To(server.Listener.Addr().String())
@@ -71,7 +71,7 @@
 	return c
 }
 
-func sendBeats(c *linker.Conn) {
+func sendHeartbeats(c *linker.Conn) {
 	tick := time.NewTicker(time.Second)
 	defer tick.Stop()
 	for {
@@ -85,8 +85,8 @@
 	}
 }
 
-func TestConfigurationOfAPeerComesOverASlowLink(t *testing.T) {
-	large := &configurer.Full{Revision: 7, Contracts: []masticway.Contract{{Workspace: strings.Repeat("w", largeConfig)}}}
+func TestFetchConfigOverSlowLink(t *testing.T) {
+	large := &configurer.Full{Revision: 7, Contracts: []masticway.Contract{{Workspace: strings.Repeat("w", largeConfigBytes)}}}
 	cases := map[string]struct {
 		full *configurer.Full
 		want bool
@@ -104,7 +104,7 @@
 			r := startingRouter(ctx)
 			defer r.wg.Wait()
 			p := &peers{router: r, conns: map[masticway.Incarnation]*linker.Conn{c.Peer().Incarnation: c}}
-			full, ok := p.config(ctx)
+			full, ok := p.fetchConfig(ctx)
 			// A peer that says nothing of it is left for the next one, long before the limit.
 			qt.Check(t, ctx.Err(), qt.IsNil)
 			qt.Assert(t, ok, qt.Equals, tc.want)
--- a/router/place.go
+++ b/router/place.go
@@ -11,23 +11,23 @@
 	"github.com/masticway/masticway/tracker"
 )
 
-type waitingPlace struct {
+type slotRequest struct {
 	entry   limiter.Entry
 	work    chooser.Work
 	allowed func(tracker.Upstream) bool
-	placed  chan place
+	granted chan slot
 }
 
-// place is a slot at an upstream that has been given to a request.
-type place struct {
+// slot is a slot at an upstream that has been given to a request.
+type slot struct {
 	upstream tracker.Upstream
 	scores   []chooser.Score
-	// expected is the prompt tokens expected in the upstream's cache.
-	expected int
+	// expectedCached is the prompt tokens expected in the upstream's cache.
+	expectedCached int
 }
 
-// offers tells whether any upstream of a pool is usable now, with room or without.
-func (u *upstreams) offers(pool string) bool {
+// hasUsable tells whether any upstream of a pool is usable now, with room or without.
+func (u *upstreams) hasUsable(pool string) bool {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	return len(u.usable(pool)) > 0
@@ -45,28 +45,28 @@
 	return true
 }
 
-// errNoPlace reports that no upstream had room in time.
-var errNoPlace = errors.New("no place at an upstream")
+// errNoSlot reports that no upstream had room in time.
+var errNoSlot = errors.New("no place at an upstream")
 
 // acquire gets a place for a request, waiting in the fair queue where there is no room.
-func (u *upstreams) acquire(done <-chan struct{}, w *waitingPlace) (place, time.Duration, error) {
+func (u *upstreams) acquire(done <-chan struct{}, w *slotRequest) (slot, time.Duration, error) {
 	u.mu.Lock()
-	if p, ok := u.tryPlace(w); ok {
+	if p, ok := u.tryAcquire(w); ok {
 		u.mu.Unlock()
 		return p, 0, nil
 	}
-	estimate := u.estimate(w.entry)
+	estimate := u.estimateWait(w.entry)
 	now := u.router.clock.Now()
 	if now.Add(estimate).After(w.entry.Deadline) || !u.queue.Push(w.entry) {
 		u.mu.Unlock()
-		return place{}, estimate, errNoPlace
+		return slot{}, estimate, errNoSlot
 	}
 	u.waiting[w.entry.ID] = w
 	u.mu.Unlock()
 	select {
-	case p, ok := <-w.placed:
+	case p, ok := <-w.granted:
 		if !ok {
-			return place{}, estimate, errNoPlace
+			return slot{}, estimate, errNoSlot
 		}
 		return p, 0, nil
 	case <-done:
@@ -76,15 +76,15 @@
 	defer u.mu.Unlock()
 	if !u.queue.Remove(w.entry) {
 		// It was placed at the same moment.
-		if p, ok := <-w.placed; ok {
+		if p, ok := <-w.granted; ok {
 			u.chooser.Done(u.router.clock.Now(), p.upstream.Instance.ID, 0, false, w.work)
 		}
 	}
 	delete(u.waiting, w.entry.ID)
-	return place{}, 0, context.Canceled
+	return slot{}, 0, context.Canceled
 }
 
-func (u *upstreams) estimate(e limiter.Entry) time.Duration {
+func (u *upstreams) estimateWait(e limiter.Entry) time.Duration {
 	ahead := u.queue.Len(e.Pool, masticway.ClassInteractive)
 	if e.Class == masticway.ClassBatch {
 		ahead += u.queue.Len(e.Pool, masticway.ClassBatch)
@@ -104,8 +104,8 @@
 	return all
 }
 
-// tryPlace chooses among upstreams with room; the caller holds the lock.
-func (u *upstreams) tryPlace(w *waitingPlace) (place, bool) {
+// tryAcquire chooses among upstreams with room; the caller holds the lock.
+func (u *upstreams) tryAcquire(w *slotRequest) (slot, bool) {
 	var open []tracker.Upstream
 	for _, t := range u.usable(w.entry.Pool) {
 		own, capacity := u.chooser.InFlight(t.Instance.ID)
@@ -116,24 +116,24 @@
 	now := u.router.clock.Now()
 	best, scores := u.chooser.Choose(now, w.work, candidates(open))
 	if best < 0 {
-		return place{}, false
+		return slot{}, false
 	}
 	expected := u.chooser.Sent(now, open[best].Instance.ID, w.work)
-	return place{upstream: open[best], scores: scores, expected: expected}, true
+	return slot{upstream: open[best], scores: scores, expectedCached: expected}, true
 }
 
-// pump gives places to those who wait; the caller holds the lock.
-func (u *upstreams) pump() {
+// serveWaiting gives places to those who wait; the caller holds the lock.
+func (u *upstreams) serveWaiting() {
 	seen := map[string]bool{}
 	for _, w := range u.waiting {
 		if !seen[w.entry.Pool] {
 			seen[w.entry.Pool] = true
-			u.pumpPool(w.entry.Pool)
+			u.serveWaitingIn(w.entry.Pool)
 		}
 	}
 }
 
-func (u *upstreams) pumpPool(pool string) {
+func (u *upstreams) serveWaitingIn(pool string) {
 	for {
 		e, ok := u.queue.Pop(pool)
 		if !ok {
@@ -143,31 +143,31 @@
 		if !ok {
 			continue
 		}
-		p, ok := u.tryPlace(w)
+		p, ok := u.tryAcquire(w)
 		if !ok {
 			u.queue.PutBack(e)
 			return
 		}
 		delete(u.waiting, e.ID)
-		w.placed <- p
+		w.granted <- p
 	}
 }
 
-// finished gives a place back.
-func (u *upstreams) finished(instance string, took time.Duration, firstTokenSeen bool, w chooser.Work) {
+// releaseSlot gives a place back.
+func (u *upstreams) releaseSlot(instance string, took time.Duration, firstTokenSeen bool, w chooser.Work) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	u.chooser.Done(u.router.clock.Now(), instance, took, firstTokenSeen, w)
-	u.pump()
+	u.serveWaiting()
 }
 
-func (u *upstreams) counted(instance string, expected, cached int) {
+func (u *upstreams) recordCacheHit(instance string, expected, cached int) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	u.chooser.Counted(instance, expected, cached)
 }
 
-func (u *upstreams) firstToken(instance string, w chooser.Work) {
+func (u *upstreams) recordFirstToken(instance string, w chooser.Work) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	u.chooser.FirstToken(instance, w)
--- a/router/recovery.go
+++ b/router/recovery.go
@@ -19,16 +19,16 @@
 )
 
 const (
-	// recoveryTick is how often lease rows and recoveries are looked at.
-	recoveryTick = 250 * time.Millisecond
-	// leaseRead is the least pause between two readings of all lease rows, and leaseReadPerRow what each row adds.
-	leaseRead       = time.Second
-	leaseReadPerRow = 100 * time.Millisecond
+	// recoveryInterval is how often lease rows and recoveries are looked at.
+	recoveryInterval = 250 * time.Millisecond
+	// minLeaseReadInterval is the least pause between two readings of all lease rows, and leaseReadIntervalPerRow what each row adds.
+	minLeaseReadInterval    = time.Second
+	leaseReadIntervalPerRow = 100 * time.Millisecond
 	// taskLeases is the task of reading all rows, which leaseReaders of a region's routers share.
 	taskLeases   = "leases"
 	leaseReaders = 2
-	// doneKept is how long a recovered incarnation is remembered, so that late settlements for it end.
-	doneKept = 10 * time.Minute
+	// recoveredTTL is how long a recovered incarnation is remembered, so that late settlements for it end.
+	recoveredTTL = 10 * time.Minute
 )
 
 // recovery watches the other incarnations' leases and brings the money of dead ones back.
@@ -37,24 +37,24 @@
 
 	mu        sync.Mutex
 	watch     *recoverer.Watch
-	running   map[masticway.Incarnation]*recoverer.Recovery
-	done      map[masticway.Incarnation]time.Time
+	active    map[masticway.Incarnation]*recoverer.Recovery
+	recovered map[masticway.Incarnation]time.Time
 	instances map[string]masticway.Instance
-	// read is when all rows were last read, and rows how many there were.
-	read time.Time
-	rows int
+	// lastReadAt is when all rows were last read, and rows how many there were.
+	lastReadAt time.Time
+	rowCount   int
 }
 
 func newRecovery(r *Router) *recovery {
 	return &recovery{
 		router: r, watch: recoverer.NewWatch(recoverer.WatchSettings{
 			Self: r.self, Region: r.settings.Region, Lease: r.settings.Lease.Std(), Heartbeat: r.settings.Heartbeat.Std(),
-		}), running: map[masticway.Incarnation]*recoverer.Recovery{},
-		done: map[masticway.Incarnation]time.Time{}, instances: map[string]masticway.Instance{},
+		}), active: map[masticway.Incarnation]*recoverer.Recovery{},
+		recovered: map[masticway.Incarnation]time.Time{}, instances: map[string]masticway.Instance{},
 	}
 }
 
-func (v *recovery) list(instances []masticway.Instance) {
+func (v *recovery) updateInstances(instances []masticway.Instance) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	for _, i := range instances {
@@ -66,7 +66,7 @@
 func (v *recovery) isRecovered(inc masticway.Incarnation) bool {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	_, ok := v.done[inc]
+	_, ok := v.recovered[inc]
 	return ok
 }
 
@@ -75,7 +75,7 @@
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	var parts []string
-	for victim, rec := range v.running {
+	for victim, rec := range v.active {
 		if missing := rec.Missing(); len(missing) > 0 {
 			parts = append(parts, fmt.Sprintf("%s waits for %v", victim, missing))
 		}
@@ -89,7 +89,7 @@
 		return
 	}
 	now := r.clock.Now()
-	if v.dueToRead(now) {
+	if v.isReadDue(now) {
 		v.readLeases()
 	}
 	v.mu.Lock()
@@ -97,34 +97,34 @@
 	for _, e := range v.watch.Look(now, v.signs, v.stake) {
 		v.applyWatch(now, e)
 	}
-	for victim, rec := range v.running {
+	for victim, rec := range v.active {
 		v.apply(victim, rec, rec.Tick(now))
 	}
-	for inc, at := range v.done {
-		if now.Sub(at) > doneKept {
-			delete(v.done, inc)
+	for inc, at := range v.recovered {
+		if now.Sub(at) > recoveredTTL {
+			delete(v.recovered, inc)
 		}
 	}
 }
 
-// dueToRead spaces the readings of all rows by their number, so that their bytes stay the same at any size.
-func (v *recovery) dueToRead(now time.Time) bool {
+// isReadDue spaces the readings of all rows by their number, so that their bytes stay the same at any size.
+func (v *recovery) isReadDue(now time.Time) bool {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	if now.Sub(v.read) < max(leaseRead, time.Duration(v.rows)*leaseReadPerRow) {
+	if now.Sub(v.lastReadAt) < max(minLeaseReadInterval, time.Duration(v.rowCount)*leaseReadIntervalPerRow) {
 		return false
 	}
 	if v.router.peers.rank(taskLeases) >= leaseReaders {
 		// Two of a region's routers look for those that nobody has a link to; the others watch their links.
 		return false
 	}
-	v.read = now
+	v.lastReadAt = now
 	return true
 }
 
 func (v *recovery) readLeases() {
 	r := v.router
-	ctx, cancel := r.background()
+	ctx, cancel := r.platformContext()
 	defer cancel()
 	rows, err := r.book.Daemons(ctx)
 	if err != nil {
@@ -133,14 +133,14 @@
 	now := r.clock.Now()
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	v.rows = len(rows)
+	v.rowCount = len(rows)
 	for _, inc := range v.watch.Rows(now, rows) {
-		v.gone(now, inc)
+		v.markRecovered(now, inc)
 	}
 }
 
-// note begins to watch a router that this one has a link to.
-func (v *recovery) note(p masticway.Peer) {
+// watchPeer begins to watch a router that this one has a link to.
+func (v *recovery) watchPeer(p masticway.Peer) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	v.watch.Note(v.router.clock.Now(), bookkeeper.Daemon{
@@ -148,10 +148,10 @@
 	})
 }
 
-// gone records that an incarnation's rows are removed: it drained, or somebody else has recovered it.
-func (v *recovery) gone(now time.Time, inc masticway.Incarnation) {
-	if v.running[inc] == nil {
-		v.done[inc] = now
+// markRecovered records that an incarnation's rows are removed: it drained, or somebody else has recovered it.
+func (v *recovery) markRecovered(now time.Time, inc masticway.Incarnation) {
+	if v.active[inc] == nil {
+		v.recovered[inc] = now
 	}
 }
 
@@ -159,7 +159,7 @@
 func (v *recovery) signs(d bookkeeper.Daemon) recoverer.Signs {
 	r := v.router
 	return recoverer.Signs{
-		Heard:   r.peers.hears(d.Incarnation),
+		Heard:   r.peers.isResponsive(d.Incarnation),
 		Ended:   v.instances[d.Instance].State == masticway.InstanceEnded,
 		Leaving: r.draining.Load(),
 	}
@@ -168,7 +168,7 @@
 // stake tells what this router has to do with another one.
 func (v *recovery) stake(d bookkeeper.Daemon) recoverer.Stake {
 	return recoverer.Stake{
-		Concerned: len(v.router.bank.holdsOf(d.Incarnation)) > 0,
+		Concerned: len(v.router.budgets.holdsOf(d.Incarnation)) > 0,
 		Rank:      v.router.peers.rank(string(d.Incarnation)),
 	}
 }
@@ -181,15 +181,15 @@
 	case recoverer.Challenge:
 		v.router.wg.Go(func() { v.challenge(e.Incarnation) })
 	case recoverer.Recover:
-		if v.running[e.Incarnation] == nil {
-			v.running[e.Incarnation] = recoverer.New(now, e.Incarnation)
+		if v.active[e.Incarnation] == nil {
+			v.active[e.Incarnation] = recoverer.New(now, e.Incarnation)
 			v.router.log.WithFields(logrus.Fields{"event": "recovery_started", "victim": e.Incarnation}).Info("recovery started")
 		}
 	}
 }
 
 func (v *recovery) readRow(inc masticway.Incarnation) {
-	ctx, cancel := v.router.background()
+	ctx, cancel := v.router.platformContext()
 	defer cancel()
 	d, err := v.router.book.Daemon(ctx, inc)
 	_, missing := errors.AsType[*masticway.NotFoundError](err)
@@ -197,12 +197,12 @@
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	if v.watch.Row(now, inc, d, err == nil, err != nil && !missing) {
-		v.gone(now, inc)
+		v.markRecovered(now, inc)
 	}
 }
 
 func (v *recovery) challenge(inc masticway.Incarnation) {
-	ctx, cancel := v.router.background()
+	ctx, cancel := v.router.platformContext()
 	defer cancel()
 	err := v.router.book.Challenge(ctx, inc, v.router.self)
 	v.mu.Lock()
@@ -212,19 +212,19 @@
 
 // watchChallenges looks for challenges to this router until it ends.
 func (r *Router) watchChallenges() {
-	r.loop(max(bankTick, r.settings.Lease.Std()/challengeReads), r.answerChallenge)
+	r.loop(max(tickInterval, r.settings.Lease.Std()/challengeReadsPerLease), r.answerChallenge)
 }
 
 // answerChallenge renews the lease at once when somebody takes this router for dead.
 func (r *Router) answerChallenge() {
-	ctx, cancel := r.background()
+	ctx, cancel := r.platformContext()
 	defer cancel()
 	version, err := r.book.Challenged(ctx, r.self)
-	if err != nil || version == r.challenged.Load() {
+	if err != nil || version == r.answeredChallenge.Load() {
 		return
 	}
-	if r.heartbeat(ctx) == nil {
-		r.challenged.Store(version)
+	if r.renewLease(ctx) == nil {
+		r.answeredChallenge.Store(version)
 	}
 }
 
@@ -233,17 +233,17 @@
 	for _, e := range effects {
 		switch e := e.(type) {
 		case recoverer.Mark:
-			v.router.wg.Go(func() { v.mark(victim, rec) })
+			v.router.wg.Go(func() { v.sealInTable(victim, rec) })
 		case recoverer.Ask:
-			v.router.wg.Go(func() { v.ask(rec, victim, e.Sidecar) })
+			v.router.wg.Go(func() { v.collectReport(rec, victim, e.Sidecar) })
 		case recoverer.Return:
 			v.router.wg.Go(func() { v.returnMoney(rec, victim, e.Closings) })
 		}
 	}
 }
 
-func (v *recovery) mark(victim masticway.Incarnation, rec *recoverer.Recovery) {
-	ctx, cancel := v.router.background()
+func (v *recovery) sealInTable(victim masticway.Incarnation, rec *recoverer.Recovery) {
+	ctx, cancel := v.router.platformContext()
 	defer cancel()
 	links, err := v.router.book.Seal(ctx, victim)
 	var grants []masticway.GrantKey
@@ -251,37 +251,37 @@
 		grants, err = v.router.book.GrantsOf(ctx, victim)
 	}
 	if err != nil {
-		v.router.bank.pause(settleRetry)
+		v.router.budgets.sleep(settleRetryInterval)
 	}
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	rec.Marked(links, grants, err == nil)
 }
 
-// ask seals the victim at one sidecar, or learns that the sidecar is gone for certain.
-func (v *recovery) ask(rec *recoverer.Recovery, victim, sidecar masticway.Incarnation) {
-	report, vanished, err := v.sealAt(victim, sidecar)
-	if err == nil && !vanished {
+// collectReport seals the victim at one sidecar, or learns that the sidecar is gone for certain.
+func (v *recovery) collectReport(rec *recoverer.Recovery, victim, sidecar masticway.Incarnation) {
+	report, sidecarGone, err := v.sealAt(victim, sidecar)
+	if err == nil && !sidecarGone {
 		v.mu.Lock()
 		defer v.mu.Unlock()
 		rec.Witnessed(report)
 		return
 	}
-	if !vanished {
+	if !sidecarGone {
 		return
 	}
-	ctx, cancel := v.router.background()
+	ctx, cancel := v.router.platformContext()
 	defer cancel()
-	left, found, err := v.router.book.Report(ctx, sidecar)
+	lastReport, found, err := v.router.book.Report(ctx, sidecar)
 	if err != nil {
 		return
 	}
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	rec.Vanished(sidecar, left, found)
+	rec.Vanished(sidecar, lastReport, found)
 }
 
-func (v *recovery) sealAt(victim, sidecar masticway.Incarnation) (report sealer.Sealed, vanished bool, err error) {
+func (v *recovery) sealAt(victim, sidecar masticway.Incarnation) (report sealer.Sealed, sidecarGone bool, err error) {
 	instance := sidecar.Instance()
 	v.mu.Lock()
 	listed := v.instances[instance]
@@ -289,7 +289,7 @@
 	if listed.State == masticway.InstanceEnded {
 		return report, true, nil
 	}
-	ctx, cancel := v.router.background()
+	ctx, cancel := v.router.platformContext()
 	defer cancel()
 	c := v.router.upstreams.conn(instance)
 	if c == nil {
@@ -310,7 +310,7 @@
 }
 
 func (v *recovery) returnMoney(rec *recoverer.Recovery, victim masticway.Incarnation, closings []bookkeeper.Closing) {
-	ctx, cancel := v.router.background()
+	ctx, cancel := v.router.platformContext()
 	defer cancel()
 	ok := true
 	for _, c := range closings {
@@ -323,7 +323,7 @@
 		v.router.metrics.Add(metricReturned, int64(returned))
 	}
 	if !ok {
-		v.router.bank.pause(settleRetry)
+		v.router.budgets.sleep(settleRetryInterval)
 	}
 	v.mu.Lock()
 	v.settleHolds(rec, victim)
@@ -337,21 +337,21 @@
 
 // settleHolds ends the holds that the victim asked this router for, as far as their fate is final.
 func (v *recovery) settleHolds(rec *recoverer.Recovery, victim masticway.Incarnation) {
-	fates, vanished := rec.HoldFates()
+	fates, goneSidecar := rec.HoldFates()
 	byHold := map[masticway.HoldID][]recoverer.SidecarHold{}
 	for _, f := range fates {
 		byHold[f.Fate.Hold] = append(byHold[f.Fate.Hold], f)
 	}
-	for _, h := range v.router.bank.holdsOf(victim) {
+	for _, h := range v.router.budgets.holdsOf(victim) {
 		charges, running := chargesOf(byHold[h.ID])
 		if running {
 			continue
 		}
-		if len(charges) == 0 && vanished != "" {
-			charges = []keeper.Charge{{Sidecar: vanished, Amount: h.Amount, Presumed: true}}
+		if len(charges) == 0 && goneSidecar != "" {
+			charges = []keeper.Charge{{Sidecar: goneSidecar, Amount: h.Amount, Presumed: true}}
 			v.router.metrics.Add(metricPresumed, int64(h.Amount))
 		}
-		v.router.bank.settle(linker.Settle{Hold: h.ID, Charges: charges})
+		v.router.budgets.settle(linker.Settle{Hold: h.ID, Charges: charges})
 		v.bill(h, charges)
 	}
 }
@@ -388,7 +388,7 @@
 }
 
 func (v *recovery) finish(rec *recoverer.Recovery, victim masticway.Incarnation) {
-	ctx, cancel := v.router.background()
+	ctx, cancel := v.router.platformContext()
 	defer cancel()
 	if err := v.router.book.Forget(ctx, victim); err != nil {
 		v.router.log.WithFields(logrus.Fields{"event": "forget_failed", "victim": victim, "error": err}).Warn("rows are left")
@@ -399,7 +399,7 @@
 	v.router.log.WithFields(logrus.Fields{"event": "recovery_done", "victim": victim, "ms": took.Milliseconds()}).Info("recovery done")
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	delete(v.running, victim)
+	delete(v.active, victim)
 	v.watch.Forget(victim)
-	v.done[victim] = v.router.clock.Now()
+	v.recovered[victim] = v.router.clock.Now()
 }
--- a/router/recovery_test.go
+++ b/router/recovery_test.go
@@ -15,34 +15,34 @@
 	"github.com/masticway/masticway/measurer"
 )
 
-// pausing is one wait for the clock.
-type pausing struct {
-	due  time.Time
-	over chan time.Time
+// timer is one wait for the clock.
+type timer struct {
+	due   time.Time
+	fired chan time.Time
 }
 
 // loopClock is the clock of a single loop; it moves only while that loop waits for it.
 type loopClock struct {
-	now   time.Time
-	waits chan pausing
+	now    time.Time
+	timers chan timer
 }
 
 func (c *loopClock) Now() time.Time { return c.now }
 
 func (c *loopClock) After(d time.Duration) <-chan time.Time {
-	w := pausing{due: c.now.Add(d), over: make(chan time.Time, 1)}
-	c.waits <- w
-	return w.over
+	w := timer{due: c.now.Add(d), fired: make(chan time.Time, 1)}
+	c.timers <- w
+	return w.fired
 }
 
-// run moves the clock, and returns once the loop has done what is due until then.
-func (c *loopClock) run(until time.Time) {
-	for w := range c.waits {
+// runUntil moves the clock, and returns once the loop has done what is due until then.
+func (c *loopClock) runUntil(until time.Time) {
+	for w := range c.timers {
 		if w.due.After(until) {
 			return
 		}
 		c.now = w.due
-		w.over <- w.due
+		w.fired <- w.due
 	}
 }
 
@@ -56,18 +56,18 @@
 		t.Run(name, func(t *testing.T) {
 			table := emulator.NewTable()
 			book := bookkeeper.New(table)
-			c := &loopClock{now: time.Unix(1_800_000_000, 0), waits: make(chan pausing)}
+			c := &loopClock{now: time.Unix(1_800_000_000, 0), timers: make(chan timer)}
 			var dial linker.DialFunc
 			r := New(Settings{Lease: masticway.Duration(lease), Heartbeat: masticway.Duration(15 * time.Second)}, Secrets{}, c,
 				logger.Discard(), Platform{Table: table}, dial, measurer.New())
 			defer r.Close()
 			ctx := context.Background()
-			qt.Assert(t, r.heartbeat(ctx), qt.IsNil)
+			qt.Assert(t, r.renewLease(ctx), qt.IsNil)
 			before, err := book.Daemon(ctx, r.self)
 			qt.Assert(t, err, qt.IsNil)
 			qt.Assert(t, book.Challenge(ctx, r.self, "r~2"), qt.IsNil)
 			r.wg.Go(r.watchChallenges)
-			c.run(c.now.Add(lease / 4))
+			c.runUntil(c.now.Add(lease / 4))
 			after, err := book.Daemon(ctx, r.self)
 			qt.Assert(t, err, qt.IsNil)
 			qt.Assert(t, after.Lease.After(before.Lease), qt.IsTrue)
--- a/router/router.go
+++ b/router/router.go
@@ -25,16 +25,16 @@
 )
 
 const (
-	// flushEvery is the pause between two batches of bills and traces.
-	flushEvery = time.Second
-	// auditEvery is the pause between two looks for double bills.
-	auditEvery = 5 * time.Second
-	// quietBeats is how many heartbeats pass between two on links that the peer dialed.
-	quietBeats = 4
-	// challengeReads is how often in a lease a router looks for a challenge to it, which it must answer within half of it.
-	challengeReads = 4
-	// startRetry is the pause between two attempts to start.
-	startRetry = 100 * time.Millisecond
+	// flushInterval is the pause between two batches of bills and traces.
+	flushInterval = time.Second
+	// auditInterval is the pause between two looks for double bills.
+	auditInterval = 5 * time.Second
+	// heartbeatsPerInbound is how many heartbeats pass between two on links that the peer dialed.
+	heartbeatsPerInbound = 4
+	// challengeReadsPerLease is how often in a lease a router looks for a challenge to it, which it must answer within half of it.
+	challengeReadsPerLease = 4
+	// startRetryInterval is the pause between two attempts to start.
+	startRetryInterval = 100 * time.Millisecond
 	// platformTimeout bounds one background call to the platform.
 	platformTimeout = 3 * time.Second
 )
@@ -65,7 +65,7 @@
 
 	book      *bookkeeper.Book
 	store     *configurer.Store
-	bank      *bank
+	budgets   *budgetManager
 	upstreams *upstreams
 	peers     *peers
 	recovery  *recovery
@@ -73,34 +73,34 @@
 	journal   *batcher.Batcher[biller.Bill]
 	auditor   *biller.Auditor
 
-	configMu sync.Mutex
-	config   configurer.State
-	snapshot atomic.Pointer[configurer.Snapshot]
-	applied  chan struct{}
+	configMu      sync.Mutex
+	config        configurer.State
+	snapshot      atomic.Pointer[configurer.Snapshot]
+	configApplied chan struct{}
 
 	retryMu sync.Mutex
 	retrier *retrier.Retrier
 
 	// listVersion is the instance list last read; only that loop uses it.
 	listVersion string
-	// toldOpen and toldUpto are what the last heartbeat said of open grants; beatMu guards them.
-	toldOpen []int64
-	toldUpto int64
-	beats    int
+	// sentOpen and sentUpto are what the last heartbeat said of open grants; heartbeatMu guards them.
+	sentOpen   []int64
+	sentUpto   int64
+	heartbeats int
 
 	draining atomic.Bool
-	// met tells that the other routers of the region count this one among the keepers, or were waited for long enough.
-	met        atomic.Bool
-	open       atomic.Int64
-	serial     atomic.Uint64
-	challenged atomic.Int64
-	// wanted is when a peer was last asked for changes, in nanoseconds.
-	wanted atomic.Int64
-	beatMu sync.Mutex
-	// confirmed is when the applied revision was last known to be the newest, in nanoseconds.
-	confirmed  atomic.Int64
-	sealed     chan struct{}
-	sealedOnce sync.Once
+	// peersReady tells that the other routers of the region count this one among the keepers, or were waited for long enough.
+	peersReady        atomic.Bool
+	openRequests      atomic.Int64
+	lastRequestNumber atomic.Uint64
+	answeredChallenge atomic.Int64
+	// changesRequestedAt is when a peer was last asked for changes, in nanoseconds.
+	changesRequestedAt atomic.Int64
+	heartbeatMu        sync.Mutex
+	// confirmedAt is when the applied revision was last known to be the newest, in nanoseconds.
+	confirmedAt atomic.Int64
+	sealed      chan struct{}
+	sealedOnce  sync.Once
 
 	ctx  context.Context
 	stop context.CancelFunc
@@ -114,24 +114,24 @@
 	r := &Router{
 		settings: s, self: self, clock: clock, log: log.WithField("incarnation", self), platform: platform,
 		secrets: secrets, dial: dial, metrics: metrics,
-		book:    bookkeeper.New(platform.Table),
-		store:   configurer.NewStore(platform.Table),
-		traces:  explainer.NewMemory(self),
-		journal: biller.NewJournal(self),
-		auditor: biller.NewAuditor(),
-		applied: make(chan struct{}, 1),
-		retrier: retrier.New(retrier.Settings{Policy: s.Retry.Policy, CountedLimit: s.Retry.Limit}),
-		sealed:  make(chan struct{}),
-		ctx:     ctx, stop: stop,
+		book:          bookkeeper.New(platform.Table),
+		store:         configurer.NewStore(platform.Table),
+		traces:        explainer.NewMemory(self),
+		journal:       biller.NewJournal(self),
+		auditor:       biller.NewAuditor(),
+		configApplied: make(chan struct{}, 1),
+		retrier:       retrier.New(retrier.Settings{Policy: s.Retry.Policy, CountedLimit: s.Retry.Limit}),
+		sealed:        make(chan struct{}),
+		ctx:           ctx, stop: stop,
 	}
 	r.snapshot.Store(&configurer.Snapshot{})
-	r.bank = newBank(ctx, &r.wg, self, s.Money, clock, r.log, r.book, metrics)
+	r.budgets = newBudgetManager(ctx, &r.wg, self, s.Money, clock, r.log, r.book, metrics)
 	r.upstreams = newUpstreams(r)
 	r.peers = newPeers(r)
 	r.recovery = newRecovery(r)
-	r.bank.fenced = r.fenced
-	r.bank.askPeers = r.peers.askBack
-	r.bank.mine = func(budget string) bool { return r.peers.keeperFor(budget) == r.self }
+	r.budgets.onSealed = r.markSealed
+	r.budgets.requestReturn = r.peers.requestReturn
+	r.budgets.isKeeper = func(budget string) bool { return r.peers.keeperFor(budget) == r.self }
 	return r
 }
 
@@ -141,11 +141,11 @@
 // Sealed is closed when this incarnation has been fenced and another must start.
 func (r *Router) Sealed() <-chan struct{} { return r.sealed }
 
-func (r *Router) fenced() {
+func (r *Router) markSealed() {
 	r.sealedOnce.Do(func() {
 		r.log.WithField("event", "sealed").Warn("this incarnation is sealed")
 		close(r.sealed)
-		r.bank.refuseAll()
+		r.budgets.refuseAll()
 	})
 }
 
@@ -161,25 +161,25 @@
 // Start writes the first rows, loads the configuration and begins to serve; it tries until the context ends.
 func (r *Router) Start(ctx context.Context) error {
 	r.wg.Go(func() { r.loop(r.settings.Poll.Std(), r.readInstances) })
-	if err := r.retryUntil(ctx, "opening the links row", func() error { return r.bank.open(ctx) }); err != nil {
+	if err := r.retryUntil(ctx, "opening the links row", func() error { return r.budgets.openLinks(ctx) }); err != nil {
 		return err
 	}
-	if err := r.retryUntil(ctx, "writing the lease row", func() error { return r.heartbeat(ctx) }); err != nil {
+	if err := r.retryUntil(ctx, "writing the lease row", func() error { return r.renewLease(ctx) }); err != nil {
 		return err
 	}
 	if err := r.retryUntil(ctx, "loading the configuration", func() error { return r.loadConfig(ctx) }); err != nil {
 		return err
 	}
-	r.wg.Go(func() { r.loop(bankTick, func() { r.bank.tick(); r.upstreams.tick(); r.peers.tick() }) })
-	r.wg.Go(func() { r.loop(r.settings.HeartbeatInterval.Std(), r.sendBeats) })
+	r.wg.Go(func() { r.loop(tickInterval, func() { r.budgets.tick(); r.upstreams.tick(); r.peers.tick() }) })
+	r.wg.Go(func() { r.loop(r.settings.HeartbeatInterval.Std(), r.sendHeartbeats) })
 	r.wg.Go(func() { r.loop(r.settings.Poll.Std(), r.pollConfig) })
 	r.wg.Go(r.keepLease)
-	r.wg.Go(r.meet)
+	r.wg.Go(r.waitForPeers)
 	r.wg.Go(r.watchChallenges)
-	r.wg.Go(func() { r.loop(flushEvery, r.flush) })
-	r.wg.Go(func() { r.loop(auditEvery, r.audit) })
-	r.wg.Go(func() { r.loop(recoveryTick, r.recovery.tick) })
-	r.wg.Go(func() { r.loop(time.Second, func() { r.bank.absorb(); r.bank.tidy() }) })
+	r.wg.Go(func() { r.loop(flushInterval, r.flush) })
+	r.wg.Go(func() { r.loop(auditInterval, r.audit) })
+	r.wg.Go(func() { r.loop(recoveryInterval, r.recovery.tick) })
+	r.wg.Go(func() { r.loop(time.Second, func() { r.budgets.removeGone(); r.budgets.returnIdle() }) })
 	r.log.WithFields(logrus.Fields{"event": "started", "revision": r.snapshot.Load().Revision()}).Info("started")
 	return nil
 }
@@ -199,36 +199,36 @@
 			return fmt.Errorf("%s: %w", what, err)
 		case <-r.ctx.Done():
 			return fmt.Errorf("%s: %w", what, r.ctx.Err())
-		case <-r.clock.After(startRetry):
+		case <-r.clock.After(startRetryInterval):
 		}
 	}
 }
 
-func (r *Router) loop(every time.Duration, f func()) {
+func (r *Router) loop(interval time.Duration, f func()) {
 	for {
 		select {
 		case <-r.ctx.Done():
 			return
-		case <-r.clock.After(every):
+		case <-r.clock.After(interval):
 			f()
 		}
 	}
 }
 
-// meet waits for the other routers of the region before this one serves: until they count each other among the keepers,
+// waitForPeers waits for the other routers of the region before this one serves: until they count each other among the keepers,
 // each keeps every budget alone, and a key that two are asked for at once would run twice. One that cannot be reached
 // holds this router up no longer than a silent sidecar holds up a request.
-func (r *Router) meet() {
+func (r *Router) waitForPeers() {
 	deadline := r.clock.Now().Add(r.settings.LostAfter.Std())
-	for !r.peers.met() && r.clock.Now().Before(deadline) && r.ctx.Err() == nil {
-		r.bank.pause(bankTick)
+	for !r.peers.isReady() && r.clock.Now().Before(deadline) && r.ctx.Err() == nil {
+		r.budgets.sleep(tickInterval)
 	}
-	r.met.Store(true)
+	r.peersReady.Store(true)
 }
 
 // Ready tells whether requests are served.
 func (r *Router) Ready() bool {
-	return r.met.Load() && r.snapshot.Load().Revision() > 0 && !r.draining.Load() && !r.isSealed() && !r.isStale()
+	return r.peersReady.Load() && r.snapshot.Load().Revision() > 0 && !r.draining.Load() && !r.isSealed() && !r.isStale()
 }
 
 // Drain stops taking requests, lets those in progress finish and returns all money.
@@ -236,16 +236,16 @@
 // It returns false when the context ended first; what was cut off is logged and counted.
 func (r *Router) Drain(ctx context.Context) bool {
 	r.draining.Store(true)
-	for r.open.Load() > 0 {
+	for r.openRequests.Load() > 0 {
 		select {
 		case <-ctx.Done():
-			r.metrics.Add(metricDrainCut, r.open.Load())
-			r.log.WithFields(logrus.Fields{"event": "drain_expired", "open": r.open.Load()}).Warn("drain expired")
+			r.metrics.Add(metricDrainCut, r.openRequests.Load())
+			r.log.WithFields(logrus.Fields{"event": "drain_expired", "open": r.openRequests.Load()}).Warn("drain expired")
 			return false
-		case <-r.clock.After(bankTick):
+		case <-r.clock.After(tickInterval):
 		}
 	}
-	r.peers.flushSettlements(ctx)
+	r.peers.waitForSettlements(ctx)
 	if !r.isSealed() {
 		r.closeRows(ctx)
 	}
@@ -255,7 +255,7 @@
 
 // closeRows returns the money and removes this incarnation's rows, so that nobody needs to recover it.
 func (r *Router) closeRows(ctx context.Context) {
-	if !r.bank.drain(ctx) {
+	if !r.budgets.drain(ctx) {
 		r.log.WithField("event", "drain_money_left").Warn("money is left for recovery")
 		return
 	}
@@ -268,7 +268,7 @@
 func (r *Router) Close() {
 	r.stop()
 	r.peers.close()
-	for r.open.Load() > 0 {
+	for r.openRequests.Load() > 0 {
 		// Handlers see the end of the context; they must not start work after the wait below.
 		time.Sleep(time.Millisecond)
 	}
@@ -301,24 +301,24 @@
 // LinkHandler serves links from other routers.
 func (r *Router) LinkHandler() http.Handler { return r.peers.listener }
 
-func (r *Router) background() (context.Context, context.CancelFunc) {
+func (r *Router) platformContext() (context.Context, context.CancelFunc) {
 	return context.WithTimeout(r.ctx, platformTimeout)
 }
 
 func (r *Router) readInstances() {
-	ctx, cancel := r.background()
+	ctx, cancel := r.platformContext()
 	defer cancel()
 	reading, err := r.platform.Instances.Instances(ctx, r.listVersion)
 	if err != nil || reading.Unchanged {
 		return
 	}
 	r.listVersion = reading.Version
-	r.upstreams.list(reading.Instances)
-	r.peers.list(reading.Instances)
-	r.recovery.list(reading.Instances)
+	r.upstreams.updateInstances(reading.Instances)
+	r.peers.updateInstances(reading.Instances)
+	r.recovery.updateInstances(reading.Instances)
 }
 
-func (r *Router) heartbeat(ctx context.Context) error {
+func (r *Router) renewLease(ctx context.Context) error {
 	state := "serving"
 	if r.draining.Load() {
 		state = "draining"
@@ -337,51 +337,51 @@
 		select {
 		case <-r.ctx.Done():
 			return
-		case <-r.applied:
+		case <-r.configApplied:
 		case <-r.clock.After(r.settings.Heartbeat.Std()):
 		}
 		if r.draining.Load() || r.isSealed() {
 			continue
 		}
-		ctx, cancel := r.background()
-		if err := r.heartbeat(ctx); err != nil {
+		ctx, cancel := r.platformContext()
+		if err := r.renewLease(ctx); err != nil {
 			r.log.WithFields(logrus.Fields{"event": "lease_not_renewed", "error": err}).Warn("lease not renewed")
 		}
 		cancel()
 	}
 }
 
-// beatMessage is the heartbeat to a sidecar, with all that it may need to know.
-func (r *Router) beatMessage() linker.Message {
-	open, upto := r.bank.openGrants()
+// heartbeatMessage is the heartbeat to a sidecar, with all that it may need to know.
+func (r *Router) heartbeatMessage() linker.Message {
+	open, upto := r.budgets.openGrants()
 	return linker.Message{Beat: &linker.Beat{Revision: r.snapshot.Load().Revision(), Open: open, Upto: upto, Leaving: r.draining.Load()}}
 }
 
-// sendBeats tells sidecars which grants are open only when that has changed, because there are many links.
-func (r *Router) sendBeats() {
-	r.beatMu.Lock()
-	defer r.beatMu.Unlock()
-	m := r.beatMessage()
+// sendHeartbeats tells sidecars which grants are open only when that has changed, because there are many links.
+func (r *Router) sendHeartbeats() {
+	r.heartbeatMu.Lock()
+	defer r.heartbeatMu.Unlock()
+	m := r.heartbeatMessage()
 	beat := *m.Beat
-	if beat.Upto == r.toldUpto && slices.Equal(beat.Open, r.toldOpen) {
+	if beat.Upto == r.sentUpto && slices.Equal(beat.Open, r.sentOpen) {
 		m.Beat.Open, m.Beat.Upto = nil, 0
 	}
-	r.toldOpen, r.toldUpto = beat.Open, beat.Upto
-	for _, c := range r.upstreams.linked() {
+	r.sentOpen, r.sentUpto = beat.Open, beat.Upto
+	for _, c := range r.upstreams.allConns() {
 		_ = c.Send(m)
 	}
-	peer := r.peers.beatMessage()
-	for _, c := range r.peers.linked() {
+	peer := r.peers.heartbeatMessage()
+	for _, c := range r.peers.allConns() {
 		_ = c.Send(peer)
 	}
 	// The other direction of the same pair only has to be kept from its read timeout.
-	r.beats++
-	if r.beats%quietBeats == 0 {
+	r.heartbeats++
+	if r.heartbeats%heartbeatsPerInbound == 0 {
 		for _, c := range r.peers.listener.All() {
 			_ = c.Send(peer)
 		}
 	}
-	r.peers.reachAll()
+	r.peers.registerAll()
 }
 
 func (r *Router) flush() {
@@ -400,7 +400,7 @@
 	if r.peers.keeperFor("audit") != r.self {
 		return
 	}
-	ctx, cancel := r.background()
+	ctx, cancel := r.platformContext()
 	defer cancel()
 	bills, err := r.auditor.ReadNew(ctx, r.platform.Objects, r.clock.Now())
 	if err != nil {
--- a/router/sealed_test.go
+++ b/router/sealed_test.go
@@ -14,23 +14,23 @@
 	"github.com/masticway/masticway/retrier"
 )
 
-// TestSealedRouterGivesItsRequestsUp has a sidecar refuse a request since the router that sends it is sealed, money for which came
+// TestSealedRouterFailsRequestsAtOnce has a sidecar refuse a request since the router that sends it is sealed, money for which came
 // from another router.
 //
 // Seen: beside load the first request to a fleet was refused as not run after 5.8 s, by a router that had been sealed 0.7 s after
 // its start. How: its next incarnation served long before, and the request was sent 17 times as the old one. Cause: every refusal
 // for the seal was a free retry, though nothing undoes a seal. Proof: the log's lines of both incarnations around the request.
-func TestSealedRouterGivesItsRequestsUp(t *testing.T) {
+func TestSealedRouterFailsRequestsAtOnce(t *testing.T) {
 	r := New(Settings{}, Secrets{}, masticway.SystemClock{}, logger.Discard(), Platform{Table: emulator.NewTable()}, nil, measurer.New())
 	defer r.Close()
 	x := r.newExchange(request{}, nil, nil)
-	x.hold = &heldMoney{}
-	sealed := ending{fate: masticway.FateNotRun, cause: retrier.CauseFenced, reason: "sealed"}
-	qt.Assert(t, x.afterFailure(t.Context(), sealed), qt.IsNil, qt.Commentf("a router that is not sealed goes on"))
+	x.hold = &moneyHold{}
+	sealed := attemptResult{fate: masticway.FateNotRun, cause: retrier.CauseFenced, reason: "sealed"}
+	qt.Assert(t, x.handleFailure(t.Context(), sealed), qt.IsNil, qt.Commentf("a router that is not sealed goes on"))
 
-	r.fenced()
+	r.markSealed()
 	began := time.Now()
-	refused, ok := errors.AsType[*masticway.RefusalError](x.afterFailure(t.Context(), sealed))
+	refused, ok := errors.AsType[*masticway.RefusalError](x.handleFailure(t.Context(), sealed))
 	qt.Assert(t, ok, qt.IsTrue)
 	qt.Assert(t, refused.Fate, qt.Equals, masticway.FateNotRun)
 	qt.Assert(t, refused.RetryAfter > 0, qt.IsTrue)
--- a/router/start_test.go
+++ b/router/start_test.go
@@ -16,15 +16,15 @@
 	"github.com/masticway/masticway/measurer"
 )
 
-// lateTable makes no transaction before it is let.
-type lateTable struct {
+// blockedTable makes no transaction before it is let.
+type blockedTable struct {
 	masticway.Table
-	let chan struct{}
+	release chan struct{}
 }
 
-func (l *lateTable) Commit(ctx context.Context, tx masticway.Transaction) error {
+func (l *blockedTable) Commit(ctx context.Context, tx masticway.Transaction) error {
 	select {
-	case <-l.let:
+	case <-l.release:
 		return l.Table.Commit(ctx, tx)
 	case <-ctx.Done():
 		return &masticway.UnavailableError{Service: "table", Reason: "late"}
@@ -40,13 +40,13 @@
 	}}, nil
 }
 
-// TestRouterLinksToSidecarsOnceItsRowIsThere has the table take a router's first row late, as one does beside load.
+// TestSidecarsAreDialedAfterLinksRowIsWritten has the table take a router's first row late, as one does beside load.
 //
 // Seen: a router was sealed 0.7 s after its start, and the first request to it refused. How: a sidecar that it had linked to looked
 // its row up before that was written; one without a row counts as recovered, and as sealed for good. Cause: links to sidecars were
 // made from the first instance list on. Proof: no recovery was begun, and the sidecar alone refused.
-func TestRouterLinksToSidecarsOnceItsRowIsThere(t *testing.T) {
-	table := &lateTable{Table: emulator.NewTable(), let: make(chan struct{})}
+func TestSidecarsAreDialedAfterLinksRowIsWritten(t *testing.T) {
+	table := &blockedTable{Table: emulator.NewTable(), release: make(chan struct{})}
 	var dialed atomic.Int64
 	dial := func(context.Context, string, string) (net.Conn, error) {
 		dialed.Add(1)
@@ -59,7 +59,7 @@
 	time.Sleep(200 * time.Millisecond)
 	qt.Assert(t, dialed.Load(), qt.Equals, int64(0))
 
-	close(table.let)
+	close(table.release)
 	for deadline := time.Now().Add(5 * time.Second); dialed.Load() == 0; time.Sleep(5 * time.Millisecond) {
 		qt.Assert(t, time.Now().Before(deadline), qt.IsTrue, qt.Commentf("it never links to the sidecar"))
 	}
--- a/router/upstreams.go
+++ b/router/upstreams.go
@@ -15,43 +15,43 @@
 	"github.com/masticway/masticway/tracker"
 )
 
-// askTimeout bounds one question to a sidecar.
-const askTimeout = 500 * time.Millisecond
+// callTimeout bounds one question to a sidecar.
+const callTimeout = 500 * time.Millisecond
 
 // upstreams is the shell around tracker, chooser and queue: links to sidecars and who gets a place at them.
 type upstreams struct {
-	router  *Router
-	follows *follows
+	router *Router
+	feeds  *feeds
 
-	mu      sync.Mutex
-	tracker *tracker.Tracker
-	chooser *chooser.Chooser
-	queue   *limiter.Queue
-	conns   map[string]*linker.Conn
-	stops   map[string]context.CancelFunc
-	dialed  map[string]string
-	waiting map[string]*waitingPlace
+	mu        sync.Mutex
+	tracker   *tracker.Tracker
+	chooser   *chooser.Chooser
+	queue     *limiter.Queue
+	conns     map[string]*linker.Conn
+	cancels   map[string]context.CancelFunc
+	addresses map[string]string
+	waiting   map[string]*slotRequest
 }
 
 func newUpstreams(r *Router) *upstreams {
 	s := r.settings
 	return &upstreams{
 		router:  r,
-		follows: newFollows(),
+		feeds:   newFeeds(),
 		tracker: tracker.New(tracker.Settings{SuspectAfter: s.SuspectAfter.Std()}),
 		chooser: chooser.New(s.Routing.Policy),
 		queue: limiter.NewQueue(limiter.QueueSettings{
 			PerClass: s.Queue.PerClass, PerWorkspace: s.Queue.PerWorkspace, InteractiveBurst: s.Queue.InteractiveBurst,
 		}),
-		conns:   map[string]*linker.Conn{},
-		stops:   map[string]context.CancelFunc{},
-		dialed:  map[string]string{},
-		waiting: map[string]*waitingPlace{},
+		conns:     map[string]*linker.Conn{},
+		cancels:   map[string]context.CancelFunc{},
+		addresses: map[string]string{},
+		waiting:   map[string]*slotRequest{},
 	}
 }
 
-// list takes a reading of the instance list, links to this router's part of the region's sidecars and lets go of others.
-func (u *upstreams) list(instances []masticway.Instance) {
+// updateInstances takes a reading of the instance list, links to this router's part of the region's sidecars and lets go of others.
+func (u *upstreams) updateInstances(instances []masticway.Instance) {
 	settings := u.router.settings
 	regional := slices.DeleteFunc(slices.Clone(instances), func(i masticway.Instance) bool { return i.Region != settings.Region })
 	u.mu.Lock()
@@ -59,97 +59,97 @@
 	u.tracker.List(regional)
 	wanted := tracker.Subset(regional, settings.Instance, settings.Zone, settings.LinksPerPool)
 	for id, i := range wanted {
-		if _, linked := u.stops[id]; !linked {
+		if _, linked := u.cancels[id]; !linked {
 			u.dial(i)
 			continue
 		}
-		u.follow(i)
+		u.redialIfMoved(i)
 	}
 	for _, t := range u.tracker.All() {
-		u.letGo(t, wanted)
+		u.dropUnneeded(t, wanted)
 	}
 }
 
-// letGo ends the link to a sidecar that has ended, or that is idle and no longer in this router's part.
-func (u *upstreams) letGo(t tracker.Upstream, wanted map[string]masticway.Instance) {
+// dropUnneeded ends the link to a sidecar that has ended, or that is idle and no longer in this router's part.
+func (u *upstreams) dropUnneeded(t tracker.Upstream, wanted map[string]masticway.Instance) {
 	id := t.Instance.ID
 	ended := u.tracker.Ended(id)
 	if ended && t.Incarnation != "" {
-		u.router.bank.gone(t.Incarnation)
+		u.router.budgets.markGone(t.Incarnation)
 	}
-	_, stays := wanted[id]
+	_, isWanted := wanted[id]
 	own, _ := u.chooser.InFlight(id)
 	// A leaving sidecar keeps its link until the platform says that it has ended.
-	if stop, linked := u.stops[id]; linked && (ended || (!stays && own == 0 && !t.IsLeaving())) {
+	if stop, linked := u.cancels[id]; linked && (ended || (!isWanted && own == 0 && !t.IsLeaving())) {
 		stop()
-		delete(u.stops, id)
-		delete(u.dialed, id)
+		delete(u.cancels, id)
+		delete(u.addresses, id)
 		u.chooser.Forget(id)
 	}
 }
 
-// follow dials an instance anew when the list shows it at another address.
-func (u *upstreams) follow(i masticway.Instance) {
-	if u.dialed[i.ID] != i.Address {
-		u.stops[i.ID]()
+// redialIfMoved dials an instance anew when the list shows it at another address.
+func (u *upstreams) redialIfMoved(i masticway.Instance) {
+	if u.addresses[i.ID] != i.Address {
+		u.cancels[i.ID]()
 		u.dial(i)
 	}
 }
 
 func (u *upstreams) dial(i masticway.Instance) {
 	ctx, stop := context.WithCancel(u.router.ctx)
-	u.stops[i.ID] = stop
-	u.dialed[i.ID] = i.Address
-	d := u.router.dialer(u.handle, u.up, u.down)
+	u.cancels[i.ID] = stop
+	u.addresses[i.ID] = i.Address
+	d := u.router.dialer(u.handle, u.linkUp, u.linkDown)
 	u.router.wg.Go(func() {
 		// A sidecar looks a router's row up once they are linked, and takes one that has none for ended.
 		select {
-		case <-u.router.bank.opened:
+		case <-u.router.budgets.linksOpened:
 			d.Keep(ctx, i.Address)
 		case <-ctx.Done():
 		}
 	})
 }
 
-func (u *upstreams) up(c *linker.Conn) {
+func (u *upstreams) linkUp(c *linker.Conn) {
 	instance := c.Peer().Instance
 	u.mu.Lock()
 	u.conns[instance] = c
 	u.mu.Unlock()
-	_ = c.Send(u.router.beatMessage())
-	u.router.wg.Go(func() { u.admit(c) })
+	_ = c.Send(u.router.heartbeatMessage())
+	u.router.wg.Go(func() { u.activate(c) })
 }
 
-// admit makes a sidecar usable once the durable set holds it, here and at the peers that pay.
-func (u *upstreams) admit(c *linker.Conn) {
+// activate makes a sidecar usable once the durable set holds it, here and at the peers that pay.
+func (u *upstreams) activate(c *linker.Conn) {
 	inc := c.Peer().Incarnation
 	instance := c.Peer().Instance
 	u.mu.Lock()
 	for _, t := range u.tracker.All() {
 		if t.Instance.ID == instance && t.Incarnation != "" && t.Incarnation != inc {
 			// The slot holds one process, so the one before has ended.
-			u.router.bank.gone(t.Incarnation)
+			u.router.budgets.markGone(t.Incarnation)
 		}
 	}
 	u.mu.Unlock()
 	ctx, cancel := c.Bind(u.router.ctx)
 	defer cancel()
-	if !u.router.bank.link(ctx, inc) {
+	if !u.router.budgets.register(ctx, inc) {
 		return
 	}
 	// With this beat the sidecar finds itself in the durable set and verifies this router ahead of any work.
-	_ = c.Send(u.router.beatMessage())
-	u.router.peers.reachAll()
+	_ = c.Send(u.router.heartbeatMessage())
+	u.router.peers.registerAll()
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	if u.conns[instance] != c {
 		return
 	}
 	u.tracker.LinkUp(u.router.clock.Now(), instance, inc)
-	u.pump()
+	u.serveWaiting()
 }
 
-func (u *upstreams) down(c *linker.Conn) {
+func (u *upstreams) linkDown(c *linker.Conn) {
 	instance := c.Peer().Instance
 	u.mu.Lock()
 	if u.conns[instance] == c {
@@ -157,7 +157,7 @@
 		u.tracker.LinkDown(u.router.clock.Now(), instance)
 	}
 	u.mu.Unlock()
-	u.follows.down(instance)
+	u.feeds.linkDown(instance)
 }
 
 // conn returns the link to an instance, or nil.
@@ -167,8 +167,8 @@
 	return u.conns[instance]
 }
 
-// linked returns all links to sidecars.
-func (u *upstreams) linked() []*linker.Conn {
+// allConns returns all links to sidecars.
+func (u *upstreams) allConns() []*linker.Conn {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	return slices.AppendSeq(make([]*linker.Conn, 0, len(u.conns)), maps.Values(u.conns))
@@ -182,27 +182,27 @@
 	u.mu.Unlock()
 	switch {
 	case m.Frame != nil:
-		u.follows.deliver(m.Frame.Run, sidecar, runEvent{chunk: &m.Frame.Chunk})
+		u.feeds.deliver(m.Frame.Run, sidecar, runEvent{chunk: &m.Frame.Chunk})
 	case m.Accepted != nil:
-		u.follows.deliver(m.Accepted.Run, sidecar, runEvent{accepted: true})
+		u.feeds.deliver(m.Accepted.Run, sidecar, runEvent{accepted: true})
 	case m.Refused != nil:
-		u.follows.deliver(m.Refused.Run, sidecar, runEvent{refused: m.Refused})
+		u.feeds.deliver(m.Refused.Run, sidecar, runEvent{refused: m.Refused})
 	case m.Counted != nil:
-		u.follows.deliver(m.Counted.Run, sidecar, runEvent{counted: m.Counted})
+		u.feeds.deliver(m.Counted.Run, sidecar, runEvent{counted: m.Counted})
 	case m.Final != nil:
-		u.follows.deliver(m.Final.Run, sidecar, runEvent{final: m.Final})
+		u.feeds.deliver(m.Final.Run, sidecar, runEvent{final: m.Final})
 	case m.Status != nil:
-		u.follows.deliver(m.Status.Run, sidecar, runEvent{missing: true})
+		u.feeds.deliver(m.Status.Run, sidecar, runEvent{missing: true})
 	case m.Changes != nil:
-		u.router.learn(m.Changes.List)
+		u.router.applyChanges(m.Changes.List)
 	case m.Want != nil:
-		u.router.passOn(c, m.Want.After)
+		u.router.sendChanges(c, m.Want.After)
 	case m.Beat != nil:
-		u.beat(c, *m.Beat)
+		u.handleHeartbeat(c, *m.Beat)
 	}
 }
 
-func (u *upstreams) beat(c *linker.Conn, b linker.Beat) {
+func (u *upstreams) handleHeartbeat(c *linker.Conn, b linker.Beat) {
 	instance := c.Peer().Instance
 	u.mu.Lock()
 	if b.Leaving {
@@ -211,9 +211,9 @@
 	if b.Load != nil {
 		u.chooser.Report(u.router.clock.Now(), instance, *b.Load)
 	}
-	u.pump()
+	u.serveWaiting()
 	u.mu.Unlock()
-	u.router.wantFrom(c, b.Revision)
+	u.router.requestChanges(c, b.Revision)
 }
 
 // usable lists the upstreams of a pool that may get new work; the caller holds the lock.
@@ -229,14 +229,14 @@
 	return usable
 }
 
-func (u *upstreams) markLeaving(instance string) {
+func (u *upstreams) markDraining(instance string) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	u.tracker.Leaving(instance)
 }
 
-// ended tells whether a sidecar's process is gone for certain.
-func (u *upstreams) ended(instance string, sidecar masticway.Incarnation) bool {
+// isGone tells whether a sidecar's process is gone for certain.
+func (u *upstreams) isGone(instance string, sidecar masticway.Incarnation) bool {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	if u.tracker.Ended(instance) {
@@ -255,24 +255,24 @@
 	for _, e := range u.queue.Expire(now) {
 		if w, ok := u.waiting[e.ID]; ok {
 			delete(u.waiting, e.ID)
-			close(w.placed)
+			close(w.granted)
 		}
 	}
-	u.pump()
+	u.serveWaiting()
 }
 
-// find asks all linked sidecars for a run of an identity; all tells that each of them has answered.
+// findRun asks all linked sidecars for a run of an identity; all tells that each of them has answered.
 //
 // It waits for a slow one, at which the run may be, for two thirds of the time in which a silent one still gets work: a request
 // that is then dispatched to one that a cut has silenced has to learn that its fate is unknown.
-func (u *upstreams) find(ctx context.Context, identity masticway.Identity) (status sealer.Status, at *linker.Conn, all bool) {
-	conns := u.linked()
+func (u *upstreams) findRun(ctx context.Context, identity masticway.Identity) (status sealer.Status, at *linker.Conn, complete bool) {
+	conns := u.allConns()
 	type finding struct {
 		status sealer.Status
 		conn   *linker.Conn
 	}
 	found := make(chan finding, len(conns))
-	ctx, cancel := context.WithTimeout(ctx, max(askTimeout, u.router.settings.SuspectAfter.Std()*2/3))
+	ctx, cancel := context.WithTimeout(ctx, max(callTimeout, u.router.settings.SuspectAfter.Std()*2/3))
 	defer cancel()
 	for _, c := range conns {
 		go func() {
@@ -285,23 +285,23 @@
 		}()
 	}
 	var best finding
-	all = true
+	complete = true
 	for range conns {
 		f := <-found
-		all = all && f.conn != nil
+		complete = complete && f.conn != nil
 		if f.status.Known && (best.conn == nil || f.status.Run.Attempt > best.status.Run.Attempt) {
 			best = f
 		}
 	}
-	return best.status, best.conn, all
+	return best.status, best.conn, complete
 }
 
-// count asks a usable engine for a prompt's true token count; it returns -1 when none answers.
-func (u *upstreams) count(ctx context.Context, pool string, prompt []byte) int {
+// countTokens asks a usable engine for a prompt's true token count; it returns -1 when none answers.
+func (u *upstreams) countTokens(ctx context.Context, pool string, prompt []byte) int {
 	u.mu.Lock()
 	usable := u.usable(pool)
 	u.mu.Unlock()
-	ctx, cancel := context.WithTimeout(ctx, askTimeout)
+	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	for _, t := range usable {
 		c := u.conn(t.Instance.ID)
@@ -323,12 +323,12 @@
 	u.mu.Lock()
 	usable := u.tracker.Usable(r.clock.Now())
 	u.mu.Unlock()
-	if len(usable) < n || !r.peers.met() {
+	if len(usable) < n || !r.peers.isReady() {
 		return false
 	}
-	for _, c := range r.peers.linked() {
+	for _, c := range r.peers.allConns() {
 		for _, t := range usable {
-			if !r.peers.covers(c.Peer().Incarnation, t.Incarnation) {
+			if !r.peers.hasRegistered(c.Peer().Incarnation, t.Incarnation) {
 				return false
 			}
 		}
