--- a/router/doc.go
+++ b/router/doc.go
@@ -1,8 +1,7 @@
-// Package router is the entry instance: it takes callers and operators, admits,
-// routes, relays answers and holds money.
+// Package router implements the fleet's entry process: it accepts requests from callers and operators, admits and routes them,
+// relays answers and holds money for them.
 //
-// It is a shell: decisions are taken by the keeper, limiter, chooser, retrier,
-// tracker, recoverer and configurer packages, and this package does the input
-// and output around them. One Router is one incarnation; when it finds itself
-// fenced, its owner starts another.
+// The package does the input and output; decisions are made by the packages keeper, limiter, chooser, retrier, tracker, recoverer
+// and configurer. A Router is one incarnation. Once another router has sealed it, it can draw no money, and its owner starts a
+// new one.
 package router
--- a/router/router.go
+++ b/router/router.go
@@ -25,34 +25,35 @@
 )
 
 const (
-	// flushInterval is the pause between two batches of bills and traces.
+	// flushInterval is the interval between two batches of bills and traces.
 	flushInterval = time.Second
-	// auditInterval is the pause between two looks for double bills.
+	// auditInterval is the interval between two searches for duplicate bills.
 	auditInterval = 5 * time.Second
-	// heartbeatsPerInbound is how many heartbeats pass between two on links that the peer dialed.
+	// heartbeatsPerInbound is the number of heartbeats per heartbeat on links that the peer dialed.
 	heartbeatsPerInbound = 4
-	// challengeReadsPerLease is how often in a lease a router looks for a challenge to it, which it must answer within half of it.
+	// challengeReadsPerLease is how many times per lease duration a router checks for a challenge. It must answer one within half
+	// a lease.
 	challengeReadsPerLease = 4
-	// startRetryInterval is the pause between two attempts to start.
+	// startRetryInterval is the interval between two attempts to start.
 	startRetryInterval = 100 * time.Millisecond
-	// platformTimeout bounds one background call to the platform.
+	// platformTimeout limits one background call to the platform.
 	platformTimeout = 3 * time.Second
 )
 
-// Platform is what a router needs of the platform.
+// Platform holds the platform services that a router uses.
 type Platform struct {
 	Table     masticway.Table
 	Objects   masticway.ObjectStore
 	Instances masticway.InstanceList
 }
 
-// Secrets are what a router reads from files.
+// Secrets holds what a router reads from secret files.
 type Secrets struct {
 	FleetKey   []byte
 	AdminToken string
 }
 
-// Router is one incarnation of a router.
+// Router is one incarnation of a router process.
 type Router struct {
 	settings Settings
 	self     masticway.Incarnation
@@ -81,23 +82,24 @@
 	retryMu sync.Mutex
 	retrier *retrier.Retrier
 
-	// listVersion is the instance list last read; only that loop uses it.
+	// listVersion is the version of the instance list that was last read; only the polling loop uses it.
 	listVersion string
-	// sentOpen and sentUpto are what the last heartbeat said of open grants; heartbeatMu guards them.
+	// sentOpen and sentUpto are the open grants that the last heartbeat reported; heartbeatMu guards them.
 	sentOpen   []int64
 	sentUpto   int64
 	heartbeats int
 
 	draining atomic.Bool
-	// peersReady tells that the other routers of the region count this one among the keepers, or were waited for long enough.
+	// peersReady is set once this router and the other routers of the region count each other among the keepers, or LostAfter has
+	// passed.
 	peersReady        atomic.Bool
 	openRequests      atomic.Int64
 	lastRequestNumber atomic.Uint64
 	answeredChallenge atomic.Int64
-	// changesRequestedAt is when a peer was last asked for changes, in nanoseconds.
+	// changesRequestedAt is when this router last asked a peer for changes, in Unix nanoseconds.
 	changesRequestedAt atomic.Int64
 	heartbeatMu        sync.Mutex
-	// confirmedAt is when the applied revision was last known to be the newest, in nanoseconds.
+	// confirmedAt is the latest time at which the applied revision was known to be the newest, in Unix nanoseconds.
 	confirmedAt atomic.Int64
 	sealed      chan struct{}
 	sealedOnce  sync.Once
@@ -107,7 +109,7 @@
 	wg   sync.WaitGroup
 }
 
-// New returns a router that is not yet running.
+// New returns a router that has not been started.
 func New(s Settings, secrets Secrets, clock masticway.Clock, log *logrus.Logger, platform Platform, dial linker.DialFunc, metrics *measurer.Set) *Router {
 	self := masticway.NewIncarnation(s.Instance, uuid.NewString()[:8])
 	ctx, stop := context.WithCancel(context.Background())
@@ -135,10 +137,10 @@
 	return r
 }
 
-// Self names this incarnation.
+// Self returns the identifier of this incarnation.
 func (r *Router) Self() masticway.Incarnation { return r.self }
 
-// Sealed is closed when this incarnation has been fenced and another must start.
+// Sealed returns a channel that is closed when this incarnation has been sealed and a new one must be started.
 func (r *Router) Sealed() <-chan struct{} { return r.sealed }
 
 func (r *Router) markSealed() {
@@ -158,7 +160,7 @@
 	}
 }
 
-// Start writes the first rows, loads the configuration and begins to serve; it tries until the context ends.
+// Start writes the first rows, loads the configuration and starts serving. It retries until ctx ends.
 func (r *Router) Start(ctx context.Context) error {
 	r.wg.Go(func() { r.loop(r.settings.Poll.Std(), r.readInstances) })
 	if err := r.retryUntil(ctx, "opening the links row", func() error { return r.budgets.openLinks(ctx) }); err != nil {
@@ -215,9 +217,9 @@
 	}
 }
 
-// waitForPeers waits for the other routers of the region before this one serves: until they count each other among the keepers,
-// each keeps every budget alone, and a key that two are asked for at once would run twice. One that cannot be reached
-// holds this router up no longer than a silent sidecar holds up a request.
+// waitForPeers sets peersReady once the routers of the region count each other among the keepers. Until then each router is the
+// keeper of every budget, so two requests with the same key that arrive at two routers would both run. An unreachable peer delays
+// this router for LostAfter at most.
 func (r *Router) waitForPeers() {
 	deadline := r.clock.Now().Add(r.settings.LostAfter.Std())
 	for !r.peers.isReady() && r.clock.Now().Before(deadline) && r.ctx.Err() == nil {
@@ -226,21 +228,22 @@
 	r.peersReady.Store(true)
 }
 
-// Ready tells whether requests are served.
+// Ready reports whether the router serves requests.
 func (r *Router) Ready() bool {
 	return r.peersReady.Load() && r.snapshot.Load().Revision() > 0 && !r.draining.Load() && !r.isSealed() && !r.isStale()
 }
 
-// Drain stops taking requests, lets those in progress finish and returns all money.
+// Drain stops accepting requests, waits for those in progress and returns all money.
 //
-// It returns false when the context ended first; what was cut off is logged and counted.
+// It reports whether all requests finished before ctx ended; the number that did not is logged and counted. Money that could not
+// be returned in time is left for recovery.
 func (r *Router) Drain(ctx context.Context) bool {
 	r.draining.Store(true)
 	for r.openRequests.Load() > 0 {
 		select {
 		case <-ctx.Done():
 			r.metrics.Add(metricDrainCut, r.openRequests.Load())
-			r.log.WithFields(logrus.Fields{"event": "drain_expired", "open": r.openRequests.Load()}).Warn("drain expired")
+			r.log.WithFields(logrus.Fields{"event": "drain_expired", "open": r.openRequests.Load()}).Warn("drain timed out")
 			return false
 		case <-r.clock.After(tickInterval):
 		}
@@ -253,7 +256,7 @@
 	return true
 }
 
-// closeRows returns the money and removes this incarnation's rows, so that nobody needs to recover it.
+// closeRows returns the money and removes this incarnation's rows, so that it needs no recovery.
 func (r *Router) closeRows(ctx context.Context) {
 	if !r.budgets.drain(ctx) {
 		r.log.WithField("event", "drain_money_left").Warn("money is left for recovery")
@@ -264,18 +267,18 @@
 	}
 }
 
-// Close ends everything at once, as a crash would.
+// Close stops everything at once, as a crash would.
 func (r *Router) Close() {
 	r.stop()
 	r.peers.close()
 	for r.openRequests.Load() > 0 {
-		// Handlers see the end of the context; they must not start work after the wait below.
+		// Handlers see that r.ctx has ended; they must not start work after the wait below.
 		time.Sleep(time.Millisecond)
 	}
 	r.wg.Wait()
 }
 
-// identity is what this process proves on links.
+// identity returns what this process authenticates itself with on links.
 func (r *Router) identity() linker.Identity {
 	return linker.Identity{
 		Self: masticway.Peer{Instance: r.settings.Instance, Incarnation: r.self, Role: masticway.RoleRouter},
@@ -287,7 +290,7 @@
 	return linker.Dialer{Identity: r.identity(), Dial: r.dial, Handler: h, Up: up, Down: down}
 }
 
-// dialOnce opens a link to a process that this router keeps none to; the caller closes it.
+// dialOnce opens a link to a process to which this router keeps none. The caller must close it.
 func (r *Router) dialOnce(ctx context.Context, address string) (*linker.Conn, error) {
 	d := r.dialer(func(*linker.Conn, linker.Message) {}, func(*linker.Conn) {}, func(*linker.Conn) {})
 	c, err := d.Once(ctx, address)
@@ -298,7 +301,7 @@
 	return c, nil
 }
 
-// LinkHandler serves links from other routers.
+// LinkHandler returns the handler for links from other routers.
 func (r *Router) LinkHandler() http.Handler { return r.peers.listener }
 
 func (r *Router) platformContext() (context.Context, context.CancelFunc) {
@@ -331,7 +334,7 @@
 	})
 }
 
-// keepLease renews the lease row, at once when a revision has been applied.
+// keepLease renews the lease row at every interval, and at once when a revision has been applied.
 func (r *Router) keepLease() {
 	for {
 		select {
@@ -351,13 +354,14 @@
 	}
 }
 
-// heartbeatMessage is the heartbeat to a sidecar, with all that it may need to know.
+// heartbeatMessage returns the heartbeat to a sidecar, including the open grants.
 func (r *Router) heartbeatMessage() linker.Message {
 	open, upto := r.budgets.openGrants()
 	return linker.Message{Beat: &linker.Beat{Revision: r.snapshot.Load().Revision(), Open: open, Upto: upto, Leaving: r.draining.Load()}}
 }
 
-// sendHeartbeats tells sidecars which grants are open only when that has changed, because there are many links.
+// sendHeartbeats sends a heartbeat on every link. Because there are many links to sidecars, it includes the open grants only if
+// they have changed.
 func (r *Router) sendHeartbeats() {
 	r.heartbeatMu.Lock()
 	defer r.heartbeatMu.Unlock()
@@ -374,7 +378,7 @@
 	for _, c := range r.peers.allConns() {
 		_ = c.Send(peer)
 	}
-	// The other direction of the same pair only has to be kept from its read timeout.
+	// Inbound links from the same peers only need enough traffic to stay below the read timeout.
 	r.heartbeats++
 	if r.heartbeats%heartbeatsPerInbound == 0 {
 		for _, c := range r.peers.listener.All() {
@@ -395,7 +399,7 @@
 	}
 }
 
-// audit looks for double bills at one router of the fleet and gives them back.
+// audit refunds bills that are duplicates or superseded. One router of each region does so.
 func (r *Router) audit() {
 	if r.peers.keeperFor("audit") != r.self {
 		return
@@ -418,5 +422,5 @@
 		return
 	}
 	r.metrics.Add(metricRefunds, 1)
-	r.log.WithFields(logrus.Fields{"event": "double_bill_returned", "identity": f.Identity, "hold": f.Hold, "amount": f.Amount}).Info("double bill returned")
+	r.log.WithFields(logrus.Fields{"event": "double_bill_returned", "identity": f.Identity, "hold": f.Hold, "amount": f.Amount}).Info("duplicate bill refunded")
 }
