--- a/router/bank.go
+++ b/router/bank.go
@@ -18,42 +18,43 @@
 )
 
 const (
-	// moveRetryInterval separates attempts to learn what became of a move.
+	// moveRetryInterval is the interval between attempts to find the outcome of a move.
 	moveRetryInterval = 200 * time.Millisecond
-	// moveTimeout bounds one attempt at a move.
+	// moveTimeout limits one attempt at a move.
 	moveTimeout = 3 * time.Second
-	// tickInterval is how often waits and idle money are looked at.
+	// tickInterval is the interval at which timeouts are checked and draining is polled.
 	tickInterval = 20 * time.Millisecond
-	// memoryCompleteAfter is how long a keeper must have been one before its memory of identities is complete.
+	// memoryCompleteAfter is the time after a keeper's start from which its memory of identities counts as complete.
 	memoryCompleteAfter = 2 * time.Minute
 )
 
-// budgetManager is the shell around the keeper: it moves money in the table and answers hold requests.
+// budgetManager runs the keeper: it moves money in the table and answers hold requests. It also maintains this incarnation's
+// links row, the list of sidecars at which its money may be used.
 type budgetManager struct {
 	self    masticway.Incarnation
 	clock   masticway.Clock
 	log     *logrus.Entry
 	book    *bookkeeper.Book
 	metrics *measurer.Set
-	// onSealed is called when the table says that this incarnation is sealed.
+	// onSealed is called when the table shows that this incarnation is sealed.
 	onSealed func()
-	// isKeeper tells whether this router keeps a budget now.
+	// isKeeper reports whether this router is currently the keeper of a budget.
 	isKeeper func(budget string) bool
-	// linksOpened is closed once the links row is there.
+	// linksOpened is closed once the links row has been written.
 	linksOpened chan struct{}
 	openOnce    sync.Once
-	// requestReturn is called when a budget is short and others have open grants.
+	// requestReturn is called when a budget is short of money and other routers have open grants of it.
 	requestReturn func(budget string, payers []masticway.Incarnation)
 
 	mu      sync.Mutex
 	keeper  *keeper.Keeper
 	limits  *limiter.Contracts
 	waiting map[masticway.HoldID]func(keeper.Reply)
-	// holdWorkspaces are the holds that the contract limits count as open.
+	// holdWorkspaces maps the holds that count as open in the contract limits to their workspaces.
 	holdWorkspaces map[masticway.HoldID]string
-	// sealed tells that this incarnation is sealed, so that no money can come.
+	// sealed is set if this incarnation is sealed, so that it can draw no more money.
 	sealed bool
-	// faultLogged tells that a step outside a chart has been logged.
+	// faultLogged is set once an event that a state chart does not allow has been logged.
 	faultLogged bool
 
 	linksMu      sync.Mutex
@@ -81,7 +82,7 @@
 	}
 }
 
-// openLinks writes the first links row; nothing is drawn before.
+// openLinks writes the first links row. No money can be drawn before that.
 func (b *budgetManager) openLinks(ctx context.Context) error {
 	version, err := b.book.OpenLinks(ctx, b.self)
 	if err != nil {
@@ -94,7 +95,7 @@
 	return nil
 }
 
-// hold asks the own keeper; reply is called once, possibly before hold returns.
+// hold asks this router's keeper for money. It calls reply once, possibly before it returns, with the lock held.
 func (b *budgetManager) hold(r keeper.HoldRequest, c masticway.Contract, reply func(linker.HoldIs)) {
 	now := b.clock.Now()
 	b.mu.Lock()
@@ -119,7 +120,7 @@
 	b.apply(b.keeper.Hold(now, r))
 }
 
-// refuseAll answers those who wait for money, and from now on all who ask, because this incarnation is sealed.
+// refuseAll refuses the waiting and all later hold requests, because this incarnation is sealed.
 func (b *budgetManager) refuseAll() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -145,7 +146,7 @@
 	b.apply(b.keeper.Settle(b.clock.Now(), s.Hold, s.Charges))
 }
 
-// releaseLimit takes a hold out of the contract limits; the caller holds the lock.
+// releaseLimit removes a hold from the contract limits. The caller must hold the lock.
 func (b *budgetManager) releaseLimit(id masticway.HoldID) {
 	if workspace, ok := b.holdWorkspaces[id]; ok {
 		delete(b.holdWorkspaces, id)
@@ -159,7 +160,7 @@
 	b.apply(b.keeper.GiveBack(b.clock.Now(), budget, !b.isKeeper(budget)))
 }
 
-// apply carries out the keeper's effects; the caller holds the lock.
+// apply executes the keeper's effects. The caller must hold the lock.
 func (b *budgetManager) apply(effects []keeper.Effect) {
 	for _, e := range effects {
 		switch e := e.(type) {
@@ -176,7 +177,7 @@
 	}
 }
 
-// move carries a move out, and stays with it while its outcome is unknown.
+// move executes a move and retries it until its outcome is known.
 func (b *budgetManager) move(m keeper.Move) {
 	unknown := false
 	for b.ctx.Err() == nil {
@@ -201,7 +202,7 @@
 		}
 		unknown = true
 		b.metrics.Add(metricMovesUnknown, 1)
-		b.log.WithFields(logrus.Fields{"event": "move_outcome_unknown", "budget": m.Grant.Budget, "error": err}).Warn("outcome of a move unknown")
+		b.log.WithFields(logrus.Fields{"event": "move_outcome_unknown", "budget": m.Grant.Budget, "error": err}).Warn("outcome of a money move unknown")
 		b.sleep(moveRetryInterval)
 	}
 }
@@ -228,7 +229,7 @@
 	}
 }
 
-// refreshLinks reads back the links row after a conflict or a lost answer.
+// refreshLinks reads the links row again after a conflict.
 func (b *budgetManager) refreshLinks() {
 	b.linksMu.Lock()
 	defer b.linksMu.Unlock()
@@ -250,7 +251,8 @@
 	b.linksVersion = version
 }
 
-// register records sidecars in the durable set before any is used; it waits until that is done.
+// register adds sidecars to the links row, which must be done before they are used. It retries until it succeeds or a context
+// ends, and reports whether it succeeded.
 func (b *budgetManager) register(ctx context.Context, sidecars ...masticway.Incarnation) bool {
 	for ctx.Err() == nil && b.ctx.Err() == nil {
 		if b.tryRegister(sidecars) {
@@ -265,7 +267,7 @@
 	b.linksMu.Lock()
 	defer b.linksMu.Unlock()
 	if b.linksVersion == 0 {
-		// The first row must be written by open: made here, it would look like somebody else's and seal this router.
+		// Only openLinks may write the first row: if it found a row that was written here, it would report this router as sealed.
 		return false
 	}
 	next := b.links
@@ -281,7 +283,7 @@
 	return b.putLinks(next)
 }
 
-// putLinks replaces the links row; the caller holds linksMu.
+// putLinks replaces the links row. The caller must hold linksMu.
 func (b *budgetManager) putLinks(next bookkeeper.Links) bool {
 	ctx, cancel := context.WithTimeout(b.ctx, moveTimeout)
 	defer cancel()
@@ -295,14 +297,14 @@
 	return false
 }
 
-// isRegistered tells whether the durable set holds a sidecar.
+// isRegistered reports whether the links row contains a sidecar.
 func (b *budgetManager) isRegistered(sidecar masticway.Incarnation) bool {
 	b.linksMu.Lock()
 	defer b.linksMu.Unlock()
 	return b.links.Has(sidecar)
 }
 
-// markGone records that a sidecar is gone for certain, so that it can leave the durable set.
+// markGone records that a sidecar has ended, so that it can be removed from the links row.
 func (b *budgetManager) markGone(sidecar masticway.Incarnation) {
 	b.linksMu.Lock()
 	defer b.linksMu.Unlock()
@@ -311,7 +313,8 @@
 	}
 }
 
-// removeGone takes sidecars out of the durable set once every hold that may have used them is settled.
+// removeGone removes ended sidecars from the links row once every hold that may have been used at them is settled. What they
+// spent is added to the row's absorbed amounts.
 func (b *budgetManager) removeGone() {
 	b.linksMu.Lock()
 	defer b.linksMu.Unlock()
@@ -338,7 +341,7 @@
 	}
 }
 
-// returnIdle returns idle money and hands over the budgets that another router keeps now.
+// returnIdle returns idle money and hands over the budgets that have another keeper now.
 func (b *budgetManager) returnIdle() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -361,11 +364,11 @@
 	b.metrics.Gauge(metricHolds, int64(holds))
 	if err := b.keeper.Fault(); err != nil && !b.faultLogged {
 		b.faultLogged = true
-		b.log.WithFields(logrus.Fields{"event": "chart_fault", "error": err}).Error("step outside the chart")
+		b.log.WithFields(logrus.Fields{"event": "chart_fault", "error": err}).Error("event not allowed by the state chart")
 	}
 }
 
-// drain returns all money; it reports false when the context ended first.
+// drain returns all money. It reports false if ctx ended first.
 func (b *budgetManager) drain(ctx context.Context) bool {
 	for {
 		b.mu.Lock()
