--- a/router/attempt.go
+++ b/router/attempt.go
@@ -15,10 +15,10 @@
 	"github.com/masticway/masticway/sealer"
 )
 
-// resolveInterval separates questions to a sidecar whose link is broken.
+// resolveInterval is the interval between queries to a sidecar whose link is broken.
 const resolveInterval = 50 * time.Millisecond
 
-// newDispatch builds the next attempt's dispatch from what is left of the request.
+// newDispatch returns the dispatch of the next attempt, which covers what is left of the request.
 func (x *exchange) newDispatch() sealer.Dispatch {
 	q := x.q
 	call := q.call
@@ -37,7 +37,7 @@
 	}
 }
 
-// affordableOutput returns the whole answer's token bound that the hold covers.
+// affordableOutput returns the largest output of the whole answer in tokens that the hold covers.
 func (x *exchange) affordableOutput(bound masticway.Amount) int {
 	prompt := x.q.maxPromptTokens
 	if x.promptTokens > 0 {
@@ -50,7 +50,7 @@
 	return min(x.q.call.MaxOutput, x.outputTokens+max(0, rest))
 }
 
-// runAttempt makes one attempt at an upstream and waits until its fate is final.
+// runAttempt makes one attempt at an upstream and waits until its fate is final or counts as unknown.
 func (x *exchange) runAttempt(ctx context.Context, p slot, work chooser.Work) attemptResult {
 	x.attempt++
 	began := x.r.clock.Now()
@@ -73,7 +73,7 @@
 	return e
 }
 
-// newFeed begins to collect what a sidecar says of the current attempt.
+// newFeed starts to collect what a sidecar sends for the current attempt.
 func (x *exchange) newFeed(at masticway.Peer) *feed {
 	run := masticway.RunKey{Identity: x.q.identity, Attempt: x.attempt}
 	f := newFeed(run, at.Instance, at.Incarnation, x.nextChunk)
@@ -81,7 +81,7 @@
 	return f
 }
 
-// chargeAttempt puts the attempt's true cost on the hold, or what is presumed when nobody can tell.
+// chargeAttempt adds the attempt's true cost to the hold, or its bound as the presumed cost if its sidecar is gone.
 func (x *exchange) chargeAttempt(f *feed, d sealer.Dispatch, e attemptResult) {
 	switch {
 	case e.final != nil:
@@ -91,7 +91,7 @@
 		x.hold.presumed += d.Bound
 		x.settleAs(biller.KindPart)
 	case e.fate == masticway.FateUnknown:
-		// The old attempt may still run: its hold stays open until somebody can tell.
+		// The old attempt may still run, so its hold stays open until its fate is known.
 		h := x.hold
 		x.hold = nil
 		q := x.q
@@ -152,7 +152,7 @@
 	}
 }
 
-// handleEvent handles one event of a run; done tells that the attempt has ended.
+// handleEvent handles one event of a run. It reports in done whether the attempt has ended.
 func (x *exchange) handleEvent(ctx context.Context, f *feed, e runEvent, work chooser.Work) (end attemptResult, done bool) {
 	switch {
 	case e.chunk != nil:
@@ -172,7 +172,7 @@
 	return attemptResult{}, false
 }
 
-// handleChunk relays the next piece; a doubled piece is dropped, and a gap is fetched again.
+// handleChunk relays the next chunk. It drops a duplicate, and fetches the missing chunks if there is a gap.
 func (x *exchange) handleChunk(f *feed, c masticway.Chunk, work chooser.Work) {
 	index := f.firstIndex + c.Index
 	if index < x.nextChunk {
@@ -196,7 +196,7 @@
 	x.relay(c)
 }
 
-// relay passes a piece to the caller and counts it.
+// relay sends a chunk to the caller and counts it.
 func (x *exchange) relay(c masticway.Chunk) {
 	c.Index = x.nextChunk
 	x.nextChunk++
@@ -205,7 +205,7 @@
 	x.to.writeChunk(c)
 }
 
-// fetchMissing asks for the pieces from the next one on.
+// fetchMissing asks the sidecar for the chunks from the next one on.
 func (x *exchange) fetchMissing(f *feed) {
 	c := x.r.upstreams.conn(f.instance)
 	if c != nil && c.Peer().Incarnation == f.sidecar {
@@ -213,7 +213,7 @@
 	}
 }
 
-// handleCounted shrinks the hold to what the true prompt count allows.
+// handleCounted records the prompt's true token count and shrinks the hold to the bound that follows from it.
 func (x *exchange) handleCounted(c sealer.Counted) {
 	x.promptTokens = c.Prompt
 	if x.hold == nil || x.found != nil {
@@ -237,7 +237,7 @@
 		x.r.metrics.Add(metricStaleRefusals, 1)
 		x.r.applyChanges(m.Changes)
 		if len(m.Changes) == 0 {
-			// The sidecar knows that there is a newer revision, but not what it says.
+			// The sidecar knows that there is a newer revision, but does not have its changes.
 			x.r.pollConfig()
 		}
 	case sealer.ReasonFull:
@@ -259,7 +259,7 @@
 	return e
 }
 
-// handleFinal ends the attempt, once every piece before it has been relayed.
+// handleFinal ends the attempt once every chunk before the end has been relayed.
 func (x *exchange) handleFinal(f *feed, m *sealer.Final) (attemptResult, bool) {
 	if x.nextChunk < f.firstIndex+m.Chunks {
 		x.fetchMissing(f)
@@ -273,7 +273,8 @@
 	return e, true
 }
 
-// handleCallerGone stops a run that nobody will ask for again; others run on for a caller that comes back.
+// handleCallerGone cancels the run if its caller cannot ask for the answer again and no other caller follows it. Other runs
+// continue, because the caller may return.
 func (x *exchange) handleCallerGone(f *feed) {
 	if x.q.hasCallerKey || x.q.nonRepeatable || x.r.upstreams.feeds.hasOthers(f.run) {
 		return
@@ -283,9 +284,10 @@
 	}
 }
 
-// resolve learns a run's fate after its link broke or its acceptance did not come.
+// resolve finds a run's fate after its link broke or its acceptance did not arrive in time.
 //
-// The sidecar either tells, or makes "not run" true by refusing the run for good.
+// The sidecar reports the fate of a run that it has accepted. A run that it has not accepted it refuses from then on, so "not
+// run" is final.
 func (x *exchange) resolve(ctx context.Context, f *feed) (attemptResult, bool) {
 	deadline := x.r.clock.Now().Add(x.r.settings.LostAfter.Std())
 	for x.r.clock.Now().Before(deadline) && x.r.ctx.Err() == nil {
@@ -306,7 +308,7 @@
 	return attemptResult{fate: masticway.FateUnknown, cause: retrier.CauseLinkLost, reason: "sidecar cannot be reached"}, true
 }
 
-// fateIfSidecarGone is what can be said of a run whose sidecar is gone.
+// fateIfSidecarGone returns the fate of a run whose sidecar is gone.
 func (x *exchange) fateIfSidecarGone() masticway.Fate {
 	if x.nextChunk > 0 {
 		return masticway.FateRan
@@ -314,7 +316,7 @@
 	return masticway.FateUnknown
 }
 
-// queryRun asks a sidecar what became of a run.
+// queryRun asks a sidecar for the status of a run. If there is no answer, sidecarGone reports whether its process has ended.
 func (r *Router) queryRun(ctx context.Context, run masticway.RunKey, instance string, sidecar masticway.Incarnation) (status sealer.Status, answered, sidecarGone bool) {
 	if r.upstreams.isGone(instance, sidecar) {
 		return status, false, true
@@ -332,7 +334,8 @@
 	return *a.Status, true, false
 }
 
-// resolveLater keeps asking for the fate of an attempt that the request has gone on without.
+// resolveLater queries the fate of a lost attempt until it is known and then settles its hold. The request itself has moved on to
+// another attempt or ended.
 func (r *Router) resolveLater(q request, h *moneyHold, run masticway.RunKey, instance string, sidecar masticway.Incarnation, bound masticway.Amount) {
 	kind := biller.KindSuperseded
 	if q.nonRepeatable {
@@ -348,7 +351,7 @@
 			return
 		case answered && !status.Known:
 			if q.nonRepeatable {
-				// It certainly never runs now, so a retry with the same key may.
+				// The run can no longer start, so a retry with the same key may run.
 				r.updateClaim(claimPrefix+string(q.identity), q.id, recordTimeout, nil)
 			}
 			r.settleHold(q, h, kind, masticway.Usage{})
@@ -356,7 +359,7 @@
 		case answered && status.Final != nil:
 			h.charges = append(h.charges, keeper.Charge{Sidecar: sidecar, Amount: status.Final.Cost})
 			r.settleHold(q, h, kind, status.Final.Outcome.Usage)
-			r.log.WithFields(logrus.Fields{"event": "late_fate", "request": q.id, "fate": status.Final.Fate}).Info("late fate")
+			r.log.WithFields(logrus.Fields{"event": "late_fate", "request": q.id, "fate": status.Final.Fate}).Info("fate of a lost attempt found")
 			return
 		case answered && !q.nonRepeatable:
 			if c := r.upstreams.conn(instance); c != nil {
