--- a/router/claims.go
+++ b/router/claims.go
@@ -14,16 +14,16 @@
 
 const (
 	claimPrefix = "claim/"
-	// claimTimeout bounds all work on one claim before the request is refused.
+	// claimTimeout limits all work on one claim before the request is refused.
 	claimTimeout = 2 * time.Second
-	// recordTimeout bounds the wait for an outcome to be recorded before the caller is answered.
+	// recordTimeout limits how long the answer waits for the outcome to be recorded.
 	recordTimeout      = 5 * time.Second
 	claimRetryInterval = 100 * time.Millisecond
-	// maxRecordedBody bounds the recorded body in bytes; a longer one is answered but not replayed.
+	// maxRecordedBody is the largest body in bytes that is recorded. A longer one is left out, and a replay has no body.
 	maxRecordedBody = 256 << 10
 )
 
-// claimState tells what is recorded of a non-repeatable request.
+// claimState is the state of a non-repeatable request in its row.
 type claimState string
 
 const (
@@ -31,7 +31,7 @@
 	claimDone claimState = "done"
 )
 
-// claimRow is the table's row of one non-repeatable identity.
+// claimRow is the table row of a non-repeatable identity.
 type claimRow struct {
 	Request     string                `json:"request"`
 	Sender      masticway.Incarnation `json:"sender"`
@@ -50,7 +50,7 @@
 	row claimRow
 }
 
-// claimRun claims the identity before anything is dispatched; done tells that the answer is already there.
+// claimRun claims the identity before anything is dispatched. It reports in done whether out and err are already the answer.
 func (x *exchange) claimRun(ctx context.Context) (out result, done bool, err error) {
 	c := &claim{
 		key: claimPrefix + string(x.q.identity),
@@ -94,7 +94,7 @@
 	return true
 }
 
-// replayClaim gives the caller a recorded outcome.
+// replayClaim answers the caller with a recorded outcome.
 func (x *exchange) replayClaim(row claimRow) result {
 	x.step(eventFinished)
 	x.relay(masticway.Chunk{Text: row.Body, Tokens: row.Usage.Completion})
@@ -104,7 +104,7 @@
 	}
 }
 
-// insertClaim writes the row if there is none, and returns the row that stands.
+// insertClaim writes the row if there is none, and returns the row that the table has then.
 func (r *Router) insertClaim(ctx context.Context, c *claim) (claimRow, error) {
 	ctx, cancel := context.WithTimeout(ctx, claimTimeout)
 	defer cancel()
@@ -130,7 +130,8 @@
 			return row, nil
 		}
 		if readErr == nil {
-			// Absent: the lost write may still be on its way, so it is made again under the same condition.
+			// The row is absent, but the write whose answer was lost may still arrive, so it is repeated under the same
+			// condition.
 			if err = r.platform.Table.Commit(ctx, tx); err == nil {
 				return c.row, nil
 			}
@@ -153,7 +154,7 @@
 	return c, row.Version, err
 }
 
-// completeClaim records the outcome before the caller is answered, or frees the identity when nothing ran.
+// completeClaim records the outcome before the answer ends, or frees the identity if nothing ran.
 func (x *exchange) completeClaim(_ context.Context, out result, err error) {
 	if x.claim == nil {
 		return
@@ -180,11 +181,11 @@
 		row.Reason = refused.Code
 	}
 	if !x.r.recordClaim(x.claim.key, row) {
-		x.r.log.WithFields(logrus.Fields{"event": "outcome_not_recorded", "request": x.q.id}).Warn("a retry of this request will be told that its outcome is unknown")
+		x.r.log.WithFields(logrus.Fields{"event": "outcome_not_recorded", "request": x.q.id}).Warn("outcome not recorded: a retry of this request gets an unknown outcome")
 	}
 }
 
-// recordClaim replaces this request's own row, until it is done or the time is over.
+// recordClaim replaces this request's own row. It retries until it succeeds or the timeout ends.
 func (r *Router) recordClaim(key string, row claimRow) bool {
 	value, err := json.Marshal(row)
 	if err != nil {
@@ -193,7 +194,7 @@
 	return r.updateClaim(key, row.Request, recordTimeout, value)
 }
 
-// deleteClaim removes this request's own row, because the request certainly did not run.
+// deleteClaim deletes this request's own row, because the request did not run.
 func (r *Router) deleteClaim(c *claim) { r.updateClaim(c.key, c.row.Request, recordTimeout, nil) }
 
 func (r *Router) updateClaim(key, request string, timeout time.Duration, value []byte) bool {
--- a/router/exchange.go
+++ b/router/exchange.go
@@ -21,7 +21,7 @@
 	"github.com/masticway/masticway/tracker"
 )
 
-// Events of the request chart.
+// Events of the request chart, the state machine of a request.
 const (
 	eventAdmitted  charter.Event = "admitted"
 	eventRefused   charter.Event = "refused"
@@ -40,26 +40,27 @@
 const stateSent charter.State = "sent"
 
 const (
-	// defaultMaxOutput bounds an answer when neither caller nor contract does.
+	// defaultMaxOutput limits an answer in tokens if neither the caller nor the contract does.
 	defaultMaxOutput = 1024
-	// defaultMinOutput is the least output worth starting for when the contract names none.
+	// defaultMinOutput is the smallest output in tokens that a request is started for if the contract names none.
 	defaultMinOutput = 16
-	// defaultHoldTimeout is how long a request waits for money when the contract does not say.
+	// defaultHoldTimeout is how long a request waits for money if the contract names no time.
 	defaultHoldTimeout = 300 * time.Millisecond
-	// messageOverhead bounds the tokens that surround one message of a prompt.
+	// messageOverhead is an upper bound on the tokens that surround one message of a prompt.
 	messageOverhead = 8
-	// duplicateTimeout is how long a repeated request looks for the run of the first.
+	// duplicateTimeout is how long a repeated request looks for the run of the first one.
 	duplicateTimeout  = 10 * time.Second
 	duplicateInterval = 100 * time.Millisecond
-	// noUpstreamTimeout is how long a request waits while no upstream of its kind is usable.
+	// noUpstreamTimeout is how long a request waits while no upstream of its pool is usable.
 	noUpstreamTimeout = 2 * time.Second
 )
 
-// request is what a caller asks for, checked against its contract; it does not change.
+// request is a caller's request after it was checked against the contract. It does not change, except that reacquireHold unsets
+// hasCallerKey for a time.
 type request struct {
 	id       string
 	identity masticway.Identity
-	// hasCallerKey tells that the caller chose the key, so that it may ask again.
+	// hasCallerKey is set if the caller chose the idempotency key, so that it may repeat the request.
 	hasCallerKey    bool
 	contract        masticway.Contract
 	revision        masticway.Revision
@@ -81,7 +82,7 @@
 	return tracker.ModelPool(q.call.Model)
 }
 
-// cost bounds the price of the request for a prompt size and an output.
+// cost returns an upper bound on the price of the request for a prompt size and an output size in tokens.
 func (q request) cost(prompt, output int) masticway.Amount {
 	if q.call.Service != "" {
 		return q.service.Price
@@ -89,19 +90,19 @@
 	return q.model.Cost(prompt, output)
 }
 
-// chunkWriter takes an answer on behalf of the caller.
+// chunkWriter writes an answer to the caller.
 type chunkWriter interface {
-	// writeChunk takes the next piece; it may block while the caller is slow.
+	// writeChunk writes the next chunk; it may block while the caller is slow.
 	writeChunk(c masticway.Chunk)
 }
 
-// result is how an exchange ended, if it was not refused.
+// result is the outcome of an exchange that was not refused.
 type result struct {
 	outcome masticway.Outcome
 	usage   masticway.Usage
 }
 
-// exchange carries one request from admission to its bill.
+// exchange processes one request from admission to its bill.
 type exchange struct {
 	r             *Router
 	q             request
@@ -113,7 +114,7 @@
 	hold          *moneyHold
 	promptCounted bool
 	attempt       int
-	// nextChunk is the next piece of the answer, began the one at which the present attempt began.
+	// nextChunk is the index of the next chunk of the answer, and attemptStart the one at which the current attempt began.
 	nextChunk    int
 	attemptStart int
 	text         strings.Builder
@@ -124,13 +125,13 @@
 	firstTokenAt time.Time
 	lastTokenAt  time.Time
 	claim        *claim
-	// replay is the recorded outcome of this identity, if its run has left the sidecar's memory.
+	// replay is the recorded outcome of this identity, if no sidecar has its run in memory any more.
 	replay *claimRow
-	// fate is the most that can be said of the attempts so far.
+	// fate combines the fates of the attempts so far; see mergeFate.
 	fate masticway.Fate
-	// endedEarly tells that the identity's last run left no whole answer to attach to.
+	// endedEarly is set if the identity's last run ended without a complete answer.
 	endedEarly bool
-	// searchIncomplete tells that a sidecar did not say whether it has a run of the identity.
+	// searchIncomplete is set if a sidecar did not answer whether it has a run of the identity.
 	searchIncomplete bool
 	// found is the run that another request with this identity started.
 	found *foundRun
@@ -149,17 +150,17 @@
 	}
 }
 
-// step follows the chart; a step that it does not allow is a defect and is logged.
+// step advances the request chart. An event that the chart does not allow is a defect and is logged.
 func (x *exchange) step(e charter.Event) {
 	next, err := x.chart.Next(x.state, e)
 	if err != nil {
-		x.r.log.WithFields(logrus.Fields{"event": "chart_fault", "request": x.q.id, "error": err}).Error("step outside the chart")
+		x.r.log.WithFields(logrus.Fields{"event": "chart_fault", "request": x.q.id, "error": err}).Error("event not allowed by the state chart")
 		return
 	}
 	x.state = next
 }
 
-// isCallerGone tells whether the caller has left.
+// isCallerGone reports whether the caller has disconnected.
 func (x *exchange) isCallerGone() bool {
 	select {
 	case <-x.callerDone:
@@ -169,7 +170,7 @@
 	}
 }
 
-// run carries the exchange out; it fails with RefusalError.
+// run processes the request. Its error is a RefusalError.
 func (x *exchange) run(ctx context.Context) (result, error) {
 	x.r.metrics.Add(metricRequests, 1)
 	x.r.retryMu.Lock()
@@ -203,19 +204,20 @@
 	return x.runAttempts(ctx)
 }
 
-// refusal builds the final answer to a request that certainly did not run.
+// refusal returns the error for a request that did not run.
 func refusal(status int, code, message string, retry time.Duration) *masticway.RefusalError {
 	return &masticway.RefusalError{Status: status, Code: code, Message: message, Fate: masticway.FateNotRun, RetryAfter: retry}
 }
 
-// mergeFate keeps the most that can be said of all attempts: once one may have run, "not run" is never said again.
+// mergeFate combines the fate of one more attempt with those before. Once an attempt may have run, the request is no longer
+// reported as not run.
 func (x *exchange) mergeFate(f masticway.Fate) {
 	if f == masticway.FateRan || (f == masticway.FateUnknown && x.fate == masticway.FateNotRun) {
 		x.fate = f
 	}
 }
 
-// withFate makes a refusal tell what became of the attempts before it.
+// withFate adapts a refusal to the fate of the attempts before it.
 func (x *exchange) withFate(err error) error {
 	refused, ok := errors.AsType[*masticway.RefusalError](err)
 	if !ok || x.fate == masticway.FateNotRun {
@@ -236,23 +238,23 @@
 	}
 }
 
-// attemptResult is how one attempt ended; its fate is final unless it is unknown.
+// attemptResult describes how one attempt ended. Its fate is final unless it is unknown.
 type attemptResult struct {
 	fate  masticway.Fate
 	cause retrier.Cause
 	final *sealer.Final
 	// existing is the run that already has the identity.
 	existing *masticway.RunKey
-	// needsNewHold tells that the payer is sealed, so that another hold is needed.
+	// needsNewHold is set if an incarnation that the dispatch names is sealed, so that another hold is needed.
 	needsNewHold bool
-	// sidecarGone tells that the sidecar is gone for certain, and what it ran with it.
+	// sidecarGone is set if the sidecar's process has ended, so that nothing can report what it ran.
 	sidecarGone bool
-	// upstreamEnded tells that the upstream has ended under the run, rather than the run alone.
+	// upstreamEnded is set if the upstream itself has ended, rather than only the run.
 	upstreamEnded bool
 	reason        string
 }
 
-// runAttempts tries upstreams until the whole answer is there or the rules say to stop.
+// runAttempts tries upstreams until the answer is complete or the retry rules end the request.
 func (x *exchange) runAttempts(ctx context.Context) (result, error) {
 	for {
 		p, work, err := x.acquireSlot(ctx)
@@ -270,7 +272,8 @@
 		if e.existing != nil {
 			x.settle()
 			if x.nextChunk > 0 {
-				// Another run's answer must not be joined to the part that was given; asked again, the caller gets it whole.
+				// The caller has received a part of this answer, to which the other run's answer must not be appended. If it asks
+				// again, it gets that run's whole answer.
 				x.step(eventLost)
 				return result{}, &masticway.RefusalError{
 					Status: http.StatusBadGateway, Code: "upstream_failed", Fate: masticway.FateRan,
@@ -289,7 +292,7 @@
 	}
 }
 
-// usage counts the whole answer, whatever attempts it took.
+// usage returns the usage of the whole answer over all attempts.
 func (x *exchange) usage(f *sealer.Final) masticway.Usage {
 	u := f.Outcome.Usage
 	if x.promptTokens > 0 {
@@ -299,14 +302,14 @@
 	return u
 }
 
-// handleFailure applies the retry rules to a failed attempt; an error ends the request.
+// handleFailure applies the retry rules to a failed attempt. An error ends the request.
 func (x *exchange) handleFailure(ctx context.Context, e attemptResult) error {
 	if e.fate == masticway.FateUnknown && x.q.nonRepeatable {
 		x.step(eventLost)
 		return unknownOutcome()
 	}
 	if e.fate == masticway.FateNotRun && x.r.isSealed() {
-		// Nothing undoes a seal; the caller is served by the next incarnation.
+		// A seal is permanent; the next incarnation serves the caller.
 		return x.giveUp(e)
 	}
 	resumable := (x.q.call.Service == "" || x.nextChunk == 0) && (e.final == nil || e.final.Disrupted)
@@ -329,8 +332,9 @@
 		x.r.budgets.sleep(wait)
 	}
 	if x.hold != nil && x.outputTokens == 0 && x.hold.spent() > 0 {
-		// The lost attempt's prompt was paid for and nothing came of it. The hold covers one prompt, so going on
-		// under it would cut the answer short: that attempt is given back, and the next has a hold of its own.
+		// The lost attempt has paid for the prompt without any output. Its hold covers the prompt only once, so a retry under it
+		// would have to shorten the answer. Therefore the attempt is billed as superseded, which refunds it later, and the next
+		// attempt gets its own hold.
 		x.settleAs(biller.KindSuperseded)
 	}
 	if x.hold == nil || e.needsNewHold {
@@ -340,7 +344,7 @@
 	return nil
 }
 
-// giveUp turns the last failure into the caller's answer, at once.
+// giveUp returns the caller's error for the last failure.
 func (x *exchange) giveUp(e attemptResult) error {
 	switch {
 	case e.fate == masticway.FateNotRun:
@@ -358,7 +362,7 @@
 	}
 }
 
-// acquireSlot gets a slot at an upstream whose use the payer's durable set covers.
+// acquireSlot gets a slot at an upstream that the payer's links row contains.
 func (x *exchange) acquireSlot(_ context.Context) (slot, chooser.Work, error) {
 	q := x.q
 	work := chooser.Work{PromptBytes: len(q.call.Prompt), Zone: x.r.settings.Zone}
@@ -376,7 +380,7 @@
 	payer := x.hold.grant.Payer
 	excluded := x.excluded
 	if x.r.upstreams.allExcluded(q.pool(), excluded) {
-		// Better the same upstream again than none.
+		// Trying the same upstream again is better than trying none.
 		excluded = nil
 	}
 	p, estimate, err := x.r.upstreams.acquire(x.callerDone, &slotRequest{
--- a/router/money.go
+++ b/router/money.go
@@ -14,14 +14,14 @@
 	"github.com/masticway/masticway/linker"
 )
 
-// moneyHold is money taken for a request.
+// moneyHold is the money held for a request.
 type moneyHold struct {
 	id      masticway.HoldID
 	grant   masticway.GrantKey
 	amount  masticway.Amount
 	takenAt time.Time
 	charges []keeper.Charge
-	// presumed is what a vanished sidecar may have run.
+	// presumed is the part of the charges for sidecars that are gone, whose true cost is not known.
 	presumed masticway.Amount
 }
 
@@ -33,7 +33,7 @@
 	return sum
 }
 
-// holdBounds returns the most and the least that the rest of the request may cost.
+// holdBounds returns the largest useful hold for the rest of the request and the smallest that it can start with.
 func (x *exchange) holdBounds() (maxCost, minCost masticway.Amount) {
 	q := x.q
 	prompt := q.maxPromptTokens
@@ -51,7 +51,7 @@
 	return maxCost, q.cost(prompt, min(rest, q.minOutput))
 }
 
-// acquireHold takes a hold, or finds the run that the same identity already has.
+// acquireHold takes a hold, or finds the run or the recorded outcome of the same identity.
 func (x *exchange) acquireHold(ctx context.Context) error {
 	deadline := x.r.clock.Now().Add(duplicateTimeout)
 	for x.r.ctx.Err() == nil {
@@ -115,7 +115,8 @@
 	x.r.metrics.Observe(histogramHold, string(x.q.class), h.Waited)
 }
 
-// countPrompt learns the prompt's true token count, so that a thin budget is not refused on the byte bound.
+// countPrompt gets the prompt's true token count, so that a request is not refused because the bound from its bytes exceeds a
+// small budget.
 func (x *exchange) countPrompt(ctx context.Context) bool {
 	if !x.r.settings.Money.ExactCount || x.q.call.Service != "" {
 		return false
@@ -130,7 +131,7 @@
 	return true
 }
 
-// reacquireHold takes a new hold for the rest of a request that has already begun.
+// reacquireHold takes a new hold for the rest of a request that has already started.
 func (x *exchange) reacquireHold(ctx context.Context) error {
 	tracked := x.q.hasCallerKey
 	x.q.hasCallerKey = false
@@ -142,7 +143,7 @@
 	return x.withFate(err)
 }
 
-// settle reports the hold's charges to its payer and bills them; nothing happens without a hold.
+// settle reports the hold's charges to its payer and bills them. It does nothing without a hold.
 func (x *exchange) settle() { x.settleAs(biller.KindFinal) }
 
 func (x *exchange) settleAs(kind biller.Kind) {
