--- a/router/follow.go
+++ b/router/follow.go
@@ -7,10 +7,10 @@
 	"github.com/masticway/masticway/sealer"
 )
 
-// maxFeedEvents bounds the pieces of an answer that wait for a slow caller; more are fetched again later.
+// maxFeedEvents limits the events that wait for a slow caller. Further chunks are dropped and fetched later.
 const maxFeedEvents = 256
 
-// runEvent is something that a sidecar said about a run; exactly one field is set.
+// runEvent is an event of a run; exactly one field is set.
 type runEvent struct {
 	accepted bool
 	refused  *sealer.Refused
@@ -18,17 +18,18 @@
 	chunk    *masticway.Chunk
 	final    *sealer.Final
 	missing  bool
+	// linkDown is also set if the run was not accepted in time.
 	linkDown bool
 }
 
-// feed collects what arrives for one run; it is keyed by identity and attempt, so no other run's pieces get in.
+// feed collects the events of one run. It is keyed by identity and attempt, so it gets no chunks of other runs.
 type feed struct {
 	run      masticway.RunKey
 	instance string
 	sidecar  masticway.Incarnation
-	// firstIndex is the number of pieces that earlier attempts gave.
+	// firstIndex is the number of chunks that earlier attempts have delivered.
 	firstIndex int
-	// expectedCached is the prompt tokens that the router expected in the upstream's cache.
+	// expectedCached is the number of prompt tokens that the router expected in the upstream's cache.
 	expectedCached int
 
 	mu      sync.Mutex
@@ -41,7 +42,7 @@
 	return &feed{run: run, instance: instance, sidecar: sidecar, firstIndex: base, wake: make(chan struct{}, 1)}
 }
 
-// push adds an event without blocking; pieces beyond the bound are dropped and fetched again.
+// push adds an event without blocking. Chunks beyond the limit are dropped and fetched later.
 func (f *feed) push(e runEvent) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -50,7 +51,7 @@
 		return
 	}
 	if e.final != nil && f.dropped {
-		// It comes again after the missing pieces.
+		// It is sent again after the missing chunks.
 		return
 	}
 	f.events = append(f.events, e)
@@ -60,7 +61,7 @@
 	}
 }
 
-// pop takes the next event; needsFetch tells that pieces were dropped and must be fetched now.
+// pop removes the next event. It reports in needsFetch whether chunks were dropped and must be fetched now.
 func (f *feed) pop() (e runEvent, ok, needsFetch bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -74,7 +75,7 @@
 	return e, true, false
 }
 
-// feeds is the set of runs that a router follows.
+// feeds is the set of a router's open feeds.
 type feeds struct {
 	mu   sync.Mutex
 	runs map[masticway.RunKey]map[*feed]bool
@@ -100,7 +101,7 @@
 	}
 }
 
-// deliver passes an event to those who follow the run at that sidecar.
+// deliver adds an event to every feed of the run at that sidecar.
 func (s *feeds) deliver(run masticway.RunKey, sidecar masticway.Incarnation, e runEvent) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -111,7 +112,7 @@
 	}
 }
 
-// linkDown tells everyone who follows a run on an instance that its link is gone.
+// linkDown informs every feed of an instance's runs that the link is down.
 func (s *feeds) linkDown(instance string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -124,7 +125,7 @@
 	}
 }
 
-// hasOthers tells whether more than one caller of this router follows a run.
+// hasOthers reports whether more than one caller of this router follows a run.
 func (s *feeds) hasOthers(run masticway.RunKey) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/router/join.go
+++ b/router/join.go
@@ -9,13 +9,13 @@
 	"github.com/masticway/masticway/sealer"
 )
 
-// foundRun is where a run of the same identity was found.
+// foundRun is a run of the same identity and the link to its sidecar.
 type foundRun struct {
 	conn   *linker.Conn
 	status sealer.Status
 }
 
-// findRun looks for a run of the same identity at the sidecars.
+// findRun looks for a run of the same identity at the sidecars, and reports whether there is one to join.
 func (x *exchange) findRun(ctx context.Context) bool {
 	status, conn, complete := x.r.upstreams.findRun(ctx, x.q.identity)
 	x.searchIncomplete = !complete
@@ -38,7 +38,7 @@
 func (x *exchange) joinRun(ctx context.Context) (result, error) {
 	x.step(eventAttached)
 	if status := x.found.status; status.Resumed > 0 {
-		// The run goes on where an earlier attempt ended, so what that one gave comes first.
+		// The run resumes where an earlier attempt ended, so the output of that attempt comes first.
 		x.relay(masticway.Chunk{Text: status.ResumedText, Tokens: status.Resumed})
 	}
 	f := x.newFeed(x.found.conn.Peer())
@@ -53,7 +53,7 @@
 		x.step(eventLost)
 		return result{}, unknownOutcome()
 	}
-	// The run ended early and its own router may be dead: the answer goes on under this one's money.
+	// The run ended early and its own router may be dead, so this router continues the answer with its own money.
 	x.step(eventDisrupted)
 	x.found = nil
 	if err := x.reacquireHold(ctx); err != nil {
--- a/router/place.go
+++ b/router/place.go
@@ -18,22 +18,22 @@
 	granted chan slot
 }
 
-// slot is a slot at an upstream that has been given to a request.
+// slot is a slot at an upstream that is assigned to a request.
 type slot struct {
 	upstream tracker.Upstream
 	scores   []chooser.Score
-	// expectedCached is the prompt tokens expected in the upstream's cache.
+	// expectedCached is the number of prompt tokens that are expected in the upstream's cache.
 	expectedCached int
 }
 
-// hasUsable tells whether any upstream of a pool is usable now, with room or without.
+// hasUsable reports whether any upstream of a pool is usable, even if none has a free slot.
 func (u *upstreams) hasUsable(pool string) bool {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	return len(u.usable(pool)) > 0
 }
 
-// allExcluded tells whether every usable upstream of a pool is excluded.
+// allExcluded reports whether every usable upstream of a pool is excluded.
 func (u *upstreams) allExcluded(pool string, excluded map[string]bool) bool {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -45,10 +45,10 @@
 	return true
 }
 
-// errNoSlot reports that no upstream had room in time.
-var errNoSlot = errors.New("no place at an upstream")
+// errNoSlot is returned if no upstream had a free slot in time.
+var errNoSlot = errors.New("no free slot at an upstream")
 
-// acquire gets a place for a request, waiting in the fair queue where there is no room.
+// acquire gets a slot for a request. If none is free it waits in the fair queue.
 func (u *upstreams) acquire(done <-chan struct{}, w *slotRequest) (slot, time.Duration, error) {
 	u.mu.Lock()
 	if p, ok := u.tryAcquire(w); ok {
@@ -75,7 +75,7 @@
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	if !u.queue.Remove(w.entry) {
-		// It was placed at the same moment.
+		// A slot was granted at the same moment.
 		if p, ok := <-w.granted; ok {
 			u.chooser.Done(u.router.clock.Now(), p.upstream.Instance.ID, 0, false, w.work)
 		}
@@ -104,7 +104,7 @@
 	return all
 }
 
-// tryAcquire chooses among upstreams with room; the caller holds the lock.
+// tryAcquire chooses among the upstreams with free slots. The caller must hold the lock.
 func (u *upstreams) tryAcquire(w *slotRequest) (slot, bool) {
 	var open []tracker.Upstream
 	for _, t := range u.usable(w.entry.Pool) {
@@ -122,7 +122,7 @@
 	return slot{upstream: open[best], scores: scores, expectedCached: expected}, true
 }
 
-// serveWaiting gives places to those who wait; the caller holds the lock.
+// serveWaiting grants free slots to waiting requests. The caller must hold the lock.
 func (u *upstreams) serveWaiting() {
 	seen := map[string]bool{}
 	for _, w := range u.waiting {
@@ -153,7 +153,7 @@
 	}
 }
 
-// releaseSlot gives a place back.
+// releaseSlot frees a slot.
 func (u *upstreams) releaseSlot(instance string, took time.Duration, firstTokenSeen bool, w chooser.Work) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
--- a/router/upstreams.go
+++ b/router/upstreams.go
@@ -15,10 +15,10 @@
 	"github.com/masticway/masticway/tracker"
 )
 
-// callTimeout bounds one question to a sidecar.
+// callTimeout limits one call to a sidecar or a peer.
 const callTimeout = 500 * time.Millisecond
 
-// upstreams is the shell around tracker, chooser and queue: links to sidecars and who gets a place at them.
+// upstreams runs tracker, chooser and queue: it keeps the links to sidecars and assigns their slots to requests.
 type upstreams struct {
 	router *Router
 	feeds  *feeds
@@ -50,7 +50,8 @@
 	}
 }
 
-// updateInstances takes a reading of the instance list, links to this router's part of the region's sidecars and lets go of others.
+// updateInstances applies a reading of the instance list. It links to the sidecars of the region that are in this router's
+// subset, and drops the links that are no longer needed.
 func (u *upstreams) updateInstances(instances []masticway.Instance) {
 	settings := u.router.settings
 	regional := slices.DeleteFunc(slices.Clone(instances), func(i masticway.Instance) bool { return i.Region != settings.Region })
@@ -70,7 +71,7 @@
 	}
 }
 
-// dropUnneeded ends the link to a sidecar that has ended, or that is idle and no longer in this router's part.
+// dropUnneeded closes the link to a sidecar that has ended, or that is idle and no longer in this router's subset.
 func (u *upstreams) dropUnneeded(t tracker.Upstream, wanted map[string]masticway.Instance) {
 	id := t.Instance.ID
 	ended := u.tracker.Ended(id)
@@ -79,7 +80,7 @@
 	}
 	_, isWanted := wanted[id]
 	own, _ := u.chooser.InFlight(id)
-	// A leaving sidecar keeps its link until the platform says that it has ended.
+	// A draining sidecar keeps its link until the platform reports that it has ended.
 	if stop, linked := u.cancels[id]; linked && (ended || (!isWanted && own == 0 && !t.IsLeaving())) {
 		stop()
 		delete(u.cancels, id)
@@ -88,7 +89,7 @@
 	}
 }
 
-// redialIfMoved dials an instance anew when the list shows it at another address.
+// redialIfMoved dials an instance again if the list has another address for it.
 func (u *upstreams) redialIfMoved(i masticway.Instance) {
 	if u.addresses[i.ID] != i.Address {
 		u.cancels[i.ID]()
@@ -102,7 +103,7 @@
 	u.addresses[i.ID] = i.Address
 	d := u.router.dialer(u.handle, u.linkUp, u.linkDown)
 	u.router.wg.Go(func() {
-		// A sidecar looks a router's row up once they are linked, and takes one that has none for ended.
+		// A sidecar reads a router's links row once they are linked, and takes the router for ended if there is none.
 		select {
 		case <-u.router.budgets.linksOpened:
 			d.Keep(ctx, i.Address)
@@ -120,14 +121,14 @@
 	u.router.wg.Go(func() { u.activate(c) })
 }
 
-// activate makes a sidecar usable once the durable set holds it, here and at the peers that pay.
+// activate makes a sidecar usable once this router's links row contains it, and asks the peers to register it as well.
 func (u *upstreams) activate(c *linker.Conn) {
 	inc := c.Peer().Incarnation
 	instance := c.Peer().Instance
 	u.mu.Lock()
 	for _, t := range u.tracker.All() {
 		if t.Instance.ID == instance && t.Incarnation != "" && t.Incarnation != inc {
-			// The slot holds one process, so the one before has ended.
+			// An instance runs one process at a time, so the previous one has ended.
 			u.router.budgets.markGone(t.Incarnation)
 		}
 	}
@@ -137,7 +138,7 @@
 	if !u.router.budgets.register(ctx, inc) {
 		return
 	}
-	// With this beat the sidecar finds itself in the durable set and verifies this router ahead of any work.
+	// This heartbeat makes the sidecar verify this router, whose links row now contains it, before any work is sent.
 	_ = c.Send(u.router.heartbeatMessage())
 	u.router.peers.registerAll()
 	u.mu.Lock()
@@ -174,7 +175,7 @@
 	return slices.AppendSeq(make([]*linker.Conn, 0, len(u.conns)), maps.Values(u.conns))
 }
 
-// handle takes one message from a sidecar.
+// handle processes one message from a sidecar.
 func (u *upstreams) handle(c *linker.Conn, m linker.Message) {
 	sidecar := c.Peer().Incarnation
 	u.mu.Lock()
@@ -216,7 +217,7 @@
 	u.router.requestChanges(c, b.Revision)
 }
 
-// usable lists the upstreams of a pool that may get new work; the caller holds the lock.
+// usable returns the upstreams of a pool that may get new work. The caller must hold the lock.
 func (u *upstreams) usable(pool string) []tracker.Upstream {
 	var usable []tracker.Upstream
 	for _, t := range u.tracker.Usable(u.router.clock.Now()) {
@@ -235,7 +236,7 @@
 	u.tracker.Leaving(instance)
 }
 
-// isGone tells whether a sidecar's process is gone for certain.
+// isGone reports whether a sidecar's process has certainly ended.
 func (u *upstreams) isGone(instance string, sidecar masticway.Incarnation) bool {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -246,7 +247,7 @@
 	return ok && c.Peer().Incarnation != sidecar
 }
 
-// tick marks silent upstreams and ends waits that are over.
+// tick marks silent upstreams and ends the waits that have timed out.
 func (u *upstreams) tick() {
 	now := u.router.clock.Now()
 	u.mu.Lock()
@@ -261,10 +262,11 @@
 	u.serveWaiting()
 }
 
-// findRun asks all linked sidecars for a run of an identity; all tells that each of them has answered.
+// findRun asks all linked sidecars for a run of an identity. It reports in complete whether all of them answered.
 //
-// It waits for a slow one, at which the run may be, for two thirds of the time in which a silent one still gets work: a request
-// that is then dispatched to one that a cut has silenced has to learn that its fate is unknown.
+// The timeout is two thirds of SuspectAfter, the silence after which a sidecar gets no new work. A slow sidecar may have the run,
+// so it is worth waiting for. It is no longer because a request that is then dispatched to a sidecar that has been cut off must
+// find that its fate is unknown.
 func (u *upstreams) findRun(ctx context.Context, identity masticway.Identity) (status sealer.Status, at *linker.Conn, complete bool) {
 	conns := u.allConns()
 	type finding struct {
@@ -296,7 +298,7 @@
 	return best.status, best.conn, complete
 }
 
-// countTokens asks a usable engine for a prompt's true token count; it returns -1 when none answers.
+// countTokens asks a usable upstream for a prompt's true token count. It returns -1 if none answers.
 func (u *upstreams) countTokens(ctx context.Context, pool string, prompt []byte) int {
 	u.mu.Lock()
 	usable := u.usable(pool)
@@ -316,8 +318,8 @@
 	return -1
 }
 
-// Linked tells whether at least so many sidecars may get work from this router, paid by any live keeper, and whether
-// it and the region's other routers know each other.
+// Linked reports whether at least n sidecars may get work from this router under money of any linked router, and whether this
+// router and the others of the region count each other among the keepers.
 func (r *Router) Linked(n int) bool {
 	u := r.upstreams
 	u.mu.Lock()
