--- a/router/configuration.go
+++ b/router/configuration.go
@@ -10,10 +10,10 @@
 	"github.com/masticway/masticway/linker"
 )
 
-// changeRequestInterval separates two questions for changes.
+// changeRequestInterval is the shortest interval between two requests for changes.
 const changeRequestInterval = 200 * time.Millisecond
 
-// loadConfig reads the whole configuration from the table, or from a peer when the table is down.
+// loadConfig reads the whole configuration from the table, or from a peer if the table is unavailable.
 func (r *Router) loadConfig(ctx context.Context) error {
 	readAt := r.clock.Now()
 	full, err := r.store.Full(ctx)
@@ -32,7 +32,7 @@
 	return nil
 }
 
-// confirm records that the applied revision was the newest accepted one at a time.
+// confirm records that the applied revision was the newest accepted one at a point in time.
 func (r *Router) confirm(at time.Time) {
 	for {
 		seen := r.confirmedAt.Load()
@@ -42,18 +42,18 @@
 	}
 }
 
-// configAge is how long ago the applied revision was certainly the newest.
+// configAge returns the time since the applied revision was known to be the newest.
 func (r *Router) configAge() time.Duration {
 	return max(0, time.Duration(r.clock.Now().UnixNano()-r.confirmedAt.Load()))
 }
 
-// isStale tells whether the setting forbids serving with a configuration unconfirmed for so long.
+// isStale reports whether the configuration was last confirmed longer ago than the settings allow for serving.
 func (r *Router) isStale() bool {
 	limit := r.settings.StaleAfter.Std()
 	return limit > 0 && r.configAge() > limit
 }
 
-// publish makes the applied configuration visible to readers; the caller holds configMu.
+// publish makes the applied configuration visible to readers. The caller must hold configMu.
 func (r *Router) publish() {
 	s := r.config.Snapshot()
 	r.snapshot.Store(&s)
@@ -64,7 +64,7 @@
 	}
 }
 
-// applyChanges applies changes that the table, a peer or a sidecar gave, and makes them known.
+// applyChanges applies changes that came from the table, a peer or a sidecar, and announces the new revision.
 func (r *Router) applyChanges(changes []masticway.Change) {
 	began := time.Now()
 	r.configMu.Lock()
@@ -76,7 +76,7 @@
 	if len(applied) > 0 {
 		r.metrics.Observe(histogramConfigApply, "change", time.Since(began))
 		r.log.WithFields(logrus.Fields{"event": "config_applied", "revision": applied[len(applied)-1].Revision}).Info("configuration applied")
-		// Those who lack it see it in the heartbeat and ask one of many for it.
+		// Processes that lack the changes see the revision in the heartbeat and ask one of their peers.
 		r.sendHeartbeats()
 	}
 	if gap {
@@ -84,7 +84,8 @@
 	}
 }
 
-// requestChanges asks a peer for what this router lacks, not more than one in a while, because many know it at once.
+// requestChanges asks a peer for the changes that this router lacks. It asks once per interval only, because many peers announce
+// a revision at the same time.
 func (r *Router) requestChanges(c *linker.Conn, revision masticway.Revision) {
 	applied := r.snapshot.Load().Revision()
 	now := r.clock.Now().UnixNano()
@@ -95,7 +96,7 @@
 	_ = c.Send(linker.Message{Want: &linker.Want{After: applied}})
 }
 
-// sendChanges answers a peer that lacks changes, as far as they are kept here.
+// sendChanges sends a peer the changes that it lacks, as far as they are still kept here.
 func (r *Router) sendChanges(c *linker.Conn, after masticway.Revision) {
 	r.configMu.Lock()
 	changes := r.config.After(after)
@@ -104,7 +105,7 @@
 	_ = c.Send(linker.Message{Changes: &linker.Changes{List: changes, Upto: upto}})
 }
 
-// pollConfig looks at the head revision in the table and applies what is new.
+// pollConfig reads the head revision from the table and applies newer changes.
 func (r *Router) pollConfig() {
 	ctx, cancel := r.platformContext()
 	defer cancel()
@@ -120,8 +121,8 @@
 	}
 	changes, err := r.store.Changes(ctx, current+1, head)
 	if err != nil {
-		r.log.WithFields(logrus.Fields{"event": "config_not_read", "read": len(changes), "error": err}).Warn("cannot read changes")
+		r.log.WithFields(logrus.Fields{"event": "config_not_read", "read": len(changes), "error": err}).Warn("cannot read all configuration changes")
 	}
-	// What came is applied although the rest did not: the next look goes on after it instead of reading it again.
+	// The changes that were read are applied even if reading the others failed, so that the next poll starts after them.
 	r.applyChanges(changes)
 }
