--- a/router/peer_money.go
+++ b/router/peer_money.go
@@ -10,9 +10,9 @@
 )
 
 const (
-	// settleRetryInterval separates attempts to report a settlement to its keeper.
+	// settleRetryInterval is the interval between attempts to report a settlement, and between steps of a recovery that failed.
 	settleRetryInterval = 100 * time.Millisecond
-	// holdGrace is how long beyond a request's own wait a remote keeper may take.
+	// holdGrace is how long a remote keeper may take beyond the wait of the request itself.
 	holdGrace = 700 * time.Millisecond
 )
 
@@ -21,20 +21,20 @@
 	settlement linker.Settle
 }
 
-// hold asks a budget's keeper for money, or this router's own when the keeper cannot be reached.
+// hold asks the budget's keeper for money, or this router's own keeper if that one cannot be reached.
 func (p *peers) hold(ctx context.Context, request keeper.HoldRequest, c masticway.Contract) (linker.HoldIs, masticway.HoldID) {
 	target := p.keeperFor(request.Budget)
 	if conn := p.conn(target); conn != nil {
 		callCtx, cancel := context.WithTimeout(ctx, request.Wait+holdGrace)
 		defer cancel()
-		// The link may still write it when the wait is over.
+		// The link may still encode this copy after the call has timed out.
 		sent := request
 		answer, err := conn.Ask(callCtx, linker.Message{Hold: &sent})
 		if err == nil && answer.HoldIs != nil && answer.HoldIs.Verdict != keeper.VerdictElsewhere {
 			return *answer.HoldIs, request.ID
 		}
 		if err != nil {
-			// The keeper may have taken the hold: it is released there when it can be reached.
+			// The keeper may have taken the hold, so it is released as soon as the keeper can be reached.
 			p.settle(target, linker.Settle{Hold: request.ID})
 		}
 		request.ID += "-own"
@@ -54,7 +54,7 @@
 	return h, request.ID
 }
 
-// resize passes a smaller bound to the hold's payer.
+// resize reports a smaller bound to the hold's payer.
 func (p *peers) resize(payer masticway.Incarnation, id masticway.HoldID, amount masticway.Amount) {
 	if payer == p.router.self {
 		p.router.budgets.resize(id, amount)
@@ -65,7 +65,7 @@
 	}
 }
 
-// settle reports a hold's charges to its payer, and stays with it until the payer has them or is sealed.
+// settle reports a hold's charges to its payer. It retries until the payer acknowledges them or its rows are gone.
 func (p *peers) settle(payer masticway.Incarnation, s linker.Settle) {
 	if payer == p.router.self {
 		p.router.budgets.settle(s)
@@ -100,7 +100,7 @@
 	return err == nil
 }
 
-// waitForSettlements waits until all settlements have been acknowledged.
+// waitForSettlements waits until all settlements are acknowledged or ctx ends.
 func (p *peers) waitForSettlements(ctx context.Context) {
 	for {
 		p.mu.Lock()
@@ -117,7 +117,7 @@
 	}
 }
 
-// requestReturn asks those who have open grants of a budget to return idle money, in whatever region they are.
+// requestReturn asks the payers that have open grants of a budget, in any region, to return idle money.
 func (p *peers) requestReturn(budget string, payers []masticway.Incarnation) {
 	m := linker.Message{GiveBack: &linker.GiveBack{Budget: budget}}
 	for _, payer := range payers {
@@ -129,7 +129,7 @@
 	}
 }
 
-// requestReturnByDialing asks a router that this one keeps no link to.
+// requestReturnByDialing asks a router to which this one keeps no link.
 func (p *peers) requestReturnByDialing(payer masticway.Incarnation, m linker.Message) {
 	ctx, cancel := context.WithTimeout(p.router.ctx, platformTimeout)
 	defer cancel()
--- a/router/peer_reach.go
+++ b/router/peer_reach.go
@@ -8,7 +8,8 @@
 	"github.com/masticway/masticway/linker"
 )
 
-// registerMissing asks a peer to record the sidecars that its money may be used at and that it is not known to have.
+// registerMissing asks a peer to register the sidecars at which its money may be used and that it is not known to have
+// registered. It reports whether the peer did so.
 func (p *peers) registerMissing(c *linker.Conn) bool {
 	missing := []masticway.Incarnation{}
 	for _, s := range p.router.upstreams.allConns() {
@@ -19,7 +20,8 @@
 	return p.requestRegistration(c, missing)
 }
 
-// registerAll brings all peers up to date; it is repeated, so that a sidecar that came meanwhile is not missed.
+// registerAll asks all peers to register the sidecars that they lack. It is called repeatedly, so sidecars that were linked
+// meanwhile are included the next time.
 func (p *peers) registerAll() {
 	sidecars := p.router.upstreams.allConns()
 	for _, c := range p.unregisteredPeers(sidecars) {
@@ -27,7 +29,7 @@
 	}
 }
 
-// unregisteredPeers lists the peers that are not known to have recorded every one of the sidecars.
+// unregisteredPeers returns the peers that are not known to have registered every one of the sidecars.
 func (p *peers) unregisteredPeers(sidecars []*linker.Conn) []*linker.Conn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -60,7 +62,7 @@
 	return true
 }
 
-// hasRegistered tells whether a payer's durable set is known to hold a sidecar.
+// hasRegistered reports whether a payer's links row is known to contain a sidecar.
 func (p *peers) hasRegistered(payer, sidecar masticway.Incarnation) bool {
 	if payer == p.router.self {
 		return p.router.budgets.isRegistered(sidecar)
@@ -79,7 +81,7 @@
 	}
 }
 
-// addInbound notes that this router may be counted among the keepers at the other end of a link.
+// addInbound records that this router has registered the sidecars of the peer at the other end of a link.
 func (p *peers) addInbound(ctx context.Context, c *linker.Conn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/router/peers.go
+++ b/router/peers.go
@@ -17,14 +17,14 @@
 )
 
 const (
-	// registerTimeout bounds one request to a peer to record a sidecar.
+	// registerTimeout limits one request to a peer to register sidecars.
 	registerTimeout = 5 * time.Second
-	// configIdleTimeout is how long a peer that was asked for its configuration may say nothing large; the whole is not bounded,
-	// because the next peer would send the same bytes over the same link.
+	// configIdleTimeout is how long a peer may send nothing large after it was asked for its configuration. The whole transfer
+	// has no limit, because the next peer would send the same bytes over the same link.
 	configIdleTimeout = 5 * time.Second
 )
 
-// peers is the set of other routers: who keeps which budget, and the links to them.
+// peers holds the links to the other routers of the region and determines the keeper of each budget.
 type peers struct {
 	router   *Router
 	listener *linker.Listener
@@ -34,17 +34,17 @@
 	cancels    map[string]context.CancelFunc
 	registered map[masticway.Incarnation]map[masticway.Incarnation]bool
 	draining   map[masticway.Incarnation]bool
-	// instancesRead tells that the instance list has been read.
+	// instancesRead is set once the instance list has been read.
 	instancesRead bool
-	// inbound are the links that peers dialed and on which this router has recorded their sidecars; true ones have
-	// brought a heartbeat since, which a peer sends once it counts this router among the keepers.
+	// inbound holds the links that peers dialed and for which this router has registered the peer's sidecars. The value is true
+	// once a heartbeat has come since, which a peer sends after it counts this router among the keepers.
 	inbound map[*linker.Conn]bool
-	// lastMessageAt is when each peer last said something, and silent those that have not for too long.
+	// lastMessageAt is when the last message of each peer came, and silent marks those whose last one is too long ago.
 	lastMessageAt map[masticway.Incarnation]time.Time
 	silent        map[masticway.Incarnation]bool
-	// placement places budgets at the routers that are alive; it is made anew when they change.
+	// placement assigns budgets to the responsive routers; it is nil after these have changed.
 	placement *rendezvous.Rendezvous
-	// unsettled are settlements that their keeper has not acknowledged.
+	// unsettled holds the settlements that their payer has not acknowledged.
 	unsettled map[masticway.HoldID]pendingSettlement
 }
 
@@ -64,7 +64,7 @@
 
 func (p *peers) close() { p.listener.Close() }
 
-// updateInstances links to the live routers of the region and lets go of those that ended.
+// updateInstances links to the routers of the region that have not ended, and drops the links to those that have.
 func (p *peers) updateInstances(instances []masticway.Instance) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -96,18 +96,18 @@
 	_ = c.Send(p.heartbeatMessage())
 	p.router.wg.Go(func() {
 		if !p.registerMissing(c) {
-			// Without it nothing of the peer's money could be used; the next dial asks again.
+			// The peer's money can only be used at sidecars that it has registered; the next dial asks again.
 			c.Close()
 			return
 		}
 		p.router.recovery.watchPeer(c.Peer())
 		p.addKeeper(c)
-		// With this beat the peer knows that it is counted.
+		// This heartbeat tells the peer that it counts among the keepers here.
 		_ = c.Send(p.heartbeatMessage())
 	})
 }
 
-// addKeeper takes a peer among the keepers.
+// addKeeper adds a peer to the keepers.
 func (p *peers) addKeeper(c *linker.Conn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -116,14 +116,14 @@
 	p.placement = nil
 }
 
-// removeInbound forgets a link that a peer dialed.
+// removeInbound removes a link that a peer dialed.
 func (p *peers) removeInbound(c *linker.Conn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	delete(p.inbound, c)
 }
 
-// isReady tells whether this router and every listed router of its region count each other among the keepers.
+// isReady reports whether this router and every listed router of its region count each other among the keepers.
 func (p *peers) isReady() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -141,7 +141,7 @@
 	return p.instancesRead
 }
 
-// heartbeatMessage is the heartbeat to a peer.
+// heartbeatMessage returns the heartbeat to a peer.
 func (p *peers) heartbeatMessage() linker.Message {
 	r := p.router
 	return linker.Message{Beat: &linker.Beat{Revision: r.snapshot.Load().Revision(), Leaving: r.draining.Load(), Unseen: r.configAge()}}
@@ -166,7 +166,7 @@
 	return slices.AppendSeq(make([]*linker.Conn, 0, len(p.conns)), maps.Values(p.conns))
 }
 
-// tick marks the peers that have been silent, whose budgets others keep until they speak again.
+// tick marks the peers that are silent. Others are the keepers of their budgets until a message comes again.
 func (p *peers) tick() {
 	now := p.router.clock.Now()
 	p.mu.Lock()
@@ -180,7 +180,7 @@
 	}
 }
 
-// isResponsive tells whether a peer is linked and not silent.
+// isResponsive reports whether a peer is linked and not silent.
 func (p *peers) isResponsive(inc masticway.Incarnation) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -193,14 +193,14 @@
 	return p.conns[inc]
 }
 
-// liveNames lists this router and the peers it can reach, in a fixed order.
+// liveNames returns the names of this router and the peers that are neither draining nor silent, in a fixed order.
 func (p *peers) liveNames() []string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.liveNamesLocked()
 }
 
-// liveNamesLocked is alive for callers that hold the lock.
+// liveNamesLocked is liveNames for callers that hold the lock.
 func (p *peers) liveNamesLocked() []string {
 	alive := []string{string(p.router.self)}
 	for inc := range p.conns {
@@ -212,7 +212,7 @@
 	return alive
 }
 
-// keeperFor chooses the router of the region that keeps a budget, by rendezvous hash.
+// keeperFor returns the router of the region that is the keeper of a budget, by rendezvous hashing.
 func (p *peers) keeperFor(budget string) masticway.Incarnation {
 	if !p.router.settings.Money.Keepers && budget != "audit" {
 		return p.router.self
@@ -225,7 +225,7 @@
 	return masticway.Incarnation(p.placement.Lookup(budget))
 }
 
-// rank returns this router's place in the order in which routers take a task; its cost grows with their number.
+// rank returns this router's position in the order in which routers take on a task. Its cost grows with the number of routers.
 func (p *peers) rank(task string) int {
 	weight := func(name string) uint64 { return xxhash.Sum64String(task + "/" + name) }
 	own := weight(string(p.router.self))
@@ -238,7 +238,7 @@
 	return n
 }
 
-// fetchConfig asks peers for their configuration; a draining or starting peer has none to give.
+// fetchConfig asks peers for their configuration. A peer that is starting has none yet.
 func (p *peers) fetchConfig(ctx context.Context) (configurer.Full, bool) {
 	for _, c := range p.allConns() {
 		if full, ok := p.requestConfig(ctx, c); ok {
@@ -259,7 +259,8 @@
 	return *a.Config, true
 }
 
-// keepAlive sends heartbeats to one peer, which ends a silent link; the usual ones begin once there is a configuration.
+// keepAlive sends heartbeats to one peer, which closes a silent link. The regular ones start only after the configuration is
+// loaded.
 func (p *peers) keepAlive(ctx context.Context, c *linker.Conn) {
 	for {
 		select {
@@ -271,7 +272,7 @@
 	}
 }
 
-// handle takes one message from another router, on links of either direction.
+// handle processes one message from another router, on links that either side dialed.
 func (p *peers) handle(c *linker.Conn, m linker.Message) {
 	r := p.router
 	p.mu.Lock()
