--- a/router/recovery.go
+++ b/router/recovery.go
@@ -19,19 +19,20 @@
 )
 
 const (
-	// recoveryInterval is how often lease rows and recoveries are looked at.
+	// recoveryInterval is the interval at which lease rows and recoveries are checked.
 	recoveryInterval = 250 * time.Millisecond
-	// minLeaseReadInterval is the least pause between two readings of all lease rows, and leaseReadIntervalPerRow what each row adds.
+	// minLeaseReadInterval is the shortest interval between two reads of all lease rows; leaseReadIntervalPerRow is the interval
+	// per row if that is longer.
 	minLeaseReadInterval    = time.Second
 	leaseReadIntervalPerRow = 100 * time.Millisecond
-	// taskLeases is the task of reading all rows, which leaseReaders of a region's routers share.
+	// taskLeases is the task of reading all lease rows, which leaseReaders of a region's routers do.
 	taskLeases   = "leases"
 	leaseReaders = 2
-	// recoveredTTL is how long a recovered incarnation is remembered, so that late settlements for it end.
+	// recoveredTTL is how long a recovered incarnation is remembered, so that late settlements for it are given up.
 	recoveredTTL = 10 * time.Minute
 )
 
-// recovery watches the other incarnations' leases and brings the money of dead ones back.
+// recovery watches the leases of other incarnations and returns the money of dead ones to its budgets.
 type recovery struct {
 	router *Router
 
@@ -40,7 +41,7 @@
 	active    map[masticway.Incarnation]*recoverer.Recovery
 	recovered map[masticway.Incarnation]time.Time
 	instances map[string]masticway.Instance
-	// lastReadAt is when all rows were last read, and rows how many there were.
+	// lastReadAt is when all lease rows were last read, and rowCount their number then.
 	lastReadAt time.Time
 	rowCount   int
 }
@@ -62,7 +63,7 @@
 	}
 }
 
-// isRecovered tells whether an incarnation has been sealed and its grants closed.
+// isRecovered reports whether an incarnation's rows are gone, because it was drained or recovered.
 func (v *recovery) isRecovered(inc masticway.Incarnation) bool {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -70,7 +71,7 @@
 	return ok
 }
 
-// summary names what holds recoveries up, for the lease row.
+// summary returns what active recoveries wait for, for the lease row.
 func (v *recovery) summary() string {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -107,7 +108,8 @@
 	}
 }
 
-// isReadDue spaces the readings of all rows by their number, so that their bytes stay the same at any size.
+// isReadDue reports whether this router must read all lease rows now. The interval grows with their number, which keeps the bytes
+// read per second constant.
 func (v *recovery) isReadDue(now time.Time) bool {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -115,7 +117,7 @@
 		return false
 	}
 	if v.router.peers.rank(taskLeases) >= leaseReaders {
-		// Two of a region's routers look for those that nobody has a link to; the others watch their links.
+		// Two routers of a region look for those to which nobody has a link; the others rely on their links.
 		return false
 	}
 	v.lastReadAt = now
@@ -139,7 +141,7 @@
 	}
 }
 
-// watchPeer begins to watch a router that this one has a link to.
+// watchPeer starts to watch a router to which this one has a link.
 func (v *recovery) watchPeer(p masticway.Peer) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -148,14 +150,14 @@
 	})
 }
 
-// markRecovered records that an incarnation's rows are removed: it drained, or somebody else has recovered it.
+// markRecovered records that an incarnation's rows are gone, because it was drained or another router has recovered it.
 func (v *recovery) markRecovered(now time.Time, inc masticway.Incarnation) {
 	if v.active[inc] == nil {
 		v.recovered[inc] = now
 	}
 }
 
-// signs gathers what this router knows of another one.
+// signs returns the signs of life of another router that this one has observed.
 func (v *recovery) signs(d bookkeeper.Daemon) recoverer.Signs {
 	r := v.router
 	return recoverer.Signs{
@@ -165,7 +167,7 @@
 	}
 }
 
-// stake tells what this router has to do with another one.
+// stake returns what this router has to do with the recovery of another one.
 func (v *recovery) stake(d bookkeeper.Daemon) recoverer.Stake {
 	return recoverer.Stake{
 		Concerned: len(v.router.budgets.holdsOf(d.Incarnation)) > 0,
@@ -173,7 +175,7 @@
 	}
 }
 
-// applyWatch carries out one effect of the watch; the caller holds the lock.
+// applyWatch executes one effect of the watch. The caller must hold the lock.
 func (v *recovery) applyWatch(now time.Time, e recoverer.WatchEffect) {
 	switch e := e.(type) {
 	case recoverer.ReadRow:
@@ -210,12 +212,12 @@
 	v.watch.Challenged(v.router.clock.Now(), inc, err == nil)
 }
 
-// watchChallenges looks for challenges to this router until it ends.
+// watchChallenges checks for challenges to this router until it ends.
 func (r *Router) watchChallenges() {
 	r.loop(max(tickInterval, r.settings.Lease.Std()/challengeReadsPerLease), r.answerChallenge)
 }
 
-// answerChallenge renews the lease at once when somebody takes this router for dead.
+// answerChallenge renews the lease at once if another router suspects that this one is dead.
 func (r *Router) answerChallenge() {
 	ctx, cancel := r.platformContext()
 	defer cancel()
@@ -228,7 +230,7 @@
 	}
 }
 
-// apply carries out a recovery's effects; the caller holds the lock.
+// apply executes the effects of a recovery. The caller must hold the lock.
 func (v *recovery) apply(victim masticway.Incarnation, rec *recoverer.Recovery, effects []recoverer.Effect) {
 	for _, e := range effects {
 		switch e := e.(type) {
@@ -258,7 +260,8 @@
 	rec.Marked(links, grants, err == nil)
 }
 
-// collectReport seals the victim at one sidecar, or learns that the sidecar is gone for certain.
+// collectReport seals the victim at one sidecar and takes its report. If the sidecar has ended, it takes the report that the
+// sidecar left in the table, if any.
 func (v *recovery) collectReport(rec *recoverer.Recovery, victim, sidecar masticway.Incarnation) {
 	report, sidecarGone, err := v.sealAt(victim, sidecar)
 	if err == nil && !sidecarGone {
@@ -299,7 +302,7 @@
 		defer c.Close()
 	}
 	if c.Peer().Incarnation != sidecar {
-		// The slot holds one process, so the one that is asked for has ended.
+		// An instance runs one process at a time, so the sidecar that is looked for has ended.
 		return report, true, nil
 	}
 	a, err := c.Ask(ctx, linker.Message{Seal: &sealer.Seal{Incarnation: victim}})
@@ -335,7 +338,7 @@
 	}
 }
 
-// settleHolds ends the holds that the victim asked this router for, as far as their fate is final.
+// settleHolds settles the holds that this router granted to the victim, as far as their fates are final.
 func (v *recovery) settleHolds(rec *recoverer.Recovery, victim masticway.Incarnation) {
 	fates, goneSidecar := rec.HoldFates()
 	byHold := map[masticway.HoldID][]recoverer.SidecarHold{}
@@ -391,7 +394,7 @@
 	ctx, cancel := v.router.platformContext()
 	defer cancel()
 	if err := v.router.book.Forget(ctx, victim); err != nil {
-		v.router.log.WithFields(logrus.Fields{"event": "forget_failed", "victim": victim, "error": err}).Warn("rows are left")
+		v.router.log.WithFields(logrus.Fields{"event": "forget_failed", "victim": victim, "error": err}).Warn("rows of a recovered router could not be removed")
 	}
 	took := v.router.clock.Now().Sub(rec.Started())
 	v.router.metrics.Add(metricRecoveries, 1)
