--- a/router/answers.go
+++ b/router/answers.go
@@ -11,14 +11,14 @@
 	"github.com/masticway/masticway"
 )
 
-// bufferedWriter keeps an answer until it is whole.
+// bufferedWriter buffers an answer until it is complete.
 type bufferedWriter struct {
 	text strings.Builder
 }
 
 func (w *bufferedWriter) writeChunk(c masticway.Chunk) { w.text.WriteString(c.Text) }
 
-// chatWriter writes a chat completion, as a stream of events or whole.
+// chatWriter writes a chat completion, either as a stream of events or as one body.
 type chatWriter struct {
 	to      http.ResponseWriter
 	q       request
@@ -89,7 +89,7 @@
 	w.to.WriteHeader(http.StatusOK)
 }
 
-// writeEvent writes one event; a caller that has gone is noticed by its context, not here.
+// writeEvent writes one event. It ignores write errors, because the request's context shows that the caller has disconnected.
 func (w *chatWriter) writeEvent(v any) {
 	data, err := json.Marshal(v)
 	if err != nil {
@@ -101,7 +101,7 @@
 	}
 }
 
-// finish writes the rest of the answer; a stream that broke off ends with an error and never as if complete.
+// finish writes the rest of the answer. A stream that was interrupted ends with an error event and never as if it were complete.
 func (w *chatWriter) finish(out result, err error) error {
 	if err != nil && !w.started {
 		return err
@@ -132,7 +132,7 @@
 	}
 	w.to.Header().Set("Content-Type", "application/json")
 	w.to.Header().Set("Date", time.Now().UTC().Format(http.TimeFormat))
-	// A broken connection is the caller's to notice; the request itself is done.
+	// The caller notices a broken connection; the request itself is done.
 	_, _ = w.to.Write(data)
 	return nil
 }
--- a/router/budgets.go
+++ b/router/budgets.go
@@ -11,16 +11,16 @@
 	"github.com/masticway/masticway/keeper"
 )
 
-// GrantStatus is what one daemon has of a budget.
+// GrantStatus describes the grant of one router incarnation.
 type GrantStatus struct {
 	Payer masticway.Incarnation `json:"payer"`
 	Open  masticway.Amount      `json:"open"`
-	// Stranded tells that the payer's lease has run out, and what its recovery waits for.
+	// Stranded is set if the payer's lease has expired or is missing; Why is the reason, or what its recovery waits for.
 	Stranded bool   `json:"stranded,omitempty"`
 	Why      string `json:"why,omitempty"`
 }
 
-// BudgetStatus is everything about a budget.
+// BudgetStatus describes a budget and its grants.
 type BudgetStatus struct {
 	Budget    string           `json:"budget"`
 	Prepaid   masticway.Amount `json:"prepaid"`
@@ -31,7 +31,7 @@
 	Left      masticway.Amount `json:"left"`
 	Stranded  masticway.Amount `json:"stranded"`
 	Grants    []GrantStatus    `json:"grants"`
-	// Here is what the answering router has in memory.
+	// Here is the position of the answering router.
 	Here *keeper.Position `json:"here,omitempty"`
 }
 
--- a/router/callers.go
+++ b/router/callers.go
@@ -21,17 +21,17 @@
 	"github.com/masticway/masticway/explainer"
 )
 
-// Headers of the caller API.
+// Headers of the API for callers.
 const (
 	headerKey           = "Idempotency-Key"
 	headerRequest       = "Masticway-Request-Id"
 	headerClass         = "Masticway-Class"
 	headerNonRepeatable = "Masticway-Non-Repeatable"
-	// maxKeyBytes bounds a caller's idempotency key in bytes.
+	// maxKeyBytes is the largest size of a caller's idempotency key.
 	maxKeyBytes = 200
 )
 
-// CallerHandler serves callers.
+// CallerHandler returns the handler for callers.
 func (r *Router) CallerHandler() http.Handler {
 	ws := new(restful.WebService).Path("/v1").Consumes("*/*").Produces("*/*")
 	ws.Route(ws.POST("/chat/completions").To(r.handleCaller(r.chat)))
@@ -46,7 +46,7 @@
 	return explainer.RequestID(r.self, strconv.FormatUint(r.lastRequestNumber.Add(1), 36))
 }
 
-// newMux puts a web service beside health and readiness.
+// newMux returns a mux with a web service and the endpoints for health and readiness.
 func (r *Router) newMux(ws *restful.WebService) *http.ServeMux {
 	container := restful.NewContainer()
 	container.Add(ws)
@@ -68,7 +68,7 @@
 	return mux
 }
 
-// callerRequest is an authenticated caller's request.
+// callerRequest is the request of an authenticated caller.
 type callerRequest struct {
 	http     *http.Request
 	to       http.ResponseWriter
@@ -78,10 +78,10 @@
 	path     func(name string) string
 }
 
-// handleCaller authenticates a request and writes the one error body.
+// handleCaller authenticates a request and writes the error body if it fails.
 func (r *Router) handleCaller(f func(context.Context, callerRequest) error) restful.RouteFunction {
 	return func(request *restful.Request, response *restful.Response) {
-		// Counted before the check whether this router drains, so that a drain misses nobody.
+		// The request is counted before the check whether this router drains, so that a drain waits for it.
 		r.openRequests.Add(1)
 		defer r.openRequests.Add(-1)
 		id := r.newRequestID()
@@ -114,7 +114,7 @@
 	})
 }
 
-// writeRefusal writes the error body that every refusal has.
+// writeRefusal writes a refusal with the error body that all refusals share.
 func writeRefusal(w http.ResponseWriter, e *masticway.RefusalError) {
 	w.Header().Set("Content-Type", "application/json")
 	if e.RetryAfter > 0 {
@@ -137,7 +137,7 @@
 	}{detail{e.Code, e.Message, e.Fate, e.RetryAfter.Milliseconds()}}
 }
 
-// readBody reads a bounded body.
+// readBody reads the body up to the configured limit.
 func (r *Router) readBody(c callerRequest) ([]byte, error) {
 	data, err := io.ReadAll(http.MaxBytesReader(c.to, c.http.Body, r.settings.BodyLimit))
 	if _, ok := errors.AsType[*http.MaxBytesError](err); ok {
@@ -149,7 +149,7 @@
 	return data, nil
 }
 
-// newRequest fills in what every request has: identity, class and contract.
+// newRequest fills in what all requests have: identity, class and contract.
 func (r *Router) newRequest(c callerRequest) (request, error) {
 	q := request{id: c.id, contract: c.contract, revision: c.config.Revision(), receivedAt: r.clock.Now(), class: c.contract.Class}
 	key := c.http.Header.Get(headerKey)
@@ -200,7 +200,7 @@
 	return w.finish(out, err)
 }
 
-// parseChatRequest turns a caller's body into a request, or says what is wrong with it.
+// parseChatRequest turns a caller's body into a request and reports whether the answer is streamed. Its error is a RefusalError.
 func (r *Router) parseChatRequest(c callerRequest, data []byte) (request, bool, error) {
 	q, err := r.newRequest(c)
 	if err != nil {
@@ -239,10 +239,10 @@
 	return q, body.Stream, nil
 }
 
-// maxTokensLimit is the largest output that a caller may name.
+// maxTokensLimit is the largest output in tokens that a caller may name.
 const maxTokensLimit = 10_000_000
 
-// ParseChat reads a chat body and counts its messages; it fails with RefusalError.
+// ParseChat parses a chat body and counts its messages. Its error is a RefusalError.
 func ParseChat(data []byte) (body chatBody, messages int, err error) {
 	if err := json.Unmarshal(data, &body); err != nil {
 		return body, 0, refusal(http.StatusBadRequest, "malformed_json", "the body is not the expected JSON", 0)
--- a/router/metrics.go
+++ b/router/metrics.go
@@ -1,6 +1,6 @@
 package router
 
-// Names of the metrics; docs/OPERATIONS.md says what each tells.
+// Names of the metrics, which docs/OPERATIONS.md describes.
 const (
 	metricRequests       = "requests"
 	metricRefusals       = "refusals"
--- a/router/operators.go
+++ b/router/operators.go
@@ -27,11 +27,11 @@
 const (
 	operatorTimeout = 5 * time.Second
 	maxOperatorBody = 1 << 20
-	// maxHistory bounds the changes that one history answer shows.
+	// maxHistory is the largest number of changes in one history answer.
 	maxHistory = 50
 )
 
-// OperatorHandler serves operators, on a listener and with a token of their own.
+// OperatorHandler returns the handler for operators, who have a listener and a token of their own.
 func (r *Router) OperatorHandler() http.Handler {
 	ws := new(restful.WebService).Path("/admin/v1").Consumes("*/*").Produces("*/*")
 	ws.Route(ws.GET("/contracts").To(r.handleOperator(r.listContracts)))
@@ -48,19 +48,19 @@
 	ws.Route(ws.POST("/upstreams/{instance}/orders").To(r.handleOperator(r.sendOrder)))
 	ws.Route(ws.GET("/requests/{request}").To(r.handleOperator(r.explain)))
 	mux := r.newMux(ws)
-	// Metrics name workspaces, so callers do not see them.
+	// Metrics contain the names of workspaces, so callers must not see them.
 	mux.Handle("GET /debug/vars", r.metrics)
 	return mux
 }
 
-// operatorRequest is an authenticated operator's request.
+// operatorRequest is the request of an authenticated operator.
 type operatorRequest struct {
 	http *http.Request
 	to   http.ResponseWriter
 	path func(name string) string
 }
 
-// changeID is the operator's idempotency key, or one made here.
+// changeID returns the operator's idempotency key, or a new one.
 func (o operatorRequest) changeID() string {
 	if id := o.http.Header.Get(headerKey); id != "" {
 		return id
@@ -68,7 +68,7 @@
 	return uuid.NewString()
 }
 
-// baseRevision is the revision that a change is based on.
+// baseRevision returns the revision on which a change is based.
 func (o operatorRequest) baseRevision() (masticway.Revision, error) {
 	value := strings.Trim(o.http.Header.Get("If-Match"), `"`)
 	if value == "*" {
@@ -100,7 +100,7 @@
 	}
 }
 
-// writeOperatorError maps typed errors to the one error body.
+// writeOperatorError writes the error body for a typed error.
 func writeOperatorError(w http.ResponseWriter, err error) {
 	if e, ok := errors.AsType[*masticway.RefusalError](err); ok {
 		writeRefusal(w, e)
@@ -159,23 +159,23 @@
 	return data, nil
 }
 
-// ContractAnswer is a contract with the revision of its last change.
+// ContractAnswer is a contract and the revision of its last change.
 type ContractAnswer struct {
 	Revision masticway.Revision `json:"revision"`
 	Contract masticway.Contract `json:"contract"`
 }
 
-// ContractsAnswer lists contracts at a revision.
+// ContractsAnswer holds all contracts at a revision.
 type ContractsAnswer struct {
 	Revision  masticway.Revision   `json:"revision"`
 	Contracts []masticway.Contract `json:"contracts"`
 }
 
-// ChangeAnswer tells what an accepted change became.
+// ChangeAnswer describes an accepted change.
 type ChangeAnswer struct {
 	Revision masticway.Revision `json:"revision"`
 	ID       string             `json:"id"`
-	// State is the change's state in the change chart.
+	// State is the change's state in the change chart, the state machine of a change.
 	State charter.State `json:"state"`
 }
 
@@ -258,7 +258,7 @@
 	}{changes}, err
 }
 
-// ConfigStatus tells where the newest revision is in force.
+// ConfigStatus reports which incarnations have applied the newest revision.
 type ConfigStatus struct {
 	Head    masticway.Revision `json:"head"`
 	InForce bool               `json:"in_force"`
@@ -338,7 +338,7 @@
 	return numberedOrder, nil
 }
 
-// explain finds a request's trace here, at the peer that served it, or in the object store.
+// explain finds a request's trace in this router, at a peer or in the object store.
 func (r *Router) explain(ctx context.Context, o operatorRequest) (any, error) {
 	id := o.path("request")
 	if t, ok := r.traces.Get(id); ok {
--- a/router/settings.go
+++ b/router/settings.go
@@ -7,7 +7,7 @@
 	"github.com/masticway/masticway/retrier"
 )
 
-// Settings are a router's settings file.
+// Settings holds a router's settings file.
 type Settings struct {
 	masticway.ProcessSettings
 	CallerAddress  string             `json:"caller_address"`
@@ -29,7 +29,7 @@
 	Queue          Queue              `json:"queue"`
 }
 
-// Money is the part of the settings on how money is drawn and held.
+// Money holds the settings for drawing and holding money.
 type Money struct {
 	Policy     keeper.Policy      `json:"policy"`
 	Slices     int                `json:"slices"`
@@ -38,18 +38,18 @@
 	Keepers    bool               `json:"keepers"`
 }
 
-// Routing is the part of the settings on how upstreams are chosen.
+// Routing holds the settings for choosing upstreams.
 type Routing struct {
 	Policy chooser.Policy `json:"policy"`
 }
 
-// Retry is the part of the settings on what follows a failed attempt.
+// Retry holds the settings for retries after a failed attempt.
 type Retry struct {
 	Policy retrier.Policy `json:"policy"`
 	Limit  int            `json:"limit"`
 }
 
-// Queue is the part of the settings on who waits for an upstream.
+// Queue holds the settings of the queue for upstreams.
 type Queue struct {
 	PerClass         int                `json:"per_class"`
 	PerWorkspace     int                `json:"per_workspace"`
