--- a/router/bank_test.go
+++ b/router/bank_test.go
@@ -17,7 +17,8 @@
 	"github.com/masticway/masticway/measurer"
 )
 
-// TestRegisterBeforeOpenLinksDoesNotSealRouter links a sidecar that came up before the first row was written.
+// TestRegisterBeforeOpenLinksDoesNotSealRouter registers a sidecar that was linked before the first links row was written. If
+// that wrote the row, openLinks would find it and report the router as sealed.
 func TestRegisterBeforeOpenLinksDoesNotSealRouter(t *testing.T) {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
@@ -33,10 +34,11 @@
 	qt.Assert(t, links.Has("s~1"), qt.IsTrue)
 }
 
-// answerTimeout only ends a test that would fail.
+// answerTimeout is long because it ends the test only if it fails.
 const answerTimeout = 30 * time.Second
 
-// TestSealedRouterAnswersWaitingHolds asks for money that cannot come any more.
+// TestSealedRouterAnswersWaitingHolds guards against hold requests that wait without end because their router is sealed and can
+// draw no more money.
 func TestSealedRouterAnswersWaitingHolds(t *testing.T) {
 	ctx := context.Background()
 	table := emulator.NewTable()
@@ -48,8 +50,8 @@
 	qt.Assert(t, err, qt.IsNil)
 	_, err = book.Seal(ctx, r.self)
 	qt.Assert(t, err, qt.IsNil)
-	// The first one's draw learns of the seal.
-	for _, name := range []string{"it waits already", "it comes later"} {
+	// The first request's draw finds that the router is sealed.
+	for _, name := range []string{"waits when the seal is found", "comes after the seal was found"} {
 		t.Run(name, func(t *testing.T) {
 			answered := make(chan linker.HoldIs, 1)
 			request := keeper.HoldRequest{ID: masticway.HoldID(name), Budget: "b", Most: 2, Least: 1, Wait: time.Hour}
@@ -58,7 +60,7 @@
 			case h := <-answered:
 				qt.Assert(t, h.Verdict, qt.Equals, keeper.VerdictElsewhere)
 			case <-time.After(answerTimeout):
-				t.Fatal("it waits")
+				t.Fatal("the request was not answered")
 			}
 			<-r.Sealed()
 			_, holds := r.budgets.keeper.Size()
--- a/router/configuration_test.go
+++ b/router/configuration_test.go
@@ -16,11 +16,12 @@
 	"github.com/masticway/masticway/measurer"
 )
 
-// TestPollConfigKeepsProgressOnSlowTable has more changes than one look at the table has time for.
+// TestPollConfigKeepsProgressOnSlowTable has more changes than one poll has time to read. A poll that dropped the changes that it
+// had read when its time was over would read the same ones each time and never catch up.
 func TestPollConfigKeepsProgressOnSlowTable(t *testing.T) {
 	const (
 		changes = 10
-		// delayMillis of each call in milliseconds: all changes take longer than platformTimeout.
+		// delayMillis is the delay of each call. Reading all changes takes longer than platformTimeout.
 		delayMillis = 500
 		polls       = 3
 	)
--- a/router/peers_test.go
+++ b/router/peers_test.go
@@ -18,11 +18,11 @@
 )
 
 const (
-	// slowLink is 10 Mbit/s, the slowest link of a router, in bytes a second.
+	// slowLink is the bandwidth of the slowest link of a router, 10 Mbit/s, in bytes per second.
 	slowLink = 10_000_000 / 8
-	// largeConfigBytes takes 8.4 s on a slow link, in bytes.
+	// largeConfigBytes is the size of a configuration that takes 8.4 s on a slow link.
 	largeConfigBytes = 10 << 20
-	// configLimit is over twice what a large configuration takes.
+	// configLimit is more than twice the time that a large configuration takes.
 	configLimit = 30 * time.Second
 )
 
@@ -31,7 +31,7 @@
 	return linker.Identity{Self: self, Key: []byte("0123456789abcdef")}
 }
 
-// startingRouter sends no heartbeats of its own yet, as before its configuration is loaded.
+// startingRouter returns a router that sends no regular heartbeats, like one whose configuration is not loaded yet.
 func startingRouter(ctx context.Context) *Router {
 	r := &Router{ctx: ctx, clock: masticway.SystemClock{}}
 	r.settings.HeartbeatInterval = masticway.Duration(time.Second)
@@ -39,7 +39,8 @@
 	return r
 }
 
-// linkedPeer is a router's link to a peer that sends heartbeats and answers a question for its configuration, if it has one.
+// linkedPeer returns a slow link from a router to a peer that sends heartbeats, and answers a request for its configuration if
+// full is not nil.
 func linkedPeer(t *testing.T, instance string, full *configurer.Full) *linker.Conn {
 	answer := func(c *linker.Conn, m linker.Message) {
 		if m.WantConfig != nil && full != nil {
@@ -79,12 +80,14 @@
 		case <-c.Done():
 			return
 		case <-tick.C:
-			// It fails once the link is down, which the next turn finds.
+			// Send fails once the link is down, which the next iteration detects.
 			_ = c.Send(linker.Message{Beat: &linker.Beat{}})
 		}
 	}
 }
 
+// TestFetchConfigOverSlowLink guards against a limit on the whole transfer, which would cut off a large configuration on a slow
+// link each time it is fetched, and against waiting without end for a peer that does not answer.
 func TestFetchConfigOverSlowLink(t *testing.T) {
 	large := &configurer.Full{Revision: 7, Contracts: []masticway.Contract{{Workspace: strings.Repeat("w", largeConfigBytes)}}}
 	cases := map[string]struct {
@@ -105,7 +108,7 @@
 			defer r.wg.Wait()
 			p := &peers{router: r, conns: map[masticway.Incarnation]*linker.Conn{c.Peer().Incarnation: c}}
 			full, ok := p.fetchConfig(ctx)
-			// A peer that says nothing of it is left for the next one, long before the limit.
+			// A peer that does not answer must be given up for the next one long before the limit.
 			qt.Check(t, ctx.Err(), qt.IsNil)
 			qt.Assert(t, ok, qt.Equals, tc.want)
 			if tc.want {
--- a/router/recovery_test.go
+++ b/router/recovery_test.go
@@ -15,13 +15,13 @@
 	"github.com/masticway/masticway/measurer"
 )
 
-// timer is one wait for the clock.
+// timer is one wait on the clock.
 type timer struct {
 	due   time.Time
 	fired chan time.Time
 }
 
-// loopClock is the clock of a single loop; it moves only while that loop waits for it.
+// loopClock is the clock of a single loop. It advances only while that loop waits for it.
 type loopClock struct {
 	now    time.Time
 	timers chan timer
@@ -35,7 +35,7 @@
 	return w.fired
 }
 
-// runUntil moves the clock, and returns once the loop has done what is due until then.
+// runUntil advances the clock, and returns once the loop has done everything that is due by then.
 func (c *loopClock) runUntil(until time.Time) {
 	for w := range c.timers {
 		if w.due.After(until) {
@@ -46,8 +46,8 @@
 	}
 }
 
-// TestChallengeIsAnsweredInTime challenges a router that lives. Its lease is read again half a lease after the challenge,
-// so it must be renewed within half of that, and the rest is for the table.
+// TestChallengeIsAnsweredInTime challenges a live router. Its lease is read again half a lease after the challenge, so it must be
+// renewed within a quarter; the rest is left for the table. Otherwise a live router would be taken for dead and recovered.
 func TestChallengeIsAnsweredInTime(t *testing.T) {
 	cases := map[string]time.Duration{
 		"lease of the settings": 4 * time.Second, "short lease": 2 * time.Second, "very short lease": 200 * time.Millisecond,
--- a/router/router_test.go
+++ b/router/router_test.go
@@ -7,7 +7,7 @@
 	"github.com/masticway/masticway/router"
 )
 
-// FuzzParseChat feeds caller bodies; each is read or refused as not run, and never more.
+// FuzzParseChat checks that any body from a caller is either parsed, with at least one message, or refused as not run.
 func FuzzParseChat(f *testing.F) {
 	for _, seed := range []string{
 		`{"model":"m","messages":[{"role":"user","content":"x"}],"max_tokens":5}`,
--- a/router/sealed_test.go
+++ b/router/sealed_test.go
@@ -14,19 +14,16 @@
 	"github.com/masticway/masticway/retrier"
 )
 
-// TestSealedRouterFailsRequestsAtOnce has a sidecar refuse a request since the router that sends it is sealed, money for which came
-// from another router.
-//
-// Seen: beside load the first request to a fleet was refused as not run after 5.8 s, by a router that had been sealed 0.7 s after
-// its start. How: its next incarnation served long before, and the request was sent 17 times as the old one. Cause: every refusal
-// for the seal was a free retry, though nothing undoes a seal. Proof: the log's lines of both incarnations around the request.
+// TestSealedRouterFailsRequestsAtOnce lets a sidecar refuse a request because its router is sealed, although its money comes from
+// another router. A seal is permanent, so free retries would only delay the refusal by seconds while the router's next
+// incarnation already serves. As long as the router is not known to be sealed, the request must be retried.
 func TestSealedRouterFailsRequestsAtOnce(t *testing.T) {
 	r := New(Settings{}, Secrets{}, masticway.SystemClock{}, logger.Discard(), Platform{Table: emulator.NewTable()}, nil, measurer.New())
 	defer r.Close()
 	x := r.newExchange(request{}, nil, nil)
 	x.hold = &moneyHold{}
 	sealed := attemptResult{fate: masticway.FateNotRun, cause: retrier.CauseFenced, reason: "sealed"}
-	qt.Assert(t, x.handleFailure(t.Context(), sealed), qt.IsNil, qt.Commentf("a router that is not sealed goes on"))
+	qt.Assert(t, x.handleFailure(t.Context(), sealed), qt.IsNil, qt.Commentf("a router that is not sealed must retry"))
 
 	r.markSealed()
 	began := time.Now()
--- a/router/start_test.go
+++ b/router/start_test.go
@@ -16,7 +16,7 @@
 	"github.com/masticway/masticway/measurer"
 )
 
-// blockedTable makes no transaction before it is let.
+// blockedTable commits no transaction until release is closed.
 type blockedTable struct {
 	masticway.Table
 	release chan struct{}
@@ -40,17 +40,15 @@
 	}}, nil
 }
 
-// TestSidecarsAreDialedAfterLinksRowIsWritten has the table take a router's first row late, as one does beside load.
-//
-// Seen: a router was sealed 0.7 s after its start, and the first request to it refused. How: a sidecar that it had linked to looked
-// its row up before that was written; one without a row counts as recovered, and as sealed for good. Cause: links to sidecars were
-// made from the first instance list on. Proof: no recovery was begun, and the sidecar alone refused.
+// TestSidecarsAreDialedAfterLinksRowIsWritten delays a router's first links row, as a table under load does. A sidecar reads that
+// row as soon as it is linked and takes a router without one for sealed for good, so a link that is made too early makes it
+// refuse the router's requests.
 func TestSidecarsAreDialedAfterLinksRowIsWritten(t *testing.T) {
 	table := &blockedTable{Table: emulator.NewTable(), release: make(chan struct{})}
 	var dialed atomic.Int64
 	dial := func(context.Context, string, string) (net.Conn, error) {
 		dialed.Add(1)
-		return nil, errors.New("nobody is there")
+		return nil, errors.New("connection refused")
 	}
 	settings := Settings{ProcessSettings: masticway.ProcessSettings{Instance: "x", Region: "r"}, LinksPerPool: 1, Poll: masticway.Duration(5 * time.Millisecond)}
 	r := New(settings, Secrets{}, masticway.SystemClock{}, logger.Discard(), Platform{Table: table, Instances: oneSidecar{}}, dial, measurer.New())
@@ -61,6 +59,6 @@
 
 	close(table.release)
 	for deadline := time.Now().Add(5 * time.Second); dialed.Load() == 0; time.Sleep(5 * time.Millisecond) {
-		qt.Assert(t, time.Now().Before(deadline), qt.IsTrue, qt.Commentf("it never links to the sidecar"))
+		qt.Assert(t, time.Now().Before(deadline), qt.IsTrue, qt.Commentf("the router never dials the sidecar"))
 	}
 }
