--- a/router/bank.go
+++ b/router/bank.go
@@ -177,7 +177,8 @@
 	}
 }
 
-// move executes a move and retries it until its outcome is known.
+// move executes a move and retries it until its outcome is known. It fails only if the table was unavailable and no earlier
+// attempt can have succeeded.
 func (b *budgetManager) move(m keeper.Move) {
 	unknown := false
 	for b.ctx.Err() == nil {
--- a/router/exchange.go
+++ b/router/exchange.go
@@ -139,9 +139,9 @@
 
 var requestChart = charter.MustLoad(charter.Request)
 
-func (r *Router) newExchange(q request, to chunkWriter, gone <-chan struct{}) *exchange {
+func (r *Router) newExchange(q request, to chunkWriter, callerDone <-chan struct{}) *exchange {
 	return &exchange{
-		r: r, q: q, to: to, callerDone: gone, chart: requestChart, state: requestChart.Initial(),
+		r: r, q: q, to: to, callerDone: callerDone, chart: requestChart, state: requestChart.Initial(),
 		excluded: map[string]bool{}, fate: masticway.FateNotRun,
 		trace: explainer.Trace{
 			Request: q.id, Identity: q.identity, Workspace: q.contract.Workspace, Revision: q.revision,
--- a/router/follow.go
+++ b/router/follow.go
@@ -38,8 +38,8 @@
 	wake    chan struct{}
 }
 
-func newFeed(run masticway.RunKey, instance string, sidecar masticway.Incarnation, base int) *feed {
-	return &feed{run: run, instance: instance, sidecar: sidecar, firstIndex: base, wake: make(chan struct{}, 1)}
+func newFeed(run masticway.RunKey, instance string, sidecar masticway.Incarnation, firstIndex int) *feed {
+	return &feed{run: run, instance: instance, sidecar: sidecar, firstIndex: firstIndex, wake: make(chan struct{}, 1)}
 }
 
 // push adds an event without blocking. Chunks beyond the limit are dropped and fetched later.
--- a/router/money.go
+++ b/router/money.go
@@ -70,8 +70,8 @@
 			if x.findRun(ctx) || x.findRecorded(ctx) {
 				return nil
 			}
-			over := !h.Open && !x.endedEarly && !x.searchIncomplete
-			if over || x.r.clock.Now().After(deadline) || x.isCallerGone() {
+			unavailable := !h.Open && !x.endedEarly && !x.searchIncomplete
+			if unavailable || x.r.clock.Now().After(deadline) || x.isCallerGone() {
 				return &masticway.RefusalError{
 					Status: http.StatusConflict, Code: "answer_not_available", Fate: masticway.FateUnknown,
 					Message: "this key was used and its answer is not available", RetryAfter: time.Second,
@@ -133,9 +133,9 @@
 
 // reacquireHold takes a new hold for the rest of a request that has already started.
 func (x *exchange) reacquireHold(ctx context.Context) error {
-	tracked := x.q.hasCallerKey
+	hadCallerKey := x.q.hasCallerKey
 	x.q.hasCallerKey = false
-	defer func() { x.q.hasCallerKey = tracked }()
+	defer func() { x.q.hasCallerKey = hadCallerKey }()
 	err := x.acquireHold(ctx)
 	if err != nil {
 		x.step(eventRefused)
--- a/router/peer_reach.go
+++ b/router/peer_reach.go
@@ -35,8 +35,8 @@
 	defer p.mu.Unlock()
 	var unregistered []*linker.Conn
 	for inc, c := range p.conns {
-		reached := p.registered[inc]
-		if slices.ContainsFunc(sidecars, func(s *linker.Conn) bool { return !reached[s.Peer().Incarnation] }) {
+		registered := p.registered[inc]
+		if slices.ContainsFunc(sidecars, func(s *linker.Conn) bool { return !registered[s.Peer().Incarnation] }) {
 			unregistered = append(unregistered, c)
 		}
 	}
--- a/router/peers.go
+++ b/router/peers.go
@@ -202,14 +202,14 @@
 
 // liveNamesLocked is liveNames for callers that hold the lock.
 func (p *peers) liveNamesLocked() []string {
-	alive := []string{string(p.router.self)}
+	names := []string{string(p.router.self)}
 	for inc := range p.conns {
 		if !p.draining[inc] && !p.silent[inc] {
-			alive = append(alive, string(inc))
+			names = append(names, string(inc))
 		}
 	}
-	slices.Sort(alive)
-	return alive
+	slices.Sort(names)
+	return names
 }
 
 // keeperFor returns the router of the region that is the keeper of a budget, by rendezvous hashing.
@@ -311,7 +311,7 @@
 
 func (p *peers) handleHeartbeat(c *linker.Conn, b linker.Beat) {
 	p.mu.Lock()
-	if _, recorded := p.inbound[c]; recorded {
+	if _, known := p.inbound[c]; known {
 		p.inbound[c] = true
 	}
 	if b.Leaving {
--- a/router/recovery.go
+++ b/router/recovery.go
@@ -117,7 +117,7 @@
 		return false
 	}
 	if v.router.peers.rank(taskLeases) >= leaseReaders {
-		// Two routers of a region look for those to which nobody has a link; the others rely on their links.
+		// Two routers of a region look for dead routers to which nobody has a link; the others rely on their links.
 		return false
 	}
 	v.lastReadAt = now
--- a/router/router.go
+++ b/router/router.go
@@ -29,7 +29,7 @@
 	flushInterval = time.Second
 	// auditInterval is the interval between two searches for duplicate bills.
 	auditInterval = 5 * time.Second
-	// heartbeatsPerInbound is the number of heartbeats per heartbeat on links that the peer dialed.
+	// heartbeatsPerInbound is how many heartbeats are sent on dialed links for each one on the inbound links from the same peers.
 	heartbeatsPerInbound = 4
 	// challengeReadsPerLease is how many times per lease duration a router checks for a challenge. It must answer one within half
 	// a lease.
@@ -334,7 +334,7 @@
 	})
 }
 
-// keepLease renews the lease row at every interval, and at once when a revision has been applied.
+// keepLease renews the lease row once per heartbeat interval, and at once when a revision has been applied.
 func (r *Router) keepLease() {
 	for {
 		select {
@@ -366,11 +366,11 @@
 	r.heartbeatMu.Lock()
 	defer r.heartbeatMu.Unlock()
 	m := r.heartbeatMessage()
-	beat := *m.Beat
-	if beat.Upto == r.sentUpto && slices.Equal(beat.Open, r.sentOpen) {
+	full := *m.Beat
+	if full.Upto == r.sentUpto && slices.Equal(full.Open, r.sentOpen) {
 		m.Beat.Open, m.Beat.Upto = nil, 0
 	}
-	r.sentOpen, r.sentUpto = beat.Open, beat.Upto
+	r.sentOpen, r.sentUpto = full.Open, full.Upto
 	for _, c := range r.upstreams.allConns() {
 		_ = c.Send(m)
 	}
--- a/router/upstreams.go
+++ b/router/upstreams.go
@@ -264,10 +264,10 @@
 
 // findRun asks all linked sidecars for a run of an identity. It reports in complete whether all of them answered.
 //
-// The timeout is two thirds of SuspectAfter, the silence after which a sidecar gets no new work. A slow sidecar may have the run,
-// so it is worth waiting for. It is no longer because a request that is then dispatched to a sidecar that has been cut off must
-// find that its fate is unknown.
-func (u *upstreams) findRun(ctx context.Context, identity masticway.Identity) (status sealer.Status, at *linker.Conn, complete bool) {
+// It waits up to two thirds of SuspectAfter, the silence after which a sidecar gets no new work, because a slow sidecar may have
+// the run. It must not wait longer: a request that is then dispatched to a sidecar that has been cut off must still learn that
+// its fate is unknown.
+func (u *upstreams) findRun(ctx context.Context, identity masticway.Identity) (status sealer.Status, conn *linker.Conn, complete bool) {
 	conns := u.allConns()
 	type finding struct {
 		status sealer.Status
