--- a/router/budgets.go
+++ b/router/budgets.go
@@ -15,7 +15,8 @@
 type GrantStatus struct {
 	Payer masticway.Incarnation `json:"payer"`
 	Open  masticway.Amount      `json:"open"`
-	// Stranded is set if the payer's lease has expired or is missing; Why is the reason, or what its recovery waits for.
+	// Stranded is set if the payer's lease has expired or is missing; Why explains it, or names what the recovery
+	// waits for.
 	Stranded bool   `json:"stranded,omitempty"`
 	Why      string `json:"why,omitempty"`
 }
