--- a/router/budgets.go
+++ b/router/budgets.go
@@ -11,16 +11,17 @@
 	"github.com/masticway/masticway/keeper"
 )
 
-// GrantStatus is what one daemon has of a budget.
+// GrantStatus describes the grant of one router incarnation.
 type GrantStatus struct {
 	Payer masticway.Incarnation `json:"payer"`
 	Open  masticway.Amount      `json:"open"`
-	// Stranded tells that the payer's lease has run out, and what its recovery waits for.
+	// Stranded is set if the payer's lease has expired or is missing; Why explains it, or names what the recovery
+	// waits for.
 	Stranded bool   `json:"stranded,omitempty"`
 	Why      string `json:"why,omitempty"`
 }
 
-// BudgetStatus is everything about a budget.
+// BudgetStatus describes a budget and its grants.
 type BudgetStatus struct {
 	Budget    string           `json:"budget"`
 	Prepaid   masticway.Amount `json:"prepaid"`
@@ -31,11 +32,11 @@
 	Left      masticway.Amount `json:"left"`
 	Stranded  masticway.Amount `json:"stranded"`
 	Grants    []GrantStatus    `json:"grants"`
-	// Here is what the answering router has in memory.
+	// Here is the position of the answering router.
 	Here *keeper.Position `json:"here,omitempty"`
 }
 
-func (r *Router) showBudget(ctx context.Context, o operation) (any, error) {
+func (r *Router) showBudget(ctx context.Context, o operatorRequest) (any, error) {
 	b, err := r.book.Budget(ctx, o.path("budget"))
 	if err != nil {
 		return nil, err
@@ -55,7 +56,7 @@
 		}
 		status.Grants = append(status.Grants, s)
 	}
-	if p, ok := r.bank.position(b.ID); ok {
+	if p, ok := r.budgets.position(b.ID); ok {
 		status.Here = &p
 	}
 	return status, nil
@@ -85,7 +86,7 @@
 	return s
 }
 
-func (r *Router) topUp(ctx context.Context, o operation) (any, error) {
+func (r *Router) topUp(ctx context.Context, o operatorRequest) (any, error) {
 	data, err := readOperatorBody(o)
 	if err != nil {
 		return nil, err
