--- a/commander/dev.go
+++ b/commander/dev.go
@@ -107,7 +107,7 @@
 	}
 	defer os.RemoveAll(directory)
 	tokenFile := filepath.Join(directory, "admin.token")
-	if err := os.WriteFile(tokenFile, []byte(fleet.Token()), 0o600); err != nil {
+	if err := os.WriteFile(tokenFile, []byte(fleet.AdminToken()), 0o600); err != nil {
 		return fmt.Errorf("writing the token: %w", err)
 	}
 	printDev(e, fleet, key, tokenFile)
--- a/starter/callers.go
+++ b/starter/callers.go
@@ -8,110 +8,110 @@
 	"time"
 )
 
-// expired is a time limit that has passed.
-var expired = time.Unix(1, 0)
+// pastDeadline is a time limit that has passed.
+var pastDeadline = time.Unix(1, 0)
 
-// callers are the connections of a gateway's callers. A request is open from the first of its bytes that is read until the
+// callerListener are the connections of a gateway's callers. A request is open from the first of its bytes that is read until the
 // server library has written the last of its answer: the library calls a connection idle until the next head is parsed,
 // and writes the end of an answer after its handler has returned.
-type callers struct {
+type callerListener struct {
 	net.Listener
-	open atomic.Int64
-	// ending tells that connections that are idle after an answer are to end, closing that new ones are, too.
-	ending, closing atomic.Bool
+	openRequests atomic.Int64
+	// closingIdle tells that connections that are idle after an answer are to end, closing that new ones are, too.
+	closingIdle, shuttingDown atomic.Bool
 
 	mu    sync.Mutex
 	conns map[*callerConn]bool
 }
 
-func newCallers(l net.Listener) *callers {
-	return &callers{Listener: l, conns: map[*callerConn]bool{}}
+func newCallerListener(l net.Listener) *callerListener {
+	return &callerListener{Listener: l, conns: map[*callerConn]bool{}}
 }
 
 // Accept returns the next connection.
-func (s *callers) Accept() (net.Conn, error) {
+func (s *callerListener) Accept() (net.Conn, error) {
 	n, err := s.Listener.Accept()
 	switch {
-	case err != nil && s.closing.Load():
+	case err != nil && s.shuttingDown.Load():
 		return nil, http.ErrServerClosed
 	case err != nil:
 		return nil, err
 	}
-	c := &callerConn{Conn: n, callers: s}
+	c := &callerConn{Conn: n, listener: s}
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.conns[c] = true
 	return c, nil
 }
 
-// Open returns the number of requests that were read, at least in part, and whose answers are not written in whole.
-func (s *callers) Open() int64 { return s.open.Load() }
+// OpenRequests returns the number of requests that were read, at least in part, and whose answers are not written in whole.
+func (s *callerListener) OpenRequests() int64 { return s.openRequests.Load() }
 
-// changed follows the server library's states of a connection.
-func (s *callers) changed(n net.Conn, state http.ConnState) {
+// trackState follows the server library's states of a connection.
+func (s *callerListener) trackState(n net.Conn, state http.ConnState) {
 	c, ok := n.(*callerConn)
 	if !ok {
 		return
 	}
 	switch state {
 	case http.StateActive:
-		c.asked()
+		c.beginRequest()
 	case http.StateIdle:
-		c.answered(false)
+		c.endRequest(false)
 	case http.StateClosed, http.StateHijacked:
-		c.answered(true)
+		c.endRequest(true)
 		s.mu.Lock()
 		defer s.mu.Unlock()
 		delete(s.conns, c)
 	}
 }
 
-// end ends the connections that are idle after an answer, now or later. It does so by their time limit for reading: the
+// closeIdle ends the connections that are idle after an answer, now or later. It does so by their time limit for reading: the
 // server library closes a connection on which nothing came in time, and answers a request that was read, which a close
 // would cut off.
-func (s *callers) end() {
-	s.ending.Store(true)
-	s.expire()
+func (s *callerListener) closeIdle() {
+	s.closingIdle.Store(true)
+	s.expireDeadlines()
 }
 
-// close takes no more connections and ends in the same way all on which no request is open.
-func (s *callers) close() {
-	s.closing.Store(true)
+// shutdown takes no more connections and ends in the same way all on which no request is open.
+func (s *callerListener) shutdown() {
+	s.shuttingDown.Store(true)
 	// A listener that is closed already takes no more either.
 	_ = s.Listener.Close()
-	s.end()
+	s.closeIdle()
 }
 
-// gone tells that no connection is left.
-func (s *callers) gone() bool {
+// isDrained tells that no connection is left.
+func (s *callerListener) isDrained() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return len(s.conns) == 0
 }
 
-func (s *callers) expire() {
+func (s *callerListener) expireDeadlines() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for c := range s.conns {
-		c.expire()
+		c.expireDeadline()
 	}
 }
 
 // callerConn is one caller's connection.
 type callerConn struct {
 	net.Conn
-	callers *callers
+	listener *callerListener
 
 	mu sync.Mutex
-	// open tells that a request is open, used that one was answered, closed that no other can come.
-	open, used, closed bool
+	// hasRequest tells that a request is open, used that one was answered, closed that no other can come.
+	hasRequest, hasAnswered, closed bool
 }
 
 // Read reads, and opens a request with its first byte.
 func (c *callerConn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
 	if n > 0 {
-		c.asked()
+		c.beginRequest()
 	}
 	return n, err
 }
@@ -120,8 +120,8 @@
 func (c *callerConn) SetReadDeadline(t time.Time) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.ends() {
-		t = expired
+	if c.shouldClose() {
+		t = pastDeadline
 	}
 	return c.Conn.SetReadDeadline(t)
 }
@@ -134,38 +134,38 @@
 	return nil
 }
 
-// asked opens a request, if none is.
-func (c *callerConn) asked() {
+// beginRequest opens a request, if none is.
+func (c *callerConn) beginRequest() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if !c.open && !c.closed {
-		c.open = true
-		c.callers.open.Add(1)
+	if !c.hasRequest && !c.closed {
+		c.hasRequest = true
+		c.listener.openRequests.Add(1)
 	}
 }
 
-// answered ends the request that was open; the last one's connection is closed.
-func (c *callerConn) answered(closed bool) {
+// endRequest ends the request that was open; the last one's connection is closed.
+func (c *callerConn) endRequest(closed bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.used, c.closed = true, closed
-	if c.open {
-		c.open = false
-		c.callers.open.Add(-1)
+	c.hasAnswered, c.closed = true, closed
+	if c.hasRequest {
+		c.hasRequest = false
+		c.listener.openRequests.Add(-1)
 	}
 }
 
-// ends tells that the connection is to end; the caller holds the lock.
-func (c *callerConn) ends() bool {
-	return !c.open && (c.callers.closing.Load() || c.used && c.callers.ending.Load())
+// shouldClose tells that the connection is to end; the caller holds the lock.
+func (c *callerConn) shouldClose() bool {
+	return !c.hasRequest && (c.listener.shuttingDown.Load() || c.hasAnswered && c.listener.closingIdle.Load())
 }
 
-// expire ends the connection if it is to end.
-func (c *callerConn) expire() {
+// expireDeadline ends the connection if it is to end.
+func (c *callerConn) expireDeadline() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.ends() {
+	if c.shouldClose() {
 		// A connection that is closed already has no time limits.
-		_ = c.Conn.SetReadDeadline(expired)
+		_ = c.Conn.SetReadDeadline(pastDeadline)
 	}
 }
--- a/starter/configuration_test.go
+++ b/starter/configuration_test.go
@@ -21,14 +21,14 @@
 const (
 	// slowLink is the slowest link of a router on the users' deployments, 10 Mbit/s.
 	slowLink = 10_000_000 / 8
-	// manyRoutes make a configuration of 1.2 MB on the wire, which such a link carries in about a second.
-	manyRoutes = 4250
-	// inForceWithin is how long a change may take to be in force after the store has acknowledged it.
-	inForceWithin = 3 * time.Second
+	// largeRouteCount make a configuration of 1.2 MB on the wire, which such a link carries in about a second.
+	largeRouteCount = 4250
+	// maxConfigurationDelay is how long a change may take to be in force after the store has acknowledged it.
+	maxConfigurationDelay = 3 * time.Second
 )
 
 // configureRoutes writes a configuration with so many routes.
-func (u *users) configureRoutes(version int64, routes int) {
+func (p *testPlatform) configureRoutes(version int64, routes int) {
 	var b bytes.Buffer
 	fmt.Fprintf(&b, `{"version":%d,"services":[{"name":"ledger","max_conns":50}],"limits":{"max_body_bytes":4096},`+
 		`"tenants":[{"name":"w","api_keys":["k"],"prepaid":100000}],"routes":[`, version)
@@ -40,76 +40,76 @@
 			`"max_attempts":1,"target_latency_ms":300,"timeout_ms":1500,"priority":1}`, i, i)
 	}
 	b.WriteString("]}")
-	u.rows.Put(masticway.RowKey{Table: "op", Key: "config"}, b.Bytes())
+	p.rows.Put(masticway.RowKey{Table: "op", Key: "config"}, b.Bytes())
 }
 
 // gatewayBehind starts a gateway that reaches the store through a link.
-func (u *users) gatewayBehind(link *emulator.Link, instance string) (*starter.GatewayDaemon, forwarder.Settings) {
-	s := u.settings(instance)
+func (p *testPlatform) gatewayBehind(link *emulator.Link, instance string) (*starter.GatewayDaemon, forwarder.Settings) {
+	s := p.settings(instance)
 	var err error
-	s.StoreAddress, err = link.To(u.store)
-	qt.Assert(u.t, err, qt.IsNil)
-	return u.start(s), s
+	s.StoreAddress, err = link.To(p.store)
+	qt.Assert(p.t, err, qt.IsNil)
+	return p.start(s), s
 }
 
 // peerBehind starts a gateway that others reach through a link, and the store without one.
-func (u *users) peerBehind(link *emulator.Link, instance string) *starter.GatewayDaemon {
-	s := u.settings(instance)
+func (p *testPlatform) peerBehind(link *emulator.Link, instance string) *starter.GatewayDaemon {
+	s := p.settings(instance)
 	l, err := starter.ListenGateway(s)
-	qt.Assert(u.t, err, qt.IsNil)
+	qt.Assert(p.t, err, qt.IsNil)
 	s.PeerAddress, err = link.To(s.PeerAddress)
-	qt.Assert(u.t, err, qt.IsNil)
-	d, err := starter.NewPlatformGateway(s, l, u.log)
-	qt.Assert(u.t, err, qt.IsNil)
-	return u.run(d, s)
+	qt.Assert(p.t, err, qt.IsNil)
+	d, err := starter.NewPlatformGateway(s, l, p.log)
+	qt.Assert(p.t, err, qt.IsNil)
+	return p.run(d, s)
 }
 
 // version returns the configuration that a gateway has in force, by its metrics.
-func (u *users) version(s forwarder.Settings) int64 {
+func (p *testPlatform) version(s forwarder.Settings) int64 {
 	response, err := http.Get("http://" + s.MetricsAddress + "/debug/vars")
-	qt.Assert(u.t, err, qt.IsNil)
+	qt.Assert(p.t, err, qt.IsNil)
 	defer response.Body.Close()
 	var metrics struct {
 		Counters struct {
 			Version int64 `json:"configuration_version"`
 		} `json:"masticway"`
 	}
-	qt.Assert(u.t, json.NewDecoder(response.Body).Decode(&metrics), qt.IsNil)
+	qt.Assert(p.t, json.NewDecoder(response.Body).Decode(&metrics), qt.IsNil)
 	return metrics.Counters.Version
 }
 
-// waitForVersion waits until a gateway has a configuration in force, for as long as that may take: inForceWithin, of which
+// waitForVersion waits until a gateway has a configuration in force, for as long as that may take: maxConfigurationDelay, of which
 // one plain reading of the configuration over a link alike takes a third. Where it takes longer because the machine is
 // busy, so may the gateway.
-func (u *users) waitForVersion(s forwarder.Settings, version int64) {
+func (p *testPlatform) waitForVersion(s forwarder.Settings, version int64) {
 	began := time.Now()
-	plain := u.readPlainly()
+	plain := p.timePlainReading()
 	limit := time.Hour
-	for u.version(s) < version && time.Since(began) < limit {
+	for p.version(s) < version && time.Since(began) < limit {
 		select {
 		case took := <-plain:
-			limit = max(inForceWithin, 3*took)
+			limit = max(maxConfigurationDelay, 3*took)
 		case <-time.After(10 * time.Millisecond):
 		}
 	}
 }
 
-// readPlainly reads the configuration once over a slow link of its own, and tells how long that took.
-func (u *users) readPlainly() <-chan time.Duration {
+// timePlainReading reads the configuration once over a slow link of its own, and tells how long that took.
+func (p *testPlatform) timePlainReading() <-chan time.Duration {
 	took := make(chan time.Duration, 1)
 	link := emulator.NewLink(slowLink)
-	address, err := link.To(u.store)
-	qt.Assert(u.t, err, qt.IsNil)
+	address, err := link.To(p.store)
+	qt.Assert(p.t, err, qt.IsNil)
 	go func() {
 		defer link.Close()
 		began := time.Now()
 		store := platform.NewStore(address, time.Minute)
-		reading, err := store.Read(context.WithoutCancel(u.t.Context()), "op", "")
+		reading, err := store.Read(context.WithoutCancel(p.t.Context()), "op", "")
 		if err == nil && len(reading.Rows) == 1 {
 			_, err = platform.Decoder{}.Configuration(reading.Rows[0].Value)
 		}
 		if err != nil {
-			u.t.Errorf("plain reading: %v", err)
+			p.t.Errorf("plain reading: %v", err)
 		}
 		took <- time.Since(began)
 	}()
@@ -132,36 +132,36 @@
 	}{
 		"it grows":                                 {before: small},
 		"it grows, another router can be asked":    {before: small, peer: true},
-		"it is large already":                      {before: manyRoutes},
-		"it is large, another router can be asked": {before: manyRoutes, peer: true},
+		"it is large already":                      {before: largeRouteCount},
+		"it is large, another router can be asked": {before: largeRouteCount, peer: true},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			u := newUsers(t, 100000)
+			p := newTestPlatform(t, 100000)
 			link := emulator.NewLink(slowLink)
 			t.Cleanup(link.Close)
-			u.configureRoutes(2, tc.before)
+			p.configureRoutes(2, tc.before)
 			if tc.peer {
-				t.Cleanup(u.peerBehind(link, "edge-2").Kill)
+				t.Cleanup(p.peerBehind(link, "edge-2").Kill)
 				// It announces itself before the other one looks for routers.
 				time.Sleep(500 * time.Millisecond)
 			}
-			d, s := u.gatewayBehind(link, "edge-1")
+			d, s := p.gatewayBehind(link, "edge-1")
 			t.Cleanup(d.Kill)
 			for change := range 3 {
 				version := int64(3 + change)
-				u.configureRoutes(version, manyRoutes+change)
+				p.configureRoutes(version, largeRouteCount+change)
 				acknowledged := time.Now()
-				u.waitForVersion(s, version)
-				qt.Check(t, u.version(s), qt.Equals, version, qt.Commentf("change %d, %v after it was acknowledged:\n%s", change+1, time.Since(acknowledged), u.log))
+				p.waitForVersion(s, version)
+				qt.Check(t, p.version(s), qt.Equals, version, qt.Commentf("change %d, %v after it was acknowledged:\n%s", change+1, time.Since(acknowledged), p.log))
 			}
 			// The link is the callers' while nothing changes.
 			const idle = 4 * time.Second
 			before := link.Carried()
 			time.Sleep(idle)
 			carried := link.Carried() - before
-			qt.Check(t, carried < slowLink*int64(idle/time.Second)/10, qt.IsTrue, qt.Commentf("%d bytes in %v without a change:\n%s", carried, idle, u.log))
+			qt.Check(t, carried < slowLink*int64(idle/time.Second)/10, qt.IsTrue, qt.Commentf("%d bytes in %v without a change:\n%s", carried, idle, p.log))
 		})
 	}
 }
@@ -176,19 +176,19 @@
 		changes = 8
 		gap     = 150 * time.Millisecond
 	)
-	u := newUsers(t, 100000)
+	p := newTestPlatform(t, 100000)
 	link := emulator.NewLink(slowLink)
 	t.Cleanup(link.Close)
-	u.configureRoutes(2, manyRoutes)
-	d, s := u.gatewayBehind(link, "edge-1")
+	p.configureRoutes(2, largeRouteCount)
+	d, s := p.gatewayBehind(link, "edge-1")
 	t.Cleanup(d.Kill)
 	newest := int64(2)
 	for range changes {
 		newest++
-		u.configureRoutes(newest, manyRoutes)
+		p.configureRoutes(newest, largeRouteCount)
 		time.Sleep(gap)
 	}
 	acknowledged := time.Now()
-	u.waitForVersion(s, newest)
-	qt.Check(t, u.version(s), qt.Equals, newest, qt.Commentf("%v after the last change:\n%s", time.Since(acknowledged), u.log))
+	p.waitForVersion(s, newest)
+	qt.Check(t, p.version(s), qt.Equals, newest, qt.Commentf("%v after the last change:\n%s", time.Since(acknowledged), p.log))
 }
--- a/starter/crashing_test.go
+++ b/starter/crashing_test.go
@@ -18,31 +18,31 @@
 )
 
 const (
-	// crashesBorne is how many servers may end under a request before it counts as known, sendsBorne how often it may be
-	// sent later than inForce after the last of them: the users' rule.
-	crashesBorne = 3
-	sendsBorne   = 3
-	// backAfter is when a server that crashed is back, lapsesAfter when the row of its earlier life goes.
-	backAfter   = 400 * time.Millisecond
-	lapsesAfter = 1500 * time.Millisecond
-	// leavesAfter is when a caller leaves, half of the time in which a server crashes.
-	leavesAfter = 10 * time.Millisecond
-	// deadly is what the body of a request has that crashes the servers which run it.
-	deadly = "deadly"
+	// maxCrashes is how many servers may end under a request before it counts as known, maxLaterSends how often it may be
+	// sent later than maxPropagation after the last of them: the users' rule.
+	maxCrashes    = 3
+	maxLaterSends = 3
+	// restartDelay is when a server that crashed is back, deregisterDelay when the row of its earlier life goes.
+	restartDelay    = 400 * time.Millisecond
+	deregisterDelay = 1500 * time.Millisecond
+	// callerTimeout is when a caller leaves, half of the time in which a server crashes.
+	callerTimeout = 10 * time.Millisecond
+	// crashBody is what the body of a request has that crashes the servers which run it.
+	crashBody = "deadly"
 )
 
-// crashing is a deployment whose servers crash under some requests and come back with another id.
-type crashing struct {
-	*users
-	mu    sync.Mutex
-	lives int
-	ended []time.Time
+// crashPlatform is a deployment whose servers crash under some requests and come back with another id.
+type crashPlatform struct {
+	*testPlatform
+	mu           sync.Mutex
+	incarnations int
+	crashTimes   []time.Time
 	// servers are all lives of servers, the ended ones too.
 	servers []*emulator.OpaqueServer
 }
 
-func newCrashing(t *testing.T, servers int) *crashing {
-	c := &crashing{users: newUsers(t, 10_000_000)}
+func newCrashPlatform(t *testing.T, servers int) *crashPlatform {
+	c := &crashPlatform{testPlatform: newTestPlatform(t, 10_000_000)}
 	c.rows.Delete(masticway.RowKey{Table: "servers", Key: "i-llm"})
 	c.rows.Delete(masticway.RowKey{Table: "servers", Key: "i-ledger"})
 	c.rows.Put(masticway.RowKey{Table: "op", Key: "config"}, []byte(`{"version":2,"routes":[
@@ -57,8 +57,8 @@
 	return c
 }
 
-// routers starts some routers, which end with the test.
-func (c *crashing) routers(n int) (all []*starter.GatewayDaemon) {
+// startRouters starts some routers, which end with the test.
+func (c *crashPlatform) startRouters(n int) (all []*starter.GatewayDaemon) {
 	for i := range n {
 		d := c.gateway(fmt.Sprintf("edge-%d", i+1))
 		c.t.Cleanup(d.Kill)
@@ -68,24 +68,24 @@
 }
 
 // startServer starts one more life of a server; the address is taken again by its next one.
-func (c *crashing) startServer(address string) {
+func (c *crashPlatform) startServer(address string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.lives++
-	s, err := emulator.StartOpaqueServerAt(address, fmt.Sprintf("i-%03d", c.lives), c.ledger)
+	c.incarnations++
+	s, err := emulator.StartOpaqueServerAt(address, fmt.Sprintf("i-%03d", c.incarnations), c.ledger)
 	if err != nil {
 		c.t.Errorf("a server does not come back: %v", err)
 		return
 	}
 	c.t.Cleanup(s.Close)
 	s.Stream(40, 10*time.Millisecond)
-	s.CrashOn(deadly, c.crashed)
+	s.CrashOn(crashBody, c.onCrash)
 	s.Register(c.rows, "llm", "z", false)
 	c.servers = append(c.servers, s)
 }
 
 // failAll sets how all servers treat their next requests.
-func (c *crashing) failAll(faults ...emulator.OpaqueFault) {
+func (c *crashPlatform) failAll(faults ...emulator.OpaqueFault) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, s := range c.servers {
@@ -93,8 +93,8 @@
 	}
 }
 
-// leave has the server that ran the last request leave in order, and end with what it still runs.
-func (c *crashing) leave() {
+// drainLastServer has the server that ran the last request leave in order, and end with what it still runs.
+func (c *crashPlatform) drainLastServer() {
 	runs := c.ledger.Runs()
 	id := runs[len(runs)-1].Server
 	c.mu.Lock()
@@ -109,26 +109,26 @@
 	}
 }
 
-func (c *crashing) crashed(s *emulator.OpaqueServer) {
+func (c *crashPlatform) onCrash(s *emulator.OpaqueServer) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.ended = append(c.ended, time.Now())
-	time.AfterFunc(backAfter, func() { c.startServer(s.Address()) })
-	time.AfterFunc(lapsesAfter, func() { s.Deregister(c.rows) })
+	c.crashTimes = append(c.crashTimes, time.Now())
+	time.AfterFunc(restartDelay, func() { c.startServer(s.Address()) })
+	time.AfterFunc(deregisterDelay, func() { s.Deregister(c.rows) })
 }
 
-// ends returns when servers have ended, in order.
-func (c *crashing) ends() []time.Time {
+// crashes returns when servers have ended, in order.
+func (c *crashPlatform) crashes() []time.Time {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return append([]time.Time(nil), c.ended...)
+	return append([]time.Time(nil), c.crashTimes...)
 }
 
-// deadlyRuns counts the runs of requests that crash servers which began later than a time.
-func (c *crashing) deadlyRuns(after time.Time) int {
+// crashingRuns counts the runs of requests that crash servers which began later than a time.
+func (c *crashPlatform) crashingRuns(after time.Time) int {
 	n := 0
 	for _, run := range c.ledger.Runs() {
-		if strings.Contains(run.Body, deadly) && run.At.After(after) {
+		if strings.Contains(run.Body, crashBody) && run.At.After(after) {
 			n++
 		}
 	}
@@ -145,15 +145,15 @@
 }
 
 // send sends a request with a body of its own and reads all of the answer.
-func (u *users) send(d *starter.GatewayDaemon, id, path, tokens, body string) answer {
-	return u.sendWithin(time.Minute, d, id, path, tokens, body)
+func (p *testPlatform) send(d *starter.GatewayDaemon, id, path, tokens, body string) answer {
+	return p.sendWithin(time.Minute, d, id, path, tokens, body)
 }
 
 // sendWithin does the same for a caller that leaves after a time.
-func (u *users) sendWithin(patience time.Duration, d *starter.GatewayDaemon, id, path, tokens, body string) answer {
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+func (p *testPlatform) sendWithin(timeout time.Duration, d *starter.GatewayDaemon, id, path, tokens, body string) answer {
+	ctx, cancel := context.WithTimeout(context.Background(), timeout)
 	defer cancel()
-	r := u.request(d, id, path, tokens).WithContext(ctx)
+	r := p.request(d, id, path, tokens).WithContext(ctx)
 	r.Body, r.ContentLength = io.NopCloser(strings.NewReader(body)), int64(len(body))
 	began := time.Now()
 	response, err := http.DefaultTransport.RoundTrip(r)
@@ -165,11 +165,11 @@
 	return answer{status: response.StatusCode, body: string(text), header: response.Header, err: err, took: time.Since(began)}
 }
 
-// comesAgain sends a request that crashes servers again and again, to one router after the other, for a time.
-func (c *crashing) comesAgain(routers []*starter.GatewayDaemon, path, tokens string, pause, during time.Duration) []answer {
+// sendRepeatedly sends a request that crashes servers again and again, to one router after the other, for a time.
+func (c *crashPlatform) sendRepeatedly(routers []*starter.GatewayDaemon, path, tokens string, pause, duration time.Duration) []answer {
 	var got []answer
-	for began := time.Now(); time.Since(began) < during; time.Sleep(pause) {
-		got = append(got, c.send(routers[len(got)%len(routers)], fmt.Sprintf("%016x", time.Now().UnixNano()), path, tokens, deadly))
+	for began := time.Now(); time.Since(began) < duration; time.Sleep(pause) {
+		got = append(got, c.send(routers[len(got)%len(routers)], fmt.Sprintf("%016x", time.Now().UnixNano()), path, tokens, crashBody))
 	}
 	return got
 }
@@ -188,13 +188,13 @@
 		"a call that may be repeated":  {path: "/look/x"},
 	} {
 		t.Run(name, func(t *testing.T) {
-			c := newCrashing(t, 8)
-			routers := c.routers(3)
-			got := c.comesAgain(routers, tc.path, tc.tokens, 100*time.Millisecond, 5*time.Second)
-			ends := c.ends()
-			qt.Assert(t, len(ends) >= crashesBorne, qt.IsTrue, qt.Commentf("%d servers ended", len(ends)))
-			sends := c.deadlyRuns(ends[crashesBorne-1].Add(inForce))
-			qt.Assert(t, sends <= sendsBorne, qt.IsTrue, qt.Commentf("sent %d times more, %d servers ended in all", sends, len(ends)))
+			c := newCrashPlatform(t, 8)
+			routers := c.startRouters(3)
+			got := c.sendRepeatedly(routers, tc.path, tc.tokens, 100*time.Millisecond, 5*time.Second)
+			ends := c.crashes()
+			qt.Assert(t, len(ends) >= maxCrashes, qt.IsTrue, qt.Commentf("%d servers ended", len(ends)))
+			sends := c.crashingRuns(ends[maxCrashes-1].Add(maxPropagation))
+			qt.Assert(t, sends <= maxLaterSends, qt.IsTrue, qt.Commentf("sent %d times more, %d servers ended in all", sends, len(ends)))
 			t.Logf("%d servers ended, %d sends later", len(ends), sends)
 			last := got[len(got)-1]
 			qt.Assert(t, last.err, qt.IsNil)
@@ -209,14 +209,14 @@
 // TestRequestsBesideOneThatCrashesServersAreServed has long streams run at the same servers as such a request; most of them
 // have more than one server end under them, without being at fault.
 func TestRequestsBesideOneThatCrashesServersAreServed(t *testing.T) {
-	c := newCrashing(t, 6)
-	routers := c.routers(2)
-	stop := c.streams(routers, 12)
-	c.comesAgain(routers, "/draft/x", "100,200", 100*time.Millisecond, 4*time.Second)
-	ends := c.ends()
+	c := newCrashPlatform(t, 6)
+	routers := c.startRouters(2)
+	stop := c.runStreams(routers, 12)
+	c.sendRepeatedly(routers, "/draft/x", "100,200", 100*time.Millisecond, 4*time.Second)
+	ends := c.crashes()
 	unserved := stop()
 	t.Logf("%d servers ended", len(ends))
-	qt.Assert(t, len(ends) <= crashesBorne+sendsBorne, qt.IsTrue, qt.Commentf("%d servers ended", len(ends)))
+	qt.Assert(t, len(ends) <= maxCrashes+maxLaterSends, qt.IsTrue, qt.Commentf("%d servers ended", len(ends)))
 	qt.Assert(t, unserved, qt.HasLen, 0, qt.Commentf("%d: %s", len(unserved), strings.Join(unserved, "\n")))
 }
 
@@ -226,26 +226,26 @@
 // Seen: no request was accused, and servers ended for as long as it came. Cause: a router looked for the end of a server only
 // where a connection broke, and the one of a caller that leaves is closed by the router itself.
 func TestCallersThatLeaveHideNoRequestThatCrashesServers(t *testing.T) {
-	c := newCrashing(t, 8)
-	routers := c.routers(2)
-	stop := c.streams(routers, 8)
+	c := newCrashPlatform(t, 8)
+	routers := c.startRouters(2)
+	stop := c.runStreams(routers, 8)
 	for began, n := time.Now(), 0; time.Since(began) < 5*time.Second; n++ {
 		// What a caller gets that leaves is nothing to it.
-		c.sendWithin(leavesAfter, routers[n%2], fmt.Sprintf("%016x", time.Now().UnixNano()), "/draft/x", "100,200", deadly)
+		c.sendWithin(callerTimeout, routers[n%2], fmt.Sprintf("%016x", time.Now().UnixNano()), "/draft/x", "100,200", crashBody)
 		time.Sleep(100 * time.Millisecond)
 	}
 	unserved := stop()
-	ends := c.ends()
-	qt.Assert(t, len(ends) >= crashesBorne, qt.IsTrue, qt.Commentf("%d servers ended", len(ends)))
-	sends := c.deadlyRuns(ends[crashesBorne-1].Add(inForce))
+	ends := c.crashes()
+	qt.Assert(t, len(ends) >= maxCrashes, qt.IsTrue, qt.Commentf("%d servers ended", len(ends)))
+	sends := c.crashingRuns(ends[maxCrashes-1].Add(maxPropagation))
 	t.Logf("%d servers ended, %d sends later", len(ends), sends)
-	qt.Assert(t, sends <= sendsBorne, qt.IsTrue, qt.Commentf("sent %d times more, %d servers ended in all", sends, len(ends)))
+	qt.Assert(t, sends <= maxLaterSends, qt.IsTrue, qt.Commentf("sent %d times more, %d servers ended in all", sends, len(ends)))
 	qt.Assert(t, unserved, qt.HasLen, 0, qt.Commentf("%d: %s", len(unserved), strings.Join(unserved, "\n")))
 }
 
-// streams has callers ask for long streams without a pause, each for the same thing again and again as the one that crashes
+// runStreams has callers ask for long streams without a pause, each for the same thing again and again as the one that crashes
 // servers does. Stop ends them and returns what was not served in whole.
-func (c *crashing) streams(routers []*starter.GatewayDaemon, callers int) (stop func() []string) {
+func (c *crashPlatform) runStreams(routers []*starter.GatewayDaemon, callers int) (stop func() []string) {
 	var wg sync.WaitGroup
 	var mu sync.Mutex
 	var unserved []string
@@ -275,11 +275,11 @@
 	}
 }
 
-// refused asks until a router refuses the request that crashes servers without sending it to one, and tells whether it did.
-func (c *crashing) refused(d *starter.GatewayDaemon, path string, within time.Duration) bool {
+// waitForRefusal asks until a router refuses the request that crashes servers without sending it to one, and tells whether it did.
+func (c *crashPlatform) waitForRefusal(d *starter.GatewayDaemon, path string, within time.Duration) bool {
 	for began := time.Now(); time.Since(began) < within; time.Sleep(20 * time.Millisecond) {
 		before := len(c.ledger.Runs())
-		a := c.send(d, fmt.Sprintf("%016x", time.Now().UnixNano()), path, "", deadly)
+		a := c.send(d, fmt.Sprintf("%016x", time.Now().UnixNano()), path, "", crashBody)
 		if strings.Contains(a.body, "request_ends_servers") && len(c.ledger.Runs()) == before {
 			return true
 		}
@@ -290,33 +290,33 @@
 // TestSuspectsOutlastOutagesAndRouters has a request crash servers through one router while the store is silent. That router
 // dies; the others know from it, the store from them, and routers that start later from the store.
 func TestSuspectsOutlastOutagesAndRouters(t *testing.T) {
-	c := newCrashing(t, 8)
+	c := newCrashPlatform(t, 8)
 	first, second := c.gateway("edge-1"), c.gateway("edge-2")
 	// Both have counted each other by then.
 	time.Sleep(3500 * time.Millisecond)
 	c.rows.SetFaults(emulator.RowFaults{Silent: true})
-	qt.Assert(t, c.refused(first, "/look/x", 4*time.Second), qt.IsTrue, qt.Commentf("%s", c.log))
-	qt.Assert(t, len(c.ends()) <= crashesBorne+sendsBorne, qt.IsTrue, qt.Commentf("%d servers ended", len(c.ends())))
-	time.Sleep(inForce / 2)
+	qt.Assert(t, c.waitForRefusal(first, "/look/x", 4*time.Second), qt.IsTrue, qt.Commentf("%s", c.log))
+	qt.Assert(t, len(c.crashes()) <= maxCrashes+maxLaterSends, qt.IsTrue, qt.Commentf("%d servers ended", len(c.crashes())))
+	time.Sleep(maxPropagation / 2)
 	first.Kill()
 
 	before := len(c.ledger.Runs())
-	qt.Assert(t, c.refused(second, "/look/x", inForce/2), qt.IsTrue, qt.Commentf("%s", c.log))
+	qt.Assert(t, c.waitForRefusal(second, "/look/x", maxPropagation/2), qt.IsTrue, qt.Commentf("%s", c.log))
 	qt.Assert(t, len(c.ledger.Runs()), qt.Equals, before, qt.Commentf("the other router knew without a run of its own"))
 
 	c.rows.SetFaults(emulator.RowFaults{})
-	time.Sleep(inForce)
+	time.Sleep(maxPropagation)
 	second.Kill()
 	third := c.gateway("edge-3")
 	defer third.Kill()
 	time.Sleep(200 * time.Millisecond)
-	qt.Assert(t, c.refused(third, "/look/x", inForce), qt.IsTrue, qt.Commentf("%s", c.log))
+	qt.Assert(t, c.waitForRefusal(third, "/look/x", maxPropagation), qt.IsTrue, qt.Commentf("%s", c.log))
 	qt.Assert(t, len(c.ledger.Runs()), qt.Equals, before, qt.Commentf("a router that started later knew without a run of its own"))
 }
 
 // TestConnectionsThatBreakAccuseNobody has servers reset connections and break answers off, again and again, without ending.
 func TestConnectionsThatBreakAccuseNobody(t *testing.T) {
-	c := newCrashing(t, 2)
+	c := newCrashPlatform(t, 2)
 	d := c.gateway("edge-1")
 	defer d.Kill()
 	for i := range 12 {
@@ -327,12 +327,12 @@
 	a := c.send(d, "00000000000000ff", "/look/x", "", "body")
 	qt.Assert(t, a.status, qt.Equals, 200, qt.Commentf("%s\n%s", a.body, c.log))
 	qt.Assert(t, strings.Contains(c.log.String(), "server_ended_under_request"), qt.IsFalse)
-	c.logged("event=server_checked", "found=answers")
+	c.waitForLog("event=server_checked", "found=answers")
 }
 
 // TestServerThatHasAnsweredAccusesNobody has a server end shortly after it has answered a request in a way that is of no use.
 func TestServerThatHasAnsweredAccusesNobody(t *testing.T) {
-	c := newCrashing(t, 1)
+	c := newCrashPlatform(t, 1)
 	d := c.gateway("edge-1")
 	defer d.Kill()
 	c.failAll(emulator.OpaqueForged)
@@ -348,14 +348,14 @@
 
 // TestServersThatLeaveAccuseNobody has servers leave in order and end while a request that may be repeated is at them.
 func TestServersThatLeaveAccuseNobody(t *testing.T) {
-	c := newCrashing(t, 4)
+	c := newCrashPlatform(t, 4)
 	d := c.gateway("edge-1")
 	defer d.Kill()
 	for i := range 3 {
 		done := make(chan answer, 1)
 		go func() { done <- c.send(d, fmt.Sprintf("%016x", i+1), "/essay/x", "100,200", "body") }()
 		time.Sleep(150 * time.Millisecond)
-		c.leave()
+		c.drainLastServer()
 		got := <-done
 		qt.Assert(t, got.status, qt.Equals, 200, qt.Commentf("%s\n%s", got.body, c.log))
 	}
--- a/starter/distance_test.go
+++ b/starter/distance_test.go
@@ -10,32 +10,32 @@
 	"github.com/masticway/masticway/starter"
 )
 
-// slowZone is the one-way time between two zones: a question to a sidecar in the other one takes longer than most may.
-const slowZone = 300 * time.Millisecond
+// zoneDelay is the one-way time between two zones: a question to a sidecar in the other one takes longer than most may.
+const zoneDelay = 300 * time.Millisecond
 
 // TestAnswerIsFoundAtASlowSidecar asks a router for a key whose answer lies at a sidecar that answers slowly.
 func TestAnswerIsFoundAtASlowSidecar(t *testing.T) {
 	t.Parallel()
-	for name, dies := range map[string]bool{"the first router lives": false, "the first router died": true} {
+	for name, killFirst := range map[string]bool{"the first router lives": false, "the first router died": true} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			b := newBench(t, func(s *starter.FleetSpec, _ *masticway.Contract) {
+			b := newTestbed(t, func(s *starter.FleetSpec, _ *masticway.Contract) {
 				s.Delay = func(from, to string) time.Duration {
 					if from == to || from == "" || to == "" {
 						return 0
 					}
-					return slowZone
+					return zoneDelay
 				}
 			})
 			content := "far [tokens=20]"
-			qt.Assert(t, b.chat(0, "far", content, false).text, qt.Equals, wanted(content))
+			qt.Assert(t, b.chat(0, "far", content, false).text, qt.Equals, expectedAnswer(content))
 			qt.Assert(t, b.Sidecars()[0].Runs(), qt.Equals, int64(1))
-			if dies {
+			if killFirst {
 				b.KillRouter(b.Routers()[0].Name)
 			}
 			r := b.chat(len(b.Routers())-1, "far", content, false)
-			qt.Assert(t, r.text, qt.Equals, wanted(content), qt.Commentf("%d %s", r.status, r.body))
-			qt.Assert(t, b.runs(), qt.Equals, int64(1))
+			qt.Assert(t, r.text, qt.Equals, expectedAnswer(content), qt.Commentf("%d %s", r.status, r.body))
+			qt.Assert(t, b.totalRuns(), qt.Equals, int64(1))
 		})
 	}
 }
--- a/starter/emulator.go
+++ b/starter/emulator.go
@@ -39,7 +39,7 @@
 
 // EmulatorDaemon runs the stand-ins of platform and upstreams.
 type EmulatorDaemon struct {
-	servers servers
+	servers serverGroup
 }
 
 // StartEmulator starts the stand-ins that the settings name.
@@ -90,16 +90,16 @@
 // Close ends the stand-ins.
 func (d *EmulatorDaemon) Close() { d.servers.close() }
 
-// overlay returns a settings document with fields of another laid over it.
-func overlay(base, over json.RawMessage) (json.RawMessage, error) {
-	if len(over) == 0 {
+// mergeSettings returns a settings document with fields of another laid over it.
+func mergeSettings(base, overrides json.RawMessage) (json.RawMessage, error) {
+	if len(overrides) == 0 {
 		return base, nil
 	}
 	var fields, changes map[string]json.RawMessage
 	if err := json.Unmarshal(base, &fields); err != nil {
 		return nil, fmt.Errorf("reading settings: %w", err)
 	}
-	if err := json.Unmarshal(over, &changes); err != nil {
+	if err := json.Unmarshal(overrides, &changes); err != nil {
 		return nil, fmt.Errorf("reading changed settings: %w", err)
 	}
 	for name, value := range changes {
--- a/starter/evacuation_test.go
+++ b/starter/evacuation_test.go
@@ -16,38 +16,38 @@
 	"github.com/masticway/masticway/starter"
 )
 
-// inForce is how long an operator's order may take until all routers keep to it, the least that deployments ask for.
-const inForce = 3 * time.Second
+// maxPropagation is how long an operator's order may take until all routers keep to it, the least that deployments ask for.
+const maxPropagation = 3 * time.Second
 
-// evacuation is the row by which an operator has the servers of a zone get nothing.
-func evacuation(zone string) masticway.RowKey {
+// evacuationKey is the row by which an operator has the servers of a zone get nothing.
+func evacuationKey(zone string) masticway.RowKey {
 	return masticway.RowKey{Table: "op", Key: "evacuate/" + zone}
 }
 
 // addServer registers one more server of a pool in a zone.
-func (u *users) addServer(id, pool, zone string) *emulator.OpaqueServer {
-	s, err := emulator.StartOpaqueServer(id, u.ledger)
-	qt.Assert(u.t, err, qt.IsNil)
-	u.t.Cleanup(s.Close)
-	s.Register(u.rows, pool, zone, false)
+func (p *testPlatform) addServer(id, pool, zone string) *emulator.OpaqueServer {
+	s, err := emulator.StartOpaqueServer(id, p.ledger)
+	qt.Assert(p.t, err, qt.IsNil)
+	p.t.Cleanup(s.Close)
+	s.Register(p.rows, pool, zone, false)
 	return s
 }
 
-// logged waits until a gateway has written a line with all of some texts.
-func (u *users) logged(texts ...string) {
-	u.t.Helper()
-	for deadline := time.Now().Add(inForce); time.Now().Before(deadline); time.Sleep(5 * time.Millisecond) {
-		if u.linesWith(texts...) != "" {
+// waitForLog waits until a gateway has written a line with all of some texts.
+func (p *testPlatform) waitForLog(texts ...string) {
+	p.t.Helper()
+	for deadline := time.Now().Add(maxPropagation); time.Now().Before(deadline); time.Sleep(5 * time.Millisecond) {
+		if p.logLines(texts...) != "" {
 			return
 		}
 	}
-	u.t.Fatalf("no line with %q:\n%s", texts, u.log)
+	p.t.Fatalf("no line with %q:\n%s", texts, p.log)
 }
 
-// linesWith returns what routers have logged so far with some texts in one line.
-func (u *users) linesWith(texts ...string) string {
+// logLines returns what routers have logged so far with some texts in one line.
+func (p *testPlatform) logLines(texts ...string) string {
 	var lines strings.Builder
-	for line := range strings.Lines(u.log.String()) {
+	for line := range strings.Lines(p.log.String()) {
 		if !slices.ContainsFunc(texts, func(text string) bool { return !strings.Contains(line, text) }) {
 			lines.WriteString(line)
 		}
@@ -55,10 +55,10 @@
 	return lines.String()
 }
 
-// ranAt counts the runs at one server since a number of runs.
-func (u *users) ranAt(id string, since int) int {
+// runsAt counts the runs at one server since a number of runs.
+func (p *testPlatform) runsAt(id string, since int) int {
 	n := 0
-	for _, run := range u.ledger.Runs()[since:] {
+	for _, run := range p.ledger.Runs()[since:] {
 		if run.Server == id {
 			n++
 		}
@@ -67,10 +67,10 @@
 }
 
 // askMany sends requests for a plain service and counts the answers by status.
-func (u *users) askMany(d *starter.GatewayDaemon, name string, n int) map[int]int {
+func (p *testPlatform) askMany(d *starter.GatewayDaemon, name string, n int) map[int]int {
 	got := map[int]int{}
 	for i := range n {
-		status, _ := u.ask(d, fmt.Sprintf("%s%d", name, i), "/book/x", "")
+		status, _ := p.ask(d, fmt.Sprintf("%s%d", name, i), "/book/x", "")
 		got[status]++
 	}
 	return got
@@ -81,61 +81,61 @@
 // Seen: servers of a zone that an operator had emptied got 1,152 requests after the bound in one day. Cause: nothing read
 // the operator's order.
 func TestEvacuatedZoneGetsNothing(t *testing.T) {
-	u := newUsers(t, 100000)
-	u.addServer("i-far", "ledger", "y")
-	d := u.gateway("edge-1")
+	p := newTestPlatform(t, 100000)
+	p.addServer("i-far", "ledger", "y")
+	d := p.gateway("edge-1")
 	defer d.Kill()
-	u.askMany(d, "a", 20)
-	qt.Assert(t, u.ranAt("i-ledger", 0) > 0, qt.IsTrue)
+	p.askMany(d, "a", 20)
+	qt.Assert(t, p.runsAt("i-ledger", 0) > 0, qt.IsTrue)
 
-	u.rows.Put(evacuation("z"), []byte("{}"))
-	u.logged("event=zone_evacuated", "zone=z")
-	before := len(u.ledger.Runs())
-	qt.Assert(t, u.askMany(d, "b", 20), qt.DeepEquals, map[int]int{200: 20})
-	qt.Assert(t, u.ranAt("i-ledger", before), qt.Equals, 0)
+	p.rows.Put(evacuationKey("z"), []byte("{}"))
+	p.waitForLog("event=zone_evacuated", "zone=z")
+	before := len(p.ledger.Runs())
+	qt.Assert(t, p.askMany(d, "b", 20), qt.DeepEquals, map[int]int{200: 20})
+	qt.Assert(t, p.runsAt("i-ledger", before), qt.Equals, 0)
 
 	// Taken back and given again at once: what counts is the last word.
-	u.rows.Delete(evacuation("z"))
-	u.rows.Put(evacuation("z"), []byte("{}"))
+	p.rows.Delete(evacuationKey("z"))
+	p.rows.Put(evacuationKey("z"), []byte("{}"))
 	time.Sleep(200 * time.Millisecond)
-	before = len(u.ledger.Runs())
-	u.askMany(d, "c", 20)
-	qt.Assert(t, u.ranAt("i-ledger", before), qt.Equals, 0)
+	before = len(p.ledger.Runs())
+	p.askMany(d, "c", 20)
+	qt.Assert(t, p.runsAt("i-ledger", before), qt.Equals, 0)
 
-	u.rows.Put(evacuation("y"), []byte("{}"))
-	u.logged("event=zone_evacuated", "zone=y")
+	p.rows.Put(evacuationKey("y"), []byte("{}"))
+	p.waitForLog("event=zone_evacuated", "zone=y")
 	began := time.Now()
-	qt.Assert(t, u.askMany(d, "d", 5), qt.DeepEquals, map[int]int{503: 5})
+	qt.Assert(t, p.askMany(d, "d", 5), qt.DeepEquals, map[int]int{503: 5})
 	qt.Assert(t, time.Since(began) < 500*time.Millisecond, qt.IsTrue, qt.Commentf("what nothing can serve is refused at once"))
 
-	u.rows.Delete(evacuation("z"))
-	u.logged("event=zone_back", "zone=z")
+	p.rows.Delete(evacuationKey("z"))
+	p.waitForLog("event=zone_back", "zone=z")
 	for range 300 {
-		before = len(u.ledger.Runs())
-		if u.askMany(d, "e", 1)[200] == 1 {
-			qt.Assert(t, u.ranAt("i-ledger", before), qt.Equals, 1)
+		before = len(p.ledger.Runs())
+		if p.askMany(d, "e", 1)[200] == 1 {
+			qt.Assert(t, p.runsAt("i-ledger", before), qt.Equals, 1)
 			return
 		}
 		time.Sleep(20 * time.Millisecond)
 	}
-	t.Fatalf("a zone that was taken back gets nothing:\n%s", u.log)
+	t.Fatalf("a zone that was taken back gets nothing:\n%s", p.log)
 }
 
 // TestEvacuationLeavesRunningStreams has a stream under way whose zone is emptied: it goes on to its end.
 func TestEvacuationLeavesRunningStreams(t *testing.T) {
-	u := newUsers(t, 100000)
-	u.engine.Stream(20, 50*time.Millisecond)
-	u.addServer("i-far", "llm", "y")
-	u.rows.Put(evacuation("y"), []byte("{}"))
-	d := u.gateway("edge-1")
+	p := newTestPlatform(t, 100000)
+	p.engine.Stream(20, 50*time.Millisecond)
+	p.addServer("i-far", "llm", "y")
+	p.rows.Put(evacuationKey("y"), []byte("{}"))
+	d := p.gateway("edge-1")
 	defer d.Kill()
-	response, err := http.DefaultTransport.RoundTrip(u.request(d, "a", "/draft/x", "100,60"))
+	response, err := http.DefaultTransport.RoundTrip(p.request(d, "a", "/draft/x", "100,60"))
 	qt.Assert(t, err, qt.IsNil)
 	defer response.Body.Close()
 	lines := bufio.NewScanner(response.Body)
 	qt.Assert(t, lines.Scan(), qt.IsTrue)
-	u.rows.Put(evacuation("z"), []byte("{}"))
-	u.logged("event=zone_evacuated", "zone=z")
+	p.rows.Put(evacuationKey("z"), []byte("{}"))
+	p.waitForLog("event=zone_evacuated", "zone=z")
 	pieces := 0
 	for lines.Scan() {
 		if strings.Contains(lines.Text(), "data: piece") {
@@ -149,25 +149,25 @@
 // TestEvacuationIsKnownToRoutersThatComeLate has routers that start amid an evacuation, one of which the store turns away,
 // and a store that has forgotten its history.
 func TestEvacuationIsKnownToRoutersThatComeLate(t *testing.T) {
-	u := newUsers(t, 100000)
-	u.addServer("i-far", "ledger", "y")
-	u.rows.Put(evacuation("z"), []byte("{}"))
-	first := u.settings("edge-1")
-	a := u.start(first)
+	p := newTestPlatform(t, 100000)
+	p.addServer("i-far", "ledger", "y")
+	p.rows.Put(evacuationKey("z"), []byte("{}"))
+	first := p.settings("edge-1")
+	a := p.start(first)
 	defer a.Kill()
-	second := u.settings("edge-2")
-	second.StoreAddress = free(t)
+	second := p.settings("edge-2")
+	second.StoreAddress = freeAddress(t)
 	second.PeerSeeds = []string{first.PeerAddress}
-	b := u.start(second)
+	b := p.start(second)
 	defer b.Kill()
-	qt.Assert(t, u.askMany(a, "a", 10), qt.DeepEquals, map[int]int{200: 10})
-	qt.Assert(t, u.askMany(b, "b", 10), qt.DeepEquals, map[int]int{200: 10})
-	qt.Assert(t, u.ranAt("i-ledger", 0), qt.Equals, 0)
-
-	u.rows.Put(evacuation("y"), []byte("{}"))
-	u.rows.Delete(evacuation("z"))
-	u.rows.Compact()
-	u.logged("event=zone_evacuated", "zone=y", "instance=edge-2")
-	u.logged("event=zone_back", "zone=z", "instance=edge-2")
-	u.logged("event=zone_back", "zone=z", "instance=edge-1")
+	qt.Assert(t, p.askMany(a, "a", 10), qt.DeepEquals, map[int]int{200: 10})
+	qt.Assert(t, p.askMany(b, "b", 10), qt.DeepEquals, map[int]int{200: 10})
+	qt.Assert(t, p.runsAt("i-ledger", 0), qt.Equals, 0)
+
+	p.rows.Put(evacuationKey("y"), []byte("{}"))
+	p.rows.Delete(evacuationKey("z"))
+	p.rows.Compact()
+	p.waitForLog("event=zone_evacuated", "zone=y", "instance=edge-2")
+	p.waitForLog("event=zone_back", "zone=z", "instance=edge-2")
+	p.waitForLog("event=zone_back", "zone=z", "instance=edge-1")
 }
--- a/starter/failure_test.go
+++ b/starter/failure_test.go
@@ -24,22 +24,22 @@
 )
 
 const (
-	longAnswer = "a long draft [tokens=150]"
-	// refusedAfter is the wait for money where refusals are looked for: what a contract has that names none.
-	refusedAfter = 300 * time.Millisecond
+	longContent = "a long draft [tokens=150]"
+	// shortHoldWait is the wait for money where refusals are looked for: what a contract has that names none.
+	shortHoldWait = 300 * time.Millisecond
 )
 
-// begin starts a streamed request and returns once its upstream has given some tokens.
-func (b *bench) begin(router int, key string) <-chan reply {
+// startStream starts a streamed request and returns once its upstream has given some tokens.
+func (b *testbed) startStream(router int, key string) <-chan reply {
 	base := b.Routers()[router].CallerURL
 	out := make(chan reply, 1)
-	before := b.completed()
+	before := b.completionTokens()
 	go func() {
-		out <- b.callAt(context.Background(), base, "POST", "/v1/chat/completions", key, chatBody(longAnswer, true))
+		out <- b.callAt(context.Background(), base, "POST", "/v1/chat/completions", key, chatBody(longContent, true))
 	}()
 	b.eventually("the stream flows", func() bool {
-		if len(out) == 0 || b.completed() > before+5 {
-			return b.completed() > before+5
+		if len(out) == 0 || b.completionTokens() > before+5 {
+			return b.completionTokens() > before+5
 		}
 		r := <-out
 		b.t.Fatalf("ended before it flowed: status %d code %s err %v", r.status, r.code, r.err)
@@ -48,7 +48,7 @@
 	return out
 }
 
-func (b *bench) completed() int64 {
+func (b *testbed) completionTokens() int64 {
 	var sum int64
 	for _, s := range b.Sidecars() {
 		if s.Engine != nil {
@@ -58,8 +58,8 @@
 	return sum
 }
 
-// running returns the sidecar whose engine is in the middle of an answer.
-func (b *bench) running() *starter.FleetSidecar {
+// busySidecar returns the sidecar whose engine is in the middle of an answer.
+func (b *testbed) busySidecar() *starter.FleetSidecar {
 	var found *starter.FleetSidecar
 	b.eventually("an engine works", func() bool {
 		for _, s := range b.Sidecars() {
@@ -72,9 +72,9 @@
 	return found
 }
 
-func (b *bench) whole(r reply) {
+func (b *testbed) assertWhole(r reply) {
 	b.t.Helper()
-	qt.Assert(b.t, r.text, qt.Equals, wanted(longAnswer), qt.Commentf("status %d code %s err %v", r.status, r.code, r.err))
+	qt.Assert(b.t, r.text, qt.Equals, expectedAnswer(longContent), qt.Commentf("status %d code %s err %v", r.status, r.code, r.err))
 	qt.Assert(b.t, r.done, qt.IsTrue)
 }
 
@@ -82,27 +82,27 @@
 func TestStreamSurvives(t *testing.T) {
 	t.Parallel()
 	cases := map[string]struct {
-		strike func(b *bench, s *starter.FleetSidecar)
+		injectFault func(b *testbed, s *starter.FleetSidecar)
 		// again tells that other work than the answer itself may have been done and presumed.
-		presumes bool
+		hasPresumed bool
 	}{
-		"engine dies": {strike: func(_ *bench, s *starter.FleetSidecar) { s.Engine.SetFaults(emulator.EngineFaults{Down: true}) }},
+		"engine dies": {injectFault: func(_ *testbed, s *starter.FleetSidecar) { s.Engine.SetFaults(emulator.EngineFaults{Down: true}) }},
 		"sidecar dies, and the platform says so": {
-			strike: func(b *bench, s *starter.FleetSidecar) { b.KillSidecar(s.Name, true) }, presumes: true,
+			injectFault: func(b *testbed, s *starter.FleetSidecar) { b.KillSidecar(s.Name, true) }, hasPresumed: true,
 		},
 		"sidecar restarts on its instance": {
-			strike: func(b *bench, s *starter.FleetSidecar) {
+			injectFault: func(b *testbed, s *starter.FleetSidecar) {
 				b.KillSidecar(s.Name, false)
 				qt.Assert(b.t, b.StartSidecar(s), qt.IsNil)
-			}, presumes: true,
+			}, hasPresumed: true,
 		},
-		"link breaks for a moment": {strike: func(b *bench, s *starter.FleetSidecar) {
+		"link breaks for a moment": {injectFault: func(b *testbed, s *starter.FleetSidecar) {
 			b.Network.Cut(b.Routers()[0].Name, s.Name)
 			time.Sleep(300 * time.Millisecond)
 			b.Network.Heal(b.Routers()[0].Name, s.Name)
 		}},
-		"sidecar leaves": {strike: func(b *bench, s *starter.FleetSidecar) { go b.DrainSidecar(s.Name) }},
-		"table goes down": {strike: func(b *bench, _ *starter.FleetSidecar) {
+		"sidecar leaves": {injectFault: func(b *testbed, s *starter.FleetSidecar) { go b.DrainSidecar(s.Name) }},
+		"table goes down": {injectFault: func(b *testbed, _ *starter.FleetSidecar) {
 			b.Platform.Table.SetFaults(emulator.TableFaults{Down: true})
 			time.Sleep(200 * time.Millisecond)
 			b.Platform.Table.SetFaults(emulator.TableFaults{})
@@ -111,14 +111,14 @@
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			b := newBench(t, slow(4*time.Millisecond))
-			out := b.begin(0, "draft")
-			tc.strike(b, b.running())
-			b.whole(<-out)
-			row := b.settled("b-100000")
-			qt.Assert(t, row.Settled-row.Presumed <= cost(longAnswer), qt.IsTrue, qt.Commentf("%+v", row))
-			if !tc.presumes {
-				qt.Assert(t, row.Settled, qt.Equals, cost(longAnswer))
+			b := newTestbed(t, withTokenTime(4*time.Millisecond))
+			out := b.startStream(0, "draft")
+			tc.injectFault(b, b.busySidecar())
+			b.assertWhole(<-out)
+			row := b.drainAndReadBudget("b-100000")
+			qt.Assert(t, row.Settled-row.Presumed <= answerCost(longContent), qt.IsTrue, qt.Commentf("%+v", row))
+			if !tc.hasPresumed {
+				qt.Assert(t, row.Settled, qt.Equals, answerCost(longContent))
 			}
 		})
 	}
@@ -127,7 +127,7 @@
 // TestLostPromptDoesNotShortenTheAnswer loses an engine between prompt and first token, several times for one request.
 func TestLostPromptDoesNotShortenTheAnswer(t *testing.T) {
 	t.Parallel()
-	b := newBench(t)
+	b := newTestbed(t)
 	content := strings.Repeat("measurement ", 40) + "[tokens=30]"
 	for _, s := range b.Sidecars() {
 		if s.Engine != nil {
@@ -136,17 +136,17 @@
 	}
 	body := fmt.Sprintf(`{"model":"m","max_tokens":32,"messages":[{"role":"user","content":%q}]}`, content)
 	r := b.call(0, "POST", "/v1/chat/completions", "", body)
-	qt.Assert(t, r.text, qt.Equals, wanted(content), qt.Commentf("%d %s", r.status, r.body))
+	qt.Assert(t, r.text, qt.Equals, expectedAnswer(content), qt.Commentf("%d %s", r.status, r.body))
 	qt.Assert(t, r.usage.Completion, qt.Equals, 30)
-	row := b.settled("b-100000")
+	row := b.drainAndReadBudget("b-100000")
 	// The lost prompts stand in the journal to be given back, so that the request is billed once.
-	superseded := b.superseded()
+	superseded := b.supersededCost()
 	qt.Assert(t, superseded > 0, qt.IsTrue)
-	qt.Assert(t, row.Settled+row.GivenBack-superseded, qt.Equals, cost(content))
+	qt.Assert(t, row.Settled+row.GivenBack-superseded, qt.Equals, answerCost(content))
 }
 
-// superseded adds up the bills of work that nobody got.
-func (b *bench) superseded() masticway.Amount {
+// supersededCost adds up the bills of work that nobody got.
+func (b *testbed) supersededCost() masticway.Amount {
 	names, err := b.Platform.Objects.List(context.Background(), "journal/")
 	qt.Assert(b.t, err, qt.IsNil)
 	var sum masticway.Amount
@@ -167,55 +167,55 @@
 	for name, router := range map[string]int{"first router": 0, "second router": 1} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			b := newBench(t, slow(4*time.Millisecond))
-			out := b.begin(router, "draft")
+			b := newTestbed(t, withTokenTime(4*time.Millisecond))
+			out := b.startStream(router, "draft")
 			dead := b.Routers()[router].Daemon.Incarnation()
 			b.KillRouter(b.Routers()[router].Name)
 			broken := <-out
 			qt.Assert(t, broken.done, qt.IsFalse)
-			b.whole(b.chat(0, "draft", longAnswer, true))
-			qt.Assert(t, b.runs(), qt.Equals, int64(1))
+			b.assertWhole(b.chat(0, "draft", longContent, true))
+			qt.Assert(t, b.totalRuns(), qt.Equals, int64(1))
 			book := bookkeeper.New(b.Platform.Table)
 			b.eventually("the dead router's money is back", func() bool {
 				grants, err := book.GrantsOf(context.Background(), dead)
 				return err == nil && len(grants) == 0
 			})
-			qt.Assert(t, b.settled("b-100000").Settled, qt.Equals, cost(longAnswer))
+			qt.Assert(t, b.drainAndReadBudget("b-100000").Settled, qt.Equals, answerCost(longContent))
 		})
 	}
 }
 
 func TestRouterAndSidecarDieTogether(t *testing.T) {
 	t.Parallel()
-	b := newBench(t, slow(4*time.Millisecond))
-	out := b.begin(0, "draft")
-	s := b.running()
+	b := newTestbed(t, withTokenTime(4*time.Millisecond))
+	out := b.startStream(0, "draft")
+	s := b.busySidecar()
 	b.KillRouter(b.Routers()[0].Name)
 	b.KillSidecar(s.Name, true)
 	<-out
 	b.eventually("the caller gets its answer elsewhere", func() bool {
-		return b.chat(0, "draft", longAnswer, true).done
+		return b.chat(0, "draft", longContent, true).done
 	})
 	book := bookkeeper.New(b.Platform.Table)
 	b.eventually("nothing stays granted to the dead", func() bool {
 		row, err := book.Budget(context.Background(), "b-100000")
 		return err == nil && len(row.Grants) <= 1
 	})
-	row := b.settled("b-100000")
-	qt.Assert(t, row.Settled >= cost(longAnswer), qt.IsTrue)
+	row := b.drainAndReadBudget("b-100000")
+	qt.Assert(t, row.Settled >= answerCost(longContent), qt.IsTrue)
 }
 
 func TestPausedRouterIsSealedAndRejoins(t *testing.T) {
 	t.Parallel()
-	b := newBench(t)
+	b := newTestbed(t)
 	warm := b.chat(0, "", "warm [tokens=3]", false)
 	qt.Assert(t, warm.done, qt.IsTrue, qt.Commentf("%d %s", warm.status, warm.body))
 	paused := b.Routers()[0]
-	was := paused.Daemon.Incarnation()
+	before := paused.Daemon.Incarnation()
 	b.Network.Cut(paused.Name, "*")
 	book := bookkeeper.New(b.Platform.Table)
 	b.eventually("the others recover it", func() bool {
-		links, version, err := book.Links(context.Background(), was)
+		links, version, err := book.Links(context.Background(), before)
 		return err == nil && (version == 0 || links.State == bookkeeper.LinksSealed)
 	})
 	// It wakes, unaware, with a request at hand.
@@ -223,20 +223,20 @@
 	b.eventually("it rejoins as another incarnation", func() bool {
 		r := b.chat(0, "", "late [tokens=3]", false)
 		if r.status != 200 {
-			qt.Check(t, r.run, qt.Equals, masticway.FateNotRun, qt.Commentf("%s", r.body))
+			qt.Check(t, r.fate, qt.Equals, masticway.FateNotRun, qt.Commentf("%s", r.body))
 		}
-		return r.done && paused.Daemon.Incarnation() != was
+		return r.done && paused.Daemon.Incarnation() != before
 	})
 	b.eventually("its money is back", func() bool {
-		grants, err := book.GrantsOf(context.Background(), was)
+		grants, err := book.GrantsOf(context.Background(), before)
 		return err == nil && len(grants) == 0
 	})
-	row := b.settled("b-100000")
-	qt.Assert(t, row.Settled, qt.Equals, b.ran())
+	row := b.drainAndReadBudget("b-100000")
+	qt.Assert(t, row.Settled, qt.Equals, b.engineCost())
 }
 
-// ran prices what all engines say they did.
-func (b *bench) ran() masticway.Amount {
+// engineCost prices what all engines say they did.
+func (b *testbed) engineCost() masticway.Amount {
 	var sum masticway.Amount
 	for _, s := range b.Sidecars() {
 		if s.Engine != nil {
@@ -249,7 +249,7 @@
 
 func TestLinkCutBeforeAcceptIsNotRun(t *testing.T) {
 	t.Parallel()
-	b := newBench(t)
+	b := newTestbed(t)
 	qt.Assert(t, b.call(0, "POST", "/v1/services/stock/orders", "", "warm").status, qt.Equals, 200)
 	var service *starter.FleetSidecar
 	for _, s := range b.Sidecars() {
@@ -260,7 +260,7 @@
 	// Everything to the sidecar is held back and arrives later, after the caller was told.
 	b.Network.Cut(b.Routers()[0].Name, service.Name)
 	r := b.call(0, "POST", "/v1/services/stock/reservations", "bolt", "cloth")
-	qt.Assert(t, r.run, qt.Equals, masticway.FateUnknown, qt.Commentf("%s", r.body))
+	qt.Assert(t, r.fate, qt.Equals, masticway.FateUnknown, qt.Commentf("%s", r.body))
 	b.Network.Heal(b.Routers()[0].Name, service.Name)
 	b.eventually("the router reaches it again", func() bool {
 		return b.call(0, "POST", "/v1/services/stock/orders", "", "again").status == 200
@@ -273,10 +273,10 @@
 
 func TestLeavingUpstreamGetsNoNewWork(t *testing.T) {
 	t.Parallel()
-	for name, listDown := range map[string]bool{"platform up": false, "platform down": true} {
+	for name, platformDown := range map[string]bool{"platform up": false, "platform down": true} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			b := newBench(t, slow(4*time.Millisecond))
+			b := newTestbed(t, withTokenTime(4*time.Millisecond))
 			b.eventually("both engines know the routers", func() bool {
 				var wg sync.WaitGroup
 				for range 12 {
@@ -285,19 +285,19 @@
 				wg.Wait()
 				return b.Sidecars()[0].Runs() > 0 && b.Sidecars()[1].Runs() > 0
 			})
-			out := b.begin(0, "draft")
-			s := b.running()
-			b.Platform.Instances.SetDown(listDown)
-			b.Platform.Table.SetFaults(emulator.TableFaults{Down: listDown})
+			out := b.startStream(0, "draft")
+			s := b.busySidecar()
+			b.Platform.Instances.SetDown(platformDown)
+			b.Platform.Table.SetFaults(emulator.TableFaults{Down: platformDown})
 			drained := make(chan bool, 1)
 			go func() { drained <- b.DrainSidecar(s.Name) }()
-			b.eventually("it is leaving", s.Daemon.Leaving)
+			b.eventually("it is leaving", s.Daemon.IsDraining)
 			runs := s.Engine.Counts().Runs
 			for range 20 {
-				b.served(0, "quick [tokens=2]")
+				b.assertServed(0, "quick [tokens=2]")
 			}
 			qt.Assert(t, s.Engine.Counts().Runs, qt.Equals, runs)
-			b.whole(<-out)
+			b.assertWhole(<-out)
 			b.Platform.Table.SetFaults(emulator.TableFaults{})
 			b.Platform.Instances.SetDown(false)
 			qt.Assert(t, <-drained, qt.IsTrue)
@@ -307,28 +307,28 @@
 
 func TestRouterDrainCutsNothingOff(t *testing.T) {
 	t.Parallel()
-	b := newBench(t, slow(4*time.Millisecond))
-	out := b.begin(0, "draft")
+	b := newTestbed(t, withTokenTime(4*time.Millisecond))
+	out := b.startStream(0, "draft")
 	leaving := b.Routers()[0]
 	drained := make(chan bool, 1)
 	go func() { drained <- b.DrainRouter(leaving.Name) }()
 	b.eventually("it refuses new work as not run", func() bool {
 		r := b.callAt(context.Background(), leaving.CallerURL, "POST", "/v1/chat/completions", "", chatBody("x", false))
-		return r.err != nil || (r.status == 503 && r.run == masticway.FateNotRun)
+		return r.err != nil || (r.status == 503 && r.fate == masticway.FateNotRun)
 	})
-	b.whole(<-out)
+	b.assertWhole(<-out)
 	qt.Assert(t, <-drained, qt.IsTrue)
 	row, err := bookkeeper.New(b.Platform.Table).Budget(context.Background(), "b-100000")
 	qt.Assert(t, err, qt.IsNil)
 	for _, g := range row.Grants {
 		qt.Assert(t, g.Payer.Instance() == leaving.Name, qt.IsFalse)
 	}
-	qt.Assert(t, b.settled("b-100000").Settled, qt.Equals, cost(longAnswer))
+	qt.Assert(t, b.drainAndReadBudget("b-100000").Settled, qt.Equals, answerCost(longContent))
 }
 
 func TestOutageOfTheTable(t *testing.T) {
 	t.Parallel()
-	b := newBench(t)
+	b := newTestbed(t)
 	for i := range 2 {
 		qt.Assert(t, b.chat(i, "", "warm [tokens=3]", false).done, qt.IsTrue)
 	}
@@ -337,19 +337,19 @@
 		r := b.chat(i%2, "", "during [tokens=3]", false)
 		qt.Assert(t, r.done, qt.IsTrue, qt.Commentf("%s", r.body))
 	}
-	status, body := b.operate("POST", "/admin/v1/budgets/b-100000/top-ups", `{"amount":1000}`)
+	status, body := b.callAdmin("POST", "/admin/v1/budgets/b-100000/top-ups", `{"amount":1000}`)
 	qt.Assert(t, status, qt.Equals, 503, qt.Commentf("%s", body))
 	b.Platform.Table.SetFaults(emulator.TableFaults{})
-	qt.Assert(t, b.settled("b-100000").Settled, qt.Equals, b.ran())
+	qt.Assert(t, b.drainAndReadBudget("b-100000").Settled, qt.Equals, b.engineCost())
 }
 
 // TestRegionCutOffWithATopUp cuts one of two regions off from the other and the platform.
 func TestRegionCutOffWithATopUp(t *testing.T) {
 	t.Parallel()
-	b := newBench(t, prepaid(3000), func(s *starter.FleetSpec, _ *masticway.Contract) {
+	b := newTestbed(t, withBudget(3000), func(s *starter.FleetSpec, _ *masticway.Contract) {
 		s.Regions = []starter.RegionSpec{{Name: "east", Zones: []string{"a"}, Routers: 1}, {Name: "west", Zones: []string{"a"}, Routers: 1}}
 		s.Engines[0].Count = 1
-	}, limits(func(c *masticway.Contract) { c.HoldWait = masticway.Duration(refusedAfter) }))
+	}, withContract(func(c *masticway.Contract) { c.HoldWait = masticway.Duration(shortHoldWait) }))
 	content := "across [tokens=10]"
 	for i := range 2 {
 		// The second region asks the first to give money back, and may tell its caller to come again meanwhile.
@@ -368,7 +368,7 @@
 		for n := range 40 {
 			r := b.chat(n%2, "", content, false)
 			if r.status != 200 {
-				qt.Assert(t, r.run, qt.Equals, masticway.FateNotRun, qt.Commentf("%s", r.body))
+				qt.Assert(t, r.fate, qt.Equals, masticway.FateNotRun, qt.Commentf("%s", r.body))
 				refused++
 			}
 		}
@@ -376,12 +376,12 @@
 	}
 	refused := spend()
 	qt.Assert(t, refused > 0, qt.IsTrue)
-	qt.Assert(t, b.ran() <= 3000*masticway.PerToken, qt.IsTrue)
-	status, _ := b.operate("POST", "/admin/v1/budgets/b-3000/top-ups", `{"amount":2000000}`, "Idempotency-Key", "during")
+	qt.Assert(t, b.engineCost() <= 3000*masticway.PerToken, qt.IsTrue)
+	status, _ := b.callAdmin("POST", "/admin/v1/budgets/b-3000/top-ups", `{"amount":2000000}`, "Idempotency-Key", "during")
 	qt.Assert(t, status, qt.Equals, 200)
 	b.eventually("the top-up is used where the table is reached", func() bool { return b.chat(0, "", content, false).done })
 	spend()
-	qt.Assert(t, b.ran() <= 5000*masticway.PerToken, qt.IsTrue)
+	qt.Assert(t, b.engineCost() <= 5000*masticway.PerToken, qt.IsTrue)
 	for _, other := range []string{b.Routers()[0].Name, starter.PlatformProcess} {
 		b.Network.Heal(west.Name, other)
 		for _, s := range b.Sidecars() {
@@ -392,27 +392,27 @@
 		r := b.chat(1, "", content, false)
 		return r.done || r.status == 402
 	})
-	row := b.settled("b-3000")
-	qt.Assert(t, row.Settled, qt.Equals, b.ran())
+	row := b.drainAndReadBudget("b-3000")
+	qt.Assert(t, row.Settled, qt.Equals, b.engineCost())
 }
 
 func TestRevokedKeyAndRacingOperators(t *testing.T) {
 	t.Parallel()
-	b := newBench(t)
-	b.served(1, "x [tokens=2]")
-	_, body := b.operate("GET", "/admin/v1/contracts/w", "")
-	var stands struct {
+	b := newTestbed(t)
+	b.assertServed(1, "x [tokens=2]")
+	_, body := b.callAdmin("GET", "/admin/v1/contracts/w", "")
+	var current struct {
 		Revision masticway.Revision `json:"revision"`
 		Contract json.RawMessage    `json:"contract"`
 	}
-	qt.Assert(t, json.Unmarshal([]byte(body), &stands), qt.IsNil)
+	qt.Assert(t, json.Unmarshal([]byte(body), &current), qt.IsNil)
 	revoked := `{"workspace":"w","budget":"b-100000","models":[{"name":"m"}]}`
-	match := fmt.Sprint(stands.Revision)
-	first, _ := b.operate("PUT", "/admin/v1/contracts/w", revoked, "If-Match", match, "Idempotency-Key", "one")
-	second, conflict := b.operate("PUT", "/admin/v1/contracts/w", string(stands.Contract), "If-Match", match, "Idempotency-Key", "two")
-	again, _ := b.operate("PUT", "/admin/v1/contracts/w", revoked, "If-Match", match, "Idempotency-Key", "one")
-	none, _ := b.operate("PUT", "/admin/v1/contracts/w", revoked)
-	invalid, faults := b.operate("PUT", "/admin/v1/contracts/w", `{"workspace":"w"}`, "If-Match", "*")
+	match := fmt.Sprint(current.Revision)
+	first, _ := b.callAdmin("PUT", "/admin/v1/contracts/w", revoked, "If-Match", match, "Idempotency-Key", "one")
+	second, conflict := b.callAdmin("PUT", "/admin/v1/contracts/w", string(current.Contract), "If-Match", match, "Idempotency-Key", "two")
+	again, _ := b.callAdmin("PUT", "/admin/v1/contracts/w", revoked, "If-Match", match, "Idempotency-Key", "one")
+	none, _ := b.callAdmin("PUT", "/admin/v1/contracts/w", revoked)
+	invalid, faults := b.callAdmin("PUT", "/admin/v1/contracts/w", `{"workspace":"w"}`, "If-Match", "*")
 	qt.Assert(t, []int{first, second, again, none, invalid}, qt.DeepEquals, []int{200, 409, 200, 422, 422})
 	qt.Assert(t, conflict, qt.Contains, `"contract":{`)
 	qt.Assert(t, faults, qt.Contains, "budget")
@@ -420,7 +420,7 @@
 		return b.chat(0, "", "x", false).status == 401 && b.chat(1, "", "x", false).status == 401
 	})
 	b.eventually("the change is in force", func() bool {
-		_, status := b.operate("GET", "/admin/v1/config/status", "")
+		_, status := b.callAdmin("GET", "/admin/v1/config/status", "")
 		return strings.Contains(status, `"in_force":true`)
 	})
 }
@@ -428,7 +428,7 @@
 // TestStaleRouterIsBroughtUpToDate cuts a router off from the table; the sidecars must not let it use the old contract.
 func TestStaleRouterIsBroughtUpToDate(t *testing.T) {
 	t.Parallel()
-	b := newBench(t)
+	b := newTestbed(t)
 	stale := b.Routers()[1]
 	b.Network.Cut(stale.Name, starter.PlatformProcess)
 	b.Network.Cut(stale.Name, b.Routers()[0].Name)
@@ -446,19 +446,19 @@
 // TestStaleConfigurationIsNotServed has the setting that puts a revoked contract before a cut-off router's callers.
 func TestStaleConfigurationIsNotServed(t *testing.T) {
 	t.Parallel()
-	b := newBench(t, func(s *starter.FleetSpec, _ *masticway.Contract) {
+	b := newTestbed(t, func(s *starter.FleetSpec, _ *masticway.Contract) {
 		s.Router = json.RawMessage(`{"poll":"50ms","stale_after":"600ms"}`)
 	})
-	b.served(1, "x [tokens=2]")
+	b.assertServed(1, "x [tokens=2]")
 	alone := b.Routers()[1]
 	b.Network.Cut(alone.Name, starter.PlatformProcess)
 	// Its peer still sees the table and says so.
 	time.Sleep(time.Second)
-	b.served(1, "x [tokens=2]")
+	b.assertServed(1, "x [tokens=2]")
 	b.Network.Cut(alone.Name, b.Routers()[0].Name)
 	b.eventually("it refuses as not run", func() bool {
 		r := b.chat(1, "", "x [tokens=2]", false)
-		return r.status == 503 && r.run == masticway.FateNotRun
+		return r.status == 503 && r.fate == masticway.FateNotRun
 	})
 	b.Network.Heal(alone.Name, starter.PlatformProcess)
 	b.eventually("it serves again", func() bool { return b.chat(1, "", "x [tokens=2]", false).done })
@@ -469,21 +469,21 @@
 	for name, ignores := range map[string]bool{"engine checks": false, "engine ignores": true} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			b := newBench(t, func(s *starter.FleetSpec, _ *masticway.Contract) { s.Engines[0].Settings.IgnoreFences = ignores })
+			b := newTestbed(t, func(s *starter.FleetSpec, _ *masticway.Contract) { s.Engines[0].Settings.IgnoreFences = ignores })
 			s := b.Sidecars()[0]
 			path := "/admin/v1/upstreams/" + s.Name + "/orders"
 			var wg sync.WaitGroup
 			for i := range 6 {
 				wg.Go(func() {
-					b.operate("POST", path, `{"action":"load_version","target":"m:2"}`, "Idempotency-Key", fmt.Sprint(i))
+					b.callAdmin("POST", path, `{"action":"load_version","target":"m:2"}`, "Idempotency-Key", fmt.Sprint(i))
 				})
 			}
 			wg.Wait()
 			// Whatever their race came to, a number once given is never carried out after a newer one.
-			status, body := b.operate("POST", path, `{"action":"load_version","target":"m:3"}`, "Idempotency-Key", "last")
+			status, body := b.callAdmin("POST", path, `{"action":"load_version","target":"m:3"}`, "Idempotency-Key", "last")
 			qt.Assert(t, status, qt.Equals, 200, qt.Commentf("%s", body))
 			orders := s.Engine.Counts().Orders
-			status, body = b.operate("POST", path, `{"action":"load_version","target":"m:2"}`, "Idempotency-Key", "last")
+			status, body = b.callAdmin("POST", path, `{"action":"load_version","target":"m:2"}`, "Idempotency-Key", "last")
 			qt.Assert(t, status, qt.Equals, 200, qt.Commentf("%s", body))
 			qt.Assert(t, s.Engine.Counts().Orders, qt.Equals, orders+1)
 			book := bookkeeper.New(b.Platform.Table)
@@ -498,7 +498,7 @@
 
 func TestSlowReaderGetsTheWholeAnswer(t *testing.T) {
 	t.Parallel()
-	b := newBench(t, slow(0))
+	b := newTestbed(t, withTokenTime(0))
 	content := "slowly [tokens=400]"
 	request, err := http.NewRequest("POST", b.Routers()[0].CallerURL+"/v1/chat/completions", strings.NewReader(chatBody(content, true)))
 	qt.Assert(t, err, qt.IsNil)
@@ -519,7 +519,7 @@
 	}
 	r := reply{header: response.Header}
 	r.read(data)
-	qt.Assert(t, r.text, qt.Equals, wanted(content))
+	qt.Assert(t, r.text, qt.Equals, expectedAnswer(content))
 	qt.Assert(t, r.done, qt.IsTrue)
 }
 
@@ -535,49 +535,49 @@
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			b := newBench(t, slow(4*time.Millisecond))
+			b := newTestbed(t, withTokenTime(4*time.Millisecond))
 			ctx, cancel := context.WithCancel(context.Background())
 			done := make(chan reply, 1)
 			base := b.Routers()[0].CallerURL
 			go func() {
-				done <- b.callAt(ctx, base, "POST", "/v1/chat/completions", tc.key, chatBody(longAnswer, true))
+				done <- b.callAt(ctx, base, "POST", "/v1/chat/completions", tc.key, chatBody(longContent, true))
 			}()
-			b.eventually("it flows", func() bool { return b.completed() > 5 })
+			b.eventually("it flows", func() bool { return b.completionTokens() > 5 })
 			cancel()
 			<-done
 			if tc.runs {
-				b.whole(b.chat(1, tc.key, longAnswer, false))
-				qt.Assert(t, b.runs(), qt.Equals, int64(1))
+				b.assertWhole(b.chat(1, tc.key, longContent, false))
+				qt.Assert(t, b.totalRuns(), qt.Equals, int64(1))
 			}
-			row := b.settled("b-100000")
-			qt.Assert(t, row.Settled == cost(longAnswer), qt.Equals, tc.runs, qt.Commentf("%+v", row))
+			row := b.drainAndReadBudget("b-100000")
+			qt.Assert(t, row.Settled == answerCost(longContent), qt.Equals, tc.runs, qt.Commentf("%+v", row))
 		})
 	}
 }
 
 func TestLimitsRefuseAtOnce(t *testing.T) {
 	t.Parallel()
-	b := newBench(t, slow(4*time.Millisecond), limits(func(c *masticway.Contract) { c.Concurrency = 1 }))
-	out := b.begin(0, "draft")
+	b := newTestbed(t, withTokenTime(4*time.Millisecond), withContract(func(c *masticway.Contract) { c.Concurrency = 1 }))
+	out := b.startStream(0, "draft")
 	for i := range 2 {
 		r := b.chat(i, "", "x", false)
 		qt.Assert(t, r.status, qt.Equals, 429, qt.Commentf("%s", r.body))
 		qt.Assert(t, r.code, qt.Equals, "limit_concurrency")
 		qt.Assert(t, r.header.Get("Retry-After") != "", qt.IsTrue)
 	}
-	b.whole(<-out)
-	b.served(1, "x")
+	b.assertWhole(<-out)
+	b.assertServed(1, "x")
 }
 
 func TestSidecarRefusesRoutersItCannotVerify(t *testing.T) {
 	t.Parallel()
-	b := newBench(t)
-	b.served(0, "warm [tokens=2]")
+	b := newTestbed(t)
+	b.assertServed(0, "warm [tokens=2]")
 	b.Platform.Table.SetFaults(emulator.TableFaults{Down: true})
 	s, err := b.AddEngine("local", "a", starter.EngineGroup{Model: "m", Settings: emulator.EngineSettings{Capacity: 8}})
 	qt.Assert(t, err, qt.IsNil)
 	for range 10 {
-		b.served(0, "x [tokens=2]")
+		b.assertServed(0, "x [tokens=2]")
 	}
 	qt.Assert(t, s.Engine.Counts().Runs, qt.Equals, int64(0))
 	b.Platform.Table.SetFaults(emulator.TableFaults{})
@@ -590,7 +590,7 @@
 // TestSlowHeadersAreCutOff sends half a request and no more; the router must end the connection by itself.
 func TestSlowHeadersAreCutOff(t *testing.T) {
 	t.Parallel()
-	b := newBench(t)
+	b := newTestbed(t)
 	c, err := net.Dial("tcp", strings.TrimPrefix(b.Routers()[0].CallerURL, "http://"))
 	qt.Assert(t, err, qt.IsNil)
 	defer c.Close()
@@ -599,5 +599,5 @@
 	// Reading ends only when the other side closes.
 	_, err = io.ReadAll(c)
 	qt.Assert(t, err, qt.IsNil)
-	b.served(0, "x [tokens=2]")
+	b.assertServed(0, "x [tokens=2]")
 }
--- a/starter/fleet.go
+++ b/starter/fleet.go
@@ -23,9 +23,9 @@
 
 const (
 	// PlatformProcess names the platform in network faults.
-	PlatformProcess = "platform"
-	loopback        = "127.0.0.1:0"
-	readyPause      = 10 * time.Millisecond
+	PlatformProcess   = "platform"
+	loopbackAddress   = "127.0.0.1:0"
+	readyPollInterval = 10 * time.Millisecond
 	// placeholder stands for the address fields that a fleet's own sockets replace.
 	placeholder = "127.0.0.1:1"
 )
@@ -68,19 +68,19 @@
 
 // Fleet is a whole fleet with its stand-ins, in one process with real sockets between all roles.
 type Fleet struct {
-	spec     FleetSpec
-	Platform *emulator.Platform
-	Network  *emulator.Network
-	servers  servers
-	platform string
-	fleetKey string
-	token    string
-
-	mu       sync.Mutex
-	zones    map[string]string
-	routers  map[string]*FleetRouter
-	sidecars map[string]*FleetSidecar
-	serial   int
+	spec        FleetSpec
+	Platform    *emulator.Platform
+	Network     *emulator.Network
+	servers     serverGroup
+	platformURL string
+	fleetKey    string
+	adminToken  string
+
+	mu         sync.Mutex
+	zones      map[string]string
+	routers    map[string]*FleetRouter
+	sidecars   map[string]*FleetSidecar
+	lastNumber int
 }
 
 // FleetRouter is a router of a fleet.
@@ -97,14 +97,14 @@
 
 // FleetSidecar is a sidecar of a fleet, with the upstream beside it.
 type FleetSidecar struct {
-	Name     string
-	Region   string
-	Daemon   *SidecarDaemon
-	Engine   *emulator.Engine
-	Service  *emulator.Service
-	Metrics  *measurer.Set
-	instance masticway.Instance
-	upstream string
+	Name        string
+	Region      string
+	Daemon      *SidecarDaemon
+	Engine      *emulator.Engine
+	Service     *emulator.Service
+	Metrics     *measurer.Set
+	instance    masticway.Instance
+	upstreamURL string
 }
 
 // StartFleet starts a fleet; Stop must be called even after an error.
@@ -113,7 +113,7 @@
 		spec.Delay = func(string, string) time.Duration { return 0 }
 	}
 	f := &Fleet{
-		spec: spec, Platform: emulator.NewPlatform(spec.InstanceLag), fleetKey: authenticator.NewKey(), token: authenticator.NewKey(),
+		spec: spec, Platform: emulator.NewPlatform(spec.InstanceLag), fleetKey: authenticator.NewKey(), adminToken: authenticator.NewKey(),
 		zones: map[string]string{}, routers: map[string]*FleetRouter{}, sidecars: map[string]*FleetSidecar{},
 	}
 	f.servers.log = spec.Log
@@ -122,7 +122,7 @@
 	if err != nil {
 		return f, err
 	}
-	f.platform = "http://" + address
+	f.platformURL = "http://" + address
 	for _, region := range spec.Regions {
 		if err := f.startRegion(region); err != nil {
 			return f, err
@@ -165,7 +165,7 @@
 }
 
 func (f *Fleet) listen(process, zone string) (net.Listener, error) {
-	l, err := Listen(loopback)
+	l, err := Listen(loopbackAddress)
 	if err != nil {
 		return nil, err
 	}
@@ -185,11 +185,11 @@
 	})
 }
 
-func (f *Fleet) name(kind, region string) string {
+func (f *Fleet) newName(kind, region string) string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.serial++
-	return fmt.Sprintf("%s-%s-%d", kind, region, f.serial)
+	f.lastNumber++
+	return fmt.Sprintf("%s-%s-%d", kind, region, f.lastNumber)
 }
 
 // AddEngine starts an engine with its sidecar.
@@ -210,14 +210,14 @@
 }
 
 func (f *Fleet) addSidecar(kind string, s *FleetSidecar, upstream http.Handler) error {
-	s.Name = f.name(kind, s.Region)
+	s.Name = f.newName(kind, s.Region)
 	zone := s.Region + "/" + s.instance.Zone
 	// The upstream shares its sidecar's process name, so that no fault comes between the two.
 	address, err := f.serve(s.Name, zone, upstream)
 	if err != nil {
 		return err
 	}
-	s.upstream = "http://" + address
+	s.upstreamURL = "http://" + address
 	return f.StartSidecar(s)
 }
 
@@ -257,11 +257,11 @@
 		FleetKeyFile string `json:"fleet_key_file"`
 		LinkAddress  string `json:"link_address"`
 		UpstreamURL  string `json:"upstream_url"`
-	}{s.Name, s.Region, s.instance.Zone, f.platform, "unused", placeholder, s.upstream})
+	}{s.Name, s.Region, s.instance.Zone, f.platformURL, "unused", placeholder, s.upstreamURL})
 	if err != nil {
 		return sidecar.Settings{}, err
 	}
-	document, err := overlay(base, f.spec.Sidecar)
+	document, err := mergeSettings(base, f.spec.Sidecar)
 	if err != nil {
 		return sidecar.Settings{}, err
 	}
@@ -270,13 +270,13 @@
 
 // AddRouter starts a router.
 func (f *Fleet) AddRouter(region, zone string) (*FleetRouter, error) {
-	name := f.name("router", region)
-	place := region + "/" + zone
+	name := f.newName("router", region)
+	networkZone := region + "/" + zone
 	var l Listeners
 	var errs [3]error
-	l.Caller, errs[0] = f.listen(name, place)
-	l.Admin, errs[1] = f.listen(name, place)
-	l.Link, errs[2] = f.listen(name, place)
+	l.Caller, errs[0] = f.listen(name, networkZone)
+	l.Admin, errs[1] = f.listen(name, networkZone)
+	l.Link, errs[2] = f.listen(name, networkZone)
 	if err := errors.Join(errs[:]...); err != nil {
 		return nil, err
 	}
@@ -288,8 +288,8 @@
 		Name: name, Region: region, Zone: zone, Metrics: measurer.New(),
 		CallerURL: "http://" + l.Caller.Addr().String(), AdminURL: "http://" + l.Admin.Addr().String(),
 	}
-	secrets := router.Secrets{FleetKey: []byte(f.fleetKey), AdminToken: f.token}
-	dial := f.Dialer(name, place)
+	secrets := router.Secrets{FleetKey: []byte(f.fleetKey), AdminToken: f.adminToken}
+	dial := f.Dialer(name, networkZone)
 	r.Daemon = NewRouterDaemon(settings, secrets, masticway.SystemClock{}, f.spec.Log, NewRouterPlatform(settings, dial), dial, r.Metrics, l)
 	if err := r.Daemon.Start(); err != nil {
 		return nil, err
@@ -314,22 +314,22 @@
 		CallerAddress  string `json:"caller_address"`
 		AdminAddress   string `json:"admin_address"`
 		LinkAddress    string `json:"link_address"`
-	}{name, region, zone, f.platform, "unused", "unused", l.Caller.Addr().String(), l.Admin.Addr().String(), l.Link.Addr().String()})
+	}{name, region, zone, f.platformURL, "unused", "unused", l.Caller.Addr().String(), l.Admin.Addr().String(), l.Link.Addr().String()})
 	if err != nil {
 		return router.Settings{}, err
 	}
-	document, err := overlay(base, f.spec.Router)
+	document, err := mergeSettings(base, f.spec.Router)
 	if err != nil {
 		return router.Settings{}, err
 	}
 	return validator.Decode[router.Settings](validator.KindRouter, document)
 }
 
-// Token returns the operators' token.
-func (f *Fleet) Token() string { return f.token }
+// AdminToken returns the operators' token.
+func (f *Fleet) AdminToken() string { return f.adminToken }
 
 // PlatformURL returns where the platform stand-in serves, with its fault switches.
-func (f *Fleet) PlatformURL() string { return f.platform }
+func (f *Fleet) PlatformURL() string { return f.platformURL }
 
 // NotReadyError reports a fleet that did not become ready in time.
 type NotReadyError struct{ Router string }
@@ -340,18 +340,18 @@
 // AwaitReady waits until all routers serve and have an upstream for each group.
 func (f *Fleet) AwaitReady(ctx context.Context) error {
 	for _, r := range f.Routers() {
-		for !r.Daemon.Ready() || !r.Daemon.current.Load().router.Linked(f.expected(r.Region)) {
+		for !r.Daemon.Ready() || !r.Daemon.current.Load().router.Linked(f.sidecarCount(r.Region)) {
 			select {
 			case <-ctx.Done():
 				return &NotReadyError{Router: r.Name}
-			case <-time.After(readyPause):
+			case <-time.After(readyPollInterval):
 			}
 		}
 	}
 	return nil
 }
 
-func (f *Fleet) expected(region string) int {
+func (f *Fleet) sidecarCount(region string) int {
 	n := 0
 	for _, s := range f.Sidecars() {
 		if s.Region == region {
--- a/starter/fleet_test.go
+++ b/starter/fleet_test.go
@@ -25,12 +25,12 @@
 )
 
 const (
-	callerKey = "mw_test"
-	patience  = 30 * time.Second
+	callerKey   = "mw_test"
+	waitTimeout = 30 * time.Second
 )
 
-// bench is a small fleet with one workspace.
-type bench struct {
+// testbed is a small fleet with one workspace.
+type testbed struct {
 	*starter.Fleet
 	t *testing.T
 }
@@ -38,15 +38,15 @@
 // option changes the fleet of a test.
 type option func(*starter.FleetSpec, *masticway.Contract)
 
-func prepaid(tokens int) option {
+func withBudget(tokens int) option {
 	return func(_ *starter.FleetSpec, c *masticway.Contract) { c.Budget = fmt.Sprintf("b-%d", tokens) }
 }
 
-func slow(tokenTime time.Duration) option {
+func withTokenTime(tokenTime time.Duration) option {
 	return func(s *starter.FleetSpec, _ *masticway.Contract) { s.Engines[0].Settings.TokenTime = tokenTime }
 }
 
-func limits(f func(*masticway.Contract)) option {
+func withContract(f func(*masticway.Contract)) option {
 	return func(_ *starter.FleetSpec, c *masticway.Contract) { f(c) }
 }
 
@@ -63,7 +63,7 @@
 	return log
 }
 
-func newBench(t *testing.T, options ...option) *bench {
+func newTestbed(t *testing.T, options ...option) *testbed {
 	t.Helper()
 	spec := starter.FleetSpec{
 		Regions: []starter.RegionSpec{{Name: "local", Zones: []string{"a", "b"}, Routers: 2}},
@@ -76,7 +76,7 @@
 		Log:      failureLog(t),
 	}
 	contract := masticway.Contract{
-		Workspace: "w", Budget: "b-100000", HoldWait: masticway.Duration(patience), Models: []masticway.ModelTerms{{Name: "m", MinOutput: 4, MaxOutput: 500}},
+		Workspace: "w", Budget: "b-100000", HoldWait: masticway.Duration(waitTimeout), Models: []masticway.ModelTerms{{Name: "m", MinOutput: 4, MaxOutput: 500}},
 		Services: []masticway.ServiceTerms{{Name: "stock", NonRepeatable: []masticway.CallPattern{{Method: "POST", Path: "/reservations"}}}},
 	}
 	for _, o := range options {
@@ -85,10 +85,10 @@
 	fleet, err := starter.StartFleet(spec)
 	t.Cleanup(fleet.Stop)
 	qt.Assert(t, err, qt.IsNil)
-	b := &bench{Fleet: fleet, t: t}
+	b := &testbed{Fleet: fleet, t: t}
 	var sum int
 	_, _ = fmt.Sscanf(contract.Budget, "b-%d", &sum)
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	ctx, cancel := context.WithTimeout(context.Background(), waitTimeout)
 	defer cancel()
 	err = fleet.Seed(ctx, masticway.Catalog{
 		Models:   []masticway.Model{{Name: "m", PromptWeight: 1000, CompletionWeight: 3000}, {Name: "other", PromptWeight: 1, CompletionWeight: 1}},
@@ -108,16 +108,16 @@
 	text  string
 	done  bool
 	code  string
-	run   masticway.Fate
+	fate  masticway.Fate
 	err   error
 	usage masticway.Usage
 }
 
-func (b *bench) call(router int, method, path, key, body string, headers ...string) reply {
+func (b *testbed) call(router int, method, path, key, body string, headers ...string) reply {
 	return b.callAt(context.Background(), b.Routers()[router].CallerURL, method, path, key, body, headers...)
 }
 
-func (b *bench) callAt(ctx context.Context, base, method, path, key, body string, headers ...string) reply {
+func (b *testbed) callAt(ctx context.Context, base, method, path, key, body string, headers ...string) reply {
 	request, err := http.NewRequestWithContext(ctx, method, base+path, strings.NewReader(body))
 	qt.Assert(b.t, err, qt.IsNil)
 	request.Header.Set("Authorization", "Bearer "+callerKey)
@@ -156,7 +156,7 @@
 	}
 	if !strings.HasPrefix(r.header.Get("Content-Type"), "text/event-stream") {
 		_ = json.Unmarshal(data, &v)
-		r.code, r.run, r.usage = v.Error.Code, v.Error.Run, v.Usage
+		r.code, r.fate, r.usage = v.Error.Code, v.Error.Run, v.Usage
 		if len(v.Choices) > 0 {
 			r.text, r.done = v.Choices[0].Message.Content, true
 		}
@@ -177,7 +177,7 @@
 		for _, c := range v.Choices {
 			r.text += c.Delta.Content
 		}
-		r.code, r.run, r.usage = v.Error.Code, v.Error.Run, v.Usage
+		r.code, r.fate, r.usage = v.Error.Code, v.Error.Run, v.Usage
 	}
 }
 
@@ -185,24 +185,24 @@
 	return fmt.Sprintf(`{"model":"m","stream":%t,"max_tokens":400,"messages":[{"role":"user","content":%q}]}`, stream, content)
 }
 
-func wanted(content string) string {
+func expectedAnswer(content string) string {
 	messages := []emulator.Message{{Role: "user", Content: content}}
 	return emulator.Answer(messages, emulator.NaturalLength(messages))
 }
 
-func (b *bench) chat(router int, key, content string, stream bool) reply {
+func (b *testbed) chat(router int, key, content string, stream bool) reply {
 	return b.call(router, http.MethodPost, "/v1/chat/completions", key, chatBody(content, stream))
 }
 
-// served asks a router and expects a whole answer; what came instead is shown.
-func (b *bench) served(router int, content string) {
+// assertServed asks a router and expects a whole answer; what came instead is shown.
+func (b *testbed) assertServed(router int, content string) {
 	b.t.Helper()
 	got := b.chat(router, "", content, false)
 	qt.Assert(b.t, got.done, qt.IsTrue, qt.Commentf("%+v", got))
 }
 
-// runs adds up what the engines or services have begun.
-func (b *bench) runs() int64 {
+// totalRuns adds up what the engines or services have begun.
+func (b *testbed) totalRuns() int64 {
 	var sum int64
 	for _, s := range b.Sidecars() {
 		sum += s.Runs()
@@ -211,9 +211,9 @@
 }
 
 // eventually waits for a condition; its bound only ends a test that would fail.
-func (b *bench) eventually(what string, f func() bool) {
+func (b *testbed) eventually(what string, f func() bool) {
 	b.t.Helper()
-	deadline := time.Now().Add(patience)
+	deadline := time.Now().Add(waitTimeout)
 	for !f() {
 		if time.Now().After(deadline) {
 			b.t.Fatalf("never came true: %s", what)
@@ -222,8 +222,8 @@
 	}
 }
 
-// settled drains all routers and returns the budget row, which must then hold no open grant.
-func (b *bench) settled(budget string) bookkeeper.Budget {
+// drainAndReadBudget drains all routers and returns the budget row, which must then hold no open grant.
+func (b *testbed) drainAndReadBudget(budget string) bookkeeper.Budget {
 	b.t.Helper()
 	for _, r := range b.Routers() {
 		qt.Assert(b.t, b.DrainRouter(r.Name), qt.IsTrue)
@@ -235,16 +235,16 @@
 	return row
 }
 
-// cost is the true price of one whole answer.
-func cost(content string) masticway.Amount {
+// answerCost is the true price of one whole answer.
+func answerCost(content string) masticway.Amount {
 	messages := []emulator.Message{{Role: "user", Content: content}}
 	return masticway.Amount(emulator.CountTokens(messages)*1000 + emulator.NaturalLength(messages)*3000)
 }
 
-func (b *bench) operate(method, path, body string, headers ...string) (int, string) {
+func (b *testbed) callAdmin(method, path, body string, headers ...string) (int, string) {
 	request, err := http.NewRequest(method, b.Routers()[0].AdminURL+path, strings.NewReader(body))
 	qt.Assert(b.t, err, qt.IsNil)
-	request.Header.Set("Authorization", "Bearer "+b.Token())
+	request.Header.Set("Authorization", "Bearer "+b.AdminToken())
 	for i := 0; i < len(headers); i += 2 {
 		request.Header.Set(headers[i], headers[i+1])
 	}
@@ -258,15 +258,15 @@
 
 func TestWholePathIsServedAndBilledOnce(t *testing.T) {
 	t.Parallel()
-	b := newBench(t)
+	b := newTestbed(t)
 	content := "a jacket [tokens=20]"
 	for i, stream := range []bool{true, false} {
 		r := b.chat(i, "", content, stream)
 		qt.Assert(t, r.status, qt.Equals, 200, qt.Commentf("%s", r.body))
-		qt.Assert(t, r.text, qt.Equals, wanted(content))
+		qt.Assert(t, r.text, qt.Equals, expectedAnswer(content))
 		qt.Assert(t, r.done, qt.IsTrue)
 		qt.Assert(t, r.usage.Completion, qt.Equals, 20)
-		status, trace := b.operate(http.MethodGet, "/admin/v1/requests/"+r.header.Get("Masticway-Request-Id"), "")
+		status, trace := b.callAdmin(http.MethodGet, "/admin/v1/requests/"+r.header.Get("Masticway-Request-Id"), "")
 		qt.Assert(t, status, qt.Equals, 200)
 		qt.Assert(t, trace, qt.Contains, `"fate":"ran"`)
 		qt.Assert(t, strings.Contains(trace, "jacket"), qt.IsFalse)
@@ -274,12 +274,12 @@
 	models := b.call(0, http.MethodGet, "/v1/models", "", "")
 	qt.Assert(t, models.body, qt.Contains, `"id":"m"`)
 	qt.Assert(t, strings.Contains(models.body, "other"), qt.IsFalse)
-	qt.Assert(t, b.settled("b-100000").Settled, qt.Equals, 2*cost(content))
+	qt.Assert(t, b.drainAndReadBudget("b-100000").Settled, qt.Equals, 2*answerCost(content))
 }
 
 func TestBadInputRunsAndBillsNothing(t *testing.T) {
 	t.Parallel()
-	b := newBench(t, limits(func(c *masticway.Contract) { c.RequestsPerSecond, c.Burst = 1000, 1000 }))
+	b := newTestbed(t, withContract(func(c *masticway.Contract) { c.RequestsPerSecond, c.Burst = 1000, 1000 }))
 	chat := "/v1/chat/completions"
 	cases := map[string]struct {
 		method, path, body string
@@ -297,7 +297,7 @@
 		"model not allowed": {"POST", chat, `{"model":"other","messages":[{"role":"user","content":"x"}]}`, nil, 403, "model_not_allowed"},
 		"oversized body":    {"POST", chat, strings.Repeat("x", 5<<20), nil, 413, "body_too_large"},
 		"wrong key":         {"POST", chat, `{}`, []string{"Authorization", "Bearer mw_wrong"}, 401, "bad_key"},
-		"operators' token":  {"POST", chat, `{}`, []string{"Authorization", "Bearer " + b.Token()}, 401, "bad_key"},
+		"operators' token":  {"POST", chat, `{}`, []string{"Authorization", "Bearer " + b.AdminToken()}, 401, "bad_key"},
 		"no key":            {"POST", chat, `{}`, []string{"Authorization", ""}, 401, "bad_key"},
 		"bad idempotency":   {"POST", chat, chatBody("x", false), []string{"Idempotency-Key", strings.Repeat("k", 300)}, 422, "bad_idempotency_key"},
 		"bad class":         {"POST", chat, chatBody("x", false), []string{"Masticway-Class", "royal"}, 422, "bad_class"},
@@ -309,37 +309,37 @@
 		r := b.call(0, tc.method, tc.path, "", tc.body, tc.headers...)
 		qt.Check(t, r.status, qt.Equals, tc.status, qt.Commentf("%s: %s", name, r.body))
 		qt.Check(t, r.code, qt.Equals, tc.code, qt.Commentf("%s", name))
-		qt.Check(t, r.run, qt.Equals, masticway.FateNotRun, qt.Commentf("%s", name))
+		qt.Check(t, r.fate, qt.Equals, masticway.FateNotRun, qt.Commentf("%s", name))
 		qt.Check(t, r.header.Get("Masticway-Request-Id") != "", qt.IsTrue, qt.Commentf("%s", name))
 	}
 	qt.Check(t, b.call(0, "GET", "/debug/vars", "", "").status, qt.Equals, 404)
-	status, body := b.operate(http.MethodGet, "/admin/v1/contracts", "", "Authorization", "Bearer "+callerKey)
+	status, body := b.callAdmin(http.MethodGet, "/admin/v1/contracts", "", "Authorization", "Bearer "+callerKey)
 	qt.Check(t, status, qt.Equals, 401, qt.Commentf("%s", body))
-	qt.Assert(t, b.runs(), qt.Equals, int64(0))
-	qt.Assert(t, b.settled("b-100000").Settled, qt.Equals, masticway.Amount(0))
+	qt.Assert(t, b.totalRuns(), qt.Equals, int64(0))
+	qt.Assert(t, b.drainAndReadBudget("b-100000").Settled, qt.Equals, masticway.Amount(0))
 }
 
 func TestThinBudget(t *testing.T) {
 	t.Parallel()
 	// 5+8 prompt tokens and 20 output tokens at three are about 73; the byte bound alone is far higher.
 	content := "hem [tokens=20]"
-	b := newBench(t, prepaid(130))
+	b := newTestbed(t, withBudget(130))
 	body := fmt.Sprintf(`{"model":"m","max_tokens":20,"messages":[{"role":"user","content":%q}]}`, content)
 	first := b.call(0, "POST", "/v1/chat/completions", "", body)
-	qt.Assert(t, first.text, qt.Equals, wanted(content), qt.Commentf("%s", first.body))
+	qt.Assert(t, first.text, qt.Equals, expectedAnswer(content), qt.Commentf("%s", first.body))
 	second := b.call(1, "POST", "/v1/chat/completions", "", body)
 	qt.Assert(t, second.status, qt.Equals, 402, qt.Commentf("%s", second.body))
-	qt.Assert(t, second.run, qt.Equals, masticway.FateNotRun)
-	status, _ := b.operate("POST", "/admin/v1/budgets/b-130/top-ups", `{"amount":200000}`, "Idempotency-Key", "order-1")
+	qt.Assert(t, second.fate, qt.Equals, masticway.FateNotRun)
+	status, _ := b.callAdmin("POST", "/admin/v1/budgets/b-130/top-ups", `{"amount":200000}`, "Idempotency-Key", "order-1")
 	qt.Assert(t, status, qt.Equals, 200)
 	third := b.call(1, "POST", "/v1/chat/completions", "", body)
-	qt.Assert(t, third.text, qt.Equals, wanted(content), qt.Commentf("%s", third.body))
-	qt.Assert(t, b.settled("b-130").Settled, qt.Equals, 2*cost(content))
+	qt.Assert(t, third.text, qt.Equals, expectedAnswer(content), qt.Commentf("%s", third.body))
+	qt.Assert(t, b.drainAndReadBudget("b-130").Settled, qt.Equals, 2*answerCost(content))
 }
 
 func TestSameKeyAtTwoRoutersRunsOnce(t *testing.T) {
 	t.Parallel()
-	b := newBench(t)
+	b := newTestbed(t)
 	content := "twice [tokens=60]"
 	replies := make([]reply, 6)
 	var wg sync.WaitGroup
@@ -348,18 +348,18 @@
 	}
 	wg.Wait()
 	for _, r := range replies {
-		qt.Assert(t, r.text, qt.Equals, wanted(content), qt.Commentf("%d %s", r.status, r.body))
+		qt.Assert(t, r.text, qt.Equals, expectedAnswer(content), qt.Commentf("%d %s", r.status, r.body))
 		qt.Assert(t, r.done, qt.IsTrue)
 	}
 	// Long after the answer it is still replayed rather than run.
-	qt.Assert(t, b.chat(1, "same", content, false).text, qt.Equals, wanted(content))
-	qt.Assert(t, b.runs(), qt.Equals, int64(1))
-	qt.Assert(t, b.settled("b-100000").Settled, qt.Equals, cost(content))
+	qt.Assert(t, b.chat(1, "same", content, false).text, qt.Equals, expectedAnswer(content))
+	qt.Assert(t, b.totalRuns(), qt.Equals, int64(1))
+	qt.Assert(t, b.drainAndReadBudget("b-100000").Settled, qt.Equals, answerCost(content))
 }
 
 func TestNonRepeatableRunsOnceAndIsReplayed(t *testing.T) {
 	t.Parallel()
-	b := newBench(t)
+	b := newTestbed(t)
 	var wg sync.WaitGroup
 	replies := make([]reply, 4)
 	for i := range replies {
@@ -372,20 +372,20 @@
 			ok++
 			qt.Assert(t, r.body, qt.Contains, `"echo":"ws:w cloth"`)
 		} else {
-			qt.Assert(t, r.run, qt.Equals, masticway.FateUnknown, qt.Commentf("%s", r.body))
+			qt.Assert(t, r.fate, qt.Equals, masticway.FateUnknown, qt.Commentf("%s", r.body))
 		}
 	}
 	qt.Assert(t, ok > 0, qt.IsTrue)
 	again := b.call(1, "POST", "/v1/services/stock/reservations", "bolt", "ws:w cloth")
 	qt.Assert(t, again.status, qt.Equals, 200, qt.Commentf("%s", again.body))
-	qt.Assert(t, b.runs(), qt.Equals, int64(1))
-	qt.Assert(t, b.settled("b-100000").Settled, qt.Equals, masticway.Amount(10_000))
+	qt.Assert(t, b.totalRuns(), qt.Equals, int64(1))
+	qt.Assert(t, b.drainAndReadBudget("b-100000").Settled, qt.Equals, masticway.Amount(10_000))
 }
 
 // TestRecordedOutcomeOutlivesTheSidecarsMemory asks again when the run itself is long forgotten.
 func TestRecordedOutcomeOutlivesTheSidecarsMemory(t *testing.T) {
 	t.Parallel()
-	b := newBench(t, func(s *starter.FleetSpec, _ *masticway.Contract) {
+	b := newTestbed(t, func(s *starter.FleetSpec, _ *masticway.Contract) {
 		s.Sidecar = json.RawMessage(`{"beat":"20ms","keep_for":"1ms"}`)
 	})
 	first := b.call(0, "POST", "/v1/services/stock/reservations", "bolt", "cloth")
@@ -395,14 +395,14 @@
 		again := b.call(i, "POST", "/v1/services/stock/reservations", "bolt", "cloth")
 		qt.Assert(t, again.body, qt.Equals, first.body)
 	}
-	qt.Assert(t, b.runs(), qt.Equals, int64(1))
+	qt.Assert(t, b.totalRuns(), qt.Equals, int64(1))
 	// A repeatable call leaves no record: it is told that the answer is gone, and the work is not done again.
 	qt.Assert(t, b.call(0, "POST", "/v1/services/stock/orders", "order", "status").status, qt.Equals, 200)
 	time.Sleep(200 * time.Millisecond)
 	gone := b.call(1, "POST", "/v1/services/stock/orders", "order", "status")
 	qt.Assert(t, gone.code, qt.Equals, "answer_not_available")
-	qt.Assert(t, b.runs(), qt.Equals, int64(2))
-	qt.Assert(t, b.settled("b-100000").Settled, qt.Equals, masticway.Amount(20_000))
+	qt.Assert(t, b.totalRuns(), qt.Equals, int64(2))
+	qt.Assert(t, b.drainAndReadBudget("b-100000").Settled, qt.Equals, masticway.Amount(20_000))
 }
 
 func TestNonRepeatableUnderFaults(t *testing.T) {
@@ -422,7 +422,7 @@
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			b := newBench(t)
+			b := newTestbed(t)
 			// A first call draws money, so that only the claim needs the table.
 			qt.Assert(t, b.call(0, "POST", "/v1/services/stock/orders", "", "first").status, qt.Equals, 200)
 			var service *emulator.Service
@@ -438,7 +438,7 @@
 				if tc.run == "" {
 					qt.Assert(t, r.status, qt.Equals, 200, qt.Commentf("%s", r.body))
 				} else {
-					qt.Assert(t, r.run, qt.Equals, tc.run, qt.Commentf("%s", r.body))
+					qt.Assert(t, r.fate, qt.Equals, tc.run, qt.Commentf("%s", r.body))
 				}
 			}
 			qt.Assert(t, int64(service.Runs()["cloth"]), qt.Equals, tc.runs)
@@ -448,7 +448,7 @@
 
 func TestRepeatableCallIsRetriedAfterALostAnswer(t *testing.T) {
 	t.Parallel()
-	b := newBench(t)
+	b := newTestbed(t)
 	for _, s := range b.Sidecars() {
 		if s.Service != nil {
 			s.Service.SetFaults(emulator.ServiceFaults{DropAnswers: 1})
@@ -456,5 +456,5 @@
 	}
 	r := b.call(0, "POST", "/v1/services/stock/orders", "", "status")
 	qt.Assert(t, r.status, qt.Equals, 200, qt.Commentf("%s", r.body))
-	qt.Assert(t, b.runs(), qt.Equals, int64(2))
+	qt.Assert(t, b.totalRuns(), qt.Equals, int64(2))
 }
--- a/starter/leaving_test.go
+++ b/starter/leaving_test.go
@@ -12,31 +12,31 @@
 	"github.com/masticway/masticway/starter"
 )
 
-// leftWithin is the users' bound on requests to a server after it has said that it leaves.
-const leftWithin = 2 * time.Second
+// maxDrainDelay is the users' bound on requests to a server after it has said that it leaves.
+const maxDrainDelay = 2 * time.Second
 
 // twoEngines has a second server beside the engine, and some routers.
-func twoEngines(t *testing.T, routers int) (u *users, other *emulator.OpaqueServer, all []*starter.GatewayDaemon) {
-	u = newUsers(t, 1<<40)
-	u.unmeter()
-	other = u.addServer("i-other", "llm", "z")
+func twoEngines(t *testing.T, routers int) (p *testPlatform, other *emulator.OpaqueServer, all []*starter.GatewayDaemon) {
+	p = newTestPlatform(t, 1<<40)
+	p.removeBudgetLimit()
+	other = p.addServer("i-other", "llm", "z")
 	for i := range routers {
-		all = append(all, u.gateway(fmt.Sprintf("edge-%d", i+1)))
+		all = append(all, p.gateway(fmt.Sprintf("edge-%d", i+1)))
 		t.Cleanup(all[i].Kill)
 	}
-	return u, other, all
+	return p, other, all
 }
 
-// unmeter lets the workspace consume what it likes, so that no store is needed for its answers.
-func (u *users) unmeter() {
-	u.rows.Put(masticway.RowKey{Table: "op", Key: "config"}, []byte(`{"version":2,"routes":[
+// removeBudgetLimit lets the workspace consume what it likes, so that no store is needed for its answers.
+func (p *testPlatform) removeBudgetLimit() {
+	p.rows.Put(masticway.RowKey{Table: "op", Key: "config"}, []byte(`{"version":2,"routes":[
 		{"name":"r3","host":"h.example","path_prefix":"/essay/","route_kind":"streaming","resumable":true,"service":"llm","max_attempts":2,"target_latency_ms":800,"timeout_ms":6000}],
 		"services":[{"name":"llm","max_conns":50,"engine":{"slots":4,"stride":3}}],
 		"limits":{"max_body_bytes":4096},"tenants":[{"name":"w","api_keys":["k"]}]}`))
 }
 
-// served counts the answers that were whole.
-func served(all []answer) (n int) {
+// countServed counts the answers that were whole.
+func countServed(all []answer) (n int) {
 	for _, a := range all {
 		if a.status == 200 && a.err == nil {
 			n++
@@ -45,8 +45,8 @@
 	return n
 }
 
-// arrivedAfter counts the requests that a server got later than a time.
-func arrivedAfter(s *emulator.OpaqueServer, at time.Time) (n int) {
+// arrivalsAfter counts the requests that a server got later than a time.
+func arrivalsAfter(s *emulator.OpaqueServer, at time.Time) (n int) {
 	for _, arrived := range s.Arrivals() {
 		if arrived.At.After(at) {
 			n++
@@ -59,36 +59,36 @@
 // leaves, until the store has its word.
 func TestServerThatLeavesIsLeftByItsAnswers(t *testing.T) {
 	cases := map[string]struct {
-		fault emulator.OpaqueFault
-		away  bool
+		fault     emulator.OpaqueFault
+		storeDown bool
 	}{
-		"a good answer, the store is away":         {away: true},
-		"a request turned away, the store is away": {away: true, fault: emulator.OpaqueFull},
-		"a failure, the store is away":             {away: true, fault: emulator.OpaqueError},
+		"a good answer, the store is away":         {storeDown: true},
+		"a request turned away, the store is away": {storeDown: true, fault: emulator.OpaqueFull},
+		"a failure, the store is away":             {storeDown: true, fault: emulator.OpaqueError},
 		"the store has not heard of it yet":        {},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			u, other, all := twoEngines(t, 2)
-			if tc.away {
-				u.rows.SetFaults(emulator.RowFaults{Silent: true})
+			p, other, all := twoEngines(t, 2)
+			if tc.storeDown {
+				p.rows.SetFaults(emulator.RowFaults{Silent: true})
 			}
-			u.engine.Leave()
-			u.engine.Fail(tc.fault, tc.fault)
+			p.engine.Leave()
+			p.engine.Fail(tc.fault, tc.fault)
 			began := time.Now()
 			for _, d := range all {
-				u.askSteadily(d, "/essay/x", "10,10", 20*time.Millisecond, time.Now().Add(time.Second))
+				p.askSteadily(d, "/essay/x", "10,10", 20*time.Millisecond, time.Now().Add(time.Second))
 			}
-			told := time.Now()
+			announcedAt := time.Now()
 			for _, d := range all {
-				answers := u.askSteadily(d, "/essay/x", "10,10", 20*time.Millisecond, time.Now().Add(2*time.Second))
-				qt.Check(t, served(answers), qt.Equals, len(answers))
+				answers := p.askSteadily(d, "/essay/x", "10,10", 20*time.Millisecond, time.Now().Add(2*time.Second))
+				qt.Check(t, countServed(answers), qt.Equals, len(answers))
 			}
-			qt.Assert(t, arrivedAfter(u.engine, began) > 0, qt.IsTrue, qt.Commentf("the server has told nobody"))
-			qt.Check(t, arrivedAfter(u.engine, told.Add(leftWithin)), qt.Equals, 0)
-			qt.Check(t, arrivedAfter(u.engine, told), qt.Equals, 0, qt.Commentf("routers that were told"))
-			qt.Check(t, arrivedAfter(other, told) > 0, qt.IsTrue)
+			qt.Assert(t, arrivalsAfter(p.engine, began) > 0, qt.IsTrue, qt.Commentf("the server has told nobody"))
+			qt.Check(t, arrivalsAfter(p.engine, announcedAt.Add(maxDrainDelay)), qt.Equals, 0)
+			qt.Check(t, arrivalsAfter(p.engine, announcedAt), qt.Equals, 0, qt.Commentf("routers that were told"))
+			qt.Check(t, arrivalsAfter(other, announcedAt) > 0, qt.IsTrue)
 		})
 	}
 }
@@ -96,46 +96,46 @@
 // TestServerThatLeftIsUsedAgainOnceItHasStarted: the word of leaving outlives the life that it was said of, or is forgotten in the
 // same one when its row is written or lapses.
 func TestServerThatLeftIsUsedAgainOnceItHasStarted(t *testing.T) {
-	u, _, all := twoEngines(t, 1)
-	register := func(born string) {
-		u.rows.Put(masticway.RowKey{Table: "servers", Key: u.engine.ID}, fmt.Appendf(nil,
-			`{"service":"llm","address":%q,"zone":"z","slots":4,"state":"ready","born":%s}`, u.engine.Address(), born))
+	p, _, all := twoEngines(t, 1)
+	register := func(startedAt string) {
+		p.rows.Put(masticway.RowKey{Table: "servers", Key: p.engine.ID}, fmt.Appendf(nil,
+			`{"service":"llm","address":%q,"zone":"z","slots":4,"state":"ready","born":%s}`, p.engine.Address(), startedAt))
 		time.Sleep(time.Second)
 	}
 	serves := func() bool {
-		before := len(u.engine.Arrivals())
-		u.askSteadily(all[0], "/essay/x", "10,10", 20*time.Millisecond, time.Now().Add(time.Second))
-		return len(u.engine.Arrivals()) > before
+		before := len(p.engine.Arrivals())
+		p.askSteadily(all[0], "/essay/x", "10,10", 20*time.Millisecond, time.Now().Add(time.Second))
+		return len(p.engine.Arrivals()) > before
 	}
 	register("1000")
-	u.engine.Leave()
+	p.engine.Leave()
 	qt.Assert(t, serves(), qt.IsTrue, qt.Commentf("the server has told nobody"))
 	qt.Check(t, serves(), qt.IsFalse)
 	register("1000")
 	qt.Check(t, serves(), qt.IsFalse, qt.Commentf("its row was written again"))
-	u.engine.Deregister(u.rows)
+	p.engine.Deregister(p.rows)
 	time.Sleep(time.Second)
 	register("1000")
 	qt.Check(t, serves(), qt.IsFalse, qt.Commentf("its row had lapsed"))
-	u.engine.Stay()
+	p.engine.Stay()
 	register("2000")
 	qt.Check(t, serves(), qt.IsTrue, qt.Commentf("it has started again"))
 }
 
 // TestRestBindsOneRouter: a server that has asked one router for rest gets nothing from the others either.
 func TestRestBindsOneRouter(t *testing.T) {
-	u := newUsers(t, 1<<40)
-	told, other := u.gateway("edge-1"), u.gateway("edge-2")
-	t.Cleanup(told.Kill)
+	p := newTestPlatform(t, 1<<40)
+	limited, other := p.gateway("edge-1"), p.gateway("edge-2")
+	t.Cleanup(limited.Kill)
 	t.Cleanup(other.Kill)
-	u.engine.Rest("10")
-	u.engine.Fail(emulator.OpaqueFull)
+	p.engine.Rest("10")
+	p.engine.Fail(emulator.OpaqueFull)
 	for range 5 {
-		u.send(told, "told", "/essay/x", "10,10", "body")
+		p.send(limited, "told", "/essay/x", "10,10", "body")
 	}
-	qt.Assert(t, u.engine.Arrivals(), qt.HasLen, 1)
+	qt.Assert(t, p.engine.Arrivals(), qt.HasLen, 1)
 	for range 5 {
-		got := u.send(other, "other", "/essay/x", "10,10", "body")
+		got := p.send(other, "other", "/essay/x", "10,10", "body")
 		qt.Assert(t, got.status, qt.Equals, 200, qt.Commentf("%s", got.body))
 	}
 }
--- a/starter/limits_test.go
+++ b/starter/limits_test.go
@@ -19,8 +19,8 @@
 	limitWindow    = 4 * time.Second
 	limitOvershoot = 1.5
 	limitSlack     = 5
-	// limitKnown is when all routers keep to a limit that was named.
-	limitKnown = time.Second
+	// limitPropagation is when all routers keep to a limit that was named.
+	limitPropagation = time.Second
 )
 
 // limitAllowed is the most that a server which has named a limit may get in any window.
@@ -28,8 +28,8 @@
 	return int(limitOvershoot*perSecond*limitWindow.Seconds() + limitSlack)
 }
 
-// mostInWindow is the most arrivals in any window, of those at a time or later.
-func mostInWindow(arrivals []emulator.OpaqueArrival, since time.Time) (most int) {
+// maxInWindow is the most arrivals in any window, of those at a time or later.
+func maxInWindow(arrivals []emulator.OpaqueArrival, since time.Time) (maxCount int) {
 	for i, first := range arrivals {
 		if first.At.Before(since) {
 			continue
@@ -40,18 +40,18 @@
 				n++
 			}
 		}
-		most = max(most, n)
+		maxCount = max(maxCount, n)
 	}
-	return most
+	return maxCount
 }
 
 // ask sends requests to a router, one every pause, until a time, and returns the answers.
-func (u *users) askSteadily(d *starter.GatewayDaemon, path, tokens string, pause time.Duration, until time.Time) (all []answer) {
+func (p *testPlatform) askSteadily(d *starter.GatewayDaemon, path, tokens string, pause time.Duration, until time.Time) (all []answer) {
 	var mu sync.Mutex
 	var wg sync.WaitGroup
 	for i := 0; time.Now().Before(until); i++ {
 		wg.Go(func() {
-			got := u.send(d, fmt.Sprintf("%p-%d", d, i), path, tokens, "body")
+			got := p.send(d, fmt.Sprintf("%p-%d", d, i), path, tokens, "body")
 			mu.Lock()
 			defer mu.Unlock()
 			all = append(all, got)
@@ -76,33 +76,33 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			u := newUsers(t, 1<<40)
+			p := newTestPlatform(t, 1<<40)
 			var all []*starter.GatewayDaemon
 			for i := range tc.routers {
-				all = append(all, u.gateway(fmt.Sprintf("edge-%d", i+1)))
+				all = append(all, p.gateway(fmt.Sprintf("edge-%d", i+1)))
 				t.Cleanup(all[i].Kill)
 			}
 			// All have counted each other by then.
 			time.Sleep(4 * time.Second)
-			u.engine.Limit(tc.limit)
-			named := time.Now()
-			until := named.Add(10 * time.Second)
+			p.engine.Limit(tc.limit)
+			limitSetAt := time.Now()
+			until := limitSetAt.Add(10 * time.Second)
 			var wg sync.WaitGroup
 			answers := make([][]answer, len(all))
 			for i, d := range all {
-				wg.Go(func() { answers[i] = u.askSteadily(d, "/draft/x", "10,10", 200*time.Millisecond, until) })
+				wg.Go(func() { answers[i] = p.askSteadily(d, "/draft/x", "10,10", 200*time.Millisecond, until) })
 			}
 			wg.Wait()
-			arrivals := u.engine.Arrivals()
-			most := mostInWindow(arrivals, named.Add(limitKnown))
-			qt.Check(t, most <= limitAllowed(tc.rate), qt.IsTrue, qt.Commentf("%d requests in %v, %d are allowed", most, limitWindow, limitAllowed(tc.rate)))
+			arrivals := p.engine.Arrivals()
+			maxCount := maxInWindow(arrivals, limitSetAt.Add(limitPropagation))
+			qt.Check(t, maxCount <= limitAllowed(tc.rate), qt.IsTrue, qt.Commentf("%d requests in %v, %d are allowed", maxCount, limitWindow, limitAllowed(tc.rate)))
 			got := 0
 			for _, a := range arrivals {
-				if a.At.After(named.Add(limitKnown)) {
+				if a.At.After(limitSetAt.Add(limitPropagation)) {
 					got++
 				}
 			}
-			t.Logf("%d requests in %v at the most, %d are allowed; %d in 9 s", most, limitWindow, limitAllowed(tc.rate), got)
+			t.Logf("%d requests in %v at the most, %d are allowed; %d in 9 s", maxCount, limitWindow, limitAllowed(tc.rate), got)
 			qt.Check(t, float64(got) >= 0.6*tc.rate*9, qt.IsTrue, qt.Commentf("the server got %d requests in 9 s of the %v a second that it takes", got, tc.rate))
 			for _, some := range answers {
 				for _, a := range some {
@@ -110,22 +110,22 @@
 					qt.Check(t, a.status == 200 || a.took < 500*time.Millisecond, qt.IsTrue, qt.Commentf("refused after %v", a.took))
 				}
 			}
-			u.engine.Limit("")
+			p.engine.Limit("")
 			time.Sleep(5 * time.Second)
 			for i, d := range all {
 				for range 3 {
-					qt.Check(t, u.send(d, fmt.Sprintf("after-%d", i), "/draft/x", "10,10", "body").status, qt.Equals, 200, qt.Commentf("the limit has ended"))
+					qt.Check(t, p.send(d, fmt.Sprintf("after-%d", i), "/draft/x", "10,10", "body").status, qt.Equals, 200, qt.Commentf("the limit has ended"))
 				}
 			}
 			if t.Failed() {
-				t.Log(strings.Join(tail(u.log.String(), 60), "\n"))
+				t.Log(strings.Join(tail(p.log.String(), 60), "\n"))
 			}
 		})
 	}
 }
 
 // tail returns the last lines of a text.
-func tail(text string, most int) []string {
+func tail(text string, n int) []string {
 	lines := strings.Split(strings.TrimSpace(text), "\n")
-	return lines[max(0, len(lines)-most):]
+	return lines[max(0, len(lines)-n):]
 }
--- a/starter/listener.go
+++ b/starter/listener.go
@@ -9,9 +9,9 @@
 	"github.com/sirupsen/logrus"
 )
 
-// pausable is a listener that can be paused. While it is paused, a connection is refused at once, before a byte of a
+// pausableListener is a listener that can be paused. While it is paused, a connection is refused at once, before a byte of a
 // request has come, and its caller goes to another router.
-type pausable struct {
+type pausableListener struct {
 	log *logrus.Logger
 
 	mu sync.Mutex
@@ -23,14 +23,14 @@
 	closed  bool
 }
 
-var _ net.Listener = (*pausable)(nil)
+var _ net.Listener = (*pausableListener)(nil)
 
-func newPausable(l net.Listener, log *logrus.Logger) *pausable {
-	return &pausable{log: log, listener: l, address: l.Addr(), changed: make(chan struct{})}
+func newPausableListener(l net.Listener, log *logrus.Logger) *pausableListener {
+	return &pausableListener{log: log, listener: l, address: l.Addr(), changed: make(chan struct{})}
 }
 
 // Accept returns the next connection, once it takes connections.
-func (p *pausable) Accept() (net.Conn, error) {
+func (p *pausableListener) Accept() (net.Conn, error) {
 	for {
 		l, changed, closed := p.state()
 		if closed {
@@ -49,17 +49,17 @@
 	}
 }
 
-func (p *pausable) state() (l net.Listener, changed chan struct{}, closed bool) {
+func (p *pausableListener) state() (l net.Listener, changed chan struct{}, closed bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.listener, p.changed, p.closed
 }
 
 // Addr returns the address, also while it is paused.
-func (p *pausable) Addr() net.Addr { return p.address }
+func (p *pausableListener) Addr() net.Addr { return p.address }
 
 // Close ends it for good.
-func (p *pausable) Close() error {
+func (p *pausableListener) Close() error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.closed = true
@@ -67,7 +67,7 @@
 }
 
 // Pause refuses connections from now on.
-func (p *pausable) Pause() {
+func (p *pausableListener) Pause() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if err := p.pause(); err != nil {
@@ -76,10 +76,10 @@
 }
 
 // pause closes the listener; the caller holds the lock.
-func (p *pausable) pause() error {
+func (p *pausableListener) pause() error {
 	l := p.listener
 	p.listener = nil
-	p.tell()
+	p.notify()
 	if l == nil {
 		return nil
 	}
@@ -90,7 +90,7 @@
 }
 
 // Resume takes connections again; it returns false when the address cannot be had now.
-func (p *pausable) Resume() bool {
+func (p *pausableListener) Resume() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.closed || p.listener != nil {
@@ -102,12 +102,12 @@
 		return false
 	}
 	p.listener = l
-	p.tell()
+	p.notify()
 	return true
 }
 
-// tell wakes those that wait for a change; the caller holds the lock.
-func (p *pausable) tell() {
+// notify wakes those that wait for a change; the caller holds the lock.
+func (p *pausableListener) notify() {
 	close(p.changed)
 	p.changed = make(chan struct{})
 }
--- a/starter/listener_test.go
+++ b/starter/listener_test.go
@@ -17,12 +17,12 @@
 	l, err := Listen("127.0.0.1:0")
 	qt.Assert(t, err, qt.IsNil)
 	log, _ := test.NewNullLogger()
-	d := newPausable(l, log)
+	p := newPausableListener(l, log)
 	accepted := make(chan net.Conn, 10)
 	var wg sync.WaitGroup
 	wg.Go(func() {
 		for {
-			conn, err := d.Accept()
+			conn, err := p.Accept()
 			if err != nil {
 				qt.Check(t, errors.Is(err, net.ErrClosed), qt.IsTrue)
 				return
@@ -30,17 +30,17 @@
 			accepted <- conn
 		}
 	})
-	dial := func() (net.Conn, error) { return net.Dial("tcp", d.Addr().String()) }
+	dial := func() (net.Conn, error) { return net.Dial("tcp", p.Addr().String()) }
 	kept, err := dial()
 	qt.Assert(t, err, qt.IsNil)
 	server := <-accepted
 	for range 3 {
-		d.Pause()
-		d.Pause()
+		p.Pause()
+		p.Pause()
 		_, err = dial()
 		qt.Assert(t, errors.Is(err, syscall.ECONNREFUSED), qt.IsTrue, qt.Commentf("%v", err))
-		qt.Assert(t, d.Resume(), qt.IsTrue)
-		qt.Assert(t, d.Resume(), qt.IsTrue)
+		qt.Assert(t, p.Resume(), qt.IsTrue)
+		qt.Assert(t, p.Resume(), qt.IsTrue)
 		conn, err := dial()
 		qt.Assert(t, err, qt.IsNil)
 		_ = conn.Close()
@@ -50,9 +50,9 @@
 	qt.Assert(t, err, qt.IsNil)
 	_, err = server.Read(make([]byte, 1))
 	qt.Assert(t, err, qt.IsNil)
-	qt.Assert(t, d.Close(), qt.IsNil)
+	qt.Assert(t, p.Close(), qt.IsNil)
 	wg.Wait()
-	qt.Assert(t, d.Resume(), qt.IsTrue)
+	qt.Assert(t, p.Resume(), qt.IsTrue)
 	_, err = dial()
 	qt.Assert(t, errors.Is(err, syscall.ECONNREFUSED), qt.IsTrue)
 }
--- a/starter/meeting_test.go
+++ b/starter/meeting_test.go
@@ -19,20 +19,20 @@
 func TestNewRouterServesOnceItHasMetTheOthers(t *testing.T) {
 	t.Parallel()
 	cases := map[string]struct {
-		// wait is how long the new router looks for the other one.
-		wait string
-		// heals tells that the other one can be reached in the end.
-		heals bool
+		// lostAfter is how long the new router looks for the other one.
+		lostAfter string
+		// isReachable tells that the other one can be reached in the end.
+		isReachable bool
 	}{
-		"it serves as soon as it has met them":       {wait: "10m", heals: true},
-		"one that cannot be reached holds it up not": {wait: "500ms"},
+		"it serves as soon as it has met them":       {lostAfter: "10m", isReachable: true},
+		"one that cannot be reached holds it up not": {lostAfter: "500ms"},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			b := newBench(t, func(s *starter.FleetSpec, _ *masticway.Contract) {
+			b := newTestbed(t, func(s *starter.FleetSpec, _ *masticway.Contract) {
 				s.Regions[0].Routers = 1
-				s.Router = json.RawMessage(fmt.Sprintf(`{"poll":"50ms","lost_after":%q,"lease":"10m"}`, tc.wait))
+				s.Router = json.RawMessage(fmt.Sprintf(`{"poll":"50ms","lost_after":%q,"lease":"10m"}`, tc.lostAfter))
 			})
 			// The fleet numbers its processes.
 			second := fmt.Sprintf("router-local-%d", len(b.Sidecars())+len(b.Routers())+1)
@@ -40,7 +40,7 @@
 			r, err := b.AddRouter("local", "b")
 			qt.Assert(t, err, qt.IsNil)
 			qt.Assert(t, r.Name, qt.Equals, second)
-			if tc.heals {
+			if tc.isReachable {
 				book := bookkeeper.New(b.Platform.Table)
 				b.eventually("it has its configuration", func() bool {
 					row, err := book.Daemon(context.Background(), r.Daemon.Incarnation())
@@ -50,7 +50,7 @@
 				b.Network.Heal(b.Routers()[0].Name, second)
 			}
 			b.eventually("it serves", r.Daemon.Ready)
-			if !tc.heals {
+			if !tc.isReachable {
 				return
 			}
 			content := "twice [tokens=60]"
@@ -61,10 +61,10 @@
 			}
 			wg.Wait()
 			for _, r := range replies {
-				qt.Assert(t, r.text, qt.Equals, wanted(content), qt.Commentf("%d %s", r.status, r.body))
+				qt.Assert(t, r.text, qt.Equals, expectedAnswer(content), qt.Commentf("%d %s", r.status, r.body))
 			}
-			qt.Assert(t, b.runs(), qt.Equals, int64(1))
-			qt.Assert(t, b.settled("b-100000").Settled, qt.Equals, cost(content))
+			qt.Assert(t, b.totalRuns(), qt.Equals, int64(1))
+			qt.Assert(t, b.drainAndReadBudget("b-100000").Settled, qt.Equals, answerCost(content))
 		})
 	}
 }
--- a/starter/members.go
+++ b/starter/members.go
@@ -8,13 +8,13 @@
 )
 
 // Routers lists the running routers by name.
-func (f *Fleet) Routers() []*FleetRouter { return listed(f, f.routers) }
+func (f *Fleet) Routers() []*FleetRouter { return sortedByName(f, f.routers) }
 
 // Sidecars lists the running sidecars by name.
-func (f *Fleet) Sidecars() []*FleetSidecar { return listed(f, f.sidecars) }
+func (f *Fleet) Sidecars() []*FleetSidecar { return sortedByName(f, f.sidecars) }
 
-// listed returns the processes of one kind in the order of their names.
-func listed[P any](f *Fleet, processes map[string]P) []P {
+// sortedByName returns the processes of one kind in the order of their names.
+func sortedByName[P any](f *Fleet, processes map[string]P) []P {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	list := make([]P, 0, len(processes))
@@ -24,8 +24,8 @@
 	return list
 }
 
-// taken removes a process of one kind from the fleet and returns it, if it is there.
-func taken[P any](f *Fleet, processes map[string]P, name string) (P, bool) {
+// removeProcess removes a process of one kind from the fleet and returns it, if it is there.
+func removeProcess[P any](f *Fleet, processes map[string]P, name string) (P, bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	p, ok := processes[name]
@@ -35,7 +35,7 @@
 
 // KillRouter ends a router as a crash would; the platform sees its instance end.
 func (f *Fleet) KillRouter(name string) {
-	if r, ok := taken(f, f.routers, name); ok {
+	if r, ok := removeProcess(f, f.routers, name); ok {
 		r.Daemon.Kill()
 		f.Platform.Instances.SetState(name, masticway.InstanceEnded)
 	}
@@ -43,7 +43,7 @@
 
 // DrainRouter ends a router gracefully; it returns false when something was cut off.
 func (f *Fleet) DrainRouter(name string) bool {
-	r, ok := taken(f, f.routers, name)
+	r, ok := removeProcess(f, f.routers, name)
 	if !ok {
 		return false
 	}
@@ -53,13 +53,13 @@
 }
 
 // KillSidecar ends a sidecar as a crash would; the platform sees its instance end when ended is set.
-func (f *Fleet) KillSidecar(name string, ended bool) *FleetSidecar {
-	s, ok := taken(f, f.sidecars, name)
+func (f *Fleet) KillSidecar(name string, endInstance bool) *FleetSidecar {
+	s, ok := removeProcess(f, f.sidecars, name)
 	if !ok {
 		return nil
 	}
 	s.Daemon.Kill()
-	if ended {
+	if endInstance {
 		f.Platform.Instances.SetState(name, masticway.InstanceEnded)
 	}
 	return s
@@ -67,7 +67,7 @@
 
 // DrainSidecar ends a sidecar gracefully; it returns false when something was cut off.
 func (f *Fleet) DrainSidecar(name string) bool {
-	s, ok := taken(f, f.sidecars, name)
+	s, ok := removeProcess(f, f.sidecars, name)
 	if !ok {
 		return false
 	}
--- a/starter/resumption_test.go
+++ b/starter/resumption_test.go
@@ -13,9 +13,9 @@
 	"github.com/masticway/masticway/starter"
 )
 
-// essay asks for a stream that may be resumed, after an event, and tells of each event as it comes; it returns the status.
-func (u *users) essay(d *starter.GatewayDaemon, id, after string, came func(event string)) int {
-	request := u.request(d, id, "/essay/x", "100,40")
+// streamEssay asks for a stream that may be resumed, after an event, and tells of each event as it comes; it returns the status.
+func (p *testPlatform) streamEssay(d *starter.GatewayDaemon, id, after string, onEvent func(event string)) int {
+	request := p.request(d, id, "/essay/x", "100,40")
 	if after != "" {
 		request.Header.Set("Last-Event-Id", after)
 	}
@@ -26,7 +26,7 @@
 	defer response.Body.Close()
 	for lines := bufio.NewScanner(response.Body); lines.Scan(); {
 		if event, ok := strings.CutPrefix(lines.Text(), "id: "); ok {
-			came(event)
+			onEvent(event)
 		}
 	}
 	return response.StatusCode
@@ -42,18 +42,18 @@
 func TestLossOfPowerCostsAPromptOnce(t *testing.T) {
 	const (
 		callers, eventsEach, eventsSeen = 5, 10, 3
-		prompt, most                    = 100, 40
+		promptTokens, maxCompletion     = 100, 40
 	)
 	// Enough for what was in flight at its most, and for the rest of each answer at its most, not for the prompts again.
-	u := newUsers(t, callers*(prompt+2*most))
-	u.engine.Stream(eventsEach, 40*time.Millisecond)
-	settings := u.settings("edge-1")
-	first := u.start(settings)
+	p := newTestPlatform(t, callers*(promptTokens+2*maxCompletion))
+	p.engine.Stream(eventsEach, 40*time.Millisecond)
+	settings := p.settings("edge-1")
+	first := p.start(settings)
 	midway, ended := make(chan bool, callers), make(chan string, callers)
 	for i := range callers {
 		go func() {
 			var last string
-			u.essay(first, fmt.Sprintf("%016x", i+1), "", func(event string) {
+			p.streamEssay(first, fmt.Sprintf("%016x", i+1), "", func(event string) {
 				if last = event; event == fmt.Sprint(eventsSeen) {
 					midway <- true
 				}
@@ -65,7 +65,7 @@
 		<-midway
 	}
 	first.Kill()
-	second := u.start(settings)
+	second := p.start(settings)
 	defer second.Kill()
 	for i := range callers {
 		last := <-ended
@@ -73,13 +73,13 @@
 		var status, events int
 		for try := range 100 {
 			// Refusals while the predecessor's grant is being closed are not what is looked at.
-			status = u.essay(second, fmt.Sprintf("%015x%x", try+1, i), last, func(string) { events++ })
+			status = p.streamEssay(second, fmt.Sprintf("%015x%x", try+1, i), last, func(string) { events++ })
 			if status == http.StatusOK {
 				break
 			}
 			time.Sleep(30 * time.Millisecond)
 		}
-		qt.Assert(t, status, qt.Equals, http.StatusOK, qt.Commentf("caller %d:\n%s", i, u.log))
+		qt.Assert(t, status, qt.Equals, http.StatusOK, qt.Commentf("caller %d:\n%s", i, p.log))
 		qt.Assert(t, fmt.Sprint(eventsEach-events), qt.Equals, last)
 	}
 }
--- a/starter/router.go
+++ b/starter/router.go
@@ -22,10 +22,10 @@
 // RouterDaemon runs one incarnation of a router after the other.
 type RouterDaemon struct {
 	settings  router.Settings
-	build     func() *router.Router
+	newRouter func() *router.Router
 	listeners Listeners
 	log       *logrus.Logger
-	servers   servers
+	servers   serverGroup
 	current   atomic.Pointer[incarnation]
 	stop      context.CancelFunc
 	wg        sync.WaitGroup
@@ -33,10 +33,10 @@
 
 // incarnation is a router with its handlers, built once.
 type incarnation struct {
-	router  *router.Router
-	callers http.Handler
-	admins  http.Handler
-	links   http.Handler
+	router        *router.Router
+	callerHandler http.Handler
+	adminHandler  http.Handler
+	linkHandler   http.Handler
 }
 
 // Dial is how a role opens connections.
@@ -46,14 +46,14 @@
 func NewRouterDaemon(s router.Settings, secrets router.Secrets, clock masticway.Clock, log *logrus.Logger, platform router.Platform, dial Dial, metrics *measurer.Set, listeners Listeners) *RouterDaemon {
 	d := &RouterDaemon{settings: s, listeners: listeners, log: log}
 	d.servers.log = log
-	d.build = func() *router.Router {
+	d.newRouter = func() *router.Router {
 		return router.New(s, secrets, clock, log, platform, linker.DialFunc(dial), metrics)
 	}
 	return d
 }
 
 func newIncarnation(r *router.Router) *incarnation {
-	return &incarnation{router: r, callers: r.CallerHandler(), admins: r.OperatorHandler(), links: r.LinkHandler()}
+	return &incarnation{router: r, callerHandler: r.CallerHandler(), adminHandler: r.OperatorHandler(), linkHandler: r.LinkHandler()}
 }
 
 // Start serves at once, answering "not serving" until the first incarnation is ready.
@@ -63,26 +63,26 @@
 	}
 	ctx, stop := context.WithCancel(context.Background())
 	d.stop = stop
-	d.current.Store(newIncarnation(d.build()))
+	d.current.Store(newIncarnation(d.newRouter()))
 	d.serve(d.listeners)
-	d.wg.Go(func() { d.live(ctx) })
+	d.wg.Go(func() { d.runIncarnations(ctx) })
 	return nil
 }
 
 func (d *RouterDaemon) serve(l Listeners) {
 	d.servers.serve(l.Caller, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		d.current.Load().callers.ServeHTTP(w, r)
+		d.current.Load().callerHandler.ServeHTTP(w, r)
 	}))
 	d.servers.serve(l.Admin, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		d.current.Load().admins.ServeHTTP(w, r)
+		d.current.Load().adminHandler.ServeHTTP(w, r)
 	}))
 	d.servers.serve(l.Link, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		d.current.Load().links.ServeHTTP(w, r)
+		d.current.Load().linkHandler.ServeHTTP(w, r)
 	}))
 }
 
-// live starts incarnations until the daemon ends.
-func (d *RouterDaemon) live(ctx context.Context) {
+// runIncarnations starts incarnations until the daemon ends.
+func (d *RouterDaemon) runIncarnations(ctx context.Context) {
 	for ctx.Err() == nil {
 		i := d.current.Load()
 		if err := i.router.Start(ctx); err != nil {
@@ -97,7 +97,7 @@
 			case <-i.router.Sealed():
 			}
 		}
-		d.current.Store(newIncarnation(d.build()))
+		d.current.Store(newIncarnation(d.newRouter()))
 		// What the old incarnation still relays may finish; it can start nothing.
 		d.wg.Go(func() {
 			drain, cancel := context.WithTimeout(ctx, d.settings.DrainTimeout.Std())
--- a/starter/server.go
+++ b/starter/server.go
@@ -13,12 +13,12 @@
 )
 
 const (
-	// headerTimeout ends connections whose headers come too slowly.
-	headerTimeout = 5 * time.Second
-	headerLimit   = 64 << 10
-	idleTimeout   = 2 * time.Minute
-	// shutdownGrace is how long answers may take to leave the sockets after the drain.
-	shutdownGrace = 5 * time.Second
+	// readHeaderTimeout ends connections whose headers come too slowly.
+	readHeaderTimeout = 5 * time.Second
+	maxHeaderBytes    = 64 << 10
+	idleTimeout       = 2 * time.Minute
+	// shutdownTimeout is how long answers may take to leave the sockets after the drain.
+	shutdownTimeout = 5 * time.Second
 )
 
 // Listeners are the open sockets of a role, by settings field.
@@ -37,22 +37,22 @@
 	return l, nil
 }
 
-// servers is a set of HTTP servers that end together.
-type servers struct {
+// serverGroup is a set of HTTP servers that end together.
+type serverGroup struct {
 	log  *logrus.Logger
 	mu   sync.Mutex
 	list []*http.Server
 	wg   sync.WaitGroup
 }
 
-func (s *servers) serve(l net.Listener, h http.Handler) {
+func (s *serverGroup) serve(l net.Listener, h http.Handler) {
 	s.serveWith(l, &http.Server{
-		Handler: h, ReadHeaderTimeout: headerTimeout, MaxHeaderBytes: headerLimit, IdleTimeout: idleTimeout,
+		Handler: h, ReadHeaderTimeout: readHeaderTimeout, MaxHeaderBytes: maxHeaderBytes, IdleTimeout: idleTimeout,
 		ErrorLog: nil,
 	})
 }
 
-func (s *servers) serveWith(l net.Listener, server *http.Server) {
+func (s *serverGroup) serveWith(l net.Listener, server *http.Server) {
 	s.mu.Lock()
 	s.list = append(s.list, server)
 	s.mu.Unlock()
@@ -65,8 +65,8 @@
 }
 
 // shutdown lets open answers finish.
-func (s *servers) shutdown() {
-	ctx, cancel := context.WithTimeout(context.Background(), shutdownGrace)
+func (s *serverGroup) shutdown() {
+	ctx, cancel := context.WithTimeout(context.Background(), shutdownTimeout)
 	defer cancel()
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -76,7 +76,7 @@
 }
 
 // close breaks everything off.
-func (s *servers) close() {
+func (s *serverGroup) close() {
 	s.mu.Lock()
 	for _, server := range s.list {
 		_ = server.Close()
--- a/starter/shutdown_test.go
+++ b/starter/shutdown_test.go
@@ -21,9 +21,9 @@
 // stallListener accepts connections on which the process stands still at a given place, and notes which were read.
 type stallListener struct {
 	net.Listener
-	reading, writing time.Duration
-	mu               sync.Mutex
-	read             map[string]int
+	afterRead, beforeWrite time.Duration
+	mu                     sync.Mutex
+	read                   map[string]int
 }
 
 func (l *stallListener) Accept() (net.Conn, error) {
@@ -34,8 +34,8 @@
 	return &stallConn{Conn: c, l: l}, nil
 }
 
-// reads returns how many requests were read from a caller's address.
-func (l *stallListener) reads(caller string) int {
+// readCount returns how many requests were read from a caller's address.
+func (l *stallListener) readCount(caller string) int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.read[caller]
@@ -54,18 +54,18 @@
 		c.l.mu.Lock()
 		c.l.read[c.RemoteAddr().String()]++
 		c.l.mu.Unlock()
-		time.Sleep(c.l.reading)
+		time.Sleep(c.l.afterRead)
 	}
 	return n, err
 }
 
 func (c *stallConn) Write(b []byte) (int, error) {
-	time.Sleep(c.l.writing)
+	time.Sleep(c.l.beforeWrite)
 	return c.Conn.Write(b)
 }
 
-// exchanged is what came of one request in a shutdown.
-type exchanged struct {
+// exchangeResult is what came of one request in a shutdown.
+type exchangeResult struct {
 	id     string
 	caller string
 	// number counts the requests of the connection.
@@ -77,7 +77,7 @@
 }
 
 // exchange sends a request in one piece and reads its answer in whole.
-func exchange(c net.Conn, e exchanged, path, extra string, began time.Time) exchanged {
+func exchange(c net.Conn, e exchangeResult, path, extra string, began time.Time) exchangeResult {
 	at := time.Now()
 	e.sentAt, e.caller = at.Sub(began), c.LocalAddr().String()
 	_, e.err = fmt.Fprintf(c, "POST %s HTTP/1.1\r\nHost: h.example\r\nX-Attempt-Id: %s\r\nAuthorization: Token k\r\nX-Deadline-Ms: 900\r\n%sContent-Length: 4\r\n\r\nbody", path, e.id, extra)
@@ -102,11 +102,11 @@
 // the bytes have been read. Proof: a pause of 100 ms before each write, or after each read, shows it at every run.
 func TestNoRequestIsReadAndGivenUpInAShutdown(t *testing.T) {
 	const (
-		every = 6 * time.Millisecond
-		from  = 2400 * time.Millisecond
-		until = 4200 * time.Millisecond
-		// crosses is how long a request that was not passed on may have been there when its connection ends.
-		crosses = 200 * time.Millisecond
+		interval = 6 * time.Millisecond
+		from     = 2400 * time.Millisecond
+		until    = 4200 * time.Millisecond
+		// maxCrossing is how long a request that was not passed on may have been there when its connection ends.
+		maxCrossing = 200 * time.Millisecond
 	)
 	cases := map[string]struct{ reading, writing time.Duration }{
 		"at no place":                          {},
@@ -117,37 +117,37 @@
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			u := newUsers(t, 1<<40)
-			stall := &stallListener{reading: tc.reading, writing: tc.writing, read: map[string]int{}}
-			d := u.startStalling(u.settings("edge-1"), stall)
+			p := newTestPlatform(t, 1<<40)
+			stall := &stallListener{afterRead: tc.reading, beforeWrite: tc.writing, read: map[string]int{}}
+			d := p.startStalling(p.settings("edge-1"), stall)
 			address, _ := d.Addresses()
 			began := time.Now().Add(time.Second)
 			var (
 				mu  sync.Mutex
-				all []exchanged
+				all []exchangeResult
 				wg  sync.WaitGroup
 			)
-			note := func(e exchanged) {
+			record := func(e exchangeResult) {
 				mu.Lock()
 				defer mu.Unlock()
 				all = append(all, e)
 			}
-			for i := range int((until - from) / every) {
+			for i := range int((until - from) / interval) {
 				path, extra := "/book/x", ""
 				if i%2 == 0 {
 					path, extra = "/draft/x", "X-Token-Count: 10,10\r\n"
 				}
-				at := began.Add(from + time.Duration(i)*every)
+				at := began.Add(from + time.Duration(i)*interval)
 				wg.Go(func() {
 					c, err := net.Dial("tcp", address)
 					if !qt.Check(t, err, qt.IsNil) {
 						return
 					}
 					defer c.Close()
-					first := exchange(c, exchanged{id: fmt.Sprintf("before-%d", i), number: 1}, "/book/x", "", began)
+					first := exchange(c, exchangeResult{id: fmt.Sprintf("before-%d", i), number: 1}, "/book/x", "", began)
 					qt.Check(t, first.err, qt.IsNil)
 					time.Sleep(time.Until(at))
-					note(exchange(c, exchanged{id: fmt.Sprintf("kept-%d", i), number: 2}, path, extra, began))
+					record(exchange(c, exchangeResult{id: fmt.Sprintf("kept-%d", i), number: 2}, path, extra, began))
 				})
 				wg.Go(func() {
 					time.Sleep(time.Until(at))
@@ -156,14 +156,14 @@
 						return
 					}
 					defer c.Close()
-					note(exchange(c, exchanged{id: fmt.Sprintf("new-%d", i), number: 1}, path, extra, began))
+					record(exchange(c, exchangeResult{id: fmt.Sprintf("new-%d", i), number: 1}, path, extra, began))
 				})
 			}
 			time.Sleep(time.Until(began))
 			qt.Check(t, d.Drain(), qt.IsTrue)
 			wg.Wait()
 			ran := map[string]bool{}
-			for _, r := range u.ledger.Runs() {
+			for _, r := range p.ledger.Runs() {
 				ran[r.ID] = true
 			}
 			answers := map[int]int{}
@@ -172,13 +172,13 @@
 				if e.err == nil {
 					continue
 				}
-				read := stall.reads(e.caller) >= e.number
-				if u.outOfTime(e.id) {
+				read := stall.readCount(e.caller) >= e.number
+				if p.timedOut(e.id) {
 					// Its own time limit cut it, which is no doing of the shutdown.
 					continue
 				}
-				if ran[e.id] || read && e.took > crosses {
-					t.Errorf("%s, sent at %s, ended without a whole answer after %s: %v (passed on %t)\n%s", e.id, e.sentAt, e.took, e.err, ran[e.id], u.linesWith("request="+e.id+" "))
+				if ran[e.id] || read && e.took > maxCrossing {
+					t.Errorf("%s, sent at %s, ended without a whole answer after %s: %v (passed on %t)\n%s", e.id, e.sentAt, e.took, e.err, ran[e.id], p.logLines("request="+e.id+" "))
 				}
 			}
 			qt.Check(t, answers[http.StatusOK] > 0, qt.IsTrue)
@@ -186,26 +186,26 @@
 	}
 }
 
-// outOfTime tells that a router broke a request's answer off because the request's time was over.
-func (u *users) outOfTime(id string) bool {
-	return u.linesWith("request="+id+" ", "outcome=broken_off", `cause="context deadline exceeded`) != ""
+// timedOut tells that a router broke a request's answer off because the request's time was over.
+func (p *testPlatform) timedOut(id string) bool {
+	return p.logLines("request="+id+" ", "outcome=broken_off", `cause="context deadline exceeded`) != ""
 }
 
 // startStalling starts a gateway whose callers' connections stand still.
-func (u *users) startStalling(s forwarder.Settings, stall *stallListener) *starter.GatewayDaemon {
+func (p *testPlatform) startStalling(s forwarder.Settings, stall *stallListener) *starter.GatewayDaemon {
 	l, err := starter.ListenGateway(s)
-	qt.Assert(u.t, err, qt.IsNil)
+	qt.Assert(p.t, err, qt.IsNil)
 	stall.Listener = l.Caller
 	l.Caller = stall
-	store := platform.NewStore(u.store, time.Second)
-	d, err := starter.NewGateway(s, l, store, store, platform.Decoder{}, platform.Dialect{}, masticway.SystemClock{}, u.log)
-	qt.Assert(u.t, err, qt.IsNil)
-	qt.Assert(u.t, d.Start(), qt.IsNil)
-	u.waitReady(s)
+	store := platform.NewStore(p.store, time.Second)
+	d, err := starter.NewGateway(s, l, store, store, platform.Decoder{}, platform.Dialect{}, masticway.SystemClock{}, p.log)
+	qt.Assert(p.t, err, qt.IsNil)
+	qt.Assert(p.t, d.Start(), qt.IsNil)
+	p.waitReady(s)
 	return d
 }
 
-func (u *users) waitReady(s forwarder.Settings) {
+func (p *testPlatform) waitReady(s forwarder.Settings) {
 	for range 400 {
 		if a, err := http.Get("http://" + s.ReadinessAddress + "/"); err == nil {
 			a.Body.Close()
@@ -215,5 +215,5 @@
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
-	u.t.Fatalf("%s never got ready:\n%s", s.Instance, u.log)
+	p.t.Fatalf("%s never got ready:\n%s", s.Instance, p.log)
 }
--- a/starter/sidecar.go
+++ b/starter/sidecar.go
@@ -20,7 +20,7 @@
 	settings  sidecar.Settings
 	sidecar   *sidecar.Sidecar
 	listeners Listeners
-	servers   servers
+	servers   serverGroup
 }
 
 // FleetKey is the key that routers and sidecars prove to each other.
@@ -51,8 +51,8 @@
 	return nil
 }
 
-// Leaving tells whether new work is refused.
-func (d *SidecarDaemon) Leaving() bool { return d.sidecar.Leaving() }
+// IsDraining tells whether new work is refused.
+func (d *SidecarDaemon) IsDraining() bool { return d.sidecar.Leaving() }
 
 // Drain ends the daemon gracefully; it returns false when something was cut off.
 func (d *SidecarDaemon) Drain() bool {
