--- a/starter/callers.go
+++ b/starter/callers.go
@@ -8,16 +8,18 @@
 	"time"
 )
 
-// pastDeadline is a time limit that has passed.
+// pastDeadline is a deadline in the past, which makes reads fail at once.
 var pastDeadline = time.Unix(1, 0)
 
-// callerListener are the connections of a gateway's callers. A request is open from the first of its bytes that is read until the
-// server library has written the last of its answer: the library calls a connection idle until the next head is parsed,
-// and writes the end of an answer after its handler has returned.
+// callerListener accepts the connections of a gateway's callers and counts their open requests. A request is open from when its
+// first byte is read until net/http has written the end of its response. The states that net/http reports are not enough for
+// that: it treats a connection as idle until the next request's header is parsed, and writes the end of a response after the
+// handler has returned.
 type callerListener struct {
 	net.Listener
 	openRequests atomic.Int64
-	// closingIdle tells that connections that are idle after an answer are to end, closing that new ones are, too.
+	// closingIdle is set if connections that are idle after a response must be closed, shuttingDown if also those must be on
+	// which no request has come yet.
 	closingIdle, shuttingDown atomic.Bool
 
 	mu    sync.Mutex
@@ -28,7 +30,7 @@
 	return &callerListener{Listener: l, conns: map[*callerConn]bool{}}
 }
 
-// Accept returns the next connection.
+// Accept waits for the next connection and returns it.
 func (s *callerListener) Accept() (net.Conn, error) {
 	n, err := s.Listener.Accept()
 	switch {
@@ -44,10 +46,11 @@
 	return c, nil
 }
 
-// OpenRequests returns the number of requests that were read, at least in part, and whose answers are not written in whole.
+// OpenRequests returns the number of requests that have been read at least in part and whose responses are not completely
+// written.
 func (s *callerListener) OpenRequests() int64 { return s.openRequests.Load() }
 
-// trackState follows the server library's states of a connection.
+// trackState updates a connection's bookkeeping; it is the ConnState hook of the HTTP server.
 func (s *callerListener) trackState(n net.Conn, state http.ConnState) {
 	c, ok := n.(*callerConn)
 	if !ok {
@@ -66,29 +69,30 @@
 	}
 }
 
-// closeIdle ends the connections that are idle after an answer, now or later. It does so by their time limit for reading: the
-// server library closes a connection on which nothing came in time, and answers a request that was read, which a close
-// would cut off.
+// closeIdle closes the connections that are idle after a response, now or later. It does so by setting their read deadlines to
+// the past: net/http closes a connection whose read times out, but still answers a request that has been read, which Close would
+// cut off.
 func (s *callerListener) closeIdle() {
 	s.closingIdle.Store(true)
 	s.expireDeadlines()
 }
 
-// shutdown takes no more connections and ends in the same way all on which no request is open.
+// shutdown stops accepting connections and closes, in the same way as closeIdle, all that have no open request.
 func (s *callerListener) shutdown() {
 	s.shuttingDown.Store(true)
-	// A listener that is closed already takes no more either.
+	// An error means that the listener is closed already.
 	_ = s.Listener.Close()
 	s.closeIdle()
 }
 
-// isDrained tells that no connection is left.
+// isDrained reports whether no connection is left.
 func (s *callerListener) isDrained() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return len(s.conns) == 0
 }
 
+// expireDeadlines calls expireDeadline for all connections.
 func (s *callerListener) expireDeadlines() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -97,17 +101,17 @@
 	}
 }
 
-// callerConn is one caller's connection.
+// callerConn is a connection of a caller.
 type callerConn struct {
 	net.Conn
 	listener *callerListener
 
 	mu sync.Mutex
-	// hasRequest tells that a request is open, used that one was answered, closed that no other can come.
+	// hasRequest is set while a request is open, hasAnswered once one has been answered, closed once no other can come.
 	hasRequest, hasAnswered, closed bool
 }
 
-// Read reads, and opens a request with its first byte.
+// Read reads from the connection; a request is open as soon as its first byte has been read.
 func (c *callerConn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
 	if n > 0 {
@@ -116,7 +120,7 @@
 	return n, err
 }
 
-// SetReadDeadline sets the time limit for reading; that of a connection that is to end stays passed.
+// SetReadDeadline sets the read deadline, unless the connection must be closed: then the deadline stays in the past.
 func (c *callerConn) SetReadDeadline(t time.Time) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -126,7 +130,7 @@
 	return c.Conn.SetReadDeadline(t)
 }
 
-// CloseWrite ends the writing alone, where the connection can.
+// CloseWrite closes the writing side of the connection if the connection supports that.
 func (c *callerConn) CloseWrite() error {
 	if tcp, ok := c.Conn.(interface{ CloseWrite() error }); ok {
 		return tcp.CloseWrite()
@@ -134,7 +138,7 @@
 	return nil
 }
 
-// beginRequest opens a request, if none is.
+// beginRequest marks a request as open, unless one is already.
 func (c *callerConn) beginRequest() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -144,7 +148,7 @@
 	}
 }
 
-// endRequest ends the request that was open; the last one's connection is closed.
+// endRequest marks the open request, if any, as answered; closed is set if the connection has been closed or hijacked.
 func (c *callerConn) endRequest(closed bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -155,17 +159,17 @@
 	}
 }
 
-// shouldClose tells that the connection is to end; the caller holds the lock.
+// shouldClose reports whether the connection must be closed now. The caller must hold c.mu.
 func (c *callerConn) shouldClose() bool {
 	return !c.hasRequest && (c.listener.shuttingDown.Load() || c.hasAnswered && c.listener.closingIdle.Load())
 }
 
-// expireDeadline ends the connection if it is to end.
+// expireDeadline sets the read deadline to the past if the connection must be closed, so that net/http closes it.
 func (c *callerConn) expireDeadline() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.shouldClose() {
-		// A connection that is closed already has no time limits.
+		// An error means that the connection is closed already.
 		_ = c.Conn.SetReadDeadline(pastDeadline)
 	}
 }
--- a/starter/configuration_test.go
+++ b/starter/configuration_test.go
@@ -78,8 +78,8 @@
 	return metrics.Counters.Version
 }
 
-// waitForVersion waits until a gateway has a configuration in force, for as long as that may take: maxConfigurationDelay, of which
-// one plain reading of the configuration over a link alike takes a third. Where it takes longer because the machine is
+// waitForVersion waits until a gateway has a configuration in force, for as long as that may take: maxConfigurationDelay, of
+// which one plain reading of the configuration over a link alike takes a third. Where it takes longer because the machine is
 // busy, so may the gateway.
 func (p *testPlatform) waitForVersion(s forwarder.Settings, version int64) {
 	began := time.Now()
--- a/starter/crashing_test.go
+++ b/starter/crashing_test.go
@@ -275,7 +275,8 @@
 	}
 }
 
-// waitForRefusal asks until a router refuses the request that crashes servers without sending it to one, and tells whether it did.
+// waitForRefusal asks until a router refuses the request that crashes servers without sending it to one, and tells whether it
+// did.
 func (c *crashPlatform) waitForRefusal(d *starter.GatewayDaemon, path string, within time.Duration) bool {
 	for began := time.Now(); time.Since(began) < within; time.Sleep(20 * time.Millisecond) {
 		before := len(c.ledger.Runs())
--- a/starter/doc.go
+++ b/starter/doc.go
@@ -1,5 +1,5 @@
-// Package starter assembles the roles and runs them, alone or as a whole fleet on loopback.
+// Package starter builds the processes of the system from their settings and runs them, one by one or as a fleet on loopback.
 //
-// The roles are built by wire from their settings. A router daemon outlives its
-// incarnations: when one finds itself fenced, the daemon starts the next.
+// Routers and sidecars are assembled by google/wire. A router daemon outlives the incarnations of its router: if one finds that
+// it has been fenced, the daemon starts the next one.
 package starter
--- a/starter/emulator.go
+++ b/starter/emulator.go
@@ -11,7 +11,7 @@
 	"github.com/masticway/masticway/emulator"
 )
 
-// EmulatorSettings are the emulator's settings file.
+// EmulatorSettings is the content of the emulator's settings file.
 type EmulatorSettings struct {
 	PlatformAddress string               `json:"platform_address"`
 	InstanceLag     masticway.Duration   `json:"instance_lag"`
@@ -21,7 +21,7 @@
 	LogLevel        string               `json:"log_level"`
 }
 
-// EngineSettings are one model engine stand-in of the emulator.
+// EngineSettings configures one emulated model engine.
 type EngineSettings struct {
 	Address      string             `json:"address"`
 	Capacity     int                `json:"capacity"`
@@ -32,17 +32,17 @@
 	IgnoreFences bool               `json:"ignore_fences"`
 }
 
-// ServiceSettings are one plain service stand-in of the emulator.
+// ServiceSettings configures one emulated plain service.
 type ServiceSettings struct {
 	Address string `json:"address"`
 }
 
-// EmulatorDaemon runs the stand-ins of platform and upstreams.
+// EmulatorDaemon runs an emulated platform and emulated upstreams.
 type EmulatorDaemon struct {
 	servers serverGroup
 }
 
-// StartEmulator starts the stand-ins that the settings name.
+// StartEmulator starts the emulated platform, engines and services of the settings.
 func StartEmulator(s EmulatorSettings, log *logrus.Logger) (*EmulatorDaemon, error) {
 	d := &EmulatorDaemon{}
 	d.servers.log = log
@@ -87,20 +87,20 @@
 	return nil
 }
 
-// Close ends the stand-ins.
+// Close stops all emulated servers.
 func (d *EmulatorDaemon) Close() { d.servers.close() }
 
-// mergeSettings returns a settings document with fields of another laid over it.
+// mergeSettings returns the settings document base with the top-level fields of overrides replacing its own.
 func mergeSettings(base, overrides json.RawMessage) (json.RawMessage, error) {
 	if len(overrides) == 0 {
 		return base, nil
 	}
 	var fields, changes map[string]json.RawMessage
 	if err := json.Unmarshal(base, &fields); err != nil {
-		return nil, fmt.Errorf("reading settings: %w", err)
+		return nil, fmt.Errorf("decoding settings: %w", err)
 	}
 	if err := json.Unmarshal(overrides, &changes); err != nil {
-		return nil, fmt.Errorf("reading changed settings: %w", err)
+		return nil, fmt.Errorf("decoding settings overrides: %w", err)
 	}
 	for name, value := range changes {
 		fields[name] = value
--- a/starter/fleet.go
+++ b/starter/fleet.go
@@ -22,36 +22,36 @@
 )
 
 const (
-	// PlatformProcess names the platform in network faults.
+	// PlatformProcess is the platform's process name in network faults.
 	PlatformProcess   = "platform"
 	loopbackAddress   = "127.0.0.1:0"
 	readyPollInterval = 10 * time.Millisecond
-	// placeholder stands for the address fields that a fleet's own sockets replace.
+	// placeholder fills required address fields that aren't used, because a fleet opens the sockets itself.
 	placeholder = "127.0.0.1:1"
 )
 
-// FleetSpec describes a whole fleet on loopback.
+// FleetSpec describes a fleet on loopback.
 type FleetSpec struct {
 	Regions  []RegionSpec
 	Engines  []EngineGroup
 	Services []ServiceGroup
-	// Delay is the one-way time between two zones, written region/zone; the empty zone is the platform's.
+	// Delay returns the one-way latency between two zones, written region/zone; the empty string is the platform's zone.
 	Delay       func(from, to string) time.Duration
 	InstanceLag time.Duration
-	// Router and Sidecar are settings that differ from the defaults.
+	// Router and Sidecar hold the settings that differ from the defaults.
 	Router  json.RawMessage
 	Sidecar json.RawMessage
 	Log     *logrus.Logger
 }
 
-// RegionSpec is one region of a fleet.
+// RegionSpec describes one region of a fleet. Its engines, services and routers are spread over its zones.
 type RegionSpec struct {
 	Name    string
 	Zones   []string
 	Routers int
 }
 
-// EngineGroup is a group of engines of one model, in every region.
+// EngineGroup describes the engines of one model that every region has.
 type EngineGroup struct {
 	Model    string
 	Count    int
@@ -60,13 +60,14 @@
 	HideCache bool
 }
 
-// ServiceGroup is a group of instances of one plain service, in every region.
+// ServiceGroup describes the instances of one plain service that every region has.
 type ServiceGroup struct {
 	Name  string
 	Count int
 }
 
-// Fleet is a whole fleet with its stand-ins, in one process with real sockets between all roles.
+// Fleet is a running fleet with an emulated platform and emulated upstreams: all in one process, but with real sockets between
+// all roles.
 type Fleet struct {
 	spec        FleetSpec
 	Platform    *emulator.Platform
@@ -89,13 +90,13 @@
 	Region string
 	Zone   string
 	Daemon *RouterDaemon
-	// CallerURL and AdminURL are where it serves.
+	// CallerURL and AdminURL are the base URLs for callers and for operators.
 	CallerURL string
 	AdminURL  string
 	Metrics   *measurer.Set
 }
 
-// FleetSidecar is a sidecar of a fleet, with the upstream beside it.
+// FleetSidecar is a sidecar of a fleet with its upstream, which is either an engine or a service.
 type FleetSidecar struct {
 	Name        string
 	Region      string
@@ -107,7 +108,7 @@
 	upstreamURL string
 }
 
-// StartFleet starts a fleet; Stop must be called even after an error.
+// StartFleet starts a fleet. The caller must call Stop, even after an error.
 func StartFleet(spec FleetSpec) (*Fleet, error) {
 	if spec.Delay == nil {
 		spec.Delay = func(string, string) time.Duration { return 0 }
@@ -154,7 +155,7 @@
 	return nil
 }
 
-// serve opens a socket for a process and places it on the network.
+// serve opens a socket for a process, as listen does, serves HTTP on it and returns its address.
 func (f *Fleet) serve(process, zone string, h http.Handler) (string, error) {
 	l, err := f.listen(process, zone)
 	if err != nil {
@@ -164,6 +165,7 @@
 	return l.Addr().String(), nil
 }
 
+// listen opens a socket for a process and registers its address in the emulated network.
 func (f *Fleet) listen(process, zone string) (net.Listener, error) {
 	l, err := Listen(loopbackAddress)
 	if err != nil {
@@ -176,7 +178,7 @@
 	return l, nil
 }
 
-// Dialer returns how a process in a zone opens connections.
+// Dialer returns the dial function of a process in a zone.
 func (f *Fleet) Dialer(process, zone string) Dial {
 	return f.Network.Dialer(process, zone, func(to string) string {
 		f.mu.Lock()
@@ -185,6 +187,7 @@
 	})
 }
 
+// newName returns an unused process name.
 func (f *Fleet) newName(kind, region string) string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -192,7 +195,7 @@
 	return fmt.Sprintf("%s-%s-%d", kind, region, f.lastNumber)
 }
 
-// AddEngine starts an engine with its sidecar.
+// AddEngine starts an engine and its sidecar.
 func (f *Fleet) AddEngine(region, zone string, g EngineGroup) (*FleetSidecar, error) {
 	e := emulator.NewEngine(g.Settings)
 	e.SetFaults(emulator.EngineFaults{HideCache: g.HideCache})
@@ -201,7 +204,7 @@
 	return s, f.addSidecar("engine", s, e.Handler())
 }
 
-// AddService starts a plain service with its sidecar.
+// AddService starts a plain service and its sidecar.
 func (f *Fleet) AddService(region, zone string, g ServiceGroup) (*FleetSidecar, error) {
 	v := emulator.NewService()
 	s := &FleetSidecar{Region: region, Service: v}
@@ -212,7 +215,7 @@
 func (f *Fleet) addSidecar(kind string, s *FleetSidecar, upstream http.Handler) error {
 	s.Name = f.newName(kind, s.Region)
 	zone := s.Region + "/" + s.instance.Zone
-	// The upstream shares its sidecar's process name, so that no fault comes between the two.
+	// The upstream shares its sidecar's process name, so that no network fault separates the two.
 	address, err := f.serve(s.Name, zone, upstream)
 	if err != nil {
 		return err
@@ -221,7 +224,7 @@
 	return f.StartSidecar(s)
 }
 
-// StartSidecar starts a sidecar, anew on the same instance when it has run before.
+// StartSidecar starts a sidecar. A sidecar that has run before is restarted on the same instance.
 func (f *Fleet) StartSidecar(s *FleetSidecar) error {
 	zone := s.Region + "/" + s.instance.Zone
 	l, err := f.listen(s.Name, zone)
@@ -325,19 +328,19 @@
 	return validator.Decode[router.Settings](validator.KindRouter, document)
 }
 
-// AdminToken returns the operators' token.
+// AdminToken returns the bearer token of the operators' API.
 func (f *Fleet) AdminToken() string { return f.adminToken }
 
-// PlatformURL returns where the platform stand-in serves, with its fault switches.
+// PlatformURL returns the base URL of the emulated platform, which also serves the switches for its faults.
 func (f *Fleet) PlatformURL() string { return f.platformURL }
 
-// NotReadyError reports a fleet that did not become ready in time.
+// NotReadyError is returned if a fleet did not become ready in time.
 type NotReadyError struct{ Router string }
 
-// Error names the router.
+// Error returns a message with the router's name.
 func (e *NotReadyError) Error() string { return "router " + e.Router + " is not ready" }
 
-// AwaitReady waits until all routers serve and have an upstream for each group.
+// AwaitReady waits until all routers are ready and each can use all upstreams of its region.
 func (f *Fleet) AwaitReady(ctx context.Context) error {
 	for _, r := range f.Routers() {
 		for !r.Daemon.Ready() || !r.Daemon.current.Load().router.Linked(f.sidecarCount(r.Region)) {
@@ -351,6 +354,7 @@
 	return nil
 }
 
+// sidecarCount returns the number of running sidecars of a region.
 func (f *Fleet) sidecarCount(region string) int {
 	n := 0
 	for _, s := range f.Sidecars() {
@@ -361,7 +365,7 @@
 	return n
 }
 
-// Stop ends everything at once.
+// Stop kills all routers and sidecars and closes the emulated servers.
 func (f *Fleet) Stop() {
 	var wg sync.WaitGroup
 	for _, r := range f.Routers() {
--- a/starter/gateway.go
+++ b/starter/gateway.go
@@ -30,40 +30,43 @@
 )
 
 const (
-	// maxGatewayHeaderBytes bounds a request's head; the standard server allows a little more.
+	// maxGatewayHeaderBytes limits the size of a request's header; net/http allows a little more.
 	maxGatewayHeaderBytes = 16 << 10
-	// callerIdleTimeout is how long a caller's connection may be idle. It is longer than deployments allow, so that the
-	// callers, who know their limit, end connections and not the router, whose end could cross a request.
+	// callerIdleTimeout is how long a caller's connection may be idle. It is longer than deployments allow, so that connections
+	// are closed by the callers, who know that limit. If the router closed one, a request could be on its way at that moment.
 	callerIdleTimeout = 60 * time.Second
-	// storeTimeout bounds one call to the row store: twice what a store that is 60 times slower than usual takes, less
-	// than a connection that a cut has stalled needs to come back to life.
+	// storeTimeout bounds one call to the row store. It is twice what a call takes if the store is 60 times slower than usual,
+	// and less than a connection that a network fault has stalled needs to recover.
 	storeTimeout = 600 * time.Millisecond
-	// slowLinkTimeout bounds a reading of the configuration while shorter ones fail: a full link, on which packets wait for
-	// up to half a second each way, beside the store's own time.
+	// slowLinkTimeout bounds one read of a table while reads with storeTimeout fail. It allows for a congested link, on which
+	// packets are queued for up to half a second in each direction, and for the store's own time.
 	slowLinkTimeout = 2 * time.Second
-	// suspectsMaxWait is how long one call may wait for changes of the suspects; a feed that has gone silent is noticed after it,
-	// within the least time in which deployments want all routers to know. suspectsRelistInterval is how often they are read anew.
-	// Longer ones cost the store fewer calls.
+	// suspectsMaxWait is how long one call may wait for changes of the suspects table. A watch that no longer gets answers is
+	// noticed after that time, which is within the shortest time in which deployments require all routers to learn of a suspect.
+	// suspectsRelistInterval is the interval at which the table is read in full. Longer times cost the store fewer calls.
 	suspectsMaxWait        = 2500 * time.Millisecond
 	suspectsRelistInterval = 30 * time.Second
-	// maxReadersPerZone is how many routers of an availability zone follow for the others what is dear to follow.
+	// maxReadersPerZone limits how many routers of an availability zone watch the server table in the store, on behalf of the
+	// zone's other routers too, because watching that table is expensive.
 	maxReadersPerZone = 2
-	// suspensionCheckInterval is how often it is looked whether the machine was suspended, for the log only.
+	// suspensionCheckInterval is how often the gateway checks whether the machine has been suspended, which it only reports.
 	suspensionCheckInterval = time.Second
-	// minUnreadyTime is how long a router that ends still takes connections: the balancer asks once a second and
-	// takes an instance out after two misses.
+	// minUnreadyTime is how long a router that shuts down still accepts connections: the load balancer checks its readiness once
+	// a second and takes it out of rotation after two failed checks.
 	minUnreadyTime = 3200 * time.Millisecond
-	// closeBudgetsBefore and exitBefore are how long before the end of the grace money is given back and all is ended.
+	// closeBudgetsBefore and exitBefore are how long before the end of the grace period a router gives its granted money back,
+	// and how long before it a router exits.
 	closeBudgetsBefore = 1500 * time.Millisecond
 	exitBefore         = 300 * time.Millisecond
-	// drainPollInterval is how often a router that ends looks whether it may.
+	// drainPollInterval is how often a router that shuts down checks whether it can go on with the next step.
 	drainPollInterval = 20 * time.Millisecond
 )
 
-// metricSuspended is how long the machine has been suspended since the process began, in milliseconds.
+// metricSuspended is a gauge of the total time for which the machine has been suspended since the process started, in
+// milliseconds.
 const metricSuspended = "suspended_ms"
 
-// GatewayListeners are a gateway's open sockets.
+// GatewayListeners holds a gateway's open sockets. Metrics is nil if metrics aren't served.
 type GatewayListeners struct {
 	Caller    net.Listener
 	Readiness net.Listener
@@ -71,7 +74,7 @@
 	Peer      net.Listener
 }
 
-// ListenGateway opens a gateway's sockets.
+// ListenGateway opens a gateway's sockets; it opens one for metrics only if the settings have an address for it.
 func ListenGateway(s forwarder.Settings) (GatewayListeners, error) {
 	var l GatewayListeners
 	var err error
@@ -90,7 +93,7 @@
 	return l, err
 }
 
-// GatewayDaemon is a router that reaches servers directly and keeps everything that must last in the row store.
+// GatewayDaemon runs a router that connects to servers directly, without sidecars, and keeps all durable state in the row store.
 type GatewayDaemon struct {
 	settings       forwarder.Settings
 	log            *logrus.Logger
@@ -114,7 +117,7 @@
 	wg             sync.WaitGroup
 }
 
-// NewGateway assembles a gateway on a row store; patient is the same store with a longer time limit.
+// NewGateway returns a gateway that keeps its state in a row store. The slowLinkStore is the same store with a longer timeout.
 func NewGateway(s forwarder.Settings, l GatewayListeners, store, slowLinkStore masticway.RowStore, decoder masticway.DeploymentDecoder, codec masticway.HeaderCodec, clock masticway.Clock, out io.Writer) (*GatewayDaemon, error) {
 	queue := logger.NewQueue(out)
 	log, err := logger.New(s.LogLevel, queue)
@@ -165,7 +168,7 @@
 	return d, nil
 }
 
-// BuildGateway builds a gateway on the users' platform from its settings; it opens the sockets.
+// BuildGateway returns a gateway for the users' platform with the given settings. It opens the sockets.
 func BuildGateway(s forwarder.Settings, out io.Writer) (*GatewayDaemon, error) {
 	l, err := ListenGateway(s)
 	if err != nil {
@@ -174,12 +177,14 @@
 	return NewPlatformGateway(s, l, out)
 }
 
-// NewPlatformGateway assembles a gateway on the users' platform that listens on open sockets.
+// NewPlatformGateway returns a gateway for the users' platform that serves on sockets which are open already.
 func NewPlatformGateway(s forwarder.Settings, l GatewayListeners, out io.Writer) (*GatewayDaemon, error) {
 	return NewGateway(s, l, platform.NewStore(s.StoreAddress, storeTimeout), platform.NewStore(s.StoreAddress, slowLinkTimeout), platform.Decoder{}, platform.Dialect{}, masticway.SystemClock{}, out)
 }
 
-// serverContent is what of a server's registration matters: not that it was written once more.
+// serverContent returns a function that decodes a server's row to a value for comparison. A row that is only written again
+// compares equal to the one before, so that it isn't passed on to other routers. The value of a row that can't be decoded is its
+// text.
 func serverContent(decoder masticway.DeploymentDecoder) sharer.Substance {
 	return func(key string, value []byte) any {
 		s, err := decoder.Server(key, value)
@@ -190,13 +195,14 @@
 	}
 }
 
+// applySnapshot passes a new snapshot of the configuration and the servers on to the parts of the gateway.
 func (d *GatewayDaemon) applySnapshot(s follower.Beliefs) {
 	d.treasurer.Configure(s.Deployment)
 	d.throttler.Keep(s.Lives())
 	d.forwarder.Changed(s)
 }
 
-// Start begins to serve.
+// Start starts the gateway's background work and its servers and returns.
 func (d *GatewayDaemon) Start() error {
 	ctx, stop := context.WithCancel(context.Background())
 	d.stop = stop
@@ -219,7 +225,8 @@
 	return nil
 }
 
-// watchSuspensions tells of every time for which the machine was suspended, where its clock knows.
+// watchSuspensions logs each suspension of the machine and updates the gauge until the context ends. It does nothing if the clock
+// doesn't measure suspensions.
 func (d *GatewayDaemon) watchSuspensions(ctx context.Context) {
 	c, ok := d.clock.(interface{ SuspendedTime() time.Duration })
 	if !ok {
@@ -238,7 +245,7 @@
 	}
 }
 
-// peers names the addresses of other routers: those that are known, before that the seeds.
+// peers returns the addresses of the other routers: those of the current members, or the configured seeds until there are any.
 func (d *GatewayDaemon) peers() []string {
 	known := d.treasurer.Peers()
 	if len(known) > 0 {
@@ -247,7 +254,7 @@
 	return slices.DeleteFunc(slices.Clone(d.settings.PeerSeeds), func(a string) bool { return a == d.settings.PeerAddress })
 }
 
-// zonePeers lists the other routers of the availability zone.
+// zonePeers returns the other routers of this router's availability zone.
 func (d *GatewayDaemon) zonePeers() []rotator.Neighbour {
 	var all []rotator.Neighbour
 	for _, p := range d.treasurer.Neighbours() {
@@ -256,7 +263,7 @@
 	return all
 }
 
-// peerHandler answers the other routers.
+// peerHandler returns the handler for calls from other routers.
 func (d *GatewayDaemon) peerHandler() http.Handler {
 	mux := http.NewServeMux()
 	lender.Serve(mux, d.treasurer)
@@ -268,6 +275,7 @@
 	return mux
 }
 
+// readiness answers the load balancer's readiness check.
 func (d *GatewayDaemon) readiness(w http.ResponseWriter, _ *http.Request) {
 	if d.forwarder.Ready() {
 		w.WriteHeader(http.StatusOK)
@@ -276,11 +284,12 @@
 	w.WriteHeader(http.StatusServiceUnavailable)
 }
 
-// Reload takes new settings; only what can change while serving does, the rest is named in the log.
+// Reload applies new settings. Only the log level can change while the gateway runs; if another setting has changed, the log line
+// says that a restart is needed.
 func (d *GatewayDaemon) Reload(s forwarder.Settings) {
 	level, err := logrus.ParseLevel(s.LogLevel)
 	if err != nil {
-		d.log.WithFields(logrus.Fields{"event": "reload_refused", "error": err}).Error("settings not taken")
+		d.log.WithFields(logrus.Fields{"event": "reload_refused", "error": err}).Error("settings rejected")
 		return
 	}
 	d.log.SetLevel(level)
@@ -288,17 +297,17 @@
 	withOldLevel.LogLevel = d.settings.LogLevel
 	d.log.WithFields(logrus.Fields{
 		"event": "reloaded", "log_level": s.LogLevel, "needs_restart": !reflect.DeepEqual(withOldLevel, d.settings),
-	}).Info("settings read again")
+	}).Info("settings reloaded")
 }
 
-// Drain ends the gateway gracefully; it returns false when a request was cut off.
+// Drain shuts the gateway down gracefully. It returns false if a request was cut off.
 func (d *GatewayDaemon) Drain() bool {
 	began := d.clock.Now()
 	grace := time.Duration(d.settings.GraceSeconds * float64(time.Second))
 	d.forwarder.Drain(began.Add(grace - exitBefore))
 	d.log.WithFields(logrus.Fields{"event": "stopping", "open": d.callerListener.OpenRequests(), "grace": grace}).Info("gateway stopping")
 	d.wait(began.Add(minUnreadyTime), began.Add(minUnreadyTime), d.isIdle)
-	// What is idle now would only carry requests that the end cuts off; their callers connect elsewhere.
+	// Later requests on connections that are idle now would be cut off by the shutdown. Their callers connect to another router.
 	d.forwarder.Refuse()
 	d.callerListener.closeIdle()
 	d.wait(began, began.Add(grace-closeBudgetsBefore), d.isIdle)
@@ -306,7 +315,7 @@
 	defer cancel()
 	d.treasurer.Close(ctx)
 	d.wait(began, began.Add(grace-exitBefore), d.isIdle)
-	// A request may be read while nothing seems open; its connection lasts until it is answered.
+	// A request may have been read since the last check; its connection stays open until it is answered.
 	d.callerListener.shutdown()
 	d.wait(began, began.Add(grace-exitBefore), d.callerListener.isDrained)
 	clean := d.callerListener.OpenRequests() == 0
@@ -315,10 +324,10 @@
 	return clean
 }
 
-// isIdle tells that no request is open.
+// isIdle reports whether no request is open.
 func (d *GatewayDaemon) isIdle() bool { return d.callerListener.OpenRequests() == 0 }
 
-// wait waits until something is done, but not before one time and not after another.
+// wait returns as soon as done returns true, but no earlier than notBefore and no later than the deadline.
 func (d *GatewayDaemon) wait(notBefore, deadline time.Time, done func() bool) {
 	for {
 		now := d.clock.Now()
@@ -329,7 +338,7 @@
 	}
 }
 
-// Kill ends the gateway at once, as a crash would.
+// Kill stops the gateway at once, as a crash would.
 func (d *GatewayDaemon) Kill() {
 	d.stop()
 	d.servers.close()
@@ -338,7 +347,7 @@
 	d.logQueue.Close()
 }
 
-// Addresses returns where callers and the readiness check reach the gateway.
+// Addresses returns the addresses for callers and for the readiness check.
 func (d *GatewayDaemon) Addresses() (caller, readiness string) {
 	return fmt.Sprint(d.listeners.Caller.Addr()), fmt.Sprint(d.listeners.Readiness.Addr())
 }
--- a/starter/leaving_test.go
+++ b/starter/leaving_test.go
@@ -55,8 +55,8 @@
 	return n
 }
 
-// TestServerThatLeavesIsLeftByItsAnswers: while the store is away, routers go on with a server that has said in its answers that it
-// leaves, until the store has its word.
+// TestServerThatLeavesIsLeftByItsAnswers: while the store is away, routers go on with a server that has said in its answers that
+// it leaves, until the store has its word.
 func TestServerThatLeavesIsLeftByItsAnswers(t *testing.T) {
 	cases := map[string]struct {
 		fault     emulator.OpaqueFault
@@ -93,8 +93,8 @@
 	}
 }
 
-// TestServerThatLeftIsUsedAgainOnceItHasStarted: the word of leaving outlives the life that it was said of, or is forgotten in the
-// same one when its row is written or lapses.
+// TestServerThatLeftIsUsedAgainOnceItHasStarted: the word of leaving outlives the life that it was said of, or is forgotten in
+// the same one when its row is written or lapses.
 func TestServerThatLeftIsUsedAgainOnceItHasStarted(t *testing.T) {
 	p, _, all := twoEngines(t, 1)
 	register := func(startedAt string) {
--- a/starter/limits_test.go
+++ b/starter/limits_test.go
@@ -14,8 +14,8 @@
 )
 
 const (
-	// limitWindow, limitOvershoot and limitSlack are the users' rule: in any window a server gets no more than the overshoot times
-	// what its limit allows, and the slack.
+	// limitWindow, limitOvershoot and limitSlack are the users' rule: in any window a server gets no more than the overshoot
+	// times what its limit allows, and the slack.
 	limitWindow    = 4 * time.Second
 	limitOvershoot = 1.5
 	limitSlack     = 5
@@ -62,8 +62,8 @@
 	return all
 }
 
-// TestRequestLimitHoldsForAllRouters: routers that each send what their callers ask for overrun a server in need, which had named a
-// limit for all of them together.
+// TestRequestLimitHoldsForAllRouters: routers that each send what their callers ask for overrun a server in need, which had named
+// a limit for all of them together.
 func TestRequestLimitHoldsForAllRouters(t *testing.T) {
 	for name, tc := range map[string]struct {
 		routers int
--- a/starter/listener.go
+++ b/starter/listener.go
@@ -9,16 +9,16 @@
 	"github.com/sirupsen/logrus"
 )
 
-// pausableListener is a listener that can be paused. While it is paused, a connection is refused at once, before a byte of a
-// request has come, and its caller goes to another router.
+// pausableListener is a listener that can be paused. While it is paused, its port is closed: a connection is refused at once,
+// before the caller has sent any byte of a request, so the caller can use another router.
 type pausableListener struct {
 	log *logrus.Logger
 
 	mu sync.Mutex
-	// listener is nil while it is paused.
+	// listener is nil while the pausableListener is paused or closed.
 	listener net.Listener
 	address  net.Addr
-	// changed is closed with each change.
+	// changed is closed and replaced whenever listener or closed changes.
 	changed chan struct{}
 	closed  bool
 }
@@ -29,7 +29,7 @@
 	return &pausableListener{log: log, listener: l, address: l.Addr(), changed: make(chan struct{})}
 }
 
-// Accept returns the next connection, once it takes connections.
+// Accept waits for the next connection and returns it. While the listener is paused, it waits until it is resumed or closed.
 func (p *pausableListener) Accept() (net.Conn, error) {
 	for {
 		l, changed, closed := p.state()
@@ -42,23 +42,24 @@
 		}
 		conn, err := l.Accept()
 		if err != nil && errors.Is(err, net.ErrClosed) {
-			// It was paused, or closed for good.
+			// The listener was paused or closed.
 			continue
 		}
 		return conn, err
 	}
 }
 
+// state returns the fields that mu guards.
 func (p *pausableListener) state() (l net.Listener, changed chan struct{}, closed bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.listener, p.changed, p.closed
 }
 
-// Addr returns the address, also while it is paused.
+// Addr returns the address, also while the listener is paused.
 func (p *pausableListener) Addr() net.Addr { return p.address }
 
-// Close ends it for good.
+// Close closes the listener; it can't be resumed.
 func (p *pausableListener) Close() error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -66,16 +67,16 @@
 	return p.pause()
 }
 
-// Pause refuses connections from now on.
+// Pause closes the port, so that new connections are refused until Resume is called.
 func (p *pausableListener) Pause() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if err := p.pause(); err != nil {
-		p.log.WithFields(logrus.Fields{"event": "listener", "error": err}).Error("the listener cannot be closed")
+		p.log.WithFields(logrus.Fields{"event": "listener", "error": err}).Error("failed to close the listener")
 	}
 }
 
-// pause closes the listener; the caller holds the lock.
+// pause closes the port. The caller must hold p.mu.
 func (p *pausableListener) pause() error {
 	l := p.listener
 	p.listener = nil
@@ -89,7 +90,8 @@
 	return nil
 }
 
-// Resume takes connections again; it returns false when the address cannot be had now.
+// Resume accepts connections again. It returns false if the port can't be opened now. It does nothing and returns true if the
+// listener isn't paused or has been closed.
 func (p *pausableListener) Resume() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -98,7 +100,7 @@
 	}
 	l, err := Listen(p.address.String())
 	if err != nil {
-		p.log.WithFields(logrus.Fields{"event": "listener", "error": err}).Error("the listener cannot be opened again")
+		p.log.WithFields(logrus.Fields{"event": "listener", "error": err}).Error("failed to reopen the listener")
 		return false
 	}
 	p.listener = l
@@ -106,7 +108,7 @@
 	return true
 }
 
-// notify wakes those that wait for a change; the caller holds the lock.
+// notify wakes the goroutines that wait for a change. The caller must hold p.mu.
 func (p *pausableListener) notify() {
 	close(p.changed)
 	p.changed = make(chan struct{})
--- a/starter/members.go
+++ b/starter/members.go
@@ -7,13 +7,13 @@
 	"github.com/masticway/masticway"
 )
 
-// Routers lists the running routers by name.
+// Routers returns the running routers, sorted by name.
 func (f *Fleet) Routers() []*FleetRouter { return sortedByName(f, f.routers) }
 
-// Sidecars lists the running sidecars by name.
+// Sidecars returns the running sidecars, sorted by name.
 func (f *Fleet) Sidecars() []*FleetSidecar { return sortedByName(f, f.sidecars) }
 
-// sortedByName returns the processes of one kind in the order of their names.
+// sortedByName returns the processes of one kind, sorted by name.
 func sortedByName[P any](f *Fleet, processes map[string]P) []P {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -24,7 +24,7 @@
 	return list
 }
 
-// removeProcess removes a process of one kind from the fleet and returns it, if it is there.
+// removeProcess removes a process of one kind from the fleet and returns it; it returns false if there is none of that name.
 func removeProcess[P any](f *Fleet, processes map[string]P, name string) (P, bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -33,7 +33,7 @@
 	return p, ok
 }
 
-// KillRouter ends a router as a crash would; the platform sees its instance end.
+// KillRouter stops a router as a crash would and marks its instance as ended at the platform.
 func (f *Fleet) KillRouter(name string) {
 	if r, ok := removeProcess(f, f.routers, name); ok {
 		r.Daemon.Kill()
@@ -41,7 +41,7 @@
 	}
 }
 
-// DrainRouter ends a router gracefully; it returns false when something was cut off.
+// DrainRouter shuts a router down gracefully. It returns false if a request was cut off or there is no such router.
 func (f *Fleet) DrainRouter(name string) bool {
 	r, ok := removeProcess(f, f.routers, name)
 	if !ok {
@@ -52,7 +52,8 @@
 	return clean
 }
 
-// KillSidecar ends a sidecar as a crash would; the platform sees its instance end when ended is set.
+// KillSidecar stops a sidecar as a crash would; if endInstance is set, it also marks its instance as ended at the platform. It
+// returns nil if there is no such sidecar.
 func (f *Fleet) KillSidecar(name string, endInstance bool) *FleetSidecar {
 	s, ok := removeProcess(f, f.sidecars, name)
 	if !ok {
@@ -65,7 +66,7 @@
 	return s
 }
 
-// DrainSidecar ends a sidecar gracefully; it returns false when something was cut off.
+// DrainSidecar shuts a sidecar down gracefully. It returns false if a request was cut off or there is no such sidecar.
 func (f *Fleet) DrainSidecar(name string) bool {
 	s, ok := removeProcess(f, f.sidecars, name)
 	if !ok {
@@ -76,7 +77,7 @@
 	return clean
 }
 
-// Model names the model of the engine beside a sidecar, if it has one.
+// Model returns the model of the sidecar's engine, or "" if its upstream is a service.
 func (s *FleetSidecar) Model() string {
 	if len(s.instance.Models) == 0 {
 		return ""
@@ -84,7 +85,7 @@
 	return s.instance.Models[0]
 }
 
-// ServiceName names the plain service beside a sidecar, if it has one.
+// ServiceName returns the name of the sidecar's plain service, or "" if its upstream is an engine.
 func (s *FleetSidecar) ServiceName() string {
 	if len(s.instance.Services) == 0 {
 		return ""
@@ -92,7 +93,7 @@
 	return s.instance.Services[0]
 }
 
-// Runs returns how many pieces of work the upstream beside a sidecar has begun.
+// Runs returns the number of requests that the sidecar's upstream has begun to process.
 func (s *FleetSidecar) Runs() int64 {
 	if s.Engine != nil {
 		return s.Engine.Counts().Runs
--- a/starter/router.go
+++ b/starter/router.go
@@ -19,7 +19,7 @@
 	"github.com/masticway/masticway/router"
 )
 
-// RouterDaemon runs one incarnation of a router after the other.
+// RouterDaemon runs the incarnations of a router, one after the other.
 type RouterDaemon struct {
 	settings  router.Settings
 	newRouter func() *router.Router
@@ -31,7 +31,7 @@
 	wg        sync.WaitGroup
 }
 
-// incarnation is a router with its handlers, built once.
+// incarnation is one incarnation of a router with its handlers, which are created once.
 type incarnation struct {
 	router        *router.Router
 	callerHandler http.Handler
@@ -39,10 +39,10 @@
 	linkHandler   http.Handler
 }
 
-// Dial is how a role opens connections.
+// Dial is the function with which a router or sidecar opens connections.
 type Dial linker.DialFunc
 
-// NewRouterDaemon returns a daemon that is not yet running.
+// NewRouterDaemon returns a router daemon; Start starts it.
 func NewRouterDaemon(s router.Settings, secrets router.Secrets, clock masticway.Clock, log *logrus.Logger, platform router.Platform, dial Dial, metrics *measurer.Set, listeners Listeners) *RouterDaemon {
 	d := &RouterDaemon{settings: s, listeners: listeners, log: log}
 	d.servers.log = log
@@ -56,7 +56,8 @@
 	return &incarnation{router: r, callerHandler: r.CallerHandler(), adminHandler: r.OperatorHandler(), linkHandler: r.LinkHandler()}
 }
 
-// Start serves at once, answering "not serving" until the first incarnation is ready.
+// Start starts the daemon and returns. The daemon serves at once, but refuses requests as "not serving" until the first
+// incarnation is ready.
 func (d *RouterDaemon) Start() error {
 	if err := charter.Check(); err != nil {
 		return fmt.Errorf("checking charts: %w", err)
@@ -69,6 +70,7 @@
 	return nil
 }
 
+// serve passes requests on to the handlers of the current incarnation.
 func (d *RouterDaemon) serve(l Listeners) {
 	d.servers.serve(l.Caller, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		d.current.Load().callerHandler.ServeHTTP(w, r)
@@ -81,7 +83,8 @@
 	}))
 }
 
-// runIncarnations starts incarnations until the daemon ends.
+// runIncarnations starts the next incarnation whenever one has been fenced, until the context ends. It also ends if an
+// incarnation can't start for another reason.
 func (d *RouterDaemon) runIncarnations(ctx context.Context) {
 	for ctx.Err() == nil {
 		i := d.current.Load()
@@ -98,7 +101,7 @@
 			}
 		}
 		d.current.Store(newIncarnation(d.newRouter()))
-		// What the old incarnation still relays may finish; it can start nothing.
+		// The old incarnation may finish the answers that it still forwards, but can start no new work.
 		d.wg.Go(func() {
 			drain, cancel := context.WithTimeout(ctx, d.settings.DrainTimeout.Std())
 			defer cancel()
@@ -108,13 +111,13 @@
 	}
 }
 
-// Ready tells whether requests are served.
+// Ready reports whether requests are served.
 func (d *RouterDaemon) Ready() bool { return d.current.Load().router.Ready() }
 
-// Incarnation names the incarnation that serves now.
+// Incarnation returns the incarnation that serves now.
 func (d *RouterDaemon) Incarnation() masticway.Incarnation { return d.current.Load().router.Self() }
 
-// Drain ends the daemon gracefully; it returns false when something was cut off.
+// Drain shuts the daemon down gracefully. It returns false if a request was cut off.
 func (d *RouterDaemon) Drain() bool {
 	ctx, cancel := context.WithTimeout(context.Background(), d.settings.DrainTimeout.Std())
 	defer cancel()
@@ -124,7 +127,7 @@
 	return clean
 }
 
-// Kill ends the daemon at once, as a crash would.
+// Kill stops the daemon at once, as a crash would.
 func (d *RouterDaemon) Kill() {
 	d.stop()
 	d.servers.close()
@@ -132,7 +135,7 @@
 	d.wg.Wait()
 }
 
-// ReadRouterSecrets reads a router's secrets from the files that its settings name.
+// ReadRouterSecrets reads a router's secrets from the files named in its settings.
 func ReadRouterSecrets(s router.Settings) (router.Secrets, error) {
 	key, err := authenticator.ReadSecret(s.FleetKeyFile)
 	if err != nil {
@@ -159,7 +162,7 @@
 	return l, err
 }
 
-// NewRouterPlatform returns the platform as a router uses it.
+// NewRouterPlatform returns a client of the platform for a router.
 func NewRouterPlatform(s router.Settings, dial Dial) router.Platform {
 	p := connector.NewPlatform(s.PlatformURL, connector.NewHTTP(connector.DialFunc(dial)), s.PlatformTimeout.Std())
 	return router.Platform{Table: p, Objects: p.Objects(), Instances: p}
--- a/starter/seed.go
+++ b/starter/seed.go
@@ -11,13 +11,13 @@
 	"github.com/masticway/masticway/configurer"
 )
 
-// Prepaid is a budget's first sum.
+// Prepaid is the initial amount of a budget.
 type Prepaid struct {
 	Budget string
 	Amount masticway.Amount
 }
 
-// Seed puts catalog, contracts and budgets into the platform's table, as an operator's first changes.
+// Seed writes the catalog, the contracts and the budgets to the platform's table, as an operator would when setting up a fleet.
 func (f *Fleet) Seed(ctx context.Context, catalog masticway.Catalog, contracts []masticway.Contract, budgets []Prepaid) error {
 	book := bookkeeper.New(f.Platform.Table)
 	for _, b := range budgets {
--- a/starter/server.go
+++ b/starter/server.go
@@ -13,22 +13,23 @@
 )
 
 const (
-	// readHeaderTimeout ends connections whose headers come too slowly.
+	// readHeaderTimeout bounds the time for reading a request's header, against clients that send it too slowly.
 	readHeaderTimeout = 5 * time.Second
 	maxHeaderBytes    = 64 << 10
 	idleTimeout       = 2 * time.Minute
-	// shutdownTimeout is how long answers may take to leave the sockets after the drain.
+	// shutdownTimeout bounds the time for writing the rest of the responses after the drain.
 	shutdownTimeout = 5 * time.Second
 )
 
-// Listeners are the open sockets of a role, by settings field.
+// Listeners holds the open sockets of a router or sidecar. Each field is named for the address in the settings; a sidecar has
+// only Link.
 type Listeners struct {
 	Caller net.Listener
 	Admin  net.Listener
 	Link   net.Listener
 }
 
-// Listen opens a socket for an address.
+// Listen opens a TCP socket at an address.
 func Listen(address string) (net.Listener, error) {
 	l, err := net.Listen("tcp", address)
 	if err != nil {
@@ -37,7 +38,7 @@
 	return l, nil
 }
 
-// serverGroup is a set of HTTP servers that end together.
+// serverGroup is a set of HTTP servers that are stopped together.
 type serverGroup struct {
 	log  *logrus.Logger
 	mu   sync.Mutex
@@ -45,6 +46,7 @@
 	wg   sync.WaitGroup
 }
 
+// serve serves HTTP on a listener with the default limits.
 func (s *serverGroup) serve(l net.Listener, h http.Handler) {
 	s.serveWith(l, &http.Server{
 		Handler: h, ReadHeaderTimeout: readHeaderTimeout, MaxHeaderBytes: maxHeaderBytes, IdleTimeout: idleTimeout,
@@ -52,6 +54,7 @@
 	})
 }
 
+// serveWith serves HTTP on a listener with a given server and returns at once.
 func (s *serverGroup) serveWith(l net.Listener, server *http.Server) {
 	s.mu.Lock()
 	s.list = append(s.list, server)
@@ -64,7 +67,7 @@
 	})
 }
 
-// shutdown lets open answers finish.
+// shutdown stops the servers gracefully: it waits for open requests for up to shutdownTimeout in all.
 func (s *serverGroup) shutdown() {
 	ctx, cancel := context.WithTimeout(context.Background(), shutdownTimeout)
 	defer cancel()
@@ -75,7 +78,7 @@
 	}
 }
 
-// close breaks everything off.
+// close stops the servers at once, closing all connections, and waits until they have ended.
 func (s *serverGroup) close() {
 	s.mu.Lock()
 	for _, server := range s.list {
--- a/starter/sidecar.go
+++ b/starter/sidecar.go
@@ -15,7 +15,7 @@
 	"github.com/masticway/masticway/sidecar"
 )
 
-// SidecarDaemon runs one sidecar.
+// SidecarDaemon runs a sidecar.
 type SidecarDaemon struct {
 	settings  sidecar.Settings
 	sidecar   *sidecar.Sidecar
@@ -23,10 +23,10 @@
 	servers   serverGroup
 }
 
-// FleetKey is the key that routers and sidecars prove to each other.
+// FleetKey is the secret key with which routers and sidecars authenticate each other.
 type FleetKey []byte
 
-// NewSidecarDaemon returns a daemon that is not yet running.
+// NewSidecarDaemon returns a sidecar daemon; Start starts it.
 func NewSidecarDaemon(s sidecar.Settings, key FleetKey, clock masticway.Clock, log *logrus.Logger, table masticway.Table, upstream masticway.Upstream, metrics *measurer.Set, listeners Listeners) *SidecarDaemon {
 	self := masticway.NewIncarnation(s.Instance, uuid.NewString()[:8])
 	identity := linker.Identity{
@@ -41,7 +41,7 @@
 	return d
 }
 
-// Start serves links.
+// Start starts the sidecar, which serves links from routers, and returns.
 func (d *SidecarDaemon) Start() error {
 	if err := charter.Check(); err != nil {
 		return err
@@ -51,10 +51,10 @@
 	return nil
 }
 
-// IsDraining tells whether new work is refused.
+// IsDraining reports whether the sidecar refuses new work because it is draining.
 func (d *SidecarDaemon) IsDraining() bool { return d.sidecar.Leaving() }
 
-// Drain ends the daemon gracefully; it returns false when something was cut off.
+// Drain shuts the daemon down gracefully. It returns false if a request was cut off.
 func (d *SidecarDaemon) Drain() bool {
 	ctx, cancel := context.WithTimeout(context.Background(), d.settings.DrainTimeout.Std())
 	defer cancel()
@@ -63,13 +63,13 @@
 	return clean
 }
 
-// Kill ends the daemon at once, as a crash would.
+// Kill stops the daemon at once, as a crash would.
 func (d *SidecarDaemon) Kill() {
 	d.sidecar.Close()
 	d.servers.close()
 }
 
-// ReadFleetKey reads the fleet key from the file that the settings name.
+// ReadFleetKey reads the fleet key from the file named in the settings.
 func ReadFleetKey(s sidecar.Settings) (FleetKey, error) {
 	key, err := authenticator.ReadSecret(s.FleetKeyFile)
 	return FleetKey(key), err
@@ -81,12 +81,12 @@
 	return Listeners{Link: l}, err
 }
 
-// NewSidecarTable returns the platform's table as a sidecar uses it.
+// NewSidecarTable returns a client of the platform's table for a sidecar.
 func NewSidecarTable(s sidecar.Settings, dial Dial) masticway.Table {
 	return connector.NewPlatform(s.PlatformURL, connector.NewHTTP(connector.DialFunc(dial)), s.PlatformTimeout.Std())
 }
 
-// NewSidecarUpstream returns the upstream beside a sidecar.
+// NewSidecarUpstream returns a client of the sidecar's upstream.
 func NewSidecarUpstream(s sidecar.Settings, dial Dial) masticway.Upstream {
 	return connector.NewUpstream(s.UpstreamURL, connector.DialFunc(dial), s.Silence.Std())
 }
--- a/starter/wire.go
+++ b/starter/wire.go
@@ -13,7 +13,7 @@
 	"github.com/masticway/masticway/sidecar"
 )
 
-// BuildRouter builds a router daemon from its settings; it opens the sockets and reads the secrets.
+// BuildRouter returns a router daemon for the given settings. It opens the sockets and reads the secrets.
 func BuildRouter(s router.Settings, out io.Writer) (*RouterDaemon, error) {
 	wire.Build(
 		NewRouterDaemon, ReadRouterSecrets, ListenRouter, NewRouterPlatform, routerLog, directDial, measurer.New,
@@ -22,7 +22,7 @@
 	return nil, nil
 }
 
-// BuildSidecar builds a sidecar daemon from its settings; it opens the socket and reads the key.
+// BuildSidecar returns a sidecar daemon for the given settings. It opens the socket and reads the fleet key.
 func BuildSidecar(s sidecar.Settings, out io.Writer) (*SidecarDaemon, error) {
 	wire.Build(
 		NewSidecarDaemon, ReadFleetKey, ListenSidecar, NewSidecarTable, NewSidecarUpstream, sidecarLog, directDial, measurer.New,
--- a/starter/wire_gen.go
+++ b/starter/wire_gen.go
@@ -16,7 +16,7 @@
 
 // Injectors from wire.go:
 
-// BuildRouter builds a router daemon from its settings; it opens the sockets and reads the secrets.
+// BuildRouter returns a router daemon for the given settings. It opens the sockets and reads the secrets.
 func BuildRouter(s router.Settings, out io.Writer) (*RouterDaemon, error) {
 	secrets, err := ReadRouterSecrets(s)
 	if err != nil {
@@ -38,7 +38,7 @@
 	return routerDaemon, nil
 }
 
-// BuildSidecar builds a sidecar daemon from its settings; it opens the socket and reads the key.
+// BuildSidecar returns a sidecar daemon for the given settings. It opens the socket and reads the fleet key.
 func BuildSidecar(s sidecar.Settings, out io.Writer) (*SidecarDaemon, error) {
 	fleetKey, err := ReadFleetKey(s)
 	if err != nil {
