--- a/starter/crashing_test.go
+++ b/starter/crashing_test.go
@@ -220,12 +220,12 @@
 	qt.Assert(t, unserved, qt.HasLen, 0, qt.Commentf("%d: %s", len(unserved), strings.Join(unserved, "\n")))
 }
 
-// TestCallersThatLeaveHideNoRequestThatCrashesServers has the caller of such a request leave, and come again, each time before
+// TestCrashingRequestIsFoundAfterCallerDisconnects has the caller of such a request leave, and come again, each time before
 // the server ends.
 //
 // Seen: no request was accused, and servers ended for as long as it came. Cause: a router looked for the end of a server only
 // where a connection broke, and the one of a caller that leaves is closed by the router itself.
-func TestCallersThatLeaveHideNoRequestThatCrashesServers(t *testing.T) {
+func TestCrashingRequestIsFoundAfterCallerDisconnects(t *testing.T) {
 	c := newCrashPlatform(t, 8)
 	routers := c.startRouters(2)
 	stop := c.runStreams(routers, 8)
@@ -315,8 +315,8 @@
 	qt.Assert(t, len(c.ledger.Runs()), qt.Equals, before, qt.Commentf("a router that started later knew without a run of its own"))
 }
 
-// TestConnectionsThatBreakAccuseNobody has servers reset connections and break answers off, again and again, without ending.
-func TestConnectionsThatBreakAccuseNobody(t *testing.T) {
+// TestBrokenConnectionsCauseNoSuspicion has servers reset connections and break answers off, again and again, without ending.
+func TestBrokenConnectionsCauseNoSuspicion(t *testing.T) {
 	c := newCrashPlatform(t, 2)
 	d := c.gateway("edge-1")
 	defer d.Kill()
@@ -331,8 +331,8 @@
 	c.waitForLog("event=server_checked", "found=answers")
 }
 
-// TestServerThatHasAnsweredAccusesNobody has a server end shortly after it has answered a request in a way that is of no use.
-func TestServerThatHasAnsweredAccusesNobody(t *testing.T) {
+// TestServerEndAfterAnswerCausesNoSuspicion has a server end shortly after it has answered a request in a way that is of no use.
+func TestServerEndAfterAnswerCausesNoSuspicion(t *testing.T) {
 	c := newCrashPlatform(t, 1)
 	d := c.gateway("edge-1")
 	defer d.Kill()
@@ -347,8 +347,8 @@
 	qt.Assert(t, strings.Contains(c.log.String(), "server_ended_under_request"), qt.IsFalse, qt.Commentf("%s", c.log))
 }
 
-// TestServersThatLeaveAccuseNobody has servers leave in order and end while a request that may be repeated is at them.
-func TestServersThatLeaveAccuseNobody(t *testing.T) {
+// TestDrainedServersCauseNoSuspicion has servers leave in order and end while a request that may be repeated is at them.
+func TestDrainedServersCauseNoSuspicion(t *testing.T) {
 	c := newCrashPlatform(t, 4)
 	d := c.gateway("edge-1")
 	defer d.Kill()
--- a/starter/distance_test.go
+++ b/starter/distance_test.go
@@ -10,13 +10,15 @@
 	"github.com/masticway/masticway/starter"
 )
 
-// zoneDelay is the one-way time between two zones: a question to a sidecar in the other one takes longer than most may.
+// zoneDelay is the one-way latency between two zones. With it, a query to a sidecar in the other zone takes longer than most
+// queries are allowed to.
 const zoneDelay = 300 * time.Millisecond
 
-// TestAnswerIsFoundAtASlowSidecar asks a router for a key whose answer lies at a sidecar that answers slowly.
+// TestAnswerIsFoundAtASlowSidecar repeats a request with the same idempotency key. The answer is stored at a sidecar that is slow
+// to reach; it must be found there instead of running the request again.
 func TestAnswerIsFoundAtASlowSidecar(t *testing.T) {
 	t.Parallel()
-	for name, killFirst := range map[string]bool{"the first router lives": false, "the first router died": true} {
+	for name, killFirst := range map[string]bool{"the first router is up": false, "the first router was killed": true} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			b := newTestbed(t, func(s *starter.FleetSpec, _ *masticway.Contract) {
--- a/starter/evacuation_test.go
+++ b/starter/evacuation_test.go
@@ -76,11 +76,11 @@
 	return got
 }
 
-// TestEvacuatedZoneGetsNothing has a zone emptied, given again within an instant, and taken back, then all zones emptied.
+// TestEvacuatedZoneGetsNoRequests has a zone emptied, given again within an instant, and taken back, then all zones emptied.
 //
 // Seen: servers of a zone that an operator had emptied got 1,152 requests after the bound in one day. Cause: nothing read
 // the operator's order.
-func TestEvacuatedZoneGetsNothing(t *testing.T) {
+func TestEvacuatedZoneGetsNoRequests(t *testing.T) {
 	p := newTestPlatform(t, 100000)
 	p.addServer("i-far", "ledger", "y")
 	d := p.gateway("edge-1")
@@ -121,8 +121,8 @@
 	t.Fatalf("a zone that was taken back gets nothing:\n%s", p.log)
 }
 
-// TestEvacuationLeavesRunningStreams has a stream under way whose zone is emptied: it goes on to its end.
-func TestEvacuationLeavesRunningStreams(t *testing.T) {
+// TestEvacuationKeepsRunningStreams has a stream under way whose zone is emptied: it goes on to its end.
+func TestEvacuationKeepsRunningStreams(t *testing.T) {
 	p := newTestPlatform(t, 100000)
 	p.engine.Stream(20, 50*time.Millisecond)
 	p.addServer("i-far", "llm", "y")
@@ -146,9 +146,9 @@
 	qt.Assert(t, pieces, qt.Equals, 20)
 }
 
-// TestEvacuationIsKnownToRoutersThatComeLate has routers that start amid an evacuation, one of which the store turns away,
+// TestEvacuationReachesLateRouters has routers that start amid an evacuation, one of which the store turns away,
 // and a store that has forgotten its history.
-func TestEvacuationIsKnownToRoutersThatComeLate(t *testing.T) {
+func TestEvacuationReachesLateRouters(t *testing.T) {
 	p := newTestPlatform(t, 100000)
 	p.addServer("i-far", "ledger", "y")
 	p.rows.Put(evacuationKey("z"), []byte("{}"))
--- a/starter/failure_test.go
+++ b/starter/failure_test.go
@@ -25,11 +25,11 @@
 
 const (
 	longContent = "a long draft [tokens=150]"
-	// shortHoldWait is the wait for money where refusals are looked for: what a contract has that names none.
+	// shortHoldWait is the HoldWait of contracts in tests that expect refusals. It is the default for contracts that set none.
 	shortHoldWait = 300 * time.Millisecond
 )
 
-// startStream starts a streamed request and returns once its upstream has given some tokens.
+// startStream starts a streamed request and returns once its engine has produced some tokens.
 func (b *testbed) startStream(router int, key string) <-chan reply {
 	base := b.Routers()[router].CallerURL
 	out := make(chan reply, 1)
@@ -37,17 +37,18 @@
 	go func() {
 		out <- b.callAt(context.Background(), base, "POST", "/v1/chat/completions", key, chatBody(longContent, true))
 	}()
-	b.eventually("the stream flows", func() bool {
+	b.eventually("the stream has started", func() bool {
 		if len(out) == 0 || b.completionTokens() > before+5 {
 			return b.completionTokens() > before+5
 		}
 		r := <-out
-		b.t.Fatalf("ended before it flowed: status %d code %s err %v", r.status, r.code, r.err)
+		b.t.Fatalf("ended before the stream started: status %d code %s err %v", r.status, r.code, r.err)
 		return false
 	})
 	return out
 }
 
+// completionTokens returns the number of tokens that all engines have produced.
 func (b *testbed) completionTokens() int64 {
 	var sum int64
 	for _, s := range b.Sidecars() {
@@ -58,10 +59,10 @@
 	return sum
 }
 
-// busySidecar returns the sidecar whose engine is in the middle of an answer.
+// busySidecar waits until an engine is processing a request and returns its sidecar.
 func (b *testbed) busySidecar() *starter.FleetSidecar {
 	var found *starter.FleetSidecar
-	b.eventually("an engine works", func() bool {
+	b.eventually("an engine is busy", func() bool {
 		for _, s := range b.Sidecars() {
 			if s.Engine != nil && s.Engine.Running() > 0 {
 				found = s
@@ -72,22 +73,24 @@
 	return found
 }
 
+// assertWhole fails the test unless a reply is the complete answer to longContent.
 func (b *testbed) assertWhole(r reply) {
 	b.t.Helper()
 	qt.Assert(b.t, r.text, qt.Equals, expectedAnswer(longContent), qt.Commentf("status %d code %s err %v", r.status, r.code, r.err))
 	qt.Assert(b.t, r.done, qt.IsTrue)
 }
 
-// TestStreamSurvives breaks something in the middle of an answer; the same request must still give the whole one.
-func TestStreamSurvives(t *testing.T) {
+// TestStreamSurvivesFailures injects a fault in the middle of a streamed answer. The same request must still get the complete
+// answer.
+func TestStreamSurvivesFailures(t *testing.T) {
 	t.Parallel()
 	cases := map[string]struct {
 		injectFault func(b *testbed, s *starter.FleetSidecar)
-		// again tells that other work than the answer itself may have been done and presumed.
+		// hasPresumed is set if more than the answer may be charged, because a run was lost and its cost is presumed.
 		hasPresumed bool
 	}{
-		"engine dies": {injectFault: func(_ *testbed, s *starter.FleetSidecar) { s.Engine.SetFaults(emulator.EngineFaults{Down: true}) }},
-		"sidecar dies, and the platform says so": {
+		"engine crashes": {injectFault: func(_ *testbed, s *starter.FleetSidecar) { s.Engine.SetFaults(emulator.EngineFaults{Down: true}) }},
+		"sidecar crashes, and the platform reports its instance as ended": {
 			injectFault: func(b *testbed, s *starter.FleetSidecar) { b.KillSidecar(s.Name, true) }, hasPresumed: true,
 		},
 		"sidecar restarts on its instance": {
@@ -96,12 +99,12 @@
 				qt.Assert(b.t, b.StartSidecar(s), qt.IsNil)
 			}, hasPresumed: true,
 		},
-		"link breaks for a moment": {injectFault: func(b *testbed, s *starter.FleetSidecar) {
+		"link is interrupted briefly": {injectFault: func(b *testbed, s *starter.FleetSidecar) {
 			b.Network.Cut(b.Routers()[0].Name, s.Name)
 			time.Sleep(300 * time.Millisecond)
 			b.Network.Heal(b.Routers()[0].Name, s.Name)
 		}},
-		"sidecar leaves": {injectFault: func(b *testbed, s *starter.FleetSidecar) { go b.DrainSidecar(s.Name) }},
+		"sidecar drains": {injectFault: func(b *testbed, s *starter.FleetSidecar) { go b.DrainSidecar(s.Name) }},
 		"table goes down": {injectFault: func(b *testbed, _ *starter.FleetSidecar) {
 			b.Platform.Table.SetFaults(emulator.TableFaults{Down: true})
 			time.Sleep(200 * time.Millisecond)
@@ -124,7 +127,8 @@
 	}
 }
 
-// TestLostPromptDoesNotShortenTheAnswer loses an engine between prompt and first token, several times for one request.
+// TestLostPromptDoesNotShortenTheAnswer breaks the stream of one request several times between the prompt and the first token.
+// The caller must get the complete answer and be charged for one prompt.
 func TestLostPromptDoesNotShortenTheAnswer(t *testing.T) {
 	t.Parallel()
 	b := newTestbed(t)
@@ -139,13 +143,13 @@
 	qt.Assert(t, r.text, qt.Equals, expectedAnswer(content), qt.Commentf("%d %s", r.status, r.body))
 	qt.Assert(t, r.usage.Completion, qt.Equals, 30)
 	row := b.drainAndReadBudget("b-100000")
-	// The lost prompts stand in the journal to be given back, so that the request is billed once.
+	// The journal has the bills of the lost prompts as superseded, so that the request is charged once.
 	superseded := b.supersededCost()
 	qt.Assert(t, superseded > 0, qt.IsTrue)
 	qt.Assert(t, row.Settled+row.GivenBack-superseded, qt.Equals, answerCost(content))
 }
 
-// supersededCost adds up the bills of work that nobody got.
+// supersededCost returns the total of the superseded bills in the journal: those for work whose result no caller got.
 func (b *testbed) supersededCost() masticway.Amount {
 	names, err := b.Platform.Objects.List(context.Background(), "journal/")
 	qt.Assert(b.t, err, qt.IsNil)
@@ -162,7 +166,7 @@
 	return sum
 }
 
-func TestRouterDiesAndTheCallerAsksAnother(t *testing.T) {
+func TestRetryAtAnotherRouterAfterCrash(t *testing.T) {
 	t.Parallel()
 	for name, router := range map[string]int{"first router": 0, "second router": 1} {
 		t.Run(name, func(t *testing.T) {
@@ -176,7 +180,7 @@
 			b.assertWhole(b.chat(0, "draft", longContent, true))
 			qt.Assert(t, b.totalRuns(), qt.Equals, int64(1))
 			book := bookkeeper.New(b.Platform.Table)
-			b.eventually("the dead router's money is back", func() bool {
+			b.eventually("the crashed router has no grants", func() bool {
 				grants, err := book.GrantsOf(context.Background(), dead)
 				return err == nil && len(grants) == 0
 			})
@@ -185,7 +189,7 @@
 	}
 }
 
-func TestRouterAndSidecarDieTogether(t *testing.T) {
+func TestRouterAndSidecarCrashTogether(t *testing.T) {
 	t.Parallel()
 	b := newTestbed(t, withTokenTime(4*time.Millisecond))
 	out := b.startStream(0, "draft")
@@ -193,11 +197,11 @@
 	b.KillRouter(b.Routers()[0].Name)
 	b.KillSidecar(s.Name, true)
 	<-out
-	b.eventually("the caller gets its answer elsewhere", func() bool {
+	b.eventually("another router answers", func() bool {
 		return b.chat(0, "draft", longContent, true).done
 	})
 	book := bookkeeper.New(b.Platform.Table)
-	b.eventually("nothing stays granted to the dead", func() bool {
+	b.eventually("the crashed router has no grant", func() bool {
 		row, err := book.Budget(context.Background(), "b-100000")
 		return err == nil && len(row.Grants) <= 1
 	})
@@ -214,20 +218,20 @@
 	before := paused.Daemon.Incarnation()
 	b.Network.Cut(paused.Name, "*")
 	book := bookkeeper.New(b.Platform.Table)
-	b.eventually("the others recover it", func() bool {
+	b.eventually("the others have fenced it", func() bool {
 		links, version, err := book.Links(context.Background(), before)
 		return err == nil && (version == 0 || links.State == bookkeeper.LinksSealed)
 	})
-	// It wakes, unaware, with a request at hand.
+	// The router is reachable again, doesn't know yet that it was fenced, and gets a request.
 	b.Network.Heal(paused.Name, "*")
-	b.eventually("it rejoins as another incarnation", func() bool {
+	b.eventually("it has rejoined as another incarnation", func() bool {
 		r := b.chat(0, "", "late [tokens=3]", false)
 		if r.status != 200 {
 			qt.Check(t, r.fate, qt.Equals, masticway.FateNotRun, qt.Commentf("%s", r.body))
 		}
 		return r.done && paused.Daemon.Incarnation() != before
 	})
-	b.eventually("its money is back", func() bool {
+	b.eventually("its old incarnation has no grants", func() bool {
 		grants, err := book.GrantsOf(context.Background(), before)
 		return err == nil && len(grants) == 0
 	})
@@ -235,7 +239,7 @@
 	qt.Assert(t, row.Settled, qt.Equals, b.engineCost())
 }
 
-// engineCost prices what all engines say they did.
+// engineCost returns the price of the tokens that all engines have counted.
 func (b *testbed) engineCost() masticway.Amount {
 	var sum masticway.Amount
 	for _, s := range b.Sidecars() {
@@ -247,7 +251,7 @@
 	return sum
 }
 
-func TestLinkCutBeforeAcceptIsNotRun(t *testing.T) {
+func TestLinkCutBeforeAcceptRunsAtMostOnce(t *testing.T) {
 	t.Parallel()
 	b := newTestbed(t)
 	qt.Assert(t, b.call(0, "POST", "/v1/services/stock/orders", "", "warm").status, qt.Equals, 200)
@@ -257,7 +261,7 @@
 			service = s
 		}
 	}
-	// Everything to the sidecar is held back and arrives later, after the caller was told.
+	// The network holds back everything sent to the sidecar and delivers it later, after the caller has got its reply.
 	b.Network.Cut(b.Routers()[0].Name, service.Name)
 	r := b.call(0, "POST", "/v1/services/stock/reservations", "bolt", "cloth")
 	qt.Assert(t, r.fate, qt.Equals, masticway.FateUnknown, qt.Commentf("%s", r.body))
@@ -271,13 +275,13 @@
 	qt.Assert(t, service.Service.Runs()["cloth"] <= 1, qt.IsTrue)
 }
 
-func TestLeavingUpstreamGetsNoNewWork(t *testing.T) {
+func TestDrainingUpstreamGetsNoNewWork(t *testing.T) {
 	t.Parallel()
 	for name, platformDown := range map[string]bool{"platform up": false, "platform down": true} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			b := newTestbed(t, withTokenTime(4*time.Millisecond))
-			b.eventually("both engines know the routers", func() bool {
+			b.eventually("both engines have processed requests", func() bool {
 				var wg sync.WaitGroup
 				for range 12 {
 					wg.Go(func() { b.chat(0, "", "warm [tokens=2]", false) })
@@ -291,7 +295,7 @@
 			b.Platform.Table.SetFaults(emulator.TableFaults{Down: platformDown})
 			drained := make(chan bool, 1)
 			go func() { drained <- b.DrainSidecar(s.Name) }()
-			b.eventually("it is leaving", s.Daemon.IsDraining)
+			b.eventually("it is draining", s.Daemon.IsDraining)
 			runs := s.Engine.Counts().Runs
 			for range 20 {
 				b.assertServed(0, "quick [tokens=2]")
@@ -312,7 +316,7 @@
 	leaving := b.Routers()[0]
 	drained := make(chan bool, 1)
 	go func() { drained <- b.DrainRouter(leaving.Name) }()
-	b.eventually("it refuses new work as not run", func() bool {
+	b.eventually("it refuses new requests as not run", func() bool {
 		r := b.callAt(context.Background(), leaving.CallerURL, "POST", "/v1/chat/completions", "", chatBody("x", false))
 		return r.err != nil || (r.status == 503 && r.fate == masticway.FateNotRun)
 	})
@@ -326,7 +330,7 @@
 	qt.Assert(t, b.drainAndReadBudget("b-100000").Settled, qt.Equals, answerCost(longContent))
 }
 
-func TestOutageOfTheTable(t *testing.T) {
+func TestTableOutage(t *testing.T) {
 	t.Parallel()
 	b := newTestbed(t)
 	for i := range 2 {
@@ -343,7 +347,8 @@
 	qt.Assert(t, b.drainAndReadBudget("b-100000").Settled, qt.Equals, b.engineCost())
 }
 
-// TestRegionCutOffWithATopUp cuts one of two regions off from the other and the platform.
+// TestRegionCutOffWithATopUp isolates one of two regions from the other and from the platform, and tops up the budget meanwhile.
+// Together the regions must never spend more than the budget.
 func TestRegionCutOffWithATopUp(t *testing.T) {
 	t.Parallel()
 	b := newTestbed(t, withBudget(3000), func(s *starter.FleetSpec, _ *masticway.Contract) {
@@ -352,8 +357,8 @@
 	}, withContract(func(c *masticway.Contract) { c.HoldWait = masticway.Duration(shortHoldWait) }))
 	content := "across [tokens=10]"
 	for i := range 2 {
-		// The second region asks the first to give money back, and may tell its caller to come again meanwhile.
-		b.eventually("each region serves", func() bool { return b.chat(i, "", content, false).done })
+		// The second region asks the first to return money, and may refuse requests with Retry-After until it has some.
+		b.eventually("the region serves", func() bool { return b.chat(i, "", content, false).done })
 	}
 	west := b.Routers()[1]
 	for _, other := range []string{b.Routers()[0].Name, starter.PlatformProcess} {
@@ -379,7 +384,7 @@
 	qt.Assert(t, b.engineCost() <= 3000*masticway.PerToken, qt.IsTrue)
 	status, _ := b.callAdmin("POST", "/admin/v1/budgets/b-3000/top-ups", `{"amount":2000000}`, "Idempotency-Key", "during")
 	qt.Assert(t, status, qt.Equals, 200)
-	b.eventually("the top-up is used where the table is reached", func() bool { return b.chat(0, "", content, false).done })
+	b.eventually("the region that reaches the table uses the top-up", func() bool { return b.chat(0, "", content, false).done })
 	spend()
 	qt.Assert(t, b.engineCost() <= 5000*masticway.PerToken, qt.IsTrue)
 	for _, other := range []string{b.Routers()[0].Name, starter.PlatformProcess} {
@@ -388,7 +393,7 @@
 			b.Network.Heal(s.Name, other)
 		}
 	}
-	b.eventually("the west serves or has nothing left", func() bool {
+	b.eventually("the isolated region serves or its budget is exhausted", func() bool {
 		r := b.chat(1, "", content, false)
 		return r.done || r.status == 402
 	})
@@ -416,7 +421,7 @@
 	qt.Assert(t, []int{first, second, again, none, invalid}, qt.DeepEquals, []int{200, 409, 200, 422, 422})
 	qt.Assert(t, conflict, qt.Contains, `"contract":{`)
 	qt.Assert(t, faults, qt.Contains, "budget")
-	b.eventually("the key is refused everywhere", func() bool {
+	b.eventually("both routers refuse the key", func() bool {
 		return b.chat(0, "", "x", false).status == 401 && b.chat(1, "", "x", false).status == 401
 	})
 	b.eventually("the change is in force", func() bool {
@@ -425,7 +430,8 @@
 	})
 }
 
-// TestStaleRouterIsBroughtUpToDate cuts a router off from the table; the sidecars must not let it use the old contract.
+// TestStaleRouterIsBroughtUpToDate isolates a router from the table and its peer. It must get a new revision through the
+// sidecars, which must not let it use the old contract.
 func TestStaleRouterIsBroughtUpToDate(t *testing.T) {
 	t.Parallel()
 	b := newTestbed(t)
@@ -437,13 +443,13 @@
 	qt.Assert(t, err, qt.IsNil)
 	change, err := store.Put(context.Background(), masticway.Change{ID: "revoke", Contract: new(c.WithKeyHashes())}, configurer.AnyRevision)
 	qt.Assert(t, err, qt.IsNil)
-	b.eventually("the sidecars and the stale router have it", func() bool {
+	b.eventually("the stale router has the new revision", func() bool {
 		return stale.Metrics.Count("config_revision") >= int64(change.Revision)
 	})
 	qt.Assert(t, b.chat(1, "", "x", false).status, qt.Equals, 401)
 }
 
-// TestStaleConfigurationIsNotServed has the setting that puts a revoked contract before a cut-off router's callers.
+// TestStaleConfigurationIsNotServed sets stale_after, so that a router that can't learn of a revoked contract refuses requests.
 func TestStaleConfigurationIsNotServed(t *testing.T) {
 	t.Parallel()
 	b := newTestbed(t, func(s *starter.FleetSpec, _ *masticway.Contract) {
@@ -452,7 +458,7 @@
 	b.assertServed(1, "x [tokens=2]")
 	alone := b.Routers()[1]
 	b.Network.Cut(alone.Name, starter.PlatformProcess)
-	// Its peer still sees the table and says so.
+	// Its peer still reads the table and reports that.
 	time.Sleep(time.Second)
 	b.assertServed(1, "x [tokens=2]")
 	b.Network.Cut(alone.Name, b.Routers()[0].Name)
@@ -479,7 +485,7 @@
 				})
 			}
 			wg.Wait()
-			// Whatever their race came to, a number once given is never carried out after a newer one.
+			// However the concurrent orders were sequenced, an order is never carried out after one with a higher fencing number.
 			status, body := b.callAdmin("POST", path, `{"action":"load_version","target":"m:3"}`, "Idempotency-Key", "last")
 			qt.Assert(t, status, qt.Equals, 200, qt.Commentf("%s", body))
 			orders := s.Engine.Counts().Orders
@@ -523,7 +529,7 @@
 	qt.Assert(t, r.done, qt.IsTrue)
 }
 
-func TestCallerThatLeaves(t *testing.T) {
+func TestCallerDisconnects(t *testing.T) {
 	t.Parallel()
 	cases := map[string]struct {
 		key  string
@@ -542,7 +548,7 @@
 			go func() {
 				done <- b.callAt(ctx, base, "POST", "/v1/chat/completions", tc.key, chatBody(longContent, true))
 			}()
-			b.eventually("it flows", func() bool { return b.completionTokens() > 5 })
+			b.eventually("the stream has started", func() bool { return b.completionTokens() > 5 })
 			cancel()
 			<-done
 			if tc.runs {
@@ -555,7 +561,7 @@
 	}
 }
 
-func TestLimitsRefuseAtOnce(t *testing.T) {
+func TestConcurrencyLimitRefusesAtOnce(t *testing.T) {
 	t.Parallel()
 	b := newTestbed(t, withTokenTime(4*time.Millisecond), withContract(func(c *masticway.Contract) { c.Concurrency = 1 }))
 	out := b.startStream(0, "draft")
@@ -581,13 +587,13 @@
 	}
 	qt.Assert(t, s.Engine.Counts().Runs, qt.Equals, int64(0))
 	b.Platform.Table.SetFaults(emulator.TableFaults{})
-	b.eventually("it gets work once the table is back", func() bool {
+	b.eventually("it gets requests after the table has recovered", func() bool {
 		b.chat(0, "", "x [tokens=2]", false)
 		return s.Engine.Counts().Runs > 0
 	})
 }
 
-// TestSlowHeadersAreCutOff sends half a request and no more; the router must end the connection by itself.
+// TestSlowHeadersAreCutOff sends an incomplete header and nothing more. The router must close the connection.
 func TestSlowHeadersAreCutOff(t *testing.T) {
 	t.Parallel()
 	b := newTestbed(t)
@@ -596,7 +602,7 @@
 	defer c.Close()
 	_, err = io.WriteString(c, "POST /v1/chat/completions HTTP/1.1\r\nHost: x\r\nAuthor")
 	qt.Assert(t, err, qt.IsNil)
-	// Reading ends only when the other side closes.
+	// ReadAll returns only when the router closes the connection.
 	_, err = io.ReadAll(c)
 	qt.Assert(t, err, qt.IsNil)
 	b.assertServed(0, "x [tokens=2]")
--- a/starter/fleet_test.go
+++ b/starter/fleet_test.go
@@ -35,9 +35,10 @@
 	t *testing.T
 }
 
-// option changes the fleet of a test.
+// option changes the fleet or the contract of a test.
 type option func(*starter.FleetSpec, *masticway.Contract)
 
+// withBudget gives the contract a budget of a number of tokens.
 func withBudget(tokens int) option {
 	return func(_ *starter.FleetSpec, c *masticway.Contract) { c.Budget = fmt.Sprintf("b-%d", tokens) }
 }
@@ -50,7 +51,7 @@
 	return func(_ *starter.FleetSpec, c *masticway.Contract) { f(c) }
 }
 
-// failureLog returns a log that a test prints if it fails.
+// failureLog returns a logger whose output the test prints if it fails.
 func failureLog(t *testing.T) *logrus.Logger {
 	out := &lockedBuffer{}
 	log, err := logger.New("info", out)
@@ -63,6 +64,7 @@
 	return log
 }
 
+// newTestbed starts a fleet with one contract, waits until it is ready and stops it at the end of the test.
 func newTestbed(t *testing.T, options ...option) *testbed {
 	t.Helper()
 	spec := starter.FleetSpec{
@@ -99,12 +101,12 @@
 	return b
 }
 
-// reply is what a caller got.
+// reply is the response that a caller received.
 type reply struct {
 	status int
 	header http.Header
 	body   string
-	// text is the answer of a model, and done tells that it was ended as whole.
+	// text is a model's answer, done is set if the answer ended normally.
 	text  string
 	done  bool
 	code  string
@@ -194,14 +196,14 @@
 	return b.call(router, http.MethodPost, "/v1/chat/completions", key, chatBody(content, stream))
 }
 
-// assertServed asks a router and expects a whole answer; what came instead is shown.
+// assertServed sends a router a request and fails the test with the reply unless it is a complete answer.
 func (b *testbed) assertServed(router int, content string) {
 	b.t.Helper()
 	got := b.chat(router, "", content, false)
 	qt.Assert(b.t, got.done, qt.IsTrue, qt.Commentf("%+v", got))
 }
 
-// totalRuns adds up what the engines or services have begun.
+// totalRuns returns the number of requests that all engines and services have begun to process.
 func (b *testbed) totalRuns() int64 {
 	var sum int64
 	for _, s := range b.Sidecars() {
@@ -210,19 +212,19 @@
 	return sum
 }
 
-// eventually waits for a condition; its bound only ends a test that would fail.
+// eventually waits until f returns true, and fails the test after waitTimeout.
 func (b *testbed) eventually(what string, f func() bool) {
 	b.t.Helper()
 	deadline := time.Now().Add(waitTimeout)
 	for !f() {
 		if time.Now().After(deadline) {
-			b.t.Fatalf("never came true: %s", what)
+			b.t.Fatalf("timed out waiting until %s", what)
 		}
 		time.Sleep(5 * time.Millisecond)
 	}
 }
 
-// drainAndReadBudget drains all routers and returns the budget row, which must then hold no open grant.
+// drainAndReadBudget drains all routers and returns the budget's row, which must not have an open grant then.
 func (b *testbed) drainAndReadBudget(budget string) bookkeeper.Budget {
 	b.t.Helper()
 	for _, r := range b.Routers() {
@@ -235,12 +237,13 @@
 	return row
 }
 
-// answerCost is the true price of one whole answer.
+// answerCost returns the price of one complete answer with its prompt.
 func answerCost(content string) masticway.Amount {
 	messages := []emulator.Message{{Role: "user", Content: content}}
 	return masticway.Amount(emulator.CountTokens(messages)*1000 + emulator.NaturalLength(messages)*3000)
 }
 
+// callAdmin calls the operators' API of the first router and returns the status and the body of its response.
 func (b *testbed) callAdmin(method, path, body string, headers ...string) (int, string) {
 	request, err := http.NewRequest(method, b.Routers()[0].AdminURL+path, strings.NewReader(body))
 	qt.Assert(b.t, err, qt.IsNil)
@@ -319,9 +322,10 @@
 	qt.Assert(t, b.drainAndReadBudget("b-100000").Settled, qt.Equals, masticway.Amount(0))
 }
 
-func TestThinBudget(t *testing.T) {
+func TestBudgetExhaustionAndTopUp(t *testing.T) {
 	t.Parallel()
-	// 5+8 prompt tokens and 20 output tokens at three are about 73; the byte bound alone is far higher.
+	// 5+8 prompt tokens and 20 output tokens at three each are about 73. The upper bound computed from the body's size is far
+	// higher.
 	content := "hem [tokens=20]"
 	b := newTestbed(t, withBudget(130))
 	body := fmt.Sprintf(`{"model":"m","max_tokens":20,"messages":[{"role":"user","content":%q}]}`, content)
@@ -351,7 +355,7 @@
 		qt.Assert(t, r.text, qt.Equals, expectedAnswer(content), qt.Commentf("%d %s", r.status, r.body))
 		qt.Assert(t, r.done, qt.IsTrue)
 	}
-	// Long after the answer it is still replayed rather than run.
+	// A later request with the same key gets the stored answer and isn't run.
 	qt.Assert(t, b.chat(1, "same", content, false).text, qt.Equals, expectedAnswer(content))
 	qt.Assert(t, b.totalRuns(), qt.Equals, int64(1))
 	qt.Assert(t, b.drainAndReadBudget("b-100000").Settled, qt.Equals, answerCost(content))
@@ -382,7 +386,8 @@
 	qt.Assert(t, b.drainAndReadBudget("b-100000").Settled, qt.Equals, masticway.Amount(10_000))
 }
 
-// TestRecordedOutcomeOutlivesTheSidecarsMemory asks again when the run itself is long forgotten.
+// TestRecordedOutcomeOutlivesTheSidecarsMemory repeats a non-repeatable call after the sidecar has forgotten the run. The answer
+// must come from the recorded outcome.
 func TestRecordedOutcomeOutlivesTheSidecarsMemory(t *testing.T) {
 	t.Parallel()
 	b := newTestbed(t, func(s *starter.FleetSpec, _ *masticway.Contract) {
@@ -396,7 +401,7 @@
 		qt.Assert(t, again.body, qt.Equals, first.body)
 	}
 	qt.Assert(t, b.totalRuns(), qt.Equals, int64(1))
-	// A repeatable call leaves no record: it is told that the answer is gone, and the work is not done again.
+	// For a repeatable call no outcome is recorded: the reply says that the answer isn't available, and the call isn't run again.
 	qt.Assert(t, b.call(0, "POST", "/v1/services/stock/orders", "order", "status").status, qt.Equals, 200)
 	time.Sleep(200 * time.Millisecond)
 	gone := b.call(1, "POST", "/v1/services/stock/orders", "order", "status")
@@ -423,7 +428,7 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			b := newTestbed(t)
-			// A first call draws money, so that only the claim needs the table.
+			// The first call gets the router a grant, so that later only the claim of the idempotency key needs the table.
 			qt.Assert(t, b.call(0, "POST", "/v1/services/stock/orders", "", "first").status, qt.Equals, 200)
 			var service *emulator.Service
 			for _, s := range b.Sidecars() {
--- a/starter/gateway_test.go
+++ b/starter/gateway_test.go
@@ -25,7 +25,7 @@
 	"github.com/masticway/masticway/validator"
 )
 
-// lockedBuffer collects logs from many goroutines.
+// lockedBuffer is a buffer for log output that is safe for concurrent use.
 type lockedBuffer struct {
 	mu  sync.Mutex
 	out bytes.Buffer
@@ -43,7 +43,7 @@
 	return b.out.String()
 }
 
-// testPlatform is the users' platform on loopback: the store over HTTP, one engine and one plain server.
+// testPlatform is an emulation of the users' platform on loopback: the row store over HTTP, one engine and one plain server.
 type testPlatform struct {
 	t      *testing.T
 	rows   *emulator.Rows
@@ -72,6 +72,7 @@
 	return p
 }
 
+// configure writes a version of the configuration to the store.
 func (p *testPlatform) configure(version, prepaid int64) {
 	p.rows.Put(masticway.RowKey{Table: "op", Key: "config"}, fmt.Appendf(nil, `{"version":%d,"routes":[
 		{"name":"r1","host":"h.example","path_prefix":"/draft/","route_kind":"streaming","service":"llm","max_attempts":1,"target_latency_ms":800,"timeout_ms":6000},
@@ -82,19 +83,19 @@
 }
 
 const (
-	// firstPort is the first of the ports that tests listen on, below those that the system gives to connections: one of
-	// these could take an address between its choice and its use. Test processes begin at different ones.
+	// firstPort is the first port that tests listen on. These ports are below the ephemeral range, from which an outgoing
+	// connection could take a port between its choice and its use. Concurrent test processes start at different ports.
 	firstPort       = 20_000
 	portsPerProcess = 250
 	maxProcesses    = 40
 )
 
-// lastPort is the last port that was tried.
+// lastPort is the port that was tried last.
 var lastPort atomic.Int64
 
 func init() { lastPort.Store(int64(firstPort + os.Getpid()%maxProcesses*portsPerProcess)) }
 
-// freeAddress returns an address that nothing listens on, nor will unless it is told to.
+// freeAddress returns an address on which nothing listens and which isn't returned again.
 func freeAddress(t *testing.T) string {
 	for range maxProcesses * portsPerProcess {
 		address := fmt.Sprintf("127.0.0.1:%d", lastPort.Add(1))
@@ -107,6 +108,7 @@
 	return ""
 }
 
+// gateway starts a gateway with the default settings of the tests and waits until it is ready.
 func (p *testPlatform) gateway(instance string) *starter.GatewayDaemon {
 	return p.start(p.settings(instance))
 }
@@ -120,7 +122,7 @@
 	}
 }
 
-// start runs a gateway and waits until it is ready.
+// start builds a gateway, starts it and waits until it is ready.
 func (p *testPlatform) start(s forwarder.Settings) *starter.GatewayDaemon {
 	data, err := json.Marshal(s)
 	qt.Assert(p.t, err, qt.IsNil)
@@ -130,7 +132,7 @@
 	return p.run(d, s)
 }
 
-// run starts a gateway that is built and waits until it is ready.
+// run starts a gateway and waits until it is ready.
 func (p *testPlatform) run(d *starter.GatewayDaemon, s forwarder.Settings) *starter.GatewayDaemon {
 	qt.Assert(p.t, d.Start(), qt.IsNil)
 	_, readiness := d.Addresses()
@@ -143,11 +145,12 @@
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
-	p.t.Fatalf("%s never got ready:\n%s", s.Instance, p.log)
+	p.t.Fatalf("%s did not become ready:\n%s", s.Instance, p.log)
 	return nil
 }
 
-// request asks for a path as a caller of the workspace does; tokens are those of the prompt and the most of the answer.
+// request returns a request of the workspace's caller for a path. The value of tokens, unless empty, is that of X-Token-Count:
+// the prompt's tokens and the maximum of the answer's.
 func (p *testPlatform) request(d *starter.GatewayDaemon, id, path, tokens string) *http.Request {
 	caller, _ := d.Addresses()
 	request, err := http.NewRequestWithContext(p.t.Context(), "POST", "http://"+caller+path, strings.NewReader("body"))
@@ -162,6 +165,7 @@
 	return request
 }
 
+// ask sends a request and returns the status and the body of the response.
 func (p *testPlatform) ask(d *starter.GatewayDaemon, id, path, tokens string) (int, string) {
 	response, err := http.DefaultTransport.RoundTrip(p.request(d, id, path, tokens))
 	qt.Assert(p.t, err, qt.IsNil)
@@ -171,7 +175,8 @@
 	return response.StatusCode, string(body)
 }
 
-// accountTotals returns what the store says was spent of the workspace by ended incarnations, and what is granted.
+// accountTotals returns, from the accounts in the store, how much of the workspace's budget ended incarnations have spent and how
+// much is granted.
 func (p *testPlatform) accountTotals() (spent, granted int64) {
 	for part := range 2 {
 		a := treasurer.ReadAccount(p.rows.Row(masticway.RowKey{Table: "masticway_accounts", Part: fmt.Sprint(part), Key: "w"}))
@@ -194,7 +199,7 @@
 	qt.Assert(t, body, qt.Equals, "ok")
 	qt.Assert(t, d.Drain(), qt.IsTrue)
 	_, granted := p.accountTotals()
-	// The prompt of 100, and five events of at most three tokens.
+	// 100 tokens for the prompt, and at most three for each of the five events.
 	qt.Assert(t, granted, qt.Equals, int64(115), qt.Commentf("%s", p.log))
 }
 
@@ -235,7 +240,7 @@
 	qt.Assert(t, delivered <= 2000, qt.IsTrue)
 }
 
-func TestGatewaysLendEachOtherWhileTheStoreIsAway(t *testing.T) {
+func TestGatewaysLendToEachOtherDuringStoreOutage(t *testing.T) {
 	p := newTestPlatform(t, 100000)
 	first, second := p.gateway("edge-1"), p.gateway("edge-2")
 	defer first.Kill()
@@ -244,12 +249,12 @@
 		status, _ := p.ask(first, fmt.Sprintf("a%d", i), "/draft/x", "100,40")
 		qt.Assert(t, status, qt.Equals, 200)
 	}
-	// Both have counted each other by then.
+	// By then each gateway counts the other as a member.
 	time.Sleep(3500 * time.Millisecond)
 	status, _ := p.ask(first, "b", "/draft/x", "100,40")
 	qt.Assert(t, status, qt.Equals, 200)
 	p.rows.SetFaults(emulator.RowFaults{Busy: true})
-	// Nothing is promised ahead here, so money may go out once the store has been silent for 3 s.
+	// No money is promised in advance here, so gateways may lend once the store hasn't answered for 3 s.
 	time.Sleep(3100 * time.Millisecond)
 	served := 0
 	for i := range 8 {
@@ -261,13 +266,13 @@
 	qt.Assert(t, served > 0, qt.IsTrue, qt.Commentf("%s", p.log))
 }
 
-func TestRouterThatTheStoreTurnsAwayServesThroughAnother(t *testing.T) {
+func TestRouterWithoutStoreServesThroughPeer(t *testing.T) {
 	p := newTestPlatform(t, 100000)
 	first := p.settings("edge-1")
 	a := p.start(first)
 	defer a.Kill()
 	second := p.settings("edge-2")
-	// Nothing answers there, from its first call on.
+	// Nothing listens there, so that not even the first call to the store is answered.
 	second.StoreAddress = freeAddress(t)
 	second.PeerSeeds = []string{second.PeerAddress, first.PeerAddress}
 	b := p.start(second)
@@ -286,19 +291,17 @@
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
-	t.Fatalf("a change never came through the other router:\n%s", p.log)
+	t.Fatalf("the change did not arrive through the other router:\n%s", p.log)
 }
 
-// TestWitnessesThatCannotBeAskedAreNotCounted has a router and its only witness die. Its successor says how many witnesses told
-// it what was taken, which is how an operator tells a loss that nobody remembers from one that was remembered.
-//
-// Seen: the line told of as many answers as there were witnesses, though none could be reached. Cause: asked all at once, each
-// counted as one that had answered.
-func TestWitnessesThatCannotBeAskedAreNotCounted(t *testing.T) {
+// TestUnreachableWitnessesAreNotCounted kills a router and its only witness. The router's successor logs how many witnesses
+// answered what was spent, from which an operator sees whether the spending is known. It guards against counting each witness
+// that was asked as one that answered, though none could be reached.
+func TestUnreachableWitnessesAreNotCounted(t *testing.T) {
 	p := newTestPlatform(t, 100000)
 	s := p.settings("edge-1")
 	first, second := p.start(s), p.gateway("edge-2")
-	// Both have counted each other by then, so that the book names a witness.
+	// By then each gateway counts the other as a member, so that the checkpoint names a witness.
 	time.Sleep(3500 * time.Millisecond)
 	status, _ := p.ask(first, "a", "/draft/x", "100,40")
 	qt.Assert(t, status, qt.Equals, 200)
--- a/starter/leaving_test.go
+++ b/starter/leaving_test.go
@@ -55,9 +55,9 @@
 	return n
 }
 
-// TestServerThatLeavesIsLeftByItsAnswers: while the store is away, routers go on with a server that has said in its answers that
+// TestDrainingAnswersStopNewRequests: while the store is away, routers go on with a server that has said in its answers that
 // it leaves, until the store has its word.
-func TestServerThatLeavesIsLeftByItsAnswers(t *testing.T) {
+func TestDrainingAnswersStopNewRequests(t *testing.T) {
 	cases := map[string]struct {
 		fault     emulator.OpaqueFault
 		storeDown bool
@@ -93,9 +93,9 @@
 	}
 }
 
-// TestServerThatLeftIsUsedAgainOnceItHasStarted: the word of leaving outlives the life that it was said of, or is forgotten in
+// TestDrainedServerIsUsedAgainAfterRestart: the word of leaving outlives the life that it was said of, or is forgotten in
 // the same one when its row is written or lapses.
-func TestServerThatLeftIsUsedAgainOnceItHasStarted(t *testing.T) {
+func TestDrainedServerIsUsedAgainAfterRestart(t *testing.T) {
 	p, _, all := twoEngines(t, 1)
 	register := func(startedAt string) {
 		p.rows.Put(masticway.RowKey{Table: "servers", Key: p.engine.ID}, fmt.Appendf(nil,
@@ -122,8 +122,8 @@
 	qt.Check(t, serves(), qt.IsTrue, qt.Commentf("it has started again"))
 }
 
-// TestRestBindsOneRouter: a server that has asked one router for rest gets nothing from the others either.
-func TestRestBindsOneRouter(t *testing.T) {
+// TestBackoffAppliesToOneRouter: a server that has asked one router for rest gets nothing from the others either.
+func TestBackoffAppliesToOneRouter(t *testing.T) {
 	p := newTestPlatform(t, 1<<40)
 	limited, other := p.gateway("edge-1"), p.gateway("edge-2")
 	t.Cleanup(limited.Kill)
--- a/starter/limits_test.go
+++ b/starter/limits_test.go
@@ -62,9 +62,9 @@
 	return all
 }
 
-// TestRequestLimitHoldsForAllRouters: routers that each send what their callers ask for overrun a server in need, which had named
+// TestRateLimitHoldsForAllRouters: routers that each send what their callers ask for overrun a server in need, which had named
 // a limit for all of them together.
-func TestRequestLimitHoldsForAllRouters(t *testing.T) {
+func TestRateLimitHoldsForAllRouters(t *testing.T) {
 	for name, tc := range map[string]struct {
 		routers int
 		limit   string
--- a/starter/listener_test.go
+++ b/starter/listener_test.go
@@ -11,8 +11,8 @@
 	"github.com/sirupsen/logrus/hooks/test"
 )
 
-// TestPausedListenerRefusesConnections pauses and resumes a listener: connections are refused at once in between, those that are
-// there stay, and the address is the same afterwards.
+// TestPausedListenerRefusesConnections pauses and resumes a listener. While it is paused, new connections must be refused at once
+// and existing ones stay open; after it, the address must be the same.
 func TestPausedListenerRefusesConnections(t *testing.T) {
 	l, err := Listen("127.0.0.1:0")
 	qt.Assert(t, err, qt.IsNil)
--- a/starter/meeting_test.go
+++ b/starter/meeting_test.go
@@ -14,18 +14,19 @@
 	"github.com/masticway/masticway/starter"
 )
 
-// TestNewRouterServesOnceItHasMetTheOthers starts a router that cannot reach the other one. While both keep the budget
-// alone, a key that both are asked for could run twice.
-func TestNewRouterServesOnceItHasMetTheOthers(t *testing.T) {
+// TestNewRouterWaitsForPeers starts a router that cannot reach the other one. It must not serve until the two have connected, or
+// lost_after has passed: before that, both would decide alone, and a request sent to both with the same idempotency key could run
+// twice.
+func TestNewRouterWaitsForPeers(t *testing.T) {
 	t.Parallel()
 	cases := map[string]struct {
-		// lostAfter is how long the new router looks for the other one.
+		// lostAfter is how long the new router tries to connect to the other one before it serves without it.
 		lostAfter string
-		// isReachable tells that the other one can be reached in the end.
+		// isReachable is set if the other router becomes reachable.
 		isReachable bool
 	}{
-		"it serves as soon as it has met them":       {lostAfter: "10m", isReachable: true},
-		"one that cannot be reached holds it up not": {lostAfter: "500ms"},
+		"it serves as soon as it has connected":          {lostAfter: "10m", isReachable: true},
+		"it serves without a peer that can't be reached": {lostAfter: "500ms"},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -34,7 +35,7 @@
 				s.Regions[0].Routers = 1
 				s.Router = json.RawMessage(fmt.Sprintf(`{"poll":"50ms","lost_after":%q,"lease":"10m"}`, tc.lostAfter))
 			})
-			// The fleet numbers its processes.
+			// The fleet numbers its processes, so the name of the next one is known.
 			second := fmt.Sprintf("router-local-%d", len(b.Sidecars())+len(b.Routers())+1)
 			b.Network.Cut(b.Routers()[0].Name, second)
 			r, err := b.AddRouter("local", "b")
--- a/starter/resumption_test.go
+++ b/starter/resumption_test.go
@@ -13,7 +13,8 @@
 	"github.com/masticway/masticway/starter"
 )
 
-// streamEssay asks for a stream that may be resumed, after an event, and tells of each event as it comes; it returns the status.
+// streamEssay requests a resumable stream, resuming it after an event unless that is empty. It calls onEvent with the id of each
+// event as it arrives and returns the status, or 0 if there was no response.
 func (p *testPlatform) streamEssay(d *starter.GatewayDaemon, id, after string, onEvent func(event string)) int {
 	request := p.request(d, id, "/essay/x", "100,40")
 	if after != "" {
@@ -32,19 +33,16 @@
 	return response.StatusCode
 }
 
-// TestLossOfPowerCostsAPromptOnce has a router lose power amid answers, and their callers resume them at its successor.
-//
-// Seen: from 12 s after all routers had lost power, nearly all requests to models were refused as exhausted, although by the
-// count of what callers got, budgets were not used up. How: the successor closed the grants at what was in flight, prompts
-// and all, and each caller that went on where its answer had broken off paid for its prompt again. Cause: a resumed attempt
-// was charged like a new request; it is the same request, and its prompt had been counted. Proof: with every event logged,
-// prompts counted once a request and the events that were given sum to the users' own count.
-func TestLossOfPowerCostsAPromptOnce(t *testing.T) {
+// TestResumedRequestPaysForPromptOnce kills a router during streams, and the callers resume them at its successor. The successor
+// closes the dead router's grants with everything that was in flight charged, including the prompts. It guards against charging a
+// prompt again when its stream is resumed, which exhausts budgets that by the events delivered aren't used up, so that requests
+// are refused.
+func TestResumedRequestPaysForPromptOnce(t *testing.T) {
 	const (
 		callers, eventsEach, eventsSeen = 5, 10, 3
 		promptTokens, maxCompletion     = 100, 40
 	)
-	// Enough for what was in flight at its most, and for the rest of each answer at its most, not for the prompts again.
+	// Enough for the maximum in flight and the maximum of the rest of each answer, but not for the prompts a second time.
 	p := newTestPlatform(t, callers*(promptTokens+2*maxCompletion))
 	p.engine.Stream(eventsEach, 40*time.Millisecond)
 	settings := p.settings("edge-1")
@@ -69,10 +67,10 @@
 	defer second.Kill()
 	for i := range callers {
 		last := <-ended
-		qt.Assert(t, last != fmt.Sprint(eventsEach), qt.IsTrue, qt.Commentf("an answer was whole before its router died"))
+		qt.Assert(t, last != fmt.Sprint(eventsEach), qt.IsTrue, qt.Commentf("an answer was complete before its router was killed"))
 		var status, events int
 		for try := range 100 {
-			// Refusals while the predecessor's grant is being closed are not what is looked at.
+			// Requests may be refused until the dead router's grant has been closed; this test doesn't check those refusals.
 			status = p.streamEssay(second, fmt.Sprintf("%015x%x", try+1, i), last, func(string) { events++ })
 			if status == http.StatusOK {
 				break
--- a/starter/shutdown_test.go
+++ b/starter/shutdown_test.go
@@ -92,7 +92,7 @@
 	return e
 }
 
-// TestNoRequestIsReadAndGivenUpInAShutdown sends requests at all moments around the closing of idle connections, on
+// TestShutdownAnswersEveryRequestRead sends requests at all moments around the closing of idle connections, on
 // connections that have been idle since before the shutdown and on new ones, while the process stands still at one place.
 //
 // Seen: streams whose events had all been delivered lacked their end, 100 to 300 ms after idle connections had been closed;
@@ -100,7 +100,7 @@
 // closed all connections. Cause: a request counted as open until its handler returned, but the server library writes
 // what is left of an answer after that; and the library calls a connection idle until the next head is parsed, also when
 // the bytes have been read. Proof: a pause of 100 ms before each write, or after each read, shows it at every run.
-func TestNoRequestIsReadAndGivenUpInAShutdown(t *testing.T) {
+func TestShutdownAnswersEveryRequestRead(t *testing.T) {
 	const (
 		interval = 6 * time.Millisecond
 		from     = 2400 * time.Millisecond
