--- a/starter/crashing_test.go
+++ b/starter/crashing_test.go
@@ -194,11 +194,11 @@
 			c := newCrashPlatform(t, 8)
 			routers := c.startRouters(3)
 			got := c.sendRepeatedly(routers, tc.path, tc.tokens, 100*time.Millisecond, 5*time.Second)
-			ends := c.crashes()
-			qt.Assert(t, len(ends) >= maxCrashes, qt.IsTrue, qt.Commentf("%d servers ended", len(ends)))
-			sends := c.crashingRuns(ends[maxCrashes-1].Add(maxPropagation))
-			qt.Assert(t, sends <= maxLaterSends, qt.IsTrue, qt.Commentf("sent %d times more, %d servers ended in all", sends, len(ends)))
-			t.Logf("%d servers ended, %d sends later", len(ends), sends)
+			crashes := c.crashes()
+			qt.Assert(t, len(crashes) >= maxCrashes, qt.IsTrue, qt.Commentf("%d servers crashed", len(crashes)))
+			sends := c.crashingRuns(crashes[maxCrashes-1].Add(maxPropagation))
+			qt.Assert(t, sends <= maxLaterSends, qt.IsTrue, qt.Commentf("sent %d times more, %d servers crashed in all", sends, len(crashes)))
+			t.Logf("%d servers crashed, %d sends later", len(crashes), sends)
 			last := got[len(got)-1]
 			qt.Assert(t, last.err, qt.IsNil)
 			qt.Assert(t, last.status, qt.Equals, 503, qt.Commentf("%s", last.body))
@@ -216,10 +216,10 @@
 	routers := c.startRouters(2)
 	stop := c.runStreams(routers, 12)
 	c.sendRepeatedly(routers, "/draft/x", "100,200", 100*time.Millisecond, 4*time.Second)
-	ends := c.crashes()
+	crashes := c.crashes()
 	unserved := stop()
-	t.Logf("%d servers ended", len(ends))
-	qt.Assert(t, len(ends) <= maxCrashes+maxLaterSends, qt.IsTrue, qt.Commentf("%d servers ended", len(ends)))
+	t.Logf("%d servers crashed", len(crashes))
+	qt.Assert(t, len(crashes) <= maxCrashes+maxLaterSends, qt.IsTrue, qt.Commentf("%d servers crashed", len(crashes)))
 	qt.Assert(t, unserved, qt.HasLen, 0, qt.Commentf("%d: %s", len(unserved), strings.Join(unserved, "\n")))
 }
 
@@ -237,11 +237,11 @@
 		time.Sleep(100 * time.Millisecond)
 	}
 	unserved := stop()
-	ends := c.crashes()
-	qt.Assert(t, len(ends) >= maxCrashes, qt.IsTrue, qt.Commentf("%d servers ended", len(ends)))
-	sends := c.crashingRuns(ends[maxCrashes-1].Add(maxPropagation))
-	t.Logf("%d servers ended, %d sends later", len(ends), sends)
-	qt.Assert(t, sends <= maxLaterSends, qt.IsTrue, qt.Commentf("sent %d times more, %d servers ended in all", sends, len(ends)))
+	crashes := c.crashes()
+	qt.Assert(t, len(crashes) >= maxCrashes, qt.IsTrue, qt.Commentf("%d servers crashed", len(crashes)))
+	sends := c.crashingRuns(crashes[maxCrashes-1].Add(maxPropagation))
+	t.Logf("%d servers crashed, %d sends later", len(crashes), sends)
+	qt.Assert(t, sends <= maxLaterSends, qt.IsTrue, qt.Commentf("sent %d times more, %d servers crashed in all", sends, len(crashes)))
 	qt.Assert(t, unserved, qt.HasLen, 0, qt.Commentf("%d: %s", len(unserved), strings.Join(unserved, "\n")))
 }
 
@@ -300,7 +300,7 @@
 	time.Sleep(3500 * time.Millisecond)
 	c.rows.SetFaults(emulator.RowFaults{Silent: true})
 	qt.Assert(t, c.waitForRefusal(first, "/look/x", 4*time.Second), qt.IsTrue, qt.Commentf("%s", c.log))
-	qt.Assert(t, len(c.crashes()) <= maxCrashes+maxLaterSends, qt.IsTrue, qt.Commentf("%d servers ended", len(c.crashes())))
+	qt.Assert(t, len(c.crashes()) <= maxCrashes+maxLaterSends, qt.IsTrue, qt.Commentf("%d servers crashed", len(c.crashes())))
 	time.Sleep(maxPropagation / 2)
 	first.Kill()
 
--- a/starter/failure_test.go
+++ b/starter/failure_test.go
@@ -173,7 +173,7 @@
 			t.Parallel()
 			b := newTestbed(t, withTokenTime(4*time.Millisecond))
 			out := b.startStream(router, "draft")
-			dead := b.Routers()[router].Daemon.Incarnation()
+			crashed := b.Routers()[router].Daemon.Incarnation()
 			b.KillRouter(b.Routers()[router].Name)
 			broken := <-out
 			qt.Assert(t, broken.done, qt.IsFalse)
@@ -181,7 +181,7 @@
 			qt.Assert(t, b.totalRuns(), qt.Equals, int64(1))
 			book := bookkeeper.New(b.Platform.Table)
 			b.eventually("the crashed router has no grants", func() bool {
-				grants, err := book.GrantsOf(context.Background(), dead)
+				grants, err := book.GrantsOf(context.Background(), crashed)
 				return err == nil && len(grants) == 0
 			})
 			qt.Assert(t, b.drainAndReadBudget("b-100000").Settled, qt.Equals, answerCost(longContent))
@@ -416,9 +416,9 @@
 	first, _ := b.callAdmin("PUT", "/admin/v1/contracts/w", revoked, "If-Match", match, "Idempotency-Key", "one")
 	second, conflict := b.callAdmin("PUT", "/admin/v1/contracts/w", string(current.Contract), "If-Match", match, "Idempotency-Key", "two")
 	again, _ := b.callAdmin("PUT", "/admin/v1/contracts/w", revoked, "If-Match", match, "Idempotency-Key", "one")
-	none, _ := b.callAdmin("PUT", "/admin/v1/contracts/w", revoked)
+	unconditional, _ := b.callAdmin("PUT", "/admin/v1/contracts/w", revoked)
 	invalid, faults := b.callAdmin("PUT", "/admin/v1/contracts/w", `{"workspace":"w"}`, "If-Match", "*")
-	qt.Assert(t, []int{first, second, again, none, invalid}, qt.DeepEquals, []int{200, 409, 200, 422, 422})
+	qt.Assert(t, []int{first, second, again, unconditional, invalid}, qt.DeepEquals, []int{200, 409, 200, 422, 422})
 	qt.Assert(t, conflict, qt.Contains, `"contract":{`)
 	qt.Assert(t, faults, qt.Contains, "budget")
 	b.eventually("both routers refuse the key", func() bool {
--- a/starter/router.go
+++ b/starter/router.go
@@ -56,7 +56,7 @@
 	return &incarnation{router: r, callerHandler: r.CallerHandler(), adminHandler: r.OperatorHandler(), linkHandler: r.LinkHandler()}
 }
 
-// Start starts the daemon and returns. The daemon serves at once, but refuses requests as "not serving" until the first
+// Start starts the daemon and returns. The daemon serves at once, but refuses requests as not_serving until the first
 // incarnation is ready.
 func (d *RouterDaemon) Start() error {
 	if err := charter.Check(); err != nil {
