--- a/starter/failure_test.go
+++ b/starter/failure_test.go
@@ -86,18 +86,18 @@
 	t.Parallel()
 	cases := map[string]struct {
 		injectFault func(b *testbed, s *starter.FleetSidecar)
-		// hasPresumed is set if more than the answer may be charged, because a run was lost and its cost is presumed.
-		hasPresumed bool
+		// allowsPresumed is set if more than the answer may be charged, because a run was lost and its cost is presumed.
+		allowsPresumed bool
 	}{
 		"engine crashes": {injectFault: func(_ *testbed, s *starter.FleetSidecar) { s.Engine.SetFaults(emulator.EngineFaults{Down: true}) }},
 		"sidecar crashes, and the platform reports its instance as ended": {
-			injectFault: func(b *testbed, s *starter.FleetSidecar) { b.KillSidecar(s.Name, true) }, hasPresumed: true,
+			injectFault: func(b *testbed, s *starter.FleetSidecar) { b.KillSidecar(s.Name, true) }, allowsPresumed: true,
 		},
 		"sidecar restarts on its instance": {
 			injectFault: func(b *testbed, s *starter.FleetSidecar) {
 				b.KillSidecar(s.Name, false)
 				qt.Assert(b.t, b.StartSidecar(s), qt.IsNil)
-			}, hasPresumed: true,
+			}, allowsPresumed: true,
 		},
 		"link is interrupted briefly": {injectFault: func(b *testbed, s *starter.FleetSidecar) {
 			b.Network.Cut(b.Routers()[0].Name, s.Name)
@@ -120,7 +120,7 @@
 			b.assertWhole(<-out)
 			row := b.drainAndReadBudget("b-100000")
 			qt.Assert(t, row.Settled-row.Presumed <= answerCost(longContent), qt.IsTrue, qt.Commentf("%+v", row))
-			if !tc.hasPresumed {
+			if !tc.allowsPresumed {
 				qt.Assert(t, row.Settled, qt.Equals, answerCost(longContent))
 			}
 		})
--- a/starter/fleet_test.go
+++ b/starter/fleet_test.go
@@ -290,23 +290,23 @@
 		status             int
 		code               string
 	}{
-		"malformed JSON":    {"POST", chat, `{"model":`, nil, 400, "malformed_json"},
-		"wrong type":        {"POST", chat, `{"model":7}`, nil, 400, "malformed_json"},
-		"no messages":       {"POST", chat, `{"model":"m","messages":[]}`, nil, 422, "bad_messages"},
-		"message of no one": {"POST", chat, `{"model":"m","messages":[{"content":"x"}]}`, nil, 422, "bad_messages"},
-		"negative maximum":  {"POST", chat, `{"model":"m","max_tokens":-1,"messages":[{"role":"user","content":"x"}]}`, nil, 422, "bad_max_tokens"},
-		"absurd maximum":    {"POST", chat, `{"model":"m","max_tokens":99999999999,"messages":[{"role":"user","content":"x"}]}`, nil, 422, "bad_max_tokens"},
-		"unknown model":     {"POST", chat, `{"model":"none","messages":[{"role":"user","content":"x"}]}`, nil, 404, "unknown_model"},
-		"model not allowed": {"POST", chat, `{"model":"other","messages":[{"role":"user","content":"x"}]}`, nil, 403, "model_not_allowed"},
-		"oversized body":    {"POST", chat, strings.Repeat("x", 5<<20), nil, 413, "body_too_large"},
-		"wrong key":         {"POST", chat, `{}`, []string{"Authorization", "Bearer mw_wrong"}, 401, "bad_key"},
-		"operators' token":  {"POST", chat, `{}`, []string{"Authorization", "Bearer " + b.AdminToken()}, 401, "bad_key"},
-		"no key":            {"POST", chat, `{}`, []string{"Authorization", ""}, 401, "bad_key"},
-		"bad idempotency":   {"POST", chat, chatBody("x", false), []string{"Idempotency-Key", strings.Repeat("k", 300)}, 422, "bad_idempotency_key"},
-		"bad class":         {"POST", chat, chatBody("x", false), []string{"Masticway-Class", "royal"}, 422, "bad_class"},
-		"unknown service":   {"POST", "/v1/services/none/x", "", nil, 404, "unknown_service"},
-		"service forbidden": {"POST", "/v1/services/hidden/x", "", nil, 403, "service_not_allowed"},
-		"unknown path":      {"POST", "/v1/nothing", "", nil, 404, "no_such_path"},
+		"malformed JSON":       {"POST", chat, `{"model":`, nil, 400, "malformed_json"},
+		"wrong type":           {"POST", chat, `{"model":7}`, nil, 400, "malformed_json"},
+		"no messages":          {"POST", chat, `{"model":"m","messages":[]}`, nil, 422, "bad_messages"},
+		"message without role": {"POST", chat, `{"model":"m","messages":[{"content":"x"}]}`, nil, 422, "bad_messages"},
+		"negative maximum":     {"POST", chat, `{"model":"m","max_tokens":-1,"messages":[{"role":"user","content":"x"}]}`, nil, 422, "bad_max_tokens"},
+		"huge maximum":         {"POST", chat, `{"model":"m","max_tokens":99999999999,"messages":[{"role":"user","content":"x"}]}`, nil, 422, "bad_max_tokens"},
+		"unknown model":        {"POST", chat, `{"model":"none","messages":[{"role":"user","content":"x"}]}`, nil, 404, "unknown_model"},
+		"model not allowed":    {"POST", chat, `{"model":"other","messages":[{"role":"user","content":"x"}]}`, nil, 403, "model_not_allowed"},
+		"oversized body":       {"POST", chat, strings.Repeat("x", 5<<20), nil, 413, "body_too_large"},
+		"wrong key":            {"POST", chat, `{}`, []string{"Authorization", "Bearer mw_wrong"}, 401, "bad_key"},
+		"operators' token":     {"POST", chat, `{}`, []string{"Authorization", "Bearer " + b.AdminToken()}, 401, "bad_key"},
+		"no key":               {"POST", chat, `{}`, []string{"Authorization", ""}, 401, "bad_key"},
+		"bad idempotency":      {"POST", chat, chatBody("x", false), []string{"Idempotency-Key", strings.Repeat("k", 300)}, 422, "bad_idempotency_key"},
+		"bad class":            {"POST", chat, chatBody("x", false), []string{"Masticway-Class", "royal"}, 422, "bad_class"},
+		"unknown service":      {"POST", "/v1/services/none/x", "", nil, 404, "unknown_service"},
+		"service forbidden":    {"POST", "/v1/services/hidden/x", "", nil, 403, "service_not_allowed"},
+		"unknown path":         {"POST", "/v1/nothing", "", nil, 404, "no_such_path"},
 	}
 	for name, tc := range cases {
 		r := b.call(0, tc.method, tc.path, "", tc.body, tc.headers...)
@@ -420,7 +420,7 @@
 	}{
 		"table down, so no claim":      {table: emulator.TableFaults{Down: true}, run: masticway.FateNotRun},
 		"claim's answer lost":          {table: emulator.TableFaults{LoseAnswers: 1}, runs: 1},
-		"every answer of the table":    {table: emulator.TableFaults{LoseAnswers: 4}, runs: 1},
+		"several answers lost":         {table: emulator.TableFaults{LoseAnswers: 4}, runs: 1},
 		"table slow":                   {table: emulator.TableFaults{Slow: 100}, runs: 1},
 		"service ran, answer was lost": {service: emulator.ServiceFaults{DropAnswers: 9}, run: masticway.FateUnknown, runs: 1},
 	}
