--- a/starter/evacuation_test.go
+++ b/starter/evacuation_test.go
@@ -145,8 +145,8 @@
 	qt.Assert(t, pieces, qt.Equals, 20)
 }
 
-// TestEvacuationReachesLateRouters starts routers during an evacuation, one of which can't reach the store. Then evacuations
-// change while the store compacts its history, so that the routers can't read the changes one by one.
+// TestEvacuationReachesLateRouters starts routers during an evacuation, one of which can't reach the store. Then another zone is
+// evacuated instead and the store compacts its history, so that routers can't read the changes one by one.
 func TestEvacuationReachesLateRouters(t *testing.T) {
 	p := newTestPlatform(t, 100000)
 	p.addServer("i-far", "ledger", "y")
--- a/starter/server.go
+++ b/starter/server.go
@@ -78,7 +78,7 @@
 	}
 }
 
-// close stops the servers at once, closing all connections, and waits until they have ended.
+// close stops the servers at once, closes all connections and waits until all servers have stopped.
 func (s *serverGroup) close() {
 	s.mu.Lock()
 	for _, server := range s.list {
