--- a/starter/listener.go
+++ b/starter/listener.go
@@ -9,28 +9,28 @@
 	"github.com/sirupsen/logrus"
 )
 
-// pausable is a listener that can be paused. While it is paused, a connection is refused at once, before a byte of a
-// request has come, and its caller goes to another router.
-type pausable struct {
+// pausableListener is a listener that can be paused. While it is paused, its port is closed: a connection is refused at once,
+// before the caller has sent any byte of a request, so the caller can use another router.
+type pausableListener struct {
 	log *logrus.Logger
 
 	mu sync.Mutex
-	// listener is nil while it is paused.
+	// listener is nil while the pausableListener is paused or closed.
 	listener net.Listener
 	address  net.Addr
-	// changed is closed with each change.
+	// changed is closed and replaced whenever listener or closed changes.
 	changed chan struct{}
 	closed  bool
 }
 
-var _ net.Listener = (*pausable)(nil)
+var _ net.Listener = (*pausableListener)(nil)
 
-func newPausable(l net.Listener, log *logrus.Logger) *pausable {
-	return &pausable{log: log, listener: l, address: l.Addr(), changed: make(chan struct{})}
+func newPausableListener(l net.Listener, log *logrus.Logger) *pausableListener {
+	return &pausableListener{log: log, listener: l, address: l.Addr(), changed: make(chan struct{})}
 }
 
-// Accept returns the next connection, once it takes connections.
-func (p *pausable) Accept() (net.Conn, error) {
+// Accept waits for the next connection and returns it. While the listener is paused, it waits until it is resumed or closed.
+func (p *pausableListener) Accept() (net.Conn, error) {
 	for {
 		l, changed, closed := p.state()
 		if closed {
@@ -42,44 +42,45 @@
 		}
 		conn, err := l.Accept()
 		if err != nil && errors.Is(err, net.ErrClosed) {
-			// It was paused, or closed for good.
+			// The listener was paused or closed.
 			continue
 		}
 		return conn, err
 	}
 }
 
-func (p *pausable) state() (l net.Listener, changed chan struct{}, closed bool) {
+// state returns the fields that mu guards.
+func (p *pausableListener) state() (l net.Listener, changed chan struct{}, closed bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.listener, p.changed, p.closed
 }
 
-// Addr returns the address, also while it is paused.
-func (p *pausable) Addr() net.Addr { return p.address }
+// Addr returns the address, also while the listener is paused.
+func (p *pausableListener) Addr() net.Addr { return p.address }
 
-// Close ends it for good.
-func (p *pausable) Close() error {
+// Close closes the listener; it can't be resumed.
+func (p *pausableListener) Close() error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.closed = true
 	return p.pause()
 }
 
-// Pause refuses connections from now on.
-func (p *pausable) Pause() {
+// Pause closes the port, so that new connections are refused until Resume is called.
+func (p *pausableListener) Pause() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if err := p.pause(); err != nil {
-		p.log.WithFields(logrus.Fields{"event": "listener", "error": err}).Error("the listener cannot be closed")
+		p.log.WithFields(logrus.Fields{"event": "listener", "error": err}).Error("failed to close the listener")
 	}
 }
 
-// pause closes the listener; the caller holds the lock.
-func (p *pausable) pause() error {
+// pause closes the port. The caller must hold p.mu.
+func (p *pausableListener) pause() error {
 	l := p.listener
 	p.listener = nil
-	p.tell()
+	p.notify()
 	if l == nil {
 		return nil
 	}
@@ -89,8 +90,9 @@
 	return nil
 }
 
-// Resume takes connections again; it returns false when the address cannot be had now.
-func (p *pausable) Resume() bool {
+// Resume accepts connections again. It returns false if the port can't be opened now. It does nothing and returns true if the
+// listener isn't paused or has been closed.
+func (p *pausableListener) Resume() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.closed || p.listener != nil {
@@ -98,16 +100,16 @@
 	}
 	l, err := Listen(p.address.String())
 	if err != nil {
-		p.log.WithFields(logrus.Fields{"event": "listener", "error": err}).Error("the listener cannot be opened again")
+		p.log.WithFields(logrus.Fields{"event": "listener", "error": err}).Error("failed to reopen the listener")
 		return false
 	}
 	p.listener = l
-	p.tell()
+	p.notify()
 	return true
 }
 
-// tell wakes those that wait for a change; the caller holds the lock.
-func (p *pausable) tell() {
+// notify wakes the goroutines that wait for a change. The caller must hold p.mu.
+func (p *pausableListener) notify() {
 	close(p.changed)
 	p.changed = make(chan struct{})
 }
