--- a/forwarder/forwarder.go
+++ b/forwarder/forwarder.go
@@ -46,7 +46,7 @@
 	codec    masticway.HeaderCodec
 	budgets  Budgets
 	sender   *sender.Sender
-	snapshot func() follower.Beliefs
+	snapshot func() follower.Snapshot
 	checks   *checks
 	examiner masticway.Examiner
 	rotation masticway.Rotation
@@ -73,7 +73,7 @@
 	Metrics *measurer.Set
 	Dialect masticway.HeaderCodec
 	Bank    Budgets
-	Beliefs func() follower.Beliefs
+	Beliefs func() follower.Snapshot
 	// Examiner identifies the requests under which servers crash.
 	Examiner masticway.Examiner
 	// Rotation reports whether the router is in the load balancer's rotation, and admits load.
@@ -99,7 +99,7 @@
 }
 
 // Changed applies a new snapshot of the configuration and the servers. It drops the state of servers that are gone or restarted.
-func (f *Forwarder) Changed(snapshot follower.Beliefs) {
+func (f *Forwarder) Changed(snapshot follower.Snapshot) {
 	startedAt, addresses := map[string]time.Time{}, map[string]bool{}
 	addressOf := map[string]string{}
 	for _, servers := range snapshot.Servers {
@@ -123,7 +123,7 @@
 
 // Ready reports whether the router accepts new connections.
 func (f *Forwarder) Ready() bool {
-	return f.drainState.Load() == nil && f.snapshot().Ready() && !f.rotation.IsOut()
+	return f.drainState.Load() == nil && f.snapshot().IsReady() && !f.rotation.IsOut()
 }
 
 // drain is the state of a router that shuts down.
--- a/forwarder/forwarder_test.go
+++ b/forwarder/forwarder_test.go
@@ -217,7 +217,7 @@
 	servers  []*emulator.OpaqueServer
 	budgets  *fakeBudgets
 	clock    *offsetClock
-	snapshot follower.Beliefs
+	snapshot follower.Snapshot
 	router   *forwarder.Forwarder
 	// rotation is the router's rotation.
 	rotation fakeRotation
@@ -274,7 +274,7 @@
 		r.Host, r.Shares = "h.example", []masticway.TrafficShare{{Pool: "llm", Weight: 1}}
 		d.Routes = append(d.Routes, r)
 	}
-	f.snapshot = follower.Beliefs{Known: true, Listed: true, Deployment: d.WithIndex(), Servers: map[string][]masticway.Server{}}
+	f.snapshot = follower.Snapshot{ConfigurationLoaded: true, ServersLoaded: true, Deployment: d.WithIndex(), Servers: map[string][]masticway.Server{}}
 	for i := range servers {
 		s, err := emulator.StartOpaqueServer(fmt.Sprintf("i-%d", i), f.ledger)
 		qt.Assert(t, err, qt.IsNil)
@@ -296,8 +296,8 @@
 		Members: f.budgets, Peers: func() []string { return nil }, Clock: f.clock, Log: log.WithField("", ""), Metrics: measurer.New(), Address: routerAddress,
 	})
 	f.router = forwarder.New(settings, forwarder.Parts{
-		Examiner: e, Rotation: &f.rotation, Throttler: f.throttler, Leaves: func(masticway.Server) {}, Clock: f.clock, Log: log.WithField("", ""), Metrics: measurer.New(), Dialect: platform.Dialect{},
-		Bank: f.budgets, Beliefs: func() follower.Beliefs { return f.snapshot }, Dial: (&net.Dialer{}).DialContext,
+		Examiner: e, Rotation: &f.rotation, Throttler: f.throttler, Leaves: func(masticway.Server) {}, Clock: f.clock, Log: log.WithField("", ""), Metrics: measurer.New(), Dialect: platform.HeaderCodec{},
+		Bank: f.budgets, Beliefs: func() follower.Snapshot { return f.snapshot }, Dial: (&net.Dialer{}).DialContext,
 	})
 	f.frontend = httptest.NewServer(f.router)
 	t.Cleanup(f.frontend.Close)
@@ -476,7 +476,7 @@
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
 			f := newFixture(t, 1)
-			f.snapshot.Known = tc.ready
+			f.snapshot.ConfigurationLoaded = tc.ready
 			f.budgets.verdict = tc.verdict
 			got := f.do(t.Context(), "POST", tc.path, tc.extra...)
 			qt.Assert(t, got.err, qt.IsNil)
--- a/starter/gateway.go
+++ b/starter/gateway.go
@@ -143,22 +143,22 @@
 		Choose: func() ([]string, bool) { return d.treasurer.Readers(decoder.ServerTable(), maxReadersPerZone) },
 	}, sharer.Table{Name: decoder.ServerTable(), Substance: serverContent(decoder)})
 	d.follower = follower.New(d.sharedStore, slowLinkStore, decoder, clock, entry, metrics, d.applySnapshot)
-	d.follower.Also(follower.Table{
-		Name: examiner.Table, Part: examiner.Part, Wait: suspectsMaxWait, Relist: suspectsRelistInterval, Take: d.examiner.Take,
+	d.follower.AddTable(follower.Table{
+		Name: examiner.Table, Part: examiner.Part, MaxWait: suspectsMaxWait, RelistInterval: suspectsRelistInterval, Apply: d.examiner.Take,
 	})
 	d.pausable = newPausableListener(l.Caller, log)
 	d.rotator = rotator.New(rotator.Settings{Instance: s.Instance, Zone: s.Zone, Memory: s.MemoryMB << 20}, rotator.Parts{
-		Listener: d.pausable, Voters: rotator.NewClient(messenger.NewPatientClient()), Clock: clock, Log: entry, Metrics: metrics, Neighbours: d.zonePeers,
+		Listener: d.pausable, Voters: rotator.NewClient(messenger.NewSlowLinkClient()), Clock: clock, Log: entry, Metrics: metrics, Neighbours: d.zonePeers,
 	})
 	d.store.Measure(func(took time.Duration, answered bool) { d.rotator.Note(rotator.KindStore, took, answered) })
-	peerClient.Measure(func(took time.Duration, answered bool) { d.rotator.Note(rotator.KindRouter, took, answered) })
+	peerClient.ObserveCalls(func(took time.Duration, answered bool) { d.rotator.Note(rotator.KindRouter, took, answered) })
 	d.throttler = throttler.New(throttler.Parts{
 		Routers: throttler.NewClient(peerClient), Members: d.treasurer, Peers: d.peers, Clock: clock, Log: entry, Metrics: metrics, Address: s.PeerAddress,
 	})
 	dialer := &net.Dialer{KeepAlive: -1}
 	d.forwarder = forwarder.New(s, forwarder.Parts{
-		Clock: clock, Log: entry, Metrics: metrics, Dialect: codec, Bank: d.treasurer, Beliefs: d.follower.Beliefs, Examiner: d.examiner,
-		Rotation: d.rotator, Throttler: d.throttler, Leaves: d.follower.Leaves, Dial: d.rotator.Dial(dialer.DialContext),
+		Clock: clock, Log: entry, Metrics: metrics, Dialect: codec, Bank: d.treasurer, Beliefs: d.follower.Snapshot, Examiner: d.examiner,
+		Rotation: d.rotator, Throttler: d.throttler, Leaves: d.follower.MarkDraining, Dial: d.rotator.Dial(dialer.DialContext),
 	})
 	d.callerListener = newCallerListener(d.pausable)
 	d.callerServer = &http.Server{
@@ -179,7 +179,7 @@
 
 // NewPlatformGateway returns a gateway for the users' platform that serves on sockets which are open already.
 func NewPlatformGateway(s forwarder.Settings, l GatewayListeners, out io.Writer) (*GatewayDaemon, error) {
-	return NewGateway(s, l, platform.NewStore(s.StoreAddress, storeTimeout), platform.NewStore(s.StoreAddress, slowLinkTimeout), platform.Decoder{}, platform.Dialect{}, masticway.SystemClock{}, out)
+	return NewGateway(s, l, platform.NewStore(s.StoreAddress, storeTimeout), platform.NewStore(s.StoreAddress, slowLinkTimeout), platform.Decoder{}, platform.HeaderCodec{}, masticway.SystemClock{}, out)
 }
 
 // serverContent returns a function that decodes a server's row to a value for comparison. A row that is only written again
@@ -196,9 +196,9 @@
 }
 
 // applySnapshot passes a new snapshot of the configuration and the servers on to the parts of the gateway.
-func (d *GatewayDaemon) applySnapshot(s follower.Beliefs) {
+func (d *GatewayDaemon) applySnapshot(s follower.Snapshot) {
 	d.treasurer.Configure(s.Deployment)
-	d.throttler.Keep(s.Lives())
+	d.throttler.Keep(s.Incarnations())
 	d.forwarder.Changed(s)
 }
 
--- a/starter/router.go
+++ b/starter/router.go
@@ -164,6 +164,6 @@
 
 // NewRouterPlatform returns a client of the platform for a router.
 func NewRouterPlatform(s router.Settings, dial Dial) router.Platform {
-	p := connector.NewPlatform(s.PlatformURL, connector.NewHTTP(connector.DialFunc(dial)), s.PlatformTimeout.Std())
+	p := connector.NewPlatform(s.PlatformURL, connector.NewHTTPClient(connector.DialFunc(dial)), s.PlatformTimeout.Std())
 	return router.Platform{Table: p, Objects: p.Objects(), Instances: p}
 }
