--- a/forwarder/forwarder.go
+++ b/forwarder/forwarder.go
@@ -68,20 +68,20 @@
 
 // Parts holds the dependencies of a Forwarder.
 type Parts struct {
-	Clock   masticway.Clock
-	Log     *logrus.Entry
-	Metrics *measurer.Set
-	Dialect masticway.HeaderCodec
-	Bank    Budgets
-	Beliefs func() follower.Snapshot
+	Clock    masticway.Clock
+	Log      *logrus.Entry
+	Metrics  *measurer.Set
+	Codec    masticway.HeaderCodec
+	Budgets  Budgets
+	Snapshot func() follower.Snapshot
 	// Examiner identifies the requests under which servers crash.
 	Examiner masticway.Examiner
 	// Rotation reports whether the router is in the load balancer's rotation, and admits load.
 	Rotation masticway.Rotation
 	// Throttler enforces the rate limits and backoff that servers announce.
 	Throttler masticway.Throttler
-	// Leaves is called for servers that announce that they drain.
-	Leaves func(masticway.Server)
+	// OnLeaving is called for servers that announce that they drain.
+	OnLeaving func(masticway.Server)
 	// Dial connects to servers.
 	Dial func(ctx context.Context, network, address string) (net.Conn, error)
 }
@@ -89,8 +89,8 @@
 // New returns a Forwarder.
 func New(s Settings, p Parts) *Forwarder {
 	f := &Forwarder{
-		settings: s, clock: p.Clock, log: p.Log, metrics: p.Metrics, codec: p.Dialect, budgets: p.Bank, snapshot: p.Beliefs,
-		examiner: p.Examiner, rotation: p.Rotation, throttler: p.Throttler, onLeaving: p.Leaves,
+		settings: s, clock: p.Clock, log: p.Log, metrics: p.Metrics, codec: p.Codec, budgets: p.Budgets, snapshot: p.Snapshot,
+		examiner: p.Examiner, rotation: p.Rotation, throttler: p.Throttler, onLeaving: p.OnLeaving,
 		checks: &checks{dial: p.Dial, clock: p.Clock, log: p.Log, byServer: map[masticway.ServerIncarnation]*check{}},
 		sender: sender.New(p.Dial, p.Clock.Now), servers: chooser.NewServers(s.serverPolicy()), allowances: map[string]*retrier.Allowance{},
 	}
@@ -98,8 +98,8 @@
 	return f
 }
 
-// Changed applies a new snapshot of the configuration and the servers. It drops the state of servers that are gone or restarted.
-func (f *Forwarder) Changed(snapshot follower.Snapshot) {
+// Update applies a new snapshot of the configuration and the servers. It drops the state of servers that are gone or restarted.
+func (f *Forwarder) Update(snapshot follower.Snapshot) {
 	startedAt, addresses := map[string]time.Time{}, map[string]bool{}
 	addressOf := map[string]string{}
 	for _, servers := range snapshot.Servers {
@@ -145,9 +145,9 @@
 	f.drainState.Store(&drain{since: f.clock.Now(), until: until})
 }
 
-// Refuse stops the forwarding of requests. It must be called before idle connections are closed: a connection on which a request
+// StopForwarding stops the forwarding of requests. It must be called before idle connections are closed: a connection on which a request
 // has just arrived looks idle until it is read, so the request would be forwarded and its answer lost.
-func (f *Forwarder) Refuse() {
+func (f *Forwarder) StopForwarding() {
 	if d := f.drainState.Load(); d != nil {
 		d.closing.Store(true)
 	}
--- a/forwarder/forwarder_test.go
+++ b/forwarder/forwarder_test.go
@@ -75,7 +75,7 @@
 func TestDrainIsCheckedAfterReadingBody(t *testing.T) {
 	for name, refuse := range map[string]func(f *fixture){
 		"the time for long requests is over": func(f *fixture) { f.clock.advance(4 * time.Second) },
-		"connections are being closed":       func(f *fixture) { f.router.Refuse() },
+		"connections are being closed":       func(f *fixture) { f.router.StopForwarding() },
 	} {
 		t.Run(name, func(t *testing.T) {
 			f := newFixture(t, 1)
@@ -296,8 +296,8 @@
 		Members: f.budgets, Peers: func() []string { return nil }, Clock: f.clock, Log: log.WithField("", ""), Metrics: measurer.New(), Address: routerAddress,
 	})
 	f.router = forwarder.New(settings, forwarder.Parts{
-		Examiner: e, Rotation: &f.rotation, Throttler: f.throttler, Leaves: func(masticway.Server) {}, Clock: f.clock, Log: log.WithField("", ""), Metrics: measurer.New(), Dialect: platform.HeaderCodec{},
-		Bank: f.budgets, Beliefs: func() follower.Snapshot { return f.snapshot }, Dial: (&net.Dialer{}).DialContext,
+		Examiner: e, Rotation: &f.rotation, Throttler: f.throttler, OnLeaving: func(masticway.Server) {}, Clock: f.clock, Log: log.WithField("", ""), Metrics: measurer.New(), Codec: platform.HeaderCodec{},
+		Budgets: f.budgets, Snapshot: func() follower.Snapshot { return f.snapshot }, Dial: (&net.Dialer{}).DialContext,
 	})
 	f.frontend = httptest.NewServer(f.router)
 	t.Cleanup(f.frontend.Close)
@@ -639,7 +639,7 @@
 	f := newFixture(t, 1)
 	f.router.Drain(f.clock.Now().Add(time.Minute))
 	qt.Assert(t, f.do(t.Context(), "POST", "/never/x").status, qt.Equals, 200)
-	f.router.Refuse()
+	f.router.StopForwarding()
 	got := f.do(t.Context(), "POST", "/never/x")
 	qt.Assert(t, got.status, qt.Equals, 503)
 	qt.Assert(t, got.header.Get("Retry-After") != "", qt.IsTrue)
--- a/router/upstreams.go
+++ b/router/upstreams.go
@@ -41,7 +41,7 @@
 		tracker: tracker.New(tracker.Settings{SilenceTimeout: s.SuspectAfter.Std()}),
 		chooser: chooser.New(s.Routing.Policy),
 		queue: limiter.NewQueue(limiter.QueueSettings{
-			PerClass: s.Queue.PerClass, PerWorkspace: s.Queue.PerWorkspace, InteractiveBurst: s.Queue.InteractiveBurst,
+			MaxPerClass: s.Queue.PerClass, MaxPerWorkspace: s.Queue.PerWorkspace, InteractiveBurst: s.Queue.InteractiveBurst,
 		}),
 		conns:     map[string]*linker.Conn{},
 		cancels:   map[string]context.CancelFunc{},
--- a/starter/gateway.go
+++ b/starter/gateway.go
@@ -133,8 +133,8 @@
 		Address: s.PeerAddress, Parts: s.Money.Parts, Reserve: s.Money.Reserve.Std(), BurstShare: s.Policy.BurstShare,
 		Zone: s.Zone, Holders: s.Policy.Holders, Processors: s.Processors,
 	})
-	d.store.Ask(d.peers)
-	d.store.WhenBack(d.treasurer.StoreIsBack)
+	d.store.SetPeers(d.peers)
+	d.store.OnRestored(d.treasurer.StoreIsBack)
 	d.examiner = examiner.New(examiner.Parts{
 		Store: d.store, Messages: peerClient, Peers: d.peers, Members: d.treasurer, Clock: clock, Log: entry, Metrics: metrics, Self: d.treasurer.Self(),
 	})
@@ -150,15 +150,15 @@
 	d.rotator = rotator.New(rotator.Settings{Instance: s.Instance, Zone: s.Zone, Memory: s.MemoryMB << 20}, rotator.Parts{
 		Listener: d.pausable, Voters: rotator.NewClient(messenger.NewSlowLinkClient()), Clock: clock, Log: entry, Metrics: metrics, Neighbours: d.zonePeers,
 	})
-	d.store.Measure(func(took time.Duration, answered bool) { d.rotator.Note(rotator.KindStore, took, answered) })
+	d.store.OnDirectCall(func(took time.Duration, answered bool) { d.rotator.Note(rotator.KindStore, took, answered) })
 	peerClient.ObserveCalls(func(took time.Duration, answered bool) { d.rotator.Note(rotator.KindRouter, took, answered) })
 	d.throttler = throttler.New(throttler.Parts{
 		Routers: throttler.NewClient(peerClient), Members: d.treasurer, Peers: d.peers, Clock: clock, Log: entry, Metrics: metrics, Address: s.PeerAddress,
 	})
 	dialer := &net.Dialer{KeepAlive: -1}
 	d.forwarder = forwarder.New(s, forwarder.Parts{
-		Clock: clock, Log: entry, Metrics: metrics, Dialect: codec, Bank: d.treasurer, Beliefs: d.follower.Snapshot, Examiner: d.examiner,
-		Rotation: d.rotator, Throttler: d.throttler, Leaves: d.follower.MarkDraining, Dial: d.rotator.Dial(dialer.DialContext),
+		Clock: clock, Log: entry, Metrics: metrics, Codec: codec, Budgets: d.treasurer, Snapshot: d.follower.Snapshot, Examiner: d.examiner,
+		Rotation: d.rotator, Throttler: d.throttler, OnLeaving: d.follower.MarkDraining, Dial: d.rotator.Dial(dialer.DialContext),
 	})
 	d.callerListener = newCallerListener(d.pausable)
 	d.callerServer = &http.Server{
@@ -199,7 +199,7 @@
 func (d *GatewayDaemon) applySnapshot(s follower.Snapshot) {
 	d.treasurer.Configure(s.Deployment)
 	d.throttler.Keep(s.Incarnations())
-	d.forwarder.Changed(s)
+	d.forwarder.Update(s)
 }
 
 // Start starts the gateway's background work and its servers and returns.
@@ -308,7 +308,7 @@
 	d.log.WithFields(logrus.Fields{"event": "stopping", "open": d.callerListener.OpenRequests(), "grace": grace}).Info("gateway stopping")
 	d.wait(began.Add(minUnreadyTime), began.Add(minUnreadyTime), d.isIdle)
 	// Later requests on connections that are idle now would be cut off by the shutdown. Their callers connect to another router.
-	d.forwarder.Refuse()
+	d.forwarder.StopForwarding()
 	d.callerListener.closeIdle()
 	d.wait(began, began.Add(grace-closeBudgetsBefore), d.isIdle)
 	ctx, cancel := context.WithTimeout(context.Background(), closeBudgetsBefore-exitBefore)
