--- a/examiner/examiner.go
+++ b/examiner/examiner.go
@@ -235,8 +235,8 @@
 	return nil
 }
 
-// Take applies a reading of the store's table. If whole is set, the reading contains all rows.
-func (e *Examiner) Take(whole bool, reading masticway.RowReading) {
+// ApplyReading applies a reading of the store's table. If whole is set, the reading contains all rows.
+func (e *Examiner) ApplyReading(whole bool, reading masticway.RowReading) {
 	if !whole && len(reading.Rows) == 0 {
 		return
 	}
--- a/forwarder/forwarder.go
+++ b/forwarder/forwarder.go
@@ -110,7 +110,7 @@
 		}
 	}
 	f.mu.Lock()
-	restarted := f.servers.Keep(startedAt)
+	restarted := f.servers.SyncIncarnations(startedAt)
 	f.mu.Unlock()
 	for _, id := range restarted {
 		// Idle connections belong to the previous incarnation, so they are closed.
--- a/rotator/rotator.go
+++ b/rotator/rotator.go
@@ -114,20 +114,20 @@
 	r.admission.release(bytes)
 }
 
-// Note records the duration of one of the router's own calls, and whether it was answered.
-func (r *Rotator) Note(k Kind, took time.Duration, answered bool) {
+// RecordCall records the duration of one of the router's own calls, and whether it was answered.
+func (r *Rotator) RecordCall(k Kind, took time.Duration, answered bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.load.Record(r.parts.Clock.Now(), k, took, answered)
 }
 
-// Dial wraps a dial function so that the durations of its calls are recorded.
-func (r *Rotator) Dial(dial func(ctx context.Context, network, address string) (net.Conn, error)) func(ctx context.Context, network, address string) (net.Conn, error) {
+// MeasureDial wraps a dial function so that the durations of its calls are recorded.
+func (r *Rotator) MeasureDial(dial func(ctx context.Context, network, address string) (net.Conn, error)) func(ctx context.Context, network, address string) (net.Conn, error) {
 	return func(ctx context.Context, network, address string) (net.Conn, error) {
 		began := r.parts.Clock.Now()
 		conn, err := dial(ctx, network, address)
 		if err == nil || errors.Is(ctx.Err(), context.DeadlineExceeded) {
-			r.Note(KindServer, r.parts.Clock.Now().Sub(began), err == nil)
+			r.RecordCall(KindServer, r.parts.Clock.Now().Sub(began), err == nil)
 		}
 		return conn, err
 	}
--- a/rotator/rotator_test.go
+++ b/rotator/rotator_test.go
@@ -224,7 +224,7 @@
 		if m.zone.callTime != nil {
 			took, answered = m.zone.callTime(k, n, m.delay())
 		}
-		m.rotator.Note(k, took, answered)
+		m.rotator.RecordCall(k, took, answered)
 	}
 }
 
--- a/router/exchange.go
+++ b/router/exchange.go
@@ -363,9 +363,9 @@
 }
 
 // acquireSlot gets a slot at an upstream that the payer's links row contains.
-func (x *exchange) acquireSlot(_ context.Context) (slot, chooser.Work, error) {
+func (x *exchange) acquireSlot(_ context.Context) (slot, chooser.Request, error) {
 	q := x.q
-	work := chooser.Work{PromptBytes: len(q.call.Prompt), Zone: x.r.settings.Zone}
+	work := chooser.Request{PromptBytes: len(q.call.Prompt), Zone: x.r.settings.Zone}
 	if q.call.Service == "" {
 		work.Prefixes = chooser.Prefixes(q.call.Prompt)
 	}
--- a/router/upstreams.go
+++ b/router/upstreams.go
@@ -210,7 +210,7 @@
 		u.tracker.MarkLeaving(instance)
 	}
 	if b.Load != nil {
-		u.chooser.Report(u.router.clock.Now(), instance, *b.Load)
+		u.chooser.RecordReport(u.router.clock.Now(), instance, *b.Load)
 	}
 	u.serveWaiting()
 	u.mu.Unlock()
--- a/sharer/sharer_test.go
+++ b/sharer/sharer_test.go
@@ -110,7 +110,7 @@
 		r.store = sharer.New(sharer.Parts{
 			Store: r.own, Readers: f, Clock: emulator.SteadyClock{}, Log: logrus.NewEntry(log), Metrics: measurer.New(),
 			Choose: func() ([]string, bool) { return []string{"edge-0", "edge-1"}, r.number < readerCount },
-		}, sharer.Table{Name: table, Substance: rowState})
+		}, sharer.Table{Name: table, Projection: rowState})
 		f.routers = append(f.routers, r)
 	}
 	for i := range servers {
--- a/sharer/store.go
+++ b/sharer/store.go
@@ -38,7 +38,7 @@
 // Table is one part of a table that is shared.
 type Table struct {
 	Name, Part string
-	Substance  Substance
+	Projection Projection
 }
 
 // Parts holds the dependencies of a store.
@@ -79,7 +79,7 @@
 func New(p Parts, tables ...Table) *Store {
 	s := &Store{RowStore: p.Store, parts: p, tables: map[string]*sharedTable{}}
 	for _, t := range tables {
-		s.tables[t.Name] = &sharedTable{Table: t, view: newView(t.Substance), retryAt: map[string]time.Time{}}
+		s.tables[t.Name] = &sharedTable{Table: t, view: newView(t.Projection), retryAt: map[string]time.Time{}}
 	}
 	return s
 }
--- a/starter/gateway.go
+++ b/starter/gateway.go
@@ -141,24 +141,24 @@
 	d.sharedStore = sharer.New(sharer.Parts{
 		Store: d.store, Readers: sharer.NewClient(peerClient), Clock: clock, Log: entry, Metrics: metrics,
 		Choose: func() ([]string, bool) { return d.treasurer.Readers(decoder.ServerTable(), maxReadersPerZone) },
-	}, sharer.Table{Name: decoder.ServerTable(), Substance: serverContent(decoder)})
+	}, sharer.Table{Name: decoder.ServerTable(), Projection: serverContent(decoder)})
 	d.follower = follower.New(d.sharedStore, slowLinkStore, decoder, clock, entry, metrics, d.applySnapshot)
 	d.follower.AddTable(follower.Table{
-		Name: examiner.Table, Part: examiner.Part, MaxWait: suspectsMaxWait, RelistInterval: suspectsRelistInterval, Apply: d.examiner.Take,
+		Name: examiner.Table, Part: examiner.Part, MaxWait: suspectsMaxWait, RelistInterval: suspectsRelistInterval, Apply: d.examiner.ApplyReading,
 	})
 	d.pausable = newPausableListener(l.Caller, log)
 	d.rotator = rotator.New(rotator.Settings{Instance: s.Instance, Zone: s.Zone, Memory: s.MemoryMB << 20}, rotator.Parts{
 		Listener: d.pausable, Voters: rotator.NewClient(messenger.NewSlowLinkClient()), Clock: clock, Log: entry, Metrics: metrics, Neighbours: d.zonePeers,
 	})
-	d.store.OnDirectCall(func(took time.Duration, answered bool) { d.rotator.Note(rotator.KindStore, took, answered) })
-	peerClient.ObserveCalls(func(took time.Duration, answered bool) { d.rotator.Note(rotator.KindRouter, took, answered) })
+	d.store.OnDirectCall(func(took time.Duration, answered bool) { d.rotator.RecordCall(rotator.KindStore, took, answered) })
+	peerClient.ObserveCalls(func(took time.Duration, answered bool) { d.rotator.RecordCall(rotator.KindRouter, took, answered) })
 	d.throttler = throttler.New(throttler.Parts{
 		Routers: throttler.NewClient(peerClient), Members: d.treasurer, Peers: d.peers, Clock: clock, Log: entry, Metrics: metrics, Address: s.PeerAddress,
 	})
 	dialer := &net.Dialer{KeepAlive: -1}
 	d.forwarder = forwarder.New(s, forwarder.Parts{
 		Clock: clock, Log: entry, Metrics: metrics, Codec: codec, Budgets: d.treasurer, Snapshot: d.follower.Snapshot, Examiner: d.examiner,
-		Rotation: d.rotator, Throttler: d.throttler, OnLeaving: d.follower.MarkDraining, Dial: d.rotator.Dial(dialer.DialContext),
+		Rotation: d.rotator, Throttler: d.throttler, OnLeaving: d.follower.MarkDraining, Dial: d.rotator.MeasureDial(dialer.DialContext),
 	})
 	d.callerListener = newCallerListener(d.pausable)
 	d.callerServer = &http.Server{
@@ -185,7 +185,7 @@
 // serverContent returns a function that decodes a server's row to a value for comparison. A row that is only written again
 // compares equal to the one before, so that it isn't passed on to other routers. The value of a row that can't be decoded is its
 // text.
-func serverContent(decoder masticway.DeploymentDecoder) sharer.Substance {
+func serverContent(decoder masticway.DeploymentDecoder) sharer.Projection {
 	return func(key string, value []byte) any {
 		s, err := decoder.Server(key, value)
 		if err != nil {
@@ -198,7 +198,7 @@
 // applySnapshot passes a new snapshot of the configuration and the servers on to the parts of the gateway.
 func (d *GatewayDaemon) applySnapshot(s follower.Snapshot) {
 	d.treasurer.Configure(s.Deployment)
-	d.throttler.Keep(s.Incarnations())
+	d.throttler.Prune(s.Incarnations())
 	d.forwarder.Update(s)
 }
 
--- a/throttler/throttler.go
+++ b/throttler/throttler.go
@@ -378,8 +378,8 @@
 	return t.limits.RetryAfter(now, server, t.Members.Members())
 }
 
-// Keep removes expired entries, and the limits of servers that are not in the given set.
-func (t *Throttler) Keep(known map[masticway.ServerIncarnation]bool) {
+// Prune removes expired entries, and the limits of servers that are not in the given set.
+func (t *Throttler) Prune(known map[masticway.ServerIncarnation]bool) {
 	if t.constrained.Load() == 0 {
 		return
 	}
