--- a/examiner/examiner.go
+++ b/examiner/examiner.go
@@ -44,8 +44,8 @@
 
 // Members provides the membership of the routers.
 type Members interface {
-	// Owns reports whether this router owns a key.
-	Owns(key string) bool
+	// OwnsKey reports whether this router owns a key.
+	OwnsKey(key string) bool
 }
 
 // Parts holds the dependencies of an examiner.
@@ -288,7 +288,7 @@
 	now := e.Clock.Now()
 	due = e.registry.DueChanges(now, maxWriteRows)
 	if len(due) == 0 {
-		expired = e.registry.ExpiredChanges(now, e.Members.Owns)
+		expired = e.registry.ExpiredChanges(now, e.Members.OwnsKey)
 	}
 	unshared = e.registry.Unshared(now)
 	e.mu.Unlock()
--- a/forwarder/forwarder.go
+++ b/forwarder/forwarder.go
@@ -29,8 +29,8 @@
 	Settle(id treasurer.HoldID, used int64)
 	// Members returns the estimated number of routers, or zero if it is unknown.
 	Members() int
-	// Owns reports whether this router is the single owner of a key. No router owns any key until the number of routers is known.
-	Owns(key string) bool
+	// OwnsKey reports whether this router is the single owner of a key. No router owns any key until the number of routers is known.
+	OwnsKey(key string) bool
 }
 
 // drainNotice is how long a draining router still accepts any request. The load balancer needs two failed checks, a second apart,
--- a/forwarder/forwarder_test.go
+++ b/forwarder/forwarder_test.go
@@ -202,7 +202,7 @@
 
 func (noSuspects) Release(masticway.RequestDigest) {}
 
-func (b *fakeBudgets) Owns(string) bool { return !b.othersOwn }
+func (b *fakeBudgets) OwnsKey(string) bool { return !b.othersOwn }
 
 func (b *fakeBudgets) settledAmounts() []int64 {
 	b.mu.Lock()
@@ -229,7 +229,7 @@
 // routerAddress is the address of the only router.
 const routerAddress = "router"
 
-func (b *fakeBudgets) Ranked(string, int) []string { return []string{routerAddress} }
+func (b *fakeBudgets) RankedAddresses(string, int) []string { return []string{routerAddress} }
 
 const (
 	promptTokens    = 100
--- a/lender/lender.go
+++ b/lender/lender.go
@@ -47,7 +47,7 @@
 func NewClient(m *messenger.Client) *Client { return &Client{messages: m} }
 
 // Borrow asks the router at an address for money of a workspace.
-func (c *Client) Borrow(ctx context.Context, address string, ask treasurer.LoanAsk) (treasurer.Loan, error) {
+func (c *Client) Borrow(ctx context.Context, address string, ask treasurer.LoanRequest) (treasurer.Loan, error) {
 	answer, err := messenger.Call[borrowAnswer](ctx, c.messages, address, pathBorrow, ask)
 	return treasurer.Loan{Lender: answer.Lender, Amount: min(ask.Need, max(0, answer.Amount))}, err
 }
@@ -58,15 +58,15 @@
 	return err
 }
 
-// Testify gives a statement to a witness and tells whether it took it.
-func (c *Client) Testify(ctx context.Context, address string, s treasurer.Statement) (bool, error) {
+// SendReport gives a statement to a witness and tells whether it took it.
+func (c *Client) SendReport(ctx context.Context, address string, s treasurer.SpendReport) (bool, error) {
 	answer, err := messenger.Call[testifyAnswer](ctx, c.messages, address, pathTestify, s)
 	return answer.Taken, err
 }
 
-// Recall asks a witness what an ended incarnation has stated.
-func (c *Client) Recall(ctx context.Context, address string, witness, ended masticway.Incarnation) (treasurer.Recollection, error) {
-	return messenger.Call[treasurer.Recollection](ctx, c.messages, address, pathRecall, recallRequest{Witness: witness, Ended: ended})
+// FinalReports asks a witness what an ended incarnation has stated.
+func (c *Client) FinalReports(ctx context.Context, address string, witness, ended masticway.Incarnation) (treasurer.WitnessRecord, error) {
+	return messenger.Call[treasurer.WitnessRecord](ctx, c.messages, address, pathRecall, recallRequest{Witness: witness, Ended: ended})
 }
 
 // Purse is what a router lends from, and what it remembers for others.
@@ -74,28 +74,28 @@
 	// Self names the incarnation that lends.
 	Self() masticway.Incarnation
 	// Lend takes money out for another router and returns how much.
-	Lend(ctx context.Context, ask treasurer.LoanAsk) int64
-	// Repaid takes money back.
-	Repaid(r treasurer.Repayment)
-	// Testified takes another router's statement, unless that one has ended.
-	Testified(s treasurer.Statement) bool
-	// Recall tells what an ended incarnation has stated to a witness, and lets it state nothing more.
-	Recall(witness, ended masticway.Incarnation) treasurer.Recollection
+	Lend(ctx context.Context, ask treasurer.LoanRequest) int64
+	// AcceptRepayment takes money back.
+	AcceptRepayment(r treasurer.Repayment)
+	// AcceptReport takes another router's statement, unless that one has ended.
+	AcceptReport(s treasurer.SpendReport) bool
+	// FinalReports tells what an ended incarnation has stated to a witness, and lets it state nothing more.
+	FinalReports(witness, ended masticway.Incarnation) treasurer.WitnessRecord
 }
 
 // Serve answers the calls of other routers.
 func Serve(mux *http.ServeMux, p Purse) {
-	messenger.Handle(mux, pathBorrow, func(ctx context.Context, ask treasurer.LoanAsk) borrowAnswer {
+	messenger.Handle(mux, pathBorrow, func(ctx context.Context, ask treasurer.LoanRequest) borrowAnswer {
 		return borrowAnswer{Amount: p.Lend(ctx, ask), Lender: p.Self()}
 	})
 	messenger.Handle(mux, pathRepay, func(_ context.Context, r treasurer.Repayment) receipt {
-		p.Repaid(r)
+		p.AcceptRepayment(r)
 		return receipt{}
 	})
-	messenger.Handle(mux, pathTestify, func(_ context.Context, s treasurer.Statement) testifyAnswer {
-		return testifyAnswer{Taken: p.Testified(s)}
+	messenger.Handle(mux, pathTestify, func(_ context.Context, s treasurer.SpendReport) testifyAnswer {
+		return testifyAnswer{Taken: p.AcceptReport(s)}
 	})
-	messenger.Handle(mux, pathRecall, func(_ context.Context, r recallRequest) treasurer.Recollection {
-		return p.Recall(r.Witness, r.Ended)
+	messenger.Handle(mux, pathRecall, func(_ context.Context, r recallRequest) treasurer.WitnessRecord {
+		return p.FinalReports(r.Witness, r.Ended)
 	})
 }
--- a/starter/gateway.go
+++ b/starter/gateway.go
@@ -134,13 +134,13 @@
 		Zone: s.Zone, Holders: s.Policy.Holders, Processors: s.Processors,
 	})
 	d.store.SetPeers(d.peers)
-	d.store.OnRestored(d.treasurer.StoreIsBack)
+	d.store.OnRestored(d.treasurer.NotifyStoreRecovered)
 	d.examiner = examiner.New(examiner.Parts{
 		Store: d.store, Messages: peerClient, Peers: d.peers, Members: d.treasurer, Clock: clock, Log: entry, Metrics: metrics, Self: d.treasurer.Self(),
 	})
 	d.sharedStore = sharer.New(sharer.Parts{
 		Store: d.store, Readers: sharer.NewClient(peerClient), Clock: clock, Log: entry, Metrics: metrics,
-		Choose: func() ([]string, bool) { return d.treasurer.Readers(decoder.ServerTable(), maxReadersPerZone) },
+		Choose: func() ([]string, bool) { return d.treasurer.ZoneReaders(decoder.ServerTable(), maxReadersPerZone) },
 	}, sharer.Table{Name: decoder.ServerTable(), Projection: serverContent(decoder)})
 	d.follower = follower.New(d.sharedStore, slowLinkStore, decoder, clock, entry, metrics, d.applySnapshot)
 	d.follower.AddTable(follower.Table{
@@ -247,7 +247,7 @@
 
 // peers returns the addresses of the other routers: those of the current members, or the configured seeds until there are any.
 func (d *GatewayDaemon) peers() []string {
-	known := d.treasurer.Peers()
+	known := d.treasurer.PeerAddresses()
 	if len(known) > 0 {
 		return known
 	}
@@ -257,7 +257,7 @@
 // zonePeers returns the other routers of this router's availability zone.
 func (d *GatewayDaemon) zonePeers() []rotator.Neighbour {
 	var all []rotator.Neighbour
-	for _, p := range d.treasurer.Neighbours() {
+	for _, p := range d.treasurer.ZonePeers() {
 		all = append(all, rotator.Neighbour{Instance: p.Incarnation.Instance(), Address: p.Address})
 	}
 	return all
--- a/throttler/throttler.go
+++ b/throttler/throttler.go
@@ -46,8 +46,8 @@
 type Members interface {
 	// Members returns the number of known routers, or zero if it is unknown.
 	Members() int
-	// Ranked returns the addresses of the first max routers by their rank for a key. This router may be among them.
-	Ranked(key string, max int) []string
+	// RankedAddresses returns the addresses of the first max routers by their rank for a key. This router may be among them.
+	RankedAddresses(key string, max int) []string
 }
 
 // Parts holds the dependencies of a throttler.
@@ -152,7 +152,7 @@
 
 // isOwner reports whether this router owns a server's limit.
 func (t *Throttler) isOwner(server masticway.ServerIncarnation) bool {
-	ranked := t.Members.Ranked(string(server), 1)
+	ranked := t.Members.RankedAddresses(string(server), 1)
 	return len(ranked) > 0 && ranked[0] == t.Address
 }
 
@@ -247,7 +247,7 @@
 // askOwners sends a permit request to the owner and the backup in turn. It returns the first reply and the address that it came
 // from, or nil if there is none.
 func (t *Throttler) askOwners(ctx context.Context, req PermitRequest) (*PermitReply, string) {
-	for _, address := range t.Members.Ranked(string(req.Server), maxOwners) {
+	for _, address := range t.Members.RankedAddresses(string(req.Server), maxOwners) {
 		reply, err := t.askRouter(ctx, address, askTimeout, req)
 		if err == nil && !reply.NotOwner {
 			return &reply, address
@@ -305,7 +305,7 @@
 	if req.Wanted <= 0 {
 		return PermitReply{Observed: t.observation(req.Server)}
 	}
-	ranked := t.Members.Ranked(string(req.Server), maxOwners)
+	ranked := t.Members.RankedAddresses(string(req.Server), maxOwners)
 	owner := len(ranked) > 0 && ranked[0] == t.Address
 	backup := len(ranked) > 1 && ranked[1] == t.Address
 	switch {
--- a/throttler/world_test.go
+++ b/throttler/world_test.go
@@ -93,7 +93,7 @@
 	return nil, false
 }
 
-func (n *simRouter) Ranked(key string, max int) []string {
+func (n *simRouter) RankedAddresses(key string, max int) []string {
 	if !slices.Equal(n.members, n.rankedMembers) {
 		n.rankedMembers, n.ranked = n.members, nil
 		ranked := slices.Clone(n.members)
@@ -278,7 +278,7 @@
 	// owner returns the router that owns the limit.
 	owner := func(w *world) *simRouter {
 		for _, n := range w.routers {
-			if n.address == n.Ranked(string(limitedServer), 1)[0] {
+			if n.address == n.RankedAddresses(string(limitedServer), 1)[0] {
 				return n
 			}
 		}
