--- a/router/upstreams.go
+++ b/router/upstreams.go
@@ -318,9 +318,9 @@
 	return -1
 }
 
-// Linked reports whether at least n sidecars may get work from this router under money of any linked router, and whether this
+// HasUpstreams reports whether at least n sidecars may get work from this router under money of any linked router, and whether this
 // router and the others of the region count each other among the keepers.
-func (r *Router) Linked(n int) bool {
+func (r *Router) HasUpstreams(n int) bool {
 	u := r.upstreams
 	u.mu.Lock()
 	usable := u.tracker.Usable(r.clock.Now())
