--- a/starter/router.go
+++ b/starter/router.go
@@ -111,8 +111,8 @@
 	}
 }
 
-// Ready reports whether requests are served.
-func (d *RouterDaemon) Ready() bool { return d.current.Load().router.Ready() }
+// IsReady reports whether requests are served.
+func (d *RouterDaemon) IsReady() bool { return d.current.Load().router.Ready() }
 
 // Incarnation returns the incarnation that serves now.
 func (d *RouterDaemon) Incarnation() masticway.Incarnation { return d.current.Load().router.Self() }
