--- a/examiner/examiner.go
+++ b/examiner/examiner.go
@@ -48,8 +48,8 @@
 	OwnsKey(key string) bool
 }
 
-// Parts holds the dependencies of an examiner.
-type Parts struct {
+// Dependencies holds the dependencies of an examiner.
+type Dependencies struct {
 	Store    masticway.RowStore
 	Messages *messenger.Client
 	// Peers returns the addresses of other routers.
@@ -63,7 +63,7 @@
 
 // Examiner applies the decisions of Registry, and exchanges evidence with the store and other routers.
 type Examiner struct {
-	Parts
+	Dependencies
 	// suspectCount is the number of requests in the registry. It is read by every request.
 	suspectCount atomic.Int64
 	wake         chan struct{}
@@ -81,9 +81,9 @@
 var _ masticway.Examiner = (*Examiner)(nil)
 
 // New returns an examiner without suspects.
-func New(p Parts) *Examiner {
+func New(p Dependencies) *Examiner {
 	return &Examiner{
-		Parts: p, wake: make(chan struct{}, 1), registry: NewRegistry(p.Self, rand.Float64), changed: make(chan struct{}),
+		Dependencies: p, wake: make(chan struct{}, 1), registry: NewRegistry(p.Self, rand.Float64), changed: make(chan struct{}),
 		provenSince: map[masticway.RequestDigest]time.Time{},
 	}
 }
--- a/forwarder/forwarder.go
+++ b/forwarder/forwarder.go
@@ -66,8 +66,8 @@
 	servedCount atomic.Int64
 }
 
-// Parts holds the dependencies of a Forwarder.
-type Parts struct {
+// Dependencies holds the dependencies of a Forwarder.
+type Dependencies struct {
 	Clock    masticway.Clock
 	Log      *logrus.Entry
 	Metrics  *measurer.Set
@@ -87,7 +87,7 @@
 }
 
 // New returns a Forwarder.
-func New(s Settings, p Parts) *Forwarder {
+func New(s Settings, p Dependencies) *Forwarder {
 	f := &Forwarder{
 		settings: s, clock: p.Clock, log: p.Log, metrics: p.Metrics, codec: p.Codec, budgets: p.Budgets, snapshot: p.Snapshot,
 		examiner: p.Examiner, rotation: p.Rotation, throttler: p.Throttler, onLeaving: p.OnLeaving,
--- a/forwarder/forwarder_test.go
+++ b/forwarder/forwarder_test.go
@@ -292,10 +292,10 @@
 			}
 		}
 	})
-	f.throttler = throttler.New(throttler.Parts{
+	f.throttler = throttler.New(throttler.Dependencies{
 		Members: f.budgets, Peers: func() []string { return nil }, Clock: f.clock, Log: log.WithField("", ""), Metrics: measurer.New(), Address: routerAddress,
 	})
-	f.router = forwarder.New(settings, forwarder.Parts{
+	f.router = forwarder.New(settings, forwarder.Dependencies{
 		Examiner: e, Rotation: &f.rotation, Throttler: f.throttler, OnLeaving: func(masticway.Server) {}, Clock: f.clock, Log: log.WithField("", ""), Metrics: measurer.New(), Codec: platform.HeaderCodec{},
 		Budgets: f.budgets, Snapshot: func() follower.Snapshot { return f.snapshot }, Dial: (&net.Dialer{}).DialContext,
 	})
--- a/rotator/rotator.go
+++ b/rotator/rotator.go
@@ -53,8 +53,8 @@
 	Resume() bool
 }
 
-// Parts holds the dependencies of a rotator.
-type Parts struct {
+// Dependencies holds the dependencies of a rotator.
+type Dependencies struct {
 	Listener Listener
 	// Voters must also work over a saturated link.
 	Voters  Voters
@@ -68,7 +68,7 @@
 // Rotator controls the load of a router: it admits requests, and takes the router out of rotation.
 type Rotator struct {
 	settings Settings
-	parts    Parts
+	parts    Dependencies
 	out      atomic.Bool
 	wg       sync.WaitGroup
 
@@ -85,7 +85,7 @@
 }
 
 // New returns a rotator for a router that is in rotation.
-func New(s Settings, p Parts) *Rotator {
+func New(s Settings, p Dependencies) *Rotator {
 	return &Rotator{settings: s, parts: p, load: NewLoad(), admission: admission{maxHeldBytes: int64(bodyMemoryShare * float64(s.Memory))}}
 }
 
--- a/starter/gateway.go
+++ b/starter/gateway.go
@@ -135,10 +135,10 @@
 	})
 	d.store.SetPeers(d.peers)
 	d.store.OnRestored(d.treasurer.NotifyStoreRecovered)
-	d.examiner = examiner.New(examiner.Parts{
+	d.examiner = examiner.New(examiner.Dependencies{
 		Store: d.store, Messages: peerClient, Peers: d.peers, Members: d.treasurer, Clock: clock, Log: entry, Metrics: metrics, Self: d.treasurer.Self(),
 	})
-	d.sharedStore = sharer.New(sharer.Parts{
+	d.sharedStore = sharer.New(sharer.Dependencies{
 		Store: d.store, Readers: sharer.NewClient(peerClient), Clock: clock, Log: entry, Metrics: metrics,
 		Choose: func() ([]string, bool) { return d.treasurer.ZoneReaders(decoder.ServerTable(), maxReadersPerZone) },
 	}, sharer.Table{Name: decoder.ServerTable(), Projection: serverContent(decoder)})
@@ -147,16 +147,16 @@
 		Name: examiner.Table, Part: examiner.Part, MaxWait: suspectsMaxWait, RelistInterval: suspectsRelistInterval, Apply: d.examiner.ApplyReading,
 	})
 	d.pausable = newPausableListener(l.Caller, log)
-	d.rotator = rotator.New(rotator.Settings{Instance: s.Instance, Zone: s.Zone, Memory: s.MemoryMB << 20}, rotator.Parts{
+	d.rotator = rotator.New(rotator.Settings{Instance: s.Instance, Zone: s.Zone, Memory: s.MemoryMB << 20}, rotator.Dependencies{
 		Listener: d.pausable, Voters: rotator.NewClient(messenger.NewSlowLinkClient()), Clock: clock, Log: entry, Metrics: metrics, Neighbours: d.zonePeers,
 	})
 	d.store.OnDirectCall(func(took time.Duration, answered bool) { d.rotator.RecordCall(rotator.KindStore, took, answered) })
 	peerClient.ObserveCalls(func(took time.Duration, answered bool) { d.rotator.RecordCall(rotator.KindRouter, took, answered) })
-	d.throttler = throttler.New(throttler.Parts{
+	d.throttler = throttler.New(throttler.Dependencies{
 		Routers: throttler.NewClient(peerClient), Members: d.treasurer, Peers: d.peers, Clock: clock, Log: entry, Metrics: metrics, Address: s.PeerAddress,
 	})
 	dialer := &net.Dialer{KeepAlive: -1}
-	d.forwarder = forwarder.New(s, forwarder.Parts{
+	d.forwarder = forwarder.New(s, forwarder.Dependencies{
 		Clock: clock, Log: entry, Metrics: metrics, Codec: codec, Budgets: d.treasurer, Snapshot: d.follower.Snapshot, Examiner: d.examiner,
 		Rotation: d.rotator, Throttler: d.throttler, OnLeaving: d.follower.MarkDraining, Dial: d.rotator.MeasureDial(dialer.DialContext),
 	})
--- a/throttler/throttler.go
+++ b/throttler/throttler.go
@@ -50,8 +50,8 @@
 	RankedAddresses(key string, max int) []string
 }
 
-// Parts holds the dependencies of a throttler.
-type Parts struct {
+// Dependencies holds the dependencies of a throttler.
+type Dependencies struct {
 	Routers Routers
 	Members Members
 	// Peers returns the addresses of the other routers. It includes some routers that are not yet counted as members.
@@ -65,7 +65,7 @@
 
 // Throttler applies the decisions of Limits and Backoffs, and exchanges permits and observations with other routers.
 type Throttler struct {
-	Parts
+	Dependencies
 	startedAt time.Time
 	// constrained is the number of servers that have a limit or have asked for backoff. It is read by every request.
 	constrained atomic.Int64
@@ -83,9 +83,9 @@
 var _ masticway.Throttler = (*Throttler)(nil)
 
 // New returns a throttler without any limit.
-func New(p Parts) *Throttler {
+func New(p Dependencies) *Throttler {
 	return &Throttler{
-		Parts: p, startedAt: p.Clock.Now(), wake: make(chan struct{}, 1), limits: NewLimits(), backoffs: NewBackoffs(), unresponsiveUntil: map[string]time.Time{},
+		Dependencies: p, startedAt: p.Clock.Now(), wake: make(chan struct{}, 1), limits: NewLimits(), backoffs: NewBackoffs(), unresponsiveUntil: map[string]time.Time{},
 		pendingNotify: map[masticway.ServerIncarnation]bool{},
 	}
 }
--- a/throttler/world_test.go
+++ b/throttler/world_test.go
@@ -136,7 +136,7 @@
 func (w *world) addRouter() *simRouter {
 	n := &simRouter{w: w, address: fmt.Sprintf("router-%d", len(w.routers))}
 	log, _ := test.NewNullLogger()
-	n.throttle = throttler.New(throttler.Parts{Routers: n, Members: n, Peers: n.peers, Clock: n, Log: log.WithField("", ""), Metrics: measurer.New(), Address: n.address})
+	n.throttle = throttler.New(throttler.Dependencies{Routers: n, Members: n, Peers: n.peers, Clock: n, Log: log.WithField("", ""), Metrics: measurer.New(), Address: n.address})
 	n.throttle.FetchObservations(context.Background())
 	w.routers = append(w.routers, n)
 	return n
