--- a/accountant/account_test.go
+++ b/accountant/account_test.go
@@ -86,7 +86,7 @@
 	})
 	row := r.Tables[0].Rows[0]
 	qt.Assert(t, row.Share, qt.Equals, 2.0/6)
-	qt.Assert(t, row.Asked, qt.Equals, int64(200))
+	qt.Assert(t, row.TokensAsked, qt.Equals, int64(200))
 	qt.Assert(t, row.MeanMS, qt.Equals, int64(150))
 	qt.Assert(t, row.MoneyMS, qt.Equals, int64(150))
 	qt.Assert(t, row.Example, qt.Equals, "a2")
@@ -161,8 +161,8 @@
 	})
 	for _, table := range r.Tables {
 		if table.Name == "configuration_versions_by_routers" {
-			qt.Assert(t, table.Rows[0].MostMS, qt.Equals, int64(0))
-			qt.Assert(t, table.Rows[1].MostMS, qt.Equals, int64(900))
+			qt.Assert(t, table.Rows[0].MaxMS, qt.Equals, int64(0))
+			qt.Assert(t, table.Rows[1].MaxMS, qt.Equals, int64(900))
 		}
 	}
 }
@@ -185,8 +185,8 @@
 	qt.Assert(t, summary(t, r, "other_events"), qt.DeepEquals, []string{"new_event 1"})
 	for _, table := range r.Tables {
 		if table.Name == "changes" {
-			qt.Assert(t, table.Rows[1].MostMS, qt.Equals, int64(400))
-			qt.Assert(t, table.Rows[3].MostMS, qt.Equals, int64(300))
+			qt.Assert(t, table.Rows[1].MaxMS, qt.Equals, int64(400))
+			qt.Assert(t, table.Rows[3].MaxMS, qt.Equals, int64(300))
 		}
 	}
 }
@@ -228,7 +228,7 @@
 	qt.Assert(t, missing.Lines, qt.Equals, int64(1))
 }
 
-func TestStoryOfOneRequest(t *testing.T) {
+func TestTraceOfOneRequest(t *testing.T) {
 	a := accountant.New(time.Second, "a1")
 	first := line("edge-1", 0, "event=configuration_in_force version=7") + line("edge-1", 1, "event=configuration_in_force version=8") +
 		line("edge-1", 20, failed+"a1") + line("edge-1", 25, failed+"other") + line("edge-1", 40, timeout+"a1")
@@ -237,11 +237,11 @@
 	qt.Assert(t, a.Read("2", strings.NewReader(second)), qt.IsNil)
 	s, err := a.Story()
 	qt.Assert(t, err, qt.IsNil)
-	var told []string
+	var got []string
 	for _, e := range s.Entries {
-		told = append(told, fmt.Sprint(e.Router, " ", e.Event, " ", e.Text("version"), e.Text("outcome"), " ", e.Before))
+		got = append(got, fmt.Sprint(e.Router, " ", e.Event, " ", e.Text("version"), e.Text("outcome"), " ", e.IsEarlierState))
 	}
-	qt.Assert(t, told, qt.DeepEquals, []string{
+	qt.Assert(t, got, qt.DeepEquals, []string{
 		"edge-1 configuration_in_force 8 true", "edge-1 attempt_failed  false", "edge-2 request budget_unreachable false",
 		"edge-1 request timeout false",
 	})
@@ -260,8 +260,8 @@
 func TestReportAsTextAndJSON(t *testing.T) {
 	r := account(t, []string{line("edge-1", 0, exhausted+"a1"), line("edge-1", 10, timeout+"a2"), line("edge-1", 10, "event=store_direct")})
 	cases := map[string]struct {
-		most int
-		says []string
+		maxRows  int
+		contains []string
 	}{
 		"all":     {0, []string{"not_served_by_cause: 2 of 2 rows", "no total of them is known", "03:00:00.010"}},
 		"limited": {1, []string{"not_served_by_cause: 1 of 2 rows", "changes: 1 of 1 rows"}},
@@ -269,8 +269,8 @@
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
 			var out bytes.Buffer
-			qt.Assert(t, r.Print(&out, tc.most), qt.IsNil)
-			for _, text := range tc.says {
+			qt.Assert(t, r.Print(&out, tc.maxRows), qt.IsNil)
+			for _, text := range tc.contains {
 				qt.Assert(t, out.String(), qt.Contains, text)
 			}
 			// No request was charged, so that column is left out.
--- a/accountant/cause.go
+++ b/accountant/cause.go
@@ -75,8 +75,8 @@
 	return "other"
 }
 
-// neverRead is the age in milliseconds of a row that was never read, the longest time there is.
-const neverRead = int64(math.MaxInt64 / time.Millisecond)
+// neverReadAge is the age in milliseconds of a row that was never read, the longest time there is.
+const neverReadAge = int64(math.MaxInt64 / time.Millisecond)
 
 // Reasons of money refusals, by what the router knew was left.
 const (
@@ -90,7 +90,7 @@
 func moneyReason(l Line) string {
 	left := l.Number("left") + max(l.Number("free"), l.Number("own"))
 	switch {
-	case l.Number("row_age_ms") >= neverRead:
+	case l.Number("row_age_ms") >= neverReadAge:
 		return reasonUnread
 	case left >= l.Number("hold"):
 		return reasonEnough
--- a/accountant/joined.go
+++ b/accountant/joined.go
@@ -5,63 +5,63 @@
 	"time"
 )
 
-// joinedMost bounds the requests that are joined; the lines of later ones are counted as not joined.
-const joinedMost = 1 << 20
+// maxJoined bounds the requests that are joined; the lines of later ones are counted as not joined.
+const maxJoined = 1 << 20
 
-// joint is what the lines of all routers tell of one request.
-type joint struct {
-	failed, ends int
-	router, last string
-	several      bool
-	at           time.Time
+// joinedRequest is what the lines of all routers tell of one request.
+type joinedRequest struct {
+	failures, ends int
+	router, last   string
+	severalRouters bool
+	at             time.Time
 }
 
-// joints join lines by request id.
-type joints struct {
-	ids  map[string]*joint
-	lost int64
+// joinedRequests join lines by request id.
+type joinedRequests struct {
+	ids     map[string]*joinedRequest
+	dropped int64
 }
 
-// note takes an end, or without a family a failed attempt.
-func (j *joints) note(l Line, family string) {
+// add takes an end, or without a family a failed attempt.
+func (j *joinedRequests) add(l Line, family string) {
 	id := l.Text("request")
-	one, ok := j.ids[id]
-	if !ok && (id == "" || len(j.ids) >= joinedMost) {
-		j.lost++
+	r, ok := j.ids[id]
+	if !ok && (id == "" || len(j.ids) >= maxJoined) {
+		j.dropped++
 		return
 	}
 	if !ok {
-		one = &joint{router: l.Router, last: "no_end_line"}
-		j.ids[strings.Clone(id)] = one
+		r = &joinedRequest{router: l.Router, last: "no_end_line"}
+		j.ids[strings.Clone(id)] = r
 	}
-	one.several = one.several || one.router != l.Router
+	r.severalRouters = r.severalRouters || r.router != l.Router
 	if family == "" {
-		one.failed++
+		r.failures++
 		return
 	}
-	one.ends++
-	if !l.Time.Before(one.at) {
-		one.last, one.at = family, l.Time
+	r.ends++
+	if !l.Time.Before(r.at) {
+		r.last, r.at = family, l.Time
 	}
 }
 
 // list counts the requests by what their lines have in common. One without a line for its end was served and not
 // sampled, was still open, or was lost with its router.
-func (j *joints) list() []Row {
+func (j *joinedRequests) list() []Row {
 	all := rows{}
-	for _, one := range j.ids {
-		if one.failed > 0 {
-			all.at(Key{Name: "after_failed_attempts", Family: one.last}).Count++
+	for _, r := range j.ids {
+		if r.failures > 0 {
+			all.at(Key{Name: "after_failed_attempts", Family: r.last}).Count++
 		}
-		if one.ends > 1 {
-			all.at(Key{Name: "several_ends", Family: one.last}).Count++
+		if r.ends > 1 {
+			all.at(Key{Name: "several_ends", Family: r.last}).Count++
 		}
-		if one.several {
-			all.at(Key{Name: "several_routers", Family: one.last}).Count++
+		if r.severalRouters {
+			all.at(Key{Name: "several_routers", Family: r.last}).Count++
 		}
 	}
-	if j.lost > 0 {
-		all.at(Key{Name: "lines_not_joined"}).Count = j.lost
+	if j.dropped > 0 {
+		all.at(Key{Name: "lines_not_joined"}).Count = j.dropped
 	}
 	return all.list()
 }
--- a/accountant/money.go
+++ b/accountant/money.go
@@ -14,15 +14,15 @@
 	last map[string]Counts
 }
 
-// refused notes a refusal for money.
-func (m money) refused(l Line, k Key) {
+// addRefusal notes a refusal for money.
+func (m money) addRefusal(l Line, k Key) {
 	kinds := m.workspaces.add(Key{Name: l.Text("workspace")}, l, l.Number("ms"), k.Outcome+"/"+k.Reason).Kinds
 	kinds["prepaid_most"] = max(kinds["prepaid_most"], l.Number("prepaid"))
 	kinds["left_most"] = max(kinds["left_most"], l.Number("left"))
 }
 
-// note takes an event that is about money outside requests.
-func (m money) note(l Line) {
+// add takes an event that is about money outside requests.
+func (m money) add(l Line) {
 	workspace, router := Key{Name: l.Text("workspace")}, Key{Name: l.Router}
 	switch l.Event {
 	case "grant_closed":
@@ -44,12 +44,12 @@
 		m.routers.add(router, l, 0)
 		delete(m.last, l.Router)
 	case "money_status":
-		m.status(l, m.routers.at(router).Kinds)
+		m.addCounters(l, m.routers.at(router).Kinds)
 	}
 }
 
-// status takes new counters; one that has fallen belongs to a new process.
-func (m money) status(l Line, kinds Counts) {
+// addCounters takes new counters; one that has fallen belongs to a new process.
+func (m money) addCounters(l Line, kinds Counts) {
 	now := Counts{}
 	for _, name := range counterNames {
 		now[name] = l.Number(name)
--- a/accountant/outages.go
+++ b/accountant/outages.go
@@ -3,10 +3,10 @@
 import "time"
 
 // outageKey names what can be out at a router.
-type outageKey struct{ router, begin, table string }
+type outageKey struct{ router, beginEvent, table string }
 
-// outageEnds tells which event ends which.
-var outageEnds = map[string]string{"store_direct": "store_turned_away", "store_regained": "store_lost"}
+// beginOf tells which event ends which.
+var beginOf = map[string]string{"store_direct": "store_turned_away", "store_regained": "store_lost"}
 
 // outages keeps what is out at each router, and sums up what was.
 type outages struct {
@@ -14,8 +14,8 @@
 	done rows
 }
 
-// note takes an event in a router's order, and returns how long the outage lasted that it ends, zero otherwise.
-func (o outages) note(l Line) int64 {
+// add takes an event in a router's order, and returns how long the outage lasted that it ends, zero otherwise.
+func (o outages) add(l Line) int64 {
 	switch l.Event {
 	case "store_turned_away", "store_lost":
 		key := outageKey{l.Router, l.Event, l.Text("table")}
@@ -23,7 +23,7 @@
 			o.open[key] = l
 		}
 	case "store_direct", "store_regained":
-		return o.end(outageKey{l.Router, outageEnds[l.Event], l.Text("table")}, l.Time, "ended")
+		return o.end(outageKey{l.Router, beginOf[l.Event], l.Text("table")}, l.Time, "ended")
 	case "started":
 		o.endAll(l.Router, l.Time, "process_ended")
 	}
@@ -31,21 +31,21 @@
 }
 
 // end sums an outage up.
-func (o outages) end(key outageKey, at time.Time, how string) int64 {
+func (o outages) end(key outageKey, at time.Time, reason string) int64 {
 	begin, ok := o.open[key]
 	if !ok {
 		return 0
 	}
 	delete(o.open, key)
 	took := at.Sub(begin.Time).Milliseconds()
-	o.done.add(Key{Name: key.router, Detail: key.begin, Reason: key.table}, begin, took, how)
+	o.done.add(Key{Name: key.router, Detail: key.beginEvent, Reason: key.table}, begin, took, reason)
 	return took
 }
 
-func (o outages) endAll(router string, at time.Time, how string) {
+func (o outages) endAll(router string, at time.Time, reason string) {
 	for key := range o.open {
 		if key.router == router {
-			o.end(key, at, how)
+			o.end(key, at, reason)
 		}
 	}
 }
@@ -54,7 +54,7 @@
 func (o outages) state(router string) string {
 	state, lost := "direct", ""
 	for key := range o.open {
-		if key.router == router && key.begin == "store_lost" {
+		if key.router == router && key.beginEvent == "store_lost" {
 			lost = max(lost, key.table)
 		} else if key.router == router {
 			state = "through_others"
--- a/accountant/reader.go
+++ b/accountant/reader.go
@@ -9,10 +9,10 @@
 )
 
 const (
-	// lineLimit bounds the bytes of a line.
-	lineLimit = 1 << 20
-	// lateBy is how far a router's line may go back in time before it counts as out of order.
-	lateBy = time.Second
+	// maxLineBytes bounds the bytes of a line.
+	maxLineBytes = 1 << 20
+	// maxDisorder is how far a router's line may go back in time before it counts as out of order.
+	maxDisorder = time.Second
 	// eventDropped is written without a time when a router's log could not keep up.
 	eventDropped = "log_lines_dropped"
 )
@@ -50,8 +50,8 @@
 type reader struct {
 	input  Input
 	router string
-	// last is the time of each router's newest line.
-	last map[string]time.Time
+	// newest is the time of each router's newest line.
+	newest map[string]time.Time
 }
 
 // read hands every event of a source over.
@@ -59,11 +59,11 @@
 	r.input.Sources++
 	r.router = name
 	lines := bufio.NewScanner(from)
-	lines.Buffer(nil, lineLimit)
+	lines.Buffer(nil, maxLineBytes)
 	before := r.input.Lines
 	for lines.Scan() {
 		r.input.Lines++
-		r.note(lines.Text(), take)
+		r.handleLine(lines.Text(), take)
 	}
 	if err := lines.Err(); err != nil {
 		return &ReadError{Source: name, Line: r.input.Lines - before + 1, Cause: err}
@@ -71,8 +71,8 @@
 	return nil
 }
 
-// note hands a line over if it is an event.
-func (r *reader) note(text string, take func(Line)) {
+// handleLine hands a line over if it is an event.
+func (r *reader) handleLine(text string, take func(Line)) {
 	l, ok := ParseLine(text)
 	if !ok || l.Time.IsZero() && l.Event != eventDropped {
 		r.input.Skipped++
@@ -87,16 +87,16 @@
 		r.input.Dropped += l.Number("lines")
 		return
 	}
-	r.input.First, r.input.Last = widen(r.input.First, r.input.Last, l.Time)
-	if l.Time.Before(r.last[l.Router].Add(-lateBy)) {
+	r.input.First, r.input.Last = extendSpan(r.input.First, r.input.Last, l.Time)
+	if l.Time.Before(r.newest[l.Router].Add(-maxDisorder)) {
 		r.input.OutOfOrder++
 	}
-	_, r.last[l.Router] = widen(l.Time, r.last[l.Router], l.Time)
+	_, r.newest[l.Router] = extendSpan(l.Time, r.newest[l.Router], l.Time)
 	take(l)
 }
 
-// widen takes a time into a span.
-func widen(first, last, at time.Time) (time.Time, time.Time) {
+// extendSpan takes a time into a span.
+func extendSpan(first, last, at time.Time) (time.Time, time.Time) {
 	if first.IsZero() || at.Before(first) {
 		first = at
 	}
--- a/accountant/report.go
+++ b/accountant/report.go
@@ -20,9 +20,9 @@
 
 // Table is a list of rows; a table in the order of time is printed whole.
 type Table struct {
-	Name  string `json:"name"`
-	Rows  []Row  `json:"rows"`
-	whole bool
+	Name          string `json:"name"`
+	Rows          []Row  `json:"rows"`
+	chronological bool
 }
 
 // Report is what the lines of a fleet tell; all requests that were not served have a line.
@@ -32,12 +32,12 @@
 }
 
 // Print writes the report as text; of tables that are not in the order of time so many rows, all when it is zero.
-func (r Report) Print(w io.Writer, most int) error {
+func (r Report) Print(w io.Writer, maxRows int) error {
 	fmt.Fprintf(w, "%s\nserved requests are told of in samples only (log_every): no total of them is known\n", r.Input)
 	for _, t := range r.Tables {
 		shown := t.Rows
-		if most > 0 && !t.whole {
-			shown = shown[:min(most, len(shown))]
+		if maxRows > 0 && !t.chronological {
+			shown = shown[:min(maxRows, len(shown))]
 		}
 		fmt.Fprintf(w, "\n%s: %d of %d rows\n", t.Name, len(shown), len(t.Rows))
 		if err := printRows(w, shown); err != nil {
@@ -61,10 +61,10 @@
 	{"store", func(r Row) string { return r.Store }},
 	{"count", func(r Row) string { return number(r.Count) }},
 	{"share", share},
-	{"tokens_asked", func(r Row) string { return number(r.Asked) }},
-	{"tokens_used", func(r Row) string { return number(r.Used) }},
+	{"tokens_asked", func(r Row) string { return number(r.TokensAsked) }},
+	{"tokens_used", func(r Row) string { return number(r.TokensUsed) }},
 	{"mean_ms", func(r Row) string { return number(r.MeanMS) }},
-	{"most_ms", func(r Row) string { return number(r.MostMS) }},
+	{"most_ms", func(r Row) string { return number(r.MaxMS) }},
 	{"money_ms", func(r Row) string { return number(r.MoneyMS) }},
 	{"kinds", func(r Row) string { return r.Kinds.String() }},
 	{"routers", func(r Row) string { return number(int64(len(r.Routers))) }},
--- a/accountant/rows.go
+++ b/accountant/rows.go
@@ -23,18 +23,18 @@
 // Counts counts by name.
 type Counts map[string]int64
 
-// countsShown bounds the counts that are listed as text.
-const countsShown = 8
+// maxCountsShown bounds the counts that are listed as text.
+const maxCountsShown = 8
 
 // String lists the largest counts, and none that are zero.
 func (c Counts) String() string {
 	names := slices.SortedFunc(maps.Keys(c), func(a, b string) int { return cmp.Or(cmp.Compare(c[b], c[a]), cmp.Compare(a, b)) })
 	names = slices.DeleteFunc(names, func(name string) bool { return c[name] == 0 })
 	parts := make([]string, 0, len(c))
-	for _, name := range names[:min(len(names), countsShown)] {
+	for _, name := range names[:min(len(names), maxCountsShown)] {
 		parts = append(parts, fmt.Sprintf("%s=%d", name, c[name]))
 	}
-	if more := len(names) - countsShown; more > 0 {
+	if more := len(names) - maxCountsShown; more > 0 {
 		parts = append(parts, fmt.Sprintf("(%d more)", more))
 	}
 	return strings.Join(parts, " ")
@@ -43,19 +43,19 @@
 // Row sums up lines that have a key in common; Share is its part of all rows' lines.
 type Row struct {
 	Key
-	Count   int64     `json:"count"`
-	Share   float64   `json:"share"`
-	Asked   int64     `json:"tokens_asked,omitempty"`
-	Used    int64     `json:"tokens_used,omitempty"`
-	TotalMS int64     `json:"total_ms,omitempty"`
-	MeanMS  int64     `json:"mean_ms,omitempty"`
-	MostMS  int64     `json:"most_ms,omitempty"`
-	MoneyMS int64     `json:"mean_money_ms,omitempty"`
-	Kinds   Counts    `json:"kinds,omitempty"`
-	Routers Counts    `json:"routers,omitempty"`
-	First   time.Time `json:"first,omitzero"`
-	Last    time.Time `json:"last,omitzero"`
-	Example string    `json:"example,omitempty"`
+	Count       int64     `json:"count"`
+	Share       float64   `json:"share"`
+	TokensAsked int64     `json:"tokens_asked,omitempty"`
+	TokensUsed  int64     `json:"tokens_used,omitempty"`
+	TotalMS     int64     `json:"total_ms,omitempty"`
+	MeanMS      int64     `json:"mean_ms,omitempty"`
+	MaxMS       int64     `json:"most_ms,omitempty"`
+	MoneyMS     int64     `json:"mean_money_ms,omitempty"`
+	Kinds       Counts    `json:"kinds,omitempty"`
+	Routers     Counts    `json:"routers,omitempty"`
+	First       time.Time `json:"first,omitzero"`
+	Last        time.Time `json:"last,omitzero"`
+	Example     string    `json:"example,omitempty"`
 }
 
 // rows sums lines up by key.
@@ -69,36 +69,36 @@
 }
 
 // add counts a line that took so long, and how often it was of each kind.
-func (r rows) add(k Key, l Line, took int64, kinds ...string) *Row {
+func (r rows) add(k Key, l Line, ms int64, kinds ...string) *Row {
 	row := r.at(k)
 	row.Count++
 	row.Routers[l.Router]++
 	for _, kind := range kinds {
 		row.Kinds[kind]++
 	}
-	row.Asked += l.Number("hold")
-	row.Used += l.Number("used")
-	row.TotalMS += took
-	row.MostMS = max(row.MostMS, took)
+	row.TokensAsked += l.Number("hold")
+	row.TokensUsed += l.Number("used")
+	row.TotalMS += ms
+	row.MaxMS = max(row.MaxMS, ms)
 	row.MoneyMS += l.Number("money_ms")
 	if row.Example == "" {
 		row.Example = strings.Clone(l.Text("request"))
 	}
-	row.First, row.Last = widen(row.First, row.Last, l.Time)
+	row.First, row.Last = extendSpan(row.First, row.Last, l.Time)
 	return row
 }
 
 // list returns the rows in the order of time, and where they have none with the most lines first.
 func (r rows) list() []Row {
-	all, whole := make([]Row, 0, len(r)), int64(0)
+	all, total := make([]Row, 0, len(r)), int64(0)
 	for _, row := range r {
-		whole += row.Count
+		total += row.Count
 	}
 	for _, row := range r {
-		done, count := *row, max(1, row.Count)
-		done.Share = float64(row.Count) / float64(max(1, whole))
-		done.MeanMS, done.MoneyMS = row.TotalMS/count, row.MoneyMS/count
-		all = append(all, done)
+		summary, count := *row, max(1, row.Count)
+		summary.Share = float64(row.Count) / float64(max(1, total))
+		summary.MeanMS, summary.MoneyMS = row.TotalMS/count, row.MoneyMS/count
+		all = append(all, summary)
 	}
 	slices.SortFunc(all, func(a, b Row) int {
 		if !a.At.IsZero() {
--- a/accountant/story.go
+++ b/accountant/story.go
@@ -7,71 +7,71 @@
 	"strings"
 )
 
-// Entry is one line of a story; Before tells that it is what the router had last said of its state.
-type Entry struct {
+// TraceEntry is one line of a story; Before tells that it is what the router had last said of its state.
+type TraceEntry struct {
 	Line
-	Before bool `json:"before"`
+	IsEarlierState bool `json:"before"`
 }
 
-// Story is what all routers say of one request in the order of time, and how it ended.
-type Story struct {
-	Request string  `json:"request"`
-	Input   Input   `json:"input"`
-	Entries []Entry `json:"entries"`
-	Ends    []Key   `json:"ends"`
+// Trace is what all routers say of one request in the order of time, and how it ended.
+type Trace struct {
+	Request string       `json:"request"`
+	Input   Input        `json:"input"`
+	Entries []TraceEntry `json:"entries"`
+	Ends    []Key        `json:"ends"`
 }
 
-// story finds the lines of one request.
-type story struct {
+// trace finds the lines of one request.
+type trace struct {
 	request string
-	entries []Entry
+	entries []TraceEntry
 	ends    []Key
-	// state is the last line of each change by router, until it is told.
-	state map[string]map[string]Line
+	// states is the last line of each change by router, until it is told.
+	states map[string]map[string]Line
 }
 
-// note takes any line, and what its router has of the store.
-func (s *story) note(l Line, store string) {
+// add takes any line, and what its router has of the store.
+func (s *trace) add(l Line, store string) {
 	if l.Text("request") == s.request {
-		s.tell(l, store)
+		s.addEntry(l, store)
 		return
 	}
-	if _, ok := changes[l.Event]; !ok {
+	if _, ok := listedEvents[l.Event]; !ok {
 		return
 	}
-	if s.state[l.Router] == nil {
-		s.state[l.Router] = map[string]Line{}
+	if s.states[l.Router] == nil {
+		s.states[l.Router] = map[string]Line{}
 	}
-	s.state[l.Router][l.Event] = l
+	s.states[l.Router][l.Event] = l
 }
 
-func (s *story) tell(l Line, store string) {
-	for _, before := range s.state[l.Router] {
-		s.entries = append(s.entries, Entry{Line: before, Before: true})
+func (s *trace) addEntry(l Line, store string) {
+	for _, before := range s.states[l.Router] {
+		s.entries = append(s.entries, TraceEntry{Line: before, IsEarlierState: true})
 	}
-	delete(s.state, l.Router)
-	s.entries = append(s.entries, Entry{Line: l})
+	delete(s.states, l.Router)
+	s.entries = append(s.entries, TraceEntry{Line: l})
 	if l.Text("outcome") != "" {
 		s.ends = append(s.ends, causeOf(l, store))
 	}
 }
 
 // Story tells of the request that the account follows.
-func (a *Account) Story() (Story, error) {
-	s := a.story
+func (a *Account) Story() (Trace, error) {
+	s := a.trace
 	if len(s.entries) == 0 {
-		return Story{}, &NotFoundError{What: "about request " + s.request, Lines: a.reader.input.Lines}
+		return Trace{}, &NotFoundError{What: "about request " + s.request, Lines: a.reader.input.Lines}
 	}
-	slices.SortStableFunc(s.entries, func(a, b Entry) int { return a.Time.Compare(b.Time) })
-	return Story{Request: s.request, Input: a.reader.input, Entries: s.entries, Ends: s.ends}, nil
+	slices.SortStableFunc(s.entries, func(a, b TraceEntry) int { return a.Time.Compare(b.Time) })
+	return Trace{Request: s.request, Input: a.reader.input, Entries: s.entries, Ends: s.ends}, nil
 }
 
 // Print writes the story as text, without what every line has.
-func (s Story) Print(w io.Writer) error {
+func (s Trace) Print(w io.Writer) error {
 	fmt.Fprintf(w, "%s\nrequest %s; < marks what its router had last said of its state\n", s.Input, s.Request)
 	for _, e := range s.Entries {
 		mark := " "
-		if e.Before {
+		if e.IsEarlierState {
 			mark = "<"
 		}
 		fmt.Fprintf(w, "%s %s %s %s", mark, e.Time.Format("15:04:05.000000"), e.Router, e.Event)
--- a/accountant/versions.go
+++ b/accountant/versions.go
@@ -29,7 +29,7 @@
 	current map[string]int64
 }
 
-func (v *versions) note(l Line) {
+func (v *versions) add(l Line) {
 	switch l.Event {
 	case "started":
 		delete(v.current, l.Router)
@@ -76,10 +76,10 @@
 			row.Kinds[kindStarting]++
 			continue
 		}
-		row.First, row.Last = widen(row.First, row.Last, l.at)
+		row.First, row.Last = extendSpan(row.First, row.Last, l.at)
 		followed = " last=" + l.router
 	}
-	row.MostMS = row.Last.Sub(row.First).Milliseconds()
+	row.MaxMS = row.Last.Sub(row.First).Milliseconds()
 	row.Name = fmt.Sprint(number)
 	row.Detail = fmt.Sprintf("missing=%s%s", strings.Join(slices.Sorted(maps.Keys(missing)), ","), followed)
 	return row
--- a/batcher/batcher.go
+++ b/batcher/batcher.go
@@ -11,28 +11,28 @@
 
 // Batcher gathers records of one owner; it is safe for concurrent use.
 type Batcher[T any] struct {
-	prefix string
-	owner  string
-	limit  int
+	prefix     string
+	owner      string
+	maxPending int
 
-	mu      sync.Mutex
-	pending []T
-	writing []T
-	number  int
-	name    string
-	dropped int64
+	mu           sync.Mutex
+	pending      []T
+	inFlight     []T
+	nextNumber   int
+	inFlightName string
+	dropped      int64
 }
 
 // New returns an empty batcher whose objects begin with a prefix; beyond limit records are dropped and counted.
 func New[T any](prefix string, owner masticway.Incarnation, limit int) *Batcher[T] {
-	return &Batcher[T]{prefix: prefix, owner: string(owner), limit: limit}
+	return &Batcher[T]{prefix: prefix, owner: string(owner), maxPending: limit}
 }
 
 // Add takes a record.
 func (b *Batcher[T]) Add(v T) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if len(b.pending)+len(b.writing) >= b.limit {
+	if len(b.pending)+len(b.inFlight) >= b.maxPending {
 		b.dropped++
 		return
 	}
@@ -44,11 +44,11 @@
 // After a failure the next flush writes the same batch under the same name.
 func (b *Batcher[T]) Flush(ctx context.Context, store masticway.ObjectStore, bucket string) error {
 	b.mu.Lock()
-	if len(b.writing) == 0 {
-		b.writing, b.pending = b.pending, nil
-		b.name = fmt.Sprintf("%s%s%s/%012d", b.prefix, bucket, b.owner, b.number)
+	if len(b.inFlight) == 0 {
+		b.inFlight, b.pending = b.pending, nil
+		b.inFlightName = fmt.Sprintf("%s%s%s/%012d", b.prefix, bucket, b.owner, b.nextNumber)
 	}
-	batch, name := b.writing, b.name
+	batch, name := b.inFlight, b.inFlightName
 	b.mu.Unlock()
 	if len(batch) == 0 {
 		return nil
@@ -62,8 +62,8 @@
 	}
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.writing = nil
-	b.number++
+	b.inFlight = nil
+	b.nextNumber++
 	return nil
 }
 
@@ -71,7 +71,7 @@
 func (b *Batcher[T]) Waiting() int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return len(b.pending) + len(b.writing)
+	return len(b.pending) + len(b.inFlight)
 }
 
 // Dropped returns the number of records that found no room.
--- a/batcher/batcher_test.go
+++ b/batcher/batcher_test.go
@@ -11,23 +11,23 @@
 	"github.com/masticway/masticway/emulator"
 )
 
-// forgetful is a store that writes but loses the answer, as many times as it is told.
-type forgetful struct {
+// answerLosingStore is a store that writes but loses the answer, as many times as it is told.
+type answerLosingStore struct {
 	*emulator.Objects
-	lose int
+	answersToLose int
 }
 
-func (f *forgetful) Put(ctx context.Context, name string, data []byte) error {
+func (f *answerLosingStore) Put(ctx context.Context, name string, data []byte) error {
 	err := f.Objects.Put(ctx, name, data)
-	if f.lose > 0 {
-		f.lose--
+	if f.answersToLose > 0 {
+		f.answersToLose--
 		return &masticway.OutcomeUnknownError{Service: "object store", ID: name, Reason: "answer lost"}
 	}
 	return err
 }
 
 func TestLostAnswerNeitherLosesNorDoublesRecords(t *testing.T) {
-	store := &forgetful{Objects: emulator.NewObjects(), lose: 2}
+	store := &answerLosingStore{Objects: emulator.NewObjects(), answersToLose: 2}
 	b := batcher.New[int]("p/", "r~1", 10)
 	ctx := context.Background()
 	for i := range 4 {
@@ -46,7 +46,7 @@
 	qt.Assert(t, all, qt.DeepEquals, []int{0, 1, 2, 3})
 }
 
-func TestWhatWaitsIsBounded(t *testing.T) {
+func TestPendingRecordsAreBounded(t *testing.T) {
 	b := batcher.New[int]("p/", "r~1", 3)
 	for i := range 5 {
 		b.Add(i)
--- a/biller/biller.go
+++ b/biller/biller.go
@@ -10,12 +10,12 @@
 )
 
 const (
-	// prefix is where batches of bills lie in the object store.
-	prefix = "journal/"
-	// seenFor is how long the reader remembers an identity.
-	seenFor = 30 * time.Minute
-	// readFor is how long it remembers a batch; it lists no batch older than two hours.
-	readFor = 3 * time.Hour
+	// journalPrefix is where batches of bills lie in the object store.
+	journalPrefix = "journal/"
+	// identityTTL is how long the reader remembers an identity.
+	identityTTL = 30 * time.Minute
+	// batchTTL is how long it remembers a batch; it lists no batch older than two hours.
+	batchTTL = 3 * time.Hour
 )
 
 // Kind tells what a bill is for.
@@ -46,12 +46,12 @@
 	At       time.Time        `json:"at"`
 }
 
-// pendingMost bounds the bills that wait for the object store, at about 400 bytes each.
-const pendingMost = 65536
+// maxPendingBills bounds the bills that wait for the object store, at about 400 bytes each.
+const maxPendingBills = 65536
 
 // NewJournal returns the batches of bills that an incarnation writes.
 func NewJournal(owner masticway.Incarnation) *batcher.Batcher[Bill] {
-	return batcher.New[Bill](prefix, owner, pendingMost)
+	return batcher.New[Bill](journalPrefix, owner, maxPendingBills)
 }
 
 // Bucket names the hour of the journal, so that readers look at recent hours only.
@@ -67,26 +67,26 @@
 
 // Auditor finds double bills; it is not safe for concurrent use.
 type Auditor struct {
-	first map[masticway.Identity]Bill
-	holds map[masticway.HoldID]time.Time
-	read  map[string]time.Time
-	again []Refund
+	first     map[masticway.Identity]Bill
+	seenHolds map[masticway.HoldID]time.Time
+	readAt    map[string]time.Time
+	retries   []Refund
 }
 
 // NewAuditor returns an auditor that has read nothing.
 func NewAuditor() *Auditor {
-	return &Auditor{first: map[masticway.Identity]Bill{}, holds: map[masticway.HoldID]time.Time{}, read: map[string]time.Time{}}
+	return &Auditor{first: map[masticway.Identity]Bill{}, seenHolds: map[masticway.HoldID]time.Time{}, readAt: map[string]time.Time{}}
 }
 
 // Take reads bills and returns what must be given back; a hold is considered once.
 func (a *Auditor) Take(now time.Time, bills []Bill) []Refund {
-	refunds := a.again
-	a.again = nil
+	refunds := a.retries
+	a.retries = nil
 	for _, b := range bills {
-		if _, seen := a.holds[b.Hold]; seen || b.Cost == 0 {
+		if _, seen := a.seenHolds[b.Hold]; seen || b.Cost == 0 {
 			continue
 		}
-		a.holds[b.Hold] = now
+		a.seenHolds[b.Hold] = now
 		if b.Kind == KindSuperseded {
 			refunds = append(refunds, refundOf(b))
 			continue
@@ -100,31 +100,31 @@
 		}
 		a.first[b.Identity] = b
 	}
-	a.forget(now)
+	a.evict(now)
 	return refunds
 }
 
 // Retry lets a refund that the table did not take come up again.
-func (a *Auditor) Retry(f Refund) { a.again = append(a.again, f) }
+func (a *Auditor) Retry(f Refund) { a.retries = append(a.retries, f) }
 
 func refundOf(b Bill) Refund {
 	return Refund{Budget: b.Budget, Identity: b.Identity, Hold: b.Hold, Amount: b.Cost}
 }
 
-func (a *Auditor) forget(now time.Time) {
+func (a *Auditor) evict(now time.Time) {
 	for identity, b := range a.first {
-		if now.Sub(b.At) > seenFor {
+		if now.Sub(b.At) > identityTTL {
 			delete(a.first, identity)
 		}
 	}
-	for n, at := range a.read {
-		if now.Sub(at) > readFor {
-			delete(a.read, n)
+	for n, at := range a.readAt {
+		if now.Sub(at) > batchTTL {
+			delete(a.readAt, n)
 		}
 	}
-	for h, at := range a.holds {
-		if now.Sub(at) > seenFor {
-			delete(a.holds, h)
+	for h, at := range a.seenHolds {
+		if now.Sub(at) > identityTTL {
+			delete(a.seenHolds, h)
 		}
 	}
 }
@@ -133,7 +133,7 @@
 func (a *Auditor) ReadNew(ctx context.Context, store masticway.ObjectStore, now time.Time) ([]Bill, error) {
 	var names []string
 	for _, hour := range []time.Time{now.Add(-time.Hour), now} {
-		list, err := store.List(ctx, prefix+Bucket(hour))
+		list, err := store.List(ctx, journalPrefix+Bucket(hour))
 		if err != nil {
 			return nil, fmt.Errorf("listing bills: %w", err)
 		}
@@ -141,7 +141,7 @@
 	}
 	var bills []Bill
 	for _, n := range names {
-		if _, seen := a.read[n]; seen {
+		if _, seen := a.readAt[n]; seen {
 			continue
 		}
 		batch, err := batcher.Read[Bill](ctx, store, n)
@@ -149,7 +149,7 @@
 			return bills, err
 		}
 		bills = append(bills, batch...)
-		a.read[n] = now
+		a.readAt[n] = now
 	}
 	return bills, nil
 }
--- a/biller/biller_test.go
+++ b/biller/biller_test.go
@@ -65,7 +65,7 @@
 	qt.Assert(t, again, qt.HasLen, 0)
 }
 
-func TestRefundThatFailedComesAgain(t *testing.T) {
+func TestFailedRefundIsRetried(t *testing.T) {
 	a := biller.NewAuditor()
 	refunds := a.Take(start, []biller.Bill{bill("w/a", "1", biller.KindSuperseded, 5)})
 	a.Retry(refunds[0])
--- a/bookkeeper/bookkeeper.go
+++ b/bookkeeper/bookkeeper.go
@@ -13,14 +13,14 @@
 )
 
 const (
-	// commitTries bounds the attempts of one operation against racing writers.
-	commitTries = 40
-	// commitPause and longestPause bound the pause after a conflict; a random part of it keeps writers that met from
+	// maxCommitAttempts bounds the attempts of one operation against racing writers.
+	maxCommitAttempts = 40
+	// minBackoff and maxBackoff bound the pause after a conflict; a random part of it keeps writers that met from
 	// meeting again, where tries without a pause gave up in 8 of 200 runs of eight writers.
-	commitPause  = 200 * time.Microsecond
-	longestPause = 20 * time.Millisecond
-	// drawShare is the part of what is left that a draw may take beyond its need.
-	drawShare = 0.5
+	minBackoff = 200 * time.Microsecond
+	maxBackoff = 20 * time.Millisecond
+	// extraDrawShare is the part of what is left that a draw may take beyond its need.
+	extraDrawShare = 0.5
 )
 
 // Book reads and writes money rows.
@@ -31,55 +31,55 @@
 // New returns a book on the platform's table.
 func New(t masticway.Table) *Book { return &Book{table: t} }
 
-// errDone ends an update that finds its work already committed.
-var errDone = errors.New("already committed")
+// errAlreadyDone ends an update that finds its work already committed.
+var errAlreadyDone = errors.New("already committed")
 
 // update reads a row, lets change derive a transaction from it, and commits until it wins or is done.
 //
-// change sees every fresh read, so after a lost answer it recognises its own write and returns errDone.
+// change sees every fresh read, so after a lost answer it recognises its own write and returns errAlreadyDone.
 func update[T any](ctx context.Context, t masticway.Table, key, id string, change func(v T, version int64) ([]masticway.Condition, []masticway.Put, error)) error {
-	var last error
-	for try := range commitTries {
-		if try > 0 {
-			backOff(ctx, try)
+	var commitErr error
+	for attempt := range maxCommitAttempts {
+		if attempt > 0 {
+			backoff(ctx, attempt)
 		}
 		row, err := t.Get(ctx, key)
 		if err != nil {
-			return unsure(last, err, id)
+			return keepUnknown(commitErr, err, id)
 		}
 		value, err := decode[T](row)
 		if err != nil {
 			return err
 		}
 		conditions, puts, err := change(value, row.Version)
-		if errors.Is(err, errDone) {
+		if errors.Is(err, errAlreadyDone) {
 			return nil
 		}
 		if err != nil {
 			return err
 		}
 		conditions = append(conditions, masticway.Condition{Key: key, Version: row.Version})
-		last = t.Commit(ctx, masticway.Transaction{ID: id, Conditions: conditions, Puts: puts})
-		if last == nil {
+		commitErr = t.Commit(ctx, masticway.Transaction{ID: id, Conditions: conditions, Puts: puts})
+		if commitErr == nil {
 			return nil
 		}
-		if _, ok := errors.AsType[*masticway.UnavailableError](last); ok {
-			return last
+		if _, ok := errors.AsType[*masticway.UnavailableError](commitErr); ok {
+			return commitErr
 		}
-		if conflict, ok := errors.AsType[*masticway.ConflictError](last); ok && conflict.Key != key {
-			return last
+		if conflict, ok := errors.AsType[*masticway.ConflictError](commitErr); ok && conflict.Key != key {
+			return commitErr
 		}
 		if ctx.Err() != nil {
-			return unsure(last, ctx.Err(), id)
+			return keepUnknown(commitErr, ctx.Err(), id)
 		}
 	}
-	return fmt.Errorf("updating %s, %d tries: %w", key, commitTries, last)
+	return fmt.Errorf("updating %s, %d tries: %w", key, maxCommitAttempts, commitErr)
 }
 
-// backOff pauses after a conflict, for a random time that grows with the tries, or until the context ends.
-func backOff(ctx context.Context, try int) {
-	longest := min(longestPause, commitPause<<min(try, 10))
-	pause := time.NewTimer(time.Duration(rand.Int64N(int64(longest))))
+// backoff pauses after a conflict, for a random time that grows with the tries, or until the context ends.
+func backoff(ctx context.Context, attempt int) {
+	maxPause := min(maxBackoff, minBackoff<<min(attempt, 10))
+	pause := time.NewTimer(time.Duration(rand.Int64N(int64(maxPause))))
 	defer pause.Stop()
 	select {
 	case <-ctx.Done():
@@ -87,9 +87,9 @@
 	}
 }
 
-// unsure keeps an unknown outcome unknown when the read-back fails too.
-func unsure(last, err error, id string) error {
-	unknown, ok := errors.AsType[*masticway.OutcomeUnknownError](last)
+// keepUnknown keeps an unknown outcome unknown when the read-back fails too.
+func keepUnknown(commitErr, err error, id string) error {
+	unknown, ok := errors.AsType[*masticway.OutcomeUnknownError](commitErr)
 	if !ok {
 		return err
 	}
@@ -98,19 +98,19 @@
 
 // DrawSize returns how much of what is left a draw takes.
 //
-// While others have open grants it never takes all: beyond the need it takes at most drawShare.
-func DrawSize(left, need, want masticway.Amount, alone bool) masticway.Amount {
-	if left <= 0 {
+// While others have open grants it never takes all: beyond the need it takes at most extraDrawShare.
+func DrawSize(remaining, need, want masticway.Amount, onlyPayer bool) masticway.Amount {
+	if remaining <= 0 {
 		return 0
 	}
-	if left <= need {
-		return left
+	if remaining <= need {
+		return remaining
 	}
-	extra := left - need
-	if !alone {
-		extra = masticway.Amount(float64(extra) * drawShare)
+	extra := remaining - need
+	if !onlyPayer {
+		extra = masticway.Amount(float64(extra) * extraDrawShare)
 	}
-	return min(left, max(need, min(want, need+extra)))
+	return min(remaining, max(need, min(want, need+extra)))
 }
 
 // Move carries out a keeper's move; linksVersion is the version of the payer's links row.
@@ -123,15 +123,15 @@
 	err := update(ctx, b.table, key, id, func(row Budget, version int64) ([]masticway.Condition, []masticway.Put, error) {
 		if version == 0 {
 			result.Missing = true
-			return nil, nil, errDone
+			return nil, nil, errAlreadyDone
 		}
 		next, drawn, done := applyMove(row, m)
 		result.Drawn = drawn
 		result.Left = next.Left()
-		result.Elsewhere = next.Open() - openOf(next, m.Grant)
-		result.Others = next.payersBut(m.Grant.Payer)
+		result.Elsewhere = next.Open() - openAmount(next, m.Grant)
+		result.OtherPayers = next.otherPayers(m.Grant.Payer)
 		if done {
-			return nil, nil, errDone
+			return nil, nil, errAlreadyDone
 		}
 		if err := next.Check(); err != nil {
 			return nil, nil, err
@@ -141,11 +141,11 @@
 	if err == nil {
 		return result, nil
 	}
-	return result, b.explainMove(ctx, m, linksVersion, err)
+	return result, b.explainMoveError(ctx, m, linksVersion, err)
 }
 
-// explainMove turns a conflict on the links row into the payer's own fencing.
-func (b *Book) explainMove(ctx context.Context, m keeper.Move, linksVersion int64, cause error) error {
+// explainMoveError turns a conflict on the links row into the payer's own fencing.
+func (b *Book) explainMoveError(ctx context.Context, m keeper.Move, linksVersion int64, cause error) error {
 	row, err := b.table.Get(ctx, prefixLinks+string(m.Grant.Payer))
 	if err != nil {
 		return cause
@@ -160,8 +160,8 @@
 	return fmt.Errorf("moving grant of %s (links version %d, now %d): %w", m.Grant.Budget, linksVersion, row.Version, cause)
 }
 
-// payersBut lists who else has open money of the budget.
-func (b Budget) payersBut(self masticway.Incarnation) []masticway.Incarnation {
+// otherPayers lists who else has open money of the budget.
+func (b Budget) otherPayers(self masticway.Incarnation) []masticway.Incarnation {
 	var payers []masticway.Incarnation
 	for _, g := range b.Grants {
 		if g.Payer != self && g.Open() > 0 {
@@ -171,8 +171,8 @@
 	return payers
 }
 
-func openOf(b Budget, k masticway.GrantKey) masticway.Amount {
-	if i := b.grant(k); i >= 0 {
+func openAmount(b Budget, k masticway.GrantKey) masticway.Amount {
+	if i := b.grantIndex(k); i >= 0 {
 		return b.Grants[i].Open()
 	}
 	return 0
@@ -180,8 +180,8 @@
 
 // applyMove computes the row after a move, and tells whether the row already has it.
 func applyMove(row Budget, m keeper.Move) (next Budget, drawn masticway.Amount, done bool) {
-	next = row.withGrants()
-	i := next.grant(m.Grant)
+	next = row.clone()
+	i := next.grantIndex(m.Grant)
 	if i < 0 {
 		if m.Close {
 			return next, 0, true
@@ -191,7 +191,7 @@
 	}
 	g := next.Grants[i]
 	if g.Seq >= m.Seq {
-		return next, lastDrawn(g, m), true
+		return next, recordedDraw(g, m), true
 	}
 	spent := max(m.Spent, g.Settled)
 	next.Settled += spent - g.Settled
@@ -205,28 +205,28 @@
 		next.Grants = append(next.Grants[:i], next.Grants[i+1:]...)
 		return next, 0, false
 	}
-	drawn = drawFor(next, m)
+	drawn = drawAmount(next, m)
 	next.Grants[i].Drawn += drawn
 	idle := drawn == 0 && m.Return == 0 && next.Settled == row.Settled
 	return next, drawn, idle
 }
 
-// lastDrawn recovers from the row how much a move drew whose answer was lost.
-func lastDrawn(g Grant, m keeper.Move) masticway.Amount {
+// recordedDraw recovers from the row how much a move drew whose answer was lost.
+func recordedDraw(g Grant, m keeper.Move) masticway.Amount {
 	return g.Drawn - m.DrawnBefore
 }
 
-func drawFor(b Budget, m keeper.Move) masticway.Amount {
-	if m.Fixed > 0 {
+func drawAmount(b Budget, m keeper.Move) masticway.Amount {
+	if m.Slices > 0 {
 		if m.DrawnBefore > 0 {
 			return 0
 		}
-		return min(b.Left(), b.Prepaid/masticway.Amount(m.Fixed))
+		return min(b.Left(), b.Prepaid/masticway.Amount(m.Slices))
 	}
 	if m.Need == 0 && m.Want == 0 {
 		return 0
 	}
-	return DrawSize(b.Left(), m.Need, m.Want, b.Open() == openOf(b, m.Grant))
+	return DrawSize(b.Left(), m.Need, m.Want, b.Open() == openAmount(b, m.Grant))
 }
 
 func movePuts(key string, before, after Budget, m keeper.Move) []masticway.Put {
@@ -234,7 +234,7 @@
 	if m.Close {
 		return append(puts, masticway.Put{Key: grantIndexKey(m.Grant)})
 	}
-	if before.grant(m.Grant) < 0 {
+	if before.grantIndex(m.Grant) < 0 {
 		puts = append(puts, masticway.Put{Key: grantIndexKey(m.Grant), Value: encode(m.Grant)})
 	}
 	return puts
@@ -254,9 +254,9 @@
 			return nil, nil, err
 		}
 		if mark.Version != 0 {
-			return nil, nil, errDone
+			return nil, nil, errAlreadyDone
 		}
-		result = row.withGrants()
+		result = row.clone()
 		result.ID = budget
 		result.Prepaid += amount
 		return []masticway.Condition{{Key: marker}}, []masticway.Put{
@@ -285,12 +285,12 @@
 			return nil, nil, err
 		}
 		if mark.Version != 0 || version == 0 {
-			return nil, nil, errDone
+			return nil, nil, errAlreadyDone
 		}
 		if row.Settled < amount {
 			return nil, nil, &InvariantError{Budget: budget, Prepaid: row.Prepaid, Settled: row.Settled - amount}
 		}
-		next := row.withGrants()
+		next := row.clone()
 		next.Settled -= amount
 		next.GivenBack += amount
 		return []masticway.Condition{{Key: marker}}, []masticway.Put{
@@ -323,19 +323,19 @@
 func (b *Book) PutLinks(ctx context.Context, links Links, version int64) (int64, error) {
 	key := prefixLinks + string(links.Incarnation)
 	value := encode(links)
-	var at int64
+	var found int64
 	err := update(ctx, b.table, key, key, func(row Links, current int64) ([]masticway.Condition, []masticway.Put, error) {
 		if current != 0 && string(encode(row)) == string(value) {
-			at = current
-			return nil, nil, errDone
+			found = current
+			return nil, nil, errAlreadyDone
 		}
 		if current != version {
 			return nil, nil, &masticway.SealedError{Incarnation: links.Incarnation}
 		}
 		return nil, []masticway.Put{{Key: key, Value: value}}, nil
 	})
-	if err != nil || at != 0 {
-		return at, err
+	if err != nil || found != 0 {
+		return found, err
 	}
 	row, err := b.table.Get(ctx, key)
 	if err != nil {
--- a/bookkeeper/bookkeeper_test.go
+++ b/bookkeeper/bookkeeper_test.go
@@ -19,12 +19,12 @@
 
 const budget = "b"
 
-func newBook(t *testing.T, prepaid masticway.Amount) (*bookkeeper.Book, *emulator.Table) {
+func newLedger(t *testing.T, prepaid masticway.Amount) (*bookkeeper.Book, *emulator.Table) {
 	table := emulator.NewTable()
-	book := bookkeeper.New(table)
-	_, err := book.TopUp(context.Background(), budget, "first", prepaid)
+	ledger := bookkeeper.New(table)
+	_, err := ledger.TopUp(context.Background(), budget, "first", prepaid)
 	qt.Assert(t, err, qt.IsNil)
-	return book, table
+	return ledger, table
 }
 
 func open(t *testing.T, book *bookkeeper.Book, inc masticway.Incarnation) int64 {
@@ -72,7 +72,7 @@
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
-			book, table := newBook(t, 1000)
+			book, table := newLedger(t, 1000)
 			version := open(t, book, "r~1")
 			table.SetFaults(tc.faults)
 			ctx, cancel := context.WithCancel(context.Background())
@@ -105,7 +105,7 @@
 }
 
 func TestSealedIncarnationDrawsNothing(t *testing.T) {
-	book, _ := newBook(t, 1000)
+	book, _ := newLedger(t, 1000)
 	version := open(t, book, "r~1")
 	_, err := book.Seal(context.Background(), "r~1")
 	qt.Assert(t, err, qt.IsNil)
@@ -117,7 +117,7 @@
 }
 
 func TestTopUpCountsOncePerChange(t *testing.T) {
-	book, table := newBook(t, 1000)
+	book, table := newLedger(t, 1000)
 	table.SetFaults(emulator.TableFaults{LoseAnswers: 1})
 	for range 3 {
 		row, err := book.TopUp(context.Background(), budget, "order-17", 500)
@@ -144,7 +144,7 @@
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
-			book, table := newBook(t, 1000)
+			book, table := newLedger(t, 1000)
 			version := open(t, book, "r~1")
 			m := move("r~1", 1, 100, 100)
 			_, err := book.Move(context.Background(), m, version)
@@ -166,7 +166,7 @@
 }
 
 func TestRefundCountsOncePerHold(t *testing.T) {
-	book, _ := newBook(t, 1000)
+	book, _ := newLedger(t, 1000)
 	version := open(t, book, "r~1")
 	m := move("r~1", 1, 100, 100)
 	_, err := book.Move(context.Background(), m, version)
@@ -185,38 +185,38 @@
 
 func TestFencingNumbersRise(t *testing.T) {
 	table := emulator.NewTable()
-	book := bookkeeper.New(table)
-	first, err := book.NextFence(context.Background(), "i", "a", masticway.Order{Action: "load_model"})
+	ledger := bookkeeper.New(table)
+	first, err := ledger.NextFence(context.Background(), "i", "a", masticway.Order{Action: "load_model"})
 	qt.Assert(t, err, qt.IsNil)
 	table.SetFaults(emulator.TableFaults{LoseAnswers: 1})
-	second, err := book.NextFence(context.Background(), "i", "b", masticway.Order{Action: "load_model"})
+	second, err := ledger.NextFence(context.Background(), "i", "b", masticway.Order{Action: "load_model"})
 	qt.Assert(t, err, qt.IsNil)
-	again, err := book.NextFence(context.Background(), "i", "b", masticway.Order{Action: "load_model"})
+	again, err := ledger.NextFence(context.Background(), "i", "b", masticway.Order{Action: "load_model"})
 	qt.Assert(t, err, qt.IsNil)
 	qt.Assert(t, []int64{first.Fence, second.Fence, again.Fence}, qt.DeepEquals, []int64{1, 2, 2})
 }
 
-// bookInput is one operation of a history; exactly one field is set.
-type bookInput struct {
-	draw  masticway.Amount
-	topUp masticway.Amount
-	back  bool
-	audit bool
+// ledgerOp is one operation of a history; exactly one field is set.
+type ledgerOp struct {
+	draw    masticway.Amount
+	topUp   masticway.Amount
+	recover bool
+	audit   bool
 }
 
-// bookOutput is what it brought; of a draw that was fenced nobody knows whether it was made.
-type bookOutput struct {
+// ledgerResult is what it brought; of a draw that was fenced nobody knows whether it was made.
+type ledgerResult struct {
 	amount masticway.Amount
 	fenced bool
 }
 
-// bookModel is one counter of what is left; a fenced draw may have been made or not.
-var bookModel = porcupine.NondeterministicModel{
+// ledgerModel is one counter of what is left; a fenced draw may have been made or not.
+var ledgerModel = porcupine.NondeterministicModel{
 	Init: func() []any { return []any{masticway.Amount(500)} },
 	Step: func(state, input, output any) []any {
 		left := state.(masticway.Amount)
-		in := input.(bookInput)
-		out := output.(bookOutput)
+		in := input.(ledgerOp)
+		out := output.(ledgerResult)
 		drawn := min(in.draw, left)
 		switch {
 		case in.audit && out.amount != left:
@@ -225,7 +225,7 @@
 			return []any{left}
 		case in.topUp > 0:
 			return []any{left + in.topUp}
-		case in.back:
+		case in.recover:
 			return []any{left + out.amount}
 		case out.fenced:
 			return []any{left, left - drawn}
@@ -236,13 +236,13 @@
 	},
 }
 
-// bookHistory records operations of several clients at once.
-type bookHistory struct {
+// opHistory records operations of several clients at once.
+type opHistory struct {
 	mu         sync.Mutex
 	operations []porcupine.Operation
 }
 
-func (h *bookHistory) record(client int, in bookInput, f func() bookOutput) bookOutput {
+func (h *opHistory) record(client int, in ledgerOp, f func() ledgerResult) ledgerResult {
 	call := time.Now().UnixNano()
 	out := f()
 	h.mu.Lock()
@@ -254,9 +254,9 @@
 // TestHistoriesAreLinearizable runs draws, top-ups, and recoveries of sealed payers at once and checks them, and what
 // is left in the end, against one counter. A payer that is sealed draws nothing from then on.
 func TestHistoriesAreLinearizable(t *testing.T) {
-	book, table := newBook(t, 500)
+	book, table := newLedger(t, 500)
 	table.SetFaults(emulator.TableFaults{LoseAnswers: 15})
-	history := &bookHistory{}
+	history := &opHistory{}
 	var wg sync.WaitGroup
 	for c := range 4 {
 		inc := masticway.Incarnation(fmt.Sprintf("r%d~1", c))
@@ -264,14 +264,14 @@
 		wg.Go(func() {
 			fenced := false
 			for n := range 6 {
-				out := history.record(c, bookInput{draw: 60}, func() bookOutput {
+				out := history.record(c, ledgerOp{draw: 60}, func() ledgerResult {
 					grant := masticway.GrantKey{Budget: budget, Payer: inc, Number: int64(n + 1)}
 					result, err := book.Move(context.Background(), keeper.Move{Grant: grant, Seq: 1, Need: 60}, version)
 					var sealed *masticway.SealedError
 					if err != nil && !errors.As(err, &sealed) {
 						t.Error(err)
 					}
-					return bookOutput{amount: result.Drawn, fenced: err != nil}
+					return ledgerResult{amount: result.Drawn, fenced: err != nil}
 				})
 				if fenced && !out.fenced {
 					t.Errorf("%s drew %d after it was fenced", inc, out.amount)
@@ -280,11 +280,11 @@
 				if n%2 == 1 {
 					continue
 				}
-				history.record(c, bookInput{topUp: 50}, func() bookOutput {
+				history.record(c, ledgerOp{topUp: 50}, func() ledgerResult {
 					if _, err := book.TopUp(context.Background(), budget, fmt.Sprint(c, "-", n), 50); err != nil {
 						t.Error(err)
 					}
-					return bookOutput{}
+					return ledgerResult{}
 				})
 			}
 		})
@@ -293,20 +293,20 @@
 			if _, err := book.Seal(context.Background(), inc); err != nil {
 				t.Error(err)
 			}
-			history.record(10+c, bookInput{back: true}, func() bookOutput {
+			history.record(10+c, ledgerOp{recover: true}, func() ledgerResult {
 				back, err := book.Recover(context.Background(), bookkeeper.Closing{Grant: masticway.GrantKey{Budget: budget, Payer: inc, Number: 1}})
 				if err != nil {
 					t.Error(err)
 				}
-				return bookOutput{amount: back}
+				return ledgerResult{amount: back}
 			})
 		})
 	}
 	wg.Wait()
-	history.record(20, bookInput{audit: true}, func() bookOutput {
+	history.record(20, ledgerOp{audit: true}, func() ledgerResult {
 		row, err := book.Budget(context.Background(), budget)
 		qt.Assert(t, err, qt.IsNil)
-		return bookOutput{amount: row.Left()}
+		return ledgerResult{amount: row.Left()}
 	})
-	qt.Assert(t, porcupine.CheckOperations(bookModel.ToModel(), history.operations), qt.IsTrue)
+	qt.Assert(t, porcupine.CheckOperations(ledgerModel.ToModel(), history.operations), qt.IsTrue)
 }
--- a/bookkeeper/fence.go
+++ b/bookkeeper/fence.go
@@ -32,7 +32,7 @@
 	err := update(ctx, b.table, key, "order/"+id, func(row fenceRow, _ int64) ([]masticway.Condition, []masticway.Put, error) {
 		if row.ID == id {
 			o = row.Order
-			return nil, nil, errDone
+			return nil, nil, errAlreadyDone
 		}
 		o.Fence = row.Number + 1
 		return nil, []masticway.Put{{Key: key, Value: encode(fenceRow{Number: o.Fence, Order: o, ID: id})}}, nil
--- a/bookkeeper/recovery.go
+++ b/bookkeeper/recovery.go
@@ -14,7 +14,7 @@
 	err := update(ctx, b.table, key, "seal/"+string(inc), func(row Links, version int64) ([]masticway.Condition, []masticway.Put, error) {
 		sealed = row
 		if version == 0 || row.State == LinksSealed {
-			return nil, nil, errDone
+			return nil, nil, errAlreadyDone
 		}
 		sealed.State = LinksSealed
 		return nil, []masticway.Put{{Key: key, Value: encode(sealed)}}, nil
@@ -58,11 +58,11 @@
 	key := prefixBudget + c.Grant.Budget
 	id := fmt.Sprintf("recover/%s/%d", c.Grant.Payer, c.Grant.Number)
 	err = update(ctx, b.table, key, id, func(row Budget, _ int64) ([]masticway.Condition, []masticway.Put, error) {
-		next, back, closed, done := applyClosing(row, c)
+		next, refund, closed, done := applyClosure(row, c)
 		if done {
-			return nil, nil, errDone
+			return nil, nil, errAlreadyDone
 		}
-		returned = back
+		returned = refund
 		if err := next.Check(); err != nil {
 			return nil, nil, err
 		}
@@ -78,10 +78,10 @@
 	return returned, nil
 }
 
-// applyClosing computes the row after a recovery step.
-func applyClosing(row Budget, c Closing) (next Budget, returned masticway.Amount, closed, done bool) {
-	next = row.withGrants()
-	i := next.grant(c.Grant)
+// applyClosure computes the row after a recovery step.
+func applyClosure(row Budget, c Closing) (next Budget, returned masticway.Amount, closed, done bool) {
+	next = row.clone()
+	i := next.grantIndex(c.Grant)
 	if i < 0 {
 		return next, 0, false, true
 	}
@@ -100,14 +100,14 @@
 	if c.Vanished {
 		return next, 0, false, true
 	}
-	back := max(0, limit-spent-c.Running)
-	if back == 0 && spent == g.Settled {
+	refund := max(0, limit-spent-c.Running)
+	if refund == 0 && spent == g.Settled {
 		return next, 0, false, true
 	}
 	g.Settled = spent
-	g.Returned += back
+	g.Returned += refund
 	next.Grants[i] = g
-	return next, back, false, false
+	return next, refund, false, false
 }
 
 // Forget removes the rows of an incarnation whose grants are all closed.
--- a/bookkeeper/rows.go
+++ b/bookkeeper/rows.go
@@ -74,13 +74,13 @@
 	return fmt.Sprintf("budget %s breaks prepaid %d >= settled %d + open %d", e.Budget, e.Prepaid, e.Settled, e.Open)
 }
 
-// grant returns the index of a payer's grant, or -1.
-func (b Budget) grant(k masticway.GrantKey) int {
+// grantIndex returns the index of a payer's grant, or -1.
+func (b Budget) grantIndex(k masticway.GrantKey) int {
 	return slices.IndexFunc(b.Grants, func(g Grant) bool { return g.Payer == k.Payer && g.Number == k.Number })
 }
 
-// withGrants returns the budget with its own copy of the grants.
-func (b Budget) withGrants() Budget {
+// clone returns the budget with its own copy of the grants.
+func (b Budget) clone() Budget {
 	b.Grants = slices.Clone(b.Grants)
 	return b
 }
--- a/keeper/account.go
+++ b/keeper/account.go
@@ -29,53 +29,53 @@
 }
 
 type account struct {
-	budget    string
-	grant     masticway.GrantKey
-	drawn     masticway.Amount
-	spent     masticway.Amount
-	presumed  masticway.Amount
-	returned  masticway.Amount
-	held      masticway.Amount
-	holds     int
-	waiting   []waiter
-	state     charter.State
-	seq       int64
-	rate      float64
-	rateAt    time.Time
-	lastHold  time.Time
-	horizon   time.Duration
-	retryAt   time.Time
-	known     bool
-	startedAt time.Time
-	askedAt   time.Time
-	left      masticway.Amount
-	elsewhere masticway.Amount
-	others    []masticway.Incarnation
-	failed    bool
-	bySidecar map[masticway.Incarnation]masticway.Amount
+	budget         string
+	grant          masticway.GrantKey
+	drawn          masticway.Amount
+	spent          masticway.Amount
+	presumed       masticway.Amount
+	returned       masticway.Amount
+	held           masticway.Amount
+	holdCount      int
+	waiters        []waiter
+	state          charter.State
+	seq            int64
+	demandRate     float64
+	rateUpdatedAt  time.Time
+	lastHoldAt     time.Time
+	horizon        time.Duration
+	nextMoveAt     time.Time
+	tableRead      bool
+	moveStartedAt  time.Time
+	readAt         time.Time
+	remaining      masticway.Amount
+	othersOpen     masticway.Amount
+	otherPayers    []masticway.Incarnation
+	lastMoveFailed bool
+	bySidecar      map[masticway.Incarnation]masticway.Amount
 }
 
 func (a *account) free() masticway.Amount { return a.drawn - a.spent - a.returned - a.held }
 
-func (a *account) observe(now time.Time, r HoldRequest) {
-	a.decay(now)
-	a.rate += float64(r.Most) / rateWindow.Seconds()
-	a.lastHold = now
+func (a *account) recordDemand(now time.Time, r HoldRequest) {
+	a.decayRate(now)
+	a.demandRate += float64(r.Most) / rateWindow.Seconds()
+	a.lastHoldAt = now
 	a.horizon = r.Horizon
 	if a.horizon == 0 {
 		a.horizon = defaultHorizon
 	}
 }
 
-func (a *account) decay(now time.Time) {
-	passed := now.Sub(a.rateAt)
-	a.rateAt = now
+func (a *account) decayRate(now time.Time) {
+	passed := now.Sub(a.rateUpdatedAt)
+	a.rateUpdatedAt = now
 	if passed <= 0 {
 		return
 	}
-	a.rate *= max(0, 1-passed.Seconds()/rateWindow.Seconds())
+	a.demandRate *= max(0, 1-passed.Seconds()/rateWindow.Seconds())
 }
 
 func (a *account) forecast() masticway.Amount {
-	return masticway.Amount(a.rate * a.horizon.Seconds())
+	return masticway.Amount(a.demandRate * a.horizon.Seconds())
 }
--- a/keeper/chart.go
+++ b/keeper/chart.go
@@ -32,32 +32,32 @@
 	stateClosing charter.State = "closing"
 )
 
-// moving tells whether a move of the account's grant is under way.
-func (a *account) moving() bool { return a.state == stateMoving || a.state == stateClosing }
+// isMoving tells whether a move of the account's grant is under way.
+func (a *account) isMoving() bool { return a.state == stateMoving || a.state == stateClosing }
 
 func (k *Keeper) stepGrant(a *account, e charter.Event) {
 	next, err := grantChart.Next(a.state, e)
-	k.note(err)
+	k.recordChartError(err)
 	a.state = next
 }
 
 func (k *Keeper) stepHold(h *hold, e charter.Event) {
 	next, err := holdChart.Next(h.state, e)
-	k.note(err)
+	k.recordChartError(err)
 	h.state = next
 }
 
-func (k *Keeper) note(err error) {
-	if err != nil && k.fault == nil {
-		k.fault = err
+func (k *Keeper) recordChartError(err error) {
+	if err != nil && k.chartError == nil {
+		k.chartError = err
 	}
 }
 
 // Fault returns the first step outside a chart, as a charter.StepError, or nothing.
-func (k *Keeper) Fault() error { return k.fault }
+func (k *Keeper) Fault() error { return k.chartError }
 
-// answerTo names the event that a move's result is.
-func answerTo(r MoveResult) charter.Event {
+// eventOf names the event that a move's result is.
+func eventOf(r MoveResult) charter.Event {
 	switch {
 	case r.Failed:
 		return eventFailed
--- a/keeper/draw.go
+++ b/keeper/draw.go
@@ -7,53 +7,53 @@
 )
 
 const (
-	// lowWater is the part of the horizon's demand below which the next draw starts early.
-	lowWater = 0.25
-	// retryPause separates attempts to draw after a refusal or an outage.
-	retryPause = 100 * time.Millisecond
+	// lowWatermark is the part of the horizon's demand below which the next draw starts early.
+	lowWatermark = 0.25
+	// moveRetryDelay separates attempts to draw after a refusal or an outage.
+	moveRetryDelay = 100 * time.Millisecond
 )
 
-// draw starts a move when money is short or will soon be.
-func (k *Keeper) draw(now time.Time, a *account) []Effect {
-	if a.moving() || now.Before(a.retryAt) {
+// drawIfShort starts a move when money is short or will soon be.
+func (k *Keeper) drawIfShort(now time.Time, a *account) []Effect {
+	if a.isMoving() || now.Before(a.nextMoveAt) {
 		return nil
 	}
 	var need, want masticway.Amount
-	for _, w := range a.waiting {
+	for _, w := range a.waiters {
 		need += w.request.Least
 		want += w.request.Most
 	}
 	forecast := a.forecast()
-	short := len(a.waiting) > 0
-	early := k.settings.Policy != PolicySlice && a.grant.Number != 0 && a.left > 0 &&
-		float64(a.free()) < lowWater*float64(forecast)
-	if !short && !early {
+	isShort := len(a.waiters) > 0
+	runsLow := k.settings.Policy != PolicySlice && a.grant.Number != 0 && a.remaining > 0 &&
+		float64(a.free()) < lowWatermark*float64(forecast)
+	if !isShort && !runsLow {
 		return nil
 	}
 	var effects []Effect
-	if short && a.known && a.left == 0 && a.elsewhere > 0 {
-		effects = append(effects, AskPeers{Budget: a.budget, Payers: a.others})
+	if isShort && a.tableRead && a.remaining == 0 && a.othersOpen > 0 {
+		effects = append(effects, AskPeers{Budget: a.budget, Payers: a.otherPayers})
 	}
 	m := Move{Need: max(0, need-a.free()), Want: max(0, want+forecast-a.free())}
 	if k.settings.Policy == PolicySlice {
-		m.Fixed = k.settings.Slices
+		m.Slices = k.settings.Slices
 	}
-	return append(effects, k.start(now, a, m))
+	return append(effects, k.startMove(now, a, m))
 }
 
-func (k *Keeper) start(now time.Time, a *account, m Move) Move {
+func (k *Keeper) startMove(now time.Time, a *account, m Move) Move {
 	if a.grant.Number == 0 {
-		k.number++
-		a.grant = masticway.GrantKey{Budget: a.budget, Payer: k.settings.Incarnation, Number: k.number}
+		k.lastGrantNumber++
+		a.grant = masticway.GrantKey{Budget: a.budget, Payer: k.settings.Incarnation, Number: k.lastGrantNumber}
 	}
 	event := eventMove
 	if m.Close {
 		event = eventClose
 	}
 	k.stepGrant(a, event)
-	a.startedAt = now
+	a.moveStartedAt = now
 	a.seq++
-	a.retryAt = now.Add(retryPause)
+	a.nextMoveAt = now.Add(moveRetryDelay)
 	// What is on its way back must not be held meanwhile.
 	a.returned += m.Return
 	m.Grant = a.grant
@@ -70,44 +70,44 @@
 	if !ok || a.grant != r.Move.Grant {
 		return nil
 	}
-	k.stepGrant(a, answerTo(r))
-	a.failed = r.Failed
+	k.stepGrant(a, eventOf(r))
+	a.lastMoveFailed = r.Failed
 	if r.Failed {
 		a.returned -= r.Move.Return
-		return k.serve(now, a)
+		return k.serveWaiters(now, a)
 	}
-	a.known = true
-	a.askedAt = a.startedAt
+	a.tableRead = true
+	a.readAt = a.moveStartedAt
 	a.drawn += r.Drawn
-	a.left = r.Left
-	a.elsewhere = r.Elsewhere
-	a.others = r.Others
+	a.remaining = r.Left
+	a.othersOpen = r.Elsewhere
+	a.otherPayers = r.OtherPayers
 	if k.settings.Policy == PolicySlice {
-		a.left = 0
-		a.elsewhere = 0
+		a.remaining = 0
+		a.othersOpen = 0
 	}
 	if r.Drawn > 0 {
-		a.retryAt = now
+		a.nextMoveAt = now
 	}
 	if r.Move.Close {
-		return k.closed(now, a)
+		return k.removeClosedGrant(now, a)
 	}
-	return k.serve(now, a)
+	return k.serveWaiters(now, a)
 }
 
-// closed forgets a grant that the table has ended; waiting requests open a new one.
-func (k *Keeper) closed(now time.Time, a *account) []Effect {
+// removeClosedGrant forgets a grant that the table has ended; waiting requests open a new one.
+func (k *Keeper) removeClosedGrant(now time.Time, a *account) []Effect {
 	fresh := &account{
-		budget: a.budget, state: grantChart.Initial(), waiting: a.waiting, rate: a.rate, rateAt: a.rateAt, lastHold: a.lastHold,
+		budget: a.budget, state: grantChart.Initial(), waiters: a.waiters, demandRate: a.demandRate, rateUpdatedAt: a.rateUpdatedAt, lastHoldAt: a.lastHoldAt,
 		horizon: a.horizon, bySidecar: map[masticway.Incarnation]masticway.Amount{},
 	}
 	delete(k.accounts, a.budget)
-	if len(fresh.waiting) == 0 {
+	if len(fresh.waiters) == 0 {
 		return nil
 	}
 	k.accounts[a.budget] = fresh
-	for _, w := range fresh.waiting {
-		k.waits[w.request.ID] = fresh
+	for _, w := range fresh.waiters {
+		k.waitingAccounts[w.request.ID] = fresh
 	}
-	return k.serve(now, fresh)
+	return k.serveWaiters(now, fresh)
 }
--- a/keeper/effects.go
+++ b/keeper/effects.go
@@ -32,8 +32,8 @@
 	// Need and Want bound the draw; both zero asks for none.
 	Need masticway.Amount
 	Want masticway.Amount
-	// Fixed draws this part of the prepaid sum, for the baseline policy.
-	Fixed int
+	// Slices draws this part of the prepaid sum, for the baseline policy.
+	Slices int
 	// Return goes back to the budget, and Close ends the grant.
 	Return masticway.Amount
 	Close  bool
@@ -60,8 +60,8 @@
 	// Left is what the budget could still give, and Elsewhere what other grants have open.
 	Left      masticway.Amount
 	Elsewhere masticway.Amount
-	// Others are the payers of those grants.
-	Others []masticway.Incarnation
+	// OtherPayers are the payers of those grants.
+	OtherPayers []masticway.Incarnation
 	// Failed says that nothing was moved because the table could not be reached.
 	Failed bool
 	// Missing says that the budget does not exist.
--- a/keeper/keeper.go
+++ b/keeper/keeper.go
@@ -17,8 +17,8 @@
 	PolicySlice    Policy = "slice"
 )
 
-// recentLimit bounds the identities remembered after they were settled.
-const recentLimit = 50_000
+// maxRecent bounds the identities remembered after they were settled.
+const maxRecent = 50_000
 
 // Settings are the tunables of a keeper.
 type Settings struct {
@@ -37,14 +37,14 @@
 	Identity masticway.Identity
 	Sender   masticway.Incarnation
 	// Most is the bound on the cost, and Least the smallest hold that is of use.
-	Most  masticway.Amount
-	Least masticway.Amount
+	Most  masticway.Amount `cbor:"Most"`
+	Least masticway.Amount `cbor:"Least"`
 	// Tracked asks the keeper to recognise a second request with the same identity.
 	Tracked bool
 	// Again tells that the run of the first one ended early, so that there is no whole answer to share.
-	Again   bool
+	Again   bool          `cbor:"Again"`
 	Horizon time.Duration
-	Wait    time.Duration
+	Wait    time.Duration `cbor:"Wait"`
 }
 
 // Verdict is the answer to a hold request.
@@ -70,29 +70,29 @@
 
 // Keeper holds the money of one incarnation; it is not safe for concurrent use.
 type Keeper struct {
-	settings Settings
-	accounts map[string]*account
-	holds    map[masticway.HoldID]*hold
-	waits    map[masticway.HoldID]*account
-	tracked  map[masticway.Identity]masticway.HoldID
-	senders  map[masticway.HoldID]masticway.Incarnation
-	recent   []masticway.Identity
-	number   int64
-	started  time.Time
-	// fault is the first step that a chart did not allow; it is a defect of this package.
-	fault error
+	settings        Settings
+	accounts        map[string]*account
+	holds           map[masticway.HoldID]*hold
+	waitingAccounts map[masticway.HoldID]*account
+	tracked         map[masticway.Identity]masticway.HoldID
+	senders         map[masticway.HoldID]masticway.Incarnation
+	recent          []masticway.Identity
+	lastGrantNumber int64
+	started         time.Time
+	// chartError is the first step that a chart did not allow; it is a defect of this package.
+	chartError error
 }
 
 // New returns a keeper without money.
 func New(s Settings, now time.Time) *Keeper {
 	return &Keeper{
-		settings: s,
-		accounts: map[string]*account{},
-		holds:    map[masticway.HoldID]*hold{},
-		waits:    map[masticway.HoldID]*account{},
-		tracked:  map[masticway.Identity]masticway.HoldID{},
-		senders:  map[masticway.HoldID]masticway.Incarnation{},
-		started:  now,
+		settings:        s,
+		accounts:        map[string]*account{},
+		holds:           map[masticway.HoldID]*hold{},
+		waitingAccounts: map[masticway.HoldID]*account{},
+		tracked:         map[masticway.Identity]masticway.HoldID{},
+		senders:         map[masticway.HoldID]masticway.Incarnation{},
+		started:         now,
 	}
 }
 
@@ -107,24 +107,24 @@
 	if r.Tracked {
 		first, ok := k.tracked[r.Identity]
 		_, open := k.holds[first]
-		_, waits := k.waits[first]
+		_, waits := k.waitingAccounts[first]
 		if ok && first != r.ID && (open || waits || !r.Again) {
 			return []Effect{Reply{ID: r.ID, Verdict: VerdictDuplicate, Sender: k.senders[first], Open: open || waits}}
 		}
 		k.track(r)
 	}
 	a := k.account(r.Budget)
-	k.waits[r.ID] = a
-	a.observe(now, r)
-	a.waiting = append(a.waiting, waiter{request: r, since: now, deadline: now.Add(r.Wait)})
-	return k.serve(now, a)
+	k.waitingAccounts[r.ID] = a
+	a.recordDemand(now, r)
+	a.waiters = append(a.waiters, waiter{request: r, since: now, deadline: now.Add(r.Wait)})
+	return k.serveWaiters(now, a)
 }
 
 func (k *Keeper) track(r HoldRequest) {
 	k.tracked[r.Identity] = r.ID
 	k.senders[r.ID] = r.Sender
 	k.recent = append(k.recent, r.Identity)
-	if len(k.recent) <= recentLimit {
+	if len(k.recent) <= maxRecent {
 		return
 	}
 	oldest := k.recent[0]
@@ -136,8 +136,8 @@
 	}
 }
 
-// forget lets a request that got no money be asked for again.
-func (k *Keeper) forget(r HoldRequest) {
+// untrack lets a request that got no money be asked for again.
+func (k *Keeper) untrack(r HoldRequest) {
 	if k.tracked[r.Identity] != r.ID {
 		return
 	}
@@ -163,70 +163,70 @@
 	k.stepHold(h, eventShrunk)
 	h.account.held -= h.amount - amount
 	h.amount = amount
-	return k.serve(now, h.account)
+	return k.serveWaiters(now, h.account)
 }
 
 // Settle ends a hold with its true cost; a repeated report has no effect.
 func (k *Keeper) Settle(now time.Time, id masticway.HoldID, charges []Charge) []Effect {
 	h, ok := k.holds[id]
 	if !ok {
-		k.abandon(id)
+		k.cancelWait(id)
 		return nil
 	}
 	delete(k.holds, id)
 	k.stepHold(h, eventSettled)
 	a := h.account
 	a.held -= h.amount
-	a.holds--
+	a.holdCount--
 	var cost masticway.Amount
-	lost := false
+	answerLost := false
 	for _, c := range charges {
 		cost += c.Amount
 		a.bySidecar[c.Sidecar] += c.Amount
 		if c.Presumed {
 			a.presumed += c.Amount
-			lost = true
+			answerLost = true
 		}
 	}
 	a.spent += cost
 	// The forecast counted the bound; correct it towards what was used.
-	a.rate = max(0, a.rate-float64(h.request.Most-cost)/rateWindow.Seconds())
-	if cost == 0 || lost {
+	a.demandRate = max(0, a.demandRate-float64(h.request.Most-cost)/rateWindow.Seconds())
+	if cost == 0 || answerLost {
 		// Nothing ran, or its answer went with its sidecar: the same identity may run.
-		k.forget(h.request)
+		k.untrack(h.request)
 	}
-	return k.serve(now, a)
+	return k.serveWaiters(now, a)
 }
 
-// abandon drops a request that still waits, because its sender has given up on it.
-func (k *Keeper) abandon(id masticway.HoldID) {
-	a, ok := k.waits[id]
+// cancelWait drops a request that still waits, because its sender has given up on it.
+func (k *Keeper) cancelWait(id masticway.HoldID) {
+	a, ok := k.waitingAccounts[id]
 	if !ok {
 		return
 	}
-	delete(k.waits, id)
-	a.waiting = slices.DeleteFunc(a.waiting, func(w waiter) bool {
+	delete(k.waitingAccounts, id)
+	a.waiters = slices.DeleteFunc(a.waiters, func(w waiter) bool {
 		if w.request.ID == id {
-			k.forget(w.request)
+			k.untrack(w.request)
 		}
 		return w.request.ID == id
 	})
 }
 
-// serve answers waiting requests in order and starts a draw where money is short.
-func (k *Keeper) serve(now time.Time, a *account) []Effect {
+// serveWaiters answers waiting requests in order and starts a draw where money is short.
+func (k *Keeper) serveWaiters(now time.Time, a *account) []Effect {
 	var effects []Effect
-	for len(a.waiting) > 0 {
-		w := a.waiting[0]
+	for len(a.waiters) > 0 {
+		w := a.waiters[0]
 		reply, ok := k.decide(now, a, w)
 		if !ok {
 			break
 		}
-		a.waiting = a.waiting[1:]
-		delete(k.waits, w.request.ID)
+		a.waiters = a.waiters[1:]
+		delete(k.waitingAccounts, w.request.ID)
 		effects = append(effects, reply)
 	}
-	return append(effects, k.draw(now, a)...)
+	return append(effects, k.drawIfShort(now, a)...)
 }
 
 // decide answers a waiting request if it can be answered now.
@@ -237,30 +237,30 @@
 	free := a.free()
 	r := w.request
 	if free >= r.Most {
-		return k.take(now, a, w, r.Most), true
+		return k.takeHold(now, a, w, r.Most), true
 	}
-	fresh := a.known && !a.moving() && !a.failed && !a.askedAt.Before(w.since)
-	if fresh && free >= r.Least {
-		share := free / masticway.Amount(len(a.waiting)+1)
-		return k.take(now, a, w, min(r.Most, max(r.Least, share))), true
+	isFresh := a.tableRead && !a.isMoving() && !a.lastMoveFailed && !a.readAt.Before(w.since)
+	if isFresh && free >= r.Least {
+		share := free / masticway.Amount(len(a.waiters)+1)
+		return k.takeHold(now, a, w, min(r.Most, max(r.Least, share))), true
 	}
-	if fresh && free+a.held+a.left+a.elsewhere < r.Least {
+	if isFresh && free+a.held+a.remaining+a.othersOpen < r.Least {
 		return k.refuse(now, w, VerdictExhausted), true
 	}
 	if now.Before(w.deadline) {
 		return Reply{}, false
 	}
 	// Money that others hold, perhaps a router that just died, is not exhausted: it can come back.
-	if !fresh || free+a.left+a.elsewhere >= r.Least {
+	if !isFresh || free+a.remaining+a.othersOpen >= r.Least {
 		return k.refuse(now, w, VerdictUnreachable), true
 	}
 	return k.refuse(now, w, VerdictExhausted), true
 }
 
-func (k *Keeper) take(now time.Time, a *account, w waiter, amount masticway.Amount) Reply {
+func (k *Keeper) takeHold(now time.Time, a *account, w waiter, amount masticway.Amount) Reply {
 	r := w.request
 	a.held += amount
-	a.holds++
+	a.holdCount++
 	h := &hold{request: r, amount: amount, account: a, opened: now, state: holdChart.Initial()}
 	k.stepHold(h, eventTaken)
 	k.holds[r.ID] = h
@@ -268,31 +268,31 @@
 }
 
 func (k *Keeper) refuse(now time.Time, w waiter, v Verdict) Reply {
-	k.forget(w.request)
+	k.untrack(w.request)
 	return Reply{ID: w.request.ID, Verdict: v, Waited: now.Sub(w.since)}
 }
 
 // Tick ends waits that are over and draws for those that go on; its cost follows the requests that wait.
 func (k *Keeper) Tick(now time.Time) []Effect {
-	if len(k.waits) == 0 {
+	if len(k.waitingAccounts) == 0 {
 		return nil
 	}
 	waiting := map[string]bool{}
-	for _, a := range k.waits {
+	for _, a := range k.waitingAccounts {
 		waiting[a.budget] = true
 	}
 	var effects []Effect
 	for _, budget := range slices.Sorted(maps.Keys(waiting)) {
-		effects = append(effects, k.serve(now, k.accounts[budget])...)
+		effects = append(effects, k.serveWaiters(now, k.accounts[budget])...)
 	}
 	return effects
 }
 
 // Budgets lists the budgets in memory, in a fixed order.
-func (k *Keeper) Budgets() []string { return k.budgets() }
+func (k *Keeper) Budgets() []string { return k.sortedBudgets() }
 
-// budgets lists accounts in a fixed order, so that the same events give the same effects.
-func (k *Keeper) budgets() []string {
+// sortedBudgets lists accounts in a fixed order, so that the same events give the same effects.
+func (k *Keeper) sortedBudgets() []string {
 	names := make([]string, 0, len(k.accounts))
 	for n := range k.accounts {
 		names = append(names, n)
--- a/keeper/keeper_test.go
+++ b/keeper/keeper_test.go
@@ -12,50 +12,50 @@
 
 var start = time.Unix(1_800_000_000, 0)
 
-// bench is a keeper whose moves the test answers by hand.
-type bench struct {
-	k     *keeper.Keeper
-	now   time.Time
-	moves []keeper.Move
-	said  map[masticway.HoldID]keeper.Reply
-	asked int
+// harness is a keeper whose moves the test answers by hand.
+type harness struct {
+	k        *keeper.Keeper
+	now      time.Time
+	moves    []keeper.Move
+	replies  map[masticway.HoldID]keeper.Reply
+	peerAsks int
 }
 
-func newBench(policy keeper.Policy) *bench {
-	return &bench{
+func newHarness(policy keeper.Policy) *harness {
+	return &harness{
 		k:   keeper.New(keeper.Settings{Incarnation: "r~1", Policy: policy, Slices: 4, IdleAfter: time.Second}, start),
-		now: start, said: map[masticway.HoldID]keeper.Reply{},
+		now: start, replies: map[masticway.HoldID]keeper.Reply{},
 	}
 }
 
-func (b *bench) apply(effects []keeper.Effect) {
+func (b *harness) apply(effects []keeper.Effect) {
 	for _, e := range effects {
 		switch e := e.(type) {
 		case keeper.Move:
 			b.moves = append(b.moves, e)
 		case keeper.Reply:
-			b.said[e.ID] = e
+			b.replies[e.ID] = e
 		case keeper.AskPeers:
-			b.asked++
+			b.peerAsks++
 		}
 	}
 }
 
-func (b *bench) hold(id string, most, least masticway.Amount) {
+func (b *harness) hold(id string, most, least masticway.Amount) {
 	b.apply(b.k.Hold(b.now, keeper.HoldRequest{
 		ID: masticway.HoldID(id), Identity: masticway.Identity("w/" + id), Budget: "b", Sender: "r~1", Most: most, Least: least,
 		Tracked: true, Horizon: time.Second, Wait: 200 * time.Millisecond,
 	}))
 }
 
-// moved answers the oldest move.
-func (b *bench) moved(drawn, left, elsewhere masticway.Amount, failed bool) {
+// answerMove answers the oldest move.
+func (b *harness) answerMove(drawn, left, elsewhere masticway.Amount, failed bool) {
 	m := b.moves[0]
 	b.moves = b.moves[1:]
-	b.apply(b.k.Moved(b.now, keeper.MoveResult{Move: m, Drawn: drawn, Left: left, Elsewhere: elsewhere, Failed: failed, Others: []masticway.Incarnation{"o~1"}}))
+	b.apply(b.k.Moved(b.now, keeper.MoveResult{Move: m, Drawn: drawn, Left: left, Elsewhere: elsewhere, Failed: failed, OtherPayers: []masticway.Incarnation{"o~1"}}))
 }
 
-func (b *bench) tick(d time.Duration) {
+func (b *harness) tick(d time.Duration) {
 	b.now = b.now.Add(d)
 	b.apply(b.k.Tick(b.now))
 	b.apply(b.k.Tidy(b.now))
@@ -63,71 +63,71 @@
 
 func TestHoldVerdicts(t *testing.T) {
 	cases := map[string]struct {
-		most, least     masticway.Amount
-		drawn, left     masticway.Amount
-		elsewhere       masticway.Amount
-		failed, waits   bool
-		verdict         keeper.Verdict
-		amount          masticway.Amount
-		peersAreAskedTo bool
+		most, least   masticway.Amount
+		drawn, left   masticway.Amount
+		elsewhere     masticway.Amount
+		failed, waits bool
+		verdict       keeper.Verdict
+		amount        masticway.Amount
+		asksPeers     bool
 	}{
 		"money is there":               {most: 100, least: 100, drawn: 500, left: 500, verdict: keeper.VerdictHeld, amount: 100},
 		"unnamed maximum is clamped":   {most: 100, least: 10, drawn: 40, verdict: keeper.VerdictHeld, amount: 20},
 		"clamp keeps the least":        {most: 100, least: 30, drawn: 40, verdict: keeper.VerdictHeld, amount: 30},
 		"nothing anywhere":             {most: 100, least: 100, drawn: 40, verdict: keeper.VerdictExhausted},
-		"others have it and give none": {most: 100, least: 100, drawn: 40, elsewhere: 90, waits: true, verdict: keeper.VerdictUnreachable, peersAreAskedTo: true},
+		"others have it and give none": {most: 100, least: 100, drawn: 40, elsewhere: 90, waits: true, verdict: keeper.VerdictUnreachable, asksPeers: true},
 		"table cannot be reached":      {most: 100, least: 100, failed: true, waits: true, verdict: keeper.VerdictUnreachable},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
-			b := newBench(keeper.PolicyForecast)
+			b := newHarness(keeper.PolicyForecast)
 			b.hold("h", tc.most, tc.least)
-			b.moved(tc.drawn, tc.left, tc.elsewhere, tc.failed)
-			_, answered := b.said["h"]
+			b.answerMove(tc.drawn, tc.left, tc.elsewhere, tc.failed)
+			_, answered := b.replies["h"]
 			qt.Assert(t, answered, qt.Equals, !tc.waits)
 			for range 10 {
 				b.tick(50 * time.Millisecond)
 				for len(b.moves) > 0 {
-					b.moved(0, tc.left, tc.elsewhere, tc.failed)
+					b.answerMove(0, tc.left, tc.elsewhere, tc.failed)
 				}
 			}
-			qt.Assert(t, b.said["h"].Verdict, qt.Equals, tc.verdict)
-			qt.Assert(t, b.said["h"].Amount, qt.Equals, tc.amount)
-			qt.Assert(t, b.asked > 0, qt.Equals, tc.peersAreAskedTo)
+			qt.Assert(t, b.replies["h"].Verdict, qt.Equals, tc.verdict)
+			qt.Assert(t, b.replies["h"].Amount, qt.Equals, tc.amount)
+			qt.Assert(t, b.peerAsks > 0, qt.Equals, tc.asksPeers)
 		})
 	}
 }
 
 func TestTopUpIsSeenBeforeARefusal(t *testing.T) {
-	b := newBench(keeper.PolicyForecast)
+	b := newHarness(keeper.PolicyForecast)
 	b.hold("first", 100, 100)
-	b.moved(0, 0, 0, false)
-	qt.Assert(t, b.said["first"].Verdict, qt.Equals, keeper.VerdictExhausted)
+	b.answerMove(0, 0, 0, false)
+	qt.Assert(t, b.replies["first"].Verdict, qt.Equals, keeper.VerdictExhausted)
 	// The top-up has happened since; the next request must look again rather than remember.
 	b.now = b.now.Add(time.Second)
 	b.hold("second", 100, 100)
-	b.moved(100, 50, 0, false)
-	qt.Assert(t, b.said["second"].Verdict, qt.Equals, keeper.VerdictHeld)
+	b.answerMove(100, 50, 0, false)
+	qt.Assert(t, b.replies["second"].Verdict, qt.Equals, keeper.VerdictHeld)
 }
 
 func TestWaitingRequestGetsReleasedMoney(t *testing.T) {
-	b := newBench(keeper.PolicyForecast)
+	b := newHarness(keeper.PolicyForecast)
 	b.hold("first", 100, 100)
-	b.moved(100, 0, 0, false)
+	b.answerMove(100, 0, 0, false)
 	b.hold("second", 80, 80)
 	for len(b.moves) > 0 {
-		b.moved(0, 0, 0, false)
+		b.answerMove(0, 0, 0, false)
 	}
-	_, answered := b.said["second"]
+	_, answered := b.replies["second"]
 	qt.Assert(t, answered, qt.IsFalse)
 	b.apply(b.k.Settle(b.now, "first", []keeper.Charge{{Sidecar: "s~1", Amount: 15}}))
-	qt.Assert(t, b.said["second"].Verdict, qt.Equals, keeper.VerdictHeld)
+	qt.Assert(t, b.replies["second"].Verdict, qt.Equals, keeper.VerdictHeld)
 }
 
 func TestRepeatedSettlementCountsOnce(t *testing.T) {
-	b := newBench(keeper.PolicyForecast)
+	b := newHarness(keeper.PolicyForecast)
 	b.hold("h", 100, 100)
-	b.moved(300, 0, 0, false)
+	b.answerMove(300, 0, 0, false)
 	for range 3 {
 		b.apply(b.k.Settle(b.now, "h", []keeper.Charge{{Sidecar: "s~1", Amount: 60}}))
 	}
@@ -138,43 +138,43 @@
 }
 
 func TestSecondRequestWithOneIdentityIsADuplicate(t *testing.T) {
-	b := newBench(keeper.PolicyForecast)
+	b := newHarness(keeper.PolicyForecast)
 	b.hold("h", 100, 100)
-	b.moved(300, 0, 0, false)
+	b.answerMove(300, 0, 0, false)
 	again := keeper.HoldRequest{ID: "other", Identity: "w/h", Budget: "b", Sender: "r~2", Most: 100, Least: 100, Tracked: true, Wait: time.Second}
 	b.apply(b.k.Hold(b.now, again))
-	qt.Assert(t, b.said["other"].Verdict, qt.Equals, keeper.VerdictDuplicate)
-	qt.Assert(t, b.said["other"].Sender, qt.Equals, masticway.Incarnation("r~1"))
-	qt.Assert(t, b.said["other"].Open, qt.IsTrue)
+	qt.Assert(t, b.replies["other"].Verdict, qt.Equals, keeper.VerdictDuplicate)
+	qt.Assert(t, b.replies["other"].Sender, qt.Equals, masticway.Incarnation("r~1"))
+	qt.Assert(t, b.replies["other"].Open, qt.IsTrue)
 	// A run that has ended is not waited for.
 	b.hold("paid", 100, 100)
 	b.apply(b.k.Settle(b.now, "paid", []keeper.Charge{{Sidecar: "s~1", Amount: 5}}))
 	late := keeper.HoldRequest{ID: "late", Identity: "w/paid", Budget: "b", Sender: "r~2", Most: 100, Least: 100, Tracked: true, Wait: time.Second}
 	b.apply(b.k.Hold(b.now, late))
-	qt.Assert(t, b.said["late"].Verdict, qt.Equals, keeper.VerdictDuplicate)
-	qt.Assert(t, b.said["late"].Open, qt.IsFalse)
+	qt.Assert(t, b.replies["late"].Verdict, qt.Equals, keeper.VerdictDuplicate)
+	qt.Assert(t, b.replies["late"].Open, qt.IsFalse)
 	// A run that cost nothing did not run, so the identity is free again.
 	b.apply(b.k.Settle(b.now, "h", nil))
 	again.ID = "third"
 	b.apply(b.k.Hold(b.now, again))
-	qt.Assert(t, b.said["third"].Verdict, qt.Equals, keeper.VerdictHeld)
+	qt.Assert(t, b.replies["third"].Verdict, qt.Equals, keeper.VerdictHeld)
 }
 
-func TestGivenUpRequestDoesNotKeepMoney(t *testing.T) {
-	b := newBench(keeper.PolicyForecast)
+func TestCancelledRequestHoldsNoMoney(t *testing.T) {
+	b := newHarness(keeper.PolicyForecast)
 	b.hold("h", 100, 100)
 	b.apply(b.k.Settle(b.now, "h", nil))
-	b.moved(300, 0, 0, false)
-	_, answered := b.said["h"]
+	b.answerMove(300, 0, 0, false)
+	_, answered := b.replies["h"]
 	qt.Assert(t, answered, qt.IsFalse)
 	p, _ := b.k.Position("b")
 	qt.Assert(t, p.Held, qt.Equals, masticway.Amount(0))
 }
 
 func TestIdleBudgetLeavesMemory(t *testing.T) {
-	b := newBench(keeper.PolicyForecast)
+	b := newHarness(keeper.PolicyForecast)
 	b.hold("h", 100, 100)
-	b.moved(300, 0, 0, false)
+	b.answerMove(300, 0, 0, false)
 	b.apply(b.k.Settle(b.now, "h", []keeper.Charge{{Sidecar: "s~1", Amount: 60}}))
 	b.tick(2 * time.Second)
 	qt.Assert(t, b.moves, qt.HasLen, 1)
@@ -183,16 +183,16 @@
 	qt.Assert(t, m.Return, qt.Equals, masticway.Amount(240))
 	// While the money is on its way back nothing of it can be held.
 	b.hold("late", 100, 100)
-	_, answered := b.said["late"]
+	_, answered := b.replies["late"]
 	qt.Assert(t, answered, qt.IsFalse)
-	b.moved(0, 240, 0, false)
+	b.answerMove(0, 240, 0, false)
 	qt.Assert(t, b.moves[0].Grant.Number, qt.Equals, int64(2))
-	b.moved(200, 40, 0, false)
-	qt.Assert(t, b.said["late"].Verdict, qt.Equals, keeper.VerdictHeld)
+	b.answerMove(200, 40, 0, false)
+	qt.Assert(t, b.replies["late"].Verdict, qt.Equals, keeper.VerdictHeld)
 }
 
 func TestSteadyDemandDrawsSeldom(t *testing.T) {
-	b := newBench(keeper.PolicyForecast)
+	b := newHarness(keeper.PolicyForecast)
 	draws := 0
 	for range 600 {
 		b.now = b.now.Add(100 * time.Millisecond)
@@ -201,7 +201,7 @@
 		}))
 		for len(b.moves) > 0 {
 			draws++
-			b.moved(b.moves[0].Want, 1_000_000, 0, false)
+			b.answerMove(b.moves[0].Want, 1_000_000, 0, false)
 		}
 		b.apply(b.k.Settle(b.now, masticway.HoldID(b.now.String()), []keeper.Charge{{Sidecar: "s~1", Amount: 90}}))
 	}
--- a/keeper/state.go
+++ b/keeper/state.go
@@ -51,14 +51,14 @@
 }
 
 // OpenGrants lists the numbers of the grants that are not closed, and the highest number given so far.
-func (k *Keeper) OpenGrants() (numbers []int64, upto int64) {
+func (k *Keeper) OpenGrants() (numbers []int64, maxNumber int64) {
 	for _, a := range k.accounts {
 		if a.grant.Number != 0 {
 			numbers = append(numbers, a.grant.Number)
 		}
 	}
 	slices.Sort(numbers)
-	return numbers, k.number
+	return numbers, k.lastGrantNumber
 }
 
 // Position is what the keeper has for one budget.
@@ -78,7 +78,7 @@
 		return Position{}, false
 	}
 	return Position{
-		Budget: budget, Drawn: a.drawn, Spent: a.spent, Held: a.held, Free: a.free(), Holds: a.holds,
+		Budget: budget, Drawn: a.drawn, Spent: a.spent, Held: a.held, Free: a.free(), Holds: a.holdCount,
 	}, true
 }
 
--- a/keeper/world_test.go
+++ b/keeper/world_test.go
@@ -40,7 +40,7 @@
 	routers  []*worldRouter
 	sidecars []*worldSidecar
 	runs     []*worldRun
-	serial   int
+	lastID   int
 	prepaid  masticway.Amount
 }
 
@@ -77,12 +77,12 @@
 	counted  bool
 	prompt   int
 	tokens   int
-	final    *sealer.Final
+	result   *sealer.Final
 	settled  bool
 }
 
-// ran is what the upstream really did, known to nobody else.
-func (r *worldRun) ran() masticway.Amount {
+// trueCost is what the upstream really did, known to nobody else.
+func (r *worldRun) trueCost() masticway.Amount {
 	if !r.counted {
 		return 0
 	}
@@ -146,11 +146,11 @@
 	if r.dead {
 		return
 	}
-	w.serial++
+	w.lastID++
 	most := masticway.Amount(rapid.IntRange(10, 300).Draw(t, "most"))
 	least := masticway.Amount(rapid.IntRange(5, int(most)).Draw(t, "least"))
 	w.apply(r, r.keeper.Hold(w.now, keeper.HoldRequest{
-		ID: masticway.HoldID(fmt.Sprint(w.serial)), Budget: worldBudget, Identity: masticway.Identity(fmt.Sprint("w/", w.serial)),
+		ID: masticway.HoldID(fmt.Sprint(w.lastID)), Budget: worldBudget, Identity: masticway.Identity(fmt.Sprint("w/", w.lastID)),
 		Sender: r.self, Most: most, Least: least, Horizon: 2 * time.Second, Wait: 300 * time.Millisecond,
 	}))
 }
@@ -207,7 +207,7 @@
 	run.sent = true
 	run.sidecar = s
 	run.key = masticway.RunKey{Identity: masticway.Identity("w/" + string(run.hold.ID)), Attempt: 1}
-	w.take(run, s.core.Dispatch(w.now, sealer.Dispatch{
+	w.applySealer(run, s.core.Dispatch(w.now, sealer.Dispatch{
 		Run: run.key, Sender: run.payer.self, Hold: run.hold.ID, Grant: run.hold.Grant, Bound: run.hold.Amount,
 		PromptWeight: 1, CompletionWeight: 3, Call: masticway.Call{Model: "m", MaxOutput: 1000},
 	}, run.payer.self))
@@ -226,11 +226,11 @@
 	return list[rapid.IntRange(0, len(list)-1).Draw(t, "run")]
 }
 
-func (w *world) take(run *worldRun, effects []sealer.Effect) {
+func (w *world) applySealer(run *worldRun, effects []sealer.Effect) {
 	for _, e := range effects {
 		switch e := e.(type) {
 		case sealer.Verify:
-			w.take(run, run.sidecar.core.Verified(w.now, e.Incarnation, w.standing(run.sidecar, e.Incarnation)))
+			w.applySealer(run, run.sidecar.core.Verified(w.now, e.Incarnation, w.incarnationStatus(run.sidecar, e.Incarnation)))
 		case sealer.Start:
 			run.accepted = true
 		case sealer.Send:
@@ -238,13 +238,13 @@
 			case sealer.Refused:
 				run.refused = true
 			case sealer.Final:
-				run.final = &m
+				run.result = &m
 			}
 		}
 	}
 }
 
-func (w *world) standing(s *worldSidecar, inc masticway.Incarnation) sealer.Standing {
+func (w *world) incarnationStatus(s *worldSidecar, inc masticway.Incarnation) sealer.Standing {
 	links, version, err := w.book.Links(context.Background(), inc)
 	switch {
 	case err != nil:
@@ -259,7 +259,7 @@
 
 // work lets an upstream run on by a step.
 func (w *world) work(t *rapid.T) {
-	run := w.pickRun(t, func(r *worldRun) bool { return r.accepted && r.final == nil && !r.sidecar.gone })
+	run := w.pickRun(t, func(r *worldRun) bool { return r.accepted && r.result == nil && !r.sidecar.gone })
 	if run == nil {
 		return
 	}
@@ -267,13 +267,13 @@
 	if !run.counted {
 		run.counted = true
 		run.prompt = rapid.IntRange(1, max(1, int(run.hold.Amount)/2)).Draw(t, "prompt")
-		w.take(run, core.Counted(run.key, run.prompt, 0))
+		w.applySealer(run, core.Counted(run.key, run.prompt, 0))
 		return
 	}
 	for range rapid.IntRange(1, 20).Draw(t, "tokens") {
 		effects := core.Chunk(run.key, masticway.Chunk{Text: "x", Tokens: 1})
 		if slices.ContainsFunc(effects, func(e sealer.Effect) bool { _, stop := e.(sealer.Stop); return stop }) {
-			w.take(run, core.Finished(w.now, run.key, masticway.Outcome{}, nil))
+			w.applySealer(run, core.Finished(w.now, run.key, masticway.Outcome{}, nil))
 			return
 		}
 		run.tokens++
@@ -283,23 +283,23 @@
 		if rapid.IntRange(0, 3).Draw(t, "fails") == 0 {
 			failure = &masticway.UpstreamError{Reason: "lost", Started: true}
 		}
-		w.take(run, core.Finished(w.now, run.key, masticway.Outcome{}, failure))
+		w.applySealer(run, core.Finished(w.now, run.key, masticway.Outcome{}, failure))
 	}
 }
 
 // settle brings a final word to its payer, sometimes twice.
 func (w *world) settle(t *rapid.T) {
 	run := w.pickRun(t, func(r *worldRun) bool {
-		known := r.final != nil || r.refused || (r.sent && r.sidecar.gone)
-		return known && !r.payer.dead && (!r.settled || r.final != nil)
+		decided := r.result != nil || r.refused || (r.sent && r.sidecar.gone)
+		return decided && !r.payer.dead && (!r.settled || r.result != nil)
 	})
 	if run == nil {
 		return
 	}
 	var charges []keeper.Charge
 	switch {
-	case run.final != nil:
-		charges = []keeper.Charge{{Sidecar: run.sidecar.self, Amount: run.final.Cost}}
+	case run.result != nil:
+		charges = []keeper.Charge{{Sidecar: run.sidecar.self, Amount: run.result.Cost}}
 	case run.sent && !run.refused:
 		charges = []keeper.Charge{{Sidecar: run.sidecar.self, Amount: run.hold.Amount, Presumed: true}}
 	}
@@ -317,14 +317,14 @@
 	}
 }
 
-func (w *world) giveBack(t *rapid.T) {
+func (w *world) returnFree(t *rapid.T) {
 	r := w.routers[rapid.IntRange(0, len(w.routers)-1).Draw(t, "router")]
 	if !r.dead {
 		w.apply(r, r.keeper.GiveBack(w.now, worldBudget, rapid.Bool().Draw(t, "elsewhere")))
 	}
 }
 
-func (w *world) yield(t *rapid.T) {
+func (w *world) handOver(t *rapid.T) {
 	r := w.routers[rapid.IntRange(0, len(w.routers)-1).Draw(t, "router")]
 	if !r.dead {
 		w.apply(r, r.keeper.Yield(w.now, worldBudget))
@@ -391,32 +391,32 @@
 	for _, e := range rec.Tick(w.now) {
 		switch e := e.(type) {
 		case recoverer.Mark:
-			w.mark(rec)
+			w.sealInTable(rec)
 		case recoverer.Ask:
-			w.ask(rec, e.Sidecar)
+			w.sealAtSidecar(rec, e.Sidecar)
 		case recoverer.Return:
-			w.returnMoney(t, rec, e.Closings)
+			w.closeGrants(t, rec, e.Closings)
 		}
 	}
 }
 
-func (w *world) mark(rec *recoverer.Recovery) {
-	links, err := w.book.Seal(context.Background(), rec.Victim())
+func (w *world) sealInTable(rec *recoverer.Recovery) {
+	links, err := w.book.Seal(context.Background(), rec.Incarnation())
 	if err != nil {
 		rec.Marked(links, nil, false)
 		return
 	}
-	grants, err := w.book.GrantsOf(context.Background(), rec.Victim())
+	grants, err := w.book.GrantsOf(context.Background(), rec.Incarnation())
 	rec.Marked(links, grants, err == nil)
 }
 
-func (w *world) ask(rec *recoverer.Recovery, sidecar masticway.Incarnation) {
+func (w *world) sealAtSidecar(rec *recoverer.Recovery, sidecar masticway.Incarnation) {
 	for _, s := range w.sidecars {
 		if s.self != sidecar {
 			continue
 		}
 		if !s.gone {
-			report, _ := s.core.Seal(w.now, rec.Victim())
+			report, _ := s.core.Seal(w.now, rec.Incarnation())
 			rec.Witnessed(report)
 			return
 		}
@@ -427,7 +427,7 @@
 	}
 }
 
-func (w *world) returnMoney(t *rapid.T, rec *recoverer.Recovery, closings []bookkeeper.Closing) {
+func (w *world) closeGrants(t *rapid.T, rec *recoverer.Recovery, closings []bookkeeper.Closing) {
 	if rapid.IntRange(0, 4).Draw(t, "answer_lost") == 0 {
 		w.table.SetFaults(emulator.TableFaults{LoseAnswers: 1})
 	}
@@ -442,9 +442,9 @@
 }
 
 func (w *world) topUp(t *rapid.T) {
-	w.serial++
+	w.lastID++
 	amount := masticway.Amount(rapid.IntRange(1, 500).Draw(t, "amount"))
-	id := fmt.Sprint("t", w.serial)
+	id := fmt.Sprint("t", w.lastID)
 	for range rapid.IntRange(1, 2).Draw(t, "times") {
 		if _, err := w.book.TopUp(context.Background(), worldBudget, id, amount); err != nil {
 			t.Fatalf("top-up: %v", err)
@@ -472,7 +472,7 @@
 	}
 	var ran masticway.Amount
 	for _, r := range w.runs {
-		ran += r.ran()
+		ran += r.trueCost()
 	}
 	if ran > w.prepaid {
 		t.Fatalf("upstreams ran %d of %d prepaid", ran, w.prepaid)
@@ -488,7 +488,7 @@
 		w := newWorld(prepaid, 3, 3, rapid.SampledFrom([]keeper.Policy{keeper.PolicyForecast, keeper.PolicySlice}).Draw(t, "policy"))
 		t.Repeat(map[string]func(*rapid.T){
 			"": w.check, "hold": w.hold, "hold_again": w.hold, "move": w.move, "move_again": w.move, "send": w.send, "send_again": w.send,
-			"work": w.work, "work_again": w.work, "settle": w.settle, "tick": w.tick, "give_back": w.giveBack, "yield": w.yield,
+			"work": w.work, "work_again": w.work, "settle": w.settle, "tick": w.tick, "give_back": w.returnFree, "yield": w.handOver,
 			"kill": w.kill, "add_sidecar": w.addSidecar, "kill_sidecar": w.killSidecar, "recover": w.recover, "recover_again": w.recover, "top_up": w.topUp,
 		})
 	})
--- a/lender/lender.go
+++ b/lender/lender.go
@@ -11,29 +11,29 @@
 
 // Paths of the calls.
 const (
-	pathBorrow  = "/peer/borrow"
-	pathRepay   = "/peer/repay"
-	pathTestify = "/peer/testify"
-	pathRecall  = "/peer/recall"
+	pathBorrow       = "/peer/borrow"
+	pathRepay        = "/peer/repay"
+	pathReport       = "/peer/testify"
+	pathFinalReports = "/peer/recall"
 )
 
-// borrowAnswer answers a question for money.
-type borrowAnswer struct {
+// borrowResponse answers a question for money.
+type borrowResponse struct {
 	Amount int64 `cbor:"1,keyasint"`
 	// Lender is who lends, which may be a successor of the one that was asked.
 	Lender masticway.Incarnation `cbor:"2,keyasint,omitempty"`
 }
 
-// receipt answers a message of which nothing but the arrival matters.
-type receipt struct{}
+// ack answers a message of which nothing but the arrival matters.
+type ack struct{}
 
-// testifyAnswer tells whether a statement was taken.
-type testifyAnswer struct {
+// reportResponse tells whether a statement was taken.
+type reportResponse struct {
 	Taken bool `cbor:"1,keyasint"`
 }
 
-// recallRequest asks a witness, by incarnation, for an ended router's statements.
-type recallRequest struct {
+// finalReportsRequest asks a witness, by incarnation, for an ended router's statements.
+type finalReportsRequest struct {
 	Witness masticway.Incarnation `cbor:"1,keyasint"`
 	Ended   masticway.Incarnation `cbor:"2,keyasint"`
 }
@@ -48,29 +48,29 @@
 
 // Borrow asks the router at an address for money of a workspace.
 func (c *Client) Borrow(ctx context.Context, address string, ask treasurer.LoanAsk) (treasurer.Loan, error) {
-	answer, err := messenger.Call[borrowAnswer](ctx, c.messages, address, pathBorrow, ask)
+	answer, err := messenger.Call[borrowResponse](ctx, c.messages, address, pathBorrow, ask)
 	return treasurer.Loan{Lender: answer.Lender, Amount: min(ask.Need, max(0, answer.Amount))}, err
 }
 
 // Repay gives a loan back.
 func (c *Client) Repay(ctx context.Context, address string, r treasurer.Repayment) error {
-	_, err := messenger.Call[receipt](ctx, c.messages, address, pathRepay, r)
+	_, err := messenger.Call[ack](ctx, c.messages, address, pathRepay, r)
 	return err
 }
 
 // Testify gives a statement to a witness and tells whether it took it.
 func (c *Client) Testify(ctx context.Context, address string, s treasurer.Statement) (bool, error) {
-	answer, err := messenger.Call[testifyAnswer](ctx, c.messages, address, pathTestify, s)
+	answer, err := messenger.Call[reportResponse](ctx, c.messages, address, pathReport, s)
 	return answer.Taken, err
 }
 
 // Recall asks a witness what an ended incarnation has stated.
 func (c *Client) Recall(ctx context.Context, address string, witness, ended masticway.Incarnation) (treasurer.Recollection, error) {
-	return messenger.Call[treasurer.Recollection](ctx, c.messages, address, pathRecall, recallRequest{Witness: witness, Ended: ended})
+	return messenger.Call[treasurer.Recollection](ctx, c.messages, address, pathFinalReports, finalReportsRequest{Witness: witness, Ended: ended})
 }
 
-// Purse is what a router lends from, and what it remembers for others.
-type Purse interface {
+// PeerServer is what a router lends from, and what it remembers for others.
+type PeerServer interface {
 	// Self names the incarnation that lends.
 	Self() masticway.Incarnation
 	// Lend takes money out for another router and returns how much.
@@ -84,18 +84,18 @@
 }
 
 // Serve answers the calls of other routers.
-func Serve(mux *http.ServeMux, p Purse) {
-	messenger.Handle(mux, pathBorrow, func(ctx context.Context, ask treasurer.LoanAsk) borrowAnswer {
-		return borrowAnswer{Amount: p.Lend(ctx, ask), Lender: p.Self()}
+func Serve(mux *http.ServeMux, p PeerServer) {
+	messenger.Handle(mux, pathBorrow, func(ctx context.Context, ask treasurer.LoanAsk) borrowResponse {
+		return borrowResponse{Amount: p.Lend(ctx, ask), Lender: p.Self()}
 	})
-	messenger.Handle(mux, pathRepay, func(_ context.Context, r treasurer.Repayment) receipt {
+	messenger.Handle(mux, pathRepay, func(_ context.Context, r treasurer.Repayment) ack {
 		p.Repaid(r)
-		return receipt{}
+		return ack{}
 	})
-	messenger.Handle(mux, pathTestify, func(_ context.Context, s treasurer.Statement) testifyAnswer {
-		return testifyAnswer{Taken: p.Testified(s)}
+	messenger.Handle(mux, pathReport, func(_ context.Context, s treasurer.Statement) reportResponse {
+		return reportResponse{Taken: p.Testified(s)}
 	})
-	messenger.Handle(mux, pathRecall, func(_ context.Context, r recallRequest) treasurer.Recollection {
+	messenger.Handle(mux, pathFinalReports, func(_ context.Context, r finalReportsRequest) treasurer.Recollection {
 		return p.Recall(r.Witness, r.Ended)
 	})
 }
--- a/lender/lender_test.go
+++ b/lender/lender_test.go
@@ -16,22 +16,22 @@
 	"github.com/masticway/masticway/treasurer"
 )
 
-// purse lends what it has.
-type purse struct {
-	mu     sync.Mutex
-	has    int64
-	repaid []treasurer.Repayment
-	stated []treasurer.Statement
+// peerServer lends what it has.
+type peerServer struct {
+	mu      sync.Mutex
+	balance int64
+	repaid  []treasurer.Repayment
+	reports []treasurer.Statement
 }
 
-func (p *purse) Testified(s treasurer.Statement) bool {
+func (p *peerServer) Testified(s treasurer.Statement) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.stated = append(p.stated, s)
+	p.reports = append(p.reports, s)
 	return s.Issuer != "gone~1"
 }
 
-func (p *purse) Recall(witness, ended masticway.Incarnation) treasurer.Recollection {
+func (p *peerServer) Recall(witness, ended masticway.Incarnation) treasurer.Recollection {
 	if witness != "b~2" || ended != "a~1" {
 		return treasurer.Recollection{}
 	}
@@ -39,7 +39,7 @@
 }
 
 // serve starts a router that lends, and returns a client and the address.
-func serve(t *testing.T, p *purse) (*lender.Client, string) {
+func serve(t *testing.T, p *peerServer) (*lender.Client, string) {
 	mux := http.NewServeMux()
 	lender.Serve(mux, p)
 	server := httptest.NewServer(mux)
@@ -47,27 +47,27 @@
 	return lender.NewClient(messenger.NewClient()), strings.TrimPrefix(server.URL, "http://")
 }
 
-func (p *purse) Lend(_ context.Context, ask treasurer.LoanAsk) int64 {
+func (p *peerServer) Lend(_ context.Context, ask treasurer.LoanAsk) int64 {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if ask.Workspace != "w" {
 		return 0
 	}
-	amount := min(ask.Need, p.has)
-	p.has -= amount
+	amount := min(ask.Need, p.balance)
+	p.balance -= amount
 	return amount
 }
 
-func (p *purse) Self() masticway.Incarnation { return "b~2" }
+func (p *peerServer) Self() masticway.Incarnation { return "b~2" }
 
-func (p *purse) Repaid(r treasurer.Repayment) {
+func (p *peerServer) Repaid(r treasurer.Repayment) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.repaid = append(p.repaid, r)
 }
 
-func TestMoneyGoesToAnotherRouterAndBack(t *testing.T) {
-	p := &purse{has: 100}
+func TestBorrowAndRepay(t *testing.T) {
+	p := &peerServer{balance: 100}
 	client, address := serve(t, p)
 	cases := []struct {
 		workspace  string
@@ -83,14 +83,14 @@
 	qt.Assert(t, p.repaid, qt.DeepEquals, []treasurer.Repayment{back})
 }
 
-func TestStatementsAreTakenAndRecalled(t *testing.T) {
-	p := &purse{}
+func TestReportsAreAcceptedAndReturned(t *testing.T) {
+	p := &peerServer{}
 	client, address := serve(t, p)
 	s := treasurer.Statement{Issuer: "a~1", Witness: "b~2", Oldest: 3, Newest: 4, Taken: map[string]int64{"w": 9}}
 	taken, err := client.Testify(t.Context(), address, s)
 	qt.Assert(t, err, qt.IsNil)
 	qt.Assert(t, taken, qt.IsTrue)
-	qt.Assert(t, p.stated, qt.DeepEquals, []treasurer.Statement{s})
+	qt.Assert(t, p.reports, qt.DeepEquals, []treasurer.Statement{s})
 	taken, err = client.Testify(t.Context(), address, treasurer.Statement{Issuer: "gone~1"})
 	qt.Assert(t, err, qt.IsNil)
 	qt.Assert(t, taken, qt.IsFalse)
@@ -102,7 +102,7 @@
 	qt.Assert(t, r.Same, qt.IsFalse)
 }
 
-func TestUnreachedRouterIsAnError(t *testing.T) {
+func TestUnreachableRouterIsAnError(t *testing.T) {
 	server := httptest.NewServer(http.NewServeMux())
 	address := strings.TrimPrefix(server.URL, "http://")
 	server.Close()
@@ -118,7 +118,7 @@
 }
 
 func TestGarbledCallsAreRefused(t *testing.T) {
-	_, address := serve(t, &purse{has: 5})
+	_, address := serve(t, &peerServer{balance: 5})
 	for _, path := range []string{"/peer/borrow", "/peer/repay", "/peer/testify", "/peer/recall"} {
 		response, err := http.Post("http://"+address+path, "application/cbor", strings.NewReader("\xff"))
 		qt.Assert(t, err, qt.IsNil)
--- a/recoverer/recoverer.go
+++ b/recoverer/recoverer.go
@@ -26,8 +26,8 @@
 	stateReturning charter.State = "returning"
 )
 
-// askAgain is the pause between two questions to the same sidecar.
-const askAgain = 250 * time.Millisecond
+// askInterval is the pause between two questions to the same sidecar.
+const askInterval = 250 * time.Millisecond
 
 // Effect is something that the shell must do; it is one of the types below.
 type Effect interface{ effect() }
@@ -45,34 +45,34 @@
 func (Ask) effect()    {}
 func (Return) effect() {}
 
-type witness struct {
+type sidecarReport struct {
 	report   sealer.Sealed
-	heard    bool
-	vanished bool
-	asked    time.Time
+	received bool
+	lost     bool
+	askedAt  time.Time
 }
 
 // Recovery follows one dead incarnation; it is not safe for concurrent use.
 type Recovery struct {
-	victim    masticway.Incarnation
-	chart     charter.Chart
-	state     charter.State
-	started   time.Time
-	links     bookkeeper.Links
-	grants    []masticway.GrantKey
-	witnesses map[masticway.Incarnation]*witness
-	marking   bool
-	returning bool
+	incarnation masticway.Incarnation
+	chart       charter.Chart
+	state       charter.State
+	started     time.Time
+	links       bookkeeper.Links
+	grants      []masticway.GrantKey
+	reports     map[masticway.Incarnation]*sidecarReport
+	sealing     bool
+	closing     bool
 }
 
 // New starts a recovery.
-func New(now time.Time, victim masticway.Incarnation) *Recovery {
+func New(now time.Time, inc masticway.Incarnation) *Recovery {
 	c := charter.MustLoad(charter.Recovery)
-	return &Recovery{victim: victim, chart: c, state: c.Initial(), started: now, witnesses: map[masticway.Incarnation]*witness{}}
+	return &Recovery{incarnation: inc, chart: c, state: c.Initial(), started: now, reports: map[masticway.Incarnation]*sidecarReport{}}
 }
 
-// Victim returns the incarnation that is recovered.
-func (r *Recovery) Victim() masticway.Incarnation { return r.victim }
+// Incarnation returns the incarnation that is recovered.
+func (r *Recovery) Incarnation() masticway.Incarnation { return r.incarnation }
 
 // Started returns when the recovery began.
 func (r *Recovery) Started() time.Time { return r.started }
@@ -89,50 +89,50 @@
 
 // Marked takes the fenced links row and the victim's grants; ok is false when the table did not answer.
 func (r *Recovery) Marked(links bookkeeper.Links, grants []masticway.GrantKey, ok bool) {
-	r.marking = false
+	r.sealing = false
 	if !ok {
 		return
 	}
 	r.links = links
 	r.grants = grants
 	for _, s := range links.Sidecars {
-		r.witnesses[s] = &witness{}
+		r.reports[s] = &sidecarReport{}
 	}
 	r.step(eventMarked)
 }
 
 // Witnessed takes a sidecar's word; the newest one counts.
 func (r *Recovery) Witnessed(report sealer.Sealed) {
-	w, ok := r.witnesses[report.Sidecar]
-	if !ok || w.vanished {
+	w, ok := r.reports[report.Sidecar]
+	if !ok || w.lost {
 		return
 	}
 	w.report = report
-	w.heard = true
+	w.received = true
 }
 
 // Vanished records that a sidecar is gone for certain; a report that it left still counts.
-func (r *Recovery) Vanished(sidecar masticway.Incarnation, left bookkeeper.Report, found bool) {
-	w, ok := r.witnesses[sidecar]
+func (r *Recovery) Vanished(sidecar masticway.Incarnation, final bookkeeper.Report, found bool) {
+	w, ok := r.reports[sidecar]
 	if !ok {
 		return
 	}
-	if w.heard && !running(w.report) {
+	if w.received && !running(w.report) {
 		// Its last word was final, because a sealed incarnation adds nothing to it.
 		return
 	}
 	if found {
-		w.heard = true
-		w.report = sealer.Sealed{Incarnation: r.victim, Sidecar: sidecar, Totals: totalsOf(left, r.victim)}
+		w.received = true
+		w.report = sealer.Sealed{Incarnation: r.incarnation, Sidecar: sidecar, Totals: totalsOf(final, r.incarnation)}
 		return
 	}
-	w.vanished = true
+	w.lost = true
 }
 
-func totalsOf(left bookkeeper.Report, victim masticway.Incarnation) []bookkeeper.Total {
+func totalsOf(final bookkeeper.Report, inc masticway.Incarnation) []bookkeeper.Total {
 	var totals []bookkeeper.Total
-	for _, t := range left.Totals {
-		if t.Grant.Payer == victim {
+	for _, t := range final.Totals {
+		if t.Grant.Payer == inc {
 			totals = append(totals, t)
 		}
 	}
@@ -141,19 +141,19 @@
 
 func running(s sealer.Sealed) bool {
 	return slices.ContainsFunc(s.Totals, func(t bookkeeper.Total) bool { return t.Running > 0 }) ||
-		slices.ContainsFunc(s.Holds, func(h sealer.HoldFate) bool { return h.Running })
+		slices.ContainsFunc(s.Holds, func(h sealer.HoldReport) bool { return h.Running })
 }
 
 // Returned takes the table's answer to Return.
 func (r *Recovery) Returned(ok bool) {
-	r.returning = false
+	r.closing = false
 	if !ok {
 		return
 	}
 	if r.anyRunning() {
-		for _, w := range r.witnesses {
-			if running(w.report) && !w.vanished {
-				w.heard = false
+		for _, w := range r.reports {
+			if running(w.report) && !w.lost {
+				w.received = false
 			}
 		}
 		r.step(eventStillRunning)
@@ -163,8 +163,8 @@
 }
 
 func (r *Recovery) anyRunning() bool {
-	for _, w := range r.witnesses {
-		if !w.vanished && running(w.report) {
+	for _, w := range r.reports {
+		if !w.lost && running(w.report) {
 			return true
 		}
 	}
@@ -175,31 +175,31 @@
 func (r *Recovery) Tick(now time.Time) []Effect {
 	switch r.state {
 	case r.chart.Initial():
-		if r.marking {
+		if r.sealing {
 			return nil
 		}
-		r.marking = true
+		r.sealing = true
 		return []Effect{Mark{}}
 	case stateSealing:
-		return r.ask(now)
+		return r.askSidecars(now)
 	case stateReturning:
-		if r.returning {
+		if r.closing {
 			return nil
 		}
-		r.returning = true
-		return []Effect{Return{Closings: r.closings()}}
+		r.closing = true
+		return []Effect{Return{Closings: r.closures()}}
 	}
 	return nil
 }
 
-func (r *Recovery) ask(now time.Time) []Effect {
+func (r *Recovery) askSidecars(now time.Time) []Effect {
 	var effects []Effect
 	for _, s := range r.sidecars() {
-		w := r.witnesses[s]
-		if w.heard || w.vanished || now.Sub(w.asked) < askAgain {
+		w := r.reports[s]
+		if w.received || w.lost || now.Sub(w.askedAt) < askInterval {
 			continue
 		}
-		w.asked = now
+		w.askedAt = now
 		effects = append(effects, Ask{Sidecar: s})
 	}
 	if len(r.Missing()) == 0 {
@@ -210,32 +210,32 @@
 }
 
 func (r *Recovery) sidecars() []masticway.Incarnation {
-	return slices.Sorted(maps.Keys(r.witnesses))
+	return slices.Sorted(maps.Keys(r.reports))
 }
 
 // Missing names the sidecars that hold the recovery up.
 func (r *Recovery) Missing() []masticway.Incarnation {
 	var missing []masticway.Incarnation
 	for _, s := range r.sidecars() {
-		if w := r.witnesses[s]; !w.heard && !w.vanished {
+		if w := r.reports[s]; !w.received && !w.lost {
 			missing = append(missing, s)
 		}
 	}
 	return missing
 }
 
-func (r *Recovery) closings() []bookkeeper.Closing {
+func (r *Recovery) closures() []bookkeeper.Closing {
 	closings := make([]bookkeeper.Closing, 0, len(r.grants))
 	for _, g := range r.grants {
 		c := bookkeeper.Closing{Grant: g, Spent: r.links.Absorbed[g.Number]}
-		for _, w := range r.witnesses {
-			c.Vanished = c.Vanished || w.vanished
+		for _, w := range r.reports {
+			c.Vanished = c.Vanished || w.lost
 			for _, t := range w.report.Totals {
 				if t.Grant != g {
 					continue
 				}
 				c.Spent += t.Spent
-				if !w.vanished {
+				if !w.lost {
 					c.Running += t.Running
 				}
 			}
@@ -249,21 +249,21 @@
 // HoldFates returns what became of the victim's holds as a sender, once every sidecar has answered.
 //
 // A hold that no sidecar names was never run, unless a sidecar vanished: then nobody can say, and it is named.
-func (r *Recovery) HoldFates() (fates []SidecarHold, vanished masticway.Incarnation) {
+func (r *Recovery) HoldFates() (reports []SidecarHold, lost masticway.Incarnation) {
 	for _, s := range r.sidecars() {
-		w := r.witnesses[s]
-		if w.vanished {
-			vanished = s
+		w := r.reports[s]
+		if w.lost {
+			lost = s
 		}
 		for _, h := range w.report.Holds {
-			fates = append(fates, SidecarHold{Sidecar: s, Fate: h})
+			reports = append(reports, SidecarHold{Sidecar: s, Fate: h})
 		}
 	}
-	return fates, vanished
+	return reports, lost
 }
 
 // SidecarHold is a hold's fate at one sidecar.
 type SidecarHold struct {
 	Sidecar masticway.Incarnation
-	Fate    sealer.HoldFate
+	Fate    sealer.HoldReport
 }
--- a/recoverer/watch.go
+++ b/recoverer/watch.go
@@ -71,11 +71,11 @@
 	phaseRecovering
 )
 
-type sighting struct {
-	row        bookkeeper.Daemon
-	unheard    time.Time
-	challenged time.Time
-	phase      phase
+type routerState struct {
+	row          bookkeeper.Daemon
+	lastSeenAt   time.Time
+	challengedAt time.Time
+	phase        phase
 }
 
 // Watch decides when another router is taken for dead; it is not safe for concurrent use.
@@ -87,12 +87,12 @@
 // ended needs no proof.
 type Watch struct {
 	settings WatchSettings
-	seen     map[masticway.Incarnation]*sighting
+	routers  map[masticway.Incarnation]*routerState
 }
 
 // NewWatch returns a watch that has seen nobody.
 func NewWatch(s WatchSettings) *Watch {
-	return &Watch{settings: s, seen: map[masticway.Incarnation]*sighting{}}
+	return &Watch{settings: s, routers: map[masticway.Incarnation]*routerState{}}
 }
 
 // Rows takes a reading of all lease rows and returns the incarnations whose rows are gone.
@@ -100,11 +100,11 @@
 	present := map[masticway.Incarnation]bool{}
 	for _, d := range rows {
 		present[d.Incarnation] = true
-		w.take(now, d)
+		w.updateRow(now, d)
 	}
-	for inc := range w.seen {
+	for inc := range w.routers {
 		if !present[inc] {
-			delete(w.seen, inc)
+			delete(w.routers, inc)
 			gone = append(gone, inc)
 		}
 	}
@@ -113,39 +113,39 @@
 
 // Note records a router that was linked to, before its row has been read.
 func (w *Watch) Note(now time.Time, d bookkeeper.Daemon) {
-	if _, ok := w.seen[d.Incarnation]; !ok && d.Incarnation != w.settings.Self {
-		w.seen[d.Incarnation] = &sighting{row: d, unheard: now}
+	if _, ok := w.routers[d.Incarnation]; !ok && d.Incarnation != w.settings.Self {
+		w.routers[d.Incarnation] = &routerState{row: d, lastSeenAt: now}
 	}
 }
 
-func (w *Watch) take(now time.Time, d bookkeeper.Daemon) {
+func (w *Watch) updateRow(now time.Time, d bookkeeper.Daemon) {
 	if d.Incarnation == w.settings.Self {
 		return
 	}
-	s, ok := w.seen[d.Incarnation]
+	s, ok := w.routers[d.Incarnation]
 	if ok && s.phase == phaseRecovering {
 		return
 	}
 	if !ok || !s.row.Lease.Equal(d.Lease) {
 		// A renewed lease ends every suspicion.
-		w.seen[d.Incarnation] = &sighting{row: d, unheard: now}
+		w.routers[d.Incarnation] = &routerState{row: d, lastSeenAt: now}
 	}
 }
 
 // Row takes the answer to ReadRow; failed tells that the table did not answer.
 func (w *Watch) Row(now time.Time, inc masticway.Incarnation, d bookkeeper.Daemon, found, failed bool) (gone bool) {
-	s, ok := w.seen[inc]
+	s, ok := w.routers[inc]
 	if !ok {
 		return false
 	}
 	if failed {
 		// Unasked, it must not be taken for dead.
 		s.phase = phaseWatching
-		s.challenged = time.Time{}
+		s.challengedAt = time.Time{}
 		return false
 	}
 	if !found {
-		delete(w.seen, inc)
+		delete(w.routers, inc)
 		return true
 	}
 	if s.row.Lease.IsZero() {
@@ -153,7 +153,7 @@
 		s.row = d
 	}
 	lease := s.row.Lease
-	w.take(now, d)
+	w.updateRow(now, d)
 	if !lease.Equal(d.Lease) {
 		return false
 	}
@@ -168,7 +168,7 @@
 
 // Challenged takes the answer to Challenge.
 func (w *Watch) Challenged(now time.Time, inc masticway.Incarnation, ok bool) {
-	s, known := w.seen[inc]
+	s, known := w.routers[inc]
 	if !known || s.phase != phaseChallenging {
 		return
 	}
@@ -177,20 +177,20 @@
 		return
 	}
 	s.phase = phaseChallenged
-	s.challenged = now
+	s.challengedAt = now
 }
 
 // Look goes through all routers seen and returns what to do.
-func (w *Watch) Look(now time.Time, signs func(bookkeeper.Daemon) Signs, stake func(bookkeeper.Daemon) Stake) []WatchEffect {
+func (w *Watch) Look(now time.Time, signalsOf func(bookkeeper.Daemon) Signs, stakeOf func(bookkeeper.Daemon) Stake) []WatchEffect {
 	var effects []WatchEffect
 	for _, inc := range w.incarnations() {
-		s := w.seen[inc]
-		g := signs(s.row)
+		s := w.routers[inc]
+		g := signalsOf(s.row)
 		if g.Heard && s.phase == phaseWatching {
-			s.unheard = now
+			s.lastSeenAt = now
 			continue
 		}
-		if e := w.look(now, s, g, stake); e != nil {
+		if e := w.checkRouter(now, s, g, stakeOf); e != nil {
 			effects = append(effects, e)
 		}
 	}
@@ -198,33 +198,33 @@
 }
 
 func (w *Watch) incarnations() []masticway.Incarnation {
-	list := make([]masticway.Incarnation, 0, len(w.seen))
-	for inc := range w.seen {
+	list := make([]masticway.Incarnation, 0, len(w.routers))
+	for inc := range w.routers {
 		list = append(list, inc)
 	}
 	slices.SortFunc(list, func(a, b masticway.Incarnation) int { return strings.Compare(string(a), string(b)) })
 	return list
 }
 
-func (w *Watch) look(now time.Time, s *sighting, g Signs, stake func(bookkeeper.Daemon) Stake) WatchEffect {
+func (w *Watch) checkRouter(now time.Time, s *routerState, g Signs, stakeOf func(bookkeeper.Daemon) Stake) WatchEffect {
 	inc := s.row.Incarnation
 	if g.Heard {
-		s.unheard = now
-		s.challenged = time.Time{}
+		s.lastSeenAt = now
+		s.challengedAt = time.Time{}
 		if s.phase != phaseRecovering {
 			s.phase = phaseWatching
 		}
 	}
-	if g.Leaving && !stake(s.row).Concerned {
+	if g.Leaving && !stakeOf(s.row).Concerned {
 		return nil
 	}
 	switch s.phase {
 	case phaseWatching:
-		if g.Ended && now.Sub(s.unheard) >= delay(stake(s.row)) {
+		if g.Ended && now.Sub(s.lastSeenAt) >= recoveryDelay(stakeOf(s.row)) {
 			s.phase = phaseRecovering
 			return Recover{Incarnation: inc}
 		}
-		if base := w.quiet(s); now.Sub(s.unheard) >= base && now.Sub(s.unheard) >= base+delay(stake(s.row)) {
+		if timeout := w.suspicionTimeout(s); now.Sub(s.lastSeenAt) >= timeout && now.Sub(s.lastSeenAt) >= timeout+recoveryDelay(stakeOf(s.row)) {
 			s.phase = phaseReading
 			return ReadRow{Incarnation: inc}
 		}
@@ -232,7 +232,7 @@
 		s.phase = phaseChallenging
 		return Challenge{Incarnation: inc}
 	case phaseChallenged:
-		if now.Sub(s.challenged) >= w.settings.Lease/2 {
+		if now.Sub(s.challengedAt) >= w.settings.Lease/2 {
 			s.phase = phaseReadingAgain
 			return ReadRow{Incarnation: inc}
 		}
@@ -243,8 +243,8 @@
 	return nil
 }
 
-// quiet is how long a router must be unheard before it is suspected.
-func (w *Watch) quiet(s *sighting) time.Duration {
+// suspicionTimeout is how long a router must be unheard before it is suspected.
+func (w *Watch) suspicionTimeout(s *routerState) time.Duration {
 	if s.row.Region != w.settings.Region {
 		// There is no link to lose, so only a lease that is overdue is a sign.
 		return 2 * w.settings.Heartbeat
@@ -252,8 +252,8 @@
 	return w.settings.Lease / 2
 }
 
-// delay keeps those apart who would take the same recovery.
-func delay(s Stake) time.Duration {
+// recoveryDelay keeps those apart who would take the same recovery.
+func recoveryDelay(s Stake) time.Duration {
 	if s.Concerned {
 		return 0
 	}
@@ -261,4 +261,4 @@
 }
 
 // Forget drops an incarnation that has been recovered.
-func (w *Watch) Forget(inc masticway.Incarnation) { delete(w.seen, inc) }
+func (w *Watch) Forget(inc masticway.Incarnation) { delete(w.routers, inc) }
--- a/recoverer/watch_test.go
+++ b/recoverer/watch_test.go
@@ -13,7 +13,7 @@
 
 var start = time.Unix(1_800_000_000, 0)
 
-func TestWatch(t *testing.T) {
+func TestFailureDetector(t *testing.T) {
 	row := bookkeeper.Daemon{Incarnation: "r~2", Region: "here", Lease: start}
 	renewed := bookkeeper.Daemon{Incarnation: "r~2", Region: "here", Lease: start.Add(time.Minute)}
 	cases := map[string]struct {
--- a/sealer/answer.go
+++ b/sealer/answer.go
@@ -14,7 +14,7 @@
 		return []Effect{Send{To: to, Message: Status{Run: k}}}
 	}
 	r.readers[to] = true
-	r.orphaned = time.Time{}
+	r.orphanedAt = time.Time{}
 	effects := []Effect{Send{To: to, Message: Accepted{Run: k}}}
 	if r.prompt > 0 {
 		effects = append(effects, Send{To: to, Message: Counted{Run: k, Prompt: r.prompt, Bound: r.bound}})
@@ -83,7 +83,7 @@
 		}
 		delete(r.readers, router)
 		if len(r.readers) == 0 && r.final == nil {
-			r.orphaned = now
+			r.orphanedAt = now
 		}
 	}
 }
@@ -92,10 +92,10 @@
 func (s *Sealer) Tick(now time.Time) []Effect {
 	var effects []Effect
 	for k, r := range s.runs {
-		if r.final != nil || r.orphaned.IsZero() || r.dispatch.NonRepeatable || r.cancelled {
+		if r.final != nil || r.orphanedAt.IsZero() || r.dispatch.NonRepeatable || r.cancelled {
 			continue
 		}
-		if now.Sub(r.orphaned) >= s.settings.OrphanAfter {
+		if now.Sub(r.orphanedAt) >= s.settings.OrphanAfter {
 			r.cancelled = true
 			effects = append(effects, Stop{Run: k})
 		}
@@ -113,11 +113,11 @@
 	for len(s.ended) > 0 {
 		k := s.ended[0]
 		r := s.runs[k]
-		if s.kept <= s.settings.KeepBytes && now.Sub(r.ended) < s.settings.KeepFor {
+		if s.keptBytes <= s.settings.KeepBytes && now.Sub(r.endedAt) < s.settings.KeepFor {
 			return
 		}
 		s.ended = s.ended[1:]
-		s.kept -= r.bytes
+		s.keptBytes -= r.bytes
 		delete(s.runs, k)
 		if s.byID[k.Identity] == k {
 			delete(s.byID, k.Identity)
--- a/sealer/message.go
+++ b/sealer/message.go
@@ -133,8 +133,8 @@
 	Incarnation masticway.Incarnation `cbor:"1,keyasint"`
 }
 
-// HoldFate is what became of one hold at a sidecar.
-type HoldFate struct {
+// HoldReport is what became of one hold at a sidecar.
+type HoldReport struct {
 	Hold    masticway.HoldID `cbor:"1,keyasint"`
 	Cost    masticway.Amount `cbor:"2,keyasint"`
 	Running bool             `cbor:"3,keyasint,omitempty"`
@@ -146,5 +146,5 @@
 	// Sidecar is the witness.
 	Sidecar masticway.Incarnation `cbor:"2,keyasint"`
 	Totals  []bookkeeper.Total    `cbor:"3,keyasint,omitempty"`
-	Holds   []HoldFate            `cbor:"4,keyasint,omitempty"`
+	Holds   []HoldReport          `cbor:"4,keyasint,omitempty"`
 }
--- a/sealer/seal.go
+++ b/sealer/seal.go
@@ -11,7 +11,7 @@
 
 // Seal fences an incarnation and reports what it ran, as payer and as sender.
 func (s *Sealer) Seal(now time.Time, inc masticway.Incarnation) (Sealed, []Effect) {
-	s.standing[inc] = StandingSealed
+	s.statuses[inc] = StandingSealed
 	waiting := s.waiting[inc]
 	delete(s.waiting, inc)
 	var effects []Effect
@@ -22,18 +22,18 @@
 	report := Sealed{Incarnation: inc, Sidecar: s.settings.Self, Totals: s.Totals(inc)}
 	for _, r := range s.runs {
 		if r.dispatch.Sender == inc {
-			report.Holds = append(report.Holds, holdFate(r))
+			report.Holds = append(report.Holds, holdReport(r))
 		}
 	}
-	slices.SortFunc(report.Holds, func(a, b HoldFate) int { return strings.Compare(string(a.Hold), string(b.Hold)) })
+	slices.SortFunc(report.Holds, func(a, b HoldReport) int { return strings.Compare(string(a.Hold), string(b.Hold)) })
 	return report, effects
 }
 
-func holdFate(r *run) HoldFate {
+func holdReport(r *run) HoldReport {
 	if r.final == nil {
-		return HoldFate{Hold: r.dispatch.Hold, Running: true}
+		return HoldReport{Hold: r.dispatch.Hold, Running: true}
 	}
-	return HoldFate{Hold: r.dispatch.Hold, Cost: r.final.Cost}
+	return HoldReport{Hold: r.dispatch.Hold, Cost: r.final.Cost}
 }
 
 // Totals lists what this sidecar ran for the grants of a payer, or of all payers when it is empty.
@@ -72,9 +72,9 @@
 // Closed drops the totals of grants that the table has ended.
 //
 // Numbers above upto were opened after the payer wrote its list, so they stay.
-func (s *Sealer) Closed(payer masticway.Incarnation, open []int64, upto int64) {
+func (s *Sealer) Closed(payer masticway.Incarnation, open []int64, maxNumber int64) {
 	for k := range s.totals {
-		if k.Payer == payer && k.Number <= upto && !slices.Contains(open, k.Number) {
+		if k.Payer == payer && k.Number <= maxNumber && !slices.Contains(open, k.Number) {
 			delete(s.totals, k)
 		}
 	}
--- a/sealer/sealer.go
+++ b/sealer/sealer.go
@@ -20,11 +20,11 @@
 	MaxRuns int
 }
 
-// introducePause separates two looks at a router whose durable set does not hold this sidecar yet.
-const introducePause = 200 * time.Millisecond
+// verifyAheadInterval separates two looks at a router whose durable set does not hold this sidecar yet.
+const verifyAheadInterval = 200 * time.Millisecond
 
-// changesKept bounds the configuration changes handed to stale routers; older ones come from the table.
-const changesKept = 64
+// maxKeptChanges bounds the configuration changes handed to stale routers; older ones come from the table.
+const maxKeptChanges = 64
 
 // Effect is something that the shell must do; it is one of the types below.
 type Effect interface{ effect() }
@@ -64,18 +64,18 @@
 )
 
 type run struct {
-	dispatch  Dispatch
-	prompt    int
-	tokens    int
-	bytes     int
-	bound     masticway.Amount
-	chunks    []masticway.Chunk
-	final     *Final
-	ended     time.Time
-	orphaned  time.Time
-	readers   map[masticway.Incarnation]bool
-	stopped   bool
-	cancelled bool
+	dispatch     Dispatch
+	prompt       int
+	tokens       int
+	bytes        int
+	bound        masticway.Amount
+	chunks       []masticway.Chunk
+	final        *Final
+	endedAt      time.Time
+	orphanedAt   time.Time
+	readers      map[masticway.Incarnation]bool
+	boundReached bool
+	cancelled    bool
 }
 
 type pending struct {
@@ -90,30 +90,30 @@
 	byID     map[masticway.Identity]masticway.RunKey
 	// refused holds runs that must never start, because someone was told so.
 	refused  map[masticway.RunKey]time.Time
-	standing map[masticway.Incarnation]Standing
-	// introduced is when a linked router was last verified without work at hand.
-	introduced map[masticway.Incarnation]time.Time
-	waiting    map[masticway.Incarnation][]pending
-	totals     map[masticway.GrantKey]masticway.Amount
-	running    int
-	ended      []masticway.RunKey
-	kept       int
-	leaving    bool
-	revision   masticway.Revision
-	changes    []masticway.Change
+	statuses map[masticway.Incarnation]Standing
+	// verifiedAheadAt is when a linked router was last verified without work at hand.
+	verifiedAheadAt map[masticway.Incarnation]time.Time
+	waiting         map[masticway.Incarnation][]pending
+	totals          map[masticway.GrantKey]masticway.Amount
+	running         int
+	ended           []masticway.RunKey
+	keptBytes       int
+	draining        bool
+	revision        masticway.Revision
+	changes         []masticway.Change
 }
 
 // New returns a sealer that has run nothing.
 func New(s Settings) *Sealer {
 	return &Sealer{
-		settings:   s,
-		runs:       map[masticway.RunKey]*run{},
-		byID:       map[masticway.Identity]masticway.RunKey{},
-		refused:    map[masticway.RunKey]time.Time{},
-		standing:   map[masticway.Incarnation]Standing{},
-		introduced: map[masticway.Incarnation]time.Time{},
-		waiting:    map[masticway.Incarnation][]pending{},
-		totals:     map[masticway.GrantKey]masticway.Amount{},
+		settings:        s,
+		runs:            map[masticway.RunKey]*run{},
+		byID:            map[masticway.Identity]masticway.RunKey{},
+		refused:         map[masticway.RunKey]time.Time{},
+		statuses:        map[masticway.Incarnation]Standing{},
+		verifiedAheadAt: map[masticway.Incarnation]time.Time{},
+		waiting:         map[masticway.Incarnation][]pending{},
+		totals:          map[masticway.GrantKey]masticway.Amount{},
 	}
 }
 
@@ -132,7 +132,7 @@
 		return []Effect{Send{To: from, Message: refusal}}
 	}
 	for _, inc := range []masticway.Incarnation{d.Grant.Payer, d.Sender} {
-		switch s.standing[inc] {
+		switch s.statuses[inc] {
 		case StandingOpen:
 		case StandingSealed:
 			s.refused[d.Run] = now
@@ -152,13 +152,13 @@
 	if _, ok := s.refused[d.Run]; ok {
 		return Refused{Run: d.Run, Reason: ReasonCancelled}, true
 	}
-	if s.leaving {
+	if s.draining {
 		return Refused{Run: d.Run, Reason: ReasonLeaving}, true
 	}
 	if d.Revision < s.revision {
 		return Refused{Run: d.Run, Reason: ReasonStale, Changes: s.ChangesAfter(d.Revision)}, true
 	}
-	if existing, ok := s.byID[d.Run.Identity]; ok && s.occupies(existing) {
+	if existing, ok := s.byID[d.Run.Identity]; ok && s.blocksIdentity(existing) {
 		return Refused{Run: d.Run, Reason: ReasonDuplicate, Existing: &existing}, true
 	}
 	if s.running >= s.settings.MaxRuns {
@@ -167,8 +167,8 @@
 	return Refused{}, false
 }
 
-// occupies tells whether a run forbids another with its identity.
-func (s *Sealer) occupies(k masticway.RunKey) bool {
+// blocksIdentity tells whether a run forbids another with its identity.
+func (s *Sealer) blocksIdentity(k masticway.RunKey) bool {
 	r, ok := s.runs[k]
 	if !ok {
 		return false
@@ -185,11 +185,11 @@
 
 // Introduce verifies a linked router before it sends work, so that an outage of the table later does not stop it.
 func (s *Sealer) Introduce(now time.Time, inc masticway.Incarnation) []Effect {
-	st := s.standing[inc]
-	if st == StandingOpen || st == StandingSealed || now.Sub(s.introduced[inc]) < introducePause || len(s.waiting[inc]) > 0 {
+	st := s.statuses[inc]
+	if st == StandingOpen || st == StandingSealed || now.Sub(s.verifiedAheadAt[inc]) < verifyAheadInterval || len(s.waiting[inc]) > 0 {
 		return nil
 	}
-	s.introduced[inc] = now
+	s.verifiedAheadAt[inc] = now
 	return []Effect{Verify{Incarnation: inc}}
 }
 
@@ -197,12 +197,12 @@
 func (s *Sealer) Verified(now time.Time, inc masticway.Incarnation, st Standing) []Effect {
 	waiting := s.waiting[inc]
 	delete(s.waiting, inc)
-	if s.standing[inc] == StandingSealed {
+	if s.statuses[inc] == StandingSealed {
 		st = StandingSealed
 	}
 	if st == StandingOpen || st == StandingSealed {
-		s.standing[inc] = st
-		delete(s.introduced, inc)
+		s.statuses[inc] = st
+		delete(s.verifiedAheadAt, inc)
 	}
 	var effects []Effect
 	for _, p := range waiting {
@@ -228,27 +228,27 @@
 	}
 	r.prompt = prompt
 	d := r.dispatch
-	most := d.cost(masticway.Usage{Prompt: prompt, Completion: d.Call.MaxOutput - d.Call.Resumed})
-	r.bound = min(r.bound, most)
-	return s.toReaders(r, Counted{Run: k, Prompt: prompt, Bound: r.bound, Cached: cached})
+	maxCost := d.cost(masticway.Usage{Prompt: prompt, Completion: d.Call.MaxOutput - d.Call.Resumed})
+	r.bound = min(r.bound, maxCost)
+	return s.sendToReaders(r, Counted{Run: k, Prompt: prompt, Bound: r.bound, Cached: cached})
 }
 
 // Chunk takes the next piece of an answer; the run is stopped where its bound would be passed.
 func (s *Sealer) Chunk(k masticway.RunKey, c masticway.Chunk) []Effect {
 	r, ok := s.runs[k]
-	if !ok || r.final != nil || r.stopped {
+	if !ok || r.final != nil || r.boundReached {
 		return nil
 	}
 	d := r.dispatch
 	if d.Call.Service == "" && d.cost(masticway.Usage{Prompt: r.prompt, Completion: r.tokens + c.Tokens}) > d.Bound {
-		r.stopped = true
+		r.boundReached = true
 		return []Effect{Stop{Run: k}}
 	}
 	c.Index = len(r.chunks)
 	r.tokens += c.Tokens
 	r.bytes += len(c.Text)
 	r.chunks = append(r.chunks, c)
-	return s.toReaders(r, Frame{Run: k, Chunk: c})
+	return s.sendToReaders(r, Frame{Run: k, Chunk: c})
 }
 
 // Finished ends a run with the upstream's outcome or failure and adds its true cost to the grant.
@@ -262,10 +262,10 @@
 	f := &Final{Run: k, Hold: d.Hold, Chunks: len(r.chunks), Fate: masticway.FateRan, Outcome: o}
 	f.Outcome.Usage = usage
 	switch {
-	case failure == nil || r.stopped:
+	case failure == nil || r.boundReached:
 		f.Complete = !r.cancelled
 		f.Cost = d.cost(usage)
-		if r.stopped {
+		if r.boundReached {
 			f.Outcome.Reason = "length"
 		}
 	case !failure.Started:
@@ -283,25 +283,25 @@
 	}
 	f.Cost = min(f.Cost, d.Bound)
 	r.final = f
-	r.ended = now
+	r.endedAt = now
 	s.running--
 	s.totals[d.Grant] += f.Cost
 	s.ended = append(s.ended, k)
-	s.kept += r.bytes
-	effects := s.toReaders(r, *f)
+	s.keptBytes += r.bytes
+	effects := s.sendToReaders(r, *f)
 	s.evict(now)
 	return effects
 }
 
-func (s *Sealer) toReaders(r *run, message any) []Effect {
+func (s *Sealer) sendToReaders(r *run, message any) []Effect {
 	effects := make([]Effect, 0, len(r.readers))
-	for _, to := range sorted(r.readers) {
+	for _, to := range sortedReaders(r.readers) {
 		effects = append(effects, Send{To: to, Message: message})
 	}
 	return effects
 }
 
-func sorted(readers map[masticway.Incarnation]bool) []masticway.Incarnation {
+func sortedReaders(readers map[masticway.Incarnation]bool) []masticway.Incarnation {
 	if len(readers) == 1 {
 		for to := range readers {
 			return []masticway.Incarnation{to}
@@ -316,10 +316,10 @@
 }
 
 // Leave refuses new work from now on; what runs goes on.
-func (s *Sealer) Leave() { s.leaving = true }
+func (s *Sealer) Leave() { s.draining = true }
 
 // Leaving tells whether new work is refused.
-func (s *Sealer) Leaving() bool { return s.leaving }
+func (s *Sealer) Leaving() bool { return s.draining }
 
 // Running returns the number of runs in progress.
 func (s *Sealer) Running() int { return s.running }
@@ -332,7 +332,7 @@
 		}
 		s.revision = c.Revision
 		s.changes = append(s.changes, c)
-		if len(s.changes) > changesKept {
+		if len(s.changes) > maxKeptChanges {
 			s.changes = s.changes[1:]
 		}
 	}
--- a/sealer/sealer_test.go
+++ b/sealer/sealer_test.go
@@ -14,16 +14,16 @@
 
 const router masticway.Incarnation = "r~1"
 
-// bench is a sealer whose effects the test reads.
-type bench struct {
+// harness is a sealer whose effects the test reads.
+type harness struct {
 	s       *sealer.Sealer
 	started []masticway.RunKey
 	stopped []masticway.RunKey
 	sent    map[masticway.Incarnation][]any
 }
 
-func newBench() *bench {
-	return &bench{
+func newHarness() *harness {
+	return &harness{
 		s: sealer.New(sealer.Settings{
 			Self: "s~1", KeepFor: time.Minute, KeepBytes: 64, OrphanAfter: 10 * time.Second, MaxRuns: 4,
 		}),
@@ -31,7 +31,7 @@
 	}
 }
 
-func (b *bench) apply(effects []sealer.Effect) {
+func (b *harness) apply(effects []sealer.Effect) {
 	for _, e := range effects {
 		switch e := e.(type) {
 		case sealer.Verify:
@@ -57,31 +57,31 @@
 	}
 }
 
-func (b *bench) run(d sealer.Dispatch) { b.apply(b.s.Dispatch(start, d, router)) }
+func (b *harness) run(d sealer.Dispatch) { b.apply(b.s.Dispatch(start, d, router)) }
 
 // last returns the newest message to the router.
-func (b *bench) last() any {
+func (b *harness) last() any {
 	list := b.sent[router]
 	return list[len(list)-1]
 }
 
 func TestDispatchIsRefusedAsNotRun(t *testing.T) {
 	cases := map[string]struct {
-		prepare  func(b *bench)
+		prepare  func(b *harness)
 		dispatch sealer.Dispatch
 		reason   sealer.Reason
 	}{
-		"sealed sender":       {func(b *bench) { b.s.Seal(start, router) }, dispatch("a", 1), sealer.ReasonSealed},
-		"leaving":             {func(b *bench) { b.s.Leave() }, dispatch("a", 1), sealer.ReasonLeaving},
-		"asked about it":      {func(b *bench) { b.s.Query(start, key("a", 1)) }, dispatch("a", 1), sealer.ReasonCancelled},
-		"stale revision":      {func(b *bench) { b.s.Learn([]masticway.Change{{Revision: 7}}) }, dispatch("a", 1), sealer.ReasonStale},
-		"identity is running": {func(b *bench) { b.run(dispatch("a", 1)) }, dispatch("a", 2), sealer.ReasonDuplicate},
-		"same attempt of another hold": {func(b *bench) {
+		"sealed sender":       {func(b *harness) { b.s.Seal(start, router) }, dispatch("a", 1), sealer.ReasonSealed},
+		"leaving":             {func(b *harness) { b.s.Leave() }, dispatch("a", 1), sealer.ReasonLeaving},
+		"asked about it":      {func(b *harness) { b.s.Query(start, key("a", 1)) }, dispatch("a", 1), sealer.ReasonCancelled},
+		"stale revision":      {func(b *harness) { b.s.Learn([]masticway.Change{{Revision: 7}}) }, dispatch("a", 1), sealer.ReasonStale},
+		"identity is running": {func(b *harness) { b.run(dispatch("a", 1)) }, dispatch("a", 2), sealer.ReasonDuplicate},
+		"same attempt of another hold": {func(b *harness) {
 			other := dispatch("a", 1)
 			other.Hold = "other"
 			b.run(other)
 		}, dispatch("a", 1), sealer.ReasonDuplicate},
-		"full": {func(b *bench) {
+		"full": {func(b *harness) {
 			for _, id := range []string{"p", "q", "r", "s"} {
 				b.run(dispatch(id, 1))
 			}
@@ -89,7 +89,7 @@
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
-			b := newBench()
+			b := newHarness()
 			tc.prepare(b)
 			before := len(b.started)
 			b.run(tc.dispatch)
@@ -101,7 +101,7 @@
 	}
 }
 
-func TestStandingDecidesWhatWaits(t *testing.T) {
+func TestIncarnationStatusDecidesPendingDispatches(t *testing.T) {
 	cases := map[string]struct {
 		standing sealer.Standing
 		starts   int
@@ -114,7 +114,7 @@
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
-			b := newBench()
+			b := newHarness()
 			effects := b.s.Dispatch(start, dispatch("a", 1), router)
 			qt.Assert(t, effects, qt.DeepEquals, []sealer.Effect{sealer.Verify{Incarnation: router}})
 			b.apply(b.s.Verified(start, router, tc.standing))
@@ -127,7 +127,7 @@
 }
 
 func TestSealDuringVerificationWins(t *testing.T) {
-	b := newBench()
+	b := newHarness()
 	_ = b.s.Dispatch(start, dispatch("a", 1), router)
 	_, effects := b.s.Seal(start, router)
 	b.apply(effects)
@@ -136,7 +136,7 @@
 	qt.Assert(t, b.started, qt.HasLen, 0)
 }
 
-func TestEndsOfARun(t *testing.T) {
+func TestRunResult(t *testing.T) {
 	cases := map[string]struct {
 		service  bool
 		failure  *masticway.UpstreamError
@@ -153,7 +153,7 @@
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
-			b := newBench()
+			b := newHarness()
 			d := dispatch("a", 1)
 			if tc.service {
 				d.Call = masticway.Call{Service: "stock"}
@@ -179,7 +179,7 @@
 }
 
 func TestAttachGetsTheWholeAnswer(t *testing.T) {
-	b := newBench()
+	b := newHarness()
 	d := dispatch("a", 1)
 	b.run(d)
 	b.apply(b.s.Counted(d.Run, 10, 0))
@@ -201,7 +201,7 @@
 }
 
 func TestRunIsStoppedAtItsBound(t *testing.T) {
-	b := newBench()
+	b := newHarness()
 	d := dispatch("a", 1)
 	d.Bound = 16
 	b.run(d)
@@ -219,7 +219,7 @@
 func TestOrphansAreStoppedUnlessNonRepeatable(t *testing.T) {
 	for name, nonRepeatable := range map[string]bool{"repeatable": false, "non-repeatable": true} {
 		t.Run(name, func(t *testing.T) {
-			b := newBench()
+			b := newHarness()
 			d := dispatch("a", 1)
 			d.NonRepeatable = nonRepeatable
 			b.run(d)
@@ -233,7 +233,7 @@
 }
 
 func TestMemoryOfAnswersIsBounded(t *testing.T) {
-	b := newBench()
+	b := newHarness()
 	for _, id := range []string{"a", "b", "c", "d", "e", "f"} {
 		d := dispatch(id, 1)
 		b.run(d)
@@ -249,7 +249,7 @@
 }
 
 func TestClosedGrantsLeaveMemoryAndNewerOnesStay(t *testing.T) {
-	b := newBench()
+	b := newHarness()
 	for i, id := range []string{"a", "b", "c"} {
 		d := dispatch(id, 1)
 		d.Grant.Number = int64(i + 1)
@@ -265,8 +265,8 @@
 	qt.Assert(t, numbers, qt.DeepEquals, []int64{2, 3})
 }
 
-func TestStaleRouterIsHandedWhatItLacks(t *testing.T) {
-	b := newBench()
+func TestStaleRouterGetsMissingChanges(t *testing.T) {
+	b := newHarness()
 	b.s.Learn([]masticway.Change{{Revision: 5}, {Revision: 6}, {Revision: 7}})
 	b.s.Learn([]masticway.Change{{Revision: 6}})
 	qt.Assert(t, b.s.Revision(), qt.Equals, masticway.Revision(7))
