--- a/keeper/account.go
+++ b/keeper/account.go
@@ -8,18 +8,21 @@
 )
 
 const (
-	// defaultHorizon makes a busy budget draw about once a minute; see docs/MEASUREMENTS.md.
+	// defaultHorizon is the span of future demand that a draw covers unless a request names another.
+	// With it a busy budget draws about once a minute; see docs/MEASUREMENTS.md.
 	defaultHorizon = 60 * time.Second
-	// rateWindow is the time constant of the demand forecast.
+	// rateWindow is the time constant with which the measured demand rate decays.
 	rateWindow = 10 * time.Second
 )
 
+// waiter is a hold request that waits for money.
 type waiter struct {
 	request  HoldRequest
 	since    time.Time
 	deadline time.Time
 }
 
+// hold is money reserved for one attempt.
 type hold struct {
 	request HoldRequest
 	amount  masticway.Amount
@@ -28,23 +31,26 @@
 	state   charter.State
 }
 
+// account is the state of one budget at this router and of the router's grant from it.
 type account struct {
-	budget         string
-	grant          masticway.GrantKey
-	drawn          masticway.Amount
-	spent          masticway.Amount
-	presumed       masticway.Amount
-	returned       masticway.Amount
-	held           masticway.Amount
-	holdCount      int
-	waiters        []waiter
-	state          charter.State
-	seq            int64
-	demandRate     float64
-	rateUpdatedAt  time.Time
-	lastHoldAt     time.Time
-	horizon        time.Duration
-	nextMoveAt     time.Time
+	budget        string
+	grant         masticway.GrantKey
+	drawn         masticway.Amount
+	spent         masticway.Amount
+	presumed      masticway.Amount
+	returned      masticway.Amount
+	held          masticway.Amount
+	holdCount     int
+	waiters       []waiter
+	state         charter.State
+	seq           int64
+	demandRate    float64
+	rateUpdatedAt time.Time
+	lastHoldAt    time.Time
+	horizon       time.Duration
+	nextMoveAt    time.Time
+	// tableRead is set once a move has succeeded; readAt is when the last such move began, and remaining, othersOpen and
+	// otherPayers are what it found in the budget's row.
 	tableRead      bool
 	moveStartedAt  time.Time
 	readAt         time.Time
@@ -55,8 +61,10 @@
 	bySidecar      map[masticway.Incarnation]masticway.Amount
 }
 
+// free returns the part of the grant that is neither spent, returned nor held.
 func (a *account) free() masticway.Amount { return a.drawn - a.spent - a.returned - a.held }
 
+// recordDemand adds a request to the measured demand.
 func (a *account) recordDemand(now time.Time, r HoldRequest) {
 	a.decayRate(now)
 	a.demandRate += float64(r.Most) / rateWindow.Seconds()
@@ -67,6 +75,7 @@
 	}
 }
 
+// decayRate reduces the demand rate by the time that has passed since it was last updated.
 func (a *account) decayRate(now time.Time) {
 	passed := now.Sub(a.rateUpdatedAt)
 	a.rateUpdatedAt = now
@@ -76,6 +85,7 @@
 	a.demandRate *= max(0, 1-passed.Seconds()/rateWindow.Seconds())
 }
 
+// forecast returns the demand expected within the horizon.
 func (a *account) forecast() masticway.Amount {
 	return masticway.Amount(a.demandRate * a.horizon.Seconds())
 }
--- a/keeper/bench_test.go
+++ b/keeper/bench_test.go
@@ -10,7 +10,7 @@
 	"github.com/masticway/masticway/keeper"
 )
 
-// BenchmarkHoldAndSettle is the money work of one request, with so many budgets in memory.
+// BenchmarkHoldAndSettle measures the hold and settlement of one request with 1 to 300,000 budgets in memory.
 func BenchmarkHoldAndSettle(b *testing.B) {
 	for _, n := range []int{1, 1000, 300_000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
@@ -39,7 +39,7 @@
 	}
 }
 
-// BenchmarkTidy is the look once a second at so many quiet budgets.
+// BenchmarkTidy measures the visit of 10 to 1,000 idle budgets, which is done once a second.
 func BenchmarkTidy(b *testing.B) {
 	for _, n := range []int{10, 100, 1000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
--- a/keeper/chart.go
+++ b/keeper/chart.go
@@ -4,13 +4,13 @@
 	"github.com/masticway/masticway/charter"
 )
 
-// The charts that grants and holds follow.
+// The statecharts of grants and holds.
 var (
 	grantChart = charter.MustLoad(charter.Grant)
 	holdChart  = charter.MustLoad(charter.Hold)
 )
 
-// Events of the grant chart.
+// Events of the grant's statechart.
 const (
 	eventMove   charter.Event = "move"
 	eventMoved  charter.Event = "moved"
@@ -19,20 +19,20 @@
 	eventClosed charter.Event = "closed"
 )
 
-// Events of the hold chart.
+// Events of the hold's statechart.
 const (
 	eventTaken   charter.Event = "taken"
 	eventShrunk  charter.Event = "shrunk"
 	eventSettled charter.Event = "settled"
 )
 
-// States of the grant chart in which the table has been asked and has not answered.
+// States of the grant's statechart in which a move is in progress.
 const (
 	stateMoving  charter.State = "moving"
 	stateClosing charter.State = "closing"
 )
 
-// isMoving tells whether a move of the account's grant is under way.
+// isMoving reports whether a move of the account's grant is in progress.
 func (a *account) isMoving() bool { return a.state == stateMoving || a.state == stateClosing }
 
 func (k *Keeper) stepGrant(a *account, e charter.Event) {
@@ -53,10 +53,10 @@
 	}
 }
 
-// Fault returns the first step outside a chart, as a charter.StepError, or nothing.
+// Fault returns a charter.StepError for the first transition that a statechart does not allow, or nil.
 func (k *Keeper) Fault() error { return k.chartError }
 
-// eventOf names the event that a move's result is.
+// eventOf returns the event of the grant's statechart that a move's result causes.
 func eventOf(r MoveResult) charter.Event {
 	switch {
 	case r.Failed:
--- a/keeper/doc.go
+++ b/keeper/doc.go
@@ -1,7 +1,8 @@
-// Package keeper decides how a daemon draws, holds, spends and returns prepaid money.
+// Package keeper decides when a router draws, holds, spends and returns prepaid money.
 //
-// It is deterministic: an event and the time go in and effects come out. The
-// shell around it runs the effects against the table and feeds the results
-// back. Money is safe whatever the timing, because a hold is only ever taken
-// from a grant that the table has already moved to this incarnation.
+// It is deterministic and does no I/O: each method takes an event and the
+// current time and returns effects. The caller carries the effects out on the
+// table and passes their results back. No timing of these calls can lead to
+// overspending, because a hold is taken only from a grant that the table has
+// already recorded for this incarnation.
 package keeper
--- a/keeper/draw.go
+++ b/keeper/draw.go
@@ -7,13 +7,14 @@
 )
 
 const (
-	// lowWatermark is the part of the horizon's demand below which the next draw starts early.
+	// lowWatermark is the share of the forecast below which the next draw starts before a request has to wait.
 	lowWatermark = 0.25
-	// moveRetryDelay separates attempts to draw after a refusal or an outage.
+	// moveRetryDelay is the minimum time from the start of a move to the next draw or return of idle money, unless the move
+	// drew something.
 	moveRetryDelay = 100 * time.Millisecond
 )
 
-// drawIfShort starts a move when money is short or will soon be.
+// drawIfShort starts a draw if requests wait for money or free money is below the low watermark.
 func (k *Keeper) drawIfShort(now time.Time, a *account) []Effect {
 	if a.isMoving() || now.Before(a.nextMoveAt) {
 		return nil
@@ -41,6 +42,7 @@
 	return append(effects, k.startMove(now, a, m))
 }
 
+// startMove completes a move with the account's totals and a sequence number; it numbers a new grant if there is none.
 func (k *Keeper) startMove(now time.Time, a *account, m Move) Move {
 	if a.grant.Number == 0 {
 		k.lastGrantNumber++
@@ -54,7 +56,7 @@
 	a.moveStartedAt = now
 	a.seq++
 	a.nextMoveAt = now.Add(moveRetryDelay)
-	// What is on its way back must not be held meanwhile.
+	// Money that is being returned must not be held in the meantime.
 	a.returned += m.Return
 	m.Grant = a.grant
 	m.Spent = a.spent
@@ -64,7 +66,7 @@
 	return m
 }
 
-// Moved takes the result of a move and serves those who waited for it.
+// Moved applies the result of a move and answers requests that waited for it.
 func (k *Keeper) Moved(now time.Time, r MoveResult) []Effect {
 	a, ok := k.accounts[r.Move.Grant.Budget]
 	if !ok || a.grant != r.Move.Grant {
@@ -95,7 +97,7 @@
 	return k.serveWaiters(now, a)
 }
 
-// removeClosedGrant forgets a grant that the table has ended; waiting requests open a new one.
+// removeClosedGrant drops a grant that the table has closed; if requests wait, a new grant is opened for them.
 func (k *Keeper) removeClosedGrant(now time.Time, a *account) []Effect {
 	fresh := &account{
 		budget: a.budget, state: grantChart.Initial(), waiters: a.waiters, demandRate: a.demandRate, rateUpdatedAt: a.rateUpdatedAt, lastHoldAt: a.lastHoldAt,
--- a/keeper/effects.go
+++ b/keeper/effects.go
@@ -6,7 +6,7 @@
 	"github.com/masticway/masticway"
 )
 
-// Effect is something that the shell must do; it is one of the types below.
+// Effect is an action that the caller must carry out: a Reply, a Move or an AskPeers.
 type Effect interface{ effect() }
 
 // Reply answers a hold request.
@@ -16,33 +16,35 @@
 	Grant   masticway.GrantKey
 	Amount  masticway.Amount
 	Sender  masticway.Incarnation
-	// Open tells of a duplicate that the first request is still under way.
+	// Open is set on a duplicate if the first request is still in progress.
 	Open bool
 	// Waited is how long the request waited for money.
 	Waited time.Duration
 }
 
-// Move asks the shell to change the grant in the table; its result comes back by Moved.
+// Move asks the caller to move money between a budget and this router's grant in the table.
+// The caller passes the result to Moved.
 type Move struct {
 	Grant masticway.GrantKey
-	// Spent is the cumulative true cost of the grant so far.
+	// Spent is the total true cost charged to the grant so far.
 	Spent masticway.Amount
-	// Presumed is the part of it that vanished sidecars may have run.
+	// Presumed is the part of Spent that lost sidecars may or may not have run.
 	Presumed masticway.Amount
-	// Need and Want bound the draw; both zero asks for none.
+	// Need is what waiting requests need at least; Want also covers the forecast. If both are zero, nothing is drawn.
 	Need masticway.Amount
 	Want masticway.Amount
-	// Slices draws this part of the prepaid sum, for the baseline policy.
+	// Slices makes a first draw take the prepaid sum divided by it, for PolicySlice.
 	Slices int
-	// Return goes back to the budget, and Close ends the grant.
+	// Return is the amount to return to the budget, and Close is set if the grant ends.
 	Return masticway.Amount
 	Close  bool
 	Seq    int64
-	// DrawnBefore is what the grant had drawn before, from which a lost answer is worked out.
+	// DrawnBefore is what the grant had drawn before the move. If the answer to the move is lost, the difference to
+	// the row's total shows how much it drew.
 	DrawnBefore masticway.Amount
 }
 
-// AskPeers asks the daemons that have open grants of a budget to return idle money.
+// AskPeers asks the routers that have open grants from a budget to return free money.
 type AskPeers struct {
 	Budget string
 	Payers []masticway.Incarnation
@@ -52,18 +54,18 @@
 func (Move) effect()     {}
 func (AskPeers) effect() {}
 
-// MoveResult is what became of a move.
+// MoveResult is the result of a move.
 type MoveResult struct {
 	Move Move
 	// Drawn is the amount moved to the grant.
 	Drawn masticway.Amount
-	// Left is what the budget could still give, and Elsewhere what other grants have open.
+	// Left is what the budget can still grant, and Elsewhere the sum of other payers' open grants.
 	Left      masticway.Amount
 	Elsewhere masticway.Amount
-	// OtherPayers are the payers of those grants.
+	// OtherPayers lists the payers of those grants.
 	OtherPayers []masticway.Incarnation
-	// Failed says that nothing was moved because the table could not be reached.
+	// Failed is set if nothing was moved because the table could not be reached.
 	Failed bool
-	// Missing says that the budget does not exist.
+	// Missing is set if the budget does not exist.
 	Missing bool
 }
--- a/keeper/keeper.go
+++ b/keeper/keeper.go
@@ -8,67 +8,71 @@
 	"github.com/masticway/masticway"
 )
 
-// Policy chooses how much a draw takes.
+// Policy determines how much a draw takes.
 type Policy string
 
-// The draw policies: forecast follows demand, slice is the baseline of one fixed part for each router.
+// The draw policies. PolicyForecast draws by forecast demand. PolicySlice draws one fixed share for each router; it is the
+// baseline for comparison.
 const (
 	PolicyForecast Policy = "forecast"
 	PolicySlice    Policy = "slice"
 )
 
-// maxRecent bounds the identities remembered after they were settled.
+// maxRecent is the number of tracked identities that are kept; an older one is dropped unless its hold is open.
 const maxRecent = 50_000
 
-// Settings are the tunables of a keeper.
+// Settings configure a keeper.
 type Settings struct {
 	Incarnation masticway.Incarnation
 	Policy      Policy
 	// Slices is the number of routers that share a budget under PolicySlice.
 	Slices int
-	// IdleAfter is how long a budget must be quiet before its money goes back and its state is dropped.
+	// IdleAfter is the time without hold requests after which a budget's money is returned and its state dropped.
 	IdleAfter time.Duration
 }
 
-// HoldRequest asks for money for one attempt.
+// HoldRequest asks for a hold for one attempt.
+//
+// It is encoded in CBOR as part of linker.Message, under the names of its fields and tags.
 type HoldRequest struct {
 	ID       masticway.HoldID
 	Budget   string
 	Identity masticway.Identity
 	Sender   masticway.Incarnation
-	// Most is the bound on the cost, and Least the smallest hold that is of use.
+	// Most is the maximum cost, and Least the smallest useful hold.
 	Most  masticway.Amount `cbor:"Most"`
 	Least masticway.Amount `cbor:"Least"`
-	// Tracked asks the keeper to recognise a second request with the same identity.
+	// Tracked is set if the keeper must recognize a later request with the same identity as a duplicate.
 	Tracked bool
-	// Again tells that the run of the first one ended early, so that there is no whole answer to share.
-	Again   bool          `cbor:"Again"`
+	// Again is set if the first request's run ended early, so that it has no complete answer to share.
+	Again   bool `cbor:"Again"`
 	Horizon time.Duration
 	Wait    time.Duration `cbor:"Wait"`
 }
 
-// Verdict is the answer to a hold request.
+// Verdict is the result of a hold request.
 type Verdict string
 
-// The verdicts of a keeper; exhausted and unreachable are different refusals.
+// The results of a hold request. VerdictExhausted means that the budget has too little money left, and VerdictUnreachable
+// that there may be enough but that it could not be obtained in time.
 const (
 	VerdictHeld        Verdict = "held"
 	VerdictDuplicate   Verdict = "duplicate"
 	VerdictExhausted   Verdict = "exhausted"
 	VerdictUnreachable Verdict = "unreachable"
-	// VerdictElsewhere comes from a router that is leaving or sealed and keeps no budget any more.
+	// VerdictElsewhere is the answer of a router that is draining or sealed and no longer keeps budgets.
 	VerdictElsewhere Verdict = "elsewhere"
 )
 
-// Charge is what one sidecar ran for a hold.
+// Charge is the cost of what one sidecar ran for a hold.
 type Charge struct {
 	Sidecar masticway.Incarnation `cbor:"1,keyasint"`
 	Amount  masticway.Amount      `cbor:"2,keyasint"`
-	// Presumed tells that the sidecar is gone, and that this is the most that it may have run.
+	// Presumed is set if the sidecar is lost; Amount is then the most that it can have run.
 	Presumed bool `cbor:"3,keyasint,omitempty"`
 }
 
-// Keeper holds the money of one incarnation; it is not safe for concurrent use.
+// Keeper manages the grants and holds of one incarnation. It is not safe for concurrent use.
 type Keeper struct {
 	settings        Settings
 	accounts        map[string]*account
@@ -79,11 +83,11 @@
 	recent          []masticway.Identity
 	lastGrantNumber int64
 	started         time.Time
-	// chartError is the first step that a chart did not allow; it is a defect of this package.
+	// chartError is the first transition that a statechart did not allow; it shows a bug in this package.
 	chartError error
 }
 
-// New returns a keeper without money.
+// New returns a keeper that has no grants.
 func New(s Settings, now time.Time) *Keeper {
 	return &Keeper{
 		settings:        s,
@@ -96,10 +100,11 @@
 	}
 }
 
-// Started returns when the keeper began to remember identities.
+// Started returns when the keeper began to track identities.
 func (k *Keeper) Started() time.Time { return k.started }
 
-// Hold takes money for one attempt, or queues the request until money comes or its wait ends.
+// Hold reserves money for one attempt, or queues the request until there is money or its maximum wait is over. A tracked
+// request whose identity is in use is answered as a duplicate; a request that already has a hold is answered with that hold.
 func (k *Keeper) Hold(now time.Time, r HoldRequest) []Effect {
 	if held, ok := k.holds[r.ID]; ok {
 		return []Effect{Reply{ID: r.ID, Verdict: VerdictHeld, Grant: held.account.grant, Amount: held.amount}}
@@ -120,6 +125,7 @@
 	return k.serveWaiters(now, a)
 }
 
+// track records a request's identity, and drops the oldest identity if there are more than maxRecent.
 func (k *Keeper) track(r HoldRequest) {
 	k.tracked[r.Identity] = r.ID
 	k.senders[r.ID] = r.Sender
@@ -136,7 +142,7 @@
 	}
 }
 
-// untrack lets a request that got no money be asked for again.
+// untrack drops a request's identity, so that another request with it is no duplicate.
 func (k *Keeper) untrack(r HoldRequest) {
 	if k.tracked[r.Identity] != r.ID {
 		return
@@ -145,6 +151,7 @@
 	delete(k.senders, r.ID)
 }
 
+// account returns the account of a budget, which it creates if there is none.
 func (k *Keeper) account(budget string) *account {
 	a, ok := k.accounts[budget]
 	if !ok {
@@ -154,7 +161,7 @@
 	return a
 }
 
-// Resize shrinks a hold once its true bound is known; a hold never grows.
+// Resize reduces a hold to a smaller maximum cost that has become known. A hold never grows.
 func (k *Keeper) Resize(now time.Time, id masticway.HoldID, amount masticway.Amount) []Effect {
 	h, ok := k.holds[id]
 	if !ok || amount >= h.amount {
@@ -166,7 +173,7 @@
 	return k.serveWaiters(now, h.account)
 }
 
-// Settle ends a hold with its true cost; a repeated report has no effect.
+// Settle ends a hold and charges its true cost. Settling it again has no effect. A request that still waits is canceled.
 func (k *Keeper) Settle(now time.Time, id masticway.HoldID, charges []Charge) []Effect {
 	h, ok := k.holds[id]
 	if !ok {
@@ -189,16 +196,16 @@
 		}
 	}
 	a.spent += cost
-	// The forecast counted the bound; correct it towards what was used.
+	// The demand rate counted the maximum cost; correct it to the true cost.
 	a.demandRate = max(0, a.demandRate-float64(h.request.Most-cost)/rateWindow.Seconds())
 	if cost == 0 || answerLost {
-		// Nothing ran, or its answer went with its sidecar: the same identity may run.
+		// Nothing ran, or the answer was lost with its sidecar, so the same identity may run again.
 		k.untrack(h.request)
 	}
 	return k.serveWaiters(now, a)
 }
 
-// cancelWait drops a request that still waits, because its sender has given up on it.
+// cancelWait drops a request that still waits for money, after its sender has canceled it.
 func (k *Keeper) cancelWait(id masticway.HoldID) {
 	a, ok := k.waitingAccounts[id]
 	if !ok {
@@ -213,7 +220,7 @@
 	})
 }
 
-// serveWaiters answers waiting requests in order and starts a draw where money is short.
+// serveWaiters answers waiting requests in order, until one must go on waiting, and starts a draw if money is short.
 func (k *Keeper) serveWaiters(now time.Time, a *account) []Effect {
 	var effects []Effect
 	for len(a.waiters) > 0 {
@@ -229,10 +236,10 @@
 	return append(effects, k.drawIfShort(now, a)...)
 }
 
-// decide answers a waiting request if it can be answered now.
+// decide answers a waiting request and reports whether it can be answered now.
 //
-// A refusal needs a look at the table that began after the request came, so
-// that a top-up just made is never overlooked.
+// VerdictExhausted requires a read of the table that began after the request
+// arrived, so that a recent top-up is never missed.
 func (k *Keeper) decide(now time.Time, a *account, w waiter) (Reply, bool) {
 	free := a.free()
 	r := w.request
@@ -250,7 +257,7 @@
 	if now.Before(w.deadline) {
 		return Reply{}, false
 	}
-	// Money that others hold, perhaps a router that just died, is not exhausted: it can come back.
+	// Money in other routers' grants is not exhausted: it can be returned, also by the recovery of a router that crashed.
 	if !isFresh || free+a.remaining+a.othersOpen >= r.Least {
 		return k.refuse(now, w, VerdictUnreachable), true
 	}
@@ -272,7 +279,8 @@
 	return Reply{ID: w.request.ID, Verdict: v, Waited: now.Sub(w.since)}
 }
 
-// Tick ends waits that are over and draws for those that go on; its cost follows the requests that wait.
+// Tick refuses requests whose deadline has passed and starts draws for the others that wait. It visits only budgets for
+// which requests wait.
 func (k *Keeper) Tick(now time.Time) []Effect {
 	if len(k.waitingAccounts) == 0 {
 		return nil
@@ -288,10 +296,10 @@
 	return effects
 }
 
-// Budgets lists the budgets in memory, in a fixed order.
+// Budgets returns the budgets in memory, sorted.
 func (k *Keeper) Budgets() []string { return k.sortedBudgets() }
 
-// sortedBudgets lists accounts in a fixed order, so that the same events give the same effects.
+// sortedBudgets returns the budgets in memory in a fixed order, so that the same events give the same effects.
 func (k *Keeper) sortedBudgets() []string {
 	names := make([]string, 0, len(k.accounts))
 	for n := range k.accounts {
--- a/keeper/keeper_test.go
+++ b/keeper/keeper_test.go
@@ -12,7 +12,7 @@
 
 var start = time.Unix(1_800_000_000, 0)
 
-// harness is a keeper whose moves the test answers by hand.
+// harness records a keeper's effects; the test answers its moves.
 type harness struct {
 	k        *keeper.Keeper
 	now      time.Time
@@ -48,7 +48,7 @@
 	}))
 }
 
-// answerMove answers the oldest move.
+// answerMove passes a result of the oldest move to the keeper.
 func (b *harness) answerMove(drawn, left, elsewhere masticway.Amount, failed bool) {
 	m := b.moves[0]
 	b.moves = b.moves[1:]
@@ -71,12 +71,12 @@
 		amount        masticway.Amount
 		asksPeers     bool
 	}{
-		"money is there":               {most: 100, least: 100, drawn: 500, left: 500, verdict: keeper.VerdictHeld, amount: 100},
-		"unnamed maximum is clamped":   {most: 100, least: 10, drawn: 40, verdict: keeper.VerdictHeld, amount: 20},
-		"clamp keeps the least":        {most: 100, least: 30, drawn: 40, verdict: keeper.VerdictHeld, amount: 30},
-		"nothing anywhere":             {most: 100, least: 100, drawn: 40, verdict: keeper.VerdictExhausted},
-		"others have it and give none": {most: 100, least: 100, drawn: 40, elsewhere: 90, waits: true, verdict: keeper.VerdictUnreachable, asksPeers: true},
-		"table cannot be reached":      {most: 100, least: 100, failed: true, waits: true, verdict: keeper.VerdictUnreachable},
+		"enough money":          {most: 100, least: 100, drawn: 500, left: 500, verdict: keeper.VerdictHeld, amount: 100},
+		"maximum is reduced":    {most: 100, least: 10, drawn: 40, verdict: keeper.VerdictHeld, amount: 20},
+		"minimum is kept":       {most: 100, least: 30, drawn: 40, verdict: keeper.VerdictHeld, amount: 30},
+		"too little everywhere": {most: 100, least: 100, drawn: 40, verdict: keeper.VerdictExhausted},
+		"peers return nothing":  {most: 100, least: 100, drawn: 40, elsewhere: 90, waits: true, verdict: keeper.VerdictUnreachable, asksPeers: true},
+		"table is unreachable":  {most: 100, least: 100, failed: true, waits: true, verdict: keeper.VerdictUnreachable},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -103,7 +103,7 @@
 	b.hold("first", 100, 100)
 	b.answerMove(0, 0, 0, false)
 	qt.Assert(t, b.replies["first"].Verdict, qt.Equals, keeper.VerdictExhausted)
-	// The top-up has happened since; the next request must look again rather than remember.
+	// After a top-up the next request must read the table again and not rely on the earlier result.
 	b.now = b.now.Add(time.Second)
 	b.hold("second", 100, 100)
 	b.answerMove(100, 50, 0, false)
@@ -146,14 +146,14 @@
 	qt.Assert(t, b.replies["other"].Verdict, qt.Equals, keeper.VerdictDuplicate)
 	qt.Assert(t, b.replies["other"].Sender, qt.Equals, masticway.Incarnation("r~1"))
 	qt.Assert(t, b.replies["other"].Open, qt.IsTrue)
-	// A run that has ended is not waited for.
+	// The duplicate of a run that has ended does not wait.
 	b.hold("paid", 100, 100)
 	b.apply(b.k.Settle(b.now, "paid", []keeper.Charge{{Sidecar: "s~1", Amount: 5}}))
 	late := keeper.HoldRequest{ID: "late", Identity: "w/paid", Budget: "b", Sender: "r~2", Most: 100, Least: 100, Tracked: true, Wait: time.Second}
 	b.apply(b.k.Hold(b.now, late))
 	qt.Assert(t, b.replies["late"].Verdict, qt.Equals, keeper.VerdictDuplicate)
 	qt.Assert(t, b.replies["late"].Open, qt.IsFalse)
-	// A run that cost nothing did not run, so the identity is free again.
+	// A hold that was settled at no cost did not run, so the identity can be used again.
 	b.apply(b.k.Settle(b.now, "h", nil))
 	again.ID = "third"
 	b.apply(b.k.Hold(b.now, again))
@@ -181,7 +181,7 @@
 	m := b.moves[0]
 	qt.Assert(t, m.Close, qt.IsTrue)
 	qt.Assert(t, m.Return, qt.Equals, masticway.Amount(240))
-	// While the money is on its way back nothing of it can be held.
+	// Money that is being returned cannot be held.
 	b.hold("late", 100, 100)
 	_, answered := b.replies["late"]
 	qt.Assert(t, answered, qt.IsFalse)
@@ -205,6 +205,6 @@
 		}
 		b.apply(b.k.Settle(b.now, masticway.HoldID(b.now.String()), []keeper.Charge{{Sidecar: "s~1", Amount: 90}}))
 	}
-	// 600 requests in a minute, with a horizon of a minute.
+	// The 600 requests take a minute, which is also the horizon.
 	qt.Assert(t, draws < 10, qt.IsTrue, qt.Commentf("%d draws", draws))
 }
--- a/keeper/memory_test.go
+++ b/keeper/memory_test.go
@@ -11,7 +11,7 @@
 	"github.com/masticway/masticway/keeper"
 )
 
-// BenchmarkMemory reports the bytes that one budget in use takes at its keeper.
+// BenchmarkMemory reports the memory that a keeper needs for one budget in use.
 func BenchmarkMemory(b *testing.B) {
 	for _, n := range []int{1000, 10_000, 100_000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
--- a/keeper/return.go
+++ b/keeper/return.go
@@ -5,14 +5,14 @@
 )
 
 const (
-	// surplusFactor is the multiple of the horizon's demand above which money goes back.
+	// surplusFactor is the multiple of the forecast that an idle budget keeps while it has open holds.
 	surplusFactor = 3
-	// handOverDelay is how long a budget that another router keeps must be quiet here before it is handed over,
-	// so that a keeper that is briefly out of reach does not cost a move for each request.
+	// handOverDelay is the time without hold requests after which a budget that another router now keeps is handed
+	// over. It avoids a move for each request while that router is unreachable for a short time.
 	handOverDelay = 2 * time.Second
 )
 
-// Tidy returns idle money and drops quiet budgets; it looks at every budget, so it is called seldom.
+// Tidy returns idle money and drops idle budgets. It visits every budget, so it should be called rarely.
 func (k *Keeper) Tidy(now time.Time) []Effect {
 	var effects []Effect
 	for _, budget := range k.sortedBudgets() {
@@ -47,7 +47,8 @@
 	return nil
 }
 
-// GiveBack returns what a peer may use: all that is free when idle or kept elsewhere now, half when in use.
+// GiveBack returns free money that a peer has asked for: all of it if the budget is idle or now kept by another router
+// (elsewhere), and half of it if it is in use.
 func (k *Keeper) GiveBack(now time.Time, budget string, elsewhere bool) []Effect {
 	a, ok := k.accounts[budget]
 	if !ok || a.isMoving() || a.grant.Number == 0 || len(a.waiters) > 0 || k.settings.Policy == PolicySlice {
@@ -63,7 +64,8 @@
 	return []Effect{k.startMove(now, a, Move{Return: free})}
 }
 
-// Yield hands a budget over that another router keeps now: what is free goes back, and the grant ends with its last hold.
+// Yield hands a budget over that another router now keeps: it returns the free money, and closes the grant once no hold is
+// open.
 func (k *Keeper) Yield(now time.Time, budget string) []Effect {
 	a, ok := k.accounts[budget]
 	if !ok || a.isMoving() || a.grant.Number == 0 || len(a.waiters) > 0 || now.Sub(a.lastHoldAt) < handOverDelay {
@@ -78,7 +80,7 @@
 	return []Effect{k.startMove(now, a, Move{Return: a.free()})}
 }
 
-// Drain returns everything that is not held; it is called until Empty.
+// Drain returns all money that is not held. It must be called repeatedly until Empty.
 func (k *Keeper) Drain(now time.Time) []Effect {
 	var effects []Effect
 	for _, budget := range k.sortedBudgets() {
@@ -101,5 +103,5 @@
 	return effects
 }
 
-// Empty tells whether no grant is left.
+// Empty reports whether the keeper has no accounts left.
 func (k *Keeper) Empty() bool { return len(k.accounts) == 0 }
--- a/keeper/state.go
+++ b/keeper/state.go
@@ -8,7 +8,7 @@
 	"github.com/masticway/masticway"
 )
 
-// HeldFor describes an open hold.
+// HeldFor describes an open hold of a sender.
 type HeldFor struct {
 	ID       masticway.HoldID
 	Identity masticway.Identity
@@ -16,7 +16,7 @@
 	Amount   masticway.Amount
 }
 
-// HoldsOf lists the open holds that a sender asked for.
+// HoldsOf returns the open holds that a sender requested, sorted by id.
 func (k *Keeper) HoldsOf(sender masticway.Incarnation) []HeldFor {
 	var held []HeldFor
 	for id, h := range k.holds {
@@ -28,7 +28,7 @@
 	return held
 }
 
-// OldestHold returns when the oldest open hold was taken, and whether there is one.
+// OldestHold returns when the oldest open hold was taken and whether there is one.
 func (k *Keeper) OldestHold() (time.Time, bool) {
 	var oldest time.Time
 	for _, h := range k.holds {
@@ -39,7 +39,7 @@
 	return oldest, !oldest.IsZero()
 }
 
-// SpentBy returns, for each open grant, what one sidecar has run for it.
+// SpentBy returns, by the number of each open grant, the cost of what one sidecar has run for it.
 func (k *Keeper) SpentBy(sidecar masticway.Incarnation) map[int64]masticway.Amount {
 	spent := map[int64]masticway.Amount{}
 	for _, a := range k.accounts {
@@ -50,7 +50,7 @@
 	return spent
 }
 
-// OpenGrants lists the numbers of the grants that are not closed, and the highest number given so far.
+// OpenGrants returns the numbers of the open grants and the highest number assigned so far.
 func (k *Keeper) OpenGrants() (numbers []int64, maxNumber int64) {
 	for _, a := range k.accounts {
 		if a.grant.Number != 0 {
@@ -61,7 +61,7 @@
 	return numbers, k.lastGrantNumber
 }
 
-// Position is what the keeper has for one budget.
+// Position is the state of one budget at the keeper.
 type Position struct {
 	Budget string           `json:"budget"`
 	Drawn  masticway.Amount `json:"drawn"`
@@ -71,7 +71,7 @@
 	Holds  int              `json:"holds"`
 }
 
-// Position returns the state of a budget, and whether the keeper has any.
+// Position returns the state of a budget and whether the budget is in memory.
 func (k *Keeper) Position(budget string) (Position, bool) {
 	a, ok := k.accounts[budget]
 	if !ok {
--- a/keeper/world_test.go
+++ b/keeper/world_test.go
@@ -22,7 +22,7 @@
 
 func TestMain(m *testing.M) {
 	flag.Parse()
-	// The same steps at every run; a longer search sets the flag.
+	// A fixed seed gives the same steps in each run; the flag -rapid.seed chooses others.
 	if f := flag.Lookup("rapid.seed"); f.Value.String() == "0" {
 		_ = flag.Set("rapid.seed", "20261202")
 		_ = flag.Set("rapid.nofailfile", "true")
@@ -32,7 +32,7 @@
 
 const worldBudget = "b"
 
-// world is a fleet's money without sockets: the decision code, the table and nothing else.
+// world simulates the money of a fleet without I/O: routers' keepers, sidecars' sealers and recoveries on an emulated table.
 type world struct {
 	now      time.Time
 	table    *emulator.Table
@@ -51,7 +51,7 @@
 	version int64
 	moves   []pendingMove
 	dead    bool
-	// recoveries are two at once, by two others.
+	// recoveries are two concurrent recoveries by two other routers.
 	recoveries []*recoverer.Recovery
 }
 
@@ -81,7 +81,7 @@
 	settled  bool
 }
 
-// trueCost is what the upstream really did, known to nobody else.
+// trueCost returns the cost of what the upstream ran, which no other part of the simulation can see.
 func (r *worldRun) trueCost() masticway.Amount {
 	if !r.counted {
 		return 0
@@ -140,7 +140,7 @@
 	}
 }
 
-// hold asks a router's keeper for money.
+// hold sends a hold request to a router's keeper.
 func (w *world) hold(t *rapid.T) {
 	r := w.routers[rapid.IntRange(0, len(w.routers)-1).Draw(t, "router")]
 	if r.dead {
@@ -155,7 +155,7 @@
 	}))
 }
 
-// move carries out one pending move against a table that may be down or lose the answer.
+// move carries out a router's oldest pending move on a table that may be unavailable or lose its answer.
 func (w *world) move(t *rapid.T) {
 	r := w.routers[rapid.IntRange(0, len(w.routers)-1).Draw(t, "router")]
 	if r.dead || len(r.moves) == 0 {
@@ -170,7 +170,7 @@
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	if rapid.Bool().Draw(t, "read_back_fails") {
-		// The answer is lost and the process stops looking for now.
+		// The move's outcome cannot be read back this time.
 		cancel()
 	}
 	defer cancel()
@@ -194,7 +194,7 @@
 	p.unknown = true
 }
 
-// send dispatches a held run to a sidecar; a dead router's messages may still arrive.
+// send dispatches a run with a hold to a sidecar; messages of a router that has crashed may still arrive.
 func (w *world) send(t *rapid.T) {
 	run := w.pickRun(t, func(r *worldRun) bool { return !r.sent })
 	if run == nil {
@@ -257,7 +257,7 @@
 	return sealer.StandingOpen
 }
 
-// work lets an upstream run on by a step.
+// work advances a run at an upstream by one step.
 func (w *world) work(t *rapid.T) {
 	run := w.pickRun(t, func(r *worldRun) bool { return r.accepted && r.result == nil && !r.sidecar.gone })
 	if run == nil {
@@ -287,7 +287,7 @@
 	}
 }
 
-// settle brings a final word to its payer, sometimes twice.
+// settle reports a run's result to its payer, sometimes more than once.
 func (w *world) settle(t *rapid.T) {
 	run := w.pickRun(t, func(r *worldRun) bool {
 		decided := r.result != nil || r.refused || (r.sent && r.sidecar.gone)
@@ -331,7 +331,7 @@
 	}
 }
 
-// kill starts two recoveries of one router; it may not know and go on sending.
+// kill starts two recoveries of one router, which may still be running and go on sending.
 func (w *world) kill(t *rapid.T) {
 	r := w.routers[rapid.IntRange(0, len(w.routers)-1).Draw(t, "router")]
 	if len(r.recoveries) > 0 {
@@ -344,7 +344,7 @@
 	}
 }
 
-// addSidecar starts one that no router has in its durable set, so that it must refuse everybody.
+// addSidecar starts a sidecar that only routers added later have in their durable set; it must refuse all others.
 func (w *world) addSidecar(*rapid.T) {
 	if len(w.sidecars) >= 6 {
 		return
@@ -373,7 +373,7 @@
 	s.gone = true
 }
 
-// recover takes one step of one recovery.
+// recover advances one recovery by one step.
 func (w *world) recover(t *rapid.T) {
 	var open []*recoverer.Recovery
 	for _, r := range w.routers {
@@ -453,7 +453,7 @@
 	w.prepaid += amount
 }
 
-// check holds the promises of money against what upstreams really ran.
+// check verifies the invariants of money against the true cost of what upstreams ran.
 func (w *world) check(t *rapid.T) {
 	for _, r := range w.routers {
 		if err := r.keeper.Fault(); err != nil {
