--- a/bookkeeper/bookkeeper.go
+++ b/bookkeeper/bookkeeper.go
@@ -13,30 +13,31 @@
 )
 
 const (
-	// maxCommitAttempts bounds the attempts of one operation against racing writers.
+	// maxCommitAttempts is the number of attempts of one operation when concurrent writers conflict.
 	maxCommitAttempts = 40
-	// minBackoff and maxBackoff bound the pause after a conflict; a random part of it keeps writers that met from
-	// meeting again, where tries without a pause gave up in 8 of 200 runs of eight writers.
+	// minBackoff and maxBackoff bound the limit of the backoff after a conflict. The backoff is a random part of the
+	// limit, so that writers do not conflict again: without it eight writers gave up in 8 of 200 runs.
 	minBackoff = 200 * time.Microsecond
 	maxBackoff = 20 * time.Millisecond
-	// extraDrawShare is the part of what is left that a draw may take beyond its need.
+	// extraDrawShare is the share of the money left beyond its need that a draw may take while others have open grants.
 	extraDrawShare = 0.5
 )
 
-// Book reads and writes money rows.
+// Book reads and writes the rows of money and of recoveries.
 type Book struct {
 	table masticway.Table
 }
 
-// New returns a book on the platform's table.
+// New returns a Book that uses the given table.
 func New(t masticway.Table) *Book { return &Book{table: t} }
 
-// errAlreadyDone ends an update that finds its work already committed.
-var errAlreadyDone = errors.New("already committed")
+// errAlreadyDone ends an update that has nothing to change, usually because it is already committed.
+var errAlreadyDone = errors.New("nothing to commit")
 
-// update reads a row, lets change derive a transaction from it, and commits until it wins or is done.
+// update reads a row, calls change to compute a transaction from it, and commits that; after a conflict it starts again.
 //
-// change sees every fresh read, so after a lost answer it recognises its own write and returns errAlreadyDone.
+// Because change sees each new reading of the row, it can recognize its own write after a lost answer; it then returns
+// errAlreadyDone.
 func update[T any](ctx context.Context, t masticway.Table, key, id string, change func(v T, version int64) ([]masticway.Condition, []masticway.Put, error)) error {
 	var commitErr error
 	for attempt := range maxCommitAttempts {
@@ -73,10 +74,10 @@
 			return keepUnknown(commitErr, ctx.Err(), id)
 		}
 	}
-	return fmt.Errorf("updating %s, %d tries: %w", key, maxCommitAttempts, commitErr)
+	return fmt.Errorf("updating %s, %d attempts: %w", key, maxCommitAttempts, commitErr)
 }
 
-// backoff pauses after a conflict, for a random time that grows with the tries, or until the context ends.
+// backoff waits after a conflict, for a random time whose limit grows with the attempts, or until the context ends.
 func backoff(ctx context.Context, attempt int) {
 	maxPause := min(maxBackoff, minBackoff<<min(attempt, 10))
 	pause := time.NewTimer(time.Duration(rand.Int64N(int64(maxPause))))
@@ -87,7 +88,8 @@
 	}
 }
 
-// keepUnknown keeps an unknown outcome unknown when the read-back fails too.
+// keepUnknown returns err, or an OutcomeUnknownError if the last commit's outcome is unknown, because then it could not be
+// read back either.
 func keepUnknown(commitErr, err error, id string) error {
 	unknown, ok := errors.AsType[*masticway.OutcomeUnknownError](commitErr)
 	if !ok {
@@ -96,9 +98,9 @@
 	return &masticway.OutcomeUnknownError{Service: unknown.Service, ID: id, Reason: err.Error()}
 }
 
-// DrawSize returns how much of what is left a draw takes.
+// DrawSize returns how much of the remaining money a draw takes.
 //
-// While others have open grants it never takes all: beyond the need it takes at most extraDrawShare.
+// While other payers have open grants, it takes beyond its need at most extraDrawShare of what would be left.
 func DrawSize(remaining, need, want masticway.Amount, onlyPayer bool) masticway.Amount {
 	if remaining <= 0 {
 		return 0
@@ -113,9 +115,9 @@
 	return min(remaining, max(need, min(want, need+extra)))
 }
 
-// Move carries out a keeper's move; linksVersion is the version of the payer's links row.
+// Move carries out a keeper's move. linksVersion is the version of the payer's links row as the payer knows it.
 //
-// It fails with SealedError when the payer has been fenced.
+// It fails with a SealedError if the payer has been fenced.
 func (b *Book) Move(ctx context.Context, m keeper.Move, linksVersion int64) (keeper.MoveResult, error) {
 	key := prefixBudget + m.Grant.Budget
 	id := fmt.Sprintf("move/%s/%d/%d", m.Grant.Payer, m.Grant.Number, m.Seq)
@@ -144,7 +146,7 @@
 	return result, b.explainMoveError(ctx, m, linksVersion, err)
 }
 
-// explainMoveError turns a conflict on the links row into the payer's own fencing.
+// explainMoveError returns a SealedError if a move failed because its payer has been fenced.
 func (b *Book) explainMoveError(ctx context.Context, m keeper.Move, linksVersion int64, cause error) error {
 	row, err := b.table.Get(ctx, prefixLinks+string(m.Grant.Payer))
 	if err != nil {
@@ -160,7 +162,7 @@
 	return fmt.Errorf("moving grant of %s (links version %d, now %d): %w", m.Grant.Budget, linksVersion, row.Version, cause)
 }
 
-// otherPayers lists who else has open money of the budget.
+// otherPayers returns the payers of the budget's open grants other than self.
 func (b Budget) otherPayers(self masticway.Incarnation) []masticway.Incarnation {
 	var payers []masticway.Incarnation
 	for _, g := range b.Grants {
@@ -171,6 +173,7 @@
 	return payers
 }
 
+// openAmount returns the open amount of one grant, zero if there is no such grant.
 func openAmount(b Budget, k masticway.GrantKey) masticway.Amount {
 	if i := b.grantIndex(k); i >= 0 {
 		return b.Grants[i].Open()
@@ -178,7 +181,8 @@
 	return 0
 }
 
-// applyMove computes the row after a move, and tells whether the row already has it.
+// applyMove returns the budget after a move and how much the move drew. done is set if the row needs no change, because it
+// already has the move or the move changes nothing.
 func applyMove(row Budget, m keeper.Move) (next Budget, drawn masticway.Amount, done bool) {
 	next = row.clone()
 	i := next.grantIndex(m.Grant)
@@ -211,11 +215,12 @@
 	return next, drawn, idle
 }
 
-// recordedDraw recovers from the row how much a move drew whose answer was lost.
+// recordedDraw returns how much a move drew that the row already has.
 func recordedDraw(g Grant, m keeper.Move) masticway.Amount {
 	return g.Drawn - m.DrawnBefore
 }
 
+// drawAmount returns how much a move draws.
 func drawAmount(b Budget, m keeper.Move) masticway.Amount {
 	if m.Slices > 0 {
 		if m.DrawnBefore > 0 {
@@ -229,6 +234,7 @@
 	return DrawSize(b.Left(), m.Need, m.Want, b.Open() == openAmount(b, m.Grant))
 }
 
+// movePuts returns the writes of a move: the budget, and the grant's index row if the grant is new or closed.
 func movePuts(key string, before, after Budget, m keeper.Move) []masticway.Put {
 	puts := []masticway.Put{{Key: key, Value: encode(after)}}
 	if m.Close {
@@ -240,7 +246,7 @@
 	return puts
 }
 
-// TopUp adds prepaid money once per change id, and makes the budget if it is new.
+// TopUp adds prepaid money to a budget, once for each change id, and creates the budget if it does not exist.
 func (b *Book) TopUp(ctx context.Context, budget, changeID string, amount masticway.Amount) (Budget, error) {
 	if amount <= 0 {
 		return Budget{}, &AmountError{Amount: amount}
@@ -270,13 +276,13 @@
 	return result, nil
 }
 
-// AmountError reports a top-up that is not positive.
+// AmountError reports a top-up whose amount is not positive.
 type AmountError struct{ Amount masticway.Amount }
 
 // Error names the amount.
 func (e *AmountError) Error() string { return fmt.Sprintf("amount %d is not positive", e.Amount) }
 
-// Refund takes a double bill back from settled, once per hold.
+// Refund subtracts a double bill from the settled amount, once for each hold.
 func (b *Book) Refund(ctx context.Context, budget string, hold masticway.HoldID, amount masticway.Amount) error {
 	marker := prefixRefund + string(hold)
 	return update(ctx, b.table, prefixBudget+budget, marker, func(row Budget, version int64) ([]masticway.Condition, []masticway.Put, error) {
@@ -300,7 +306,7 @@
 	})
 }
 
-// Budget reads one budget; it fails with NotFoundError when there is none.
+// Budget reads one budget. It fails with a NotFoundError if there is none.
 func (b *Book) Budget(ctx context.Context, id string) (Budget, error) {
 	row, err := b.table.Get(ctx, prefixBudget+id)
 	if err != nil {
@@ -317,9 +323,10 @@
 	return b.PutLinks(ctx, Links{Incarnation: inc, State: LinksOpen}, 0)
 }
 
-// PutLinks replaces a links row that still has a version, and returns the new one.
+// PutLinks replaces a links row if its version is still the given one, and returns the new version.
 //
-// It fails with SealedError when the row has been sealed or removed meanwhile.
+// It fails with a SealedError if the row has another version. Usually the row has been sealed or deleted; it may also
+// be that an earlier write of the caller succeeded whose answer was lost, so the caller should read the row.
 func (b *Book) PutLinks(ctx context.Context, links Links, version int64) (int64, error) {
 	key := prefixLinks + string(links.Incarnation)
 	value := encode(links)
@@ -347,7 +354,7 @@
 	return row.Version, nil
 }
 
-// Links reads a links row and its version, which is zero when there is none.
+// Links reads a links row and its version, which is zero if there is none.
 func (b *Book) Links(ctx context.Context, inc masticway.Incarnation) (Links, int64, error) {
 	row, err := b.table.Get(ctx, prefixLinks+string(inc))
 	if err != nil {
@@ -357,13 +364,13 @@
 	return links, row.Version, err
 }
 
-// PutDaemon writes a lease row; only its own incarnation does, so it needs no condition.
+// PutDaemon writes a lease row. It needs no condition, because only the incarnation itself writes its row.
 func (b *Book) PutDaemon(ctx context.Context, d Daemon) error {
 	key := prefixDaemon + string(d.Incarnation)
 	return b.table.Commit(ctx, masticway.Transaction{ID: key, Puts: []masticway.Put{{Key: key, Value: encode(d)}}})
 }
 
-// Daemon reads one lease row; it fails with NotFoundError when there is none.
+// Daemon reads one lease row. It fails with a NotFoundError if there is none.
 func (b *Book) Daemon(ctx context.Context, inc masticway.Incarnation) (Daemon, error) {
 	row, err := b.table.Get(ctx, prefixDaemon+string(inc))
 	if err != nil {
@@ -375,19 +382,19 @@
 	return decode[Daemon](row)
 }
 
-// Challenge asks an incarnation that seems dead to renew its lease at once.
+// Challenge asks an incarnation that seems to have failed to renew its lease at once.
 func (b *Book) Challenge(ctx context.Context, inc, by masticway.Incarnation) error {
 	key := prefixChallenge + string(inc)
 	return b.table.Commit(ctx, masticway.Transaction{ID: key, Puts: []masticway.Put{{Key: key, Value: encode(by)}}})
 }
 
-// Challenged returns the version of an incarnation's newest challenge, which is zero when there is none.
+// Challenged returns the version of an incarnation's newest challenge, which is zero if there is none.
 func (b *Book) Challenged(ctx context.Context, inc masticway.Incarnation) (int64, error) {
 	row, err := b.table.Get(ctx, prefixChallenge+string(inc))
 	return row.Version, err
 }
 
-// Daemons lists all lease rows.
+// Daemons returns all lease rows.
 func (b *Book) Daemons(ctx context.Context) ([]Daemon, error) {
 	rows, err := b.table.Scan(ctx, prefixDaemon)
 	if err != nil {
@@ -404,13 +411,13 @@
 	return daemons, nil
 }
 
-// PutReport leaves a sidecar's totals for a later recovery.
+// PutReport stores a sidecar's totals for later recoveries.
 func (b *Book) PutReport(ctx context.Context, r Report) error {
 	key := prefixReport + string(r.Sidecar)
 	return b.table.Commit(ctx, masticway.Transaction{ID: key, Puts: []masticway.Put{{Key: key, Value: encode(r)}}})
 }
 
-// Report reads the totals that a sidecar left, and whether it left any.
+// Report reads the totals that a sidecar stored, and reports whether there are any.
 func (b *Book) Report(ctx context.Context, sidecar masticway.Incarnation) (Report, bool, error) {
 	row, err := b.table.Get(ctx, prefixReport+string(sidecar))
 	if err != nil {
--- a/bookkeeper/bookkeeper_test.go
+++ b/bookkeeper/bookkeeper_test.go
@@ -56,7 +56,7 @@
 	}
 }
 
-// TestMoveUnderFaults is the fault table of one draw: down before, during and after, and the answer lost.
+// TestMoveUnderFaults guards against a draw that is made twice or not at all when the table is unavailable or loses the answer.
 func TestMoveUnderFaults(t *testing.T) {
 	cases := map[string]struct {
 		faults  emulator.TableFaults
@@ -64,11 +64,11 @@
 		unknown bool
 		refused bool
 	}{
-		"calm":                              {},
-		"answer lost, read back at once":    {faults: emulator.TableFaults{LoseAnswers: 1}},
-		"answer lost, nobody left to look":  {faults: emulator.TableFaults{LoseAnswers: 1}, stopped: true, unknown: true},
-		"down before":                       {faults: emulator.TableFaults{Down: true}, refused: true},
-		"rate bound, so nothing is written": {faults: emulator.TableFaults{WritesPerSecond: -1}, refused: true},
+		"no fault":                         {},
+		"answer lost, read back at once":   {faults: emulator.TableFaults{LoseAnswers: 1}},
+		"answer lost, not read back":       {faults: emulator.TableFaults{LoseAnswers: 1}, stopped: true, unknown: true},
+		"down before":                      {faults: emulator.TableFaults{Down: true}, refused: true},
+		"rate limited, nothing is written": {faults: emulator.TableFaults{WritesPerSecond: -1}, refused: true},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -92,7 +92,7 @@
 				qt.Assert(t, err, qt.ErrorAs, &unavailable)
 			}
 			if tc.unknown || tc.refused {
-				// The same move again must end in exactly one draw.
+				// After the same move has been repeated, there must be exactly one draw.
 				result, err = book.Move(context.Background(), m, version)
 			}
 			qt.Assert(t, err, qt.IsNil)
@@ -196,7 +196,7 @@
 	qt.Assert(t, []int64{first.Fence, second.Fence, again.Fence}, qt.DeepEquals, []int64{1, 2, 2})
 }
 
-// ledgerOp is one operation of a history; exactly one field is set.
+// ledgerOp is one operation of a history. Exactly one field is set.
 type ledgerOp struct {
 	draw    masticway.Amount
 	topUp   masticway.Amount
@@ -204,13 +204,13 @@
 	audit   bool
 }
 
-// ledgerResult is what it brought; of a draw that was fenced nobody knows whether it was made.
+// ledgerResult is the result of an operation. A draw that was fenced may have been made or not.
 type ledgerResult struct {
 	amount masticway.Amount
 	fenced bool
 }
 
-// ledgerModel is one counter of what is left; a fenced draw may have been made or not.
+// ledgerModel is a counter of the remaining money, in which a fenced draw may have been made or not.
 var ledgerModel = porcupine.NondeterministicModel{
 	Init: func() []any { return []any{masticway.Amount(500)} },
 	Step: func(state, input, output any) []any {
@@ -236,7 +236,7 @@
 	},
 }
 
-// opHistory records operations of several clients at once.
+// opHistory records operations of concurrent clients.
 type opHistory struct {
 	mu         sync.Mutex
 	operations []porcupine.Operation
@@ -251,8 +251,9 @@
 	return out
 }
 
-// TestHistoriesAreLinearizable runs draws, top-ups, and recoveries of sealed payers at once and checks them, and what
-// is left in the end, against one counter. A payer that is sealed draws nothing from then on.
+// TestHistoriesAreLinearizable guards against concurrent draws, top-ups and recoveries of sealed payers that lose or double
+// money when answers are lost: their results and the remaining money must be those of a single counter. Once a payer has
+// been fenced, it must draw nothing more.
 func TestHistoriesAreLinearizable(t *testing.T) {
 	book, table := newLedger(t, 500)
 	table.SetFaults(emulator.TableFaults{LoseAnswers: 15})
@@ -289,7 +290,7 @@
 			}
 		})
 		wg.Go(func() {
-			// A recoverer seals the payer while it goes on, and only then closes its first grant.
+			// A recovery seals the payer, which is still running, and then closes its first grant.
 			if _, err := book.Seal(context.Background(), inc); err != nil {
 				t.Error(err)
 			}
--- a/bookkeeper/fence.go
+++ b/bookkeeper/fence.go
@@ -7,7 +7,7 @@
 	"github.com/masticway/masticway"
 )
 
-// prefixFence holds the newest fencing number of each upstream.
+// prefixFence is the key prefix of the rows with each upstream's latest fencing number.
 const prefixFence = "fence/"
 
 type fenceRow struct {
@@ -16,7 +16,7 @@
 	ID     string          `json:"id"`
 }
 
-// Fence reads the newest fencing number given for an upstream.
+// Fence returns the latest fencing number assigned for an upstream, zero if there is none.
 func Fence(ctx context.Context, t masticway.Table, instance string) (int64, error) {
 	row, err := t.Get(ctx, prefixFence+instance)
 	if err != nil {
@@ -26,7 +26,8 @@
 	return f.Number, err
 }
 
-// NextFence gives an order the next fencing number of its upstream; the same id gets the same number.
+// NextFence assigns an order the next fencing number of its upstream. If id is that of the upstream's latest order, that
+// order is returned instead.
 func (b *Book) NextFence(ctx context.Context, instance, id string, o masticway.Order) (masticway.Order, error) {
 	key := prefixFence + instance
 	err := update(ctx, b.table, key, "order/"+id, func(row fenceRow, _ int64) ([]masticway.Condition, []masticway.Put, error) {
@@ -38,7 +39,7 @@
 		return nil, []masticway.Put{{Key: key, Value: encode(fenceRow{Number: o.Fence, Order: o, ID: id})}}, nil
 	})
 	if err != nil {
-		return o, fmt.Errorf("numbering an order for %s: %w", instance, err)
+		return o, fmt.Errorf("assigning a fencing number to an order for %s: %w", instance, err)
 	}
 	return o, nil
 }
--- a/bookkeeper/recovery.go
+++ b/bookkeeper/recovery.go
@@ -7,7 +7,8 @@
 	"github.com/masticway/masticway"
 )
 
-// Seal fences an incarnation in the table, so that it can draw nothing and link to no new sidecar.
+// Seal fences an incarnation in the table, so that it can no longer draw money or link to another sidecar. It returns the
+// sealed row.
 func (b *Book) Seal(ctx context.Context, inc masticway.Incarnation) (Links, error) {
 	key := prefixLinks + string(inc)
 	var sealed Links
@@ -25,7 +26,7 @@
 	return sealed, nil
 }
 
-// GrantsOf lists the grants of an incarnation from its index rows.
+// GrantsOf returns the grants of an incarnation, which it reads from the index rows.
 func (b *Book) GrantsOf(ctx context.Context, inc masticway.Incarnation) ([]masticway.GrantKey, error) {
 	rows, err := b.table.Scan(ctx, prefixGrant+string(inc)+"/")
 	if err != nil {
@@ -42,18 +43,18 @@
 	return keys, nil
 }
 
-// Closing says what a dead incarnation's grant came to.
+// Closing is what the recovery of an incarnation found out about one of its grants.
 type Closing struct {
 	Grant masticway.GrantKey
-	// Spent is the true cost that the sidecars witnessed.
+	// Spent is the true cost that the sidecars reported.
 	Spent masticway.Amount
-	// Running bounds what sidecars still run; that much stays granted.
+	// Running is the maximum cost of runs still in progress; that much stays granted.
 	Running masticway.Amount
-	// Vanished says that some sidecar cannot be asked: the whole rest is presumed spent.
+	// Vanished is set if a sidecar is lost and left no report. The rest of the grant is then presumed spent.
 	Vanished bool
 }
 
-// Recover returns the rest of a sealed incarnation's grant; repeating it or racing another changes nothing.
+// Recover returns the rest of a sealed incarnation's grant to its budget. It is idempotent and safe to run concurrently.
 func (b *Book) Recover(ctx context.Context, c Closing) (returned masticway.Amount, err error) {
 	key := prefixBudget + c.Grant.Budget
 	id := fmt.Sprintf("recover/%s/%d", c.Grant.Payer, c.Grant.Number)
@@ -78,7 +79,8 @@
 	return returned, nil
 }
 
-// applyClosure computes the row after a recovery step.
+// applyClosure returns the budget after a recovery step, what the step returned and whether it closed the grant.
+// done is set if there is nothing to change.
 func applyClosure(row Budget, c Closing) (next Budget, returned masticway.Amount, closed, done bool) {
 	next = row.clone()
 	i := next.grantIndex(c.Grant)
@@ -110,7 +112,7 @@
 	return next, refund, false, false
 }
 
-// Forget removes the rows of an incarnation whose grants are all closed.
+// Forget deletes the links, lease and challenge rows of an incarnation whose grants are all closed.
 func (b *Book) Forget(ctx context.Context, inc masticway.Incarnation) error {
 	return b.table.Commit(ctx, masticway.Transaction{
 		ID: "forget/" + string(inc),
--- a/bookkeeper/rows.go
+++ b/bookkeeper/rows.go
@@ -9,7 +9,7 @@
 	"github.com/masticway/masticway"
 )
 
-// Grant is money of a budget that one incarnation may spend.
+// Grant is money moved from a budget to one incarnation, which may spend it.
 type Grant struct {
 	Payer    masticway.Incarnation `json:"payer"`
 	Number   int64                 `json:"number"`
@@ -17,21 +17,21 @@
 	Settled  masticway.Amount      `json:"settled"`
 	Returned masticway.Amount      `json:"returned"`
 	Presumed masticway.Amount      `json:"presumed,omitempty"`
-	// Seq is the payer's last committed operation, by which a lost answer is read back.
+	// Seq is the sequence number of the payer's last committed move, which shows whether a move was made whose answer was lost.
 	Seq int64 `json:"seq"`
 }
 
-// Open returns what the grant may still spend.
+// Open returns the part of the grant that is neither settled nor returned.
 func (g Grant) Open() masticway.Amount { return g.Drawn - g.Settled - g.Returned }
 
-// Budget is the table's row of one prepaid budget.
+// Budget is the row of one prepaid budget.
 type Budget struct {
 	ID      string           `json:"id"`
 	Prepaid masticway.Amount `json:"prepaid"`
 	Settled masticway.Amount `json:"settled"`
-	// Presumed is the part of settled that a vanished sidecar may have run, and nobody can tell.
+	// Presumed is the part of Settled of which it is unknown whether a lost sidecar ran it.
 	Presumed masticway.Amount `json:"presumed,omitempty"`
-	// GivenBack is what double bills returned; it has already left settled.
+	// GivenBack is the sum of the refunds for double bills, which has already been subtracted from Settled.
 	GivenBack masticway.Amount `json:"given_back,omitempty"`
 	Grants    []Grant          `json:"grants,omitempty"`
 }
@@ -45,10 +45,10 @@
 	return sum
 }
 
-// Left returns what can still be granted.
+// Left returns the amount that can still be granted.
 func (b Budget) Left() masticway.Amount { return b.Prepaid - b.Settled - b.Open() }
 
-// Check reports a broken invariant of the row.
+// Check returns an InvariantError if the row breaks an invariant.
 func (b Budget) Check() error {
 	if b.Left() < 0 || b.Settled < 0 {
 		return &InvariantError{Budget: b.ID, Prepaid: b.Prepaid, Settled: b.Settled, Open: b.Open()}
@@ -69,7 +69,7 @@
 	Open    masticway.Amount
 }
 
-// Error gives the amounts that do not add up.
+// Error names the amounts that break the invariant.
 func (e *InvariantError) Error() string {
 	return fmt.Sprintf("budget %s breaks prepaid %d >= settled %d + open %d", e.Budget, e.Prepaid, e.Settled, e.Open)
 }
@@ -79,13 +79,13 @@
 	return slices.IndexFunc(b.Grants, func(g Grant) bool { return g.Payer == k.Payer && g.Number == k.Number })
 }
 
-// clone returns the budget with its own copy of the grants.
+// clone returns a copy of the budget that shares no grants with it.
 func (b Budget) clone() Budget {
 	b.Grants = slices.Clone(b.Grants)
 	return b
 }
 
-// LinksState tells whether an incarnation may still use sidecars and money.
+// LinksState determines whether an incarnation may still use sidecars and money.
 type LinksState string
 
 // The states of a links row.
@@ -94,16 +94,16 @@
 	LinksSealed LinksState = "sealed"
 )
 
-// Links is the durable set of sidecars that an incarnation may have reached.
+// Links is the row with the set of sidecars to which an incarnation may have sent work.
 type Links struct {
 	Incarnation masticway.Incarnation   `json:"incarnation"`
 	State       LinksState              `json:"state"`
 	Sidecars    []masticway.Incarnation `json:"sidecars"`
-	// Absorbed is, by grant number, what sidecars that left the set had run.
+	// Absorbed is the cost, by grant number, of what sidecars had run that have been removed from the set.
 	Absorbed map[int64]masticway.Amount `json:"absorbed,omitempty"`
 }
 
-// Has tells whether a sidecar is in the set.
+// Has reports whether a sidecar is in the set.
 func (l Links) Has(sidecar masticway.Incarnation) bool { return slices.Contains(l.Sidecars, sidecar) }
 
 // Daemon is the lease row of a router.
@@ -116,24 +116,24 @@
 	Lease       time.Time             `json:"lease"`
 	Applied     masticway.Revision    `json:"applied"`
 	State       string                `json:"state"`
-	// Stranded names what holds up this incarnation's recovery.
+	// Stranded names the recoveries that this router carries out and what blocks them.
 	Stranded string `json:"stranded,omitempty"`
 }
 
-// Report is what a sidecar leaves behind when it ends gracefully.
+// Report is the row that a sidecar leaves at a graceful shutdown.
 type Report struct {
 	Sidecar masticway.Incarnation `json:"sidecar"`
 	Totals  []Total               `json:"totals"`
 }
 
-// Total is what one sidecar has run for one grant, and what may still be running.
+// Total is the cost of what one sidecar has run for one grant, and the maximum cost of what is still running.
 type Total struct {
 	Grant   masticway.GrantKey `json:"grant" cbor:"1,keyasint"`
 	Spent   masticway.Amount   `json:"spent" cbor:"2,keyasint"`
 	Running masticway.Amount   `json:"running" cbor:"3,keyasint"`
 }
 
-// Key prefixes of the table.
+// Key prefixes of the rows.
 const (
 	prefixBudget = "budget/"
 	prefixGrant  = "grant/"
@@ -142,7 +142,7 @@
 	prefixTopUp  = "topup/"
 	prefixReport = "report/"
 	prefixRefund = "refund/"
-	// prefixChallenge holds the questions to routers that seem dead.
+	// prefixChallenge is for the challenges to routers that seem to have failed.
 	prefixChallenge = "challenge/"
 )
 
@@ -153,7 +153,7 @@
 func encode(v any) []byte {
 	data, err := json.Marshal(v)
 	if err != nil {
-		// The row types hold nothing that JSON cannot write.
+		// All row types can be encoded as JSON.
 		panic(err)
 	}
 	return data
