--- a/sealer/answer.go
+++ b/sealer/answer.go
@@ -7,7 +7,8 @@
 	"github.com/masticway/masticway"
 )
 
-// Attach sends a run's answer from a chunk on, and what follows as it comes.
+// Attach makes a router a reader of a run: it gets the answer from the chunk with index from on, and later chunks as they
+// arrive.
 func (s *Sealer) Attach(k masticway.RunKey, from int, to masticway.Incarnation) []Effect {
 	r, ok := s.runs[k]
 	if !ok {
@@ -28,7 +29,7 @@
 	return effects
 }
 
-// Query tells what became of a run; one that was never taken is refused from now on.
+// Query returns the status of a run. A run that has not been accepted is refused from now on.
 func (s *Sealer) Query(now time.Time, k masticway.RunKey) Status {
 	r, ok := s.runs[k]
 	if !ok {
@@ -44,13 +45,14 @@
 	return Status{Run: k, Known: true, Final: r.final, Resumed: c.Resumed, ResumedText: c.ResumedText}
 }
 
+// dropWaiting drops dispatches of a run that wait for a verification.
 func (s *Sealer) dropWaiting(k masticway.RunKey) {
 	for inc, list := range s.waiting {
 		s.waiting[inc] = slices.DeleteFunc(list, func(p pending) bool { return p.dispatch.Run == k })
 	}
 }
 
-// Find tells which run an identity has here.
+// Find returns the status of the newest run of an identity at this sidecar.
 func (s *Sealer) Find(identity masticway.Identity) Status {
 	k, ok := s.byID[identity]
 	if !ok {
@@ -59,7 +61,7 @@
 	return s.runs[k].status(k)
 }
 
-// Cancel stops a repeatable run for which nobody else waits.
+// Cancel stops a run unless it is non-repeatable or has other readers.
 func (s *Sealer) Cancel(k masticway.RunKey, from masticway.Incarnation) []Effect {
 	r, ok := s.runs[k]
 	if !ok || r.final != nil || r.dispatch.NonRepeatable {
@@ -75,7 +77,7 @@
 	return []Effect{Stop{Run: k}}
 }
 
-// LinkDown forgets a reader; its runs go on for others to attach to.
+// LinkDown removes a router from the readers of all runs. The runs go on, so that other routers can attach to them.
 func (s *Sealer) LinkDown(now time.Time, router masticway.Incarnation) {
 	for _, r := range s.runs {
 		if !r.readers[router] {
@@ -88,7 +90,7 @@
 	}
 }
 
-// Tick stops abandoned runs and drops old answers.
+// Tick stops orphaned runs and drops expired answers and refusals.
 func (s *Sealer) Tick(now time.Time) []Effect {
 	var effects []Effect
 	for k, r := range s.runs {
@@ -109,6 +111,7 @@
 	return effects
 }
 
+// evict drops the oldest answers while they have expired or take more memory than allowed.
 func (s *Sealer) evict(now time.Time) {
 	for len(s.ended) > 0 {
 		k := s.ended[0]
--- a/sealer/bench_test.go
+++ b/sealer/bench_test.go
@@ -9,7 +9,7 @@
 	"github.com/masticway/masticway/sealer"
 )
 
-// BenchmarkRun is a sidecar's decisions for one request of 50 tokens.
+// BenchmarkRun measures a sidecar's decisions for one request whose answer has 50 tokens.
 func BenchmarkRun(b *testing.B) {
 	s := sealer.New(sealer.Settings{Self: "s~1", KeepFor: time.Minute, KeepBytes: 1 << 20, OrphanAfter: time.Minute, MaxRuns: 10})
 	s.Verified(start, router, sealer.StandingOpen)
--- a/sealer/doc.go
+++ b/sealer/doc.go
@@ -1,7 +1,8 @@
-// Package sealer decides for a sidecar: what it runs, for whom, and what it witnesses.
+// Package sealer decides which runs a sidecar accepts, and keeps account of what they cost.
 //
-// The sidecar is the only way to its upstream, so what this package refuses
-// certainly did not run, and what it totals is the true cost of every grant
-// there. A sealed incarnation gets nothing more. Answers stay in bounded memory
-// so that a caller whose router died finds the same run again.
+// All requests to an upstream go through its sidecar. So a run that this
+// package refuses certainly did not run, and its totals are the true cost of
+// each grant at that upstream. A sealed incarnation can start no more runs.
+// Answers are kept in bounded memory, so that a caller whose router crashed can
+// get the answer of the same run through another router.
 package sealer
--- a/sealer/message.go
+++ b/sealer/message.go
@@ -5,14 +5,14 @@
 	"github.com/masticway/masticway/bookkeeper"
 )
 
-// Dispatch asks a sidecar to run one attempt.
+// Dispatch requests that a sidecar run one attempt.
 type Dispatch struct {
 	Run     masticway.RunKey      `cbor:"1,keyasint"`
 	Request string                `cbor:"2,keyasint"`
 	Sender  masticway.Incarnation `cbor:"3,keyasint"`
 	Hold    masticway.HoldID      `cbor:"4,keyasint"`
 	Grant   masticway.GrantKey    `cbor:"5,keyasint"`
-	// Bound is the most that the run may cost.
+	// Bound is the maximum cost of the run.
 	Bound            masticway.Amount   `cbor:"6,keyasint"`
 	PromptWeight     masticway.Amount   `cbor:"7,keyasint,omitempty"`
 	CompletionWeight masticway.Amount   `cbor:"8,keyasint,omitempty"`
@@ -22,7 +22,7 @@
 	Call             masticway.Call     `cbor:"12,keyasint"`
 }
 
-// cost prices what a run used; a resumed run does not pay for the prompt again.
+// cost returns the cost of what a run used. A resumed run is not charged for the prompt again.
 func (d Dispatch) cost(u masticway.Usage) masticway.Amount {
 	if d.Call.Service != "" {
 		return d.Price
@@ -34,10 +34,10 @@
 	return cost
 }
 
-// Reason says why a dispatch was refused.
+// Reason is the reason why a dispatch was refused.
 type Reason string
 
-// The reasons for which a sidecar refuses work; in every case it did not run.
+// The reasons why a sidecar refuses a dispatch. In each case the dispatch did not run.
 const (
 	ReasonSealed     Reason = "sealed"
 	ReasonUnverified Reason = "unverified"
@@ -49,101 +49,101 @@
 	ReasonFull       Reason = "full"
 )
 
-// Accepted tells the sender that the run has been taken and will be started.
+// Accepted confirms to a run's sender that the run has been accepted and will start, or to a router that it has been attached.
 type Accepted struct {
 	Run masticway.RunKey `cbor:"1,keyasint"`
 }
 
-// Refused tells the sender that the run was not taken and never will be.
+// Refused is sent to the sender if the run has not been accepted and never will be.
 type Refused struct {
 	Run    masticway.RunKey `cbor:"1,keyasint"`
 	Reason Reason           `cbor:"2,keyasint"`
-	// Existing names the run that already has this identity.
+	// Existing is the run that already has this identity.
 	Existing *masticway.RunKey `cbor:"3,keyasint,omitempty"`
-	// Changes are configuration changes that the sender has not applied.
+	// Changes are the configuration changes that the sender has not applied.
 	Changes []masticway.Change `cbor:"4,keyasint,omitempty"`
-	// Fenced is the incarnation that is sealed, unverified or not linked.
+	// Fenced is the incarnation that is sealed, unverified or unlinked.
 	Fenced masticway.Incarnation `cbor:"5,keyasint,omitempty"`
 }
 
-// Counted tells the sender the prompt's true count and the bound that follows from it.
+// Counted is sent to a run's readers with the prompt's true token count and the maximum cost that follows from it.
 type Counted struct {
 	Run    masticway.RunKey `cbor:"1,keyasint"`
 	Prompt int              `cbor:"2,keyasint"`
 	Bound  masticway.Amount `cbor:"3,keyasint"`
-	// Cached is how much of the prompt the engine had in its prefix cache.
+	// Cached is the number of prompt tokens that the engine had in its prefix cache.
 	Cached int `cbor:"4,keyasint,omitempty"`
 }
 
-// Frame carries one piece of an answer.
+// Frame carries one chunk of an answer.
 type Frame struct {
 	Run   masticway.RunKey `cbor:"1,keyasint"`
 	Chunk masticway.Chunk  `cbor:"2,keyasint"`
 }
 
-// Final is the sidecar's last word on a run.
+// Final is a run's result.
 type Final struct {
 	Run  masticway.RunKey `cbor:"1,keyasint"`
 	Fate masticway.Fate   `cbor:"2,keyasint"`
-	// Complete tells that the whole answer was given.
+	// Complete is set if the answer is complete.
 	Complete bool              `cbor:"3,keyasint"`
 	Outcome  masticway.Outcome `cbor:"4,keyasint"`
 	Cost     masticway.Amount  `cbor:"5,keyasint"`
 	Hold     masticway.HoldID  `cbor:"6,keyasint"`
 	Chunks   int               `cbor:"7,keyasint"`
-	// Disrupted tells that the upstream or its environment failed, not the request.
+	// Disrupted is set if the upstream or its environment failed, and not the request.
 	Disrupted bool `cbor:"8,keyasint,omitempty"`
-	// Ended tells that the upstream itself has ended, not only the run.
+	// Ended is set if the upstream's process no longer listens.
 	Ended bool `cbor:"9,keyasint,omitempty"`
 }
 
-// Attach asks for a run's answer from a chunk on.
+// Attach requests a run's answer from the chunk with index From on.
 type Attach struct {
 	Run  masticway.RunKey `cbor:"1,keyasint"`
 	From int              `cbor:"2,keyasint"`
 }
 
-// Query asks what became of a run, and forbids it to start when it has not been taken.
+// Query requests the status of a run. A run that has not been accepted is refused from then on.
 type Query struct {
 	Run masticway.RunKey `cbor:"1,keyasint"`
 }
 
-// Find asks for any run of an identity, without side effects.
+// Find requests the status of an identity's newest run, without side effects.
 type Find struct {
 	Identity masticway.Identity `cbor:"1,keyasint"`
 }
 
-// Status answers Query and Find.
+// Status is the answer to Query and Find.
 type Status struct {
 	Run   masticway.RunKey `cbor:"1,keyasint"`
 	Known bool             `cbor:"2,keyasint"`
 	Final *Final           `cbor:"3,keyasint,omitempty"`
-	// Resumed and ResumedText are what earlier attempts had given when this run began.
+	// Resumed and ResumedText are the tokens and the text that earlier attempts had produced when this run began.
 	Resumed     int    `cbor:"4,keyasint,omitempty"`
 	ResumedText string `cbor:"5,keyasint,omitempty"`
 }
 
-// Cancel stops a run whose caller has gone.
+// Cancel requests that a run be stopped because its caller has disconnected.
 type Cancel struct {
 	Run masticway.RunKey `cbor:"1,keyasint"`
 }
 
-// Seal fences an incarnation at this sidecar and asks what it ran.
+// Seal fences an incarnation at this sidecar and requests a report of what was run for it.
 type Seal struct {
 	Incarnation masticway.Incarnation `cbor:"1,keyasint"`
 }
 
-// HoldReport is what became of one hold at a sidecar.
+// HoldReport is the cost of one hold's run at a sidecar.
 type HoldReport struct {
 	Hold    masticway.HoldID `cbor:"1,keyasint"`
 	Cost    masticway.Amount `cbor:"2,keyasint"`
 	Running bool             `cbor:"3,keyasint,omitempty"`
 }
 
-// Sealed reports what a sealed incarnation ran here, as payer and as sender.
+// Sealed reports what this sidecar ran for a sealed incarnation: the totals of its grants, and the holds it dispatched.
 type Sealed struct {
 	Incarnation masticway.Incarnation `cbor:"1,keyasint"`
-	// Sidecar is the witness.
+	// Sidecar is the incarnation of the reporting sidecar.
 	Sidecar masticway.Incarnation `cbor:"2,keyasint"`
 	Totals  []bookkeeper.Total    `cbor:"3,keyasint,omitempty"`
 	Holds   []HoldReport          `cbor:"4,keyasint,omitempty"`
--- a/sealer/seal.go
+++ b/sealer/seal.go
@@ -9,7 +9,7 @@
 	"github.com/masticway/masticway/bookkeeper"
 )
 
-// Seal fences an incarnation and reports what it ran, as payer and as sender.
+// Seal fences an incarnation and reports what was run for it: the totals of its grants, and the holds it dispatched.
 func (s *Sealer) Seal(now time.Time, inc masticway.Incarnation) (Sealed, []Effect) {
 	s.statuses[inc] = StandingSealed
 	waiting := s.waiting[inc]
@@ -36,7 +36,7 @@
 	return HoldReport{Hold: r.dispatch.Hold, Cost: r.final.Cost}
 }
 
-// Totals lists what this sidecar ran for the grants of a payer, or of all payers when it is empty.
+// Totals returns what this sidecar ran for the grants of a payer, or of all payers if payer is empty.
 func (s *Sealer) Totals(payer masticway.Incarnation) []bookkeeper.Total {
 	byGrant := map[masticway.GrantKey]bookkeeper.Total{}
 	for k, spent := range s.totals {
@@ -69,9 +69,9 @@
 	return int(a.Grant.Number - b.Grant.Number)
 }
 
-// Closed drops the totals of grants that the table has ended.
+// Closed drops the totals of a payer's grants that have been closed, which are those not in open.
 //
-// Numbers above upto were opened after the payer wrote its list, so they stay.
+// Grants with numbers above maxNumber are kept, because they were opened after the payer compiled the list.
 func (s *Sealer) Closed(payer masticway.Incarnation, open []int64, maxNumber int64) {
 	for k := range s.totals {
 		if k.Payer == payer && k.Number <= maxNumber && !slices.Contains(open, k.Number) {
--- a/sealer/sealer.go
+++ b/sealer/sealer.go
@@ -7,44 +7,46 @@
 	"github.com/masticway/masticway"
 )
 
-// Settings are the tunables of a sealer.
+// Settings configure a sealer.
 type Settings struct {
 	Self masticway.Incarnation
-	// KeepFor is how long a finished answer can be attached to.
+	// KeepFor is the time for which a finished answer is kept, so that routers can attach to it, and a refusal too.
 	KeepFor time.Duration
-	// KeepBytes bounds the memory of finished answers.
+	// KeepBytes limits the size of the finished answers that are kept.
 	KeepBytes int
-	// OrphanAfter is how long a repeatable run goes on with no reader.
+	// OrphanAfter is the time after which a repeatable run without readers is stopped.
 	OrphanAfter time.Duration
-	// MaxRuns bounds the runs in progress.
+	// MaxRuns limits the runs in progress.
 	MaxRuns int
 }
 
-// verifyAheadInterval separates two looks at a router whose durable set does not hold this sidecar yet.
+// verifyAheadInterval is the minimum time between two verifications ahead of work of a router whose durable set does not
+// contain this sidecar yet.
 const verifyAheadInterval = 200 * time.Millisecond
 
-// maxKeptChanges bounds the configuration changes handed to stale routers; older ones come from the table.
+// maxKeptChanges limits the configuration changes that are kept for routers with an older revision. They get earlier changes
+// from the table.
 const maxKeptChanges = 64
 
-// Effect is something that the shell must do; it is one of the types below.
+// Effect is an action that the caller must carry out: a Send, a Start, a Stop or a Verify.
 type Effect interface{ effect() }
 
-// Send delivers one message to the router that is linked as To.
+// Send sends a message to the router that is linked as To.
 type Send struct {
 	To      masticway.Incarnation
 	Message any
 }
 
-// Start begins a run at the upstream.
+// Start starts a run at the upstream.
 type Start struct {
 	Run  masticway.RunKey
 	Call masticway.Call
 }
 
-// Stop cancels a run at the upstream; Finished still follows.
+// Stop cancels a run at the upstream. The caller must still call Finished.
 type Stop struct{ Run masticway.RunKey }
 
-// Verify reads an incarnation's links row; the answer comes back by Verified.
+// Verify reads an incarnation's links row. The caller passes the result to Verified.
 type Verify struct{ Incarnation masticway.Incarnation }
 
 func (Send) effect()   {}
@@ -52,10 +54,11 @@
 func (Stop) effect()   {}
 func (Verify) effect() {}
 
-// Standing is what the table says of an incarnation.
+// Standing is the status of an incarnation according to its links row in the table.
 type Standing string
 
-// The standings of an incarnation at this sidecar.
+// The statuses of an incarnation. StandingUnlinked means that its durable set does not contain this sidecar, and
+// StandingUnknown that the row could not be read.
 const (
 	StandingOpen     Standing = "open"
 	StandingSealed   Standing = "sealed"
@@ -63,6 +66,7 @@
 	StandingUnknown  Standing = "unknown"
 )
 
+// run is a run that this sidecar has accepted.
 type run struct {
 	dispatch     Dispatch
 	prompt       int
@@ -78,6 +82,7 @@
 	cancelled    bool
 }
 
+// pending is a dispatch that waits for the verification of its payer or sender.
 type pending struct {
 	dispatch Dispatch
 	from     masticway.Incarnation
@@ -88,10 +93,10 @@
 	settings Settings
 	runs     map[masticway.RunKey]*run
 	byID     map[masticway.Identity]masticway.RunKey
-	// refused holds runs that must never start, because someone was told so.
+	// refused holds runs that must never start because they have been reported as not run, and since when.
 	refused  map[masticway.RunKey]time.Time
 	statuses map[masticway.Incarnation]Standing
-	// verifiedAheadAt is when a linked router was last verified without work at hand.
+	// verifiedAheadAt is when a linked router was last verified ahead of its first dispatch.
 	verifiedAheadAt map[masticway.Incarnation]time.Time
 	waiting         map[masticway.Incarnation][]pending
 	totals          map[masticway.GrantKey]masticway.Amount
@@ -103,7 +108,7 @@
 	changes         []masticway.Change
 }
 
-// New returns a sealer that has run nothing.
+// New returns a sealer without runs.
 func New(s Settings) *Sealer {
 	return &Sealer{
 		settings:        s,
@@ -117,13 +122,13 @@
 	}
 }
 
-// Dispatch takes or refuses a run; nothing starts before payer and sender are verified.
+// Dispatch accepts or refuses a run. No run starts before its payer and its sender have been verified.
 func (s *Sealer) Dispatch(now time.Time, d Dispatch, from masticway.Incarnation) []Effect {
 	if r, ok := s.runs[d.Run]; ok {
 		if r.dispatch.Hold != d.Hold {
 			return []Effect{Send{To: from, Message: Refused{Run: d.Run, Reason: ReasonDuplicate, Existing: &d.Run}}}
 		}
-		// The same dispatch came twice: the first one counts.
+		// The dispatch has been repeated; the first one counts.
 		r.readers[from] = true
 		return []Effect{Send{To: from, Message: Accepted{Run: d.Run}}}
 	}
@@ -148,6 +153,7 @@
 	return s.start(d, from)
 }
 
+// refuse returns a refusal if the run cannot be accepted, whatever the status of its payer and sender.
 func (s *Sealer) refuse(d Dispatch) (Refused, bool) {
 	if _, ok := s.refused[d.Run]; ok {
 		return Refused{Run: d.Run, Reason: ReasonCancelled}, true
@@ -167,7 +173,7 @@
 	return Refused{}, false
 }
 
-// blocksIdentity tells whether a run forbids another with its identity.
+// blocksIdentity reports whether a run prevents another run with its identity.
 func (s *Sealer) blocksIdentity(k masticway.RunKey) bool {
 	r, ok := s.runs[k]
 	if !ok {
@@ -183,7 +189,7 @@
 	return []Effect{Send{To: from, Message: Accepted{Run: d.Run}}, Start{Run: d.Run, Call: d.Call}}
 }
 
-// Introduce verifies a linked router before it sends work, so that an outage of the table later does not stop it.
+// Introduce verifies a linked router ahead of its first dispatch, so that a later outage of the table does not block it.
 func (s *Sealer) Introduce(now time.Time, inc masticway.Incarnation) []Effect {
 	st := s.statuses[inc]
 	if st == StandingOpen || st == StandingSealed || now.Sub(s.verifiedAheadAt[inc]) < verifyAheadInterval || len(s.waiting[inc]) > 0 {
@@ -193,7 +199,7 @@
 	return []Effect{Verify{Incarnation: inc}}
 }
 
-// Verified takes the table's word on an incarnation and decides what waited for it.
+// Verified applies the status read from the table, and decides on the dispatches that waited for it.
 func (s *Sealer) Verified(now time.Time, inc masticway.Incarnation, st Standing) []Effect {
 	waiting := s.waiting[inc]
 	delete(s.waiting, inc)
@@ -220,7 +226,7 @@
 	return effects
 }
 
-// Counted takes the prompt's true token count and how much of it was cached.
+// Counted records the prompt's true token count, and sends it to the run's readers with the number of cached tokens.
 func (s *Sealer) Counted(k masticway.RunKey, prompt, cached int) []Effect {
 	r, ok := s.runs[k]
 	if !ok || r.final != nil {
@@ -233,7 +239,8 @@
 	return s.sendToReaders(r, Counted{Run: k, Prompt: prompt, Bound: r.bound, Cached: cached})
 }
 
-// Chunk takes the next piece of an answer; the run is stopped where its bound would be passed.
+// Chunk records the next chunk of an answer. If the chunk would exceed the run's maximum cost, it is dropped and the run
+// stopped.
 func (s *Sealer) Chunk(k masticway.RunKey, c masticway.Chunk) []Effect {
 	r, ok := s.runs[k]
 	if !ok || r.final != nil || r.boundReached {
@@ -251,7 +258,7 @@
 	return s.sendToReaders(r, Frame{Run: k, Chunk: c})
 }
 
-// Finished ends a run with the upstream's outcome or failure and adds its true cost to the grant.
+// Finished ends a run with the upstream's outcome or failure, and adds its true cost to the grant's total.
 func (s *Sealer) Finished(now time.Time, k masticway.RunKey, o masticway.Outcome, failure *masticway.UpstreamError) []Effect {
 	r, ok := s.runs[k]
 	if !ok || r.final != nil {
@@ -293,6 +300,7 @@
 	return effects
 }
 
+// sendToReaders sends a message to all readers of a run.
 func (s *Sealer) sendToReaders(r *run, message any) []Effect {
 	effects := make([]Effect, 0, len(r.readers))
 	for _, to := range sortedReaders(r.readers) {
@@ -301,6 +309,7 @@
 	return effects
 }
 
+// sortedReaders returns the readers in a fixed order, so that the same events give the same effects.
 func sortedReaders(readers map[masticway.Incarnation]bool) []masticway.Incarnation {
 	if len(readers) == 1 {
 		for to := range readers {
@@ -315,16 +324,16 @@
 	return list
 }
 
-// Leave refuses new work from now on; what runs goes on.
+// Leave makes the sealer refuse new runs from now on. Runs in progress continue.
 func (s *Sealer) Leave() { s.draining = true }
 
-// Leaving tells whether new work is refused.
+// Leaving reports whether new runs are refused.
 func (s *Sealer) Leaving() bool { return s.draining }
 
 // Running returns the number of runs in progress.
 func (s *Sealer) Running() int { return s.running }
 
-// Learn takes configuration changes in order; it never goes backwards.
+// Learn applies configuration changes, which must be in order. Changes up to the current revision are ignored.
 func (s *Sealer) Learn(changes []masticway.Change) {
 	for _, c := range changes {
 		if c.Revision <= s.revision {
@@ -338,20 +347,21 @@
 	}
 }
 
-// Know takes a newer revision whose changes nobody had at hand; stale routers are refused without being handed them.
+// Know advances to a newer revision whose changes are not available. Routers with an older revision are refused without
+// getting the changes.
 func (s *Sealer) Know(r masticway.Revision) {
 	if r <= s.revision {
 		return
 	}
 	s.revision = r
-	// What is kept has a gap now, and must not be taken for all there is.
+	// The kept changes have a gap now and must not be handed out as if they were complete.
 	s.changes = nil
 }
 
-// Revision returns the newest revision that this sidecar knows.
+// Revision returns the newest configuration revision known to this sidecar.
 func (s *Sealer) Revision() masticway.Revision { return s.revision }
 
-// ChangesAfter returns the kept changes that a router at a revision has not seen.
+// ChangesAfter returns the kept changes that are newer than a revision.
 func (s *Sealer) ChangesAfter(r masticway.Revision) []masticway.Change {
 	i := slices.IndexFunc(s.changes, func(c masticway.Change) bool { return c.Revision > r })
 	if i < 0 {
--- a/sealer/sealer_test.go
+++ b/sealer/sealer_test.go
@@ -14,7 +14,7 @@
 
 const router masticway.Incarnation = "r~1"
 
-// harness is a sealer whose effects the test reads.
+// harness records a sealer's effects; it answers verifications with an open status.
 type harness struct {
 	s       *sealer.Sealer
 	started []masticway.RunKey
@@ -59,7 +59,7 @@
 
 func (b *harness) run(d sealer.Dispatch) { b.apply(b.s.Dispatch(start, d, router)) }
 
-// last returns the newest message to the router.
+// last returns the last message sent to the router.
 func (b *harness) last() any {
 	list := b.sent[router]
 	return list[len(list)-1]
@@ -73,10 +73,10 @@
 	}{
 		"sealed sender":       {func(b *harness) { b.s.Seal(start, router) }, dispatch("a", 1), sealer.ReasonSealed},
 		"leaving":             {func(b *harness) { b.s.Leave() }, dispatch("a", 1), sealer.ReasonLeaving},
-		"asked about it":      {func(b *harness) { b.s.Query(start, key("a", 1)) }, dispatch("a", 1), sealer.ReasonCancelled},
+		"queried before":      {func(b *harness) { b.s.Query(start, key("a", 1)) }, dispatch("a", 1), sealer.ReasonCancelled},
 		"stale revision":      {func(b *harness) { b.s.Learn([]masticway.Change{{Revision: 7}}) }, dispatch("a", 1), sealer.ReasonStale},
 		"identity is running": {func(b *harness) { b.run(dispatch("a", 1)) }, dispatch("a", 2), sealer.ReasonDuplicate},
-		"same attempt of another hold": {func(b *harness) {
+		"same attempt, another hold": {func(b *harness) {
 			other := dispatch("a", 1)
 			other.Hold = "other"
 			b.run(other)
@@ -144,9 +144,9 @@
 		complete bool
 		cost     masticway.Amount
 	}{
-		"whole answer":                {fate: masticway.FateRan, complete: true, cost: 10 + 3*2},
+		"complete answer":             {fate: masticway.FateRan, complete: true, cost: 10 + 3*2},
 		"never started":               {failure: &masticway.UpstreamError{}, fate: masticway.FateNotRun},
-		"died in the middle":          {failure: &masticway.UpstreamError{Started: true}, fate: masticway.FateRan, cost: 16},
+		"failed in the middle":        {failure: &masticway.UpstreamError{Started: true}, fate: masticway.FateRan, cost: 16},
 		"service answered":            {service: true, fate: masticway.FateRan, complete: true, cost: 40},
 		"service answer was lost":     {service: true, failure: &masticway.UpstreamError{Started: true}, fate: masticway.FateUnknown, cost: 40},
 		"service could not be dialed": {service: true, failure: &masticway.UpstreamError{}, fate: masticway.FateNotRun},
@@ -170,7 +170,7 @@
 			qt.Assert(t, f.Fate, qt.Equals, tc.fate)
 			qt.Assert(t, f.Complete, qt.Equals, tc.complete)
 			qt.Assert(t, f.Cost, qt.Equals, tc.cost)
-			// A late or doubled report changes nothing.
+			// A late or repeated report changes nothing.
 			qt.Assert(t, b.s.Finished(start, d.Run, masticway.Outcome{}, nil), qt.HasLen, 0)
 			report, _ := b.s.Seal(start, router)
 			qt.Assert(t, report.Totals[0].Spent, qt.Equals, tc.cost)
@@ -243,7 +243,7 @@
 	}
 	qt.Assert(t, b.s.Find("w/a").Known, qt.IsFalse)
 	qt.Assert(t, b.s.Find("w/f").Known, qt.IsTrue)
-	// What was run still counts, though the answers are gone.
+	// The cost still counts after the answers have been dropped.
 	report, _ := b.s.Seal(start, router)
 	qt.Assert(t, report.Totals[0].Spent, qt.Equals, masticway.Amount(6*4))
 }
