--- a/recoverer/doc.go
+++ b/recoverer/doc.go
@@ -1,7 +1,8 @@
-// Package recoverer decides how a dead incarnation's money comes back.
+// Package recoverer detects failed routers and decides how their money is returned to its budgets.
 //
-// First the incarnation is fenced in the table, then at every sidecar that it
-// may have reached. A sidecar's totals are the true cost. Money goes back only
-// when every sidecar has witnessed or is gone for certain; a missed heartbeat
-// is never enough. What a vanished sidecar may have run is presumed spent.
+// First the failed incarnation is fenced in the table, then at each sidecar
+// that it may have reached. The sidecars' totals are the true cost. Money is
+// returned only when each sidecar has reported or is known to be gone; a missed
+// heartbeat is not enough. What a sidecar that is gone without a report may
+// have run is presumed spent.
 package recoverer
--- a/recoverer/recoverer.go
+++ b/recoverer/recoverer.go
@@ -12,7 +12,7 @@
 	"github.com/masticway/masticway/sealer"
 )
 
-// Events of the recovery chart.
+// Events of the recovery's statechart.
 const (
 	eventMarked       charter.Event = "marked"
 	eventWitnessed    charter.Event = "witnessed"
@@ -20,31 +20,32 @@
 	eventStillRunning charter.Event = "still_running"
 )
 
-// States of the recovery chart that the code asks for.
+// States of the recovery's statechart that the code refers to.
 const (
 	stateSealing   charter.State = "sealing"
 	stateReturning charter.State = "returning"
 )
 
-// askInterval is the pause between two questions to the same sidecar.
+// askInterval is the minimum time between two requests to the same sidecar.
 const askInterval = 250 * time.Millisecond
 
-// Effect is something that the shell must do; it is one of the types below.
+// Effect is an action that the caller must carry out: a Mark, an Ask or a Return.
 type Effect interface{ effect() }
 
-// Mark fences the incarnation in the table; the answer comes back by Marked.
+// Mark fences the incarnation in the table. The caller passes the result to Marked.
 type Mark struct{}
 
-// Ask seals the incarnation at a sidecar; the answer comes back by Witnessed or Vanished.
+// Ask seals the incarnation at a sidecar. The caller passes the result to Witnessed or, if the sidecar is gone, to Vanished.
 type Ask struct{ Sidecar masticway.Incarnation }
 
-// Return closes grants in the table; the answer comes back by Returned.
+// Return closes grants in the table. The caller passes the result to Returned.
 type Return struct{ Closings []bookkeeper.Closing }
 
 func (Mark) effect()   {}
 func (Ask) effect()    {}
 func (Return) effect() {}
 
+// sidecarReport is what is known of one sidecar. It is lost if the sidecar is gone and left no report.
 type sidecarReport struct {
 	report   sealer.Sealed
 	received bool
@@ -52,7 +53,7 @@
 	askedAt  time.Time
 }
 
-// Recovery follows one dead incarnation; it is not safe for concurrent use.
+// Recovery is the recovery of one failed incarnation. It is not safe for concurrent use.
 type Recovery struct {
 	incarnation masticway.Incarnation
 	chart       charter.Chart
@@ -71,15 +72,16 @@
 	return &Recovery{incarnation: inc, chart: c, state: c.Initial(), started: now, reports: map[masticway.Incarnation]*sidecarReport{}}
 }
 
-// Incarnation returns the incarnation that is recovered.
+// Incarnation returns the failed incarnation.
 func (r *Recovery) Incarnation() masticway.Incarnation { return r.incarnation }
 
 // Started returns when the recovery began.
 func (r *Recovery) Started() time.Time { return r.started }
 
-// Done tells whether nothing is left to do.
+// Done reports whether the recovery is complete.
 func (r *Recovery) Done() bool { return r.chart.Final(r.state) }
 
+// step makes a transition of the statechart; an event that the state does not allow is ignored.
 func (r *Recovery) step(e charter.Event) {
 	next, err := r.chart.Next(r.state, e)
 	if err == nil {
@@ -87,7 +89,7 @@
 	}
 }
 
-// Marked takes the fenced links row and the victim's grants; ok is false when the table did not answer.
+// Marked records the sealed links row and the failed incarnation's grants. ok is false if the table did not answer.
 func (r *Recovery) Marked(links bookkeeper.Links, grants []masticway.GrantKey, ok bool) {
 	r.sealing = false
 	if !ok {
@@ -101,7 +103,7 @@
 	r.step(eventMarked)
 }
 
-// Witnessed takes a sidecar's word; the newest one counts.
+// Witnessed records a sidecar's report, which replaces an earlier one.
 func (r *Recovery) Witnessed(report sealer.Sealed) {
 	w, ok := r.reports[report.Sidecar]
 	if !ok || w.lost {
@@ -111,14 +113,15 @@
 	w.received = true
 }
 
-// Vanished records that a sidecar is gone for certain; a report that it left still counts.
+// Vanished records that a sidecar is known to be gone. If it left a report in the table (found), that counts; otherwise the
+// sidecar is lost, unless it has already reported that nothing runs any more.
 func (r *Recovery) Vanished(sidecar masticway.Incarnation, final bookkeeper.Report, found bool) {
 	w, ok := r.reports[sidecar]
 	if !ok {
 		return
 	}
 	if w.received && !running(w.report) {
-		// Its last word was final, because a sealed incarnation adds nothing to it.
+		// The sidecar's last report is final, because a sealed incarnation can start no more runs.
 		return
 	}
 	if found {
@@ -129,6 +132,7 @@
 	w.lost = true
 }
 
+// totalsOf returns the totals of an incarnation's grants in a report that a sidecar left.
 func totalsOf(final bookkeeper.Report, inc masticway.Incarnation) []bookkeeper.Total {
 	var totals []bookkeeper.Total
 	for _, t := range final.Totals {
@@ -139,12 +143,13 @@
 	return totals
 }
 
+// running reports whether a report names runs in progress.
 func running(s sealer.Sealed) bool {
 	return slices.ContainsFunc(s.Totals, func(t bookkeeper.Total) bool { return t.Running > 0 }) ||
 		slices.ContainsFunc(s.Holds, func(h sealer.HoldReport) bool { return h.Running })
 }
 
-// Returned takes the table's answer to Return.
+// Returned records the result of Return. If runs are in progress, their sidecars are asked again.
 func (r *Recovery) Returned(ok bool) {
 	r.closing = false
 	if !ok {
@@ -171,7 +176,7 @@
 	return false
 }
 
-// Tick returns what to do next.
+// Tick returns the next effects.
 func (r *Recovery) Tick(now time.Time) []Effect {
 	switch r.state {
 	case r.chart.Initial():
@@ -213,7 +218,7 @@
 	return slices.Sorted(maps.Keys(r.reports))
 }
 
-// Missing names the sidecars that hold the recovery up.
+// Missing returns the sidecars whose reports the recovery waits for.
 func (r *Recovery) Missing() []masticway.Incarnation {
 	var missing []masticway.Incarnation
 	for _, s := range r.sidecars() {
@@ -246,9 +251,10 @@
 	return closings
 }
 
-// HoldFates returns what became of the victim's holds as a sender, once every sidecar has answered.
+// HoldFates returns the reports on holds that the failed incarnation dispatched, and a lost sidecar if there is one. It must be
+// called when all sidecars have reported or are lost.
 //
-// A hold that no sidecar names was never run, unless a sidecar vanished: then nobody can say, and it is named.
+// A hold without a report did not run, unless a sidecar is lost: then its outcome is unknown.
 func (r *Recovery) HoldFates() (reports []SidecarHold, lost masticway.Incarnation) {
 	for _, s := range r.sidecars() {
 		w := r.reports[s]
@@ -262,7 +268,7 @@
 	return reports, lost
 }
 
-// SidecarHold is a hold's fate at one sidecar.
+// SidecarHold is one sidecar's report on a hold.
 type SidecarHold struct {
 	Sidecar masticway.Incarnation
 	Fate    sealer.HoldReport
--- a/recoverer/watch.go
+++ b/recoverer/watch.go
@@ -9,61 +9,63 @@
 	"github.com/masticway/masticway/bookkeeper"
 )
 
-// rankDelay separates the routers that would take the same recovery.
+// rankDelay is the delay for each rank, so that routers do not all start the same recovery.
 const rankDelay = 3 * time.Second
 
-// WatchSettings are the tunables of a watch.
+// WatchSettings configure a Watch.
 type WatchSettings struct {
 	Self   masticway.Incarnation
 	Region string
-	// Lease is the time in which a death is noticed and may be disproved.
+	// Lease is the time within which a failure is detected: half of it passes before a suspicion, and half is given to the
+	// suspected router to answer a challenge.
 	Lease time.Duration
-	// Heartbeat is the pause between two writes of a lease row.
+	// Heartbeat is the time between two writes of a lease row.
 	Heartbeat time.Duration
 }
 
-// Signs are what this router knows of another one besides its row.
+// Signs are what this router observes of another router apart from its lease row.
 type Signs struct {
-	// Heard tells that there is a link on which it spoke lately.
+	// Heard is set if a message from the other router has arrived recently on a link.
 	Heard bool
-	// Ended is the platform's word that its instance is gone.
+	// Ended is set if the platform reports that the other router's instance has ended.
 	Ended bool
-	// Leaving tells that this router itself is draining.
+	// Leaving is set if this router itself is draining.
 	Leaving bool
 }
 
-// Stake is what this router has to do with another one; it is asked for only once that one is unheard.
+// Stake determines how soon this router recovers another one. It is not computed for a router that is heard and not
+// suspected.
 type Stake struct {
-	// Concerned tells that this router holds money for it.
+	// Concerned is set if this router has open holds that the other router requested.
 	Concerned bool
-	// Rank is this router's place among those that would recover it.
+	// Rank is this router's position in the order in which routers would recover the other one.
 	Rank int
 }
 
-// WatchEffect is something that the shell must do; it is one of the types below.
+// WatchEffect is an action that the caller must carry out: a ReadRow, a Challenge or a Recover.
 type WatchEffect interface{ watchEffect() }
 
-// ReadRow reads one lease row; the answer comes back by Row.
+// ReadRow reads one lease row. The caller passes the result to Row.
 type ReadRow struct{ Incarnation masticway.Incarnation }
 
-// Challenge asks a router through the table to renew its lease; the answer comes back by Challenged.
+// Challenge asks a router through the table to renew its lease. The caller passes the result to Challenged.
 type Challenge struct{ Incarnation masticway.Incarnation }
 
-// Recover begins a recovery.
+// Recover starts a recovery. It is repeated until the incarnation's rows are gone.
 type Recover struct{ Incarnation masticway.Incarnation }
 
 func (ReadRow) watchEffect()   {}
 func (Challenge) watchEffect() {}
 func (Recover) watchEffect()   {}
 
-// phase is how far a suspicion has gone.
+// phase is the progress of a suspicion.
 type phase int
 
 const (
 	phaseWatching phase = iota
-	// phaseReading has a read of the row under way.
+	// In phaseReading the lease row is being read.
 	phaseReading
-	// phaseRead has read the row since the suspicion began, so the lease known is the lease that stands.
+	// In phaseRead the row has been read since the suspicion began, so the known lease is current.
 	phaseRead
 	phaseChallenging
 	phaseChallenged
@@ -71,6 +73,7 @@
 	phaseRecovering
 )
 
+// routerState is what is known of one other router.
 type routerState struct {
 	row          bookkeeper.Daemon
 	lastSeenAt   time.Time
@@ -78,24 +81,24 @@
 	phase        phase
 }
 
-// Watch decides when another router is taken for dead; it is not safe for concurrent use.
+// Watch detects failures of other routers. It is not safe for concurrent use.
 //
-// Lease rows are seldom written, so the first sign of a death is a link that
-// stays lost or silent. Then the row is read and its owner challenged through
-// the table: a live router that has merely lost its links renews its lease, and
-// only one that does not is recovered. The platform's word that the instance
-// ended needs no proof.
+// Lease rows are written rarely, so the first sign of a failure is a link that
+// stays down or silent. The row is then read and its owner challenged through
+// the table. A live router that has only lost its links renews its lease; a
+// router that does not is recovered. If the platform reports that the instance
+// has ended, no challenge is needed.
 type Watch struct {
 	settings WatchSettings
 	routers  map[masticway.Incarnation]*routerState
 }
 
-// NewWatch returns a watch that has seen nobody.
+// NewWatch returns a Watch that knows no routers.
 func NewWatch(s WatchSettings) *Watch {
 	return &Watch{settings: s, routers: map[masticway.Incarnation]*routerState{}}
 }
 
-// Rows takes a reading of all lease rows and returns the incarnations whose rows are gone.
+// Rows applies a reading of all lease rows and returns the known incarnations whose rows are gone.
 func (w *Watch) Rows(now time.Time, rows []bookkeeper.Daemon) (gone []masticway.Incarnation) {
 	present := map[masticway.Incarnation]bool{}
 	for _, d := range rows {
@@ -111,13 +114,14 @@
 	return gone
 }
 
-// Note records a router that was linked to, before its row has been read.
+// Note adds a router to which there is a link, before its row has been read.
 func (w *Watch) Note(now time.Time, d bookkeeper.Daemon) {
 	if _, ok := w.routers[d.Incarnation]; !ok && d.Incarnation != w.settings.Self {
 		w.routers[d.Incarnation] = &routerState{row: d, lastSeenAt: now}
 	}
 }
 
+// updateRow applies a lease row; a recovery that has begun goes on.
 func (w *Watch) updateRow(now time.Time, d bookkeeper.Daemon) {
 	if d.Incarnation == w.settings.Self {
 		return
@@ -127,19 +131,19 @@
 		return
 	}
 	if !ok || !s.row.Lease.Equal(d.Lease) {
-		// A renewed lease ends every suspicion.
+		// A renewed lease ends the suspicion.
 		w.routers[d.Incarnation] = &routerState{row: d, lastSeenAt: now}
 	}
 }
 
-// Row takes the answer to ReadRow; failed tells that the table did not answer.
+// Row applies the result of ReadRow and reports whether the row is gone. failed is set if the table did not answer.
 func (w *Watch) Row(now time.Time, inc masticway.Incarnation, d bookkeeper.Daemon, found, failed bool) (gone bool) {
 	s, ok := w.routers[inc]
 	if !ok {
 		return false
 	}
 	if failed {
-		// Unasked, it must not be taken for dead.
+		// The router could not be challenged, so it must not be considered failed.
 		s.phase = phaseWatching
 		s.challengedAt = time.Time{}
 		return false
@@ -149,7 +153,7 @@
 		return true
 	}
 	if s.row.Lease.IsZero() {
-		// The first look at a row: there is no older lease to compare with.
+		// This is the first reading of the row, so there is no earlier lease to compare with.
 		s.row = d
 	}
 	lease := s.row.Lease
@@ -166,7 +170,7 @@
 	return false
 }
 
-// Challenged takes the answer to Challenge.
+// Challenged records whether a challenge has been written.
 func (w *Watch) Challenged(now time.Time, inc masticway.Incarnation, ok bool) {
 	s, known := w.routers[inc]
 	if !known || s.phase != phaseChallenging {
@@ -180,7 +184,7 @@
 	s.challengedAt = now
 }
 
-// Look goes through all routers seen and returns what to do.
+// Look checks all known routers and returns the next effects.
 func (w *Watch) Look(now time.Time, signalsOf func(bookkeeper.Daemon) Signs, stakeOf func(bookkeeper.Daemon) Stake) []WatchEffect {
 	var effects []WatchEffect
 	for _, inc := range w.incarnations() {
@@ -237,22 +241,22 @@
 			return ReadRow{Incarnation: inc}
 		}
 	case phaseRecovering:
-		// The shell begins each recovery once, so it may be told again.
+		// The caller starts each recovery only once, so this can be repeated.
 		return Recover{Incarnation: inc}
 	}
 	return nil
 }
 
-// suspicionTimeout is how long a router must be unheard before it is suspected.
+// suspicionTimeout returns the time without a sign of life after which a router is suspected.
 func (w *Watch) suspicionTimeout(s *routerState) time.Duration {
 	if s.row.Region != w.settings.Region {
-		// There is no link to lose, so only a lease that is overdue is a sign.
+		// There are no links between regions, so only an overdue lease is a sign of failure.
 		return 2 * w.settings.Heartbeat
 	}
 	return w.settings.Lease / 2
 }
 
-// recoveryDelay keeps those apart who would take the same recovery.
+// recoveryDelay returns the delay by which this router starts later than routers with a higher priority for the same recovery.
 func recoveryDelay(s Stake) time.Duration {
 	if s.Concerned {
 		return 0
@@ -260,5 +264,5 @@
 	return time.Duration(s.Rank) * rankDelay
 }
 
-// Forget drops an incarnation that has been recovered.
+// Forget removes an incarnation that has been recovered.
 func (w *Watch) Forget(inc masticway.Incarnation) { delete(w.routers, inc) }
--- a/recoverer/watch_test.go
+++ b/recoverer/watch_test.go
@@ -18,25 +18,25 @@
 	renewed := bookkeeper.Daemon{Incarnation: "r~2", Region: "here", Lease: start.Add(time.Minute)}
 	cases := map[string]struct {
 		row bookkeeper.Daemon
-		// signs are looked at each second, the last of them for ever.
+		// signs are the observations of each second; the last of them is repeated.
 		signs []recoverer.Signs
 		stake recoverer.Stake
-		// answers to ReadRow, the last of them for ever; an empty row is one that is gone.
+		// rows are the answers to ReadRow; the last of them is repeated. An empty row means that the row is gone.
 		rows      []bookkeeper.Daemon
 		tableDown bool
 		steps     string
 	}{
-		"heard":                         {row: row, signs: []recoverer.Signs{{Heard: true}}, steps: ""},
-		"dead":                          {row: row, signs: []recoverer.Signs{{}}, rows: []bookkeeper.Daemon{row}, steps: "read challenge read recover "},
-		"platform says it ended":        {row: row, signs: []recoverer.Signs{{Ended: true}}, steps: "recover "},
-		"answers the challenge":         {row: row, signs: []recoverer.Signs{{}, {}, {}, {}, {Heard: true}}, rows: []bookkeeper.Daemon{row, renewed}, steps: "read challenge "},
-		"renewed before it was asked":   {row: row, signs: []recoverer.Signs{{}, {}, {}, {Heard: true}}, rows: []bookkeeper.Daemon{renewed}, steps: "read "},
-		"its row is gone":               {row: row, signs: []recoverer.Signs{{}}, rows: []bookkeeper.Daemon{{}}, steps: "read "},
-		"a lower rank waits":            {row: row, signs: []recoverer.Signs{{}}, stake: recoverer.Stake{Rank: 3}, rows: []bookkeeper.Daemon{row}, steps: ""},
-		"unless it is concerned":        {row: row, signs: []recoverer.Signs{{}}, stake: recoverer.Stake{Rank: 3, Concerned: true}, rows: []bookkeeper.Daemon{row}, steps: "read challenge read recover "},
-		"one that drains stays out":     {row: row, signs: []recoverer.Signs{{Leaving: true, Ended: true}}, steps: ""},
-		"table down, so nobody is dead": {row: row, signs: []recoverer.Signs{{}}, tableDown: true, steps: "read read read "},
-		"far away, lease not overdue":   {row: bookkeeper.Daemon{Incarnation: "r~2", Region: "there", Lease: start}, signs: []recoverer.Signs{{}}, steps: ""},
+		"alive":                        {row: row, signs: []recoverer.Signs{{Heard: true}}, steps: ""},
+		"failed":                       {row: row, signs: []recoverer.Signs{{}}, rows: []bookkeeper.Daemon{row}, steps: "read challenge read recover "},
+		"platform reports its end":     {row: row, signs: []recoverer.Signs{{Ended: true}}, steps: "recover "},
+		"answers the challenge":        {row: row, signs: []recoverer.Signs{{}, {}, {}, {}, {Heard: true}}, rows: []bookkeeper.Daemon{row, renewed}, steps: "read challenge "},
+		"renewed before the challenge": {row: row, signs: []recoverer.Signs{{}, {}, {}, {Heard: true}}, rows: []bookkeeper.Daemon{renewed}, steps: "read "},
+		"its row is gone":              {row: row, signs: []recoverer.Signs{{}}, rows: []bookkeeper.Daemon{{}}, steps: "read "},
+		"lower rank waits":             {row: row, signs: []recoverer.Signs{{}}, stake: recoverer.Stake{Rank: 3}, rows: []bookkeeper.Daemon{row}, steps: ""},
+		"lower rank holding money":     {row: row, signs: []recoverer.Signs{{}}, stake: recoverer.Stake{Rank: 3, Concerned: true}, rows: []bookkeeper.Daemon{row}, steps: "read challenge read recover "},
+		"draining router stays out":    {row: row, signs: []recoverer.Signs{{Leaving: true, Ended: true}}, steps: ""},
+		"table unavailable":            {row: row, signs: []recoverer.Signs{{}}, tableDown: true, steps: "read read read "},
+		"other region, lease valid":    {row: bookkeeper.Daemon{Incarnation: "r~2", Region: "there", Lease: start}, signs: []recoverer.Signs{{}}, steps: ""},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
