--- a/lender/doc.go
+++ b/lender/doc.go
@@ -1,4 +1,5 @@
-// Package lender carries what routers ask each other about prepaid money while the
-// platform's store is away from some or all of them: loans, the statements that a
-// router leaves with its witnesses, and what these remember of one that has ended.
+// Package lender implements the calls between routers about prepaid money while some
+// or all of them cannot reach the platform's store: loans, the reports of what it may
+// have spent that a router sends to its witnesses, and the requests to witnesses for
+// the reports of a router that has ended.
 package lender
--- a/lender/lender.go
+++ b/lender/lender.go
@@ -17,83 +17,83 @@
 	pathFinalReports = "/peer/recall"
 )
 
-// borrowResponse answers a question for money.
+// borrowResponse is the answer to a loan request.
 type borrowResponse struct {
 	Amount int64 `cbor:"1,keyasint"`
-	// Lender is who lends, which may be a successor of the one that was asked.
+	// Lender is the incarnation that lends. It may be a successor of the one to which the request was addressed.
 	Lender masticway.Incarnation `cbor:"2,keyasint,omitempty"`
 }
 
-// ack answers a message of which nothing but the arrival matters.
+// ack is the answer to a message that only needs to be confirmed.
 type ack struct{}
 
-// reportResponse tells whether a statement was taken.
+// reportResponse is the answer to a report. Taken is set if the report was accepted.
 type reportResponse struct {
-	Taken bool `cbor:"1,keyasint"`
+	Accepted bool `cbor:"1,keyasint"`
 }
 
-// finalReportsRequest asks a witness, by incarnation, for an ended router's statements.
+// finalReportsRequest requests what an ended incarnation reported to a witness, both named by incarnation.
 type finalReportsRequest struct {
 	Witness masticway.Incarnation `cbor:"1,keyasint"`
 	Ended   masticway.Incarnation `cbor:"2,keyasint"`
 }
 
-// Client asks other routers; it implements treasurer.Lender.
+// Client calls other routers. It implements the interface treasurer.Lender.
 type Client struct {
 	messages *messenger.Client
 }
 
-// NewClient returns a client that sends its calls with another.
+// NewClient returns a client that sends its calls with m.
 func NewClient(m *messenger.Client) *Client { return &Client{messages: m} }
 
-// Borrow asks the router at an address for money of a workspace.
-func (c *Client) Borrow(ctx context.Context, address string, ask treasurer.LoanAsk) (treasurer.Loan, error) {
-	answer, err := messenger.Call[borrowResponse](ctx, c.messages, address, pathBorrow, ask)
-	return treasurer.Loan{Lender: answer.Lender, Amount: min(ask.Need, max(0, answer.Amount))}, err
+// Borrow requests a loan of a workspace's money from the router at an address. The amount lent is never above the need.
+func (c *Client) Borrow(ctx context.Context, address string, request treasurer.LoanAsk) (treasurer.Loan, error) {
+	answer, err := messenger.Call[borrowResponse](ctx, c.messages, address, pathBorrow, request)
+	return treasurer.Loan{Lender: answer.Lender, Amount: min(request.Need, max(0, answer.Amount))}, err
 }
 
-// Repay gives a loan back.
+// Repay returns money to the router at an address.
 func (c *Client) Repay(ctx context.Context, address string, r treasurer.Repayment) error {
 	_, err := messenger.Call[ack](ctx, c.messages, address, pathRepay, r)
 	return err
 }
 
-// Testify gives a statement to a witness and tells whether it took it.
+// Testify sends a report to a witness and reports whether the witness accepted it.
 func (c *Client) Testify(ctx context.Context, address string, s treasurer.Statement) (bool, error) {
 	answer, err := messenger.Call[reportResponse](ctx, c.messages, address, pathReport, s)
-	return answer.Taken, err
+	return answer.Accepted, err
 }
 
-// Recall asks a witness what an ended incarnation has stated.
+// Recall requests from a witness what an ended incarnation reported to it.
 func (c *Client) Recall(ctx context.Context, address string, witness, ended masticway.Incarnation) (treasurer.Recollection, error) {
 	return messenger.Call[treasurer.Recollection](ctx, c.messages, address, pathFinalReports, finalReportsRequest{Witness: witness, Ended: ended})
 }
 
-// PeerServer is what a router lends from, and what it remembers for others.
+// PeerServer answers the calls of other routers.
 type PeerServer interface {
-	// Self names the incarnation that lends.
+	// Self returns the incarnation that lends.
 	Self() masticway.Incarnation
-	// Lend takes money out for another router and returns how much.
-	Lend(ctx context.Context, ask treasurer.LoanAsk) int64
-	// Repaid takes money back.
+	// Lend lends money to another router and returns the amount.
+	Lend(ctx context.Context, request treasurer.LoanAsk) int64
+	// Repaid accepts returned money.
 	Repaid(r treasurer.Repayment)
-	// Testified takes another router's statement, unless that one has ended.
+	// Testified accepts another router's report unless that router has ended, and reports whether it did.
 	Testified(s treasurer.Statement) bool
-	// Recall tells what an ended incarnation has stated to a witness, and lets it state nothing more.
+	// Recall returns what an ended incarnation reported to a witness; later reports of that incarnation are refused.
 	Recall(witness, ended masticway.Incarnation) treasurer.Recollection
 }
 
-// Serve answers the calls of other routers.
+// Serve registers handlers on mux that pass the calls of other routers to p.
 func Serve(mux *http.ServeMux, p PeerServer) {
-	messenger.Handle(mux, pathBorrow, func(ctx context.Context, ask treasurer.LoanAsk) borrowResponse {
-		return borrowResponse{Amount: p.Lend(ctx, ask), Lender: p.Self()}
+	messenger.Handle(mux, pathBorrow, func(ctx context.Context, request treasurer.LoanAsk) borrowResponse {
+		return borrowResponse{Amount: p.Lend(ctx, request), Lender: p.Self()}
 	})
 	messenger.Handle(mux, pathRepay, func(_ context.Context, r treasurer.Repayment) ack {
 		p.Repaid(r)
 		return ack{}
 	})
 	messenger.Handle(mux, pathReport, func(_ context.Context, s treasurer.Statement) reportResponse {
-		return reportResponse{Taken: p.Testified(s)}
+		return reportResponse{Accepted: p.Testified(s)}
 	})
 	messenger.Handle(mux, pathFinalReports, func(_ context.Context, r finalReportsRequest) treasurer.Recollection {
 		return p.Recall(r.Witness, r.Ended)
--- a/lender/lender_test.go
+++ b/lender/lender_test.go
@@ -16,7 +16,7 @@
 	"github.com/masticway/masticway/treasurer"
 )
 
-// peerServer lends what it has.
+// peerServer lends until its balance is zero and records repayments and reports.
 type peerServer struct {
 	mu      sync.Mutex
 	balance int64
@@ -38,7 +38,7 @@
 	return treasurer.Recollection{Same: true, Stated: map[string]treasurer.Stated{"w": {Taken: 9, Book: 4}}}
 }
 
-// serve starts a router that lends, and returns a client and the address.
+// serve starts an HTTP server for p and returns a client and the server's address.
 func serve(t *testing.T, p *peerServer) (*lender.Client, string) {
 	mux := http.NewServeMux()
 	lender.Serve(mux, p)
@@ -47,13 +47,13 @@
 	return lender.NewClient(messenger.NewClient()), strings.TrimPrefix(server.URL, "http://")
 }
 
-func (p *peerServer) Lend(_ context.Context, ask treasurer.LoanAsk) int64 {
+func (p *peerServer) Lend(_ context.Context, request treasurer.LoanAsk) int64 {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if ask.Workspace != "w" {
+	if request.Workspace != "w" {
 		return 0
 	}
-	amount := min(ask.Need, p.balance)
+	amount := min(request.Need, p.balance)
 	p.balance -= amount
 	return amount
 }
@@ -87,13 +87,13 @@
 	p := &peerServer{}
 	client, address := serve(t, p)
 	s := treasurer.Statement{Issuer: "a~1", Witness: "b~2", Oldest: 3, Newest: 4, Taken: map[string]int64{"w": 9}}
-	taken, err := client.Testify(t.Context(), address, s)
+	accepted, err := client.Testify(t.Context(), address, s)
 	qt.Assert(t, err, qt.IsNil)
-	qt.Assert(t, taken, qt.IsTrue)
+	qt.Assert(t, accepted, qt.IsTrue)
 	qt.Assert(t, p.reports, qt.DeepEquals, []treasurer.Statement{s})
-	taken, err = client.Testify(t.Context(), address, treasurer.Statement{Issuer: "gone~1"})
+	accepted, err = client.Testify(t.Context(), address, treasurer.Statement{Issuer: "gone~1"})
 	qt.Assert(t, err, qt.IsNil)
-	qt.Assert(t, taken, qt.IsFalse)
+	qt.Assert(t, accepted, qt.IsFalse)
 	r, err := client.Recall(t.Context(), address, "b~2", "a~1")
 	qt.Assert(t, err, qt.IsNil)
 	qt.Assert(t, r, qt.DeepEquals, treasurer.Recollection{Same: true, Stated: map[string]treasurer.Stated{"w": {Taken: 9, Book: 4}}})
@@ -110,9 +110,9 @@
 	_, err := client.Borrow(t.Context(), address, treasurer.LoanAsk{Workspace: "w", Need: 1})
 	qt.Assert(t, err, qt.IsNotNil)
 	qt.Assert(t, client.Repay(t.Context(), address, treasurer.Repayment{}), qt.IsNotNil)
-	taken, err := client.Testify(t.Context(), address, treasurer.Statement{})
+	accepted, err := client.Testify(t.Context(), address, treasurer.Statement{})
 	qt.Assert(t, err, qt.IsNotNil)
-	qt.Assert(t, taken, qt.IsFalse)
+	qt.Assert(t, accepted, qt.IsFalse)
 	_, err = client.Recall(t.Context(), address, "b~1", "a~1")
 	qt.Assert(t, err, qt.IsNotNil)
 }
