--- a/accountant/account.go
+++ b/accountant/account.go
@@ -7,7 +7,8 @@
 	"time"
 )
 
-// listedEvents are the events other than of requests that are listed, with the fields that tell them apart.
+// listedEvents are the events, other than those of requests, that are listed in a report, and the fields by which they are
+// grouped.
 var listedEvents = map[string][]string{
 	"started": nil, "stopping": nil, "stopped": {"cut_off"}, "reloaded": {"needs_restart"}, "reload_refused": nil, "server_ended": nil,
 	"configuration_in_force": {"version"}, "configuration_unreadable": {"row_version"}, "registration_unreadable": nil,
@@ -18,7 +19,7 @@
 	"grant_closed":         {"incarnation", "workspace", "granted", "presumed", "taken", "written", "silent_ms"}, "chart_fault": nil, "refusal_unwritten": nil,
 }
 
-// Account sums up the lines of a fleet.
+// Account summarizes the log lines of a fleet.
 type Account struct {
 	bucket time.Duration
 	reader reader
@@ -33,7 +34,8 @@
 	trace    trace
 }
 
-// New returns an empty account with buckets of time so long, which follows one request if it is given an id.
+// New returns an empty Account with time buckets of the given length. If request is not empty, the Account only collects the
+// lines that concern the request with that id, for Story.
 func New(bucket time.Duration, request string) *Account {
 	return &Account{
 		bucket: bucket, reader: reader{newest: map[string]time.Time{}},
@@ -45,9 +47,10 @@
 	}
 }
 
-// Read takes all lines of a source.
+// Read adds all lines of a source. name is used as the router of lines before the first that names one.
 func (a *Account) Read(name string, r io.Reader) error { return a.reader.read(name, r, a.addLine) }
 
+// addLine adds one event.
 func (a *Account) addLine(l Line) {
 	outageMS := a.outages.add(l)
 	switch {
@@ -66,7 +69,7 @@
 	}
 }
 
-// addRequestEnd takes the end of a request.
+// addRequestEnd adds the end of a request.
 func (a *Account) addRequestEnd(l Line) {
 	key, ms := causeOf(l, a.outages.state(l.Router)), l.Number("ms")
 	a.joined.add(l, key.Family)
@@ -85,7 +88,7 @@
 	a.times.add(Key{At: a.bucketStart(l)}, l, ms, key.Family)
 }
 
-// addEvent takes any other event, which may end something that took so long.
+// addEvent adds any other event. If the event ends an outage, outageMS is how long that lasted.
 func (a *Account) addEvent(l Line, outageMS int64) {
 	a.versions.add(l)
 	a.money.add(l)
@@ -101,9 +104,10 @@
 	a.changed.add(Key{At: a.bucketStart(l), Name: l.Event, Detail: strings.Join(parts, " ")}, l, outageMS)
 }
 
+// bucketStart returns the start of a line's time bucket.
 func (a *Account) bucketStart(l Line) time.Time { return l.Time.UTC().Truncate(a.bucket) }
 
-// Report tells what the lines say; the account takes no more of them.
+// Report returns the summary. No lines may be added afterwards, because it ends the outages that are still open.
 func (a *Account) Report() (Report, error) {
 	if a.reader.input.Events == 0 {
 		return Report{}, &NotFoundError{What: "an event of key=value pairs", Lines: a.reader.input.Lines}
--- a/accountant/account_test.go
+++ b/accountant/account_test.go
@@ -15,13 +15,13 @@
 	"github.com/masticway/masticway/accountant"
 )
 
-// line is an event of a router, so many milliseconds after the start.
+// line returns the log line of a router's event, ms milliseconds after the start.
 func line(router string, ms int, fields string) string {
 	at := time.Date(2026, 1, 2, 3, 0, 0, 0, time.UTC).Add(time.Duration(ms) * time.Millisecond)
 	return fmt.Sprintf("time=%q level=info msg=x instance=%s %s\n", at.Format(time.RFC3339Nano), router, fields)
 }
 
-// account reads one source for each router.
+// account returns the report on sources, each with the lines of one router.
 func account(t *testing.T, sources ...[]string) accountant.Report {
 	t.Helper()
 	a := accountant.New(time.Second, "")
@@ -33,7 +33,7 @@
 	return report
 }
 
-// summary gives the rows of a table as name, family, reason and so on, with the count and the kinds.
+// summary returns the rows of a table as text: the key's fields, the count and the kinds.
 func summary(t *testing.T, r accountant.Report, table string) []string {
 	t.Helper()
 	for _, one := range r.Tables {
@@ -103,7 +103,7 @@
 		line("edge-1", 6, "event=grant_closed incarnation=edge-1~1 workspace=w2 granted=500 presumed=90 taken=20 written=50 silent_ms=5900"),
 		line("edge-1", 7, "event=not_repaid lender=edge-2~1 workspace=w1 amount=7"),
 	}, []string{
-		// The line about the restart was lost.
+		// The line about the restart is missing.
 		line("edge-2", 0, fmt.Sprintf(status, 90)), line("edge-2", 1, fmt.Sprintf(status, 10)),
 	})
 	qt.Assert(t, summary(t, r, "money_refused_by_workspace"), qt.DeepEquals, []string{
@@ -134,7 +134,7 @@
 		line("edge-1", 0, failed+"a1"), line("edge-1", 10, timeout+"a1"), line("edge-1", 20, failed+"a2"),
 		line("edge-1", 30, failed+"a3"), line("edge-1", 30, timeout+"a4"),
 	}, []string{
-		// The later end counts, whichever is read first.
+		// The later end counts, in whichever order they are read.
 		line("edge-2", 5, served+"a1"), line("edge-2", 40, served+"a3"),
 	})
 	qt.Assert(t, summary(t, r, "failed_attempts_by_server"), qt.DeepEquals, []string{"s1 10.0.0.1:80 3 silent=3 unknown=3"})
@@ -152,7 +152,7 @@
 		[]string{line("edge-1", 0, "event=started"), version("edge-1", 10, 3), version("edge-1", 1000, 4), version("edge-1", 3000, 6), version("edge-1", 3500, 4)},
 		[]string{line("edge-2", 0, "event=started"), version("edge-2", 20, 3), version("edge-2", 1900, 5)},
 		[]string{line("edge-3", 5000, "event=started"), version("edge-3", 5100, 5)},
-		// A new process is in no lag, whatever the one before it had.
+		// A new process does not lag, whatever version the previous one had.
 		[]string{version("edge-4", 30, 3), line("edge-4", 6000, "event=started"), version("edge-4", 6100, 4)},
 	)
 	qt.Assert(t, summary(t, r, "configuration_versions_by_routers"), qt.DeepEquals, []string{
@@ -273,7 +273,7 @@
 			for _, text := range tc.contains {
 				qt.Assert(t, out.String(), qt.Contains, text)
 			}
-			// No request was charged, so that column is left out.
+			// No request was charged, so the column tokens_used is omitted.
 			qt.Assert(t, out.String(), qt.Not(qt.Contains), "tokens_used")
 		})
 	}
--- a/accountant/cause.go
+++ b/accountant/cause.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// Families of ends that are told apart further.
+// The families of request ends that the code treats differently.
 const (
 	familyServed      = "served"
 	familyExhausted   = "money_exhausted"
@@ -14,7 +14,7 @@
 	familyOther       = "other"
 )
 
-// families tells by a request line's outcome what an operator would look at.
+// families maps the outcome of a request to a family, which groups outcomes that an operator would investigate together.
 var families = map[string]string{
 	"served": familyServed, "budget_exhausted": familyExhausted, "budget_unreachable": familyUnreachable,
 	"servers_full": "servers_full", "servers_cold": "servers_cold", "servers_limited": "servers_limited", "servers_resting": "servers_resting",
@@ -26,7 +26,7 @@
 	"router_overloaded": "router_overloaded",
 }
 
-// FamilyOf returns the family of a request line's outcome.
+// FamilyOf returns the family of a request's outcome.
 func FamilyOf(outcome string) string {
 	if f, ok := families[outcome]; ok {
 		return f
@@ -34,7 +34,8 @@
 	return familyOther
 }
 
-// reasons tells the reason of a failure by a part of its cause; the first that fits counts.
+// reasons maps a substring of a failure's logged cause to a reason. The first match counts. The substrings are taken from the
+// error messages of other packages and of the standard library.
 var reasons = []struct{ part, reason string }{
 	{"waits for its turn to run alone", "waits_to_run_apart"},
 	{"ended under this request", "servers_ended"},
@@ -62,7 +63,7 @@
 	{"EOF", "connection_lost"},
 }
 
-// reasonOf sorts the cause of a failure.
+// reasonOf returns the reason for a failure with a logged cause.
 func reasonOf(cause string) string {
 	for _, r := range reasons {
 		if strings.Contains(cause, r.part) {
@@ -75,10 +76,10 @@
 	return "other"
 }
 
-// neverReadAge is the age in milliseconds of a row that was never read, the longest time there is.
+// neverReadAge is the age in milliseconds that is logged for a row that was never read, which is the maximum duration.
 const neverReadAge = int64(math.MaxInt64 / time.Millisecond)
 
-// Reasons of money refusals, by what the router knew was left.
+// Reasons for refusals for lack of money, by what was left as far as the router knew.
 const (
 	reasonUnread  = "row_never_read"
 	reasonEnough  = "enough_left"
@@ -86,7 +87,7 @@
 	reasonNothing = "nothing_left"
 )
 
-// moneyReason tells what was left when a request was refused for money.
+// moneyReason returns the reason for a refusal for lack of money.
 func moneyReason(l Line) string {
 	left := l.Number("left") + max(l.Number("free"), l.Number("own"))
 	switch {
@@ -100,7 +101,8 @@
 	return reasonNothing
 }
 
-// causeOf tells the cause of a request's end; the state of the store at the router goes with money only.
+// causeOf returns the key for the cause of a request's end. The state of the store is part of it only if the request was
+// refused for lack of money.
 func causeOf(l Line, store string) Key {
 	outcome := l.Text("outcome")
 	k := Key{Family: FamilyOf(outcome), Outcome: outcome, Reason: reasonOf(l.Text("cause"))}
--- a/accountant/joined.go
+++ b/accountant/joined.go
@@ -5,10 +5,10 @@
 	"time"
 )
 
-// maxJoined bounds the requests that are joined; the lines of later ones are counted as not joined.
+// maxJoined limits the requests that are joined. Lines of further requests are counted as not joined.
 const maxJoined = 1 << 20
 
-// joinedRequest is what the lines of all routers tell of one request.
+// joinedRequest is what the lines of all routers say about one request.
 type joinedRequest struct {
 	failures, ends int
 	router, last   string
@@ -16,13 +16,13 @@
 	at             time.Time
 }
 
-// joinedRequests join lines by request id.
+// joinedRequests joins lines by request id.
 type joinedRequests struct {
 	ids     map[string]*joinedRequest
 	dropped int64
 }
 
-// add takes an end, or without a family a failed attempt.
+// add adds the end of a request, or a failed attempt if family is empty.
 func (j *joinedRequests) add(l Line, family string) {
 	id := l.Text("request")
 	r, ok := j.ids[id]
@@ -45,8 +45,9 @@
 	}
 }
 
-// list counts the requests by what their lines have in common. One without a line for its end was served and not
-// sampled, was still open, or was lost with its router.
+// list returns the numbers of requests with failed attempts, with several ends and with several routers, by the family of
+// the last end. A request without a line for its end was served and not sampled, was still in progress, or was lost with
+// its router.
 func (j *joinedRequests) list() []Row {
 	all := rows{}
 	for _, r := range j.ids {
--- a/accountant/line.go
+++ b/accountant/line.go
@@ -12,7 +12,7 @@
 	Value string `json:"value"`
 }
 
-// Line is one event of one router; its time is zero when it was written without one.
+// Line is one event of one router. Its time is zero if it was written without one.
 type Line struct {
 	Time   time.Time `json:"time"`
 	Event  string    `json:"event"`
@@ -20,7 +20,8 @@
 	Fields []Field   `json:"fields"`
 }
 
-// ParseLine reads one line and tells whether it is an event; what stands before its first field is left out.
+// ParseLine parses one line and reports whether it is an event. Text before the first field, such as a log collector's prefix,
+// is ignored.
 func ParseLine(text string) (Line, bool) {
 	rest := withoutPrefix(strings.TrimSpace(text))
 	l := Line{Fields: make([]Field, 0, 24)}
@@ -42,7 +43,7 @@
 	return l, l.Event != "" && err == nil
 }
 
-// Text returns a field's value, empty when there is none.
+// Text returns the value of a field, empty if there is none.
 func (l Line) Text(name string) string {
 	for _, f := range l.Fields {
 		if f.Name == name {
@@ -52,7 +53,7 @@
 	return ""
 }
 
-// Number returns a field's value as a whole number, zero when it is none.
+// Number returns the value of a field as an integer, zero if it isn't one.
 func (l Line) Number(name string) int64 {
 	n, err := strconv.ParseInt(l.Text(name), 10, 64)
 	if err != nil {
@@ -61,7 +62,7 @@
 	return n
 }
 
-// withoutPrefix starts at the first field that a log line begins with.
+// withoutPrefix returns the text from the field time or level on, with which a log line begins.
 func withoutPrefix(text string) string {
 	for _, start := range []string{"time=", "level="} {
 		if strings.HasPrefix(text, start) {
@@ -74,7 +75,7 @@
 	return text
 }
 
-// nextField takes the first pair off.
+// nextField returns the first field of the text and the text after it.
 func nextField(text string) (Field, string, bool) {
 	name, rest, ok := strings.Cut(text, "=")
 	if !ok || name == "" || strings.ContainsAny(name, ` "`) {
--- a/accountant/money.go
+++ b/accountant/money.go
@@ -1,27 +1,27 @@
 package accountant
 
-// counterNames are the counters of money_status that are tokens, refusals or failures.
+// counterNames are the counters of the event money_status that are summed up.
 var counterNames = []string{
 	"money_store_calls", "money_store_failures", "money_conflicts", "money_exhausted", "money_unreachable", "money_borrowed",
 	"money_lent", "money_not_repaid", "money_asks_unanswered", "money_statements", "money_recalled",
 }
 
-// money sums up what the lines tell of prepaid tokens; a workspace's row counts its refusals.
+// money sums up prepaid tokens. A workspace's row counts its refusals.
 type money struct {
 	workspaces rows
 	routers    rows
-	// last are the counters of each router's process.
+	// last holds the latest counters of each router's process.
 	last map[string]Counts
 }
 
-// addRefusal notes a refusal for money.
+// addRefusal adds a refusal for lack of money.
 func (m money) addRefusal(l Line, k Key) {
 	kinds := m.workspaces.add(Key{Name: l.Text("workspace")}, l, l.Number("ms"), k.Outcome+"/"+k.Reason).Kinds
 	kinds["prepaid_most"] = max(kinds["prepaid_most"], l.Number("prepaid"))
 	kinds["left_most"] = max(kinds["left_most"], l.Number("left"))
 }
 
-// add takes an event that is about money outside requests.
+// add adds an event; events that do not concern money are ignored.
 func (m money) add(l Line) {
 	workspace, router := Key{Name: l.Text("workspace")}, Key{Name: l.Router}
 	switch l.Event {
@@ -48,7 +48,8 @@
 	}
 }
 
-// addCounters takes new counters; one that has fallen belongs to a new process.
+// addCounters adds the increase of the counters since the router's last line. A counter that has decreased belongs to a new
+// process.
 func (m money) addCounters(l Line, kinds Counts) {
 	now := Counts{}
 	for _, name := range counterNames {
--- a/accountant/outages.go
+++ b/accountant/outages.go
@@ -2,19 +2,20 @@
 
 import "time"
 
-// outageKey names what can be out at a router.
+// outageKey identifies an outage: the router, the event with which it began and the table, if any.
 type outageKey struct{ router, beginEvent, table string }
 
-// beginOf tells which event ends which.
+// beginOf maps an event that ends an outage to the event with which that outage began.
 var beginOf = map[string]string{"store_direct": "store_turned_away", "store_regained": "store_lost"}
 
-// outages keeps what is out at each router, and sums up what was.
+// outages holds the open outages of each router and sums up those that have ended.
 type outages struct {
 	open map[outageKey]Line
 	done rows
 }
 
-// add takes an event in a router's order, and returns how long the outage lasted that it ends, zero otherwise.
+// add adds an event and returns the duration in milliseconds of the outage that it ends, zero if there is none. The events of
+// a router must be in order.
 func (o outages) add(l Line) int64 {
 	switch l.Event {
 	case "store_turned_away", "store_lost":
@@ -30,7 +31,7 @@
 	return 0
 }
 
-// end sums an outage up.
+// end ends an outage and returns its duration in milliseconds.
 func (o outages) end(key outageKey, at time.Time, reason string) int64 {
 	begin, ok := o.open[key]
 	if !ok {
@@ -42,6 +43,7 @@
 	return took
 }
 
+// endAll ends all outages of a router.
 func (o outages) endAll(router string, at time.Time, reason string) {
 	for key := range o.open {
 		if key.router == router {
@@ -50,7 +52,8 @@
 	}
 }
 
-// state tells what a router has of the store now: direct calls, calls through others, or tables that it cannot read.
+// state returns how a router currently reaches the store: directly, through other routers, or not for a table, of which it names
+// the last by name.
 func (o outages) state(router string) string {
 	state, lost := "direct", ""
 	for key := range o.open {
--- a/accountant/reader.go
+++ b/accountant/reader.go
@@ -9,11 +9,12 @@
 )
 
 const (
-	// maxLineBytes bounds the bytes of a line.
+	// maxLineBytes limits the length of a line.
 	maxLineBytes = 1 << 20
-	// maxDisorder is how far a router's line may go back in time before it counts as out of order.
+	// maxDisorder is how much earlier than the router's newest line a line may be before it counts as out of order.
 	maxDisorder = time.Second
-	// eventDropped is written without a time when a router's log could not keep up.
+	// eventDropped is the event that a router logs, without a time, when it has dropped log lines because its log could not
+	// keep up.
 	eventDropped = "log_lines_dropped"
 )
 
@@ -28,7 +29,7 @@
 
 func (e *ReadError) Unwrap() error { return e.Cause }
 
-// Input tells what was read: lines that are no events are skipped, and routers say which lines they had to drop.
+// Input describes what was read. Skipped counts lines that are not events, and Dropped lines that routers reported as dropped.
 type Input struct {
 	Sources    int       `json:"sources"`
 	Lines      int64     `json:"lines"`
@@ -40,21 +41,22 @@
 	Last       time.Time `json:"last"`
 }
 
-// String tells what was read in one line.
+// String returns a description in one line.
 func (i Input) String() string {
 	return fmt.Sprintf("%d sources, %d lines from %s to %s: %d events, %d other lines skipped, %d dropped by routers, %d out of order",
 		i.Sources, i.Lines, i.First.Format(time.RFC3339), i.Last.Format(time.RFC3339), i.Events, i.Skipped, i.Dropped, i.OutOfOrder)
 }
 
-// reader reads sources line by line; a line without a router is the one's before it, or the source's.
+// reader reads sources line by line. A line without a router is assigned to the router of the line before it, or to the
+// name of the source if it is the first.
 type reader struct {
 	input  Input
 	router string
-	// newest is the time of each router's newest line.
+	// newest holds the time of each router's newest line.
 	newest map[string]time.Time
 }
 
-// read hands every event of a source over.
+// read calls take for each event of a source.
 func (r *reader) read(name string, from io.Reader, take func(Line)) error {
 	r.input.Sources++
 	r.router = name
@@ -71,7 +73,7 @@
 	return nil
 }
 
-// handleLine hands a line over if it is an event.
+// handleLine calls take if the line is an event, other than one about dropped lines.
 func (r *reader) handleLine(text string, take func(Line)) {
 	l, ok := ParseLine(text)
 	if !ok || l.Time.IsZero() && l.Event != eventDropped {
@@ -95,7 +97,7 @@
 	take(l)
 }
 
-// extendSpan takes a time into a span.
+// extendSpan returns the span from first to last extended to contain at.
 func extendSpan(first, last, at time.Time) (time.Time, time.Time) {
 	if first.IsZero() || at.Before(first) {
 		first = at
--- a/accountant/report.go
+++ b/accountant/report.go
@@ -10,7 +10,7 @@
 	"time"
 )
 
-// NotFoundError reports that no line is what was looked for.
+// NotFoundError reports that none of the lines is what was searched for.
 type NotFoundError struct {
 	What  string
 	Lines int64
@@ -18,22 +18,23 @@
 
 func (e *NotFoundError) Error() string { return fmt.Sprintf("none of %d lines is %s", e.Lines, e.What) }
 
-// Table is a list of rows; a table in the order of time is printed whole.
+// Table is a list of rows. A chronological table is always printed completely.
 type Table struct {
 	Name          string `json:"name"`
 	Rows          []Row  `json:"rows"`
 	chronological bool
 }
 
-// Report is what the lines of a fleet tell; all requests that were not served have a line.
+// Report is the summary of a fleet's lines. Requests that were not served are complete, because each has a line; served ones
+// are logged in samples only.
 type Report struct {
 	Input  Input   `json:"input"`
 	Tables []Table `json:"tables"`
 }
 
-// Print writes the report as text; of tables that are not in the order of time so many rows, all when it is zero.
+// Print writes the report as text, with at most maxRows rows of each table that is not chronological, or all if maxRows is zero.
 func (r Report) Print(w io.Writer, maxRows int) error {
-	fmt.Fprintf(w, "%s\nserved requests are told of in samples only (log_every): no total of them is known\n", r.Input)
+	fmt.Fprintf(w, "%s\nserved requests are logged in samples only (log_every): no total of them is known\n", r.Input)
 	for _, t := range r.Tables {
 		shown := t.Rows
 		if maxRows > 0 && !t.chronological {
@@ -47,7 +48,7 @@
 	return nil
 }
 
-// columns are the heads of a table and what stands below them.
+// columns are the columns of a printed table.
 var columns = []struct {
 	head string
 	cell func(r Row) string
@@ -73,7 +74,7 @@
 	{"example", func(r Row) string { return r.Example }},
 }
 
-// share is left out of changes, which are not parts of a whole.
+// share formats a row's share. Rows of the table of changes have none, because they are not parts of a whole.
 func share(r Row) string {
 	if r.Share == 0 || !r.At.IsZero() && r.Name != "" {
 		return ""
@@ -90,7 +91,7 @@
 	return t.Format("15:04:05.000")
 }
 
-// printRows leaves out the columns in which no row has a value.
+// printRows writes rows as a table without the columns in which no row has a value.
 func printRows(w io.Writer, rows []Row) error {
 	lines := make([][]string, len(rows)+1)
 	for _, c := range columns {
--- a/accountant/rows.go
+++ b/accountant/rows.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// Key names a row; what does not apply is empty.
+// Key identifies a row. Fields that do not apply are empty.
 type Key struct {
 	At      time.Time `json:"at,omitzero"`
 	Name    string    `json:"name,omitempty"`
@@ -20,13 +20,13 @@
 	Store   string    `json:"store,omitempty"`
 }
 
-// Counts counts by name.
+// Counts holds counts by name.
 type Counts map[string]int64
 
-// maxCountsShown bounds the counts that are listed as text.
+// maxCountsShown limits the counts that String lists.
 const maxCountsShown = 8
 
-// String lists the largest counts, and none that are zero.
+// String lists the largest counts that are not zero.
 func (c Counts) String() string {
 	names := slices.SortedFunc(maps.Keys(c), func(a, b string) int { return cmp.Or(cmp.Compare(c[b], c[a]), cmp.Compare(a, b)) })
 	names = slices.DeleteFunc(names, func(name string) bool { return c[name] == 0 })
@@ -40,7 +40,7 @@
 	return strings.Join(parts, " ")
 }
 
-// Row sums up lines that have a key in common; Share is its part of all rows' lines.
+// Row sums up the lines with a common key. Share is their part of all lines in the table.
 type Row struct {
 	Key
 	Count       int64     `json:"count"`
@@ -58,9 +58,10 @@
 	Example     string    `json:"example,omitempty"`
 }
 
-// rows sums lines up by key.
+// rows sums up lines by key.
 type rows map[Key]*Row
 
+// at returns the row of a key, which it creates if there is none.
 func (r rows) at(k Key) *Row {
 	if _, ok := r[k]; !ok {
 		r[k] = &Row{Key: k, Kinds: Counts{}, Routers: Counts{}}
@@ -68,7 +69,7 @@
 	return r[k]
 }
 
-// add counts a line that took so long, and how often it was of each kind.
+// add adds a line with a duration in milliseconds to the row of a key, and counts it once for each kind.
 func (r rows) add(k Key, l Line, ms int64, kinds ...string) *Row {
 	row := r.at(k)
 	row.Count++
@@ -88,7 +89,7 @@
 	return row
 }
 
-// list returns the rows in the order of time, and where they have none with the most lines first.
+// list returns the rows, those with a time bucket in chronological order and others by descending number of lines.
 func (r rows) list() []Row {
 	all, total := make([]Row, 0, len(r)), int64(0)
 	for _, row := range r {
--- a/accountant/story.go
+++ b/accountant/story.go
@@ -7,13 +7,14 @@
 	"strings"
 )
 
-// TraceEntry is one line of a story; Before tells that it is what the router had last said of its state.
+// TraceEntry is one line of a trace. IsEarlierState is set if the line is not about the request but is the last one that its
+// router had logged before about part of its state.
 type TraceEntry struct {
 	Line
 	IsEarlierState bool `json:"before"`
 }
 
-// Trace is what all routers say of one request in the order of time, and how it ended.
+// Trace holds all routers' lines about one request in chronological order, and how the request ended.
 type Trace struct {
 	Request string       `json:"request"`
 	Input   Input        `json:"input"`
@@ -21,16 +22,17 @@
 	Ends    []Key        `json:"ends"`
 }
 
-// trace finds the lines of one request.
+// trace collects the lines about one request.
 type trace struct {
 	request string
 	entries []TraceEntry
 	ends    []Key
-	// states is the last line of each change by router, until it is told.
+	// states holds the last line of each listed event by router, until the lines have been added to the entries.
 	states map[string]map[string]Line
 }
 
-// add takes any line, and what its router has of the store.
+// add adds a line if it is about the request, and otherwise records it if it is a listed event. store is how its router
+// reaches the store.
 func (s *trace) add(l Line, store string) {
 	if l.Text("request") == s.request {
 		s.addEntry(l, store)
@@ -45,6 +47,7 @@
 	s.states[l.Router][l.Event] = l
 }
 
+// addEntry adds a line about the request, after the lines about its router's state.
 func (s *trace) addEntry(l Line, store string) {
 	for _, before := range s.states[l.Router] {
 		s.entries = append(s.entries, TraceEntry{Line: before, IsEarlierState: true})
@@ -56,7 +59,7 @@
 	}
 }
 
-// Story tells of the request that the account follows.
+// Story returns the trace of the request whose id was given to New.
 func (a *Account) Story() (Trace, error) {
 	s := a.trace
 	if len(s.entries) == 0 {
@@ -66,9 +69,9 @@
 	return Trace{Request: s.request, Input: a.reader.input, Entries: s.entries, Ends: s.ends}, nil
 }
 
-// Print writes the story as text, without what every line has.
+// Print writes the trace as text, without the fields that all lines have.
 func (s Trace) Print(w io.Writer) error {
-	fmt.Fprintf(w, "%s\nrequest %s; < marks what its router had last said of its state\n", s.Input, s.Request)
+	fmt.Fprintf(w, "%s\nrequest %s; < marks the last state that a router logged before a line about the request\n", s.Input, s.Request)
 	for _, e := range s.Entries {
 		mark := " "
 		if e.IsEarlierState {
--- a/accountant/versions.go
+++ b/accountant/versions.go
@@ -8,12 +8,12 @@
 	"time"
 )
 
-// inForce is one line about a configuration in force.
+// inForce is one line about a configuration version that came into force at a router.
 type inForce struct {
 	router  string
 	version int64
 	at      time.Time
-	// kind tells a router's first configuration since its start, and one after a later one, from the others.
+	// kind distinguishes a router's first version since its start and a return to an earlier version from the others.
 	kind string
 }
 
@@ -23,7 +23,7 @@
 	kindFollowed = "followed"
 )
 
-// versions keeps what was in force by router.
+// versions holds the configuration versions that were in force at each router.
 type versions struct {
 	lines   []inForce
 	current map[string]int64
@@ -45,7 +45,7 @@
 	}
 }
 
-// list returns a row for each version.
+// list returns one row for each version.
 func (v *versions) list() []Row {
 	known, numbers := map[string]bool{}, map[int64]bool{}
 	for _, l := range v.lines {
@@ -59,8 +59,8 @@
 	return all
 }
 
-// row sums up when routers had a version or a later one in force; the most time is from the first router that followed
-// to the last. Missing are the routers that have not been counted yet.
+// row sums up when routers had a version or a later one in force. MaxMS is the time between the first and the last router that
+// changed to it, apart from routers that started with it. missing holds the routers that have not been counted yet.
 func (v *versions) row(number int64, missing map[string]bool) Row {
 	row, followed := Row{Kinds: Counts{}}, ""
 	for _, l := range v.lines {
