--- a/batcher/batcher.go
+++ b/batcher/batcher.go
@@ -9,7 +9,7 @@
 	"github.com/masticway/masticway"
 )
 
-// Batcher gathers records of one owner; it is safe for concurrent use.
+// Batcher collects records of one owner. It is safe for concurrent use, except that Flush must not be called concurrently.
 type Batcher[T any] struct {
 	prefix     string
 	owner      string
@@ -23,12 +23,12 @@
 	dropped      int64
 }
 
-// New returns an empty batcher whose objects begin with a prefix; beyond limit records are dropped and counted.
+// New returns an empty Batcher whose objects' names begin with prefix. Records beyond limit pending ones are dropped and counted.
 func New[T any](prefix string, owner masticway.Incarnation, limit int) *Batcher[T] {
 	return &Batcher[T]{prefix: prefix, owner: string(owner), maxPending: limit}
 }
 
-// Add takes a record.
+// Add adds a record, or drops it if too many are pending.
 func (b *Batcher[T]) Add(v T) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -39,9 +39,9 @@
 	b.pending = append(b.pending, v)
 }
 
-// Flush writes a batch as one object named after bucket, owner and number.
+// Flush writes the pending records as one object, which is named after bucket, owner and the batch's number.
 //
-// After a failure the next flush writes the same batch under the same name.
+// After a failure the next call writes the same batch again under the same name.
 func (b *Batcher[T]) Flush(ctx context.Context, store masticway.ObjectStore, bucket string) error {
 	b.mu.Lock()
 	if len(b.inFlight) == 0 {
@@ -67,21 +67,21 @@
 	return nil
 }
 
-// Waiting returns the number of records that are not yet written.
+// Waiting returns the number of records that have not been written yet.
 func (b *Batcher[T]) Waiting() int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return len(b.pending) + len(b.inFlight)
 }
 
-// Dropped returns the number of records that found no room.
+// Dropped returns the number of records that were dropped because too many were pending.
 func (b *Batcher[T]) Dropped() int64 {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.dropped
 }
 
-// Read reads one batch.
+// Read reads the batch with a name from the object store.
 func Read[T any](ctx context.Context, store masticway.ObjectStore, name string) ([]T, error) {
 	data, err := store.Get(ctx, name)
 	if err != nil {
--- a/batcher/batcher_test.go
+++ b/batcher/batcher_test.go
@@ -11,7 +11,7 @@
 	"github.com/masticway/masticway/emulator"
 )
 
-// answerLosingStore is a store that writes but loses the answer, as many times as it is told.
+// answerLosingStore writes objects, but its first answersToLose answers are an unknown outcome.
 type answerLosingStore struct {
 	*emulator.Objects
 	answersToLose int
--- a/biller/biller.go
+++ b/biller/biller.go
@@ -10,24 +10,25 @@
 )
 
 const (
-	// journalPrefix is where batches of bills lie in the object store.
+	// journalPrefix is the prefix of the names of batches of bills in the object store.
 	journalPrefix = "journal/"
-	// identityTTL is how long the reader remembers an identity.
+	// identityTTL is how long the auditor keeps an identity after its bill, and a hold after its bill was read.
 	identityTTL = 30 * time.Minute
-	// batchTTL is how long it remembers a batch; it lists no batch older than two hours.
+	// batchTTL is how long the auditor keeps the name of a batch that it has read. It lists no batch that is older than two
+	// hours.
 	batchTTL = 3 * time.Hour
 )
 
-// Kind tells what a bill is for.
+// Kind is the kind of work that a bill charges.
 type Kind string
 
 // The kinds of bills.
 const (
-	// KindFinal bills a request that was answered.
+	// KindFinal is for a request that was answered.
 	KindFinal Kind = "final"
-	// KindPart bills a part of a request whose answer went on under another hold.
+	// KindPart is for a part of a request whose answer was continued under another hold.
 	KindPart Kind = "part"
-	// KindSuperseded bills work whose answer nobody got, because the request went on elsewhere.
+	// KindSuperseded is for work whose answer was not used, because the request was run elsewhere.
 	KindSuperseded Kind = "superseded"
 )
 
@@ -40,24 +41,24 @@
 	Payer    masticway.Incarnation `json:"payer"`
 	Kind     Kind                  `json:"kind"`
 	Cost     masticway.Amount      `json:"cost"`
-	// Presumed is the part of the cost that a vanished sidecar may have run.
+	// Presumed is the part of the cost of which it is unknown whether a lost sidecar ran it.
 	Presumed masticway.Amount `json:"presumed,omitempty"`
 	Usage    masticway.Usage  `json:"usage"`
 	At       time.Time        `json:"at"`
 }
 
-// maxPendingBills bounds the bills that wait for the object store, at about 400 bytes each.
+// maxPendingBills limits the bills that wait for the object store; each needs about 400 bytes.
 const maxPendingBills = 65536
 
-// NewJournal returns the batches of bills that an incarnation writes.
+// NewJournal returns a Batcher for the bills of an incarnation.
 func NewJournal(owner masticway.Incarnation) *batcher.Batcher[Bill] {
 	return batcher.New[Bill](journalPrefix, owner, maxPendingBills)
 }
 
-// Bucket names the hour of the journal, so that readers look at recent hours only.
+// Bucket returns the part of a batch's name for the hour of now. It lets auditors list only the batches of recent hours.
 func Bucket(now time.Time) string { return now.UTC().Format("2006010215") + "/" }
 
-// Refund is money to give back for a double bill.
+// Refund is money to return for a double or superseded bill.
 type Refund struct {
 	Budget   string
 	Identity masticway.Identity
@@ -65,7 +66,7 @@
 	Amount   masticway.Amount
 }
 
-// Auditor finds double bills; it is not safe for concurrent use.
+// Auditor finds double bills. It is not safe for concurrent use.
 type Auditor struct {
 	first     map[masticway.Identity]Bill
 	seenHolds map[masticway.HoldID]time.Time
@@ -78,7 +79,7 @@
 	return &Auditor{first: map[masticway.Identity]Bill{}, seenHolds: map[masticway.HoldID]time.Time{}, readAt: map[string]time.Time{}}
 }
 
-// Take reads bills and returns what must be given back; a hold is considered once.
+// Take returns the refunds that are due for bills, and those to be retried. It considers each hold only once.
 func (a *Auditor) Take(now time.Time, bills []Bill) []Refund {
 	refunds := a.retries
 	a.retries = nil
@@ -104,13 +105,14 @@
 	return refunds
 }
 
-// Retry lets a refund that the table did not take come up again.
+// Retry makes the next call of Take return a refund again that could not be written to the table.
 func (a *Auditor) Retry(f Refund) { a.retries = append(a.retries, f) }
 
 func refundOf(b Bill) Refund {
 	return Refund{Budget: b.Budget, Identity: b.Identity, Hold: b.Hold, Amount: b.Cost}
 }
 
+// evict drops identities, holds and names of batches that have expired.
 func (a *Auditor) evict(now time.Time) {
 	for identity, b := range a.first {
 		if now.Sub(b.At) > identityTTL {
@@ -129,7 +131,7 @@
 	}
 }
 
-// ReadNew reads the batches that this auditor has not read yet.
+// ReadNew returns the bills of the batches of the current and the previous hour that this auditor has not read yet.
 func (a *Auditor) ReadNew(ctx context.Context, store masticway.ObjectStore, now time.Time) ([]Bill, error) {
 	var names []string
 	for _, hour := range []time.Time{now.Add(-time.Hour), now} {
--- a/biller/biller_test.go
+++ b/biller/biller_test.go
@@ -24,11 +24,11 @@
 		refunds []masticway.HoldID
 	}{
 		"one bill":                     {[]biller.Bill{bill("w/a", "1", biller.KindFinal, 5)}, nil},
-		"two keepers ran it":           {[]biller.Bill{bill("w/a", "1", biller.KindFinal, 5), bill("w/a", "2", biller.KindFinal, 5)}, []masticway.HoldID{"2"}},
+		"two keepers let it run":       {[]biller.Bill{bill("w/a", "1", biller.KindFinal, 5), bill("w/a", "2", biller.KindFinal, 5)}, []masticway.HoldID{"2"}},
 		"the same bill read twice":     {[]biller.Bill{bill("w/a", "1", biller.KindFinal, 5), bill("w/a", "1", biller.KindFinal, 5)}, nil},
 		"a part and the rest":          {[]biller.Bill{bill("w/a", "1", biller.KindPart, 5), bill("w/a", "2", biller.KindFinal, 5)}, nil},
-		"work that nobody got":         {[]biller.Bill{bill("w/a", "1", biller.KindSuperseded, 5), bill("w/a", "2", biller.KindFinal, 5)}, []masticway.HoldID{"1"}},
-		"superseded, but it cost none": {[]biller.Bill{bill("w/a", "1", biller.KindSuperseded, 0)}, nil},
+		"superseded work":              {[]biller.Bill{bill("w/a", "1", biller.KindSuperseded, 5), bill("w/a", "2", biller.KindFinal, 5)}, []masticway.HoldID{"1"}},
+		"superseded work without cost": {[]biller.Bill{bill("w/a", "1", biller.KindSuperseded, 0)}, nil},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
--- a/biller/doc.go
+++ b/biller/doc.go
@@ -1,6 +1,7 @@
-// Package biller writes the detail of every bill and finds identities that were billed twice.
+// Package biller writes the details of bills and finds identities that were billed twice.
 //
-// The sums that bound spending are in the table; the details go in batches to
-// the object store. Two keepers that were cut off from each other may both have
-// run one identity: the reader finds the second bill and gives it back.
+// The sums that limit spending are in the table; the details are written to the
+// object store in batches. Two keepers that could not reach each other may both
+// have let the same identity run: the auditor finds the second bill and returns a
+// refund for it.
 package biller
