--- a/accountant/account.go
+++ b/accountant/account.go
@@ -34,8 +34,8 @@
 	trace    trace
 }
 
-// New returns an empty Account with time buckets of the given length. If request is not empty, the Account only collects the
-// lines that concern the request with that id, for Story.
+// New returns an analyzer with time buckets of the given length. If request is not empty, it only collects the lines that
+// concern the request with that id.
 func New(bucket time.Duration, request string) *Account {
 	return &Account{
 		bucket: bucket, reader: reader{newest: map[string]time.Time{}},
--- a/accountant/story.go
+++ b/accountant/story.go
@@ -33,46 +33,46 @@
 
 // add adds a line if it is about the request, and otherwise records it if it is a listed event. store is how its router
 // reaches the store.
-func (s *trace) add(l Line, store string) {
-	if l.Text("request") == s.request {
-		s.addEntry(l, store)
+func (t *trace) add(l Line, store string) {
+	if l.Text("request") == t.request {
+		t.addEntry(l, store)
 		return
 	}
 	if _, ok := listedEvents[l.Event]; !ok {
 		return
 	}
-	if s.states[l.Router] == nil {
-		s.states[l.Router] = map[string]Line{}
+	if t.states[l.Router] == nil {
+		t.states[l.Router] = map[string]Line{}
 	}
-	s.states[l.Router][l.Event] = l
+	t.states[l.Router][l.Event] = l
 }
 
 // addEntry adds a line about the request, after the lines about its router's state.
-func (s *trace) addEntry(l Line, store string) {
-	for _, before := range s.states[l.Router] {
-		s.entries = append(s.entries, TraceEntry{Line: before, IsEarlierState: true})
+func (t *trace) addEntry(l Line, store string) {
+	for _, before := range t.states[l.Router] {
+		t.entries = append(t.entries, TraceEntry{Line: before, IsEarlierState: true})
 	}
-	delete(s.states, l.Router)
-	s.entries = append(s.entries, TraceEntry{Line: l})
+	delete(t.states, l.Router)
+	t.entries = append(t.entries, TraceEntry{Line: l})
 	if l.Text("outcome") != "" {
-		s.ends = append(s.ends, causeOf(l, store))
+		t.ends = append(t.ends, causeOf(l, store))
 	}
 }
 
 // Story returns the trace of the request whose id was given to New.
 func (a *Account) Story() (Trace, error) {
-	s := a.trace
-	if len(s.entries) == 0 {
-		return Trace{}, &NotFoundError{What: "about request " + s.request, Lines: a.reader.input.Lines}
+	t := a.trace
+	if len(t.entries) == 0 {
+		return Trace{}, &NotFoundError{What: "about request " + t.request, Lines: a.reader.input.Lines}
 	}
-	slices.SortStableFunc(s.entries, func(a, b TraceEntry) int { return a.Time.Compare(b.Time) })
-	return Trace{Request: s.request, Input: a.reader.input, Entries: s.entries, Ends: s.ends}, nil
+	slices.SortStableFunc(t.entries, func(a, b TraceEntry) int { return a.Time.Compare(b.Time) })
+	return Trace{Request: t.request, Input: a.reader.input, Entries: t.entries, Ends: t.ends}, nil
 }
 
 // Print writes the trace as text, without the fields that all lines have.
-func (s Trace) Print(w io.Writer) error {
-	fmt.Fprintf(w, "%s\nrequest %s; < marks the last state that a router logged before a line about the request\n", s.Input, s.Request)
-	for _, e := range s.Entries {
+func (t Trace) Print(w io.Writer) error {
+	fmt.Fprintf(w, "%s\nrequest %s; < marks the last state that a router logged before a line about the request\n", t.Input, t.Request)
+	for _, e := range t.Entries {
 		mark := " "
 		if e.IsEarlierState {
 			mark = "<"
@@ -85,7 +85,7 @@
 		}
 		fmt.Fprintln(w)
 	}
-	for _, k := range s.Ends {
+	for _, k := range t.Ends {
 		fmt.Fprintln(w, strings.TrimSpace(fmt.Sprintln("ended:", k.Family, k.Outcome, k.Reason, k.Store)))
 	}
 	return nil
--- a/biller/biller.go
+++ b/biller/biller.go
@@ -105,7 +105,7 @@
 	return refunds
 }
 
-// Retry makes the next call of Take return a refund again that could not be written to the table.
+// Retry queues a refund that could not be written to the table, to be returned again with the next refunds.
 func (a *Auditor) Retry(f Refund) { a.retries = append(a.retries, f) }
 
 func refundOf(b Bill) Refund {
--- a/bookkeeper/bookkeeper.go
+++ b/bookkeeper/bookkeeper.go
@@ -28,7 +28,7 @@
 	table masticway.Table
 }
 
-// New returns a Book that uses the given table.
+// New returns a ledger that uses the given table.
 func New(t masticway.Table) *Book { return &Book{table: t} }
 
 // errAlreadyDone ends an update that has nothing to change, usually because it is already committed.
--- a/bookkeeper/fence.go
+++ b/bookkeeper/fence.go
@@ -26,8 +26,8 @@
 	return f.Number, err
 }
 
-// NextFence assigns an order the next fencing number of its upstream. If id is that of the upstream's latest order, that
-// order is returned instead.
+// NextFence assigns an order the next fencing number of its upstream. If id is that of the upstream's latest order,
+// that order is returned instead.
 func (b *Book) NextFence(ctx context.Context, instance, id string, o masticway.Order) (masticway.Order, error) {
 	key := prefixFence + instance
 	err := update(ctx, b.table, key, "order/"+id, func(row fenceRow, _ int64) ([]masticway.Condition, []masticway.Put, error) {
--- a/bookkeeper/recovery.go
+++ b/bookkeeper/recovery.go
@@ -50,7 +50,7 @@
 	Spent masticway.Amount
 	// Running is the maximum cost of runs still in progress; that much stays granted.
 	Running masticway.Amount
-	// Vanished is set if a sidecar is lost and left no report. The rest of the grant is then presumed spent.
+	// Vanished is set if a sidecar is gone without a final report. Once nothing runs, the rest of the grant is presumed spent.
 	Vanished bool
 }
 
--- a/bookkeeper/rows.go
+++ b/bookkeeper/rows.go
@@ -94,7 +94,7 @@
 	LinksSealed LinksState = "sealed"
 )
 
-// Links is the row with the set of sidecars to which an incarnation may have sent work.
+// Links is the row with the durable set of sidecars to which an incarnation may have sent work.
 type Links struct {
 	Incarnation masticway.Incarnation   `json:"incarnation"`
 	State       LinksState              `json:"state"`
--- a/keeper/draw.go
+++ b/keeper/draw.go
@@ -100,8 +100,8 @@
 // removeClosedGrant drops a grant that the table has closed; if requests wait, a new grant is opened for them.
 func (k *Keeper) removeClosedGrant(now time.Time, a *account) []Effect {
 	fresh := &account{
-		budget: a.budget, state: grantChart.Initial(), waiters: a.waiters, demandRate: a.demandRate, rateUpdatedAt: a.rateUpdatedAt, lastHoldAt: a.lastHoldAt,
-		horizon: a.horizon, bySidecar: map[masticway.Incarnation]masticway.Amount{},
+		budget: a.budget, state: grantChart.Initial(), waiters: a.waiters, demandRate: a.demandRate, rateUpdatedAt: a.rateUpdatedAt,
+		lastHoldAt: a.lastHoldAt, horizon: a.horizon, bySidecar: map[masticway.Incarnation]masticway.Amount{},
 	}
 	delete(k.accounts, a.budget)
 	if len(fresh.waiters) == 0 {
--- a/keeper/effects.go
+++ b/keeper/effects.go
@@ -23,7 +23,7 @@
 }
 
 // Move asks the caller to move money between a budget and this router's grant in the table.
-// The caller passes the result to Moved.
+// The caller passes the MoveResult back.
 type Move struct {
 	Grant masticway.GrantKey
 	// Spent is the total true cost charged to the grant so far.
@@ -59,10 +59,11 @@
 	Move Move
 	// Drawn is the amount moved to the grant.
 	Drawn masticway.Amount
-	// Left is what the budget can still grant, and Elsewhere the sum of other payers' open grants.
-	Left      masticway.Amount
+	// Left is what the budget can still grant.
+	Left masticway.Amount
+	// Elsewhere is the sum of other payers' open grants.
 	Elsewhere masticway.Amount
-	// OtherPayers lists the payers of those grants.
+	// OtherPayers lists the payers of those open grants.
 	OtherPayers []masticway.Incarnation
 	// Failed is set if nothing was moved because the table could not be reached.
 	Failed bool
--- a/keeper/keeper.go
+++ b/keeper/keeper.go
@@ -18,7 +18,7 @@
 	PolicySlice    Policy = "slice"
 )
 
-// maxRecent is the number of tracked identities that are kept; an older one is dropped unless its hold is open.
+// maxRecent is the number of tracked identities that are kept. An older one is dropped unless its hold is open.
 const maxRecent = 50_000
 
 // Settings configure a keeper.
@@ -39,8 +39,9 @@
 	Budget   string
 	Identity masticway.Identity
 	Sender   masticway.Incarnation
-	// Most is the maximum cost, and Least the smallest useful hold.
-	Most  masticway.Amount `cbor:"Most"`
+	// Most is the maximum cost.
+	Most masticway.Amount `cbor:"Most"`
+	// Least is the smallest useful hold.
 	Least masticway.Amount `cbor:"Least"`
 	// Tracked is set if the keeper must recognize a later request with the same identity as a duplicate.
 	Tracked bool
--- a/keeper/return.go
+++ b/keeper/return.go
@@ -80,7 +80,7 @@
 	return []Effect{k.startMove(now, a, Move{Return: a.free()})}
 }
 
-// Drain returns all money that is not held. It must be called repeatedly until Empty.
+// Drain returns all money that is not held. It must be called repeatedly until the keeper has no accounts left.
 func (k *Keeper) Drain(now time.Time) []Effect {
 	var effects []Effect
 	for _, budget := range k.sortedBudgets() {
--- a/keeper/world_test.go
+++ b/keeper/world_test.go
@@ -344,7 +344,7 @@
 	}
 }
 
-// addSidecar starts a sidecar that only routers added later have in their durable set; it must refuse all others.
+// addSidecar starts a sidecar that only routers added later have in their links rows; it must refuse all others.
 func (w *world) addSidecar(*rapid.T) {
 	if len(w.sidecars) >= 6 {
 		return
--- a/recoverer/recoverer.go
+++ b/recoverer/recoverer.go
@@ -29,23 +29,23 @@
 // askInterval is the minimum time between two requests to the same sidecar.
 const askInterval = 250 * time.Millisecond
 
-// Effect is an action that the caller must carry out: a Mark, an Ask or a Return.
+// Effect is an action that the caller must carry out. It is one of the types below.
 type Effect interface{ effect() }
 
-// Mark fences the incarnation in the table. The caller passes the result to Marked.
+// Mark fences the incarnation in the table. The caller passes the sealed row and the incarnation's grants back.
 type Mark struct{}
 
-// Ask seals the incarnation at a sidecar. The caller passes the result to Witnessed or, if the sidecar is gone, to Vanished.
+// Ask seals the incarnation at a sidecar. The caller passes the sidecar's report back, or that the sidecar is gone.
 type Ask struct{ Sidecar masticway.Incarnation }
 
-// Return closes grants in the table. The caller passes the result to Returned.
+// Return closes grants in the table. The caller reports back whether this succeeded.
 type Return struct{ Closings []bookkeeper.Closing }
 
 func (Mark) effect()   {}
 func (Ask) effect()    {}
 func (Return) effect() {}
 
-// sidecarReport is what is known of one sidecar. It is lost if the sidecar is gone and left no report.
+// sidecarReport is what is known of one sidecar. It is lost if the sidecar is gone without a final report.
 type sidecarReport struct {
 	report   sealer.Sealed
 	received bool
@@ -113,8 +113,8 @@
 	w.received = true
 }
 
-// Vanished records that a sidecar is known to be gone. If it left a report in the table (found), that counts; otherwise the
-// sidecar is lost, unless it has already reported that nothing runs any more.
+// Vanished records that a sidecar is known to be gone. If it left a report in the table (found), that counts; otherwise
+// the sidecar is lost, unless it has already reported that nothing runs any more.
 func (r *Recovery) Vanished(sidecar masticway.Incarnation, final bookkeeper.Report, found bool) {
 	w, ok := r.reports[sidecar]
 	if !ok {
@@ -149,7 +149,7 @@
 		slices.ContainsFunc(s.Holds, func(h sealer.HoldReport) bool { return h.Running })
 }
 
-// Returned records the result of Return. If runs are in progress, their sidecars are asked again.
+// Returned records whether the grants have been closed. If runs are in progress, their sidecars are asked again.
 func (r *Recovery) Returned(ok bool) {
 	r.closing = false
 	if !ok {
@@ -167,6 +167,7 @@
 	r.step(eventReturned)
 }
 
+// anyRunning reports whether a sidecar that is not lost has reported runs in progress.
 func (r *Recovery) anyRunning() bool {
 	for _, w := range r.reports {
 		if !w.lost && running(w.report) {
@@ -197,6 +198,7 @@
 	return nil
 }
 
+// askSidecars returns requests to the sidecars that have not reported, or the next step if all have.
 func (r *Recovery) askSidecars(now time.Time) []Effect {
 	var effects []Effect
 	for _, s := range r.sidecars() {
@@ -229,6 +231,7 @@
 	return missing
 }
 
+// closures adds up the reports for each grant.
 func (r *Recovery) closures() []bookkeeper.Closing {
 	closings := make([]bookkeeper.Closing, 0, len(r.grants))
 	for _, g := range r.grants {
@@ -251,10 +254,11 @@
 	return closings
 }
 
-// HoldFates returns the reports on holds that the failed incarnation dispatched, and a lost sidecar if there is one. It must be
-// called when all sidecars have reported or are lost.
+// HoldFates returns the reports on holds that the failed incarnation dispatched, and a lost sidecar if there is one. It must
+// be called when all sidecars have reported or are lost.
 //
-// A hold without a report did not run, unless a sidecar is lost: then its outcome is unknown.
+// A hold without a report did not run, unless a sidecar is lost: then its outcome is unknown. A sidecar that left its report
+// in the table names no holds.
 func (r *Recovery) HoldFates() (reports []SidecarHold, lost masticway.Incarnation) {
 	for _, s := range r.sidecars() {
 		w := r.reports[s]
--- a/recoverer/watch.go
+++ b/recoverer/watch.go
@@ -12,18 +12,18 @@
 // rankDelay is the delay for each rank, so that routers do not all start the same recovery.
 const rankDelay = 3 * time.Second
 
-// WatchSettings configure a Watch.
+// WatchSettings configure the detection of failures.
 type WatchSettings struct {
 	Self   masticway.Incarnation
 	Region string
-	// Lease is the time within which a failure is detected: half of it passes before a suspicion, and half is given to the
-	// suspected router to answer a challenge.
+	// Lease is the time within which a failure is detected: half of it passes before a suspicion, and half is given to
+	// the suspected router to answer a challenge.
 	Lease time.Duration
 	// Heartbeat is the time between two writes of a lease row.
 	Heartbeat time.Duration
 }
 
-// Signs are what this router observes of another router apart from its lease row.
+// Signs is what this router observes of another router apart from its lease row.
 type Signs struct {
 	// Heard is set if a message from the other router has arrived recently on a link.
 	Heard bool
@@ -33,8 +33,8 @@
 	Leaving bool
 }
 
-// Stake determines how soon this router recovers another one. It is not computed for a router that is heard and not
-// suspected.
+// Stake determines how soon this router recovers another one. It is not computed for a router that sends messages and
+// is not suspected.
 type Stake struct {
 	// Concerned is set if this router has open holds that the other router requested.
 	Concerned bool
@@ -42,21 +42,21 @@
 	Rank int
 }
 
-// WatchEffect is an action that the caller must carry out: a ReadRow, a Challenge or a Recover.
-type WatchEffect interface{ watchEffect() }
+// WatchEffect is an action that the caller must carry out. It is one of the types below.
+type WatchEffect interface{ detectorEffect() }
 
-// ReadRow reads one lease row. The caller passes the result to Row.
+// ReadRow reads one lease row. The caller passes the row back.
 type ReadRow struct{ Incarnation masticway.Incarnation }
 
-// Challenge asks a router through the table to renew its lease. The caller passes the result to Challenged.
+// Challenge asks a router through the table to renew its lease. The caller reports back whether the challenge was written.
 type Challenge struct{ Incarnation masticway.Incarnation }
 
 // Recover starts a recovery. It is repeated until the incarnation's rows are gone.
 type Recover struct{ Incarnation masticway.Incarnation }
 
-func (ReadRow) watchEffect()   {}
-func (Challenge) watchEffect() {}
-func (Recover) watchEffect()   {}
+func (ReadRow) detectorEffect()   {}
+func (Challenge) detectorEffect() {}
+func (Recover) detectorEffect()   {}
 
 // phase is the progress of a suspicion.
 type phase int
@@ -93,7 +93,7 @@
 	routers  map[masticway.Incarnation]*routerState
 }
 
-// NewWatch returns a Watch that knows no routers.
+// NewWatch returns a detector that knows no routers.
 func NewWatch(s WatchSettings) *Watch {
 	return &Watch{settings: s, routers: map[masticway.Incarnation]*routerState{}}
 }
@@ -185,22 +185,23 @@
 }
 
 // Look checks all known routers and returns the next effects.
-func (w *Watch) Look(now time.Time, signalsOf func(bookkeeper.Daemon) Signs, stakeOf func(bookkeeper.Daemon) Stake) []WatchEffect {
+func (w *Watch) Look(now time.Time, observe func(bookkeeper.Daemon) Signs, responsibilityFor func(bookkeeper.Daemon) Stake) []WatchEffect {
 	var effects []WatchEffect
 	for _, inc := range w.incarnations() {
 		s := w.routers[inc]
-		g := signalsOf(s.row)
-		if g.Heard && s.phase == phaseWatching {
+		o := observe(s.row)
+		if o.Heard && s.phase == phaseWatching {
 			s.lastSeenAt = now
 			continue
 		}
-		if e := w.checkRouter(now, s, g, stakeOf); e != nil {
+		if e := w.checkRouter(now, s, o, responsibilityFor); e != nil {
 			effects = append(effects, e)
 		}
 	}
 	return effects
 }
 
+// incarnations returns the known routers in a fixed order, so that the same events give the same effects.
 func (w *Watch) incarnations() []masticway.Incarnation {
 	list := make([]masticway.Incarnation, 0, len(w.routers))
 	for inc := range w.routers {
@@ -210,25 +211,26 @@
 	return list
 }
 
-func (w *Watch) checkRouter(now time.Time, s *routerState, g Signs, stakeOf func(bookkeeper.Daemon) Stake) WatchEffect {
+// checkRouter returns the next effect for one router, or nil.
+func (w *Watch) checkRouter(now time.Time, s *routerState, o Signs, responsibilityFor func(bookkeeper.Daemon) Stake) WatchEffect {
 	inc := s.row.Incarnation
-	if g.Heard {
+	if o.Heard {
 		s.lastSeenAt = now
 		s.challengedAt = time.Time{}
 		if s.phase != phaseRecovering {
 			s.phase = phaseWatching
 		}
 	}
-	if g.Leaving && !stakeOf(s.row).Concerned {
+	if o.Leaving && !responsibilityFor(s.row).Concerned {
 		return nil
 	}
 	switch s.phase {
 	case phaseWatching:
-		if g.Ended && now.Sub(s.lastSeenAt) >= recoveryDelay(stakeOf(s.row)) {
+		if o.Ended && now.Sub(s.lastSeenAt) >= recoveryDelay(responsibilityFor(s.row)) {
 			s.phase = phaseRecovering
 			return Recover{Incarnation: inc}
 		}
-		if timeout := w.suspicionTimeout(s); now.Sub(s.lastSeenAt) >= timeout && now.Sub(s.lastSeenAt) >= timeout+recoveryDelay(stakeOf(s.row)) {
+		if timeout := w.suspicionTimeout(s); now.Sub(s.lastSeenAt) >= timeout && now.Sub(s.lastSeenAt) >= timeout+recoveryDelay(responsibilityFor(s.row)) {
 			s.phase = phaseReading
 			return ReadRow{Incarnation: inc}
 		}
@@ -257,11 +259,11 @@
 }
 
 // recoveryDelay returns the delay by which this router starts later than routers with a higher priority for the same recovery.
-func recoveryDelay(s Stake) time.Duration {
-	if s.Concerned {
+func recoveryDelay(r Stake) time.Duration {
+	if r.Concerned {
 		return 0
 	}
-	return time.Duration(s.Rank) * rankDelay
+	return time.Duration(r.Rank) * rankDelay
 }
 
 // Forget removes an incarnation that has been recovered.
--- a/sealer/sealer.go
+++ b/sealer/sealer.go
@@ -20,7 +20,7 @@
 	MaxRuns int
 }
 
-// verifyAheadInterval is the minimum time between two verifications ahead of work of a router whose durable set does not
+// verifyAheadInterval is the minimum time between two verifications ahead of work of a router whose links row does not
 // contain this sidecar yet.
 const verifyAheadInterval = 200 * time.Millisecond
 
@@ -43,10 +43,10 @@
 	Call masticway.Call
 }
 
-// Stop cancels a run at the upstream. The caller must still call Finished.
+// Stop cancels a run at the upstream. The caller must still report the run's end.
 type Stop struct{ Run masticway.RunKey }
 
-// Verify reads an incarnation's links row. The caller passes the result to Verified.
+// Verify reads an incarnation's links row. The caller passes the resulting status back.
 type Verify struct{ Incarnation masticway.Incarnation }
 
 func (Send) effect()   {}
@@ -57,7 +57,7 @@
 // Standing is the status of an incarnation according to its links row in the table.
 type Standing string
 
-// The statuses of an incarnation. StandingUnlinked means that its durable set does not contain this sidecar, and
+// The statuses of an incarnation. StandingUnlinked means that the row does not contain this sidecar, and
 // StandingUnknown that the row could not be read.
 const (
 	StandingOpen     Standing = "open"
@@ -189,7 +189,7 @@
 	return []Effect{Send{To: from, Message: Accepted{Run: d.Run}}, Start{Run: d.Run, Call: d.Call}}
 }
 
-// Introduce verifies a linked router ahead of its first dispatch, so that a later outage of the table does not block it.
+// Introduce verifies a linked router before its first dispatch, so that a later outage of the table does not block it.
 func (s *Sealer) Introduce(now time.Time, inc masticway.Incarnation) []Effect {
 	st := s.statuses[inc]
 	if st == StandingOpen || st == StandingSealed || now.Sub(s.verifiedAheadAt[inc]) < verifyAheadInterval || len(s.waiting[inc]) > 0 {
@@ -226,7 +226,7 @@
 	return effects
 }
 
-// Counted records the prompt's true token count, and sends it to the run's readers with the number of cached tokens.
+// Counted records the prompt's true token count, and sends it and the number of cached tokens to the run's readers.
 func (s *Sealer) Counted(k masticway.RunKey, prompt, cached int) []Effect {
 	r, ok := s.runs[k]
 	if !ok || r.final != nil {
@@ -239,8 +239,8 @@
 	return s.sendToReaders(r, Counted{Run: k, Prompt: prompt, Bound: r.bound, Cached: cached})
 }
 
-// Chunk records the next chunk of an answer. If the chunk would exceed the run's maximum cost, it is dropped and the run
-// stopped.
+// Chunk records the next chunk of an answer. If the chunk would exceed the run's maximum cost, it is dropped and the
+// run is stopped.
 func (s *Sealer) Chunk(k masticway.RunKey, c masticway.Chunk) []Effect {
 	r, ok := s.runs[k]
 	if !ok || r.final != nil || r.boundReached {
@@ -347,8 +347,8 @@
 	}
 }
 
-// Know advances to a newer revision whose changes are not available. Routers with an older revision are refused without
-// getting the changes.
+// Know advances to a newer revision whose changes are not available. Routers with an older revision are refused
+// without getting the changes.
 func (s *Sealer) Know(r masticway.Revision) {
 	if r <= s.revision {
 		return
