--- a/bookkeeper/bookkeeper_test.go
+++ b/bookkeeper/bookkeeper_test.go
@@ -27,8 +27,8 @@
 	return ledger, table
 }
 
-func open(t *testing.T, book *bookkeeper.Book, inc masticway.Incarnation) int64 {
-	version, err := book.OpenLinks(context.Background(), inc)
+func open(t *testing.T, ledger *bookkeeper.Book, inc masticway.Incarnation) int64 {
+	version, err := ledger.OpenLinks(context.Background(), inc)
 	qt.Assert(t, err, qt.IsNil)
 	return version
 }
@@ -72,8 +72,8 @@
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
-			book, table := newLedger(t, 1000)
-			version := open(t, book, "r~1")
+			ledger, table := newLedger(t, 1000)
+			version := open(t, ledger, "r~1")
 			table.SetFaults(tc.faults)
 			ctx, cancel := context.WithCancel(context.Background())
 			defer cancel()
@@ -81,7 +81,7 @@
 				cancel()
 			}
 			m := move("r~1", 1, 100, 100)
-			result, err := book.Move(ctx, m, version)
+			result, err := ledger.Move(ctx, m, version)
 			table.SetFaults(emulator.TableFaults{})
 			if tc.unknown {
 				var unknown *masticway.OutcomeUnknownError
@@ -93,11 +93,11 @@
 			}
 			if tc.unknown || tc.refused {
 				// After the same move has been repeated, there must be exactly one draw.
-				result, err = book.Move(context.Background(), m, version)
+				result, err = ledger.Move(context.Background(), m, version)
 			}
 			qt.Assert(t, err, qt.IsNil)
 			qt.Assert(t, result.Drawn, qt.Equals, masticway.Amount(100))
-			row, err := book.Budget(context.Background(), budget)
+			row, err := ledger.Budget(context.Background(), budget)
 			qt.Assert(t, err, qt.IsNil)
 			qt.Assert(t, row.Open(), qt.Equals, masticway.Amount(100))
 		})
@@ -105,26 +105,26 @@
 }
 
 func TestSealedIncarnationDrawsNothing(t *testing.T) {
-	book, _ := newLedger(t, 1000)
-	version := open(t, book, "r~1")
-	_, err := book.Seal(context.Background(), "r~1")
+	ledger, _ := newLedger(t, 1000)
+	version := open(t, ledger, "r~1")
+	_, err := ledger.Seal(context.Background(), "r~1")
 	qt.Assert(t, err, qt.IsNil)
-	_, err = book.Move(context.Background(), move("r~1", 1, 100, 100), version)
+	_, err = ledger.Move(context.Background(), move("r~1", 1, 100, 100), version)
 	var sealed *masticway.SealedError
 	qt.Assert(t, err, qt.ErrorAs, &sealed)
-	_, err = book.PutLinks(context.Background(), bookkeeper.Links{Incarnation: "r~1", State: bookkeeper.LinksOpen, Sidecars: []masticway.Incarnation{"s~1"}}, version)
+	_, err = ledger.PutLinks(context.Background(), bookkeeper.Links{Incarnation: "r~1", State: bookkeeper.LinksOpen, Sidecars: []masticway.Incarnation{"s~1"}}, version)
 	qt.Assert(t, err, qt.ErrorAs, &sealed)
 }
 
 func TestTopUpCountsOncePerChange(t *testing.T) {
-	book, table := newLedger(t, 1000)
+	ledger, table := newLedger(t, 1000)
 	table.SetFaults(emulator.TableFaults{LoseAnswers: 1})
 	for range 3 {
-		row, err := book.TopUp(context.Background(), budget, "order-17", 500)
+		row, err := ledger.TopUp(context.Background(), budget, "order-17", 500)
 		qt.Assert(t, err, qt.IsNil)
 		qt.Assert(t, row.Prepaid, qt.Equals, masticway.Amount(1500))
 	}
-	_, err := book.TopUp(context.Background(), budget, "order-18", -5)
+	_, err := ledger.TopUp(context.Background(), budget, "order-18", -5)
 	var amount *bookkeeper.AmountError
 	qt.Assert(t, err, qt.ErrorAs, &amount)
 }
@@ -144,18 +144,18 @@
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
-			book, table := newLedger(t, 1000)
-			version := open(t, book, "r~1")
+			ledger, table := newLedger(t, 1000)
+			version := open(t, ledger, "r~1")
 			m := move("r~1", 1, 100, 100)
-			_, err := book.Move(context.Background(), m, version)
+			_, err := ledger.Move(context.Background(), m, version)
 			qt.Assert(t, err, qt.IsNil)
 			tc.closing.Grant = m.Grant
 			table.SetFaults(emulator.TableFaults{LoseAnswers: 1})
 			for range 3 {
-				_, err := book.Recover(context.Background(), tc.closing)
+				_, err := ledger.Recover(context.Background(), tc.closing)
 				qt.Assert(t, err, qt.IsNil)
 			}
-			row, err := book.Budget(context.Background(), budget)
+			row, err := ledger.Budget(context.Background(), budget)
 			qt.Assert(t, err, qt.IsNil)
 			qt.Assert(t, row.Settled, qt.Equals, tc.settled)
 			qt.Assert(t, row.Presumed, qt.Equals, tc.presumed)
@@ -166,21 +166,21 @@
 }
 
 func TestRefundCountsOncePerHold(t *testing.T) {
-	book, _ := newLedger(t, 1000)
-	version := open(t, book, "r~1")
+	ledger, _ := newLedger(t, 1000)
+	version := open(t, ledger, "r~1")
 	m := move("r~1", 1, 100, 100)
-	_, err := book.Move(context.Background(), m, version)
+	_, err := ledger.Move(context.Background(), m, version)
 	qt.Assert(t, err, qt.IsNil)
-	_, err = book.Move(context.Background(), keeper.Move{Grant: m.Grant, Seq: 2, Spent: 80, Close: true, Return: 20, DrawnBefore: 100}, version)
+	_, err = ledger.Move(context.Background(), keeper.Move{Grant: m.Grant, Seq: 2, Spent: 80, Close: true, Return: 20, DrawnBefore: 100}, version)
 	qt.Assert(t, err, qt.IsNil)
 	for range 2 {
-		qt.Assert(t, book.Refund(context.Background(), budget, "hold-1", 30), qt.IsNil)
+		qt.Assert(t, ledger.Refund(context.Background(), budget, "hold-1", 30), qt.IsNil)
 	}
-	row, err := book.Budget(context.Background(), budget)
+	row, err := ledger.Budget(context.Background(), budget)
 	qt.Assert(t, err, qt.IsNil)
 	qt.Assert(t, row.Settled, qt.Equals, masticway.Amount(50))
 	var invariant *bookkeeper.InvariantError
-	qt.Assert(t, book.Refund(context.Background(), budget, "hold-2", 60), qt.ErrorAs, &invariant)
+	qt.Assert(t, ledger.Refund(context.Background(), budget, "hold-2", 60), qt.ErrorAs, &invariant)
 }
 
 func TestFencingNumbersRise(t *testing.T) {
@@ -255,19 +255,19 @@
 // money when answers are lost: their results and the remaining money must be those of a single counter. Once a payer has
 // been fenced, it must draw nothing more.
 func TestHistoriesAreLinearizable(t *testing.T) {
-	book, table := newLedger(t, 500)
+	ledger, table := newLedger(t, 500)
 	table.SetFaults(emulator.TableFaults{LoseAnswers: 15})
 	history := &opHistory{}
 	var wg sync.WaitGroup
 	for c := range 4 {
 		inc := masticway.Incarnation(fmt.Sprintf("r%d~1", c))
-		version := open(t, book, inc)
+		version := open(t, ledger, inc)
 		wg.Go(func() {
 			fenced := false
 			for n := range 6 {
 				out := history.record(c, ledgerOp{draw: 60}, func() ledgerResult {
 					grant := masticway.GrantKey{Budget: budget, Payer: inc, Number: int64(n + 1)}
-					result, err := book.Move(context.Background(), keeper.Move{Grant: grant, Seq: 1, Need: 60}, version)
+					result, err := ledger.Move(context.Background(), keeper.Move{Grant: grant, Seq: 1, Need: 60}, version)
 					var sealed *masticway.SealedError
 					if err != nil && !errors.As(err, &sealed) {
 						t.Error(err)
@@ -282,7 +282,7 @@
 					continue
 				}
 				history.record(c, ledgerOp{topUp: 50}, func() ledgerResult {
-					if _, err := book.TopUp(context.Background(), budget, fmt.Sprint(c, "-", n), 50); err != nil {
+					if _, err := ledger.TopUp(context.Background(), budget, fmt.Sprint(c, "-", n), 50); err != nil {
 						t.Error(err)
 					}
 					return ledgerResult{}
@@ -291,21 +291,21 @@
 		})
 		wg.Go(func() {
 			// A recovery seals the payer, which is still running, and then closes its first grant.
-			if _, err := book.Seal(context.Background(), inc); err != nil {
+			if _, err := ledger.Seal(context.Background(), inc); err != nil {
 				t.Error(err)
 			}
 			history.record(10+c, ledgerOp{recover: true}, func() ledgerResult {
-				back, err := book.Recover(context.Background(), bookkeeper.Closing{Grant: masticway.GrantKey{Budget: budget, Payer: inc, Number: 1}})
+				returned, err := ledger.Recover(context.Background(), bookkeeper.Closing{Grant: masticway.GrantKey{Budget: budget, Payer: inc, Number: 1}})
 				if err != nil {
 					t.Error(err)
 				}
-				return ledgerResult{amount: back}
+				return ledgerResult{amount: returned}
 			})
 		})
 	}
 	wg.Wait()
 	history.record(20, ledgerOp{audit: true}, func() ledgerResult {
-		row, err := book.Budget(context.Background(), budget)
+		row, err := ledger.Budget(context.Background(), budget)
 		qt.Assert(t, err, qt.IsNil)
 		return ledgerResult{amount: row.Left()}
 	})
--- a/keeper/world_test.go
+++ b/keeper/world_test.go
@@ -36,7 +36,7 @@
 type world struct {
 	now      time.Time
 	table    *emulator.Table
-	book     *bookkeeper.Book
+	ledger   *bookkeeper.Book
 	routers  []*worldRouter
 	sidecars []*worldSidecar
 	runs     []*worldRun
@@ -91,7 +91,7 @@
 
 func newWorld(prepaid masticway.Amount, routers, sidecars int, policy keeper.Policy) *world {
 	w := &world{now: time.Unix(1_800_000_000, 0), table: emulator.NewTable(), prepaid: prepaid}
-	w.book = bookkeeper.New(w.table)
+	w.ledger = bookkeeper.New(w.table)
 	for i := range sidecars {
 		self := masticway.NewIncarnation(fmt.Sprintf("s%d", i), "1")
 		w.sidecars = append(w.sidecars, &worldSidecar{self: self, core: sealer.New(sealer.Settings{
@@ -101,7 +101,7 @@
 	for range routers {
 		w.addRouter(policy)
 	}
-	if _, err := w.book.TopUp(context.Background(), worldBudget, "first", prepaid); err != nil {
+	if _, err := w.ledger.TopUp(context.Background(), worldBudget, "first", prepaid); err != nil {
 		panic(err)
 	}
 	return w
@@ -111,7 +111,7 @@
 	self := masticway.NewIncarnation(fmt.Sprintf("r%d", len(w.routers)), "1")
 	r := &worldRouter{self: self, links: bookkeeper.Links{Incarnation: self, State: bookkeeper.LinksOpen}}
 	r.keeper = keeper.New(keeper.Settings{Incarnation: self, Policy: policy, Slices: 4, IdleAfter: 2 * time.Second}, w.now)
-	version, err := w.book.OpenLinks(context.Background(), self)
+	version, err := w.ledger.OpenLinks(context.Background(), self)
 	if err != nil {
 		return
 	}
@@ -121,7 +121,7 @@
 			r.links.Sidecars = append(r.links.Sidecars, s.self)
 		}
 	}
-	if r.version, err = w.book.PutLinks(context.Background(), r.links, r.version); err != nil {
+	if r.version, err = w.ledger.PutLinks(context.Background(), r.links, r.version); err != nil {
 		return
 	}
 	w.routers = append(w.routers, r)
@@ -174,7 +174,7 @@
 		cancel()
 	}
 	defer cancel()
-	result, err := w.book.Move(ctx, p.move, r.version)
+	result, err := w.ledger.Move(ctx, p.move, r.version)
 	w.table.SetFaults(emulator.TableFaults{})
 	if err == nil {
 		r.moves = r.moves[1:]
@@ -245,7 +245,7 @@
 }
 
 func (w *world) incarnationStatus(s *worldSidecar, inc masticway.Incarnation) sealer.Standing {
-	links, version, err := w.book.Links(context.Background(), inc)
+	links, version, err := w.ledger.Links(context.Background(), inc)
 	switch {
 	case err != nil:
 		return sealer.StandingUnknown
@@ -368,7 +368,7 @@
 	}
 	if rapid.Bool().Draw(t, "graceful") && s.core.Running() == 0 {
 		s.core.Leave()
-		_ = w.book.PutReport(context.Background(), bookkeeper.Report{Sidecar: s.self, Totals: s.core.Totals("")})
+		_ = w.ledger.PutReport(context.Background(), bookkeeper.Report{Sidecar: s.self, Totals: s.core.Totals("")})
 	}
 	s.gone = true
 }
@@ -401,12 +401,12 @@
 }
 
 func (w *world) sealInTable(rec *recoverer.Recovery) {
-	links, err := w.book.Seal(context.Background(), rec.Incarnation())
+	links, err := w.ledger.Seal(context.Background(), rec.Incarnation())
 	if err != nil {
 		rec.Marked(links, nil, false)
 		return
 	}
-	grants, err := w.book.GrantsOf(context.Background(), rec.Incarnation())
+	grants, err := w.ledger.GrantsOf(context.Background(), rec.Incarnation())
 	rec.Marked(links, grants, err == nil)
 }
 
@@ -420,7 +420,7 @@
 			rec.Witnessed(report)
 			return
 		}
-		left, found, err := w.book.Report(context.Background(), sidecar)
+		left, found, err := w.ledger.Report(context.Background(), sidecar)
 		if err == nil {
 			rec.Vanished(sidecar, left, found)
 		}
@@ -433,7 +433,7 @@
 	}
 	defer w.table.SetFaults(emulator.TableFaults{})
 	for _, c := range closings {
-		if _, err := w.book.Recover(context.Background(), c); err != nil {
+		if _, err := w.ledger.Recover(context.Background(), c); err != nil {
 			rec.Returned(false)
 			return
 		}
@@ -446,7 +446,7 @@
 	amount := masticway.Amount(rapid.IntRange(1, 500).Draw(t, "amount"))
 	id := fmt.Sprint("t", w.lastID)
 	for range rapid.IntRange(1, 2).Draw(t, "times") {
-		if _, err := w.book.TopUp(context.Background(), worldBudget, id, amount); err != nil {
+		if _, err := w.ledger.TopUp(context.Background(), worldBudget, id, amount); err != nil {
 			t.Fatalf("top-up: %v", err)
 		}
 	}
@@ -460,7 +460,7 @@
 			t.Fatal(err)
 		}
 	}
-	row, err := w.book.Budget(context.Background(), worldBudget)
+	row, err := w.ledger.Budget(context.Background(), worldBudget)
 	if err != nil {
 		t.Fatalf("reading the budget: %v", err)
 	}
