--- a/examiner/record.go
+++ b/examiner/record.go
@@ -8,45 +8,46 @@
 	"github.com/masticway/masticway"
 )
 
-// The table of suspects; one part, so that several change in one transaction.
+// The table of suspects. It has a single part, so that several rows can change in one transaction.
 const (
-	// Table is the table's name.
+	// Table is the name of the table.
 	Table = "masticway_suspects"
-	// Part is its one part.
+	// Part is its only part.
 	Part = "suspects"
 )
 
 const (
-	// endsToProve is how many servers have to have ended under a request until it is kept from them, weightToProve what those
-	// have to weigh together that ended while it was the only suspect there: two before its answer, since a server may also end
-	// by chance or by a request that nobody has suspected yet, or more of those that ended amid it.
-	endsToProve   = 3
-	weightToProve = 4
-	weightBegun   = 1
-	weightUnbegun = 2
-	// endsKept bounds the ends that are remembered of one request.
-	endsKept = 12
+	// minCrashesToProve is the minimum number of servers that must have crashed during a request to prove the suspicion.
+	// minWeightToProve is the minimum total weight of the crashes during which it was the only suspect on the server. Two crashes
+	// before the answer suffice; one does not, since a server may also crash by chance or because of a request that is not a
+	// suspect yet. Crashes during the answer weigh less, so more of them are needed.
+	minCrashesToProve = 3
+	minWeightToProve  = 4
+	weightAnswered    = 1
+	weightUnanswered  = 2
+	// maxCrashes is the maximum number of crashes that are kept for one request.
+	maxCrashes = 12
 )
 
-// Run is one run of a suspect apart from all others.
+// Run is one quarantined run of a suspect.
 type Run struct {
 	Router masticway.Incarnation       `json:"router"`
 	Server masticway.ServerIncarnation `json:"server"`
 }
 
-// Record is what the store holds of one suspect; it does not change.
+// Record is the stored evidence on one suspect. It is immutable.
 type Record struct {
-	// Path is the request's path, for operators.
-	Path string                  `json:"path,omitempty"`
-	Ends []masticway.ServerCrash `json:"ends"`
-	// Run is the run apart that is under way, if there is one.
+	// Path is the request's path, for diagnostics only.
+	Path    string                  `json:"path,omitempty"`
+	Crashes []masticway.ServerCrash `json:"ends"`
+	// Run is the current quarantined run, if there is one.
 	Run *Run `json:"run,omitempty"`
-	// Retried is how often it has run apart again after it had been kept from servers.
+	// Retried is the number of times that the request has run in quarantine again after it had been blocked.
 	Retried int `json:"retried,omitempty"`
 }
 
-// ReadRecord returns the record that a row holds; it fails with the error of the JSON decoder.
-func ReadRecord(row masticway.StoredRow) (Record, error) {
+// DecodeRecord returns the record in a row. It returns the errors of the JSON decoder.
+func DecodeRecord(row masticway.StoredRow) (Record, error) {
 	var r Record
 	if err := json.Unmarshal(row.Value, &r); err != nil {
 		return r, fmt.Errorf("decoding suspect %s: %w", row.Key, err)
@@ -57,59 +58,60 @@
 func (r Record) encode() []byte {
 	data, err := json.Marshal(r)
 	if err != nil {
-		// It holds strings, numbers and truths only.
+		// A record contains only strings, numbers and booleans, which can always be encoded.
 		panic(fmt.Sprintf("encoding a suspect: %v", err))
 	}
 	return data
 }
 
-// WithEnds returns the record with more ends; what two routers say of one server is joined.
-func (r Record) WithEnds(ends ...masticway.ServerCrash) Record {
-	joined := slices.Clone(r.Ends)
-	for _, end := range ends {
-		i := slices.IndexFunc(joined, func(e masticway.ServerCrash) bool { return e.Server == end.Server })
+// WithCrashes returns the record with additional crashes. Two reports on the same server are merged.
+func (r Record) WithCrashes(crashes ...masticway.ServerCrash) Record {
+	merged := slices.Clone(r.Crashes)
+	for _, crash := range crashes {
+		i := slices.IndexFunc(merged, func(c masticway.ServerCrash) bool { return c.Server == crash.Server })
 		if i < 0 {
-			joined = append(joined, end)
+			merged = append(merged, crash)
 			continue
 		}
-		joined[i].Quarantined = joined[i].Quarantined || end.Quarantined
-		joined[i].Answered = joined[i].Answered && end.Answered
+		merged[i].Quarantined = merged[i].Quarantined || crash.Quarantined
+		merged[i].Answered = merged[i].Answered && crash.Answered
 	}
-	r.Ends = joined[max(0, len(joined)-endsKept):]
+	r.Crashes = merged[max(0, len(merged)-maxCrashes):]
 	return r
 }
 
-// WithRun returns the record with a run apart under way, or with none.
+// WithRun returns the record with the given quarantined run, or without one if run is nil.
 func (r Record) WithRun(run *Run) Record {
 	r.Run = run
 	return r
 }
 
-// has tells that the record would not change with an end.
-func (r Record) has(end masticway.ServerCrash) bool {
-	return slices.ContainsFunc(r.Ends, func(e masticway.ServerCrash) bool {
-		return e.Server == end.Server && (e.Quarantined || !end.Quarantined) && (!e.Answered || end.Answered)
+// hasCrash reports whether the record already contains all information in a crash.
+func (r Record) hasCrash(crash masticway.ServerCrash) bool {
+	return slices.ContainsFunc(r.Crashes, func(c masticway.ServerCrash) bool {
+		return c.Server == crash.Server && (c.Quarantined || !crash.Quarantined) && (!c.Answered || crash.Answered)
 	})
 }
 
-// endedAt tells that a server has ended under the request.
-func (r Record) endedAt(server masticway.ServerIncarnation) bool {
-	return slices.ContainsFunc(r.Ends, func(e masticway.ServerCrash) bool { return e.Server == server })
+// hasCrashOf reports whether a server has crashed during the request.
+func (r Record) hasCrashOf(server masticway.ServerIncarnation) bool {
+	return slices.ContainsFunc(r.Crashes, func(c masticway.ServerCrash) bool { return c.Server == server })
 }
 
-// suspect tells that the request is to run apart: servers hardly ever end twice under one by chance, and one that ends them
-// as it begins has had nothing of its answer.
-func (r Record) suspect() bool {
-	return r.serious() || slices.ContainsFunc(r.Ends, func(e masticway.ServerCrash) bool { return !e.Answered })
+// isSuspect reports whether the request must run in quarantine. Two servers rarely crash during one request by chance, and a
+// request that crashes servers as soon as it begins has received nothing of its answer.
+func (r Record) isSuspect() bool {
+	return r.hasRepeatedCrashes() || slices.ContainsFunc(r.Crashes, func(c masticway.ServerCrash) bool { return !c.Answered })
 }
 
-// weightOf is what the end of a server proves against the only suspect there: requests that end servers do so as they begin.
-func weightOf(end masticway.ServerCrash) int {
-	if end.Answered {
-		return weightBegun
+// crashWeight returns how much the crash of a server counts against the only suspect on it. Requests that crash servers usually
+// do so as soon as they begin.
+func crashWeight(crash masticway.ServerCrash) int {
+	if crash.Answered {
+		return weightAnswered
 	}
-	return weightUnbegun
+	return weightUnanswered
 }
 
-// serious tells that more than one server ended under the request.
-func (r Record) serious() bool { return len(r.Ends) > 1 }
+// hasRepeatedCrashes reports whether more than one server has crashed during the request.
+func (r Record) hasRepeatedCrashes() bool { return len(r.Crashes) > 1 }
--- a/relayer/ways.go
+++ b/relayer/ways.go
@@ -8,105 +8,105 @@
 	"github.com/masticway/masticway/receiver"
 )
 
-// arrivalPause is how long a large answer may pause before another router is asked as well, several times the way between
-// two availability zones. Until then asking others would only halve what a slow link has for it.
-const arrivalPause = 300 * time.Millisecond
+// progressTimeout is how long a large answer may pause before the call is hedged, several times the round trip between
+// availability zones. A hedge during the transfer would only halve the capacity of a slow link.
+const progressTimeout = 300 * time.Millisecond
 
-// ways are the ways on which one order is carried out; they belong to one goroutine.
-type ways struct {
+// callPaths tracks the direct and the relayed attempt of one call. It is used by a single goroutine.
+type callPaths struct {
 	ctx   context.Context
 	store *Store
-	order order
+	call  storeCall
 
-	// straight and relayed are how each way ends, nil where none is under way; progress tells that the direct answer is a
-	// large one and that more of it has arrived.
-	straight, relayed chan result
-	progress          chan struct{}
-	stopRelay         context.CancelFunc
-	// patience ends when another router is to be asked, grace when nothing is waited for any more.
-	patience, grace <-chan time.Time
-	worst           result
+	// direct and relayed deliver the results of the attempts; each is nil if that attempt is not in progress. progress signals
+	// that more of a large direct answer has arrived.
+	direct, relayed chan result
+	progress        chan struct{}
+	stopRelay       context.CancelFunc
+	// hedgeTimer fires when the call is to be relayed as well, graceTimer when it is to be given up.
+	hedgeTimer, graceTimer <-chan time.Time
+	worst                  result
 }
 
-// newWays begins the direct way, or the one through another router, or both.
-func newWays(ctx context.Context, s *Store, o order) *ways {
-	w := &ways{ctx: ctx, store: s, order: o, progress: make(chan struct{}, 1), stopRelay: func() {}}
-	direct, away := s.choose(o)
+// startCall starts the direct attempt, the relayed one, or both.
+func startCall(ctx context.Context, s *Store, call storeCall) *callPaths {
+	p := &callPaths{ctx: ctx, store: s, call: call, progress: make(chan struct{}, 1), stopRelay: func() {}}
+	direct, relayNow := s.plan(call)
 	if direct {
-		w.goStraight()
+		p.startDirect()
 	}
-	if away {
-		w.relay()
+	if relayNow {
+		p.startRelay()
 	} else {
-		w.patience = s.clock.After(s.patience(o))
+		p.hedgeTimer = s.clock.After(s.hedgeDelay(call))
 	}
-	return w
+	return p
 }
 
-func (w *ways) goStraight() {
-	straight := make(chan result, 1)
-	w.straight = straight
-	w.store.calls.Go(func() { straight <- w.store.goStraight(w.store.own, w.order, w.noteProgress) })
+func (p *callPaths) startDirect() {
+	done := make(chan result, 1)
+	p.direct = done
+	p.store.calls.Go(func() { done <- p.store.callDirect(p.store.ctx, p.call, p.signalProgress) })
 }
 
-// noteProgress is called by the direct way.
-func (w *ways) noteProgress() {
+// signalProgress is called by the direct attempt. It does not block.
+func (p *callPaths) signalProgress() {
 	select {
-	case w.progress <- struct{}{}:
+	case p.progress <- struct{}{}:
 	default:
 	}
 }
 
-// relay asks other routers.
-func (w *ways) relay() {
-	ctx, stop := context.WithCancel(w.ctx)
-	relayed := make(chan result, 1)
-	w.relayed, w.stopRelay, w.patience = relayed, stop, nil
-	go func() { relayed <- w.store.relay(ctx, w.order) }()
+// startRelay starts to ask other routers.
+func (p *callPaths) startRelay() {
+	ctx, stop := context.WithCancel(p.ctx)
+	done := make(chan result, 1)
+	p.relayed, p.stopRelay, p.hedgeTimer = done, stop, nil
+	go func() { done <- p.store.relay(ctx, p.call) }()
 }
 
-// leave stops asking other routers.
-func (w *ways) leave() {
-	w.stopRelay()
-	w.relayed = nil
+// cancelRelay stops asking other routers.
+func (p *callPaths) cancelRelay() {
+	p.stopRelay()
+	p.relayed = nil
 }
 
-// end waits for the first definite end of a way.
-func (w *ways) end() (masticway.RowReading, error) {
-	for w.straight != nil || w.relayed != nil {
+// wait returns the first definite result.
+func (p *callPaths) wait() (masticway.RowReading, error) {
+	for p.direct != nil || p.relayed != nil {
 		select {
-		case <-w.progress:
-			w.leave()
-			receiver.Progress(w.ctx)
-			w.grace, w.patience = nil, w.store.clock.After(arrivalPause)
-		case r := <-w.straight:
-			w.straight = nil
-			if r.definite() {
+		case <-p.progress:
+			p.cancelRelay()
+			receiver.Progress(p.ctx)
+			p.graceTimer, p.hedgeTimer = nil, p.store.clock.After(progressTimeout)
+		case r := <-p.direct:
+			p.direct = nil
+			if r.isDefinite() {
 				return r.reading, r.err
 			}
-			w.worst = worse(w.worst, r)
-			if w.patience != nil && w.store.isAway() {
-				w.relay()
+			p.worst = worseOf(p.worst, r)
+			if p.hedgeTimer != nil && p.store.isDirectDown() {
+				p.startRelay()
 			}
-		case r := <-w.relayed:
-			w.relayed = nil
-			if r.definite() {
+		case r := <-p.relayed:
+			p.relayed = nil
+			if r.isDefinite() {
 				return r.reading, r.err
 			}
-			w.worst = worse(w.worst, r)
-			w.grace = w.store.clock.After(graceAfter)
-		case <-w.patience:
-			w.relay()
-		case <-w.grace:
-			return unknown("no answer in time")
-		case <-w.ctx.Done():
-			return unknown(w.ctx.Err().Error())
+			p.worst = worseOf(p.worst, r)
+			p.graceTimer = p.store.clock.After(directGrace)
+		case <-p.hedgeTimer:
+			p.startRelay()
+		case <-p.graceTimer:
+			return unknownOutcome("no answer in time")
+		case <-p.ctx.Done():
+			return unknownOutcome(p.ctx.Err().Error())
 		}
 	}
-	return w.worst.reading, w.worst.err
+	return p.worst.reading, p.worst.err
 }
 
-// unknown is the end of an order that may have been carried out.
-func unknown(reason string) (masticway.RowReading, error) {
+// unknownOutcome returns the result of a call that may have been made.
+func unknownOutcome(reason string) (masticway.RowReading, error) {
 	return masticway.RowReading{}, &masticway.OutcomeUnknownError{Service: serviceName, Reason: reason}
 }
--- a/router/router.go
+++ b/router/router.go
@@ -25,34 +25,35 @@
 )
 
 const (
-	// flushEvery is the pause between two batches of bills and traces.
-	flushEvery = time.Second
-	// auditEvery is the pause between two looks for double bills.
-	auditEvery = 5 * time.Second
-	// quietBeats is how many heartbeats pass between two on links that the peer dialed.
-	quietBeats = 4
-	// challengeReads is how often in a lease a router looks for a challenge to it, which it must answer within half of it.
-	challengeReads = 4
-	// startRetry is the pause between two attempts to start.
-	startRetry = 100 * time.Millisecond
-	// platformTimeout bounds one background call to the platform.
+	// flushInterval is the interval between two batches of bills and traces.
+	flushInterval = time.Second
+	// auditInterval is the interval between two searches for duplicate bills.
+	auditInterval = 5 * time.Second
+	// heartbeatsPerInbound is how many heartbeats are sent on dialed links for each one on the inbound links from the same peers.
+	heartbeatsPerInbound = 4
+	// challengeReadsPerLease is how many times per lease duration a router checks for a challenge. It must answer one within half
+	// a lease.
+	challengeReadsPerLease = 4
+	// startRetryInterval is the interval between two attempts to start.
+	startRetryInterval = 100 * time.Millisecond
+	// platformTimeout limits one background call to the platform.
 	platformTimeout = 3 * time.Second
 )
 
-// Platform is what a router needs of the platform.
+// Platform holds the platform services that a router uses.
 type Platform struct {
 	Table     masticway.Table
 	Objects   masticway.ObjectStore
 	Instances masticway.InstanceList
 }
 
-// Secrets are what a router reads from files.
+// Secrets holds what a router reads from secret files.
 type Secrets struct {
 	FleetKey   []byte
 	AdminToken string
 }
 
-// Router is one incarnation of a router.
+// Router is one incarnation of a router process.
 type Router struct {
 	settings Settings
 	self     masticway.Incarnation
@@ -65,7 +66,7 @@
 
 	book      *bookkeeper.Book
 	store     *configurer.Store
-	bank      *bank
+	budgets   *budgetManager
 	upstreams *upstreams
 	peers     *peers
 	recovery  *recovery
@@ -73,79 +74,80 @@
 	journal   *batcher.Batcher[biller.Bill]
 	auditor   *biller.Auditor
 
-	configMu sync.Mutex
-	config   configurer.State
-	snapshot atomic.Pointer[configurer.Snapshot]
-	applied  chan struct{}
+	configMu      sync.Mutex
+	config        configurer.State
+	snapshot      atomic.Pointer[configurer.Snapshot]
+	configApplied chan struct{}
 
 	retryMu sync.Mutex
 	retrier *retrier.Retrier
 
-	// listVersion is the instance list last read; only that loop uses it.
+	// listVersion is the version of the instance list that was last read; only the polling loop uses it.
 	listVersion string
-	// toldOpen and toldUpto are what the last heartbeat said of open grants; beatMu guards them.
-	toldOpen []int64
-	toldUpto int64
-	beats    int
+	// sentOpen and sentUpto are the open grants that the last heartbeat reported; heartbeatMu guards them.
+	sentOpen   []int64
+	sentUpto   int64
+	heartbeats int
 
 	draining atomic.Bool
-	// met tells that the other routers of the region count this one among the keepers, or were waited for long enough.
-	met        atomic.Bool
-	open       atomic.Int64
-	serial     atomic.Uint64
-	challenged atomic.Int64
-	// wanted is when a peer was last asked for changes, in nanoseconds.
-	wanted atomic.Int64
-	beatMu sync.Mutex
-	// confirmed is when the applied revision was last known to be the newest, in nanoseconds.
-	confirmed  atomic.Int64
-	sealed     chan struct{}
-	sealedOnce sync.Once
+	// peersReady is set once this router and the other routers of the region count each other among the keepers, or LostAfter has
+	// passed.
+	peersReady        atomic.Bool
+	openRequests      atomic.Int64
+	lastRequestNumber atomic.Uint64
+	answeredChallenge atomic.Int64
+	// changesRequestedAt is when this router last asked a peer for changes, in Unix nanoseconds.
+	changesRequestedAt atomic.Int64
+	heartbeatMu        sync.Mutex
+	// confirmedAt is the latest time at which the applied revision was known to be the newest, in Unix nanoseconds.
+	confirmedAt atomic.Int64
+	sealed      chan struct{}
+	sealedOnce  sync.Once
 
 	ctx  context.Context
 	stop context.CancelFunc
 	wg   sync.WaitGroup
 }
 
-// New returns a router that is not yet running.
+// New returns a router that has not been started.
 func New(s Settings, secrets Secrets, clock masticway.Clock, log *logrus.Logger, platform Platform, dial linker.DialFunc, metrics *measurer.Set) *Router {
 	self := masticway.NewIncarnation(s.Instance, uuid.NewString()[:8])
 	ctx, stop := context.WithCancel(context.Background())
 	r := &Router{
 		settings: s, self: self, clock: clock, log: log.WithField("incarnation", self), platform: platform,
 		secrets: secrets, dial: dial, metrics: metrics,
-		book:    bookkeeper.New(platform.Table),
-		store:   configurer.NewStore(platform.Table),
-		traces:  explainer.NewMemory(self),
-		journal: biller.NewJournal(self),
-		auditor: biller.NewAuditor(),
-		applied: make(chan struct{}, 1),
-		retrier: retrier.New(retrier.Settings{Policy: s.Retry.Policy, CountedLimit: s.Retry.Limit}),
-		sealed:  make(chan struct{}),
-		ctx:     ctx, stop: stop,
+		book:          bookkeeper.New(platform.Table),
+		store:         configurer.NewStore(platform.Table),
+		traces:        explainer.NewMemory(self),
+		journal:       biller.NewJournal(self),
+		auditor:       biller.NewAuditor(),
+		configApplied: make(chan struct{}, 1),
+		retrier:       retrier.New(retrier.Settings{Policy: s.Retry.Policy, CountedLimit: s.Retry.Limit}),
+		sealed:        make(chan struct{}),
+		ctx:           ctx, stop: stop,
 	}
 	r.snapshot.Store(&configurer.Snapshot{})
-	r.bank = newBank(ctx, &r.wg, self, s.Money, clock, r.log, r.book, metrics)
+	r.budgets = newBudgetManager(ctx, &r.wg, self, s.Money, clock, r.log, r.book, metrics)
 	r.upstreams = newUpstreams(r)
 	r.peers = newPeers(r)
 	r.recovery = newRecovery(r)
-	r.bank.fenced = r.fenced
-	r.bank.askPeers = r.peers.askBack
-	r.bank.mine = func(budget string) bool { return r.peers.keeperFor(budget) == r.self }
+	r.budgets.onSealed = r.markSealed
+	r.budgets.requestReturn = r.peers.requestReturn
+	r.budgets.isKeeper = func(budget string) bool { return r.peers.keeperFor(budget) == r.self }
 	return r
 }
 
-// Self names this incarnation.
+// Self returns the identifier of this incarnation.
 func (r *Router) Self() masticway.Incarnation { return r.self }
 
-// Sealed is closed when this incarnation has been fenced and another must start.
+// Sealed returns a channel that is closed when this incarnation has been sealed and a new one must be started.
 func (r *Router) Sealed() <-chan struct{} { return r.sealed }
 
-func (r *Router) fenced() {
+func (r *Router) markSealed() {
 	r.sealedOnce.Do(func() {
 		r.log.WithField("event", "sealed").Warn("this incarnation is sealed")
 		close(r.sealed)
-		r.bank.refuseAll()
+		r.budgets.refuseAll()
 	})
 }
 
@@ -158,28 +160,28 @@
 	}
 }
 
-// Start writes the first rows, loads the configuration and begins to serve; it tries until the context ends.
+// Start writes the first rows, loads the configuration and starts serving. It retries until ctx ends.
 func (r *Router) Start(ctx context.Context) error {
 	r.wg.Go(func() { r.loop(r.settings.Poll.Std(), r.readInstances) })
-	if err := r.retryUntil(ctx, "opening the links row", func() error { return r.bank.open(ctx) }); err != nil {
+	if err := r.retryUntil(ctx, "opening the links row", func() error { return r.budgets.openLinks(ctx) }); err != nil {
 		return err
 	}
-	if err := r.retryUntil(ctx, "writing the lease row", func() error { return r.heartbeat(ctx) }); err != nil {
+	if err := r.retryUntil(ctx, "writing the lease row", func() error { return r.renewLease(ctx) }); err != nil {
 		return err
 	}
 	if err := r.retryUntil(ctx, "loading the configuration", func() error { return r.loadConfig(ctx) }); err != nil {
 		return err
 	}
-	r.wg.Go(func() { r.loop(bankTick, func() { r.bank.tick(); r.upstreams.tick(); r.peers.tick() }) })
-	r.wg.Go(func() { r.loop(r.settings.HeartbeatInterval.Std(), r.sendBeats) })
+	r.wg.Go(func() { r.loop(tickInterval, func() { r.budgets.tick(); r.upstreams.tick(); r.peers.tick() }) })
+	r.wg.Go(func() { r.loop(r.settings.HeartbeatInterval.Std(), r.sendHeartbeats) })
 	r.wg.Go(func() { r.loop(r.settings.Poll.Std(), r.pollConfig) })
 	r.wg.Go(r.keepLease)
-	r.wg.Go(r.meet)
+	r.wg.Go(r.waitForPeers)
 	r.wg.Go(r.watchChallenges)
-	r.wg.Go(func() { r.loop(flushEvery, r.flush) })
-	r.wg.Go(func() { r.loop(auditEvery, r.audit) })
-	r.wg.Go(func() { r.loop(recoveryTick, r.recovery.tick) })
-	r.wg.Go(func() { r.loop(time.Second, func() { r.bank.absorb(); r.bank.tidy() }) })
+	r.wg.Go(func() { r.loop(flushInterval, r.flush) })
+	r.wg.Go(func() { r.loop(auditInterval, r.audit) })
+	r.wg.Go(func() { r.loop(recoveryInterval, r.recovery.tick) })
+	r.wg.Go(func() { r.loop(time.Second, func() { r.budgets.removeGone(); r.budgets.returnIdle() }) })
 	r.log.WithFields(logrus.Fields{"event": "started", "revision": r.snapshot.Load().Revision()}).Info("started")
 	return nil
 }
@@ -199,53 +201,54 @@
 			return fmt.Errorf("%s: %w", what, err)
 		case <-r.ctx.Done():
 			return fmt.Errorf("%s: %w", what, r.ctx.Err())
-		case <-r.clock.After(startRetry):
+		case <-r.clock.After(startRetryInterval):
 		}
 	}
 }
 
-func (r *Router) loop(every time.Duration, f func()) {
+func (r *Router) loop(interval time.Duration, f func()) {
 	for {
 		select {
 		case <-r.ctx.Done():
 			return
-		case <-r.clock.After(every):
+		case <-r.clock.After(interval):
 			f()
 		}
 	}
 }
 
-// meet waits for the other routers of the region before this one serves: until they count each other among the keepers,
-// each keeps every budget alone, and a key that two are asked for at once would run twice. One that cannot be reached
-// holds this router up no longer than a silent sidecar holds up a request.
-func (r *Router) meet() {
+// waitForPeers sets peersReady once the routers of the region count each other among the keepers. Until then each router is the
+// keeper of every budget, so two requests with the same key that arrive at two routers would both run. An unreachable peer delays
+// this router for LostAfter at most.
+func (r *Router) waitForPeers() {
 	deadline := r.clock.Now().Add(r.settings.LostAfter.Std())
-	for !r.peers.met() && r.clock.Now().Before(deadline) && r.ctx.Err() == nil {
-		r.bank.pause(bankTick)
+	for !r.peers.isReady() && r.clock.Now().Before(deadline) && r.ctx.Err() == nil {
+		r.budgets.sleep(tickInterval)
 	}
-	r.met.Store(true)
+	r.peersReady.Store(true)
 }
 
-// Ready tells whether requests are served.
+// Ready reports whether the router serves requests.
 func (r *Router) Ready() bool {
-	return r.met.Load() && r.snapshot.Load().Revision() > 0 && !r.draining.Load() && !r.isSealed() && !r.isStale()
+	return r.peersReady.Load() && r.snapshot.Load().Revision() > 0 && !r.draining.Load() && !r.isSealed() && !r.isStale()
 }
 
-// Drain stops taking requests, lets those in progress finish and returns all money.
+// Drain stops accepting requests, waits for those in progress and returns all money.
 //
-// It returns false when the context ended first; what was cut off is logged and counted.
+// It reports whether all requests finished before ctx ended; the number that did not is logged and counted. Money that could not
+// be returned in time is left for recovery.
 func (r *Router) Drain(ctx context.Context) bool {
 	r.draining.Store(true)
-	for r.open.Load() > 0 {
+	for r.openRequests.Load() > 0 {
 		select {
 		case <-ctx.Done():
-			r.metrics.Add(metricDrainCut, r.open.Load())
-			r.log.WithFields(logrus.Fields{"event": "drain_expired", "open": r.open.Load()}).Warn("drain expired")
+			r.metrics.Add(metricDrainCut, r.openRequests.Load())
+			r.log.WithFields(logrus.Fields{"event": "drain_expired", "open": r.openRequests.Load()}).Warn("drain timed out")
 			return false
-		case <-r.clock.After(bankTick):
+		case <-r.clock.After(tickInterval):
 		}
 	}
-	r.peers.flushSettlements(ctx)
+	r.peers.waitForSettlements(ctx)
 	if !r.isSealed() {
 		r.closeRows(ctx)
 	}
@@ -253,9 +256,9 @@
 	return true
 }
 
-// closeRows returns the money and removes this incarnation's rows, so that nobody needs to recover it.
+// closeRows returns the money and removes this incarnation's rows, so that it needs no recovery.
 func (r *Router) closeRows(ctx context.Context) {
-	if !r.bank.drain(ctx) {
+	if !r.budgets.drain(ctx) {
 		r.log.WithField("event", "drain_money_left").Warn("money is left for recovery")
 		return
 	}
@@ -264,18 +267,18 @@
 	}
 }
 
-// Close ends everything at once, as a crash would.
+// Close stops everything at once, as a crash would.
 func (r *Router) Close() {
 	r.stop()
 	r.peers.close()
-	for r.open.Load() > 0 {
-		// Handlers see the end of the context; they must not start work after the wait below.
+	for r.openRequests.Load() > 0 {
+		// Handlers see that r.ctx has ended; they must not start work after the wait below.
 		time.Sleep(time.Millisecond)
 	}
 	r.wg.Wait()
 }
 
-// identity is what this process proves on links.
+// identity returns what this process authenticates itself with on links.
 func (r *Router) identity() linker.Identity {
 	return linker.Identity{
 		Self: masticway.Peer{Instance: r.settings.Instance, Incarnation: r.self, Role: masticway.RoleRouter},
@@ -287,7 +290,7 @@
 	return linker.Dialer{Identity: r.identity(), Dial: r.dial, Handler: h, Up: up, Down: down}
 }
 
-// dialOnce opens a link to a process that this router keeps none to; the caller closes it.
+// dialOnce opens a link to a process to which this router keeps none. The caller must close it.
 func (r *Router) dialOnce(ctx context.Context, address string) (*linker.Conn, error) {
 	d := r.dialer(func(*linker.Conn, linker.Message) {}, func(*linker.Conn) {}, func(*linker.Conn) {})
 	c, err := d.Once(ctx, address)
@@ -298,27 +301,27 @@
 	return c, nil
 }
 
-// LinkHandler serves links from other routers.
+// LinkHandler returns the handler for links from other routers.
 func (r *Router) LinkHandler() http.Handler { return r.peers.listener }
 
-func (r *Router) background() (context.Context, context.CancelFunc) {
+func (r *Router) platformContext() (context.Context, context.CancelFunc) {
 	return context.WithTimeout(r.ctx, platformTimeout)
 }
 
 func (r *Router) readInstances() {
-	ctx, cancel := r.background()
+	ctx, cancel := r.platformContext()
 	defer cancel()
 	reading, err := r.platform.Instances.Instances(ctx, r.listVersion)
 	if err != nil || reading.Unchanged {
 		return
 	}
 	r.listVersion = reading.Version
-	r.upstreams.list(reading.Instances)
-	r.peers.list(reading.Instances)
-	r.recovery.list(reading.Instances)
+	r.upstreams.updateInstances(reading.Instances)
+	r.peers.updateInstances(reading.Instances)
+	r.recovery.updateInstances(reading.Instances)
 }
 
-func (r *Router) heartbeat(ctx context.Context) error {
+func (r *Router) renewLease(ctx context.Context) error {
 	state := "serving"
 	if r.draining.Load() {
 		state = "draining"
@@ -331,57 +334,58 @@
 	})
 }
 
-// keepLease renews the lease row, at once when a revision has been applied.
+// keepLease renews the lease row once per heartbeat interval, and at once when a revision has been applied.
 func (r *Router) keepLease() {
 	for {
 		select {
 		case <-r.ctx.Done():
 			return
-		case <-r.applied:
+		case <-r.configApplied:
 		case <-r.clock.After(r.settings.Heartbeat.Std()):
 		}
 		if r.draining.Load() || r.isSealed() {
 			continue
 		}
-		ctx, cancel := r.background()
-		if err := r.heartbeat(ctx); err != nil {
+		ctx, cancel := r.platformContext()
+		if err := r.renewLease(ctx); err != nil {
 			r.log.WithFields(logrus.Fields{"event": "lease_not_renewed", "error": err}).Warn("lease not renewed")
 		}
 		cancel()
 	}
 }
 
-// beatMessage is the heartbeat to a sidecar, with all that it may need to know.
-func (r *Router) beatMessage() linker.Message {
-	open, upto := r.bank.openGrants()
+// heartbeatMessage returns the heartbeat to a sidecar, including the open grants.
+func (r *Router) heartbeatMessage() linker.Message {
+	open, upto := r.budgets.openGrants()
 	return linker.Message{Beat: &linker.Beat{Revision: r.snapshot.Load().Revision(), Open: open, Upto: upto, Leaving: r.draining.Load()}}
 }
 
-// sendBeats tells sidecars which grants are open only when that has changed, because there are many links.
-func (r *Router) sendBeats() {
-	r.beatMu.Lock()
-	defer r.beatMu.Unlock()
-	m := r.beatMessage()
-	beat := *m.Beat
-	if beat.Upto == r.toldUpto && slices.Equal(beat.Open, r.toldOpen) {
+// sendHeartbeats sends a heartbeat on every link. Because there are many links to sidecars, it includes the open grants only if
+// they have changed.
+func (r *Router) sendHeartbeats() {
+	r.heartbeatMu.Lock()
+	defer r.heartbeatMu.Unlock()
+	m := r.heartbeatMessage()
+	full := *m.Beat
+	if full.Upto == r.sentUpto && slices.Equal(full.Open, r.sentOpen) {
 		m.Beat.Open, m.Beat.Upto = nil, 0
 	}
-	r.toldOpen, r.toldUpto = beat.Open, beat.Upto
-	for _, c := range r.upstreams.linked() {
+	r.sentOpen, r.sentUpto = full.Open, full.Upto
+	for _, c := range r.upstreams.allConns() {
 		_ = c.Send(m)
 	}
-	peer := r.peers.beatMessage()
-	for _, c := range r.peers.linked() {
+	peer := r.peers.heartbeatMessage()
+	for _, c := range r.peers.allConns() {
 		_ = c.Send(peer)
 	}
-	// The other direction of the same pair only has to be kept from its read timeout.
-	r.beats++
-	if r.beats%quietBeats == 0 {
+	// Inbound links from the same peers only need enough traffic to stay below the read timeout.
+	r.heartbeats++
+	if r.heartbeats%heartbeatsPerInbound == 0 {
 		for _, c := range r.peers.listener.All() {
 			_ = c.Send(peer)
 		}
 	}
-	r.peers.reachAll()
+	r.peers.registerAll()
 }
 
 func (r *Router) flush() {
@@ -395,12 +399,12 @@
 	}
 }
 
-// audit looks for double bills at one router of the fleet and gives them back.
+// audit refunds bills that are duplicates or superseded. One router of each region does so.
 func (r *Router) audit() {
 	if r.peers.keeperFor("audit") != r.self {
 		return
 	}
-	ctx, cancel := r.background()
+	ctx, cancel := r.platformContext()
 	defer cancel()
 	bills, err := r.auditor.ReadNew(ctx, r.platform.Objects, r.clock.Now())
 	if err != nil {
@@ -418,5 +422,5 @@
 		return
 	}
 	r.metrics.Add(metricRefunds, 1)
-	r.log.WithFields(logrus.Fields{"event": "double_bill_returned", "identity": f.Identity, "hold": f.Hold, "amount": f.Amount}).Info("double bill returned")
+	r.log.WithFields(logrus.Fields{"event": "double_bill_returned", "identity": f.Identity, "hold": f.Hold, "amount": f.Amount}).Info("duplicate bill refunded")
 }
--- a/starter/limits_test.go
+++ b/starter/limits_test.go
@@ -14,22 +14,22 @@
 )
 
 const (
-	// limitWindow, limitOvershoot and limitSlack are the users' rule: in any window a server gets no more than the overshoot times
-	// what its limit allows, and the slack.
+	// limitWindow, limitOvershoot and limitSlack are a requirement of the users: in any time of length limitWindow, a server gets
+	// at most limitOvershoot times the requests that its rate limit allows, plus limitSlack.
 	limitWindow    = 4 * time.Second
 	limitOvershoot = 1.5
 	limitSlack     = 5
-	// limitKnown is when all routers keep to a limit that was named.
-	limitKnown = time.Second
+	// limitPropagation is how long after a server has set a rate limit all routers must observe it.
+	limitPropagation = time.Second
 )
 
-// limitAllowed is the most that a server which has named a limit may get in any window.
+// limitAllowed returns how many requests a server with a rate limit may get in any window.
 func limitAllowed(perSecond float64) int {
 	return int(limitOvershoot*perSecond*limitWindow.Seconds() + limitSlack)
 }
 
-// mostInWindow is the most arrivals in any window, of those at a time or later.
-func mostInWindow(arrivals []emulator.OpaqueArrival, since time.Time) (most int) {
+// maxInWindow returns the largest number of arrivals in any window that begins with an arrival at since or later.
+func maxInWindow(arrivals []emulator.OpaqueArrival, since time.Time) (maxCount int) {
 	for i, first := range arrivals {
 		if first.At.Before(since) {
 			continue
@@ -40,18 +40,18 @@
 				n++
 			}
 		}
-		most = max(most, n)
+		maxCount = max(maxCount, n)
 	}
-	return most
+	return maxCount
 }
 
-// ask sends requests to a router, one every pause, until a time, and returns the answers.
-func (u *users) askSteadily(d *starter.GatewayDaemon, path, tokens string, pause time.Duration, until time.Time) (all []answer) {
+// askSteadily sends requests to a router until a time, one per pause, and returns the answers.
+func (p *testPlatform) askSteadily(d *starter.GatewayDaemon, path, tokens string, pause time.Duration, until time.Time) (all []answer) {
 	var mu sync.Mutex
 	var wg sync.WaitGroup
 	for i := 0; time.Now().Before(until); i++ {
 		wg.Go(func() {
-			got := u.send(d, fmt.Sprintf("%p-%d", d, i), path, tokens, "body")
+			got := p.send(d, fmt.Sprintf("%p-%d", d, i), path, tokens, "body")
 			mu.Lock()
 			defer mu.Unlock()
 			all = append(all, got)
@@ -62,9 +62,10 @@
 	return all
 }
 
-// TestRequestLimitHoldsForAllRouters: routers that each send what their callers ask for overrun a server in need, which had named a
-// limit for all of them together.
-func TestRequestLimitHoldsForAllRouters(t *testing.T) {
+// TestRateLimitHoldsForAllRouters guards against routers that each send an overloaded server requests up to its rate limit, or
+// without any limit: the limit in its answers holds for all routers together. It also checks that the server gets most of what it
+// allows.
+func TestRateLimitHoldsForAllRouters(t *testing.T) {
 	for name, tc := range map[string]struct {
 		routers int
 		limit   string
@@ -76,56 +77,56 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			u := newUsers(t, 1<<40)
+			p := newTestPlatform(t, 1<<40)
 			var all []*starter.GatewayDaemon
 			for i := range tc.routers {
-				all = append(all, u.gateway(fmt.Sprintf("edge-%d", i+1)))
+				all = append(all, p.gateway(fmt.Sprintf("edge-%d", i+1)))
 				t.Cleanup(all[i].Kill)
 			}
-			// All have counted each other by then.
+			// By then each router counts the others as members.
 			time.Sleep(4 * time.Second)
-			u.engine.Limit(tc.limit)
-			named := time.Now()
-			until := named.Add(10 * time.Second)
+			p.engine.Limit(tc.limit)
+			limitSetAt := time.Now()
+			until := limitSetAt.Add(10 * time.Second)
 			var wg sync.WaitGroup
 			answers := make([][]answer, len(all))
 			for i, d := range all {
-				wg.Go(func() { answers[i] = u.askSteadily(d, "/draft/x", "10,10", 200*time.Millisecond, until) })
+				wg.Go(func() { answers[i] = p.askSteadily(d, "/draft/x", "10,10", 200*time.Millisecond, until) })
 			}
 			wg.Wait()
-			arrivals := u.engine.Arrivals()
-			most := mostInWindow(arrivals, named.Add(limitKnown))
-			qt.Check(t, most <= limitAllowed(tc.rate), qt.IsTrue, qt.Commentf("%d requests in %v, %d are allowed", most, limitWindow, limitAllowed(tc.rate)))
+			arrivals := p.engine.Arrivals()
+			maxCount := maxInWindow(arrivals, limitSetAt.Add(limitPropagation))
+			qt.Check(t, maxCount <= limitAllowed(tc.rate), qt.IsTrue, qt.Commentf("%d requests in %v, only %d are allowed", maxCount, limitWindow, limitAllowed(tc.rate)))
 			got := 0
 			for _, a := range arrivals {
-				if a.At.After(named.Add(limitKnown)) {
+				if a.At.After(limitSetAt.Add(limitPropagation)) {
 					got++
 				}
 			}
-			t.Logf("%d requests in %v at the most, %d are allowed; %d in 9 s", most, limitWindow, limitAllowed(tc.rate), got)
-			qt.Check(t, float64(got) >= 0.6*tc.rate*9, qt.IsTrue, qt.Commentf("the server got %d requests in 9 s of the %v a second that it takes", got, tc.rate))
+			t.Logf("at most %d requests in %v, %d are allowed; %d in 9 s", maxCount, limitWindow, limitAllowed(tc.rate), got)
+			qt.Check(t, float64(got) >= 0.6*tc.rate*9, qt.IsTrue, qt.Commentf("the server got %d requests in 9 s, its limit is %v per second", got, tc.rate))
 			for _, some := range answers {
 				for _, a := range some {
 					qt.Check(t, a.status == 200 || a.status == 503 && a.header.Get("Retry-After") != "", qt.IsTrue, qt.Commentf("status %d, %q", a.status, a.body))
 					qt.Check(t, a.status == 200 || a.took < 500*time.Millisecond, qt.IsTrue, qt.Commentf("refused after %v", a.took))
 				}
 			}
-			u.engine.Limit("")
+			p.engine.Limit("")
 			time.Sleep(5 * time.Second)
 			for i, d := range all {
 				for range 3 {
-					qt.Check(t, u.send(d, fmt.Sprintf("after-%d", i), "/draft/x", "10,10", "body").status, qt.Equals, 200, qt.Commentf("the limit has ended"))
+					qt.Check(t, p.send(d, fmt.Sprintf("after-%d", i), "/draft/x", "10,10", "body").status, qt.Equals, 200, qt.Commentf("the limit has ended"))
 				}
 			}
 			if t.Failed() {
-				t.Log(strings.Join(tail(u.log.String(), 60), "\n"))
+				t.Log(strings.Join(tail(p.log.String(), 60), "\n"))
 			}
 		})
 	}
 }
 
-// tail returns the last lines of a text.
-func tail(text string, most int) []string {
+// tail returns the last n lines of a text.
+func tail(text string, n int) []string {
 	lines := strings.Split(strings.TrimSpace(text), "\n")
-	return lines[max(0, len(lines)-most):]
+	return lines[max(0, len(lines)-n):]
 }
--- a/starter/server.go
+++ b/starter/server.go
@@ -13,22 +13,23 @@
 )
 
 const (
-	// headerTimeout ends connections whose headers come too slowly.
-	headerTimeout = 5 * time.Second
-	headerLimit   = 64 << 10
-	idleTimeout   = 2 * time.Minute
-	// shutdownGrace is how long answers may take to leave the sockets after the drain.
-	shutdownGrace = 5 * time.Second
+	// readHeaderTimeout bounds the time for reading a request's header, against clients that send it too slowly.
+	readHeaderTimeout = 5 * time.Second
+	maxHeaderBytes    = 64 << 10
+	idleTimeout       = 2 * time.Minute
+	// shutdownTimeout bounds the time for writing the rest of the responses after the drain.
+	shutdownTimeout = 5 * time.Second
 )
 
-// Listeners are the open sockets of a role, by settings field.
+// Listeners holds the open sockets of a router or sidecar. Each field is named for the address in the settings; a sidecar has
+// only Link.
 type Listeners struct {
 	Caller net.Listener
 	Admin  net.Listener
 	Link   net.Listener
 }
 
-// Listen opens a socket for an address.
+// Listen opens a TCP socket at an address.
 func Listen(address string) (net.Listener, error) {
 	l, err := net.Listen("tcp", address)
 	if err != nil {
@@ -37,22 +38,24 @@
 	return l, nil
 }
 
-// servers is a set of HTTP servers that end together.
-type servers struct {
+// serverGroup is a set of HTTP servers that are stopped together.
+type serverGroup struct {
 	log  *logrus.Logger
 	mu   sync.Mutex
 	list []*http.Server
 	wg   sync.WaitGroup
 }
 
-func (s *servers) serve(l net.Listener, h http.Handler) {
+// serve serves HTTP on a listener with the default limits.
+func (s *serverGroup) serve(l net.Listener, h http.Handler) {
 	s.serveWith(l, &http.Server{
-		Handler: h, ReadHeaderTimeout: headerTimeout, MaxHeaderBytes: headerLimit, IdleTimeout: idleTimeout,
+		Handler: h, ReadHeaderTimeout: readHeaderTimeout, MaxHeaderBytes: maxHeaderBytes, IdleTimeout: idleTimeout,
 		ErrorLog: nil,
 	})
 }
 
-func (s *servers) serveWith(l net.Listener, server *http.Server) {
+// serveWith serves HTTP on a listener with a given server and returns at once.
+func (s *serverGroup) serveWith(l net.Listener, server *http.Server) {
 	s.mu.Lock()
 	s.list = append(s.list, server)
 	s.mu.Unlock()
@@ -64,9 +67,9 @@
 	})
 }
 
-// shutdown lets open answers finish.
-func (s *servers) shutdown() {
-	ctx, cancel := context.WithTimeout(context.Background(), shutdownGrace)
+// shutdown stops the servers gracefully: it waits for open requests for up to shutdownTimeout in all.
+func (s *serverGroup) shutdown() {
+	ctx, cancel := context.WithTimeout(context.Background(), shutdownTimeout)
 	defer cancel()
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -75,8 +78,8 @@
 	}
 }
 
-// close breaks everything off.
-func (s *servers) close() {
+// close stops the servers at once, closes all connections and waits until all servers have stopped.
+func (s *serverGroup) close() {
 	s.mu.Lock()
 	for _, server := range s.list {
 		_ = server.Close()
--- a/treasurer/holders_test.go
+++ b/treasurer/holders_test.go
@@ -12,22 +12,22 @@
 	"github.com/masticway/masticway/treasurer"
 )
 
-// peersOf names routers of some availability zones, in the order of their incarnations.
-func peersOf(routers, zones int, life string) []treasurer.Peer {
+// newPeers returns routers spread over availability zones, sorted by incarnation.
+func newPeers(routers, zones int, generation string) []treasurer.Peer {
 	var peers []treasurer.Peer
 	for i := range routers {
 		instance := fmt.Sprintf("edge-%03d", i)
 		peers = append(peers, treasurer.Peer{
-			Witness: treasurer.Witness{Incarnation: masticway.NewIncarnation(instance, life), Address: instance},
+			Witness: treasurer.Witness{Incarnation: masticway.NewIncarnation(instance, generation), Address: instance},
 			Zone:    fmt.Sprintf("zone-%d", i%zones),
 		})
 	}
 	return peers
 }
 
-// borrowerOf returns a purse of one router that knows the others and what a workspace has paid for.
-func borrowerOf(router treasurer.Peer, peers []treasurer.Peer, workspaces int) *treasurer.Purse {
-	p := treasurer.NewPurse(treasurer.Settings{
+// newBorrower returns the planner of a router that knows its peers and what each workspace has prepaid.
+func newBorrower(router treasurer.Peer, peers []treasurer.Peer, workspaces int) *treasurer.Planner {
+	p := treasurer.NewPlanner(treasurer.Settings{
 		Incarnation: router.Incarnation, Address: router.Address, Zone: router.Zone, Parts: 1, Reserve: 10 * time.Second, Holders: 6,
 	})
 	accounts := map[string]masticway.Account{}
@@ -36,23 +36,24 @@
 		accounts[name] = masticway.Account{Workspace: name, Prepaid: 1_000_000, HasLimit: true}
 	}
 	p.Configure(1, accounts)
-	p.Count(len(peers), peers)
+	p.SetPeers(len(peers), peers)
 	return p
 }
 
-// asked returns whom a purse asks for money of a workspace, which it has not at all; it is empty for a holder, which asks
-// nobody at first.
-func asked(p *treasurer.Purse, workspace string, now time.Time) []treasurer.Witness {
+// lendersFor returns the routers that a planner without a grant asks for a loan; it is empty for a holder, which does not
+// ask at first.
+func lendersFor(p *treasurer.Planner, workspace string, now time.Time) []treasurer.Witness {
 	p.Hold(now, workspace, 100, now.Add(time.Minute))
-	for _, r := range p.Borrowing(now) {
+	for _, r := range p.DueBorrowRounds(now) {
 		return r.Lenders
 	}
 	return nil
 }
 
-// TestHoldersAreAgreedOnWithoutAWord has each router of a fleet say whom it asks for each workspace. Deployments with 20 to
-// 103 routers see one request in two to four seconds of a workspace at each router, so a hand at each of them lies idle.
-func TestHoldersAreAgreedOnWithoutAWord(t *testing.T) {
+// TestRoutersAgreeOnHolders computes which routers each router of a fleet asks for each workspace. In deployments with 20
+// to 103 routers, each router sees a request of a workspace only every two to four seconds, so a reserve at every router
+// would be unused.
+func TestRoutersAgreeOnHolders(t *testing.T) {
 	const workspaces = 12
 	cases := map[string]struct{ routers, zones, holders int }{
 		"five routers in four zones: all":     {routers: 5, zones: 4, holders: 5},
@@ -64,26 +65,26 @@
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
-			peers := peersOf(tc.routers, tc.zones, "1")
-			holding := map[string]map[string]bool{}
+			peers := newPeers(tc.routers, tc.zones, "1")
+			holdersOf := map[string]map[string]bool{}
 			load := map[string]int{}
 			for _, router := range peers {
-				p := borrowerOf(router, peers, workspaces)
+				p := newBorrower(router, peers, workspaces)
 				for i := range workspaces {
 					workspace := fmt.Sprintf("w%d", i)
-					if holding[workspace] == nil {
-						holding[workspace] = map[string]bool{}
+					if holdersOf[workspace] == nil {
+						holdersOf[workspace] = map[string]bool{}
 					}
-					if len(asked(p, workspace, epoch)) == 0 {
-						holding[workspace][router.Address] = true
+					if len(lendersFor(p, workspace, epoch)) == 0 {
+						holdersOf[workspace][router.Address] = true
 						load[router.Address]++
 					}
 				}
 			}
-			for workspace, holders := range holding {
+			for workspace, holders := range holdersOf {
 				qt.Assert(t, holders, qt.HasLen, tc.holders, qt.Commentf("%s", workspace))
 				for _, router := range peers {
-					lenders := asked(borrowerOf(router, peers, workspaces), workspace, epoch)
+					lenders := lendersFor(newBorrower(router, peers, workspaces), workspace, epoch)
 					if len(lenders) == 0 {
 						continue
 					}
@@ -99,25 +100,25 @@
 	}
 }
 
-// TestHoldersAreAskedInTurn has a router ask for money of one workspace again and again: each holder is asked first as often as
-// any other, so that no holder's death and no empty hand is that of all which the router's callers use.
-func TestHoldersAreAskedInTurn(t *testing.T) {
+// TestLendersRotate has a router ask for loans of one workspace repeatedly: each holder must be asked first equally often,
+// so that neither the crash nor the empty reserve of one holder affects all of the router's callers.
+func TestLendersRotate(t *testing.T) {
 	const rounds = 4
-	peers := peersOf(103, 6, "1")
+	peers := newPeers(103, 6, "1")
 	for _, router := range peers {
-		p := borrowerOf(router, peers, 1)
+		p := newBorrower(router, peers, 1)
 		first := map[string]int{}
-		holders := len(asked(p, "w0", epoch))
+		holders := len(lendersFor(p, "w0", epoch))
 		if holders == 0 {
 			continue
 		}
-		p.Borrowed(epoch, treasurer.LoanRequest{Number: 1, Workspace: "w0", Need: 100}, nil, 0)
+		p.CompleteBorrowRound(epoch, treasurer.BorrowRound{Number: 1, Workspace: "w0", Need: 100}, nil, 0)
 		for i := range rounds * 6 {
 			now := epoch.Add(time.Duration(i+1) * time.Second)
-			asks := p.Borrowing(now)
+			asks := p.DueBorrowRounds(now)
 			qt.Assert(t, asks, qt.HasLen, 1)
 			first[asks[0].Lenders[0].Address]++
-			p.Borrowed(now, asks[0], nil, 0)
+			p.CompleteBorrowRound(now, asks[0], nil, 0)
 		}
 		qt.Assert(t, first, qt.HasLen, 6)
 		for address, n := range first {
@@ -126,10 +127,10 @@
 	}
 }
 
-func TestHoldersStayTheSameOverRestarts(t *testing.T) {
-	before, after := peersOf(30, 3, "1"), peersOf(30, 3, "2")
+func TestRestartsKeepHolders(t *testing.T) {
+	before, after := newPeers(30, 3, "1"), newPeers(30, 3, "2")
 	for i := range before {
-		first, second := asked(borrowerOf(before[i], before, 1), "w0", epoch), asked(borrowerOf(after[i], after, 1), "w0", epoch)
+		first, second := lendersFor(newBorrower(before[i], before, 1), "w0", epoch), lendersFor(newBorrower(after[i], after, 1), "w0", epoch)
 		qt.Assert(t, len(first), qt.Equals, len(second))
 		for k := range first {
 			qt.Assert(t, first[k].Address, qt.Equals, second[k].Address)
@@ -137,41 +138,41 @@
 	}
 }
 
-// TestSilentHolderIsAskedLast has a holder that is frozen or cut off: each question to it costs its timeout, so that it is
-// asked once a second and not for each request.
-func TestSilentHolderIsAskedLast(t *testing.T) {
-	peers := peersOf(103, 6, "1")
+// TestUnresponsiveHolderIsAskedLast has a holder that is frozen or unreachable. Each request to it costs the timeout, so it
+// must be asked first only once a second and not for each request.
+func TestUnresponsiveHolderIsAskedLast(t *testing.T) {
+	peers := newPeers(103, 6, "1")
 	for _, router := range peers {
-		p := borrowerOf(router, peers, 1)
+		p := newBorrower(router, peers, 1)
 		p.Hold(epoch, "w0", 100, epoch.Add(time.Minute))
-		for _, r := range p.Borrowing(epoch) {
-			silent := r.Lenders[0]
-			p.Unanswered(epoch, r, silent)
-			p.Borrowed(epoch, r, nil, 1)
+		for _, r := range p.DueBorrowRounds(epoch) {
+			unresponsive := r.Lenders[0]
+			p.CancelRequest(epoch, r, unresponsive)
+			p.CompleteBorrowRound(epoch, r, nil, 1)
 			first := 0
 			for i := range 18 {
 				wait := time.Duration(i+1) * 100 * time.Millisecond
-				again := p.Borrowing(epoch.Add(wait))
+				again := p.DueBorrowRounds(epoch.Add(wait))
 				qt.Assert(t, again, qt.HasLen, 1)
-				place := slices.Index(again[0].Lenders, silent)
+				place := slices.Index(again[0].Lenders, unresponsive)
 				if wait < time.Second {
 					qt.Assert(t, place, qt.Equals, len(again[0].Lenders)-1, qt.Commentf("after %v", wait))
 				}
 				if place == 0 {
 					first++
 				}
-				p.Borrowed(epoch.Add(wait), again[0], nil, 0)
+				p.CompleteBorrowRound(epoch.Add(wait), again[0], nil, 0)
 			}
-			qt.Assert(t, first > 0, qt.IsTrue, qt.Commentf("it is asked again after a second"))
+			qt.Assert(t, first > 0, qt.IsTrue, qt.Commentf("it must be asked first again after a second"))
 			return
 		}
 	}
-	t.Fatal("nobody borrows")
+	t.Fatal("no router borrows")
 }
 
-// TestExhaustedIsSaidOnceAllHaveAnswered has a router with a row in which all is granted to others. What they have unspent
-// it cannot know, and while one of them does not answer, there may be money.
-func TestExhaustedIsSaidOnceAllHaveAnswered(t *testing.T) {
+// TestExhaustedNeedsAnswersFromAllPeers has a router with a row that is granted to others entirely. It cannot know what
+// they have unspent, so while one of them does not answer there may be tokens left.
+func TestExhaustedNeedsAnswersFromAllPeers(t *testing.T) {
 	cases := map[string]struct {
 		unanswered int
 		want       treasurer.Verdict
@@ -182,7 +183,7 @@
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
-			b := newBench(t, 1000)
+			b := newHarness(t, 1000)
 			row := masticway.RowKey{Table: "masticway_accounts", Part: "0", Key: "w"}
 			b.rows.Put(row, []byte(`{"prepaid":1000,"version":1,"grants":{"one~1":{"granted":900}}}`))
 			b.run(3 * time.Second)
@@ -190,46 +191,46 @@
 			for _, instance := range []string{"edge", "one", "two", "three"} {
 				peers = append(peers, treasurer.Peer{Witness: treasurer.Witness{Incarnation: masticway.NewIncarnation(instance, "1"), Address: instance}})
 			}
-			b.purse.Count(4, peers)
-			id, replies := b.purse.Hold(b.now, "w", 500, b.now.Add(400*time.Millisecond))
-			b.note(replies)
+			b.planner.SetPeers(4, peers)
+			id, replies := b.planner.Hold(b.now, "w", 500, b.now.Add(400*time.Millisecond))
+			b.record(replies)
 			for range 20 {
 				b.run(30 * time.Millisecond)
-				for _, r := range b.purse.Borrowing(b.now) {
-					b.note(b.purse.Borrowed(b.now, r, nil, tc.unanswered))
+				for _, r := range b.planner.DueBorrowRounds(b.now) {
+					b.record(b.planner.CompleteBorrowRound(b.now, r, nil, tc.unanswered))
 				}
 			}
-			qt.Assert(t, b.answered[id], qt.DeepEquals, []treasurer.Verdict{tc.want})
+			qt.Assert(t, b.verdicts[id], qt.DeepEquals, []treasurer.Verdict{tc.want})
 		})
 	}
 }
 
-// TestLoanOfASuccessorGoesBackToIt has a lender that was restarted since the borrower counted the routers: its successor
-// lends, and what is not used goes back to that one. To the predecessor, nobody would take it.
-func TestLoanOfASuccessorGoesBackToIt(t *testing.T) {
-	peers := peersOf(103, 6, "1")
+// TestRepaymentGoesToActualLender has a lender that was restarted after the borrower counted the routers. Its successor
+// lends, so the unused part must be repaid to the successor; nobody would accept a repayment to the predecessor.
+func TestRepaymentGoesToActualLender(t *testing.T) {
+	peers := newPeers(103, 6, "1")
 	for _, router := range peers {
-		p := borrowerOf(router, peers, 1)
+		p := newBorrower(router, peers, 1)
 		id, _ := p.Hold(epoch, "w0", 100, epoch.Add(time.Minute))
-		for _, r := range p.Borrowing(epoch) {
+		for _, r := range p.DueBorrowRounds(epoch) {
 			successor := masticway.NewIncarnation(r.Lenders[0].Incarnation.Instance(), "2")
-			p.Borrowed(epoch, r, []treasurer.Loan{{Lender: successor, Address: r.Lenders[0].Address, Amount: r.Need}}, 0)
+			p.CompleteBorrowRound(epoch, r, []treasurer.Loan{{Lender: successor, Address: r.Lenders[0].Address, Amount: r.Need}}, 0)
 			p.Clear(epoch, id)
 			p.Settle(epoch, id, 60)
-			back := p.Repayments(epoch.Add(2 * time.Second))
-			qt.Assert(t, back, qt.HasLen, 1)
-			qt.Assert(t, back[0].Lender, qt.Equals, successor)
-			qt.Assert(t, back[0].Address, qt.Equals, r.Lenders[0].Address)
-			qt.Assert(t, back[0].Amount, qt.Equals, int64(40))
+			repayments := p.DueRepayments(epoch.Add(2 * time.Second))
+			qt.Assert(t, repayments, qt.HasLen, 1)
+			qt.Assert(t, repayments[0].Lender, qt.Equals, successor)
+			qt.Assert(t, repayments[0].Address, qt.Equals, r.Lenders[0].Address)
+			qt.Assert(t, repayments[0].Amount, qt.Equals, int64(40))
 			return
 		}
 	}
-	t.Fatal("nobody borrows")
+	t.Fatal("no router borrows")
 }
 
-// TestRowForgetsWhoHasGivenAllBack has a hundred routers that draw for a workspace while they do not know each other, and
-// give it back once they do.
-func TestRowForgetsWhoHasGivenAllBack(t *testing.T) {
+// TestRowDropsEmptyGrants has a hundred routers that draw grants of a workspace before they know each other, and return
+// them afterwards.
+func TestRowDropsEmptyGrants(t *testing.T) {
 	var row treasurer.Account
 	for i := range 100 {
 		row = row.WithGrant(masticway.NewIncarnation(fmt.Sprint(i), "1"), treasurer.Grant{Granted: 10, Demand: 1})
@@ -244,23 +245,24 @@
 	qt.Assert(t, row.Closed, qt.Equals, int64(7))
 }
 
-// TestRoutersThatStartTogetherDrawNothingAhead has a router that has counted few others yet: it is a holder of everything
-// by what it knows, and so is each of a hundred that start with it.
-func TestRoutersThatStartTogetherDrawNothingAhead(t *testing.T) {
-	b := newBench(t, 1_000_000)
-	b.purse.Count(2, peersOf(2, 1, "1"))
+// TestNoReserveDuringStartup has a router that knows few peers yet. It computes that it holds every workspace, and so does
+// each of a hundred routers that start with it.
+func TestNoReserveDuringStartup(t *testing.T) {
+	b := newHarness(t, 1_000_000)
+	b.planner.SetPeers(2, newPeers(2, 1, "1"))
 	b.run(1900 * time.Millisecond)
 	qt.Assert(t, b.account().Grants, qt.HasLen, 0)
 	b.run(300 * time.Millisecond)
 	qt.Assert(t, b.account().Grants, qt.HasLen, 1)
 }
 
-// TestNothingIsDrawnAheadWhileRoutersAreCounted has a router of a fleet that starts together count a few more others each second, for as
-// long as a store takes to bear the presences of hundreds. Each time it was a holder of workspaces that nobody had asked for, drew
-// for them and gave back when it knew better; 84 of one router's first 152 calls for money met another one's change.
-func TestNothingIsDrawnAheadWhileRoutersAreCounted(t *testing.T) {
-	b := newBench(t, 1_000_000)
-	all := peersOf(356, 6, "1")
+// TestNoReserveWhilePeersChange has a router that starts with a fleet and counts a few more peers each second, as long as
+// the store takes to accept the presences of hundreds of routers. After each count it was the holder of workspaces without
+// requests, drew grants for them and returned these after the next count; 84 of one router's first 152 store calls
+// conflicted with another router's change.
+func TestNoReserveWhilePeersChange(t *testing.T) {
+	b := newHarness(t, 1_000_000)
+	all := newPeers(356, 6, "1")
 	grants := 0
 	drive := func(span time.Duration) {
 		for ; span > 0; span -= 50 * time.Millisecond {
@@ -268,17 +270,17 @@
 				if s.Workspace != "" {
 					grants++
 				}
-				b.carryOut(s)
+				b.complete(s)
 			}
 		}
 	}
 	for known := 10; known <= 60; known += 10 {
-		b.purse.Count(known+1, all[:known])
+		b.planner.SetPeers(known+1, all[:known])
 		drive(time.Second)
 	}
 	qt.Assert(t, grants, qt.Equals, 0)
-	// Who is asked for money draws at once.
+	// With a request waiting, the grant is drawn at once.
 	id := b.hold(1000)
 	drive(500 * time.Millisecond)
-	qt.Assert(t, b.answered[id], qt.DeepEquals, []treasurer.Verdict{treasurer.VerdictHeld})
+	qt.Assert(t, b.verdicts[id], qt.DeepEquals, []treasurer.Verdict{treasurer.VerdictHeld})
 }
--- a/treasurer/watch.go
+++ b/treasurer/watch.go
@@ -11,102 +11,106 @@
 )
 
 const (
-	// feedMost is what the feed of all accounts may take of a router's link, in bytes a second: it has every change of every
-	// workspace, so that in a large fleet each router would read what all others write. Above it a router reads only the parts
-	// of the workspaces that it holds, one after the other.
-	feedMost = 60 << 10
-	// firstReads bounds the parts that all routers together read as they start: what the smallest stores answer in two seconds.
-	firstReads = 4000
-	// partsPause is how often each of these parts is read, partsPauseEach what each router adds to it, partsFor how long before
-	// the feed is tried again. What others change meanwhile a holder learns from the conflicts of its own changes.
-	partsPause     = 4 * time.Second
-	partsPauseEach = 30 * time.Millisecond
-	partsFor       = 2 * time.Minute
+	// maxWatchRate bounds the rate at which a router reads the watch of all accounts, in bytes a second. The watch returns
+	// every change of every workspace, so in a large fleet each router would read what all others write. Above this rate a
+	// router only polls the parts that have its own workspaces.
+	maxWatchRate = 60 << 10
+	// maxInitialReads bounds the parts that all routers together read as they start: it is what the smallest stores answer
+	// in two seconds.
+	maxInitialReads = 4000
+	// partsInterval is how often each of these parts is read, plus partsIntervalPerRouter for each router, and
+	// watchRetryInterval how long until the watch is tried again. Meanwhile a holder learns of other routers' changes from
+	// the conflicts of its own.
+	partsInterval          = 4 * time.Second
+	partsIntervalPerRouter = 30 * time.Millisecond
+	watchRetryInterval     = 2 * time.Minute
 )
 
-// follow learns what other routers do to the workspaces, so that reserves shrink in time and money comes back.
-func (t *Treasurer) follow(ctx context.Context) {
+// watchAccounts keeps the accounts up to date with other routers' changes, so that reserves shrink in time and returned
+// tokens are found.
+func (t *Treasurer) watchAccounts(ctx context.Context) {
 	for ctx.Err() == nil {
-		t.followFeed(ctx)
-		t.log.WithFields(logrus.Fields{"event": "accounts_by_parts", "for_ms": partsFor.Milliseconds()}).Info("the feed of all accounts takes too much; own parts are read")
-		t.readOwnParts(ctx, t.clock.Now().Add(partsFor))
+		t.watchAllAccounts(ctx)
+		t.log.WithFields(logrus.Fields{"event": "accounts_by_parts", "for_ms": watchRetryInterval.Milliseconds()}).Info("watch of all accounts exceeds its rate; polling own parts")
+		t.pollOwnParts(ctx, t.clock.Now().Add(watchRetryInterval))
 	}
 }
 
-// followFeed follows the changes of all accounts until the context ends or they take too much.
-func (t *Treasurer) followFeed(ctx context.Context) {
+// watchAllAccounts applies the changes of all accounts until the context is done or they exceed maxWatchRate.
+func (t *Treasurer) watchAllAccounts(ctx context.Context) {
 	since := int64(0)
-	read := average{}
+	traffic := average{}
 	for ctx.Err() == nil {
 		var reading masticway.RowReading
 		var err error
 		if since == 0 {
-			reading, err = t.readParts(ctx, t.firstParts())
+			reading, err = t.readParts(ctx, t.initialParts())
 		} else {
-			reading, err = t.store.Watch(ctx, masticway.WatchRequest{Table: tableAccounts, Since: since, MaxWait: followWait})
-			read.add(t.clock.Now(), float64(reading.Bytes()))
+			reading, err = t.store.Watch(ctx, masticway.WatchRequest{Table: tableAccounts, Since: since, MaxWait: watchWait})
+			traffic.add(t.clock.Now(), float64(reading.Bytes()))
 		}
-		if _, lost := errors.AsType[*masticway.HistoryLostError](err); lost {
+		if _, historyLost := errors.AsType[*masticway.HistoryLostError](err); historyLost {
 			since = 0
 		}
 		if err == nil {
 			since = max(since, reading.Version)
-			t.learn(reading.Rows)
+			t.applyChanges(reading.Rows)
 		}
-		if read.sum > feedMost*demandWindow.Seconds() {
+		if traffic.sum > maxWatchRate*demandWindow.Seconds() {
 			return
 		}
-		t.pause(ctx, followPause+time.Duration(t.Members())*followPauseEach)
+		t.sleep(ctx, watchInterval+time.Duration(t.Members())*watchIntervalPerRouter)
 	}
 }
 
-// readOwnParts reads the parts of the workspaces that this router holds, in turn, until some time.
-func (t *Treasurer) readOwnParts(ctx context.Context, until time.Time) {
+// pollOwnParts reads the parts with this router's workspaces in turn, until the given time.
+func (t *Treasurer) pollOwnParts(ctx context.Context, until time.Time) {
 	for ctx.Err() == nil && t.clock.Now().Before(until) {
 		parts := t.ownParts()
-		pause := max(partsPause, time.Duration(t.Members())*partsPauseEach)
+		interval := max(partsInterval, time.Duration(t.Members())*partsIntervalPerRouter)
 		for _, part := range parts {
-			// A failure is logged, and the part read again in its turn.
-			_ = t.step(ctx, Step{Part: part, sentAt: t.clock.Now()})
-			t.pause(ctx, pause/time.Duration(len(parts)))
+			// A failure is logged, and the part is read again in the next turn.
+			_ = t.runStep(ctx, Step{Part: part, sentAt: t.clock.Now()})
+			t.sleep(ctx, interval/time.Duration(len(parts)))
 		}
 		if len(parts) == 0 {
-			t.pause(ctx, pause)
+			t.sleep(ctx, interval)
 		}
 	}
 }
 
-// firstParts lists the parts that are read before their changes are followed: all, unless the routers of a large fleet that start
-// together would ask the store for too many.
-func (t *Treasurer) firstParts() []string {
+// initialParts lists the parts to read before the watch starts: all, unless the routers of a large fleet that start
+// together would exceed maxInitialReads.
+func (t *Treasurer) initialParts() []string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	all, own := t.purse.parts(), t.purse.ownParts()
-	if len(own) == 0 || len(all)*t.members <= firstReads {
+	all, own := t.planner.accountParts(), t.planner.ownParts()
+	if len(own) == 0 || len(all)*t.members <= maxInitialReads {
 		return all
 	}
 	return own
 }
 
-// ownParts lists the parts of the workspaces of which this router keeps money in hand.
+// ownParts lists the parts with workspaces of which this router has a grant or keeps a reserve.
 func (t *Treasurer) ownParts() []string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.purse.ownParts()
+	return t.planner.ownParts()
 }
 
-func (t *Treasurer) learn(rows []masticway.StoredRow) {
+func (t *Treasurer) applyChanges(rows []masticway.StoredRow) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	replies, err := t.purse.Learn(t.clock.Now(), rows)
-	t.answer(replies)
+	replies, err := t.planner.ApplyChanges(t.clock.Now(), rows)
+	t.deliver(replies)
 	if err != nil {
-		t.fault(err)
+		t.seal(err)
 	}
-	t.stir()
+	t.wakeUp()
 }
 
-// readParts reads some parts of the accounts; the version to follow from is that of the first reading, so that nothing is missed.
+// readParts reads some parts of the accounts. The version to watch from is that of the first read, so that no change is
+// missed.
 func (t *Treasurer) readParts(ctx context.Context, parts []string) (masticway.RowReading, error) {
 	var all masticway.RowReading
 	for i, part := range parts {
@@ -122,14 +126,14 @@
 	return all, nil
 }
 
-// logStatus writes what the money cost and brought so far, in calls and tokens.
+// logStatus logs the counters of store calls, loans and reports.
 func (t *Treasurer) logStatus() {
 	fields := logrus.Fields{"event": "money_status"}
 	for _, name := range []string{
-		metricSteps, metricFailures, metricConflicts, metricExhausted, metricUnreachable, metricMembers, metricBorrowed,
-		metricLent, metricNotRepaid, metricUnanswered, metricLendShort, metricLendLate, metricStated, metricRecalled,
+		metricStoreCalls, metricStoreFailures, metricConflicts, metricExhausted, metricUnreachable, metricRouters, metricBorrowed,
+		metricLent, metricNotRepaid, metricUnanswered, metricLendShort, metricLendUncleared, metricReports, metricRecalled,
 	} {
 		fields[name] = t.metrics.Count(name)
 	}
-	t.log.WithFields(fields).Info("money so far")
+	t.log.WithFields(fields).Info("status of prepaid budgets")
 }
