--- a/linker/message.go
+++ b/linker/message.go
@@ -39,18 +39,18 @@
 	Changes  *Changes         `cbor:"28,keyasint,omitempty"`
 	Want     *Want            `cbor:"29,keyasint,omitempty"`
 
-	Hold       *keeper.HoldRequest `cbor:"40,keyasint,omitempty"`
-	HoldIs     *HoldIs             `cbor:"41,keyasint,omitempty"`
-	Resize     *Resize             `cbor:"42,keyasint,omitempty"`
-	Settle     *Settle             `cbor:"43,keyasint,omitempty"`
-	Settled    *Settled            `cbor:"44,keyasint,omitempty"`
-	GiveBack   *GiveBack           `cbor:"45,keyasint,omitempty"`
-	Reach      *Reach              `cbor:"46,keyasint,omitempty"`
-	Reached    *Reached            `cbor:"47,keyasint,omitempty"`
-	WantConfig *WantConfig         `cbor:"48,keyasint,omitempty"`
-	Config     *configurer.Full    `cbor:"49,keyasint,omitempty"`
-	Explain    *Explain            `cbor:"50,keyasint,omitempty"`
-	Explained  *Explained          `cbor:"51,keyasint,omitempty"`
+	Hold       *keeper.HoldRequest       `cbor:"40,keyasint,omitempty"`
+	HoldIs     *HoldIs                   `cbor:"41,keyasint,omitempty"`
+	Resize     *Resize                   `cbor:"42,keyasint,omitempty"`
+	Settle     *Settle                   `cbor:"43,keyasint,omitempty"`
+	Settled    *Settled                  `cbor:"44,keyasint,omitempty"`
+	GiveBack   *GiveBack                 `cbor:"45,keyasint,omitempty"`
+	Reach      *Reach                    `cbor:"46,keyasint,omitempty"`
+	Reached    *Reached                  `cbor:"47,keyasint,omitempty"`
+	WantConfig *WantConfig               `cbor:"48,keyasint,omitempty"`
+	Config     *configurer.Configuration `cbor:"49,keyasint,omitempty"`
+	Explain    *Explain                  `cbor:"50,keyasint,omitempty"`
+	Explained  *Explained                `cbor:"51,keyasint,omitempty"`
 }
 
 // Beat is the heartbeat of either end, with what the other needs to know.
--- a/router/attempt.go
+++ b/router/attempt.go
@@ -51,7 +51,7 @@
 }
 
 // runAttempt makes one attempt at an upstream and waits until its fate is final or counts as unknown.
-func (x *exchange) runAttempt(ctx context.Context, p slot, work chooser.Work) attemptResult {
+func (x *exchange) runAttempt(ctx context.Context, p slot, work chooser.Request) attemptResult {
 	x.attempt++
 	began := x.r.clock.Now()
 	instance := p.upstream.Instance.ID
@@ -115,7 +115,7 @@
 }
 
 // relayRun relays a run's answer until its fate is final, or unknown because its sidecar cannot be reached.
-func (x *exchange) relayRun(ctx context.Context, f *feed, accepted bool, work chooser.Work) attemptResult {
+func (x *exchange) relayRun(ctx context.Context, f *feed, accepted bool, work chooser.Request) attemptResult {
 	accept := time.NewTimer(x.r.settings.AcceptTimeout.Std())
 	defer accept.Stop()
 	gone := x.callerDone
@@ -153,7 +153,7 @@
 }
 
 // handleEvent handles one event of a run. It reports in done whether the attempt has ended.
-func (x *exchange) handleEvent(ctx context.Context, f *feed, e runEvent, work chooser.Work) (end attemptResult, done bool) {
+func (x *exchange) handleEvent(ctx context.Context, f *feed, e runEvent, work chooser.Request) (end attemptResult, done bool) {
 	switch {
 	case e.chunk != nil:
 		x.handleChunk(f, *e.chunk, work)
@@ -173,7 +173,7 @@
 }
 
 // handleChunk relays the next chunk. It drops a duplicate, and fetches the missing chunks if there is a gap.
-func (x *exchange) handleChunk(f *feed, c masticway.Chunk, work chooser.Work) {
+func (x *exchange) handleChunk(f *feed, c masticway.Chunk, work chooser.Request) {
 	index := f.firstIndex + c.Index
 	if index < x.nextChunk {
 		return
--- a/router/bank.go
+++ b/router/bank.go
@@ -48,7 +48,7 @@
 
 	mu      sync.Mutex
 	keeper  *keeper.Keeper
-	limits  *limiter.Contracts
+	limits  *limiter.ContractLimiter
 	waiting map[masticway.HoldID]func(keeper.Reply)
 	// holdWorkspaces maps the holds that count as open in the contract limits to their workspaces.
 	holdWorkspaces map[masticway.HoldID]string
@@ -72,7 +72,7 @@
 		keeper: keeper.New(keeper.Settings{
 			Incarnation: self, Policy: s.Policy, Slices: s.Slices, IdleAfter: s.IdleAfter.Std(),
 		}, clock.Now()),
-		limits:         limiter.NewContracts(),
+		limits:         limiter.NewContractLimiter(),
 		waiting:        map[masticway.HoldID]func(keeper.Reply){},
 		holdWorkspaces: map[masticway.HoldID]string{},
 		links:          bookkeeper.Links{Incarnation: self, State: bookkeeper.LinksOpen},
@@ -358,7 +358,7 @@
 	now := b.clock.Now()
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.limits.Tick(now)
+	b.limits.EvictIdle(now)
 	b.apply(b.keeper.Tick(now))
 	budgets, holds := b.keeper.Size()
 	b.metrics.Gauge(metricBudgets, int64(budgets))
--- a/router/budgets.go
+++ b/router/budgets.go
@@ -18,7 +18,7 @@
 	// Stranded is set if the payer's lease has expired or is missing; Why explains it, or names what the recovery
 	// waits for.
 	Stranded bool   `json:"stranded,omitempty"`
-	Why      string `json:"why,omitempty"`
+	Reason   string `json:"why,omitempty"`
 }
 
 // BudgetStatus describes a budget and its grants.
@@ -32,8 +32,8 @@
 	Left      masticway.Amount `json:"left"`
 	Stranded  masticway.Amount `json:"stranded"`
 	Grants    []GrantStatus    `json:"grants"`
-	// Here is the position of the answering router.
-	Here *keeper.Position `json:"here,omitempty"`
+	// Local is the position of the answering router.
+	Local *keeper.Position `json:"here,omitempty"`
 }
 
 func (r *Router) showBudget(ctx context.Context, o operatorRequest) (any, error) {
@@ -57,20 +57,20 @@
 		status.Grants = append(status.Grants, s)
 	}
 	if p, ok := r.budgets.position(b.ID); ok {
-		status.Here = &p
+		status.Local = &p
 	}
 	return status, nil
 }
 
 func (r *Router) grantStatus(g bookkeeper.Grant, daemons []bookkeeper.Daemon) GrantStatus {
-	s := GrantStatus{Payer: g.Payer, Open: g.Open(), Stranded: true, Why: "no lease row"}
+	s := GrantStatus{Payer: g.Payer, Open: g.Open(), Stranded: true, Reason: "no lease row"}
 	now := r.clock.Now()
 	for _, d := range daemons {
 		if d.Incarnation == g.Payer && d.Lease.After(now) {
-			s.Stranded, s.Why = false, ""
+			s.Stranded, s.Reason = false, ""
 		}
 		if d.Incarnation == g.Payer && !d.Lease.After(now) {
-			s.Why = "lease ran out"
+			s.Reason = "lease ran out"
 		}
 	}
 	if !s.Stranded {
@@ -79,7 +79,7 @@
 	for _, d := range daemons {
 		for part := range strings.SplitSeq(d.Stranded, "; ") {
 			if strings.HasPrefix(part, string(g.Payer)+" ") {
-				s.Why = part
+				s.Reason = part
 			}
 		}
 	}
--- a/router/join.go
+++ b/router/join.go
@@ -44,7 +44,7 @@
 	f := x.newFeed(x.found.conn.Peer())
 	defer x.r.upstreams.feeds.remove(f)
 	_ = x.found.conn.Send(linker.Message{Attach: &sealer.Attach{Run: f.run, From: 0}})
-	e := x.relayRun(ctx, f, true, chooser.Work{})
+	e := x.relayRun(ctx, f, true, chooser.Request{})
 	if e.final != nil && e.final.Complete {
 		x.step(eventFinished)
 		return result{outcome: e.final.Outcome, usage: x.usage(e.final)}, nil
--- a/router/operators.go
+++ b/router/operators.go
@@ -147,7 +147,7 @@
 			Message string         `json:"message"`
 			Run     masticway.Fate `json:"run"`
 		}{"revision_conflict", e.Error(), masticway.FateNotRun},
-		State: configurer.Standing(e, false), Revision: e.Current, Contract: e.Contract,
+		State: configurer.ChangeState(e, false), Revision: e.Current, Contract: e.Contract,
 	})
 }
 
@@ -244,7 +244,7 @@
 		return nil, err
 	}
 	r.wg.Go(r.pollConfig)
-	return ChangeAnswer{Revision: accepted.Revision, ID: accepted.ID, State: configurer.Standing(nil, false)}, nil
+	return ChangeAnswer{Revision: accepted.Revision, ID: accepted.ID, State: configurer.ChangeState(nil, false)}, nil
 }
 
 func (r *Router) configHistory(ctx context.Context, _ operatorRequest) (any, error) {
@@ -284,7 +284,7 @@
 		}
 	}
 	status.InForce = len(status.Behind) == 0
-	status.State = configurer.Standing(nil, status.InForce)
+	status.State = configurer.ChangeState(nil, status.InForce)
 	return status, nil
 }
 
--- a/router/router.go
+++ b/router/router.go
@@ -122,7 +122,7 @@
 		journal:       biller.NewJournal(self),
 		auditor:       biller.NewAuditor(),
 		configApplied: make(chan struct{}, 1),
-		retrier:       retrier.New(retrier.Settings{Policy: s.Retry.Policy, CountedLimit: s.Retry.Limit}),
+		retrier:       retrier.New(retrier.Settings{Policy: s.Retry.Policy, MaxCountedRetries: s.Retry.Limit}),
 		sealed:        make(chan struct{}),
 		ctx:           ctx, stop: stop,
 	}
--- a/starter/meeting_test.go
+++ b/starter/meeting_test.go
@@ -47,10 +47,10 @@
 					row, err := book.Daemon(context.Background(), r.Daemon.Incarnation())
 					return err == nil && row.Applied > 0
 				})
-				qt.Assert(t, r.Daemon.Ready(), qt.IsFalse)
+				qt.Assert(t, r.Daemon.IsReady(), qt.IsFalse)
 				b.Network.Heal(b.Routers()[0].Name, second)
 			}
-			b.eventually("it serves", r.Daemon.Ready)
+			b.eventually("it serves", r.Daemon.IsReady)
 			if !tc.isReachable {
 				return
 			}
