--- a/biller/biller.go
+++ b/biller/biller.go
@@ -10,24 +10,25 @@
 )
 
 const (
-	// prefix is where batches of bills lie in the object store.
-	prefix = "journal/"
-	// seenFor is how long the reader remembers an identity.
-	seenFor = 30 * time.Minute
-	// readFor is how long it remembers a batch; it lists no batch older than two hours.
-	readFor = 3 * time.Hour
+	// journalPrefix is the prefix of the names of batches of bills in the object store.
+	journalPrefix = "journal/"
+	// identityTTL is how long the auditor keeps an identity after its bill, and a hold after its bill was read.
+	identityTTL = 30 * time.Minute
+	// batchTTL is how long the auditor keeps the name of a batch that it has read. It lists no batch that is older than two
+	// hours.
+	batchTTL = 3 * time.Hour
 )
 
-// Kind tells what a bill is for.
+// Kind is the kind of work that a bill charges.
 type Kind string
 
 // The kinds of bills.
 const (
-	// KindFinal bills a request that was answered.
+	// KindFinal is for a request that was answered.
 	KindFinal Kind = "final"
-	// KindPart bills a part of a request whose answer went on under another hold.
+	// KindPart is for a part of a request whose answer was continued under another hold.
 	KindPart Kind = "part"
-	// KindSuperseded bills work whose answer nobody got, because the request went on elsewhere.
+	// KindSuperseded is for work whose answer was not used, because the request was run elsewhere.
 	KindSuperseded Kind = "superseded"
 )
 
@@ -40,24 +41,24 @@
 	Payer    masticway.Incarnation `json:"payer"`
 	Kind     Kind                  `json:"kind"`
 	Cost     masticway.Amount      `json:"cost"`
-	// Presumed is the part of the cost that a vanished sidecar may have run.
+	// Presumed is the part of the cost of which it is unknown whether a lost sidecar ran it.
 	Presumed masticway.Amount `json:"presumed,omitempty"`
 	Usage    masticway.Usage  `json:"usage"`
 	At       time.Time        `json:"at"`
 }
 
-// pendingMost bounds the bills that wait for the object store, at about 400 bytes each.
-const pendingMost = 65536
+// maxPendingBills limits the bills that wait for the object store; each needs about 400 bytes.
+const maxPendingBills = 65536
 
-// NewJournal returns the batches of bills that an incarnation writes.
+// NewJournal returns a Batcher for the bills of an incarnation.
 func NewJournal(owner masticway.Incarnation) *batcher.Batcher[Bill] {
-	return batcher.New[Bill](prefix, owner, pendingMost)
+	return batcher.New[Bill](journalPrefix, owner, maxPendingBills)
 }
 
-// Bucket names the hour of the journal, so that readers look at recent hours only.
+// Bucket returns the part of a batch's name for the hour of now. It lets auditors list only the batches of recent hours.
 func Bucket(now time.Time) string { return now.UTC().Format("2006010215") + "/" }
 
-// Refund is money to give back for a double bill.
+// Refund is money to return for a double or superseded bill.
 type Refund struct {
 	Budget   string
 	Identity masticway.Identity
@@ -65,28 +66,28 @@
 	Amount   masticway.Amount
 }
 
-// Auditor finds double bills; it is not safe for concurrent use.
+// Auditor finds double bills. It is not safe for concurrent use.
 type Auditor struct {
-	first map[masticway.Identity]Bill
-	holds map[masticway.HoldID]time.Time
-	read  map[string]time.Time
-	again []Refund
+	first     map[masticway.Identity]Bill
+	seenHolds map[masticway.HoldID]time.Time
+	readAt    map[string]time.Time
+	retries   []Refund
 }
 
 // NewAuditor returns an auditor that has read nothing.
 func NewAuditor() *Auditor {
-	return &Auditor{first: map[masticway.Identity]Bill{}, holds: map[masticway.HoldID]time.Time{}, read: map[string]time.Time{}}
+	return &Auditor{first: map[masticway.Identity]Bill{}, seenHolds: map[masticway.HoldID]time.Time{}, readAt: map[string]time.Time{}}
 }
 
-// Take reads bills and returns what must be given back; a hold is considered once.
+// Take returns the refunds that are due for bills, and those to be retried. It considers each hold only once.
 func (a *Auditor) Take(now time.Time, bills []Bill) []Refund {
-	refunds := a.again
-	a.again = nil
+	refunds := a.retries
+	a.retries = nil
 	for _, b := range bills {
-		if _, seen := a.holds[b.Hold]; seen || b.Cost == 0 {
+		if _, seen := a.seenHolds[b.Hold]; seen || b.Cost == 0 {
 			continue
 		}
-		a.holds[b.Hold] = now
+		a.seenHolds[b.Hold] = now
 		if b.Kind == KindSuperseded {
 			refunds = append(refunds, refundOf(b))
 			continue
@@ -100,40 +101,41 @@
 		}
 		a.first[b.Identity] = b
 	}
-	a.forget(now)
+	a.evict(now)
 	return refunds
 }
 
-// Retry lets a refund that the table did not take come up again.
-func (a *Auditor) Retry(f Refund) { a.again = append(a.again, f) }
+// Retry queues a refund that could not be written to the table, to be returned again with the next refunds.
+func (a *Auditor) Retry(f Refund) { a.retries = append(a.retries, f) }
 
 func refundOf(b Bill) Refund {
 	return Refund{Budget: b.Budget, Identity: b.Identity, Hold: b.Hold, Amount: b.Cost}
 }
 
-func (a *Auditor) forget(now time.Time) {
+// evict drops identities, holds and names of batches that have expired.
+func (a *Auditor) evict(now time.Time) {
 	for identity, b := range a.first {
-		if now.Sub(b.At) > seenFor {
+		if now.Sub(b.At) > identityTTL {
 			delete(a.first, identity)
 		}
 	}
-	for n, at := range a.read {
-		if now.Sub(at) > readFor {
-			delete(a.read, n)
+	for n, at := range a.readAt {
+		if now.Sub(at) > batchTTL {
+			delete(a.readAt, n)
 		}
 	}
-	for h, at := range a.holds {
-		if now.Sub(at) > seenFor {
-			delete(a.holds, h)
+	for h, at := range a.seenHolds {
+		if now.Sub(at) > identityTTL {
+			delete(a.seenHolds, h)
 		}
 	}
 }
 
-// ReadNew reads the batches that this auditor has not read yet.
+// ReadNew returns the bills of the batches of the current and the previous hour that this auditor has not read yet.
 func (a *Auditor) ReadNew(ctx context.Context, store masticway.ObjectStore, now time.Time) ([]Bill, error) {
 	var names []string
 	for _, hour := range []time.Time{now.Add(-time.Hour), now} {
-		list, err := store.List(ctx, prefix+Bucket(hour))
+		list, err := store.List(ctx, journalPrefix+Bucket(hour))
 		if err != nil {
 			return nil, fmt.Errorf("listing bills: %w", err)
 		}
@@ -141,7 +143,7 @@
 	}
 	var bills []Bill
 	for _, n := range names {
-		if _, seen := a.read[n]; seen {
+		if _, seen := a.readAt[n]; seen {
 			continue
 		}
 		batch, err := batcher.Read[Bill](ctx, store, n)
@@ -149,7 +151,7 @@
 			return bills, err
 		}
 		bills = append(bills, batch...)
-		a.read[n] = now
+		a.readAt[n] = now
 	}
 	return bills, nil
 }
