--- a/router/budgets.go
+++ b/router/budgets.go
@@ -41,13 +41,13 @@
 	if err != nil {
 		return nil, err
 	}
-	daemons, err := r.book.Daemons(ctx)
+	daemons, err := r.book.Leases(ctx)
 	if err != nil {
 		return nil, err
 	}
 	status := BudgetStatus{
-		Budget: b.ID, Prepaid: b.Prepaid, Settled: b.Settled, Presumed: b.Presumed, GivenBack: b.GivenBack,
-		Granted: b.Open(), Left: b.Left(), Grants: []GrantStatus{},
+		Budget: b.ID, Prepaid: b.Prepaid, Settled: b.Settled, Presumed: b.Presumed, GivenBack: b.Refunded,
+		Granted: b.OpenAmount(), Left: b.Remaining(), Grants: []GrantStatus{},
 	}
 	for _, g := range b.Grants {
 		s := r.grantStatus(g, daemons)
@@ -62,14 +62,14 @@
 	return status, nil
 }
 
-func (r *Router) grantStatus(g bookkeeper.Grant, daemons []bookkeeper.Daemon) GrantStatus {
-	s := GrantStatus{Payer: g.Payer, Open: g.Open(), Stranded: true, Reason: "no lease row"}
+func (r *Router) grantStatus(g bookkeeper.Grant, daemons []bookkeeper.RouterLease) GrantStatus {
+	s := GrantStatus{Payer: g.Payer, Open: g.OpenAmount(), Stranded: true, Reason: "no lease row"}
 	now := r.clock.Now()
 	for _, d := range daemons {
-		if d.Incarnation == g.Payer && d.Lease.After(now) {
+		if d.Incarnation == g.Payer && d.ExpiresAt.After(now) {
 			s.Stranded, s.Reason = false, ""
 		}
-		if d.Incarnation == g.Payer && !d.Lease.After(now) {
+		if d.Incarnation == g.Payer && !d.ExpiresAt.After(now) {
 			s.Reason = "lease ran out"
 		}
 	}
@@ -77,7 +77,7 @@
 		return s
 	}
 	for _, d := range daemons {
-		for part := range strings.SplitSeq(d.Stranded, "; ") {
+		for part := range strings.SplitSeq(d.BlockedRecoveries, "; ") {
 			if strings.HasPrefix(part, string(g.Payer)+" ") {
 				s.Reason = part
 			}
--- a/router/exchange.go
+++ b/router/exchange.go
@@ -242,7 +242,7 @@
 type attemptResult struct {
 	fate  masticway.Fate
 	cause retrier.Cause
-	final *sealer.Final
+	final *sealer.RunResult
 	// existing is the run that already has the identity.
 	existing *masticway.RunKey
 	// needsNewHold is set if an incarnation that the dispatch names is sealed, so that another hold is needed.
@@ -293,7 +293,7 @@
 }
 
 // usage returns the usage of the whole answer over all attempts.
-func (x *exchange) usage(f *sealer.Final) masticway.Usage {
+func (x *exchange) usage(f *sealer.RunResult) masticway.Usage {
 	u := f.Outcome.Usage
 	if x.promptTokens > 0 {
 		u.Prompt = x.promptTokens
--- a/router/upstreams.go
+++ b/router/upstreams.go
@@ -267,10 +267,10 @@
 // It waits up to two thirds of SuspectAfter, the silence after which a sidecar gets no new work, because a slow sidecar may have
 // the run. It must not wait longer: a request that is then dispatched to a sidecar that has been cut off must still learn that
 // its fate is unknown.
-func (u *upstreams) findRun(ctx context.Context, identity masticway.Identity) (status sealer.Status, conn *linker.Conn, complete bool) {
+func (u *upstreams) findRun(ctx context.Context, identity masticway.Identity) (status sealer.RunStatus, conn *linker.Conn, complete bool) {
 	conns := u.allConns()
 	type finding struct {
-		status sealer.Status
+		status sealer.RunStatus
 		conn   *linker.Conn
 	}
 	found := make(chan finding, len(conns))
@@ -291,7 +291,7 @@
 	for range conns {
 		f := <-found
 		complete = complete && f.conn != nil
-		if f.status.Known && (best.conn == nil || f.status.Run.Attempt > best.status.Run.Attempt) {
+		if f.status.Found && (best.conn == nil || f.status.Run.Attempt > best.status.Run.Attempt) {
 			best = f
 		}
 	}
