--- a/emulator/deployment.go
+++ b/emulator/deployment.go
@@ -11,9 +11,9 @@
 )
 
 //go:embed deployment.json.tmpl
-var deploymentText string
+var deploymentTemplateText string
 
-var deploymentTemplate = template.Must(template.New("deployment").Parse(deploymentText))
+var deploymentTemplate = template.Must(template.New("deployment").Parse(deploymentTemplateText))
 
 // What the template of a deployment says.
 const (
@@ -45,15 +45,17 @@
 }
 
 // Register writes a server's registration, as one that is ready or that is leaving.
-func (s *OpaqueServer) Register(rows *Rows, pool, zone string, leaving bool) {
+func (s *OpaqueServer) Register(rows *Rows, pool, zone string, draining bool) {
 	state := "ready"
-	if leaving {
+	if draining {
 		state = "draining"
 	}
-	rows.Put(s.key(), fmt.Appendf(nil, `{"service":%q,"address":%q,"zone":%q,"slots":32,"state":%q}`, pool, s.Address(), zone, state))
+	rows.Put(s.registrationKey(), fmt.Appendf(nil, `{"service":%q,"address":%q,"zone":%q,"slots":32,"state":%q}`, pool, s.Address(), zone, state))
 }
 
 // Deregister removes a server's registration.
-func (s *OpaqueServer) Deregister(rows *Rows) { rows.Delete(s.key()) }
+func (s *OpaqueServer) Deregister(rows *Rows) { rows.Delete(s.registrationKey()) }
 
-func (s *OpaqueServer) key() masticway.RowKey { return masticway.RowKey{Table: "servers", Key: s.ID} }
+func (s *OpaqueServer) registrationKey() masticway.RowKey {
+	return masticway.RowKey{Table: "servers", Key: s.ID}
+}
--- a/emulator/engine.go
+++ b/emulator/engine.go
@@ -76,25 +76,25 @@
 type Engine struct {
 	settings EngineSettings
 
-	mu      sync.Mutex
-	faults  EngineFaults
-	counts  EngineCounts
-	running int
-	waiting admissionQueue
-	serial  int64
-	cache   map[uint64]int64
-	clock   int64
-	history []masticway.LoadReport
-	fence   int64
-	broken  chan struct{}
-	// prefilling holds the one place for a prefill.
-	prefilling chan struct{}
+	mu         sync.Mutex
+	faults     EngineFaults
+	counts     EngineCounts
+	running    int
+	waiting    admissionQueue
+	lastTicket int64
+	cache      map[uint64]int64
+	cacheTick  int64
+	reports    []masticway.LoadReport
+	fence      int64
+	down       chan struct{}
+	// prefillSlot holds the one place for a prefill.
+	prefillSlot chan struct{}
 }
 
 type admission struct {
 	priority int
-	serial   int64
-	ready    chan struct{}
+	ticket   int64
+	admitted chan struct{}
 	index    int
 }
 
@@ -105,7 +105,7 @@
 	if q[i].priority != q[j].priority {
 		return q[i].priority > q[j].priority
 	}
-	return q[i].serial < q[j].serial
+	return q[i].ticket < q[j].ticket
 }
 func (q admissionQueue) Swap(i, j int) {
 	q[i], q[j] = q[j], q[i]
@@ -128,7 +128,7 @@
 // NewEngine returns an idle engine.
 func NewEngine(s EngineSettings) *Engine {
 	return &Engine{
-		settings: s, cache: map[uint64]int64{}, broken: make(chan struct{}), prefilling: make(chan struct{}, 1),
+		settings: s, cache: map[uint64]int64{}, down: make(chan struct{}), prefillSlot: make(chan struct{}, 1),
 		counts: EngineCounts{Owners: map[string]OwnerCounts{}},
 	}
 }
@@ -138,10 +138,10 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if f.Down && !e.faults.Down {
-		close(e.broken)
+		close(e.down)
 	}
 	if !f.Down && e.faults.Down {
-		e.broken = make(chan struct{})
+		e.down = make(chan struct{})
 	}
 	e.faults = f
 }
@@ -172,25 +172,25 @@
 // Handler serves the engine's protocol and its fault switch.
 func (e *Engine) Handler() http.Handler {
 	mux := http.NewServeMux()
-	mux.HandleFunc("POST /v1/chat/completions", e.complete)
-	handle(mux, "/tokenize", func(_ *http.Request, in struct {
+	mux.HandleFunc("POST /v1/chat/completions", e.serveCompletion)
+	handleJSON(mux, "/tokenize", func(_ *http.Request, in struct {
 		Messages []Message `json:"messages"`
 	}) (any, error) {
 		return struct {
 			Count int `json:"count"`
 		}{CountTokens(in.Messages)}, nil
 	})
-	handle(mux, "/load", func(*http.Request, struct{}) (any, error) { return e.report(), nil })
-	handle(mux, "/orders", func(_ *http.Request, o masticway.Order) (any, error) { return struct{}{}, e.order(o) })
-	handle(mux, "/faults", func(_ *http.Request, f EngineFaults) (any, error) {
+	handleJSON(mux, "/load", func(*http.Request, struct{}) (any, error) { return e.report(), nil })
+	handleJSON(mux, "/orders", func(_ *http.Request, o masticway.Order) (any, error) { return struct{}{}, e.applyOrder(o) })
+	handleJSON(mux, "/faults", func(_ *http.Request, f EngineFaults) (any, error) {
 		e.SetFaults(f)
 		return struct{}{}, nil
 	})
-	handle(mux, "/counts", func(*http.Request, struct{}) (any, error) { return e.Counts(), nil })
+	handleJSON(mux, "/counts", func(*http.Request, struct{}) (any, error) { return e.Counts(), nil })
 	return mux
 }
 
-func (e *Engine) order(o masticway.Order) error {
+func (e *Engine) applyOrder(o masticway.Order) error {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if o.Fence < e.fence && !e.settings.IgnoreFences {
@@ -213,30 +213,30 @@
 	if !e.faults.HideCache {
 		current.Prefixes = e.recentPrefixes()
 	}
-	e.history = append(e.history, current)
-	old := e.history[0]
-	for len(e.history) > 1 && now.Sub(e.history[1].ReportedAt) >= e.settings.ReportLag {
-		e.history = e.history[1:]
-		old = e.history[0]
+	e.reports = append(e.reports, current)
+	reported := e.reports[0]
+	for len(e.reports) > 1 && now.Sub(e.reports[1].ReportedAt) >= e.settings.ReportLag {
+		e.reports = e.reports[1:]
+		reported = e.reports[0]
 	}
-	return old
+	return reported
 }
 
-// reportedPrefixes bounds the prefixes in one report.
-const reportedPrefixes = 16
+// maxReportedPrefixes bounds the prefixes in one report.
+const maxReportedPrefixes = 16
 
 func (e *Engine) recentPrefixes() []uint64 {
 	var recent []uint64
 	for h, used := range e.cache {
-		if e.clock-used < reportedPrefixes {
+		if e.cacheTick-used < maxReportedPrefixes {
 			recent = append(recent, h)
 		}
 	}
 	slices.Sort(recent)
-	return recent[:min(len(recent), reportedPrefixes)]
+	return recent[:min(len(recent), maxReportedPrefixes)]
 }
 
-type completion struct {
+type completionRequest struct {
 	Messages     []Message       `json:"-"`
 	Raw          json.RawMessage `json:"messages"`
 	MaxTokens    int             `json:"max_tokens"`
@@ -244,8 +244,8 @@
 	ResumeTokens int             `json:"resume_tokens"`
 }
 
-func (e *Engine) complete(w http.ResponseWriter, r *http.Request) {
-	var in completion
+func (e *Engine) serveCompletion(w http.ResponseWriter, r *http.Request) {
+	var in completionRequest
 	if err := json.NewDecoder(r.Body).Decode(&in); err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
@@ -255,18 +255,18 @@
 		return
 	}
 	e.mu.Lock()
-	broken := e.broken
-	down := e.faults.Down
+	down := e.down
+	isDown := e.faults.Down
 	e.mu.Unlock()
-	if down {
+	if isDown {
 		http.Error(w, "engine down", http.StatusServiceUnavailable)
 		return
 	}
 	if !e.admit(r.Context(), in.Priority) {
 		return
 	}
-	defer e.leave()
-	e.stream(r.Context(), w, in, broken)
+	defer e.releaseSlot()
+	e.streamAnswer(r.Context(), w, in, down)
 }
 
 // admit waits for a place in the batch; higher priorities go first.
@@ -277,12 +277,12 @@
 		e.mu.Unlock()
 		return true
 	}
-	e.serial++
-	a := &admission{priority: priority, serial: e.serial, ready: make(chan struct{})}
+	e.lastTicket++
+	a := &admission{priority: priority, ticket: e.lastTicket, admitted: make(chan struct{})}
 	heap.Push(&e.waiting, a)
 	e.mu.Unlock()
 	select {
-	case <-a.ready:
+	case <-a.admitted:
 		return true
 	case <-ctx.Done():
 	}
@@ -292,33 +292,33 @@
 		heap.Remove(&e.waiting, a.index)
 		return false
 	}
-	e.release()
+	e.releaseSlotLocked()
 	return false
 }
 
-func (e *Engine) leave() {
+func (e *Engine) releaseSlot() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.release()
+	e.releaseSlotLocked()
 }
 
-func (e *Engine) release() {
+func (e *Engine) releaseSlotLocked() {
 	if len(e.waiting) == 0 {
 		e.running--
 		return
 	}
 	a := heap.Pop(&e.waiting).(*admission)
-	close(a.ready)
+	close(a.admitted)
 }
 
-// prefill looks the prompt up in the prefix cache and returns the tokens still to be computed.
-func (e *Engine) prefill(in completion) (todo, cached int) {
-	total := CountTokens(in.Messages)
+// lookUpPrompt looks the prompt up in the prefix cache and returns the tokens still to be computed.
+func (e *Engine) lookUpPrompt(in completionRequest) (uncached, cached int) {
+	promptTokens := CountTokens(in.Messages)
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.counts.Runs++
 	if in.ResumeTokens == 0 {
-		e.counts.add(in.Messages, int64(total), 0)
+		e.counts.add(in.Messages, int64(promptTokens), 0)
 	}
 	prefixes := chooser.Prefixes(in.Raw)
 	for _, h := range prefixes {
@@ -329,44 +329,44 @@
 	}
 	// The deepest blocks count as used first, so that a prompt's own end is evicted before what it shares.
 	for i := len(prefixes) - 1; i >= 0; i-- {
-		e.clock++
-		e.cache[prefixes[i]] = e.clock
+		e.cacheTick++
+		e.cache[prefixes[i]] = e.cacheTick
 	}
-	e.evict()
-	cached = min(cached, total)
+	e.evictOldest()
+	cached = min(cached, promptTokens)
 	e.counts.CacheHits += int64(cached)
-	return total - cached + in.ResumeTokens, cached
+	return promptTokens - cached + in.ResumeTokens, cached
 }
 
-func (e *Engine) evict() {
+func (e *Engine) evictOldest() {
 	for len(e.cache) > e.settings.CacheBlocks {
 		var oldest uint64
-		at := e.clock + 1
+		oldestTick := e.cacheTick + 1
 		for h, used := range e.cache {
-			if used < at {
-				oldest, at = h, used
+			if used < oldestTick {
+				oldest, oldestTick = h, used
 			}
 		}
 		delete(e.cache, oldest)
 	}
 }
 
-func (e *Engine) stream(ctx context.Context, w http.ResponseWriter, in completion, broken chan struct{}) {
+func (e *Engine) streamAnswer(ctx context.Context, w http.ResponseWriter, in completionRequest, down chan struct{}) {
 	flusher := w.(http.Flusher)
 	w.Header().Set("Content-Type", "text/event-stream")
-	todo, cached := e.prefill(in)
-	if !e.compute(ctx, broken, time.Duration(todo)*e.settings.PrefillTime) {
+	uncached, cached := e.lookUpPrompt(in)
+	if !e.runPrefill(ctx, down, time.Duration(uncached)*e.settings.PrefillTime) {
 		panic(http.ErrAbortHandler)
 	}
-	total := CountTokens(in.Messages)
-	fmt.Fprintf(w, "data: {\"choices\":[],\"usage\":{\"prompt_tokens\":%d,\"completion_tokens\":0,\"prompt_tokens_details\":{\"cached_tokens\":%d}}}\n\n", total, cached)
+	promptTokens := CountTokens(in.Messages)
+	fmt.Fprintf(w, "data: {\"choices\":[],\"usage\":{\"prompt_tokens\":%d,\"completion_tokens\":0,\"prompt_tokens_details\":{\"cached_tokens\":%d}}}\n\n", promptTokens, cached)
 	flusher.Flush()
-	if e.breaks() {
+	if e.takeBreakFault() {
 		panic(http.ErrAbortHandler)
 	}
-	length := min(in.MaxTokens, NaturalLength(in.Messages))
-	for i := in.ResumeTokens; i < length; i++ {
-		if !e.pause(ctx, broken, e.settings.TokenTime) {
+	answerTokens := min(in.MaxTokens, NaturalLength(in.Messages))
+	for i := in.ResumeTokens; i < answerTokens; i++ {
+		if !e.wait(ctx, down, e.settings.TokenTime) {
 			panic(http.ErrAbortHandler)
 		}
 		e.mu.Lock()
@@ -376,15 +376,15 @@
 		flusher.Flush()
 	}
 	reason := "stop"
-	if length < NaturalLength(in.Messages) {
+	if answerTokens < NaturalLength(in.Messages) {
 		reason = "length"
 	}
-	fmt.Fprintf(w, "data: {\"choices\":[{\"delta\":{},\"finish_reason\":%q}],\"usage\":{\"prompt_tokens\":%d,\"completion_tokens\":%d}}\n\n", reason, total, length-in.ResumeTokens)
+	fmt.Fprintf(w, "data: {\"choices\":[{\"delta\":{},\"finish_reason\":%q}],\"usage\":{\"prompt_tokens\":%d,\"completion_tokens\":%d}}\n\n", reason, promptTokens, answerTokens-in.ResumeTokens)
 	fmt.Fprint(w, "data: [DONE]\n\n")
 }
 
-// breaks tells whether this stream breaks off before its first token.
-func (e *Engine) breaks() bool {
+// takeBreakFault tells whether this stream breaks off before its first token.
+func (e *Engine) takeBreakFault() bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.faults.BreakAfterCount == 0 {
@@ -394,28 +394,28 @@
 	return true
 }
 
-// compute waits for a prefill; prefills of one engine share its compute, so they go one after the other.
-func (e *Engine) compute(ctx context.Context, broken chan struct{}, d time.Duration) bool {
+// runPrefill waits for a prefill; prefills of one engine share its compute, so they go one after the other.
+func (e *Engine) runPrefill(ctx context.Context, down chan struct{}, d time.Duration) bool {
 	select {
-	case e.prefilling <- struct{}{}:
+	case e.prefillSlot <- struct{}{}:
 	case <-ctx.Done():
 		return false
-	case <-broken:
+	case <-down:
 		return false
 	}
-	defer func() { <-e.prefilling }()
-	return e.pause(ctx, broken, d)
+	defer func() { <-e.prefillSlot }()
+	return e.wait(ctx, down, d)
 }
 
-// pause waits for compute time; it reports false when the caller has gone or the engine has failed.
-func (e *Engine) pause(ctx context.Context, broken chan struct{}, d time.Duration) bool {
+// wait waits for compute time; it reports false when the caller has gone or the engine has failed.
+func (e *Engine) wait(ctx context.Context, down chan struct{}, d time.Duration) bool {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return false
-		case <-broken:
+		case <-down:
 			return false
 		case <-timer.C:
 		}
@@ -429,5 +429,5 @@
 	}
 }
 
-// defaultLength is the length of an answer whose prompt does not say.
-const defaultLength = 40
+// defaultAnswerTokens is the length of an answer whose prompt does not say.
+const defaultAnswerTokens = 40
--- a/emulator/link.go
+++ b/emulator/link.go
@@ -7,24 +7,24 @@
 	"time"
 )
 
-// linkPiece is what a link carries for one connection before it turns to the next, 8 KB.
-const linkPiece = 8 << 10
+// chunkBytes is what a link carries for one connection before it turns to the next, 8 KB.
+const chunkBytes = 8 << 10
 
 // Link is the network interface of one machine: what arrives on all of its connections shares one rate.
 type Link struct {
-	rate int64
+	bytesPerSecond int64
 
-	mu        sync.Mutex
-	free      time.Time
-	carried   int64
-	listeners []net.Listener
-	conns     map[net.Conn]bool
-	closed    bool
-	wg        sync.WaitGroup
+	mu            sync.Mutex
+	nextFree      time.Time
+	receivedBytes int64
+	listeners     []net.Listener
+	conns         map[net.Conn]bool
+	closed        bool
+	wg            sync.WaitGroup
 }
 
 // NewLink returns a link that lets in so many bytes a second.
-func NewLink(rate int64) *Link { return &Link{rate: rate, conns: map[net.Conn]bool{}} }
+func NewLink(rate int64) *Link { return &Link{bytesPerSecond: rate, conns: map[net.Conn]bool{}} }
 
 // To opens an address behind which a target (host and port) is reached through the link; it fails with the listener's error.
 func (l *Link) To(target string) (string, error) {
@@ -43,7 +43,7 @@
 func (l *Link) Carried() int64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.carried
+	return l.receivedBytes
 }
 
 // Close ends the link and everything on it.
@@ -62,31 +62,31 @@
 
 func (l *Link) accept(listener net.Listener, target string) {
 	for {
-		near, err := listener.Accept()
+		caller, err := listener.Accept()
 		if err != nil {
 			return
 		}
-		far, err := net.Dial("tcp", target)
+		upstream, err := net.Dial("tcp", target)
 		if err != nil {
-			near.Close()
+			caller.Close()
 			continue
 		}
-		if !l.keep(near, far) {
+		if !l.track(caller, upstream) {
 			return
 		}
 		l.wg.Go(func() {
 			// Whichever side ends first ends both; the reason is of no use to either.
-			_, _ = io.Copy(far, near)
-			l.drop(near, far)
+			_, _ = io.Copy(upstream, caller)
+			l.closeConns(caller, upstream)
 		})
 		l.wg.Go(func() {
-			l.carry(near, far)
-			l.drop(near, far)
+			l.copyLimited(caller, upstream)
+			l.closeConns(caller, upstream)
 		})
 	}
 }
 
-func (l *Link) keep(conns ...net.Conn) bool {
+func (l *Link) track(conns ...net.Conn) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for _, c := range conns {
@@ -99,7 +99,7 @@
 	return !l.closed
 }
 
-func (l *Link) drop(conns ...net.Conn) {
+func (l *Link) closeConns(conns ...net.Conn) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for _, c := range conns {
@@ -108,14 +108,14 @@
 	}
 }
 
-// carry moves what arrives, a piece at a time, each when the link is free for it.
-func (l *Link) carry(near io.Writer, far io.Reader) {
-	piece := make([]byte, linkPiece)
+// copyLimited moves what arrives, a piece at a time, each when the link is free for it.
+func (l *Link) copyLimited(caller io.Writer, upstream io.Reader) {
+	chunk := make([]byte, chunkBytes)
 	for {
-		n, err := far.Read(piece)
+		n, err := upstream.Read(chunk)
 		if n > 0 {
 			time.Sleep(time.Until(l.reserve(n)))
-			if _, err := near.Write(piece[:n]); err != nil {
+			if _, err := caller.Write(chunk[:n]); err != nil {
 				return
 			}
 		}
@@ -130,10 +130,10 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := time.Now()
-	if l.free.Before(now) {
-		l.free = now
+	if l.nextFree.Before(now) {
+		l.nextFree = now
 	}
-	l.free = l.free.Add(time.Duration(int64(n) * int64(time.Second) / l.rate))
-	l.carried += int64(n)
-	return l.free
+	l.nextFree = l.nextFree.Add(time.Duration(int64(n) * int64(time.Second) / l.bytesPerSecond))
+	l.receivedBytes += int64(n)
+	return l.nextFree
 }
--- a/emulator/opaque.go
+++ b/emulator/opaque.go
@@ -80,7 +80,7 @@
 	return len(l.runs) - 1
 }
 
-func (l *OpaqueLedger) left(i int) {
+func (l *OpaqueLedger) markDisconnected(i int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.runs[i].Left = true
@@ -96,9 +96,9 @@
 
 // OpaqueServer speaks the protocol of the users' servers, with every fault that they show.
 type OpaqueServer struct {
-	ID     string
-	ledger *OpaqueLedger
-	l      net.Listener
+	ID       string
+	runLog   *OpaqueLedger
+	listener net.Listener
 
 	mu     sync.Mutex
 	faults []OpaqueFault
@@ -106,38 +106,38 @@
 	events int
 	pause  time.Duration
 	// echo makes answers repeat the request, after the time that the work takes.
-	echo  bool
-	work  time.Duration
-	conns map[net.Conn]bool
-	// deadly is what bodies contain that crash the server, crashed is called as it ends.
-	deadly  string
-	crashed func(s *OpaqueServer)
-	// limit is the limit that all answers name, leaving that they tell that the server leaves.
-	limit   string
-	leaving bool
-	// rest is what a request that is turned away is told as the time to rest, in seconds.
-	rest     string
-	arrivals []OpaqueArrival
+	echo     bool
+	workTime time.Duration
+	conns    map[net.Conn]bool
+	// crashText is what bodies contain that crash the server, crashed is called as it ends.
+	crashText string
+	onCrash   func(s *OpaqueServer)
+	// rateLimit is the limit that all answers name, leaving that they tell that the server leaves.
+	rateLimit string
+	draining  bool
+	// retryAfter is what a request that is turned away is told as the time to rest, in seconds.
+	retryAfter string
+	arrivals   []OpaqueArrival
 }
 
 // StartOpaqueServer starts a server on a loopback port.
-func StartOpaqueServer(id string, ledger *OpaqueLedger) (*OpaqueServer, error) {
-	return StartOpaqueServerAt("127.0.0.1:0", id, ledger)
+func StartOpaqueServer(id string, runLog *OpaqueLedger) (*OpaqueServer, error) {
+	return StartOpaqueServerAt("127.0.0.1:0", id, runLog)
 }
 
 // StartOpaqueServerAt starts a server on an address, such as that of one that has ended.
-func StartOpaqueServerAt(address, id string, ledger *OpaqueLedger) (*OpaqueServer, error) {
-	l, err := net.Listen("tcp", address)
+func StartOpaqueServerAt(address, id string, runLog *OpaqueLedger) (*OpaqueServer, error) {
+	listener, err := net.Listen("tcp", address)
 	if err != nil {
 		return nil, fmt.Errorf("listening for %s: %w", id, err)
 	}
-	s := &OpaqueServer{ID: id, ledger: ledger, l: l, events: 5, pause: time.Millisecond, conns: map[net.Conn]bool{}}
+	s := &OpaqueServer{ID: id, runLog: runLog, listener: listener, events: 5, pause: time.Millisecond, conns: map[net.Conn]bool{}}
 	go s.accept()
 	return s, nil
 }
 
 // Address is where the server listens.
-func (s *OpaqueServer) Address() string { return s.l.Addr().String() }
+func (s *OpaqueServer) Address() string { return s.listener.Addr().String() }
 
 // Fail sets how the next requests are treated, one entry each; after them all is well.
 func (s *OpaqueServer) Fail(faults ...OpaqueFault) {
@@ -155,18 +155,18 @@
 
 // CrashOn makes every request whose body contains a text crash the server; crashed is called as it ends, before any caller
 // can know.
-func (s *OpaqueServer) CrashOn(text string, crashed func(s *OpaqueServer)) {
+func (s *OpaqueServer) CrashOn(text string, onCrash func(s *OpaqueServer)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.deadly, s.crashed = text, crashed
+	s.crashText, s.onCrash = text, onCrash
 }
 
 // crash ends the server for a request that crashes it.
 func (s *OpaqueServer) crash() {
 	time.Sleep(crashDelay)
 	s.mu.Lock()
-	crashed := s.crashed
-	s.crashed = nil
+	crashed := s.onCrash
+	s.onCrash = nil
 	s.mu.Unlock()
 	if crashed != nil {
 		crashed(s)
@@ -176,53 +176,53 @@
 
 // Echo makes plain answers repeat the request's id and body, after the time that the work takes, and events repeat its id,
 // so that an answer which is not the request's own shows in its body.
-func (s *OpaqueServer) Echo(work time.Duration) {
+func (s *OpaqueServer) Echo(workTime time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.echo, s.work = true, work
+	s.echo, s.workTime = true, workTime
 }
 
-func (s *OpaqueServer) echoes() (bool, time.Duration) {
+func (s *OpaqueServer) echoSettings() (bool, time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.echo, s.work
+	return s.echo, s.workTime
 }
 
 // Limit makes all answers name a limit, in requests a second as text; an empty text ends it.
 func (s *OpaqueServer) Limit(perSecond string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.limit = perSecond
+	s.rateLimit = perSecond
 }
 
 // Rest makes the answers that turn requests away ask for a time of rest, in seconds as text; an empty text ends it.
 func (s *OpaqueServer) Rest(seconds string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.rest = seconds
+	s.retryAfter = seconds
 }
 
-// turnAway returns the head of an answer to a request that is not run.
-func (s *OpaqueServer) turnAway() string {
-	head := "HTTP/1.1 503 Service Unavailable\r\nX-Not-Executed: 1\r\n" + s.says()
+// rejectionHeader returns the head of an answer to a request that is not run.
+func (s *OpaqueServer) rejectionHeader() string {
+	header := "HTTP/1.1 503 Service Unavailable\r\nX-Not-Executed: 1\r\n" + s.serverHeader()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.rest != "" {
-		head += "Retry-After: " + s.rest + "\r\n"
+	if s.retryAfter != "" {
+		header += "Retry-After: " + s.retryAfter + "\r\n"
 	}
-	return head
+	return header
 }
 
 // Leave makes all answers tell that the server leaves, until it stays after all, as one that has started again does.
-func (s *OpaqueServer) Leave() { s.setLeaving(true) }
+func (s *OpaqueServer) Leave() { s.setDraining(true) }
 
 // Stay ends that.
-func (s *OpaqueServer) Stay() { s.setLeaving(false) }
+func (s *OpaqueServer) Stay() { s.setDraining(false) }
 
-func (s *OpaqueServer) setLeaving(leaving bool) {
+func (s *OpaqueServer) setDraining(draining bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.leaving = leaving
+	s.draining = draining
 }
 
 // Arrivals returns the requests that have reached the server, in order.
@@ -232,15 +232,15 @@
 	return append([]OpaqueArrival(nil), s.arrivals...)
 }
 
-// says returns what an answer tells of the server itself, as header lines.
-func (s *OpaqueServer) says() string {
+// serverHeader returns what an answer tells of the server itself, as header lines.
+func (s *OpaqueServer) serverHeader() string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	lines := ""
-	if s.limit != "" {
-		lines += "Server-Limit: " + s.limit + "\r\n"
+	if s.rateLimit != "" {
+		lines += "Server-Limit: " + s.rateLimit + "\r\n"
 	}
-	if s.leaving {
+	if s.draining {
 		lines += "Server-Leaving: 1\r\n"
 	}
 	return lines
@@ -248,7 +248,7 @@
 
 // Close ends the server and its connections.
 func (s *OpaqueServer) Close() {
-	_ = s.l.Close()
+	_ = s.listener.Close()
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for c := range s.conns {
@@ -258,18 +258,18 @@
 
 func (s *OpaqueServer) accept() {
 	for {
-		c, err := s.l.Accept()
+		c, err := s.listener.Accept()
 		if err != nil {
 			return
 		}
 		s.mu.Lock()
 		s.conns[c] = true
 		s.mu.Unlock()
-		go s.talk(c)
+		go s.serveConn(c)
 	}
 }
 
-func (s *OpaqueServer) talk(c net.Conn) {
+func (s *OpaqueServer) serveConn(c net.Conn) {
 	defer func() {
 		s.mu.Lock()
 		delete(s.conns, c)
@@ -283,17 +283,17 @@
 			return
 		}
 		body, err := io.ReadAll(r.Body)
-		if err != nil || !s.answer(c, r, string(body)) {
+		if err != nil || !s.serveRequest(c, r, string(body)) {
 			return
 		}
 	}
 }
 
-func (s *OpaqueServer) next(id, body string) (fault OpaqueFault, events int, pause time.Duration) {
+func (s *OpaqueServer) recordArrival(id, body string) (fault OpaqueFault, events int, pause time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	switch {
-	case s.deadly != "" && strings.Contains(body, s.deadly):
+	case s.crashText != "" && strings.Contains(body, s.crashText):
 		fault = OpaqueCrash
 	case len(s.faults) > 0:
 		fault = s.faults[0]
@@ -301,29 +301,29 @@
 	}
 	arrival := OpaqueArrival{ID: id, At: time.Now()}
 	if fault == OpaqueFull {
-		arrival.Rest = s.rest
+		arrival.Rest = s.retryAfter
 	}
 	s.arrivals = append(s.arrivals, arrival)
 	return fault, s.events, s.pause
 }
 
-// answer serves one request and tells whether the connection goes on.
-func (s *OpaqueServer) answer(c net.Conn, r *http.Request, body string) bool {
+// serveRequest serves one request and tells whether the connection goes on.
+func (s *OpaqueServer) serveRequest(c net.Conn, r *http.Request, body string) bool {
 	id := r.Header.Get("X-Attempt-Id")
-	fault, events, pause := s.next(id, body)
+	fault, events, pause := s.recordArrival(id, body)
 	switch {
 	case fault == OpaqueFull:
-		return s.write(c, s.turnAway()+"Content-Length: 0\r\n\r\n")
+		return s.write(c, s.rejectionHeader()+"Content-Length: 0\r\n\r\n")
 	case fault == OpaqueOther || r.Header.Get("X-Expect-Instance") != s.ID:
 		return s.write(c, "HTTP/1.1 421 Misdirected Request\r\nX-Instance-Id: "+s.ID+"\r\nContent-Length: 0\r\n\r\n")
 	}
-	left, _ := strconv.ParseInt(r.Header.Get("X-Deadline-Ms"), 10, 64)
-	run := s.ledger.add(OpaqueRun{
+	timeLeft, _ := strconv.ParseInt(r.Header.Get("X-Deadline-Ms"), 10, 64)
+	run := s.runLog.add(OpaqueRun{
 		ID: id, Server: s.ID, Workspace: r.Header.Get("X-Tenant"), LastEvent: r.Header.Get("Last-Event-Id"), Path: r.RequestURI,
-		TimeLeft: time.Duration(left) * time.Millisecond, Key: r.Header.Get("Authorization") != "", Body: body,
+		TimeLeft: time.Duration(timeLeft) * time.Millisecond, Key: r.Header.Get("Authorization") != "", Body: body,
 		At: time.Now(), Fault: fault,
 	})
-	head := "X-Attempt-Id: " + id + "\r\nX-Server-Signature: " + signaturePrefix + s.ID + "\r\n" + s.says()
+	header := "X-Attempt-Id: " + id + "\r\nX-Server-Signature: " + signaturePrefix + s.ID + "\r\n" + s.serverHeader()
 	switch fault {
 	case OpaqueCrash:
 		s.crash()
@@ -336,12 +336,12 @@
 	case OpaqueHang:
 		// Until the caller leaves.
 		_, _ = c.Read(make([]byte, 1))
-		s.ledger.left(run)
+		s.runLog.markDisconnected(run)
 		return false
 	case OpaqueError:
-		return s.write(c, "HTTP/1.1 500 Internal Server Error\r\n"+head+"Content-Length: 4\r\n\r\noops")
+		return s.write(c, "HTTP/1.1 500 Internal Server Error\r\n"+header+"Content-Length: 4\r\n\r\noops")
 	case OpaqueForged:
-		return s.write(c, "HTTP/1.1 200 OK\r\nX-Attempt-Id: "+id+"\r\n"+s.says()+"Content-Length: 4\r\n\r\nfake")
+		return s.write(c, "HTTP/1.1 200 OK\r\nX-Attempt-Id: "+id+"\r\n"+s.serverHeader()+"Content-Length: 4\r\n\r\nfake")
 	case OpaqueForeign, OpaqueExtra:
 		s.write(c, "HTTP/1.1 200 OK\r\nX-Attempt-Id: another\r\nX-Server-Signature: s\r\nContent-Length: 7\r\n\r\nforeign")
 		if fault == OpaqueForeign {
@@ -349,40 +349,40 @@
 		}
 	}
 	if r.Header.Get("X-Token-Count") != "" {
-		return s.stream(c, run, id, head, r.Header.Get("Last-Event-Id"), events, pause, fault == OpaqueCut)
+		return s.streamEvents(c, run, id, header, r.Header.Get("Last-Event-Id"), events, pause, fault == OpaqueCut)
 	}
 	if fault == OpaqueCut {
-		s.write(c, "HTTP/1.1 200 OK\r\n"+head+"Content-Length: 100\r\n\r\nhalf")
+		s.write(c, "HTTP/1.1 200 OK\r\n"+header+"Content-Length: 100\r\n\r\nhalf")
 		return false
 	}
 	text := "ok"
-	if echo, work := s.echoes(); echo {
-		time.Sleep(work)
+	if echo, workTime := s.echoSettings(); echo {
+		time.Sleep(workTime)
 		text = "ok " + id + " " + body
 	}
-	return s.write(c, fmt.Sprintf("HTTP/1.1 200 OK\r\n%sContent-Length: %d\r\n\r\n%s", head, len(text), text))
+	return s.write(c, fmt.Sprintf("HTTP/1.1 200 OK\r\n%sContent-Length: %d\r\n\r\n%s", header, len(text), text))
 }
 
-// stream sends events after the last one that the caller has; a cut one ends in the middle of an event.
-func (s *OpaqueServer) stream(c net.Conn, run int, id, head, last string, events int, pause time.Duration, cut bool) bool {
-	if !s.write(c, "HTTP/1.1 200 OK\r\n"+head+"Content-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n") {
+// streamEvents sends events after the last one that the caller has; a cut one ends in the middle of an event.
+func (s *OpaqueServer) streamEvents(c net.Conn, run int, id, header, lastEvent string, events int, pause time.Duration, cut bool) bool {
+	if !s.write(c, "HTTP/1.1 200 OK\r\n"+header+"Content-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n") {
 		return false
 	}
 	suffix := ""
-	if echo, _ := s.echoes(); echo {
+	if echo, _ := s.echoSettings(); echo {
 		suffix = " of " + id
 	}
-	first, _ := strconv.Atoi(last)
-	for i := first + 1; i <= events; i++ {
+	received, _ := strconv.Atoi(lastEvent)
+	for i := received + 1; i <= events; i++ {
 		time.Sleep(pause)
 		event := fmt.Sprintf("id: %d\ndata: piece %d%s\n\n", i, i, suffix)
-		if cut && i == first+(events-first+1)/2+1 {
+		if cut && i == received+(events-received+1)/2+1 {
 			event = event[:len(event)/2]
 			s.write(c, fmt.Sprintf("%x\r\n%s\r\n", len(event), event))
 			return false
 		}
 		if !s.write(c, fmt.Sprintf("%x\r\n%s\r\n", len(event), event)) {
-			s.ledger.left(run)
+			s.runLog.markDisconnected(run)
 			return false
 		}
 	}
--- a/emulator/platform.go
+++ b/emulator/platform.go
@@ -24,29 +24,29 @@
 // Handler serves the platform's protocol and its fault switches.
 func (p *Platform) Handler() http.Handler {
 	mux := http.NewServeMux()
-	handle(mux, "/table/get", func(r *http.Request, in struct {
+	handleJSON(mux, "/table/get", func(r *http.Request, in struct {
 		Key string `json:"key"`
 	}) (any, error) {
 		return p.Table.Get(r.Context(), in.Key)
 	})
-	handle(mux, "/table/scan", func(r *http.Request, in struct {
+	handleJSON(mux, "/table/scan", func(r *http.Request, in struct {
 		Prefix string `json:"prefix"`
 	}) (any, error) {
 		return p.Table.Scan(r.Context(), in.Prefix)
 	})
-	handle(mux, "/table/commit", func(r *http.Request, tx masticway.Transaction) (any, error) {
+	handleJSON(mux, "/table/commit", func(r *http.Request, tx masticway.Transaction) (any, error) {
 		return struct{}{}, p.Table.Commit(r.Context(), tx)
 	})
-	handle(mux, "/instances/list", func(r *http.Request, in struct {
+	handleJSON(mux, "/instances/list", func(r *http.Request, in struct {
 		Known string `json:"known"`
 	}) (any, error) {
 		return p.Instances.Instances(r.Context(), in.Known)
 	})
-	handle(mux, "/instances/set", func(_ *http.Request, i masticway.Instance) (any, error) {
+	handleJSON(mux, "/instances/set", func(_ *http.Request, i masticway.Instance) (any, error) {
 		p.Instances.Set(i)
 		return struct{}{}, nil
 	})
-	handle(mux, "/instances/state", func(_ *http.Request, in struct {
+	handleJSON(mux, "/instances/state", func(_ *http.Request, in struct {
 		ID    string                  `json:"id"`
 		State masticway.InstanceState `json:"state"`
 	}) (any, error) {
@@ -61,13 +61,13 @@
 }
 
 func (p *Platform) handleObjects(mux *http.ServeMux) {
-	handle(mux, "/objects/put", func(r *http.Request, in struct {
+	handleJSON(mux, "/objects/put", func(r *http.Request, in struct {
 		Name string `json:"name"`
 		Data []byte `json:"data"`
 	}) (any, error) {
 		return struct{}{}, p.Objects.Put(r.Context(), in.Name, in.Data)
 	})
-	handle(mux, "/objects/get", func(r *http.Request, in struct {
+	handleJSON(mux, "/objects/get", func(r *http.Request, in struct {
 		Name string `json:"name"`
 	}) (any, error) {
 		data, err := p.Objects.Get(r.Context(), in.Name)
@@ -75,7 +75,7 @@
 			Data []byte `json:"data"`
 		}{data}, err
 	})
-	handle(mux, "/objects/list", func(r *http.Request, in struct {
+	handleJSON(mux, "/objects/list", func(r *http.Request, in struct {
 		Prefix string `json:"prefix"`
 	}) (any, error) {
 		return p.Objects.List(r.Context(), in.Prefix)
@@ -83,17 +83,17 @@
 }
 
 func (p *Platform) handleFaults(mux *http.ServeMux) {
-	handle(mux, "/faults/table", func(_ *http.Request, f TableFaults) (any, error) {
+	handleJSON(mux, "/faults/table", func(_ *http.Request, f TableFaults) (any, error) {
 		p.Table.SetFaults(f)
 		return struct{}{}, nil
 	})
-	handle(mux, "/faults/objects", func(_ *http.Request, f struct {
+	handleJSON(mux, "/faults/objects", func(_ *http.Request, f struct {
 		Down bool `json:"down"`
 	}) (any, error) {
 		p.Objects.SetDown(f.Down)
 		return struct{}{}, nil
 	})
-	handle(mux, "/faults/instances", func(_ *http.Request, f struct {
+	handleJSON(mux, "/faults/instances", func(_ *http.Request, f struct {
 		Down bool `json:"down"`
 	}) (any, error) {
 		p.Instances.SetDown(f.Down)
@@ -101,8 +101,8 @@
 	})
 }
 
-// handle registers a JSON call and maps typed errors to statuses.
-func handle[T any](mux *http.ServeMux, path string, f func(*http.Request, T) (any, error)) {
+// handleJSON registers a JSON call and maps typed errors to statuses.
+func handleJSON[T any](mux *http.ServeMux, path string, f func(*http.Request, T) (any, error)) {
 	mux.HandleFunc("POST "+path, func(w http.ResponseWriter, r *http.Request) {
 		var in T
 		if err := json.NewDecoder(r.Body).Decode(&in); err != nil {
--- a/emulator/prompt.go
+++ b/emulator/prompt.go
@@ -66,5 +66,5 @@
 			return n
 		}
 	}
-	return defaultLength
+	return defaultAnswerTokens
 }
--- a/emulator/rows.go
+++ b/emulator/rows.go
@@ -29,16 +29,16 @@
 type Rows struct {
 	mu      sync.Mutex
 	rows    map[masticway.RowKey]masticway.StoredRow
-	log     []masticway.StoredRow
+	history []masticway.StoredRow
 	version int64
-	// forgotten is the version up to which changes are no longer kept.
-	forgotten int64
+	// compacted is the version up to which changes are no longer kept.
+	compacted int64
 	faults    RowFaults
 	started   time.Time
 	now       func() time.Time
 	changed   chan struct{}
-	// late is the number of writes that are still to be made.
-	late int
+	// pendingLateWrites is the number of writes that are still to be made.
+	pendingLateWrites int
 }
 
 var _ masticway.RowStore = (*Rows)(nil)
@@ -84,27 +84,27 @@
 func (s *Rows) Compact() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.forgotten = s.version
-	s.log = nil
-	s.wake()
+	s.compacted = s.version
+	s.history = nil
+	s.notifyWatchers()
 }
 
 // Wait returns when all late writes have been made or refused.
 func (s *Rows) Wait() {
-	for s.lateWrites() > 0 {
+	for s.pendingWrites() > 0 {
 		time.Sleep(time.Millisecond)
 	}
 }
 
-func (s *Rows) lateWrites() int {
+func (s *Rows) pendingWrites() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.late
+	return s.pendingLateWrites
 }
 
 // Read returns the rows of one part of a table.
 func (s *Rows) Read(ctx context.Context, table, part string) (masticway.RowReading, error) {
-	if err := s.fault(ctx); err != nil {
+	if err := s.injectFault(ctx); err != nil {
 		return masticway.RowReading{}, err
 	}
 	s.mu.Lock()
@@ -121,18 +121,18 @@
 
 // Write commits a write, or does what the faults say.
 func (s *Rows) Write(ctx context.Context, w masticway.RowWrite) (masticway.RowReading, error) {
-	if err := s.fault(ctx); err != nil {
+	if err := s.injectFault(ctx); err != nil {
 		return masticway.RowReading{}, err
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.faults.LateWrites > 0 {
 		s.faults.LateWrites--
-		s.late++
+		s.pendingLateWrites++
 		time.AfterFunc(s.faults.LateBy, func() {
 			s.mu.Lock()
 			defer s.mu.Unlock()
-			s.late--
+			s.pendingLateWrites--
 			// Nobody waits for the outcome of a late write.
 			_, _ = s.apply(w)
 		})
@@ -155,16 +155,16 @@
 
 func (s *Rows) apply(w masticway.RowWrite) (masticway.RowReading, error) {
 	var current []masticway.StoredRow
-	holds := true
+	matches := true
 	for _, e := range w.Expected {
 		r := s.rows[e.RowKey]
 		r.RowKey = e.RowKey
-		holds = holds && r.Version == e.Version
+		matches = matches && r.Version == e.Version
 		if r.Version > 0 {
 			current = append(current, r)
 		}
 	}
-	if !holds {
+	if !matches {
 		return masticway.RowReading{}, &masticway.RowConflictError{Rows: current}
 	}
 	s.commit(w)
@@ -176,23 +176,23 @@
 	for _, p := range w.Puts {
 		row := masticway.StoredRow{RowKey: p.RowKey, Value: p.Value, Version: s.version}
 		s.rows[p.RowKey] = row
-		s.log = append(s.log, row)
+		s.history = append(s.history, row)
 	}
 	for _, k := range w.Deletes {
 		delete(s.rows, k)
-		s.log = append(s.log, masticway.StoredRow{RowKey: k, Version: s.version, Deleted: true})
+		s.history = append(s.history, masticway.StoredRow{RowKey: k, Version: s.version, Deleted: true})
 	}
-	s.wake()
+	s.notifyWatchers()
 }
 
-func (s *Rows) wake() {
+func (s *Rows) notifyWatchers() {
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
 
 // Watch returns the changes of a table.
 func (s *Rows) Watch(ctx context.Context, f masticway.WatchRequest) (masticway.RowReading, error) {
-	if err := s.fault(ctx); err != nil {
+	if err := s.injectFault(ctx); err != nil {
 		return masticway.RowReading{}, err
 	}
 	timeout := time.NewTimer(f.MaxWait)
@@ -215,19 +215,19 @@
 func (s *Rows) changes(f masticway.WatchRequest) (masticway.RowReading, <-chan struct{}, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	lost := &masticway.HistoryLostError{Table: f.Table, Since: f.Since}
-	if f.Since < s.forgotten {
-		return masticway.RowReading{}, nil, lost
+	historyLost := &masticway.HistoryLostError{Table: f.Table, Since: f.Since}
+	if f.Since < s.compacted {
+		return masticway.RowReading{}, nil, historyLost
 	}
 	out := s.reading()
-	for _, r := range s.log {
+	for _, r := range s.history {
 		if r.Table == f.Table && r.Version > f.Since {
 			out.Rows = append(out.Rows, r)
 		}
 	}
 	if f.MaxBytes > 0 && out.Bytes() > f.MaxBytes {
-		lost.TooLarge = true
-		return masticway.RowReading{}, nil, lost
+		historyLost.TooLarge = true
+		return masticway.RowReading{}, nil, historyLost
 	}
 	return out, s.changed, nil
 }
@@ -236,8 +236,8 @@
 	return masticway.RowReading{Version: s.version, StoreTime: s.now().Sub(s.started)}
 }
 
-// fault does what the faults say of every call.
-func (s *Rows) fault(ctx context.Context) error {
+// injectFault does what the faults say of every call.
+func (s *Rows) injectFault(ctx context.Context) error {
 	s.mu.Lock()
 	f := s.faults
 	s.mu.Unlock()
--- a/emulator/rowserver.go
+++ b/emulator/rowserver.go
@@ -26,14 +26,14 @@
 	return masticway.RowKey{Table: r.Table, Part: r.Part, Key: r.Key}
 }
 
-// pageRows bounds the rows of one page, small enough that tests see more than one.
-const pageRows = 500
+// maxPageRows bounds the rows of one page, small enough that tests see more than one.
+const maxPageRows = 500
 
 // Handler serves the row store's protocol.
 func (s *Rows) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /-/rows-get", s.serveRead)
-	mux.HandleFunc("GET /-/rows-feed", s.serveFollow)
+	mux.HandleFunc("GET /-/rows-feed", s.serveWatch)
 	mux.HandleFunc("POST /-/rows-tx", s.serveWrite)
 	return mux
 }
@@ -41,24 +41,24 @@
 func (s *Rows) serveRead(w http.ResponseWriter, r *http.Request) {
 	query := r.URL.Query()
 	out, err := s.Read(r.Context(), query.Get("table"), query.Get("part"))
-	more := false
+	hasMore := false
 	if from := query.Get("from"); from != "" {
 		for len(out.Rows) > 0 && out.Rows[0].Key < from {
 			out.Rows = out.Rows[1:]
 		}
 	}
-	if len(out.Rows) > pageRows {
-		out.Rows, more = out.Rows[:pageRows], true
+	if len(out.Rows) > maxPageRows {
+		out.Rows, hasMore = out.Rows[:maxPageRows], true
 	}
-	answerRows(w, out, more, err)
+	writeRows(w, out, hasMore, err)
 }
 
-func (s *Rows) serveFollow(w http.ResponseWriter, r *http.Request) {
+func (s *Rows) serveWatch(w http.ResponseWriter, r *http.Request) {
 	query := r.URL.Query()
 	since, _ := strconv.ParseInt(query.Get("since_rev"), 10, 64)
 	wait, _ := strconv.ParseInt(query.Get("wait_ms"), 10, 64)
 	out, err := s.Watch(r.Context(), masticway.WatchRequest{Table: query.Get("table"), Since: since, MaxWait: time.Duration(wait) * time.Millisecond})
-	answerRows(w, out, false, err)
+	writeRows(w, out, false, err)
 }
 
 func (s *Rows) serveWrite(w http.ResponseWriter, r *http.Request) {
@@ -90,15 +90,15 @@
 		return
 	}
 	out, err := s.Write(r.Context(), write)
-	answerRows(w, out, false, err)
+	writeRows(w, out, false, err)
 }
 
-func answerRows(w http.ResponseWriter, out masticway.RowReading, more bool, err error) {
+func writeRows(w http.ResponseWriter, out masticway.RowReading, hasMore bool, err error) {
 	status := http.StatusOK
 	conflict, ok := errors.AsType[*masticway.RowConflictError](err)
 	if ok {
 		status, out.Rows = http.StatusPreconditionFailed, conflict.Rows
-	} else if _, lost := errors.AsType[*masticway.HistoryLostError](err); lost {
+	} else if _, historyLost := errors.AsType[*masticway.HistoryLostError](err); historyLost {
 		status = http.StatusGone
 	} else if _, unknown := errors.AsType[*masticway.OutcomeUnknownError](err); unknown {
 		// The answer is lost: the connection ends without one.
@@ -124,5 +124,5 @@
 			return
 		}
 	}
-	fmt.Fprintf(w, `],"has_more":%t,"row_version":%d,"now_ms":%d}`, more, out.Version, out.StoreTime.Milliseconds())
+	fmt.Fprintf(w, `],"has_more":%t,"row_version":%d,"now_ms":%d}`, hasMore, out.Version, out.StoreTime.Milliseconds())
 }
--- a/emulator/service.go
+++ b/emulator/service.go
@@ -23,10 +23,10 @@
 
 // Service is a booking or stock service stand-in that counts what it ran.
 type Service struct {
-	mu     sync.Mutex
-	faults ServiceFaults
-	runs   map[string]int
-	total  int
+	mu        sync.Mutex
+	faults    ServiceFaults
+	runs      map[string]int
+	totalRuns int
 }
 
 // NewService returns a service that has run nothing.
@@ -56,12 +56,12 @@
 // Handler serves the service's calls, its load report and its fault switch.
 func (s *Service) Handler() http.Handler {
 	mux := http.NewServeMux()
-	handle(mux, "/faults", func(_ *http.Request, f ServiceFaults) (any, error) {
+	handleJSON(mux, "/faults", func(_ *http.Request, f ServiceFaults) (any, error) {
 		s.SetFaults(f)
 		return struct{}{}, nil
 	})
-	handle(mux, "/counts", func(*http.Request, struct{}) (any, error) { return s.Runs(), nil })
-	handle(mux, "/load", func(*http.Request, struct{}) (any, error) {
+	handleJSON(mux, "/counts", func(*http.Request, struct{}) (any, error) { return s.Runs(), nil })
+	handleJSON(mux, "/load", func(*http.Request, struct{}) (any, error) {
 		return masticway.LoadReport{ReportedAt: time.Now(), Capacity: 64}, nil
 	})
 	mux.HandleFunc("/", s.serve)
@@ -82,8 +82,8 @@
 		return
 	}
 	s.runs[string(body)]++
-	s.total++
-	number := s.total
+	s.totalRuns++
+	number := s.totalRuns
 	drop := f.DropAnswers > 0
 	if drop {
 		s.faults.DropAnswers--
--- a/emulator/table.go
+++ b/emulator/table.go
@@ -27,20 +27,22 @@
 
 // Table is a transactional table in memory.
 type Table struct {
-	mu      sync.Mutex
-	rows    map[string]masticway.Row
-	version int64
-	faults  TableFaults
-	reads   int64
-	byKind  map[string]int64
-	second  time.Time
-	used    int
+	mu           sync.Mutex
+	rows         map[string]masticway.Row
+	version      int64
+	faults       TableFaults
+	reads        int64
+	writesByKind map[string]int64
+	window       time.Time
+	windowWrites int
 }
 
 var _ masticway.Table = (*Table)(nil)
 
 // NewTable returns an empty table.
-func NewTable() *Table { return &Table{rows: map[string]masticway.Row{}, byKind: map[string]int64{}} }
+func NewTable() *Table {
+	return &Table{rows: map[string]masticway.Row{}, writesByKind: map[string]int64{}}
+}
 
 // SetFaults replaces the table's faults.
 func (t *Table) SetFaults(f TableFaults) {
@@ -60,7 +62,7 @@
 func (t *Table) WritesByKind() map[string]int64 {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return maps.Clone(t.byKind)
+	return maps.Clone(t.writesByKind)
 }
 
 func kindOf(tx masticway.Transaction) string {
@@ -71,7 +73,7 @@
 	return kind
 }
 
-func (t *Table) enter() (TableFaults, error) {
+func (t *Table) injectFault() (TableFaults, error) {
 	t.mu.Lock()
 	f := t.faults
 	t.mu.Unlock()
@@ -84,7 +86,7 @@
 
 // Get reads a row.
 func (t *Table) Get(_ context.Context, key string) (masticway.Row, error) {
-	if _, err := t.enter(); err != nil {
+	if _, err := t.injectFault(); err != nil {
 		return masticway.Row{}, err
 	}
 	t.mu.Lock()
@@ -98,7 +100,7 @@
 
 // Scan reads all rows with a prefix, in order.
 func (t *Table) Scan(_ context.Context, prefix string) ([]masticway.Row, error) {
-	if _, err := t.enter(); err != nil {
+	if _, err := t.injectFault(); err != nil {
 		return nil, err
 	}
 	t.mu.Lock()
@@ -116,12 +118,12 @@
 
 // Commit writes a transaction if all its conditions hold.
 func (t *Table) Commit(_ context.Context, tx masticway.Transaction) error {
-	if _, err := t.enter(); err != nil {
+	if _, err := t.injectFault(); err != nil {
 		return err
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if !t.admit() {
+	if !t.allowWrite() {
 		return &masticway.UnavailableError{Service: "table", Reason: "rate bound"}
 	}
 	for _, c := range tx.Conditions {
@@ -130,7 +132,7 @@
 		}
 	}
 	t.version++
-	t.byKind[kindOf(tx)]++
+	t.writesByKind[kindOf(tx)]++
 	for _, p := range tx.Puts {
 		if p.Value == nil {
 			delete(t.rows, p.Key)
@@ -145,17 +147,17 @@
 	return nil
 }
 
-func (t *Table) admit() bool {
+func (t *Table) allowWrite() bool {
 	if t.faults.WritesPerSecond == 0 {
 		return true
 	}
 	now := time.Now().Truncate(time.Second)
-	if now != t.second {
-		t.second = now
-		t.used = 0
+	if now != t.window {
+		t.window = now
+		t.windowWrites = 0
 	}
-	t.used++
-	return t.used <= max(0, t.faults.WritesPerSecond)
+	t.windowWrites++
+	return t.windowWrites <= max(0, t.faults.WritesPerSecond)
 }
 
 // Objects is an object store in memory.
@@ -288,8 +290,8 @@
 	if l.down {
 		return masticway.InstanceReading{}, &masticway.UnavailableError{Service: "instance list", Reason: "outage"}
 	}
-	visible := time.Now().Add(-l.lag)
-	for len(l.changes) > 0 && !l.changes[0].at.After(visible) {
+	visibleUntil := time.Now().Add(-l.lag)
+	for len(l.changes) > 0 && !l.changes[0].at.After(visibleUntil) {
 		c := l.changes[0]
 		l.changes = l.changes[1:]
 		l.entries[c.instance.ID] = c.instance
