--- a/emulator/caller.go
+++ b/emulator/caller.go
@@ -8,21 +8,21 @@
 	"time"
 )
 
-// OpaqueCall is what a caller says in the head of a request.
+// OpaqueCall is what a caller declares in the headers of a request.
 type OpaqueCall struct {
 	ID string
-	// TimeLeft is how long the caller waits.
+	// TimeLeft is how long the caller will wait.
 	TimeLeft time.Duration
-	// Key is the caller's secret; none for routes that ask for none.
+	// Key is the caller's API key. It is empty for routes that do not require one.
 	Key string
-	// Metered tells that the request names tokens: those of its prompt, and the most of its answer.
+	// Metered is set if the request declares its tokens: the number in Prompt and the maximum of its answer, MaxOutput.
 	Metered           bool
 	Prompt, MaxOutput int
-	// LastEvent is the event after which the caller goes on with an answer that broke off; zero for a new request.
+	// LastEvent is the ID of the last event that the caller has received of an interrupted answer. It is zero for a new request.
 	LastEvent int
 }
 
-// Header returns the request's head.
+// Header returns the request's headers.
 func (c OpaqueCall) Header() http.Header {
 	h := http.Header{"X-Attempt-Id": {c.ID}, "X-Deadline-Ms": {strconv.FormatInt(c.TimeLeft.Milliseconds(), 10)}}
 	if c.Key != "" {
@@ -37,7 +37,7 @@
 	return h
 }
 
-// AnswerOrigin returns the request that an answer's head names, and the opaque server that signed it.
+// AnswerOrigin returns the ID of the request that an answer's headers name, and the ID of the opaque server that signed it.
 func AnswerOrigin(h http.Header) (request, server string) {
 	return h.Get("X-Attempt-Id"), strings.TrimPrefix(h.Get("X-Server-Signature"), signaturePrefix)
 }
--- a/emulator/clock.go
+++ b/emulator/clock.go
@@ -2,11 +2,11 @@
 
 import "time"
 
-// SteadyClock reads the process's steady clock alone, so that in a test's bubble of time it goes as the bubble does.
+// SteadyClock reads only the time package, so that it follows the fake clock inside a synctest bubble.
 type SteadyClock struct{}
 
-// Now returns the present time.
+// Now returns the current time.
 func (SteadyClock) Now() time.Time { return time.Now() }
 
-// After waits on the steady clock.
+// After returns a channel that receives the time after d has elapsed.
 func (SteadyClock) After(d time.Duration) <-chan time.Time { return time.After(d) }
--- a/emulator/deployment.go
+++ b/emulator/deployment.go
@@ -15,26 +15,26 @@
 
 var deploymentTemplate = template.Must(template.New("deployment").Parse(deploymentTemplateText))
 
-// What the template of a deployment says.
+// Values that deployment.json.tmpl contains.
 const (
-	// DeploymentHost is the host of all its routes.
+	// DeploymentHost is the host of all routes.
 	DeploymentHost = "soak.example"
-	// DeploymentKey stands before a workspace's name in its key.
+	// DeploymentKey is the prefix of a workspace's API key; the workspace's name follows.
 	DeploymentKey = "key-"
-	// DeploymentTimeout is the longest time that its routes keep a caller waiting.
+	// DeploymentTimeout is the request timeout of all routes.
 	DeploymentTimeout = 6 * time.Second
-	// DeploymentTokensPerEvent is how many tokens an event of its engines has.
+	// DeploymentTokensPerEvent is the number of tokens in an event from an engine.
 	DeploymentTokensPerEvent = 3
 )
 
-// Deployment is a configuration with a route of each kind and one more for each path, as the operator writes it.
+// Deployment is a deployment configuration with one route of each kind and one more for each path, in the operator's format.
 type Deployment struct {
 	Number  int64
 	Paths   []string
 	Prepaid map[string]int64
 }
 
-// Put writes the configuration and returns its size in bytes; it fails with the template's errors.
+// Put writes the configuration and returns its size in bytes. It returns an error if the template cannot be executed.
 func (d Deployment) Put(rows *Rows) (int, error) {
 	var document bytes.Buffer
 	if err := deploymentTemplate.Execute(&document, d); err != nil {
@@ -44,7 +44,7 @@
 	return document.Len(), nil
 }
 
-// Register writes a server's registration, as one that is ready or that is leaving.
+// Register writes a server's registration, with its state as ready or draining.
 func (s *OpaqueServer) Register(rows *Rows, pool, zone string, draining bool) {
 	state := "ready"
 	if draining {
--- a/emulator/doc.go
+++ b/emulator/doc.go
@@ -1,6 +1,7 @@
-// Package emulator holds small stand-ins for the platform and the upstreams.
+// Package emulator emulates the platform and the upstreams.
 //
-// They exist for development, tests and measurement only. Faults are switched
-// by HTTP calls, so that any test or person can bring them about, and every
-// stand-in counts what it really did, so that promises are checked from outside.
+// It is for development, tests and measurements only. The emulated platform,
+// engines and plain services have fault injection that can be switched by HTTP
+// calls, so that any test or person can use it. They count the work that they
+// did, so that guarantees can be verified independently of the routers.
 package emulator
