--- a/emulator/engine.go
+++ b/emulator/engine.go
@@ -15,45 +15,45 @@
 	"github.com/masticway/masticway/chooser"
 )
 
-// EngineSettings shape a model engine stand-in.
+// EngineSettings are the settings of an emulated model engine.
 type EngineSettings struct {
-	// Capacity is the size of the batch.
+	// Capacity is the maximum number of requests in the batch.
 	Capacity int
-	// PrefillTime is the time for one prompt token, and TokenTime for one output token.
+	// PrefillTime is the time to process one prompt token, and TokenTime the time to generate one output token.
 	PrefillTime time.Duration
 	TokenTime   time.Duration
-	// CacheBlocks bounds the prefix cache.
+	// CacheBlocks is the maximum number of blocks in the prefix cache.
 	CacheBlocks int
-	// ReportLag is the age of the load that the engine reports.
+	// ReportLag is how far load reports lag behind.
 	ReportLag time.Duration
-	// IgnoreFences makes the engine carry out orders with old fencing numbers.
+	// IgnoreFences makes the engine execute orders that have outdated fencing numbers.
 	IgnoreFences bool
 }
 
-// EngineFaults are the faults of an engine.
+// EngineFaults are the faults that can be injected into an engine.
 type EngineFaults struct {
-	// Down refuses new requests and breaks open streams.
+	// Down rejects new requests and breaks open streams.
 	Down bool `json:"down"`
-	// Stall stops all output without ending it.
+	// Stall pauses all output without ending the streams.
 	Stall bool `json:"stall"`
-	// BreakAfterCount breaks so many streams between the prompt's count and the first token.
+	// BreakAfterCount is the number of streams to break after the prompt's token count has been sent and before the first token.
 	BreakAfterCount int `json:"break_after_count"`
-	// HideCache leaves cached prefixes out of load reports.
+	// HideCache omits cached prefixes from load reports.
 	HideCache bool `json:"hide_cache"`
 }
 
-// EngineCounts is what an engine really did.
+// EngineCounts counts the work that an engine did.
 type EngineCounts struct {
 	Runs       int64 `json:"runs"`
 	Prompt     int64 `json:"prompt_tokens"`
 	Completion int64 `json:"completion_tokens"`
 	CacheHits  int64 `json:"cache_hit_tokens"`
 	Orders     int64 `json:"orders"`
-	// Owners splits the tokens by the owner that a prompt names.
+	// Owners splits the tokens by the owner that the prompt names.
 	Owners map[string]OwnerCounts `json:"owners"`
 }
 
-// OwnerCounts is what an engine did for one owner.
+// OwnerCounts counts the work that an engine did for one owner.
 type OwnerCounts struct {
 	Prompt     int64 `json:"prompt_tokens"`
 	Completion int64 `json:"completion_tokens"`
@@ -72,7 +72,7 @@
 	c.Owners[owner] = o
 }
 
-// Engine is a model engine stand-in with batches, a prefix cache and lagging load reports.
+// Engine emulates a model engine with batching, a prefix cache and lagging load reports.
 type Engine struct {
 	settings EngineSettings
 
@@ -83,11 +83,13 @@
 	waiting    admissionQueue
 	lastTicket int64
 	cache      map[uint64]int64
-	cacheTick  int64
-	reports    []masticway.LoadReport
-	fence      int64
-	down       chan struct{}
-	// prefillSlot holds the one place for a prefill.
+	// cacheTick is a logical clock; cache holds the tick of each block's last use.
+	cacheTick int64
+	reports   []masticway.LoadReport
+	fence     int64
+	// down is closed while the engine is down.
+	down chan struct{}
+	// prefillSlot is a semaphore with one slot, which a prefill holds while it runs.
 	prefillSlot chan struct{}
 }
 
@@ -125,7 +127,7 @@
 	return a
 }
 
-// NewEngine returns an idle engine.
+// NewEngine returns an idle engine without faults.
 func NewEngine(s EngineSettings) *Engine {
 	return &Engine{
 		settings: s, cache: map[uint64]int64{}, down: make(chan struct{}), prefillSlot: make(chan struct{}, 1),
@@ -146,7 +148,7 @@
 	e.faults = f
 }
 
-// Counts returns what the engine has done so far.
+// Counts returns the work that the engine has done so far.
 func (e *Engine) Counts() EngineCounts {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -155,21 +157,21 @@
 	return counts
 }
 
-// Record counts work that no request asked for, so that tests can see the checks notice it.
+// Record counts work that no request asked for, so that tests can verify that the checks detect it.
 func (e *Engine) Record(owner string, prompt, completion int64) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.counts.add([]Message{{Content: OwnerMark + owner + " "}}, prompt, completion)
 }
 
-// Running returns the size of the batch now.
+// Running returns the number of requests in the batch.
 func (e *Engine) Running() int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.running
 }
 
-// Handler serves the engine's protocol and its fault switch.
+// Handler returns the handler of the engine's protocol, its fault injection and its counts.
 func (e *Engine) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST /v1/chat/completions", e.serveCompletion)
@@ -201,7 +203,9 @@
 	return nil
 }
 
-// report returns the load as it was a lag ago.
+// report takes a new load report and returns the newest one that is at least ReportLag old, or the oldest one kept if none is.
+//
+// Older reports are discarded. Reports are only taken by calls, so the returned one can be much older than ReportLag.
 func (e *Engine) report() masticway.LoadReport {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -222,7 +226,7 @@
 	return reported
 }
 
-// maxReportedPrefixes bounds the prefixes in one report.
+// maxReportedPrefixes is the maximum number of prefixes in one load report.
 const maxReportedPrefixes = 16
 
 func (e *Engine) recentPrefixes() []uint64 {
@@ -269,7 +273,7 @@
 	e.streamAnswer(r.Context(), w, in, down)
 }
 
-// admit waits for a place in the batch; higher priorities go first.
+// admit waits for a slot in the batch and reports whether it got one before ctx was done. Higher priorities go first.
 func (e *Engine) admit(ctx context.Context, priority int) bool {
 	e.mu.Lock()
 	if e.running < e.settings.Capacity {
@@ -311,7 +315,8 @@
 	close(a.admitted)
 }
 
-// lookUpPrompt looks the prompt up in the prefix cache and returns the tokens still to be computed.
+// lookUpPrompt counts the run, looks the prompt up in the prefix cache and adds it. It returns the number of tokens that have to
+// be computed, including those that a resumed request already has, and the number of cached tokens.
 func (e *Engine) lookUpPrompt(in completionRequest) (uncached, cached int) {
 	promptTokens := CountTokens(in.Messages)
 	e.mu.Lock()
@@ -327,7 +332,7 @@
 		}
 		cached += 64
 	}
-	// The deepest blocks count as used first, so that a prompt's own end is evicted before what it shares.
+	// The last blocks are marked as used first, so that the end of a prompt, which other prompts rarely share, is evicted first.
 	for i := len(prefixes) - 1; i >= 0; i-- {
 		e.cacheTick++
 		e.cache[prefixes[i]] = e.cacheTick
@@ -383,7 +388,7 @@
 	fmt.Fprint(w, "data: [DONE]\n\n")
 }
 
-// takeBreakFault tells whether this stream breaks off before its first token.
+// takeBreakFault reports whether this stream must break before its first token, and decrements the number of streams to break.
 func (e *Engine) takeBreakFault() bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -394,7 +399,8 @@
 	return true
 }
 
-// runPrefill waits for a prefill; prefills of one engine share its compute, so they go one after the other.
+// runPrefill waits for a prefill of duration d; it reports false if ctx is done or the engine has failed. Prefills of one engine
+// run one at a time, because they share its compute.
 func (e *Engine) runPrefill(ctx context.Context, down chan struct{}, d time.Duration) bool {
 	select {
 	case e.prefillSlot <- struct{}{}:
@@ -407,7 +413,7 @@
 	return e.wait(ctx, down, d)
 }
 
-// wait waits for compute time; it reports false when the caller has gone or the engine has failed.
+// wait waits for d, and longer while the engine stalls. It reports false if ctx is done or the engine has failed.
 func (e *Engine) wait(ctx context.Context, down chan struct{}, d time.Duration) bool {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
@@ -429,5 +435,5 @@
 	}
 }
 
-// defaultAnswerTokens is the length of an answer whose prompt does not say.
+// defaultAnswerTokens is the length of an answer if the prompt does not specify one.
 const defaultAnswerTokens = 40
