--- a/emulator/link.go
+++ b/emulator/link.go
@@ -7,10 +7,11 @@
 	"time"
 )
 
-// chunkBytes is what a link carries for one connection before it turns to the next, 8 KB.
+// chunkBytes is the maximum number of bytes, 8 KB, that one connection receives before others get their turn.
 const chunkBytes = 8 << 10
 
-// Link is the network interface of one machine: what arrives on all of its connections shares one rate.
+// Link is a TCP proxy that emulates the network interface of one machine: the bytes that arrive on all of its connections share
+// one bandwidth limit. Bytes that leave the machine are not limited.
 type Link struct {
 	bytesPerSecond int64
 
@@ -23,10 +24,10 @@
 	wg            sync.WaitGroup
 }
 
-// NewLink returns a link that lets in so many bytes a second.
+// NewLink returns a proxy that forwards at most rate received bytes per second.
 func NewLink(rate int64) *Link { return &Link{bytesPerSecond: rate, conns: map[net.Conn]bool{}} }
 
-// To opens an address behind which a target (host and port) is reached through the link; it fails with the listener's error.
+// To opens a loopback address that forwards to target (host and port) and returns the address. The error is the listener's.
 func (l *Link) To(target string) (string, error) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -39,14 +40,14 @@
 	return listener.Addr().String(), nil
 }
 
-// Carried returns how many bytes the link has let in.
+// Carried returns the number of bytes received from all targets.
 func (l *Link) Carried() int64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.receivedBytes
 }
 
-// Close ends the link and everything on it.
+// Close closes all listeners and connections and waits for their goroutines.
 func (l *Link) Close() {
 	l.mu.Lock()
 	l.closed = true
@@ -75,7 +76,7 @@
 			return
 		}
 		l.wg.Go(func() {
-			// Whichever side ends first ends both; the reason is of no use to either.
+			// Whichever side ends first closes both connections; neither side needs the error.
 			_, _ = io.Copy(upstream, caller)
 			l.closeConns(caller, upstream)
 		})
@@ -108,7 +109,7 @@
 	}
 }
 
-// copyLimited moves what arrives, a piece at a time, each when the link is free for it.
+// copyLimited copies from upstream to caller in chunks and delays each one to keep the bandwidth limit.
 func (l *Link) copyLimited(caller io.Writer, upstream io.Reader) {
 	chunk := make([]byte, chunkBytes)
 	for {
@@ -125,7 +126,7 @@
 	}
 }
 
-// reserve returns when the link will have let so many bytes in.
+// reserve reserves bandwidth for n bytes and returns the time at which they have arrived.
 func (l *Link) reserve(n int) time.Time {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/emulator/network.go
+++ b/emulator/network.go
@@ -7,34 +7,35 @@
 	"time"
 )
 
-// Network carries the connections of processes that run in one test, with delays, cuts and freezes.
+// Network emulates the network between processes that run in one test, with delays and partitions.
 //
-// A cut holds bytes back rather than dropping them, as a real network does
-// until a connection times out, so that late messages arrive after it heals.
+// A partition holds bytes back instead of dropping them, as a real network does
+// until a connection times out, so that delayed messages arrive after it heals.
 type Network struct {
-	mu         sync.Mutex
+	mu sync.Mutex
+	// processes maps a listening address to its process.
 	processes  map[string]string
 	delay      func(from, to string) time.Duration
 	partitions map[[2]string]bool
 	changed    chan struct{}
 }
 
-// NewNetwork returns a network without faults; delay gives the one-way time between two zones.
+// NewNetwork returns a network without partitions; delay returns the one-way latency between two zones.
 func NewNetwork(delay func(from, to string) time.Duration) *Network {
 	return &Network{processes: map[string]string{}, delay: delay, partitions: map[[2]string]bool{}, changed: make(chan struct{})}
 }
 
-// Place says which process listens on an address; faults name processes.
+// Place records which process listens on an address, because partitions are between processes.
 func (n *Network) Place(address, process string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.processes[address] = process
 }
 
-// Cut holds back everything between two processes, or between one and all when b is "*".
+// Cut partitions two processes, or a from all others if b is "*".
 func (n *Network) Cut(a, b string) { n.setPartition(a, b, true) }
 
-// Heal ends a cut.
+// Heal ends a partition that was started with the same arguments.
 func (n *Network) Heal(a, b string) { n.setPartition(a, b, false) }
 
 func (n *Network) setPartition(a, b string, partitioned bool) {
@@ -56,7 +57,7 @@
 	return partitioned, n.changed
 }
 
-// Dialer returns a dial function for a process in a zone; zoneOf tells the zone of a process.
+// Dialer returns a dial function for a process in a zone; zoneOf returns the zone of a process.
 func (n *Network) Dialer(process, zone string, zoneOf func(process string) string) func(ctx context.Context, network, address string) (net.Conn, error) {
 	return func(ctx context.Context, network, address string) (net.Conn, error) {
 		n.mu.Lock()
@@ -73,7 +74,7 @@
 	}
 }
 
-// awaitHealed waits until two processes are not cut.
+// awaitHealed waits until two processes are not partitioned. It returns the error of ctx if ctx is done first.
 func (n *Network) awaitHealed(ctx context.Context, a, b string) error {
 	for {
 		partitioned, changed := n.partition(a, b)
@@ -93,7 +94,7 @@
 	due  time.Time
 }
 
-// shapedConn delays and holds back the bytes of one connection, each way by itself.
+// shapedConn delays the bytes of one connection and holds them back during partitions, in each direction independently.
 type shapedConn struct {
 	net.Conn
 	network *Network
@@ -125,7 +126,8 @@
 	return s
 }
 
-// awaitDelivery waits for a packet's time and for cuts to end; it reports false once the connection is closed.
+// awaitDelivery waits until a packet is due and no partition holds it back. It reports false if the connection is closed during a
+// partition.
 func (s *shapedConn) awaitDelivery(p packet) bool {
 	if wait := time.Until(p.due); wait > 0 {
 		time.Sleep(wait)
@@ -178,14 +180,14 @@
 		}
 		if err != nil {
 			s.readErr = err
-			// A peer's end is not seen through a cut either.
+			// During a partition, the end of the connection must not be visible either.
 			s.awaitDelivery(packet{due: time.Now().Add(s.delay)})
 			return
 		}
 	}
 }
 
-// Write queues bytes for the far end.
+// Write queues bytes for the peer.
 func (s *shapedConn) Write(b []byte) (int, error) {
 	p := packet{data: append([]byte(nil), b...), due: time.Now().Add(s.delay)}
 	select {
@@ -202,7 +204,7 @@
 func (timeoutError) Timeout() bool   { return true }
 func (timeoutError) Temporary() bool { return true }
 
-// Read returns bytes that have arrived.
+// Read waits for bytes from the peer.
 func (s *shapedConn) Read(b []byte) (int, error) {
 	s.readMu.Lock()
 	defer s.readMu.Unlock()
@@ -238,7 +240,7 @@
 	return time.After(time.Until(s.deadline)), s.deadlineChanged
 }
 
-// SetReadDeadline bounds the next reads.
+// SetReadDeadline sets the deadline for current and future reads.
 func (s *shapedConn) SetReadDeadline(t time.Time) error {
 	s.deadlineMu.Lock()
 	defer s.deadlineMu.Unlock()
@@ -248,13 +250,13 @@
 	return nil
 }
 
-// SetDeadline bounds the next reads; writes only queue.
+// SetDeadline sets only the read deadline, because writes only queue.
 func (s *shapedConn) SetDeadline(t time.Time) error { return s.SetReadDeadline(t) }
 
 // SetWriteDeadline has no effect, because writes only queue.
 func (s *shapedConn) SetWriteDeadline(time.Time) error { return nil }
 
-// Close ends the connection.
+// Close closes the connection. Bytes that are still queued may be lost.
 func (s *shapedConn) Close() error {
 	s.once.Do(func() { close(s.done) })
 	return s.Conn.Close()
