--- a/emulator/opaque.go
+++ b/emulator/opaque.go
@@ -12,61 +12,62 @@
 	"time"
 )
 
-// signaturePrefix stands before a server's id in its signature.
+// signaturePrefix is the prefix of a server's signature; the server's ID follows.
 const signaturePrefix = "signed-by-"
 
-// OpaqueFault is how an opaque server treats a request.
+// OpaqueFault is a fault that is injected into an opaque server for one request.
 type OpaqueFault string
 
-// The faults of an opaque server; the last word of each says what was run.
+// The faults of an opaque server.
 const (
-	// OpaqueGood answers as it should.
+	// OpaqueGood runs the request and answers normally.
 	OpaqueGood OpaqueFault = ""
-	// OpaqueFull refuses without running.
+	// OpaqueFull rejects the request with 503 without running it.
 	OpaqueFull OpaqueFault = "full"
-	// OpaqueOther answers that it is another server, without running.
+	// OpaqueOther answers with 421, as if the request were meant for another server, without running it.
 	OpaqueOther OpaqueFault = "other"
-	// OpaqueError runs and fails with a 500 of its own.
+	// OpaqueError runs the request and answers with a signed 500.
 	OpaqueError OpaqueFault = "error"
-	// OpaqueReset runs and resets the connection without an answer.
+	// OpaqueReset runs the request and resets the connection without an answer.
 	OpaqueReset OpaqueFault = "reset"
-	// OpaqueCut runs and breaks off in the middle.
+	// OpaqueCut runs the request and closes the connection in the middle of the answer.
 	OpaqueCut OpaqueFault = "cut"
-	// OpaqueHang runs and never answers.
+	// OpaqueHang runs the request and never answers.
 	OpaqueHang OpaqueFault = "hang"
-	// OpaqueForged runs and answers without its signature.
+	// OpaqueForged runs the request and answers without its signature.
 	OpaqueForged OpaqueFault = "forged"
-	// OpaqueForeign runs and answers for another request.
+	// OpaqueForeign runs the request and sends another request's answer instead of its own.
 	OpaqueForeign OpaqueFault = "foreign"
-	// OpaqueExtra runs and sends another request's answer first.
+	// OpaqueExtra runs the request and sends another request's answer before its own.
 	OpaqueExtra OpaqueFault = "extra"
-	// OpaqueCrash ends the server soon after it has begun to run the request, and with it all else that it runs.
+	// OpaqueCrash crashes the server shortly after it has started to run the request, and with it all other requests that it
+	// runs.
 	OpaqueCrash OpaqueFault = "crash"
 )
 
-// crashDelay is how long a server lasts once it runs a request that crashes it.
+// crashDelay is the time between the start of a request that crashes the server and the crash.
 const crashDelay = 20 * time.Millisecond
 
-// OpaqueRun is one request that a server has run.
+// OpaqueRun is one request that a server has started to run.
 type OpaqueRun struct {
 	ID, Server, Workspace, LastEvent, Path string
 	TimeLeft                               time.Duration
 	Key                                    bool
 	Body                                   string
-	// At is when the server began to work on it, Fault how it treated it.
+	// At is when the server started to run the request, Fault the fault that was injected.
 	At    time.Time
 	Fault OpaqueFault
-	// Left tells that the caller's connection ended before the answer was whole.
+	// Left is set if the connection ended before a stream was complete, or while OpaqueHang kept it without an answer.
 	Left bool
 }
 
-// OpaqueLedger counts what all servers ran, over their lives.
+// OpaqueLedger records the requests that all servers ran, across restarts.
 type OpaqueLedger struct {
 	mu   sync.Mutex
 	runs []OpaqueRun
 }
 
-// Runs returns what was run, in order.
+// Runs returns the requests that were run, in the order of their starts.
 func (l *OpaqueLedger) Runs() []OpaqueRun {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -86,15 +87,15 @@
 	l.runs[i].Left = true
 }
 
-// OpaqueArrival is a request that has reached a server, which may have turned it away.
+// OpaqueArrival is a request that has reached a server, which may have rejected it.
 type OpaqueArrival struct {
 	ID string
 	At time.Time
-	// Rest is the time of rest that the server asked for when it turned the request away, in seconds as text.
+	// Rest is the Retry-After value, in seconds, that a rejected request was answered with. It is empty if there was none.
 	Rest string
 }
 
-// OpaqueServer speaks the protocol of the users' servers, with every fault that they show.
+// OpaqueServer implements the protocol of the users' servers and can inject every fault that they have.
 type OpaqueServer struct {
 	ID       string
 	runLog   *OpaqueLedger
@@ -102,20 +103,20 @@
 
 	mu     sync.Mutex
 	faults []OpaqueFault
-	// Events is the number of events of a stream, Pause what separates them.
+	// events is the number of events in a stream, pause the time before each.
 	events int
 	pause  time.Duration
-	// echo makes answers repeat the request, after the time that the work takes.
+	// echo makes answers repeat the request; plain answers come after workTime.
 	echo     bool
 	workTime time.Duration
 	conns    map[net.Conn]bool
-	// crashText is what bodies contain that crash the server, crashed is called as it ends.
+	// A request whose body contains crashText crashes the server; onCrash is called before it closes.
 	crashText string
 	onCrash   func(s *OpaqueServer)
-	// rateLimit is the limit that all answers name, leaving that they tell that the server leaves.
+	// rateLimit is the Server-Limit header of all answers; draining adds the Server-Leaving header to them.
 	rateLimit string
 	draining  bool
-	// retryAfter is what a request that is turned away is told as the time to rest, in seconds.
+	// retryAfter is the Retry-After header of rejections, in seconds.
 	retryAfter string
 	arrivals   []OpaqueArrival
 }
@@ -125,7 +126,7 @@
 	return StartOpaqueServerAt("127.0.0.1:0", id, runLog)
 }
 
-// StartOpaqueServerAt starts a server on an address, such as that of one that has ended.
+// StartOpaqueServerAt starts a server on an address, such as the address of a server that has closed.
 func StartOpaqueServerAt(address, id string, runLog *OpaqueLedger) (*OpaqueServer, error) {
 	listener, err := net.Listen("tcp", address)
 	if err != nil {
@@ -136,32 +137,32 @@
 	return s, nil
 }
 
-// Address is where the server listens.
+// Address returns the address on which the server listens.
 func (s *OpaqueServer) Address() string { return s.listener.Addr().String() }
 
-// Fail sets how the next requests are treated, one entry each; after them all is well.
+// Fail sets the faults of the next requests, one each, replacing earlier ones. Requests after them have no fault.
 func (s *OpaqueServer) Fail(faults ...OpaqueFault) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.faults = faults
 }
 
-// Stream sets how streams are answered.
+// Stream sets the number of events in a stream and the time before each.
 func (s *OpaqueServer) Stream(events int, pause time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.events, s.pause = events, pause
 }
 
-// CrashOn makes every request whose body contains a text crash the server; crashed is called as it ends, before any caller
-// can know.
+// CrashOn makes every request whose body contains text crash the server. onCrash is called once, before any connection is closed,
+// so that it runs before any caller can notice the crash.
 func (s *OpaqueServer) CrashOn(text string, onCrash func(s *OpaqueServer)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.crashText, s.onCrash = text, onCrash
 }
 
-// crash ends the server for a request that crashes it.
+// crash closes the server after crashDelay.
 func (s *OpaqueServer) crash() {
 	time.Sleep(crashDelay)
 	s.mu.Lock()
@@ -174,8 +175,8 @@
 	s.Close()
 }
 
-// Echo makes plain answers repeat the request's id and body, after the time that the work takes, and events repeat its id,
-// so that an answer which is not the request's own shows in its body.
+// Echo makes plain answers repeat the request's ID and body, after workTime, and events repeat its ID, so that a caller that
+// receives another request's answer can detect this from the body.
 func (s *OpaqueServer) Echo(workTime time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -188,21 +189,21 @@
 	return s.echo, s.workTime
 }
 
-// Limit makes all answers name a limit, in requests a second as text; an empty text ends it.
+// Limit sets the Server-Limit header of all answers, in requests per second. An empty string removes it.
 func (s *OpaqueServer) Limit(perSecond string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.rateLimit = perSecond
 }
 
-// Rest makes the answers that turn requests away ask for a time of rest, in seconds as text; an empty text ends it.
+// Rest sets the Retry-After header of rejections, in seconds. An empty string removes it.
 func (s *OpaqueServer) Rest(seconds string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.retryAfter = seconds
 }
 
-// rejectionHeader returns the head of an answer to a request that is not run.
+// rejectionHeader returns the status line and headers of a rejection, whose request was not run.
 func (s *OpaqueServer) rejectionHeader() string {
 	header := "HTTP/1.1 503 Service Unavailable\r\nX-Not-Executed: 1\r\n" + s.serverHeader()
 	s.mu.Lock()
@@ -213,10 +214,10 @@
 	return header
 }
 
-// Leave makes all answers tell that the server leaves, until it stays after all, as one that has started again does.
+// Leave adds the Server-Leaving header to all answers until Stay is called.
 func (s *OpaqueServer) Leave() { s.setDraining(true) }
 
-// Stay ends that.
+// Stay removes the Server-Leaving header from answers, as after a restart of the server.
 func (s *OpaqueServer) Stay() { s.setDraining(false) }
 
 func (s *OpaqueServer) setDraining(draining bool) {
@@ -225,14 +226,14 @@
 	s.draining = draining
 }
 
-// Arrivals returns the requests that have reached the server, in order.
+// Arrivals returns the requests that have reached the server, in the order of arrival.
 func (s *OpaqueServer) Arrivals() []OpaqueArrival {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return append([]OpaqueArrival(nil), s.arrivals...)
 }
 
-// serverHeader returns what an answer tells of the server itself, as header lines.
+// serverHeader returns the header lines of an answer that describe the server's state.
 func (s *OpaqueServer) serverHeader() string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -246,7 +247,7 @@
 	return lines
 }
 
-// Close ends the server and its connections.
+// Close closes the server and its connections.
 func (s *OpaqueServer) Close() {
 	_ = s.listener.Close()
 	s.mu.Lock()
@@ -307,7 +308,7 @@
 	return fault, s.events, s.pause
 }
 
-// serveRequest serves one request and tells whether the connection goes on.
+// serveRequest serves one request and reports whether the connection stays open.
 func (s *OpaqueServer) serveRequest(c net.Conn, r *http.Request, body string) bool {
 	id := r.Header.Get("X-Attempt-Id")
 	fault, events, pause := s.recordArrival(id, body)
@@ -334,7 +335,7 @@
 		}
 		return false
 	case OpaqueHang:
-		// Until the caller leaves.
+		// Wait until the caller closes the connection.
 		_, _ = c.Read(make([]byte, 1))
 		s.runLog.markDisconnected(run)
 		return false
@@ -363,7 +364,8 @@
 	return s.write(c, fmt.Sprintf("HTTP/1.1 200 OK\r\n%sContent-Length: %d\r\n\r\n%s", header, len(text), text))
 }
 
-// streamEvents sends events after the last one that the caller has; a cut one ends in the middle of an event.
+// streamEvents sends the events after lastEvent, the last one that the caller has received. If cut is set, the stream ends in the
+// middle of an event.
 func (s *OpaqueServer) streamEvents(c net.Conn, run int, id, header, lastEvent string, events int, pause time.Duration, cut bool) bool {
 	if !s.write(c, "HTTP/1.1 200 OK\r\n"+header+"Content-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n") {
 		return false
