--- a/emulator/platform.go
+++ b/emulator/platform.go
@@ -9,19 +9,19 @@
 	"github.com/masticway/masticway"
 )
 
-// Platform is the stand-in for the platform's services, served over HTTP.
+// Platform emulates the platform's services and serves them over HTTP.
 type Platform struct {
 	Table     *Table
 	Objects   *Objects
 	Instances *Instances
 }
 
-// NewPlatform returns an empty platform whose instance list lags.
+// NewPlatform returns an empty platform whose instance list lags behind by lag.
 func NewPlatform(lag time.Duration) *Platform {
 	return &Platform{Table: NewTable(), Objects: NewObjects(), Instances: NewInstances(lag)}
 }
 
-// Handler serves the platform's protocol and its fault switches.
+// Handler returns the handler of the platform's protocol and its fault injection.
 func (p *Platform) Handler() http.Handler {
 	mux := http.NewServeMux()
 	handleJSON(mux, "/table/get", func(r *http.Request, in struct {
@@ -101,7 +101,8 @@
 	})
 }
 
-// handleJSON registers a JSON call and maps typed errors to statuses.
+// handleJSON registers a handler that decodes its request from JSON and encodes its answer as JSON. Errors are mapped to status
+// codes.
 func handleJSON[T any](mux *http.ServeMux, path string, f func(*http.Request, T) (any, error)) {
 	mux.HandleFunc("POST "+path, func(w http.ResponseWriter, r *http.Request) {
 		var in T
@@ -121,7 +122,7 @@
 
 func writeError(w http.ResponseWriter, err error) {
 	if _, ok := errors.AsType[*masticway.OutcomeUnknownError](err); ok {
-		// The answer is lost on its way: the connection ends without one.
+		// The outcome must remain unknown to the caller, so abort the connection without an answer.
 		panic(http.ErrAbortHandler)
 	}
 	if conflict, ok := errors.AsType[*masticway.ConflictError](err); ok {
--- a/emulator/prompt.go
+++ b/emulator/prompt.go
@@ -7,10 +7,10 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// OwnerMark begins a prompt or body that names its owner, as in "ws:tailoring ".
+// OwnerMark is the prefix of a prompt or body that names its owner, as in "ws:tailoring ".
 const OwnerMark = "ws:"
 
-// Owner returns the owner that a text names, or nothing.
+// Owner returns the owner that text names, or the empty string if there is none.
 func Owner(text string) string {
 	rest, ok := strings.CutPrefix(text, OwnerMark)
 	if !ok {
@@ -26,7 +26,7 @@
 	Content string `json:"content"`
 }
 
-// CountTokens is the engine's tokenizer: four bytes a token, and four tokens around each message.
+// CountTokens emulates the engine's tokenizer: it counts one token per four bytes, rounded up, and four more tokens per message.
 func CountTokens(messages []Message) int {
 	n := 0
 	for _, m := range messages {
@@ -35,7 +35,7 @@
 	return n
 }
 
-// Token is the engine's answer token at an index; the same prompt always gets the same answer.
+// Token returns the token at index in the engine's answer. The same prompt always gets the same answer.
 func Token(messages []Message, index int) string {
 	h := xxhash.New()
 	for _, m := range messages {
@@ -44,7 +44,7 @@
 	return fmt.Sprintf("%04x ", (h.Sum64()+uint64(index)*0x9e3779b97f4a7c15)>>48)
 }
 
-// Answer is the whole answer of so many tokens.
+// Answer returns the first tokens of the engine's answer as one string.
 func Answer(messages []Message, tokens int) string {
 	var b strings.Builder
 	for i := range tokens {
@@ -53,7 +53,8 @@
 	return b.String()
 }
 
-// NaturalLength is where the answer would end by itself: a prompt may say [tokens=N].
+// NaturalLength returns the number of tokens of an answer without a limit: N if the last message contains [tokens=N], and
+// defaultAnswerTokens otherwise.
 func NaturalLength(messages []Message) int {
 	last := messages[max(0, len(messages)-1):]
 	for _, m := range last {
--- a/emulator/rows.go
+++ b/emulator/rows.go
@@ -10,40 +10,41 @@
 	"github.com/masticway/masticway"
 )
 
-// RowFaults are the faults of a row store.
+// RowFaults are the faults that can be injected into a row store.
 type RowFaults struct {
-	// Busy answers 503 to everything; nothing is done.
+	// Busy fails every call as unavailable (503 over HTTP) without executing it.
 	Busy bool
-	// Silent lets every call hang until its caller gives up; nothing is done.
+	// Silent blocks every call until its context is done, without executing it.
 	Silent bool
-	// Slow delays every call.
+	// Slow is the delay before every call is executed.
 	Slow time.Duration
-	// LoseAnswers makes so many writes and gives no answer to them.
+	// LoseAnswers is the number of writes that are executed without an answer.
 	LoseAnswers int
-	// LateWrites gives no answer to so many writes and makes them after LateBy, if their expectations still hold.
+	// LateWrites is the number of writes that get no answer and are executed after LateBy, if the expected versions still match
+	// then.
 	LateWrites int
 	LateBy     time.Duration
 }
 
-// Rows is a row store in memory.
+// Rows is an in-memory row store.
 type Rows struct {
 	mu      sync.Mutex
 	rows    map[masticway.RowKey]masticway.StoredRow
 	history []masticway.StoredRow
 	version int64
-	// compacted is the version up to which changes are no longer kept.
+	// compacted is the version up to which the history has been discarded.
 	compacted int64
 	faults    RowFaults
 	started   time.Time
 	now       func() time.Time
 	changed   chan struct{}
-	// pendingLateWrites is the number of writes that are still to be made.
+	// pendingLateWrites is the number of late writes that have not been executed yet.
 	pendingLateWrites int
 }
 
 var _ masticway.RowStore = (*Rows)(nil)
 
-// NewRows returns an empty row store with a steady clock.
+// NewRows returns an empty row store; now is the clock from which its store time is taken.
 func NewRows(now func() time.Time) *Rows {
 	return &Rows{rows: map[masticway.RowKey]masticway.StoredRow{}, started: now(), now: now, changed: make(chan struct{})}
 }
@@ -55,7 +56,7 @@
 	s.faults = f
 }
 
-// Put writes a row as an operator or server would, whatever the faults.
+// Put writes a row on behalf of an operator or server, regardless of the faults, and returns the new version.
 func (s *Rows) Put(key masticway.RowKey, value []byte) int64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -63,14 +64,14 @@
 	return s.version
 }
 
-// Delete removes a row as an operator or server would.
+// Delete removes a row on behalf of an operator or server, regardless of the faults.
 func (s *Rows) Delete(key masticway.RowKey) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.commit(masticway.RowWrite{Deletes: []masticway.RowKey{key}})
 }
 
-// Row returns a row, with version zero when there is none.
+// Row returns a row, or one with version zero if it does not exist.
 func (s *Rows) Row(key masticway.RowKey) masticway.StoredRow {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -80,7 +81,7 @@
 	return masticway.StoredRow{RowKey: key}
 }
 
-// Compact forgets the history.
+// Compact discards the history, so that watches since an earlier version fail.
 func (s *Rows) Compact() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -89,7 +90,7 @@
 	s.notifyWatchers()
 }
 
-// Wait returns when all late writes have been made or refused.
+// Wait waits until all late writes have been executed or have failed.
 func (s *Rows) Wait() {
 	for s.pendingWrites() > 0 {
 		time.Sleep(time.Millisecond)
@@ -119,7 +120,7 @@
 	return out, nil
 }
 
-// Write commits a write, or does what the faults say.
+// Write commits a write if the expected versions match, subject to the faults.
 func (s *Rows) Write(ctx context.Context, w masticway.RowWrite) (masticway.RowReading, error) {
 	if err := s.injectFault(ctx); err != nil {
 		return masticway.RowReading{}, err
@@ -133,7 +134,7 @@
 			s.mu.Lock()
 			defer s.mu.Unlock()
 			s.pendingLateWrites--
-			// Nobody waits for the outcome of a late write.
+			// No caller waits for the outcome of a late write.
 			_, _ = s.apply(w)
 		})
 		return masticway.RowReading{}, &masticway.OutcomeUnknownError{Service: "rows", Reason: "late"}
@@ -146,7 +147,7 @@
 	return out, err
 }
 
-// Apply commits a write whatever the faults; tests use it to decide themselves what is answered.
+// Apply commits a write if the expected versions match, regardless of the faults. Tests use it to choose the answer themselves.
 func (s *Rows) Apply(w masticway.RowWrite) (masticway.RowReading, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -190,7 +191,8 @@
 	s.changed = make(chan struct{})
 }
 
-// Watch returns the changes of a table.
+// Watch waits until a table has changes since f.Since, for at most f.MaxWait, and returns them. It fails with a HistoryLostError
+// if the changes are no longer kept or are larger than f.MaxBytes.
 func (s *Rows) Watch(ctx context.Context, f masticway.WatchRequest) (masticway.RowReading, error) {
 	if err := s.injectFault(ctx); err != nil {
 		return masticway.RowReading{}, err
@@ -236,7 +238,7 @@
 	return masticway.RowReading{Version: s.version, StoreTime: s.now().Sub(s.started)}
 }
 
-// injectFault does what the faults say of every call.
+// injectFault applies the faults that concern every call.
 func (s *Rows) injectFault(ctx context.Context) error {
 	s.mu.Lock()
 	f := s.faults
--- a/emulator/rowserver.go
+++ b/emulator/rowserver.go
@@ -12,7 +12,7 @@
 	"github.com/masticway/masticway"
 )
 
-// rowJSON is a row on the wire.
+// rowJSON is the JSON encoding of a row.
 type rowJSON struct {
 	Table   string `json:"table"`
 	Part    string `json:"part"`
@@ -26,10 +26,10 @@
 	return masticway.RowKey{Table: r.Table, Part: r.Part, Key: r.Key}
 }
 
-// maxPageRows bounds the rows of one page, small enough that tests see more than one.
+// maxPageRows is the maximum number of rows in one page. It is small enough that tests get more than one page.
 const maxPageRows = 500
 
-// Handler serves the row store's protocol.
+// Handler returns the handler of the row store's protocol.
 func (s *Rows) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /-/rows-get", s.serveRead)
@@ -101,14 +101,14 @@
 	} else if _, historyLost := errors.AsType[*masticway.HistoryLostError](err); historyLost {
 		status = http.StatusGone
 	} else if _, unknown := errors.AsType[*masticway.OutcomeUnknownError](err); unknown {
-		// The answer is lost: the connection ends without one.
+		// The outcome must remain unknown to the caller, so abort the connection without an answer.
 		panic(http.ErrAbortHandler)
 	} else if err != nil {
 		status = http.StatusServiceUnavailable
 	}
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
-	// A reader that has left gets nothing, and of many large rows only those until then are made ready.
+	// Encode one row at a time, so that no more rows are encoded after the caller has disconnected.
 	if _, err := io.WriteString(w, `{"rows":[`); err != nil {
 		return
 	}
--- a/emulator/service.go
+++ b/emulator/service.go
@@ -11,17 +11,17 @@
 	"github.com/masticway/masticway"
 )
 
-// ServiceFaults are the faults of a plain service.
+// ServiceFaults are the faults that can be injected into a plain service.
 type ServiceFaults struct {
-	// Slow delays every call by so many milliseconds, after it has run.
+	// Slow is the delay between running a call and answering it, in milliseconds.
 	Slow int `json:"slow_ms"`
-	// DropAnswers breaks the connection after so many calls have run.
+	// DropAnswers is the number of calls whose connection is aborted after they have run.
 	DropAnswers int `json:"drop_answers"`
-	// Down refuses everything before it runs.
+	// Down rejects every call without running it.
 	Down bool `json:"down"`
 }
 
-// Service is a booking or stock service stand-in that counts what it ran.
+// Service emulates a plain service, such as booking or stock, and counts the calls that it ran.
 type Service struct {
 	mu        sync.Mutex
 	faults    ServiceFaults
@@ -29,7 +29,7 @@
 	totalRuns int
 }
 
-// NewService returns a service that has run nothing.
+// NewService returns a service without faults.
 func NewService() *Service { return &Service{runs: map[string]int{}} }
 
 // SetFaults replaces the service's faults.
@@ -39,21 +39,21 @@
 	s.faults = f
 }
 
-// Runs returns how often each body was run.
+// Runs returns how many calls with each body were run.
 func (s *Service) Runs() map[string]int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return maps.Clone(s.runs)
 }
 
-// Record counts a run that no request asked for, so that tests can see the checks notice it.
+// Record counts a run that no request asked for, so that tests can verify that the checks detect it.
 func (s *Service) Record(body string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.runs[body]++
 }
 
-// Handler serves the service's calls, its load report and its fault switch.
+// Handler returns the handler of the service's calls, load report, fault injection and counts.
 func (s *Service) Handler() http.Handler {
 	mux := http.NewServeMux()
 	handleJSON(mux, "/faults", func(_ *http.Request, f ServiceFaults) (any, error) {
--- a/emulator/table.go
+++ b/emulator/table.go
@@ -13,19 +13,20 @@
 	"github.com/masticway/masticway"
 )
 
-// TableFaults are the faults of a table or object store.
+// TableFaults are the faults that can be injected into a table.
 type TableFaults struct {
-	// Down refuses everything; nothing is written.
+	// Down fails every call without executing it.
 	Down bool `json:"down"`
-	// Slow delays every call by so many milliseconds.
+	// Slow is the delay before every call is executed, in milliseconds.
 	Slow int `json:"slow_ms"`
-	// LoseAnswers drops the answers to so many commits after they took effect.
+	// LoseAnswers is the number of commits that take effect without an answer.
 	LoseAnswers int `json:"lose_answers"`
-	// WritesPerSecond bounds the commits; zero means no bound.
+	// WritesPerSecond is the maximum number of commits per second, failed ones included. Zero means no limit, and a negative
+	// number allows none.
 	WritesPerSecond int `json:"writes_per_second"`
 }
 
-// Table is a transactional table in memory.
+// Table is an in-memory transactional table.
 type Table struct {
 	mu           sync.Mutex
 	rows         map[string]masticway.Row
@@ -51,14 +52,15 @@
 	t.faults = f
 }
 
-// Reads returns how many reads were carried out.
+// Reads returns the number of executed reads.
 func (t *Table) Reads() int64 {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.reads
 }
 
-// WritesByKind splits the writes by the kind of the first row that each transaction put.
+// WritesByKind returns the number of committed transactions by kind: the key prefix, up to the first slash, of the first row that
+// the transaction put.
 func (t *Table) WritesByKind() map[string]int64 {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -84,7 +86,7 @@
 	return f, nil
 }
 
-// Get reads a row.
+// Get returns a row, or one with version zero if it does not exist.
 func (t *Table) Get(_ context.Context, key string) (masticway.Row, error) {
 	if _, err := t.injectFault(); err != nil {
 		return masticway.Row{}, err
@@ -98,7 +100,7 @@
 	return masticway.Row{Key: key}, nil
 }
 
-// Scan reads all rows with a prefix, in order.
+// Scan returns all rows whose key has a prefix, sorted by key.
 func (t *Table) Scan(_ context.Context, prefix string) ([]masticway.Row, error) {
 	if _, err := t.injectFault(); err != nil {
 		return nil, err
@@ -116,7 +118,7 @@
 	return rows, nil
 }
 
-// Commit writes a transaction if all its conditions hold.
+// Commit commits a transaction if all its conditions are met.
 func (t *Table) Commit(_ context.Context, tx masticway.Transaction) error {
 	if _, err := t.injectFault(); err != nil {
 		return err
@@ -160,7 +162,7 @@
 	return t.windowWrites <= max(0, t.faults.WritesPerSecond)
 }
 
-// Objects is an object store in memory.
+// Objects is an in-memory object store.
 type Objects struct {
 	mu     sync.Mutex
 	data   map[string][]byte
@@ -180,7 +182,7 @@
 	o.down = down
 }
 
-// Writes returns how many objects were written.
+// Writes returns the number of executed writes.
 func (o *Objects) Writes() int64 {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -199,7 +201,7 @@
 	return nil
 }
 
-// Get reads an object.
+// Get returns an object.
 func (o *Objects) Get(_ context.Context, name string) ([]byte, error) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -213,7 +215,7 @@
 	return data, nil
 }
 
-// List names the objects with a prefix, in order.
+// List returns the sorted names of the objects with a prefix.
 func (o *Objects) List(_ context.Context, prefix string) ([]string, error) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -230,7 +232,7 @@
 	return names, nil
 }
 
-// Instances is an instance list whose readings lag.
+// Instances is an instance list that shows changes only after a lag.
 type Instances struct {
 	mu      sync.Mutex
 	entries map[string]masticway.Instance
@@ -247,7 +249,7 @@
 
 var _ masticway.InstanceList = (*Instances)(nil)
 
-// NewInstances returns an empty list that shows changes after a lag.
+// NewInstances returns an empty list that shows each change after lag.
 func NewInstances(lag time.Duration) *Instances {
 	return &Instances{entries: map[string]masticway.Instance{}, lag: lag}
 }
@@ -266,7 +268,7 @@
 	l.changes = append(l.changes, instanceChange{at: time.Now(), instance: i})
 }
 
-// SetState records a new state of a known instance.
+// SetState records the new state of an instance and reports whether the instance exists.
 func (l *Instances) SetState(id string, s masticway.InstanceState) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -283,7 +285,8 @@
 	return ok
 }
 
-// Instances reads the list as it was a lag ago, unless it still has the known version.
+// Instances returns the list with all changes that are at least as old as the lag, or only its version if the known version is
+// still current.
 func (l *Instances) Instances(_ context.Context, known string) (masticway.InstanceReading, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
