--- a/commander/account.go
+++ b/commander/account.go
@@ -48,21 +48,21 @@
 		}
 	}
 	if f.request != "" {
-		story, err := account.Story()
+		trace, err := account.Story()
 		if err != nil {
 			return err
 		}
-		return showAccount(e, f.json, story, story.Print)
+		return printAccount(e, f.json, trace, trace.Print)
 	}
 	report, err := account.Report()
 	if err != nil {
 		return err
 	}
-	return showAccount(e, f.json, report, func(w io.Writer) error { return report.Print(w, f.rows) })
+	return printAccount(e, f.json, report, func(w io.Writer) error { return report.Print(w, f.rows) })
 }
 
-// showAccount writes a value as JSON, or as text by its own function.
-func showAccount(e env, asJSON bool, v any, text func(w io.Writer) error) error {
+// printAccount writes a value as JSON, or as text by its own function.
+func printAccount(e env, asJSON bool, v any, text func(w io.Writer) error) error {
 	if !asJSON {
 		return text(e.out)
 	}
--- a/commander/budgets.go
+++ b/commander/budgets.go
@@ -15,7 +15,7 @@
 )
 
 func budgetCommand() *command {
-	return &command{name: "budget", description: "show and top up budgets", subs: []*command{budgetShow(), budgetTopUp()}}
+	return &command{name: "budget", description: "show and top up budgets", subcommands: []*command{budgetShow(), budgetTopUp()}}
 }
 
 func budgetShow() *command {
@@ -28,7 +28,7 @@
 			s.AddPositionalValue(&budget, "budget", 1, true, "name of the budget")
 		},
 		run: func(ctx context.Context, e env) error {
-			return perform(ctx, c, e, apiCall{method: http.MethodGet, path: "/admin/v1/budgets/" + budget}, printBudget)
+			return callAndPrint(ctx, c, e, apiCall{method: http.MethodGet, path: "/admin/v1/budgets/" + budget}, printBudget)
 		},
 	}
 }
@@ -43,17 +43,17 @@
 	}
 	fmt.Fprintf(w, "budget %s, in tokens at weight one\n", v.Budget)
 	for _, r := range rows {
-		fmt.Fprintf(w, "  %-10s %s\n", r.name, tokens(r.amount))
+		fmt.Fprintf(w, "  %-10s %s\n", r.name, formatTokens(r.amount))
 	}
 	for _, g := range v.Grants {
 		state := "in use"
 		if g.Stranded {
 			state = "stranded: " + g.Why
 		}
-		fmt.Fprintf(w, "  grant to %s: %s (%s)\n", g.Payer, tokens(g.Open), state)
+		fmt.Fprintf(w, "  grant to %s: %s (%s)\n", g.Payer, formatTokens(g.Open), state)
 	}
 	if v.Here != nil {
-		fmt.Fprintf(w, "  at this router: drawn %s spent %s held %s in %d holds\n", tokens(v.Here.Drawn), tokens(v.Here.Spent), tokens(v.Here.Held), v.Here.Holds)
+		fmt.Fprintf(w, "  at this router: drawn %s spent %s held %s in %d holds\n", formatTokens(v.Here.Drawn), formatTokens(v.Here.Spent), formatTokens(v.Here.Held), v.Here.Holds)
 	}
 }
 
@@ -80,10 +80,10 @@
 				return fmt.Errorf("encoding the amount: %w", err)
 			}
 			call := apiCall{method: http.MethodPost, path: "/admin/v1/budgets/" + budget + "/top-ups", body: body, headers: f.headers()}
-			return perform(ctx, c, e, call, func(w io.Writer, v struct {
+			return callAndPrint(ctx, c, e, call, func(w io.Writer, v struct {
 				Prepaid masticway.Amount `json:"prepaid"`
 			}) {
-				fmt.Fprintf(w, "prepaid is now %s tokens\n", tokens(v.Prepaid))
+				fmt.Fprintf(w, "prepaid is now %s tokens\n", formatTokens(v.Prepaid))
 			})
 		},
 	}
--- a/commander/client.go
+++ b/commander/client.go
@@ -21,8 +21,8 @@
 	// clientTimeout is how long a router's answer may take to begin, and how long it may pause: the time that all of it takes
 	// grows with the configuration.
 	clientTimeout = 10 * time.Second
-	// anySize leaves the size of an answer, in bytes, to the router.
-	anySize = math.MaxInt64
+	// noSizeLimit leaves the size of an answer, in bytes, to the router.
+	noSizeLimit = math.MaxInt64
 )
 
 // client reaches a router's operator API.
@@ -63,13 +63,13 @@
 	headers []header
 }
 
-// perform makes a call and shows its answer.
-func perform[T any](ctx context.Context, c *client, e env, call apiCall, text func(w io.Writer, v T)) error {
+// callAndPrint makes a call and shows its answer.
+func callAndPrint[T any](ctx context.Context, c *client, e env, call apiCall, text func(w io.Writer, v T)) error {
 	data, err := c.call(ctx, call)
 	if err != nil {
 		return err
 	}
-	return show(c, e, data, text)
+	return printAnswer(c, e, data, text)
 }
 
 func (c *client) call(ctx context.Context, call apiCall) ([]byte, error) {
@@ -91,7 +91,7 @@
 	for _, h := range call.headers {
 		request.Header.Set(h.name, h.value)
 	}
-	answer, err := receiver.Do(http.DefaultClient, request, receiver.Limits{Begin: clientTimeout, Pause: clientTimeout, Bytes: anySize})
+	answer, err := receiver.Do(http.DefaultClient, request, receiver.Limits{Begin: clientTimeout, Pause: clientTimeout, Bytes: noSizeLimit})
 	if err != nil {
 		return nil, fmt.Errorf("calling the router: %w", err)
 	}
@@ -101,8 +101,8 @@
 	return answer.Body, nil
 }
 
-// show prints an answer as JSON, or as text by a function that reads it.
-func show[T any](c *client, e env, data []byte, text func(w io.Writer, v T)) error {
+// printAnswer prints an answer as JSON, or as text by a function that reads it.
+func printAnswer[T any](c *client, e env, data []byte, text func(w io.Writer, v T)) error {
 	if c.output == "json" {
 		var indented bytes.Buffer
 		if err := json.Indent(&indented, data, "", "  "); err != nil {
--- a/commander/commander.go
+++ b/commander/commander.go
@@ -45,10 +45,10 @@
 	// flags declares flags and positional values.
 	flags func(s *flaggy.Subcommand)
 	// values takes the values of a command that needs one or more of them, and valuesHelp says what they are.
-	values     *[]string
-	valuesHelp string
-	run        func(ctx context.Context, e env) error
-	subs       []*command
+	values      *[]string
+	valuesHelp  string
+	run         func(ctx context.Context, e env) error
+	subcommands []*command
 }
 
 // Main runs a command line and returns the exit code.
@@ -69,19 +69,19 @@
 
 // dispatch finds the command that the arguments name and runs it.
 func dispatch(ctx context.Context, e env, args []string) error {
-	c, rest, path := find(commands(), args)
+	c, rest, path := findCommand(commands(), args)
 	if c == nil {
 		if len(args) > 0 && !isHelp(args) {
 			return &usageError{reason: fmt.Sprintf("no command %q; see masticway --help", strings.Join(args, " "))}
 		}
-		overview(e.out)
+		printOverview(e.out)
 		return nil
 	}
 	if isHelp(rest) {
-		return help(e.out, c, path)
+		return printHelp(e.out, c, path)
 	}
 	if c.run == nil {
-		return &usageError{reason: fmt.Sprintf("%s needs one of: %s", path, names(c.subs))}
+		return &usageError{reason: fmt.Sprintf("%s needs one of: %s", path, commandNames(c.subcommands))}
 	}
 	if err := parse(c, path, rest); err != nil {
 		return err
@@ -93,22 +93,22 @@
 	return errorx.Decorate(err, "%s", path)
 }
 
-func find(list []*command, args []string) (found *command, rest []string, path string) {
+func findCommand(list []*command, args []string) (found *command, rest []string, path string) {
 	path = "masticway"
 	for len(args) > 0 {
-		next := byName(list, args[0])
+		next := commandByName(list, args[0])
 		if next == nil {
 			break
 		}
 		found = next
 		path += " " + next.name
-		list = next.subs
+		list = next.subcommands
 		args = args[1:]
 	}
 	return found, args, path
 }
 
-func byName(list []*command, name string) *command {
+func commandByName(list []*command, name string) *command {
 	for _, c := range list {
 		if c.name == name {
 			return c
@@ -117,7 +117,7 @@
 	return nil
 }
 
-func names(list []*command) string {
+func commandNames(list []*command) string {
 	all := make([]string, 0, len(list))
 	for _, c := range list {
 		all = append(all, c.name)
@@ -149,7 +149,7 @@
 			return &usageError{reason: fmt.Sprintf("%s: a value is missing (%s)", path, c.valuesHelp)}
 		}
 	}
-	if err := precheck(p, path, args); err != nil {
+	if err := validateArgs(p, path, args); err != nil {
 		return err
 	}
 	flaggy.PanicInsteadOfExit = true
@@ -173,7 +173,7 @@
 			continue
 		}
 		flags = append(flags, args[i])
-		if takesNext(p, name) && i+1 < len(args) {
+		if consumesNextArg(p, name) && i+1 < len(args) {
 			i++
 			flags = append(flags, args[i])
 		}
@@ -181,8 +181,8 @@
 	return values, flags
 }
 
-// takesNext tells that a flag's value is the next argument.
-func takesNext(p *flaggy.Parser, name string) bool {
+// consumesNextArg tells that a flag's value is the next argument.
+func consumesNextArg(p *flaggy.Parser, name string) bool {
 	if strings.Contains(name, "=") {
 		return false
 	}
@@ -194,8 +194,8 @@
 	return true
 }
 
-// precheck finds unknown flags and missing or surplus values, which the parser would answer with its own exit.
-func precheck(p *flaggy.Parser, path string, args []string) error {
+// validateArgs finds unknown flags and missing or surplus values, which the parser would answer with its own exit.
+func validateArgs(p *flaggy.Parser, path string, args []string) error {
 	values := 0
 	for i := 0; i < len(args); i++ {
 		name, isFlag := strings.CutPrefix(args[i], "--")
@@ -203,15 +203,15 @@
 			values++
 			continue
 		}
-		bare, _, _ := strings.Cut(name, "=")
-		if !declares(p, bare) {
-			return &usageError{reason: fmt.Sprintf("%s: unknown flag --%s", path, bare)}
+		flagName, _, _ := strings.Cut(name, "=")
+		if !hasFlag(p, flagName) {
+			return &usageError{reason: fmt.Sprintf("%s: unknown flag --%s", path, flagName)}
 		}
-		if takesNext(p, name) {
+		if consumesNextArg(p, name) {
 			i++
 		}
 		if i == len(args) {
-			return &usageError{reason: fmt.Sprintf("%s: --%s needs a value", path, bare)}
+			return &usageError{reason: fmt.Sprintf("%s: --%s needs a value", path, flagName)}
 		}
 	}
 	for _, v := range p.PositionalFlags {
@@ -225,7 +225,7 @@
 	return nil
 }
 
-func declares(p *flaggy.Parser, name string) bool {
+func hasFlag(p *flaggy.Parser, name string) bool {
 	for _, f := range p.Flags {
 		if f.LongName == name {
 			return true
@@ -234,7 +234,7 @@
 	return false
 }
 
-func overview(out io.Writer) {
+func printOverview(out io.Writer) {
 	fmt.Fprintf(out, "masticway %s: a router fleet for prepaid token budgets\n\ncommands:\n", version)
 	for _, c := range commands() {
 		fmt.Fprintf(out, "  %-10s %s\n", c.name, c.description)
@@ -242,9 +242,9 @@
 	fmt.Fprintf(out, "\n`masticway COMMAND --help` shows flags and an example.\n")
 }
 
-func help(out io.Writer, c *command, path string) error {
+func printHelp(out io.Writer, c *command, path string) error {
 	fmt.Fprintf(out, "%s: %s\n", path, c.description)
-	for _, s := range c.subs {
+	for _, s := range c.subcommands {
 		fmt.Fprintf(out, "  %-10s %s\n", s.name, s.description)
 	}
 	if c.values != nil {
--- a/commander/commander_test.go
+++ b/commander/commander_test.go
@@ -18,9 +18,9 @@
 	log := filepath.Join(directory, "edge-1.log")
 	qt.Assert(t, os.WriteFile(log, []byte(`  0.1 edge-1 time="2026-01-02T03:04:05Z" event=request outcome=timeout instance=edge-1 request=a1`+"\n"), 0o600), qt.IsNil)
 	cases := map[string]struct {
-		args []string
-		code int
-		says string
+		args       []string
+		wantCode   int
+		wantOutput string
 	}{
 		"version":              {[]string{"version"}, 0, `(?s)masticway \d+\.\d+\.\d+\n`},
 		"overview":             {nil, 0, `(?s).*commands:.*`},
@@ -56,8 +56,8 @@
 		t.Run(name, func(t *testing.T) {
 			var out bytes.Buffer
 			code := commander.Main(tc.args, &out, &out)
-			qt.Assert(t, code, qt.Equals, tc.code, qt.Commentf("%s", out.String()))
-			qt.Assert(t, out.String(), qt.Matches, tc.says)
+			qt.Assert(t, code, qt.Equals, tc.wantCode, qt.Commentf("%s", out.String()))
+			qt.Assert(t, out.String(), qt.Matches, tc.wantOutput)
 		})
 	}
 }
--- a/commander/configuration.go
+++ b/commander/configuration.go
@@ -17,7 +17,7 @@
 func catalogCommand() *command {
 	return &command{
 		name: "catalog", description: "put and get the catalog of models and services",
-		subs: []*command{catalogPut(), catalogGet()},
+		subcommands: []*command{catalogPut(), catalogGet()},
 	}
 }
 
@@ -32,7 +32,7 @@
 			fileArgument(s, &file, "catalog file")
 		},
 		run: func(ctx context.Context, e env) error {
-			if _, err := readFile[masticway.Catalog](validator.KindCatalog, file); err != nil {
+			if _, err := decodeFile[masticway.Catalog](validator.KindCatalog, file); err != nil {
 				return err
 			}
 			body, err := os.ReadFile(file)
@@ -40,7 +40,7 @@
 				return fmt.Errorf("reading %s: %w", file, err)
 			}
 			call := apiCall{method: http.MethodPut, path: "/admin/v1/catalog", body: body, headers: f.headers()}
-			return perform(ctx, c, e, call, printChange)
+			return callAndPrint(ctx, c, e, call, printChange)
 		},
 	}
 }
@@ -52,16 +52,16 @@
 		example: "masticway catalog get --router http://127.0.0.1:8101 --token-file examples/admin.token",
 		flags:   c.flags,
 		run: func(ctx context.Context, e env) error {
-			return perform(ctx, c, e, apiCall{method: http.MethodGet, path: "/admin/v1/catalog"}, func(w io.Writer, v struct {
+			return callAndPrint(ctx, c, e, apiCall{method: http.MethodGet, path: "/admin/v1/catalog"}, func(w io.Writer, v struct {
 				Revision masticway.Revision `json:"revision"`
 				Catalog  masticway.Catalog  `json:"catalog"`
 			}) {
 				fmt.Fprintf(w, "revision %d\n", v.Revision)
 				for _, m := range v.Catalog.Models {
-					fmt.Fprintf(w, "model   %-20s prompt %s completion %s tokens a token\n", m.Name, tokens(m.PromptWeight), tokens(m.CompletionWeight))
+					fmt.Fprintf(w, "model   %-20s prompt %s completion %s tokens a token\n", m.Name, formatTokens(m.PromptWeight), formatTokens(m.CompletionWeight))
 				}
 				for _, s := range v.Catalog.Services {
-					fmt.Fprintf(w, "service %-20s %s tokens a call\n", s.Name, tokens(s.Price))
+					fmt.Fprintf(w, "service %-20s %s tokens a call\n", s.Name, formatTokens(s.Price))
 				}
 			})
 		},
@@ -71,7 +71,7 @@
 func configCommand() *command {
 	return &command{
 		name: "config", description: "history of the configuration, and where it is in force",
-		subs: []*command{configPut(), configGet(), configHistory(), configStatus()},
+		subcommands: []*command{configPut(), configGet(), configHistory(), configStatus()},
 	}
 }
 
@@ -94,18 +94,18 @@
 		example: "masticway config history --router http://127.0.0.1:8101 --token-file examples/admin.token",
 		flags:   c.flags,
 		run: func(ctx context.Context, e env) error {
-			return perform(ctx, c, e, apiCall{method: http.MethodGet, path: "/admin/v1/config/history"}, func(w io.Writer, v struct {
+			return callAndPrint(ctx, c, e, apiCall{method: http.MethodGet, path: "/admin/v1/config/history"}, func(w io.Writer, v struct {
 				Changes []masticway.Change `json:"changes"`
 			}) {
 				for _, k := range v.Changes {
-					fmt.Fprintf(w, "%6d  %s  %s\n", k.Revision, k.ID, subject(k))
+					fmt.Fprintf(w, "%6d  %s  %s\n", k.Revision, k.ID, describeChange(k))
 				}
 			})
 		},
 	}
 }
 
-func subject(c masticway.Change) string {
+func describeChange(c masticway.Change) string {
 	switch {
 	case c.Contract != nil:
 		return "contract " + c.Contract.Workspace
@@ -122,7 +122,7 @@
 		example: "masticway config status --router http://127.0.0.1:8101 --token-file examples/admin.token",
 		flags:   c.flags,
 		run: func(ctx context.Context, e env) error {
-			return perform(ctx, c, e, apiCall{method: http.MethodGet, path: "/admin/v1/config/status"}, func(w io.Writer, v router.ConfigStatus) {
+			return callAndPrint(ctx, c, e, apiCall{method: http.MethodGet, path: "/admin/v1/config/status"}, func(w io.Writer, v router.ConfigStatus) {
 				fmt.Fprintf(w, "head %d, in force everywhere: %t\n", v.Head, v.InForce)
 				for _, d := range v.Daemons {
 					fmt.Fprintf(w, "  %-40s applied %d  %s  lease to %s\n", d.Incarnation, d.Applied, d.State, d.Lease.Format("15:04:05.000"))
--- a/commander/contracts.go
+++ b/commander/contracts.go
@@ -17,7 +17,7 @@
 func contractCommand() *command {
 	return &command{
 		name: "contract", description: "put, get, list and remove contracts",
-		subs: []*command{contractPut(), contractGet(), contractList(), contractRemove()},
+		subcommands: []*command{contractPut(), contractGet(), contractList(), contractRemove()},
 	}
 }
 
@@ -32,7 +32,7 @@
 			fileArgument(s, &file, "contract file")
 		},
 		run: func(ctx context.Context, e env) error {
-			contract, err := readFile[masticway.Contract](validator.KindContract, file)
+			contract, err := decodeFile[masticway.Contract](validator.KindContract, file)
 			if err != nil {
 				return err
 			}
@@ -41,7 +41,7 @@
 				return fmt.Errorf("encoding the contract: %w", err)
 			}
 			call := apiCall{method: http.MethodPut, path: "/admin/v1/contracts/" + contract.Workspace, body: body, headers: f.headers()}
-			return perform(ctx, c, e, call, printChange)
+			return callAndPrint(ctx, c, e, call, printChange)
 		},
 	}
 }
@@ -56,7 +56,7 @@
 			s.AddPositionalValue(&workspace, "workspace", 1, true, "workspace of the contract")
 		},
 		run: func(ctx context.Context, e env) error {
-			return perform(ctx, c, e, apiCall{method: http.MethodGet, path: "/admin/v1/contracts/" + workspace}, func(w io.Writer, v router.ContractAnswer) {
+			return callAndPrint(ctx, c, e, apiCall{method: http.MethodGet, path: "/admin/v1/contracts/" + workspace}, func(w io.Writer, v router.ContractAnswer) {
 				fmt.Fprintf(w, "revision   %d\nworkspace  %s\nbudget     %s\nclass      %s\npriority   %d\n", v.Revision, v.Contract.Workspace, v.Contract.Budget, v.Contract.Class, v.Contract.Priority)
 				for _, m := range v.Contract.Models {
 					fmt.Fprintf(w, "model      %s\n", m.Name)
@@ -76,7 +76,7 @@
 		example: "masticway contract list --router http://127.0.0.1:8101 --token-file examples/admin.token",
 		flags:   c.flags,
 		run: func(ctx context.Context, e env) error {
-			return perform(ctx, c, e, apiCall{method: http.MethodGet, path: "/admin/v1/contracts"}, func(w io.Writer, v router.ContractsAnswer) {
+			return callAndPrint(ctx, c, e, apiCall{method: http.MethodGet, path: "/admin/v1/contracts"}, func(w io.Writer, v router.ContractsAnswer) {
 				for _, k := range v.Contracts {
 					fmt.Fprintf(w, "%-20s budget %-20s models %d services %d keys %d\n", k.Workspace, k.Budget, len(k.Models), len(k.Services), len(k.KeyHashes))
 				}
@@ -97,7 +97,7 @@
 		},
 		run: func(ctx context.Context, e env) error {
 			call := apiCall{method: http.MethodDelete, path: "/admin/v1/contracts/" + workspace, headers: f.headers()}
-			return perform(ctx, c, e, call, printChange)
+			return callAndPrint(ctx, c, e, call, printChange)
 		},
 	}
 }
--- a/commander/dev.go
+++ b/commander/dev.go
@@ -117,7 +117,7 @@
 		clean = fleet.DrainRouter(r.Name) && clean
 	}
 	if !clean {
-		return cutOffError{}
+		return drainTimeoutError{}
 	}
 	fmt.Fprintln(e.out, "ended cleanly")
 	return nil
--- a/commander/gateway.go
+++ b/commander/gateway.go
@@ -16,9 +16,9 @@
 	"github.com/masticway/masticway/validator"
 )
 
-// collectAt is by how many percent a gateway's heap may grow before it is collected. It keeps little alive, so that collecting more
+// gcPercent is by how many percent a gateway's heap may grow before it is collected. It keeps little alive, so that collecting more
 // often costs hardly any processor time.
-const collectAt = 25
+const gcPercent = 25
 
 func gatewayCommand() *command {
 	var file string
@@ -31,24 +31,24 @@
 			if file == "" {
 				file = platform.SettingsPath()
 			}
-			settings, err := readFile[forwarder.Settings](validator.KindGateway, file)
+			settings, err := decodeFile[forwarder.Settings](validator.KindGateway, file)
 			if err != nil {
 				return err
 			}
-			debug.SetGCPercent(collectAt)
+			debug.SetGCPercent(gcPercent)
 			d, err := starter.BuildGateway(settings, e.out)
 			if err != nil {
 				return err
 			}
 			stop := reloadOnHangup(func() error {
-				settings, err := readFile[forwarder.Settings](validator.KindGateway, file)
+				settings, err := decodeFile[forwarder.Settings](validator.KindGateway, file)
 				if err == nil {
 					d.Reload(settings)
 				}
 				return err
 			}, e)
 			defer stop()
-			return runRole(ctx, d)
+			return runDaemon(ctx, d)
 		},
 	}
 }
--- a/commander/load.go
+++ b/commander/load.go
@@ -13,12 +13,12 @@
 	"github.com/masticway/masticway/logger"
 )
 
-// promiseError reports a run in which a promise or an expectation was not kept.
-type promiseError struct {
+// checkError reports a run in which a promise or an expectation was not kept.
+type checkError struct {
 	failures []string
 }
 
-func (e *promiseError) Error() string {
+func (e *checkError) Error() string {
 	return fmt.Sprintf("%d failure(s): %v", len(e.failures), e.failures)
 }
 
@@ -43,8 +43,8 @@
 			s.String(&f.router, "", "router-settings", "JSON of router settings that differ from the scenario's")
 			s.String(&f.level, "", "log-level", "least level of the fleet's log events")
 		},
-		run:  func(ctx context.Context, e env) error { return runLoad(ctx, e, *f) },
-		subs: []*command{compareCommand(), driveCommand()},
+		run:         func(ctx context.Context, e env) error { return runLoad(ctx, e, *f) },
+		subcommands: []*command{compareCommand(), driveCommand()},
 	}
 }
 
@@ -106,7 +106,7 @@
 		return err
 	}
 	if len(failures) > 0 {
-		return &promiseError{failures: failures}
+		return &checkError{failures: failures}
 	}
 	return nil
 }
--- a/commander/operators.go
+++ b/commander/operators.go
@@ -16,8 +16,8 @@
 
 const anyRevision = "*"
 
-// tokens writes an amount as tokens at weight one.
-func tokens(a masticway.Amount) string {
+// formatTokens writes an amount as tokens at weight one.
+func formatTokens(a masticway.Amount) string {
 	return strconv.FormatFloat(float64(a)/float64(masticway.PerToken), 'f', -1, 64)
 }
 
@@ -60,7 +60,7 @@
 			s.AddPositionalValue(&id, "request", 1, true, "Masticway-Request-Id of the request")
 		},
 		run: func(ctx context.Context, e env) error {
-			return perform(ctx, c, e, apiCall{method: http.MethodGet, path: "/admin/v1/requests/" + id}, printTrace)
+			return callAndPrint(ctx, c, e, apiCall{method: http.MethodGet, path: "/admin/v1/requests/" + id}, printTrace)
 		},
 	}
 }
@@ -68,13 +68,13 @@
 func printTrace(w io.Writer, t explainer.Trace) {
 	fmt.Fprintf(w, "request   %s\nidentity  %s\ncontract  %s at revision %d\ntarget    %s (%s)\nstate     %s %s\n", t.Request, t.Identity, t.Workspace, t.Revision, t.Target, t.Class, t.State, t.Refusal)
 	for _, h := range t.Holds {
-		fmt.Fprintf(w, "hold      %s tokens of bound %s, paid by %s, waited %s\n", tokens(h.Amount), tokens(h.Bound), h.Payer, h.Waited.Std())
+		fmt.Fprintf(w, "hold      %s tokens of bound %s, paid by %s, waited %s\n", formatTokens(h.Amount), formatTokens(h.Bound), h.Payer, h.Waited.Std())
 	}
 	for _, a := range t.Attempts {
-		fmt.Fprintf(w, "attempt %d at %s: %s %s, first token %s, took %s, cost %s\n", a.Number, a.Sidecar, a.Fate, a.Cause, a.FirstToken.Std(), a.Took.Std(), tokens(a.Cost))
+		fmt.Fprintf(w, "attempt %d at %s: %s %s, first token %s, took %s, cost %s\n", a.Number, a.Sidecar, a.Fate, a.Cause, a.FirstToken.Std(), a.Took.Std(), formatTokens(a.Cost))
 		for _, s := range a.Candidates {
 			fmt.Fprintf(w, "    %-24s %.4f s (queue %.4f prefill %.4f) cached %d in flight %d\n", s.Instance, s.Seconds, s.Queue, s.Prefill, s.Cached, s.InFlight)
 		}
 	}
-	fmt.Fprintf(w, "bill      %s tokens (prompt %d, completion %d), took %s\n", tokens(t.Bill), t.Usage.Prompt, t.Usage.Completion, t.Took.Std())
+	fmt.Fprintf(w, "bill      %s tokens (prompt %d, completion %d), took %s\n", formatTokens(t.Bill), t.Usage.Prompt, t.Usage.Completion, t.Took.Std())
 }
--- a/commander/roles.go
+++ b/commander/roles.go
@@ -17,8 +17,8 @@
 	"github.com/masticway/masticway/validator"
 )
 
-// readFile reads and decodes a document, reporting all its faults at once.
-func readFile[T any](k validator.Kind, file string) (T, error) {
+// decodeFile reads and decodes a document, reporting all its faults at once.
+func decodeFile[T any](k validator.Kind, file string) (T, error) {
 	var zero T
 	data, err := os.ReadFile(file)
 	if err != nil {
@@ -31,10 +31,12 @@
 	return v, nil
 }
 
-// cutOffError reports a shutdown that did not let everything finish.
-type cutOffError struct{}
+// drainTimeoutError reports a shutdown that did not let everything finish.
+type drainTimeoutError struct{}
 
-func (cutOffError) Error() string { return "the drain timeout ran out before everything had finished" }
+func (drainTimeoutError) Error() string {
+	return "the drain timeout ran out before everything had finished"
+}
 
 func routerCommand() *command {
 	var file string
@@ -42,7 +44,7 @@
 		name: "router", description: "run a router", example: "masticway router examples/router-1.json",
 		flags: func(s *flaggy.Subcommand) { fileArgument(s, &file, "settings file") },
 		run: func(ctx context.Context, e env) error {
-			settings, err := readFile[router.Settings](validator.KindRouter, file)
+			settings, err := decodeFile[router.Settings](validator.KindRouter, file)
 			if err != nil {
 				return err
 			}
@@ -50,7 +52,7 @@
 			if err != nil {
 				return err
 			}
-			return runRole(ctx, d)
+			return runDaemon(ctx, d)
 		},
 	}
 }
@@ -61,7 +63,7 @@
 		name: "sidecar", description: "run a sidecar", example: "masticway sidecar examples/sidecar-draft-1.json",
 		flags: func(s *flaggy.Subcommand) { fileArgument(s, &file, "settings file") },
 		run: func(ctx context.Context, e env) error {
-			settings, err := readFile[sidecar.Settings](validator.KindSidecar, file)
+			settings, err := decodeFile[sidecar.Settings](validator.KindSidecar, file)
 			if err != nil {
 				return err
 			}
@@ -69,24 +71,24 @@
 			if err != nil {
 				return err
 			}
-			return runRole(ctx, d)
+			return runDaemon(ctx, d)
 		},
 	}
 }
 
-// role is a daemon that starts, and drains when told to end.
-type role interface {
+// daemon is a daemon that starts, and drains when told to end.
+type daemon interface {
 	Start() error
 	Drain() bool
 }
 
-func runRole(ctx context.Context, r role) error {
+func runDaemon(ctx context.Context, r daemon) error {
 	if err := r.Start(); err != nil {
 		return err
 	}
 	<-ctx.Done()
 	if !r.Drain() {
-		return cutOffError{}
+		return drainTimeoutError{}
 	}
 	return nil
 }
@@ -98,7 +100,7 @@
 		example: "masticway emulate examples/emulator.json",
 		flags:   func(s *flaggy.Subcommand) { fileArgument(s, &file, "settings file") },
 		run: func(ctx context.Context, e env) error {
-			settings, err := readFile[starter.EmulatorSettings](validator.KindEmulator, file)
+			settings, err := decodeFile[starter.EmulatorSettings](validator.KindEmulator, file)
 			if err != nil {
 				return err
 			}
@@ -133,7 +135,7 @@
 			}
 			k := validator.Kind(kind)
 			if k == "" {
-				k = guess(data)
+				k = guessKind(data)
 			}
 			if err := validator.Check(k, data); err != nil {
 				return fmt.Errorf("%s: %w", file, err)
@@ -144,20 +146,20 @@
 	}
 }
 
-// guess tells a document's kind by a field that only this kind has.
-func guess(data []byte) validator.Kind {
+// guessKind tells a document's kind by a field that only this kind has.
+func guessKind(data []byte) validator.Kind {
 	var fields map[string]json.RawMessage
 	if json.Unmarshal(data, &fields) != nil {
 		return validator.KindRouter
 	}
-	marks := []struct {
+	markers := []struct {
 		field string
 		kind  validator.Kind
 	}{
 		{"traffic", validator.KindScenario}, {"store_address", validator.KindGateway}, {"platform_address", validator.KindEmulator},
 		{"upstream_url", validator.KindSidecar}, {"workspace", validator.KindContract},
 	}
-	for _, m := range marks {
+	for _, m := range markers {
 		if _, ok := fields[m.field]; ok {
 			return m.kind
 		}
--- a/commander/slow_test.go
+++ b/commander/slow_test.go
@@ -12,18 +12,18 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// TestLongAnswersAreReadWhole has an answer that takes longer than one may take to begin, as a long list on a slow link.
-func TestLongAnswersAreReadWhole(t *testing.T) {
+// TestSlowAnswersAreReadCompletely has an answer that takes longer than one may take to begin, as a long list on a slow link.
+func TestSlowAnswersAreReadCompletely(t *testing.T) {
 	const (
-		pieces    = 24
-		piece     = 64 << 10
-		pieceTime = clientTimeout / 20
+		chunks        = 24
+		chunkBytes    = 64 << 10
+		chunkInterval = clientTimeout / 20
 	)
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
-		for range pieces {
-			_, _ = w.Write([]byte(strings.Repeat("x", piece)))
+		for range chunks {
+			_, _ = w.Write([]byte(strings.Repeat("x", chunkBytes)))
 			w.(http.Flusher).Flush()
-			time.Sleep(pieceTime)
+			time.Sleep(chunkInterval)
 		}
 	}))
 	defer server.Close()
@@ -32,5 +32,5 @@
 	c := client{router: server.URL, tokenFile: token, output: "json"}
 	answer, err := c.call(t.Context(), apiCall{method: http.MethodGet, path: "/admin/v1/contracts"})
 	qt.Assert(t, err, qt.IsNil)
-	qt.Assert(t, answer, qt.HasLen, pieces*piece)
+	qt.Assert(t, answer, qt.HasLen, chunks*chunkBytes)
 }
--- a/commander/soak.go
+++ b/commander/soak.go
@@ -58,7 +58,7 @@
 			fmt.Fprintf(e.out, "seed %d: %d requests, %d served, %d resumed, %d versions, %d faults\n", seed, report.Requests, report.Served, report.Resumed, report.Versions, report.Faults)
 			for _, v := range report.Violations {
 				fmt.Fprintf(e.out, "  %s: %s\n", v.Promise, v.Text)
-				err = &promiseError{failures: []string{fmt.Sprintf("%d violation(s), see %s", len(report.Violations), directory)}}
+				err = &checkError{failures: []string{fmt.Sprintf("%d violation(s), see %s", len(report.Violations), directory)}}
 			}
 			return err
 		},
--- a/commander/upstreams.go
+++ b/commander/upstreams.go
@@ -13,7 +13,7 @@
 )
 
 func upstreamCommand() *command {
-	return &command{name: "upstream", description: "list upstreams and give them orders", subs: []*command{upstreamList(), upstreamOrder()}}
+	return &command{name: "upstream", description: "list upstreams and give them orders", subcommands: []*command{upstreamList(), upstreamOrder()}}
 }
 
 func upstreamList() *command {
@@ -23,7 +23,7 @@
 		example: "masticway upstream list --router http://127.0.0.1:8101 --token-file examples/admin.token",
 		flags:   c.flags,
 		run: func(ctx context.Context, e env) error {
-			return perform(ctx, c, e, apiCall{method: http.MethodGet, path: "/admin/v1/upstreams"}, func(w io.Writer, v struct {
+			return callAndPrint(ctx, c, e, apiCall{method: http.MethodGet, path: "/admin/v1/upstreams"}, func(w io.Writer, v struct {
 				Upstreams []struct {
 					Instance string   `json:"instance"`
 					State    string   `json:"state"`
@@ -58,7 +58,7 @@
 				return fmt.Errorf("encoding the order: %w", err)
 			}
 			call := apiCall{method: http.MethodPost, path: "/admin/v1/upstreams/" + instance + "/orders", body: body, headers: f.headers()}
-			return perform(ctx, c, e, call, func(w io.Writer, o masticway.Order) {
+			return callAndPrint(ctx, c, e, call, func(w io.Writer, o masticway.Order) {
 				fmt.Fprintf(w, "done: %s %s with fencing number %d\n", o.Action, o.Target, o.Fence)
 			})
 		},
