--- a/cmd/masticway/main.go
+++ b/cmd/masticway/main.go
@@ -1,4 +1,4 @@
-// Command masticway is the router fleet, its operators' commands and its test bench.
+// Command masticway runs the routers and sidecars of the fleet, the commands for its operators, and the load and soak tests.
 package main
 
 import (
