--- a/commander/client.go
+++ b/commander/client.go
@@ -18,14 +18,14 @@
 )
 
 const (
-	// clientTimeout is how long a router's answer may take to begin, and how long it may pause: the time that all of it takes
-	// grows with the configuration.
+	// clientTimeout is the timeout for the start of a router's answer and for each pause in it. The duration of a whole answer
+	// has no timeout, because it grows with the configuration.
 	clientTimeout = 10 * time.Second
-	// noSizeLimit leaves the size of an answer, in bytes, to the router.
+	// noSizeLimit is the size limit of an answer in bytes, so large that only the router limits the size.
 	noSizeLimit = math.MaxInt64
 )
 
-// client reaches a router's operator API.
+// client calls a router's operator API.
 type client struct {
 	router    string
 	tokenFile string
@@ -35,11 +35,11 @@
 func (c *client) flags(s *flaggy.Subcommand) {
 	c.output = "text"
 	s.String(&c.router, "", "router", "base URL of a router's operator listener")
-	s.String(&c.tokenFile, "", "token-file", "file with the operators' token")
+	s.String(&c.tokenFile, "", "token-file", "file with the operator token")
 	s.String(&c.output, "", "output", "text or json")
 }
 
-// apiError is an answer that is not a success.
+// apiError reports an answer whose status is not 200.
 type apiError struct {
 	status int
 	body   []byte
@@ -55,7 +55,7 @@
 	value string
 }
 
-// apiCall is one request to the operators' API.
+// apiCall is one request to the operator API.
 type apiCall struct {
 	method  string
 	path    string
@@ -63,7 +63,7 @@
 	headers []header
 }
 
-// callAndPrint makes a call and shows its answer.
+// callAndPrint makes a call and prints its answer.
 func callAndPrint[T any](ctx context.Context, c *client, e env, call apiCall, text func(w io.Writer, v T)) error {
 	data, err := c.call(ctx, call)
 	if err != nil {
@@ -101,7 +101,7 @@
 	return answer.Body, nil
 }
 
-// printAnswer prints an answer as JSON, or as text by a function that reads it.
+// printAnswer prints an answer as indented JSON if the output flag says so, and decodes it and calls text otherwise.
 func printAnswer[T any](c *client, e env, data []byte, text func(w io.Writer, v T)) error {
 	if c.output == "json" {
 		var indented bytes.Buffer
--- a/commander/commander.go
+++ b/commander/commander.go
@@ -21,37 +21,38 @@
 	exitUsage   = 2
 )
 
-// version is the product's version; the changelog says what is in it.
+// version is the product's version, as in the changelog.
 const version = "0.1.0"
 
-// usageError reports wrong arguments.
+// usageError reports invalid arguments.
 type usageError struct {
 	reason string
 }
 
 func (e *usageError) Error() string { return e.reason }
 
-// env is what a command writes to.
+// env has the writers for a command's output and errors.
 type env struct {
 	out io.Writer
 	err io.Writer
 }
 
-// command is one leaf of the command line.
+// command is a command or a group of subcommands. A group may also be a command itself.
 type command struct {
 	name        string
 	description string
 	example     string
 	// flags declares flags and positional values.
 	flags func(s *flaggy.Subcommand)
-	// values takes the values of a command that needs one or more of them, and valuesHelp says what they are.
+	// values receives the arguments of a command that takes one or more of them, and valuesHelp describes them. It is nil for
+	// other commands.
 	values      *[]string
 	valuesHelp  string
 	run         func(ctx context.Context, e env) error
 	subcommands []*command
 }
 
-// Main runs a command line and returns the exit code.
+// Main runs the command that args name and returns the exit code.
 func Main(args []string, out, errOut io.Writer) int {
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
@@ -67,7 +68,7 @@
 	return exitFailure
 }
 
-// dispatch finds the command that the arguments name and runs it.
+// dispatch finds the command that args name and runs it, or prints help.
 func dispatch(ctx context.Context, e env, args []string) error {
 	c, rest, path := findCommand(commands(), args)
 	if c == nil {
@@ -134,7 +135,8 @@
 	return false
 }
 
-// parse reads a leaf's flags; flaggy's own handling of help and version stays off, because it exits by itself.
+// parse parses a command's flags and arguments. flaggy's own handling of help and version is disabled, because it exits the
+// process.
 func parse(c *command, path string, args []string) (err error) {
 	p := flaggy.NewParser(path)
 	p.ShowHelpWithHFlag = false
@@ -164,7 +166,7 @@
 	return nil
 }
 
-// splitValues takes the values out from among the flags.
+// splitValues separates the values from the flags and the flags' values.
 func splitValues(p *flaggy.Parser, args []string) (values, flags []string) {
 	for i := 0; i < len(args); i++ {
 		name, isFlag := strings.CutPrefix(args[i], "--")
@@ -181,7 +183,7 @@
 	return values, flags
 }
 
-// consumesNextArg tells that a flag's value is the next argument.
+// consumesNextArg reports whether a flag's value is the next argument.
 func consumesNextArg(p *flaggy.Parser, name string) bool {
 	if strings.Contains(name, "=") {
 		return false
@@ -194,7 +196,7 @@
 	return true
 }
 
-// validateArgs finds unknown flags and missing or surplus values, which the parser would answer with its own exit.
+// validateArgs detects unknown flags and missing or surplus values, for which the parser would exit the process.
 func validateArgs(p *flaggy.Parser, path string, args []string) error {
 	values := 0
 	for i := 0; i < len(args); i++ {
--- a/commander/commands.go
+++ b/commander/commands.go
@@ -7,7 +7,7 @@
 	"github.com/integrii/flaggy"
 )
 
-// commands declares the whole command line.
+// commands returns all commands.
 func commands() []*command {
 	return []*command{
 		devCommand(), gatewayCommand(), routerCommand(), sidecarCommand(), emulateCommand(), checkCommand(),
@@ -26,7 +26,7 @@
 	}
 }
 
-// fileArgument declares the one file that a command reads.
+// fileArgument declares the file argument of a command that reads one file.
 func fileArgument(s *flaggy.Subcommand, file *string, what string) {
 	s.AddPositionalValue(file, "file", 1, true, what)
 }
--- a/commander/doc.go
+++ b/commander/doc.go
@@ -1,4 +1,4 @@
-// Package commander is the command line: it reads arguments and hands over to the other packages.
+// Package commander implements the command line. It parses arguments and calls the other packages.
 //
-// Every command exits with 0 on success, 1 on failure and 2 on wrong usage.
+// Every command exits with 0 on success, 1 on failure and 2 on a usage error.
 package commander
