--- a/commander/operators_test.go
+++ b/commander/operators_test.go
@@ -14,7 +14,7 @@
 	"github.com/masticway/masticway/commander"
 )
 
-// adminToken is an operators' token made up for these tests.
+// adminToken is an operator token for these tests only.
 const adminToken = "token-for-tests-only"
 
 func TestOperatorCommands(t *testing.T) {
--- a/commander/slow_test.go
+++ b/commander/slow_test.go
@@ -12,7 +12,8 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// TestSlowAnswersAreReadCompletely has an answer that takes longer than one may take to begin, as a long list on a slow link.
+// TestSlowAnswersAreReadCompletely guards against a timeout for the whole answer: a long list over a slow connection takes longer
+// than clientTimeout, although it starts in time and never pauses for long.
 func TestSlowAnswersAreReadCompletely(t *testing.T) {
 	const (
 		chunks        = 24
