--- a/commander/account.go
+++ b/commander/account.go
@@ -12,7 +12,7 @@
 	"github.com/masticway/masticway/accountant"
 )
 
-// accountFlags are the flags and files of the account command.
+// accountFlags are the flags and log files of the account command.
 type accountFlags struct {
 	files   []string
 	request string
@@ -24,13 +24,13 @@
 func accountCommand() *command {
 	f := &accountFlags{bucket: time.Second, rows: 20}
 	return &command{
-		name: "account", description: "tell from gateways' logs where requests and tokens went",
+		name: "account", description: "report from gateway logs where requests and tokens went",
 		example: "masticway account --bucket 1m edge-1.log edge-2.log",
-		values:  &f.files, valuesHelp: "log files of any number of routers, each router's in the order of time; - is standard input",
+		values:  &f.files, valuesHelp: "log files of any number of routers, those of one router in chronological order; - is standard input",
 		flags: func(s *flaggy.Subcommand) {
-			s.String(&f.request, "", "request", "id of one request, of which the story is told instead")
-			s.Duration(&f.bucket, "", "bucket", "length of the buckets of time, as 1s or 10m")
-			s.Int(&f.rows, "", "rows", "most rows of a table that is not in the order of time; 0 is all")
+			s.String(&f.request, "", "request", "id of a single request to trace instead")
+			s.Duration(&f.bucket, "", "bucket", "length of the time buckets, such as 1s or 10m")
+			s.Int(&f.rows, "", "rows", "maximum rows of a table that is not in chronological order; 0 is all")
 			s.Bool(&f.json, "", "json", "write JSON, with all rows")
 		},
 		run: func(_ context.Context, e env) error { return runAccount(e, *f) },
@@ -61,7 +61,7 @@
 	return printAccount(e, f.json, report, func(w io.Writer) error { return report.Print(w, f.rows) })
 }
 
-// printAccount writes a value as JSON, or as text by its own function.
+// printAccount prints v as JSON if asJSON is set, and calls text to print it otherwise.
 func printAccount(e env, asJSON bool, v any, text func(w io.Writer) error) error {
 	if !asJSON {
 		return text(e.out)
--- a/commander/budgets.go
+++ b/commander/budgets.go
@@ -60,7 +60,7 @@
 func budgetTopUp() *command {
 	c, f, budget, amount := &client{}, &changeFlags{}, "", ""
 	return &command{
-		name: "top-up", description: "add prepaid tokens to a budget, or make it",
+		name: "top-up", description: "add prepaid tokens to a budget, and create it if it does not exist",
 		example: "masticway budget top-up tailoring 1000000 --change-id order-17 --router http://127.0.0.1:8101 --token-file examples/admin.token",
 		flags: func(s *flaggy.Subcommand) {
 			c.flags(s)
--- a/commander/configuration.go
+++ b/commander/configuration.go
@@ -70,7 +70,7 @@
 
 func configCommand() *command {
 	return &command{
-		name: "config", description: "history of the configuration, and where it is in force",
+		name: "config", description: "put and get the catalog, and show the configuration's history and where it is in force",
 		subcommands: []*command{configPut(), configGet(), configHistory(), configStatus()},
 	}
 }
@@ -118,7 +118,7 @@
 func configStatus() *command {
 	c := &client{}
 	return &command{
-		name: "status", description: "tell where the newest revision is in force, and who is behind",
+		name: "status", description: "show where the newest revision is in force, and which routers are behind",
 		example: "masticway config status --router http://127.0.0.1:8101 --token-file examples/admin.token",
 		flags:   c.flags,
 		run: func(ctx context.Context, e env) error {
--- a/commander/contracts.go
+++ b/commander/contracts.go
@@ -88,7 +88,7 @@
 func contractRemove() *command {
 	c, f, workspace := &client{}, &changeFlags{}, ""
 	return &command{
-		name: "remove", description: "end a contract",
+		name: "remove", description: "remove a contract",
 		example: "masticway contract remove tailoring --router http://127.0.0.1:8101 --token-file examples/admin.token",
 		flags: func(s *flaggy.Subcommand) {
 			c.flags(s)
--- a/commander/dev.go
+++ b/commander/dev.go
@@ -18,11 +18,11 @@
 
 const (
 	devReadyTimeout = 20 * time.Second
-	// devPrepaid is what each sample budget starts with, in tokens.
+	// devPrepaid is the initial amount of each sample budget, in tokens.
 	devPrepaid = 1_000_000
 )
 
-// sampleCatalog prices the models and services of the two early users.
+// sampleCatalog returns a catalog with the models and services of the first two users.
 func sampleCatalog() masticway.Catalog {
 	return masticway.Catalog{
 		Models: []masticway.Model{
@@ -33,7 +33,7 @@
 	}
 }
 
-// sampleContracts are two contracts after the two early users.
+// sampleContracts returns contracts modeled on the first two users.
 func sampleContracts() []masticway.Contract {
 	return []masticway.Contract{
 		{
@@ -55,7 +55,7 @@
 	}
 }
 
-// devSpec is the fleet that dev runs.
+// devSpec returns the specification of the fleet that dev runs.
 func devSpec() starter.FleetSpec {
 	engine := emulator.EngineSettings{
 		Capacity: 8, PrefillTime: 100 * time.Microsecond, TokenTime: 10 * time.Millisecond,
@@ -74,7 +74,7 @@
 func devCommand() *command {
 	level := "warning"
 	return &command{
-		name: "dev", description: "run a whole fleet with stand-ins in this process, on loopback", example: "masticway dev",
+		name: "dev", description: "run a whole fleet with an emulated platform and upstreams in this process, on loopback", example: "masticway dev",
 		flags: func(s *flaggy.Subcommand) { s.String(&level, "", "log-level", "debug, info, warning or error") },
 		run:   func(ctx context.Context, e env) error { return runDev(ctx, e, level) },
 	}
@@ -123,7 +123,7 @@
 	return nil
 }
 
-// seedDev puts the sample contracts, keyed by one key each, and fills the budgets.
+// seedDev stores the sample catalog and contracts, each contract with one key, and the prepaid budgets.
 func seedDev(ctx context.Context, fleet *starter.Fleet, key string) error {
 	contracts := sampleContracts()
 	contracts[0] = contracts[0].WithKeyHashes(authenticator.Hash(key))
--- a/commander/drive.go
+++ b/commander/drive.go
@@ -12,7 +12,7 @@
 	"github.com/masticway/masticway/loader"
 )
 
-// driveFlags are the flags of load drive.
+// driveFlags are the flags of the load drive command.
 type driveFlags struct {
 	callers  string
 	key      string
@@ -27,17 +27,17 @@
 func driveCommand() *command {
 	f := &driveFlags{model: "draft", rate: "10", duration: 10 * time.Second, tokens: 50, prompt: 400}
 	return &command{
-		name: "drive", description: "offer steady load to processes that run already, and measure what they use",
+		name: "drive", description: "send steady load to running processes and measure their resource use",
 		example: "masticway load drive --callers http://127.0.0.1:8001 --key mw_example_tailoring --rate 20 --watch router=4711@http://127.0.0.1:8101/debug/vars",
 		flags: func(s *flaggy.Subcommand) {
-			s.String(&f.callers, "", "callers", "base URLs of routers or engines, with commas between")
+			s.String(&f.callers, "", "callers", "comma-separated base URLs of routers or engines")
 			s.String(&f.key, "", "key", "caller key")
-			s.String(&f.model, "", "model", "model to ask")
+			s.String(&f.model, "", "model", "model to request")
 			s.String(&f.rate, "", "rate", "requests per second; 0 only watches")
-			s.Duration(&f.duration, "", "duration", "how long")
+			s.Duration(&f.duration, "", "duration", "how long to send load")
 			s.Int(&f.tokens, "", "tokens", "output tokens of each request")
 			s.Int(&f.prompt, "", "prompt-bytes", "bytes of each prompt")
-			s.String(&f.watch, "", "watch", "processes to watch as NAME=PID or NAME=PID@VARS_URL, with commas between")
+			s.String(&f.watch, "", "watch", "comma-separated processes to watch, as NAME=PID or NAME=PID@VARS_URL")
 		},
 		run: func(ctx context.Context, e env) error { return runDrive(ctx, e, *f) },
 	}
--- a/commander/gateway.go
+++ b/commander/gateway.go
@@ -16,8 +16,8 @@
 	"github.com/masticway/masticway/validator"
 )
 
-// gcPercent is by how many percent a gateway's heap may grow before it is collected. It keeps little alive, so that collecting more
-// often costs hardly any processor time.
+// gcPercent is by how many percent a gateway's heap may grow before it is collected (GOGC). Its live heap is small, so collecting
+// more often than by default costs hardly any CPU time.
 const gcPercent = 25
 
 func gatewayCommand() *command {
@@ -25,7 +25,7 @@
 	return &command{
 		name: "gateway", description: "run a router on the users' platform", example: "masticway gateway settings.json",
 		flags: func(s *flaggy.Subcommand) {
-			s.AddPositionalValue(&file, "file", 1, false, "settings file; "+platform.SettingsVariable+" names it when absent")
+			s.AddPositionalValue(&file, "file", 1, false, "settings file; by default the one that "+platform.SettingsVariable+" names")
 		},
 		run: func(ctx context.Context, e env) error {
 			if file == "" {
@@ -53,7 +53,8 @@
 	}
 }
 
-// reloadOnHangup calls reload for each SIGHUP; settings that cannot be read change nothing.
+// reloadOnHangup calls reload on each SIGHUP until stop is called. If reload fails, it prints the error, and the previous
+// settings stay in effect.
 func reloadOnHangup(reload func() error, e env) (stop func()) {
 	hangups := make(chan os.Signal, 1)
 	signal.Notify(hangups, syscall.SIGHUP)
--- a/commander/load.go
+++ b/commander/load.go
@@ -13,7 +13,7 @@
 	"github.com/masticway/masticway/logger"
 )
 
-// checkError reports a run in which a promise or an expectation was not kept.
+// checkError reports that a run violated a guarantee or missed an expectation.
 type checkError struct {
 	failures []string
 }
@@ -34,14 +34,14 @@
 func loadCommand() *command {
 	f := &loadFlags{seeds: 1, level: "error"}
 	return &command{
-		name: "load", description: "offer load to a fleet on loopback and check every promise from outside",
+		name: "load", description: "run load against a fleet on loopback and verify every guarantee from outside",
 		example: "masticway load --scenario examples/tailoring.json --out out",
 		flags: func(s *flaggy.Subcommand) {
 			s.String(&f.scenario, "", "scenario", "scenario file")
 			s.String(&f.out, "", "out", "directory for the JSON report")
 			s.Int(&f.seeds, "", "seeds", "number of runs, each with the next seed")
-			s.String(&f.router, "", "router-settings", "JSON of router settings that differ from the scenario's")
-			s.String(&f.level, "", "log-level", "least level of the fleet's log events")
+			s.String(&f.router, "", "router-settings", "router settings as JSON, which replace the scenario's")
+			s.String(&f.level, "", "log-level", "minimum level of the fleet's log events")
 		},
 		run:         func(ctx context.Context, e env) error { return runLoad(ctx, e, *f) },
 		subcommands: []*command{compareCommand(), driveCommand()},
--- a/commander/operators.go
+++ b/commander/operators.go
@@ -14,24 +14,25 @@
 	"github.com/masticway/masticway/router"
 )
 
+// anyRevision is the base of a change that applies to any revision.
 const anyRevision = "*"
 
-// formatTokens writes an amount as tokens at weight one.
+// formatTokens formats an amount as tokens at weight one.
 func formatTokens(a masticway.Amount) string {
 	return strconv.FormatFloat(float64(a)/float64(masticway.PerToken), 'f', -1, 64)
 }
 
-// changeFlags are shared by all commands that change something.
+// changeFlags are the common flags of all commands that make a change.
 type changeFlags struct {
 	id   string
 	base string
 }
 
 func (f *changeFlags) flags(s *flaggy.Subcommand, withBase bool) {
-	s.String(&f.id, "", "change-id", "id by which a repeated call is recognised")
+	s.String(&f.id, "", "change-id", "idempotency key of the change, so that a retry is not a second change")
 	if withBase {
 		f.base = anyRevision
-		s.String(&f.base, "", "base", "revision that the change is based on; 0 for a new one, * for whatever stands")
+		s.String(&f.base, "", "base", "revision that the change is based on; 0 if it must not exist yet, * for any")
 	}
 }
 
@@ -53,7 +54,7 @@
 func explainCommand() *command {
 	c, id := &client{}, ""
 	return &command{
-		name: "explain", description: "tell what was decided about a request",
+		name: "explain", description: "show the decisions that were made about a request",
 		example: "masticway explain router-1~1f0c9a3e.7 --router http://127.0.0.1:8101 --token-file examples/admin.token",
 		flags: func(s *flaggy.Subcommand) {
 			c.flags(s)
--- a/commander/roles.go
+++ b/commander/roles.go
@@ -17,7 +17,7 @@
 	"github.com/masticway/masticway/validator"
 )
 
-// decodeFile reads and decodes a document, reporting all its faults at once.
+// decodeFile reads and decodes a document. The error reports all faults of the document.
 func decodeFile[T any](k validator.Kind, file string) (T, error) {
 	var zero T
 	data, err := os.ReadFile(file)
@@ -31,7 +31,7 @@
 	return v, nil
 }
 
-// drainTimeoutError reports a shutdown that did not let everything finish.
+// drainTimeoutError reports that the drain timeout expired before all work was finished.
 type drainTimeoutError struct{}
 
 func (drainTimeoutError) Error() string {
@@ -76,7 +76,7 @@
 	}
 }
 
-// daemon is a daemon that starts, and drains when told to end.
+// daemon is a router, sidecar or gateway that runs until it is drained. Drain reports whether all work was finished in time.
 type daemon interface {
 	Start() error
 	Drain() bool
@@ -96,7 +96,7 @@
 func emulateCommand() *command {
 	var file string
 	return &command{
-		name: "emulate", description: "run stand-ins for platform and upstreams, for development only",
+		name: "emulate", description: "run an emulated platform and upstreams, for development only",
 		example: "masticway emulate examples/emulator.json",
 		flags:   func(s *flaggy.Subcommand) { fileArgument(s, &file, "settings file") },
 		run: func(ctx context.Context, e env) error {
@@ -126,7 +126,7 @@
 		example: "masticway check examples/router-1.json",
 		flags: func(s *flaggy.Subcommand) {
 			fileArgument(s, &file, "file to check")
-			s.String(&kind, "", "kind", "gateway, router, sidecar, emulator, contract, catalog or scenario; guessed from the fields when absent")
+			s.String(&kind, "", "kind", "gateway, router, sidecar, emulator, contract, catalog or scenario; guessed from the fields by default")
 		},
 		run: func(_ context.Context, e env) error {
 			data, err := os.ReadFile(file)
@@ -146,7 +146,7 @@
 	}
 }
 
-// guessKind tells a document's kind by a field that only this kind has.
+// guessKind guesses a document's kind from a field that only this kind has. The default is router settings.
 func guessKind(data []byte) validator.Kind {
 	var fields map[string]json.RawMessage
 	if json.Unmarshal(data, &fields) != nil {
@@ -174,7 +174,7 @@
 
 func keyCommand() *command {
 	return &command{
-		name: "key", description: "make a caller key, and the hash that goes into its contract", example: "masticway key",
+		name: "key", description: "generate a caller key, and its hash for the contract", example: "masticway key",
 		run: func(_ context.Context, e env) error {
 			key := authenticator.NewKey()
 			_, err := fmt.Fprintf(e.out, "key   %s\nhash  %s\n", key, authenticator.Hash(key))
--- a/commander/soak.go
+++ b/commander/soak.go
@@ -14,7 +14,7 @@
 	"github.com/masticway/masticway/soaker"
 )
 
-// splitList returns the entries of a list with commas; there are none in an empty one.
+// splitList splits a comma-separated list. It returns nil for an empty string.
 func splitList(list string) []string {
 	if list == "" {
 		return nil
@@ -25,13 +25,13 @@
 func soakCommand() *command {
 	seed, seconds, routers, out, kinds := 1, 30, 3, "out", ""
 	return &command{
-		name: "soak", description: "run gateways as processes on loopback under faults drawn from a seed, and check every promise from outside",
+		name: "soak", description: "run gateways as processes on loopback under random faults, and verify every guarantee from outside",
 		example: "masticway soak --seed 7 --seconds 60 --routers 4 --out out",
 		flags: func(s *flaggy.Subcommand) {
-			s.Int(&seed, "", "seed", "what faults and requests are drawn from")
-			s.Int(&seconds, "", "seconds", "how long faults go on")
+			s.Int(&seed, "", "seed", "seed of the random faults and requests")
+			s.Int(&seconds, "", "seconds", "how long faults are injected, in seconds")
 			s.Int(&routers, "", "routers", "number of routers")
-			s.String(&kinds, "", "kinds", "kinds of faults to draw, separated by commas; all usual ones when there are none")
+			s.String(&kinds, "", "kinds", "comma-separated kinds of faults to inject; by default all usual ones")
 			s.String(&out, "", "out", "directory for settings and logs")
 		},
 		run: func(ctx context.Context, e env) error {
--- a/commander/upstreams.go
+++ b/commander/upstreams.go
@@ -13,7 +13,7 @@
 )
 
 func upstreamCommand() *command {
-	return &command{name: "upstream", description: "list upstreams and give them orders", subcommands: []*command{upstreamList(), upstreamOrder()}}
+	return &command{name: "upstream", description: "list upstreams and send them orders", subcommands: []*command{upstreamList(), upstreamOrder()}}
 }
 
 func upstreamList() *command {
