--- a/emulator/engine.go
+++ b/emulator/engine.go
@@ -36,7 +36,8 @@
 	Down bool `json:"down"`
 	// Stall pauses all output without ending the streams.
 	Stall bool `json:"stall"`
-	// BreakAfterCount is the number of streams to break after the prompt's token count has been sent and before the first token.
+	// BreakAfterCount is the number of streams to break after the prompt's token count has been sent and before the
+	// first token.
 	BreakAfterCount int `json:"break_after_count"`
 	// HideCache omits cached prefixes from load reports.
 	HideCache bool `json:"hide_cache"`
--- a/emulator/link.go
+++ b/emulator/link.go
@@ -10,8 +10,8 @@
 // chunkBytes is the maximum number of bytes, 8 KB, that one connection receives before others get their turn.
 const chunkBytes = 8 << 10
 
-// Link is a TCP proxy that emulates the network interface of one machine: the bytes that arrive on all of its connections share
-// one bandwidth limit. Bytes that leave the machine are not limited.
+// Link is a TCP proxy that emulates the network interface of one machine: the bytes that arrive on all of its
+// connections share one bandwidth limit. Bytes that leave the machine are not limited.
 type Link struct {
 	bytesPerSecond int64
 
--- a/emulator/opaque.go
+++ b/emulator/opaque.go
@@ -57,7 +57,8 @@
 	// At is when the server started to run the request, Fault the fault that was injected.
 	At    time.Time
 	Fault OpaqueFault
-	// Left is set if the connection ended before a stream was complete, or while OpaqueHang kept it without an answer.
+	// Left is set if the connection ended before a stream was complete, or while OpaqueHang kept it without an
+	// answer.
 	Left bool
 }
 
@@ -214,7 +215,7 @@
 	return header
 }
 
-// Leave adds the Server-Leaving header to all answers until Stay is called.
+// Leave adds the Server-Leaving header to all answers until the server stops draining.
 func (s *OpaqueServer) Leave() { s.setDraining(true) }
 
 // Stay removes the Server-Leaving header from answers, as after a restart of the server.
--- a/emulator/rows.go
+++ b/emulator/rows.go
@@ -12,16 +12,16 @@
 
 // RowFaults are the faults that can be injected into a row store.
 type RowFaults struct {
-	// Busy fails every call as unavailable (503 over HTTP) without executing it.
+	// Busy fails every call, with status 503 over HTTP, without executing it.
 	Busy bool
 	// Silent blocks every call until its context is done, without executing it.
 	Silent bool
-	// Slow is the delay before every call is executed.
+	// Slow is how long every call waits before it is executed.
 	Slow time.Duration
 	// LoseAnswers is the number of writes that are executed without an answer.
 	LoseAnswers int
-	// LateWrites is the number of writes that get no answer and are executed after LateBy, if the expected versions still match
-	// then.
+	// LateWrites is the number of writes that get no answer and are executed after LateBy, if the expected
+	// versions still match then.
 	LateWrites int
 	LateBy     time.Duration
 }
--- a/emulator/service.go
+++ b/emulator/service.go
@@ -13,7 +13,7 @@
 
 // ServiceFaults are the faults that can be injected into a plain service.
 type ServiceFaults struct {
-	// Slow is the delay between running a call and answering it, in milliseconds.
+	// Slow is how long every call waits between being run and being answered, in milliseconds.
 	Slow int `json:"slow_ms"`
 	// DropAnswers is the number of calls whose connection is aborted after they have run.
 	DropAnswers int `json:"drop_answers"`
--- a/emulator/table.go
+++ b/emulator/table.go
@@ -17,12 +17,12 @@
 type TableFaults struct {
 	// Down fails every call without executing it.
 	Down bool `json:"down"`
-	// Slow is the delay before every call is executed, in milliseconds.
+	// Slow is how long every call waits before it is executed, in milliseconds.
 	Slow int `json:"slow_ms"`
 	// LoseAnswers is the number of commits that take effect without an answer.
 	LoseAnswers int `json:"lose_answers"`
-	// WritesPerSecond is the maximum number of commits per second, failed ones included. Zero means no limit, and a negative
-	// number allows none.
+	// WritesPerSecond is the maximum number of commits per second, failed ones included. Zero means no limit, and a
+	// negative number allows none.
 	WritesPerSecond int `json:"writes_per_second"`
 }
 
