--- a/emulator/link.go
+++ b/emulator/link.go
@@ -27,7 +27,7 @@
 // NewLink returns a proxy that forwards at most rate received bytes per second.
 func NewLink(rate int64) *Link { return &Link{bytesPerSecond: rate, conns: map[net.Conn]bool{}} }
 
-// To opens a loopback address that forwards to target (host and port) and returns the address. The error is the listener's.
+// To opens a loopback address that forwards to target (host and port), and returns it. The error is the listener's.
 func (l *Link) To(target string) (string, error) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
--- a/emulator/opaque.go
+++ b/emulator/opaque.go
@@ -176,8 +176,8 @@
 	s.Close()
 }
 
-// Echo makes plain answers repeat the request's ID and body, after workTime, and events repeat its ID, so that a caller that
-// receives another request's answer can detect this from the body.
+// Echo makes plain answers repeat the request's ID and body, after workTime, and events repeat its ID, so that a caller
+// that receives another request's answer can detect this from the body.
 func (s *OpaqueServer) Echo(workTime time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
