--- a/accountant/story.go
+++ b/accountant/story.go
@@ -7,71 +7,74 @@
 	"strings"
 )
 
-// Entry is one line of a story; Before tells that it is what the router had last said of its state.
-type Entry struct {
+// TraceEntry is one line of a trace. IsEarlierState is set if the line is not about the request but is the last one that its
+// router had logged before about part of its state.
+type TraceEntry struct {
 	Line
-	Before bool `json:"before"`
+	IsEarlierState bool `json:"before"`
 }
 
-// Story is what all routers say of one request in the order of time, and how it ended.
-type Story struct {
-	Request string  `json:"request"`
-	Input   Input   `json:"input"`
-	Entries []Entry `json:"entries"`
-	Ends    []Key   `json:"ends"`
+// Trace holds all routers' lines about one request in chronological order, and how the request ended.
+type Trace struct {
+	Request string       `json:"request"`
+	Input   Input        `json:"input"`
+	Entries []TraceEntry `json:"entries"`
+	Ends    []Key        `json:"ends"`
 }
 
-// story finds the lines of one request.
-type story struct {
+// trace collects the lines about one request.
+type trace struct {
 	request string
-	entries []Entry
+	entries []TraceEntry
 	ends    []Key
-	// state is the last line of each change by router, until it is told.
-	state map[string]map[string]Line
+	// states holds the last line of each listed event by router, until the lines have been added to the entries.
+	states map[string]map[string]Line
 }
 
-// note takes any line, and what its router has of the store.
-func (s *story) note(l Line, store string) {
-	if l.Text("request") == s.request {
-		s.tell(l, store)
+// add adds a line if it is about the request, and otherwise records it if it is a listed event. store is how its router
+// reaches the store.
+func (t *trace) add(l Line, store string) {
+	if l.Text("request") == t.request {
+		t.addEntry(l, store)
 		return
 	}
-	if _, ok := changes[l.Event]; !ok {
+	if _, ok := listedEvents[l.Event]; !ok {
 		return
 	}
-	if s.state[l.Router] == nil {
-		s.state[l.Router] = map[string]Line{}
+	if t.states[l.Router] == nil {
+		t.states[l.Router] = map[string]Line{}
 	}
-	s.state[l.Router][l.Event] = l
+	t.states[l.Router][l.Event] = l
 }
 
-func (s *story) tell(l Line, store string) {
-	for _, before := range s.state[l.Router] {
-		s.entries = append(s.entries, Entry{Line: before, Before: true})
+// addEntry adds a line about the request, after the lines about its router's state.
+func (t *trace) addEntry(l Line, store string) {
+	for _, before := range t.states[l.Router] {
+		t.entries = append(t.entries, TraceEntry{Line: before, IsEarlierState: true})
 	}
-	delete(s.state, l.Router)
-	s.entries = append(s.entries, Entry{Line: l})
+	delete(t.states, l.Router)
+	t.entries = append(t.entries, TraceEntry{Line: l})
 	if l.Text("outcome") != "" {
-		s.ends = append(s.ends, causeOf(l, store))
+		t.ends = append(t.ends, causeOf(l, store))
 	}
 }
 
-// Story tells of the request that the account follows.
-func (a *Account) Story() (Story, error) {
-	s := a.story
-	if len(s.entries) == 0 {
-		return Story{}, &NotFoundError{What: "about request " + s.request, Lines: a.reader.input.Lines}
+// Story returns the trace of the request whose id was given to New.
+func (a *Account) Story() (Trace, error) {
+	t := a.trace
+	if len(t.entries) == 0 {
+		return Trace{}, &NotFoundError{What: "about request " + t.request, Lines: a.reader.input.Lines}
 	}
-	slices.SortStableFunc(s.entries, func(a, b Entry) int { return a.Time.Compare(b.Time) })
-	return Story{Request: s.request, Input: a.reader.input, Entries: s.entries, Ends: s.ends}, nil
+	slices.SortStableFunc(t.entries, func(a, b TraceEntry) int { return a.Time.Compare(b.Time) })
+	return Trace{Request: t.request, Input: a.reader.input, Entries: t.entries, Ends: t.ends}, nil
 }
 
-// Print writes the story as text, without what every line has.
-func (s Story) Print(w io.Writer) error {
-	fmt.Fprintf(w, "%s\nrequest %s; < marks what its router had last said of its state\n", s.Input, s.Request)
-	for _, e := range s.Entries {
+// Print writes the trace as text, without the fields that all lines have.
+func (t Trace) Print(w io.Writer) error {
+	fmt.Fprintf(w, "%s\nrequest %s; < marks the last state that a router logged before a line about the request\n", t.Input, t.Request)
+	for _, e := range t.Entries {
 		mark := " "
-		if e.Before {
+		if e.IsEarlierState {
 			mark = "<"
 		}
 		fmt.Fprintf(w, "%s %s %s %s", mark, e.Time.Format("15:04:05.000000"), e.Router, e.Event)
@@ -82,7 +85,7 @@
 		}
 		fmt.Fprintln(w)
 	}
-	for _, k := range s.Ends {
+	for _, k := range t.Ends {
 		fmt.Fprintln(w, strings.TrimSpace(fmt.Sprintln("ended:", k.Family, k.Outcome, k.Reason, k.Store)))
 	}
 	return nil
--- a/bookkeeper/bookkeeper_test.go
+++ b/bookkeeper/bookkeeper_test.go
@@ -19,16 +19,16 @@
 
 const budget = "b"
 
-func newBook(t *testing.T, prepaid masticway.Amount) (*bookkeeper.Book, *emulator.Table) {
+func newLedger(t *testing.T, prepaid masticway.Amount) (*bookkeeper.Book, *emulator.Table) {
 	table := emulator.NewTable()
-	book := bookkeeper.New(table)
-	_, err := book.TopUp(context.Background(), budget, "first", prepaid)
+	ledger := bookkeeper.New(table)
+	_, err := ledger.TopUp(context.Background(), budget, "first", prepaid)
 	qt.Assert(t, err, qt.IsNil)
-	return book, table
+	return ledger, table
 }
 
-func open(t *testing.T, book *bookkeeper.Book, inc masticway.Incarnation) int64 {
-	version, err := book.OpenLinks(context.Background(), inc)
+func open(t *testing.T, ledger *bookkeeper.Book, inc masticway.Incarnation) int64 {
+	version, err := ledger.OpenLinks(context.Background(), inc)
 	qt.Assert(t, err, qt.IsNil)
 	return version
 }
@@ -56,7 +56,7 @@
 	}
 }
 
-// TestMoveUnderFaults is the fault table of one draw: down before, during and after, and the answer lost.
+// TestMoveUnderFaults guards against a draw that is made twice or not at all when the table is unavailable or loses the answer.
 func TestMoveUnderFaults(t *testing.T) {
 	cases := map[string]struct {
 		faults  emulator.TableFaults
@@ -64,16 +64,16 @@
 		unknown bool
 		refused bool
 	}{
-		"calm":                              {},
-		"answer lost, read back at once":    {faults: emulator.TableFaults{LoseAnswers: 1}},
-		"answer lost, nobody left to look":  {faults: emulator.TableFaults{LoseAnswers: 1}, stopped: true, unknown: true},
-		"down before":                       {faults: emulator.TableFaults{Down: true}, refused: true},
-		"rate bound, so nothing is written": {faults: emulator.TableFaults{WritesPerSecond: -1}, refused: true},
+		"no fault":                         {},
+		"answer lost, read back at once":   {faults: emulator.TableFaults{LoseAnswers: 1}},
+		"answer lost, not read back":       {faults: emulator.TableFaults{LoseAnswers: 1}, stopped: true, unknown: true},
+		"down before":                      {faults: emulator.TableFaults{Down: true}, refused: true},
+		"rate limited, nothing is written": {faults: emulator.TableFaults{WritesPerSecond: -1}, refused: true},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
-			book, table := newBook(t, 1000)
-			version := open(t, book, "r~1")
+			ledger, table := newLedger(t, 1000)
+			version := open(t, ledger, "r~1")
 			table.SetFaults(tc.faults)
 			ctx, cancel := context.WithCancel(context.Background())
 			defer cancel()
@@ -81,7 +81,7 @@
 				cancel()
 			}
 			m := move("r~1", 1, 100, 100)
-			result, err := book.Move(ctx, m, version)
+			result, err := ledger.Move(ctx, m, version)
 			table.SetFaults(emulator.TableFaults{})
 			if tc.unknown {
 				var unknown *masticway.OutcomeUnknownError
@@ -92,12 +92,12 @@
 				qt.Assert(t, err, qt.ErrorAs, &unavailable)
 			}
 			if tc.unknown || tc.refused {
-				// The same move again must end in exactly one draw.
-				result, err = book.Move(context.Background(), m, version)
+				// After the same move has been repeated, there must be exactly one draw.
+				result, err = ledger.Move(context.Background(), m, version)
 			}
 			qt.Assert(t, err, qt.IsNil)
 			qt.Assert(t, result.Drawn, qt.Equals, masticway.Amount(100))
-			row, err := book.Budget(context.Background(), budget)
+			row, err := ledger.Budget(context.Background(), budget)
 			qt.Assert(t, err, qt.IsNil)
 			qt.Assert(t, row.Open(), qt.Equals, masticway.Amount(100))
 		})
@@ -105,26 +105,26 @@
 }
 
 func TestSealedIncarnationDrawsNothing(t *testing.T) {
-	book, _ := newBook(t, 1000)
-	version := open(t, book, "r~1")
-	_, err := book.Seal(context.Background(), "r~1")
+	ledger, _ := newLedger(t, 1000)
+	version := open(t, ledger, "r~1")
+	_, err := ledger.Seal(context.Background(), "r~1")
 	qt.Assert(t, err, qt.IsNil)
-	_, err = book.Move(context.Background(), move("r~1", 1, 100, 100), version)
+	_, err = ledger.Move(context.Background(), move("r~1", 1, 100, 100), version)
 	var sealed *masticway.SealedError
 	qt.Assert(t, err, qt.ErrorAs, &sealed)
-	_, err = book.PutLinks(context.Background(), bookkeeper.Links{Incarnation: "r~1", State: bookkeeper.LinksOpen, Sidecars: []masticway.Incarnation{"s~1"}}, version)
+	_, err = ledger.PutLinks(context.Background(), bookkeeper.Links{Incarnation: "r~1", State: bookkeeper.LinksOpen, Sidecars: []masticway.Incarnation{"s~1"}}, version)
 	qt.Assert(t, err, qt.ErrorAs, &sealed)
 }
 
 func TestTopUpCountsOncePerChange(t *testing.T) {
-	book, table := newBook(t, 1000)
+	ledger, table := newLedger(t, 1000)
 	table.SetFaults(emulator.TableFaults{LoseAnswers: 1})
 	for range 3 {
-		row, err := book.TopUp(context.Background(), budget, "order-17", 500)
+		row, err := ledger.TopUp(context.Background(), budget, "order-17", 500)
 		qt.Assert(t, err, qt.IsNil)
 		qt.Assert(t, row.Prepaid, qt.Equals, masticway.Amount(1500))
 	}
-	_, err := book.TopUp(context.Background(), budget, "order-18", -5)
+	_, err := ledger.TopUp(context.Background(), budget, "order-18", -5)
 	var amount *bookkeeper.AmountError
 	qt.Assert(t, err, qt.ErrorAs, &amount)
 }
@@ -144,18 +144,18 @@
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
-			book, table := newBook(t, 1000)
-			version := open(t, book, "r~1")
+			ledger, table := newLedger(t, 1000)
+			version := open(t, ledger, "r~1")
 			m := move("r~1", 1, 100, 100)
-			_, err := book.Move(context.Background(), m, version)
+			_, err := ledger.Move(context.Background(), m, version)
 			qt.Assert(t, err, qt.IsNil)
 			tc.closing.Grant = m.Grant
 			table.SetFaults(emulator.TableFaults{LoseAnswers: 1})
 			for range 3 {
-				_, err := book.Recover(context.Background(), tc.closing)
+				_, err := ledger.Recover(context.Background(), tc.closing)
 				qt.Assert(t, err, qt.IsNil)
 			}
-			row, err := book.Budget(context.Background(), budget)
+			row, err := ledger.Budget(context.Background(), budget)
 			qt.Assert(t, err, qt.IsNil)
 			qt.Assert(t, row.Settled, qt.Equals, tc.settled)
 			qt.Assert(t, row.Presumed, qt.Equals, tc.presumed)
@@ -166,57 +166,57 @@
 }
 
 func TestRefundCountsOncePerHold(t *testing.T) {
-	book, _ := newBook(t, 1000)
-	version := open(t, book, "r~1")
+	ledger, _ := newLedger(t, 1000)
+	version := open(t, ledger, "r~1")
 	m := move("r~1", 1, 100, 100)
-	_, err := book.Move(context.Background(), m, version)
+	_, err := ledger.Move(context.Background(), m, version)
 	qt.Assert(t, err, qt.IsNil)
-	_, err = book.Move(context.Background(), keeper.Move{Grant: m.Grant, Seq: 2, Spent: 80, Close: true, Return: 20, DrawnBefore: 100}, version)
+	_, err = ledger.Move(context.Background(), keeper.Move{Grant: m.Grant, Seq: 2, Spent: 80, Close: true, Return: 20, DrawnBefore: 100}, version)
 	qt.Assert(t, err, qt.IsNil)
 	for range 2 {
-		qt.Assert(t, book.Refund(context.Background(), budget, "hold-1", 30), qt.IsNil)
+		qt.Assert(t, ledger.Refund(context.Background(), budget, "hold-1", 30), qt.IsNil)
 	}
-	row, err := book.Budget(context.Background(), budget)
+	row, err := ledger.Budget(context.Background(), budget)
 	qt.Assert(t, err, qt.IsNil)
 	qt.Assert(t, row.Settled, qt.Equals, masticway.Amount(50))
 	var invariant *bookkeeper.InvariantError
-	qt.Assert(t, book.Refund(context.Background(), budget, "hold-2", 60), qt.ErrorAs, &invariant)
+	qt.Assert(t, ledger.Refund(context.Background(), budget, "hold-2", 60), qt.ErrorAs, &invariant)
 }
 
 func TestFencingNumbersRise(t *testing.T) {
 	table := emulator.NewTable()
-	book := bookkeeper.New(table)
-	first, err := book.NextFence(context.Background(), "i", "a", masticway.Order{Action: "load_model"})
+	ledger := bookkeeper.New(table)
+	first, err := ledger.NextFence(context.Background(), "i", "a", masticway.Order{Action: "load_model"})
 	qt.Assert(t, err, qt.IsNil)
 	table.SetFaults(emulator.TableFaults{LoseAnswers: 1})
-	second, err := book.NextFence(context.Background(), "i", "b", masticway.Order{Action: "load_model"})
+	second, err := ledger.NextFence(context.Background(), "i", "b", masticway.Order{Action: "load_model"})
 	qt.Assert(t, err, qt.IsNil)
-	again, err := book.NextFence(context.Background(), "i", "b", masticway.Order{Action: "load_model"})
+	again, err := ledger.NextFence(context.Background(), "i", "b", masticway.Order{Action: "load_model"})
 	qt.Assert(t, err, qt.IsNil)
 	qt.Assert(t, []int64{first.Fence, second.Fence, again.Fence}, qt.DeepEquals, []int64{1, 2, 2})
 }
 
-// bookInput is one operation of a history; exactly one field is set.
-type bookInput struct {
-	draw  masticway.Amount
-	topUp masticway.Amount
-	back  bool
-	audit bool
+// ledgerOp is one operation of a history. Exactly one field is set.
+type ledgerOp struct {
+	draw    masticway.Amount
+	topUp   masticway.Amount
+	recover bool
+	audit   bool
 }
 
-// bookOutput is what it brought; of a draw that was fenced nobody knows whether it was made.
-type bookOutput struct {
+// ledgerResult is the result of an operation. A draw that was fenced may have been made or not.
+type ledgerResult struct {
 	amount masticway.Amount
 	fenced bool
 }
 
-// bookModel is one counter of what is left; a fenced draw may have been made or not.
-var bookModel = porcupine.NondeterministicModel{
+// ledgerModel is a counter of the remaining money, in which a fenced draw may have been made or not.
+var ledgerModel = porcupine.NondeterministicModel{
 	Init: func() []any { return []any{masticway.Amount(500)} },
 	Step: func(state, input, output any) []any {
 		left := state.(masticway.Amount)
-		in := input.(bookInput)
-		out := output.(bookOutput)
+		in := input.(ledgerOp)
+		out := output.(ledgerResult)
 		drawn := min(in.draw, left)
 		switch {
 		case in.audit && out.amount != left:
@@ -225,7 +225,7 @@
 			return []any{left}
 		case in.topUp > 0:
 			return []any{left + in.topUp}
-		case in.back:
+		case in.recover:
 			return []any{left + out.amount}
 		case out.fenced:
 			return []any{left, left - drawn}
@@ -236,13 +236,13 @@
 	},
 }
 
-// bookHistory records operations of several clients at once.
-type bookHistory struct {
+// opHistory records operations of concurrent clients.
+type opHistory struct {
 	mu         sync.Mutex
 	operations []porcupine.Operation
 }
 
-func (h *bookHistory) record(client int, in bookInput, f func() bookOutput) bookOutput {
+func (h *opHistory) record(client int, in ledgerOp, f func() ledgerResult) ledgerResult {
 	call := time.Now().UnixNano()
 	out := f()
 	h.mu.Lock()
@@ -251,27 +251,28 @@
 	return out
 }
 
-// TestHistoriesAreLinearizable runs draws, top-ups, and recoveries of sealed payers at once and checks them, and what
-// is left in the end, against one counter. A payer that is sealed draws nothing from then on.
+// TestHistoriesAreLinearizable guards against concurrent draws, top-ups and recoveries of sealed payers that lose or double
+// money when answers are lost: their results and the remaining money must be those of a single counter. Once a payer has
+// been fenced, it must draw nothing more.
 func TestHistoriesAreLinearizable(t *testing.T) {
-	book, table := newBook(t, 500)
+	ledger, table := newLedger(t, 500)
 	table.SetFaults(emulator.TableFaults{LoseAnswers: 15})
-	history := &bookHistory{}
+	history := &opHistory{}
 	var wg sync.WaitGroup
 	for c := range 4 {
 		inc := masticway.Incarnation(fmt.Sprintf("r%d~1", c))
-		version := open(t, book, inc)
+		version := open(t, ledger, inc)
 		wg.Go(func() {
 			fenced := false
 			for n := range 6 {
-				out := history.record(c, bookInput{draw: 60}, func() bookOutput {
+				out := history.record(c, ledgerOp{draw: 60}, func() ledgerResult {
 					grant := masticway.GrantKey{Budget: budget, Payer: inc, Number: int64(n + 1)}
-					result, err := book.Move(context.Background(), keeper.Move{Grant: grant, Seq: 1, Need: 60}, version)
+					result, err := ledger.Move(context.Background(), keeper.Move{Grant: grant, Seq: 1, Need: 60}, version)
 					var sealed *masticway.SealedError
 					if err != nil && !errors.As(err, &sealed) {
 						t.Error(err)
 					}
-					return bookOutput{amount: result.Drawn, fenced: err != nil}
+					return ledgerResult{amount: result.Drawn, fenced: err != nil}
 				})
 				if fenced && !out.fenced {
 					t.Errorf("%s drew %d after it was fenced", inc, out.amount)
@@ -280,33 +281,33 @@
 				if n%2 == 1 {
 					continue
 				}
-				history.record(c, bookInput{topUp: 50}, func() bookOutput {
-					if _, err := book.TopUp(context.Background(), budget, fmt.Sprint(c, "-", n), 50); err != nil {
+				history.record(c, ledgerOp{topUp: 50}, func() ledgerResult {
+					if _, err := ledger.TopUp(context.Background(), budget, fmt.Sprint(c, "-", n), 50); err != nil {
 						t.Error(err)
 					}
-					return bookOutput{}
+					return ledgerResult{}
 				})
 			}
 		})
 		wg.Go(func() {
-			// A recoverer seals the payer while it goes on, and only then closes its first grant.
-			if _, err := book.Seal(context.Background(), inc); err != nil {
+			// A recovery seals the payer, which is still running, and then closes its first grant.
+			if _, err := ledger.Seal(context.Background(), inc); err != nil {
 				t.Error(err)
 			}
-			history.record(10+c, bookInput{back: true}, func() bookOutput {
-				back, err := book.Recover(context.Background(), bookkeeper.Closing{Grant: masticway.GrantKey{Budget: budget, Payer: inc, Number: 1}})
+			history.record(10+c, ledgerOp{recover: true}, func() ledgerResult {
+				returned, err := ledger.Recover(context.Background(), bookkeeper.Closing{Grant: masticway.GrantKey{Budget: budget, Payer: inc, Number: 1}})
 				if err != nil {
 					t.Error(err)
 				}
-				return bookOutput{amount: back}
+				return ledgerResult{amount: returned}
 			})
 		})
 	}
 	wg.Wait()
-	history.record(20, bookInput{audit: true}, func() bookOutput {
-		row, err := book.Budget(context.Background(), budget)
+	history.record(20, ledgerOp{audit: true}, func() ledgerResult {
+		row, err := ledger.Budget(context.Background(), budget)
 		qt.Assert(t, err, qt.IsNil)
-		return bookOutput{amount: row.Left()}
+		return ledgerResult{amount: row.Left()}
 	})
-	qt.Assert(t, porcupine.CheckOperations(bookModel.ToModel(), history.operations), qt.IsTrue)
+	qt.Assert(t, porcupine.CheckOperations(ledgerModel.ToModel(), history.operations), qt.IsTrue)
 }
