--- a/batcher/batcher_test.go
+++ b/batcher/batcher_test.go
@@ -39,7 +39,7 @@
 	qt.Assert(t, err, qt.IsNil)
 	var all []int
 	for _, n := range names {
-		batch, err := batcher.Read[int](ctx, store, n)
+		batch, err := batcher.ReadBatch[int](ctx, store, n)
 		qt.Assert(t, err, qt.IsNil)
 		all = append(all, batch...)
 	}
@@ -51,6 +51,6 @@
 	for i := range 5 {
 		b.Add(i)
 	}
-	qt.Assert(t, b.Waiting(), qt.Equals, 3)
+	qt.Assert(t, b.Pending(), qt.Equals, 3)
 	qt.Assert(t, b.Dropped(), qt.Equals, int64(2))
 }
--- a/connector/bench_test.go
+++ b/connector/bench_test.go
@@ -41,7 +41,7 @@
 			server := httptest.NewServer(platform.Handler())
 			defer server.Close()
 			var bytes atomic.Int64
-			client := connector.NewHTTP(func(ctx context.Context, network, address string) (net.Conn, error) {
+			client := connector.NewHTTPClient(func(ctx context.Context, network, address string) (net.Conn, error) {
 				c, err := (&net.Dialer{}).DialContext(ctx, network, address)
 				return countingConn{Conn: c, bytes: &bytes}, err
 			})
--- a/connector/contract_test.go
+++ b/connector/contract_test.go
@@ -24,7 +24,7 @@
 			platform := emulator.NewPlatform(0)
 			server := httptest.NewServer(platform.Handler())
 			t.Cleanup(server.Close)
-			return connector.NewPlatform(server.URL, connector.NewHTTP(nil), time.Second), platform.Table
+			return connector.NewPlatform(server.URL, connector.NewHTTPClient(nil), time.Second), platform.Table
 		},
 	}
 }
@@ -102,7 +102,7 @@
 func TestRefusedConnectionMeansNotWritten(t *testing.T) {
 	server := httptest.NewServer(nil)
 	server.Close()
-	p := connector.NewPlatform(server.URL, connector.NewHTTP(nil), time.Second)
+	p := connector.NewPlatform(server.URL, connector.NewHTTPClient(nil), time.Second)
 	var unavailable *masticway.UnavailableError
 	qt.Assert(t, p.Commit(context.Background(), putTransaction("k", "v", 0)), qt.ErrorAs, &unavailable)
 }
@@ -111,7 +111,7 @@
 	platform := emulator.NewPlatform(0)
 	server := httptest.NewServer(platform.Handler())
 	defer server.Close()
-	p := connector.NewPlatform(server.URL, connector.NewHTTP(nil), 20*time.Millisecond)
+	p := connector.NewPlatform(server.URL, connector.NewHTTPClient(nil), 20*time.Millisecond)
 	platform.Table.SetFaults(emulator.TableFaults{Slow: 200})
 	var unknown *masticway.OutcomeUnknownError
 	qt.Assert(t, p.Commit(context.Background(), putTransaction("k", "v", 0)), qt.ErrorAs, &unknown)
@@ -123,7 +123,7 @@
 	defer server.Close()
 	stores := map[string]masticway.ObjectStore{
 		"in memory": emulator.NewObjects(),
-		"over HTTP": connector.NewPlatform(server.URL, connector.NewHTTP(nil), time.Second).Objects(),
+		"over HTTP": connector.NewPlatform(server.URL, connector.NewHTTPClient(nil), time.Second).Objects(),
 	}
 	for name, store := range stores {
 		t.Run(name, func(t *testing.T) {
--- a/connector/slow_test.go
+++ b/connector/slow_test.go
@@ -54,13 +54,13 @@
 	platform := emulator.NewPlatform(0)
 	server := httptest.NewServer(platform.Handler())
 	defer server.Close()
-	direct := connector.NewPlatform(server.URL, connector.NewHTTP(nil), 10*time.Second)
+	direct := connector.NewPlatform(server.URL, connector.NewHTTPClient(nil), 10*time.Second)
 	qt.Assert(t, direct.Commit(t.Context(), putTransaction("large", large, 0)), qt.IsNil)
 	qt.Assert(t, direct.Objects().Put(t.Context(), "large", []byte(large)), qt.IsNil)
 	address := overLink(t, slowLink, server.Listener.Addr().String())
 	for name, read := range cases {
 		t.Run(name, func(t *testing.T) {
-			value, err := read(connector.NewPlatform("http://"+address, connector.NewHTTP(nil), callTimeout))
+			value, err := read(connector.NewPlatform("http://"+address, connector.NewHTTPClient(nil), callTimeout))
 			qt.Assert(t, err, qt.IsNil)
 			qt.Assert(t, value, qt.HasLen, largeValue)
 		})
@@ -74,7 +74,7 @@
 		_, _ = w.Write([]byte(`{"key":"k","value":"dg==","version":1}` + strings.Repeat(" ", answerLimit) + `]`))
 	}))
 	defer server.Close()
-	_, err := connector.NewPlatform(server.URL, connector.NewHTTP(nil), 10*time.Second).Get(t.Context(), "k")
+	_, err := connector.NewPlatform(server.URL, connector.NewHTTPClient(nil), 10*time.Second).Get(t.Context(), "k")
 	var unavailable *masticway.UnavailableError
 	qt.Assert(t, err, qt.ErrorAs, &unavailable)
 	qt.Assert(t, unavailable.Reason, qt.Contains, (&receiver.TooLargeError{Limit: answerLimit}).Error())
--- a/forwarder/forwarder_test.go
+++ b/forwarder/forwarder_test.go
@@ -75,7 +75,7 @@
 func TestDrainIsCheckedAfterReadingBody(t *testing.T) {
 	for name, refuse := range map[string]func(f *fixture){
 		"the time for long requests is over": func(f *fixture) { f.clock.advance(4 * time.Second) },
-		"connections are being closed":       func(f *fixture) { f.router.Refuse() },
+		"connections are being closed":       func(f *fixture) { f.router.StopForwarding() },
 	} {
 		t.Run(name, func(t *testing.T) {
 			f := newFixture(t, 1)
@@ -202,7 +202,7 @@
 
 func (noSuspects) Release(masticway.RequestDigest) {}
 
-func (b *fakeBudgets) Owns(string) bool { return !b.othersOwn }
+func (b *fakeBudgets) OwnsKey(string) bool { return !b.othersOwn }
 
 func (b *fakeBudgets) settledAmounts() []int64 {
 	b.mu.Lock()
@@ -217,7 +217,7 @@
 	servers  []*emulator.OpaqueServer
 	budgets  *fakeBudgets
 	clock    *offsetClock
-	snapshot follower.Beliefs
+	snapshot follower.Snapshot
 	router   *forwarder.Forwarder
 	// rotation is the router's rotation.
 	rotation fakeRotation
@@ -229,7 +229,7 @@
 // routerAddress is the address of the only router.
 const routerAddress = "router"
 
-func (b *fakeBudgets) Ranked(string, int) []string { return []string{routerAddress} }
+func (b *fakeBudgets) RankedAddresses(string, int) []string { return []string{routerAddress} }
 
 const (
 	promptTokens    = 100
@@ -274,7 +274,7 @@
 		r.Host, r.Shares = "h.example", []masticway.TrafficShare{{Pool: "llm", Weight: 1}}
 		d.Routes = append(d.Routes, r)
 	}
-	f.snapshot = follower.Beliefs{Known: true, Listed: true, Deployment: d.WithIndex(), Servers: map[string][]masticway.Server{}}
+	f.snapshot = follower.Snapshot{ConfigurationLoaded: true, ServersLoaded: true, Deployment: d.WithIndex(), Servers: map[string][]masticway.Server{}}
 	for i := range servers {
 		s, err := emulator.StartOpaqueServer(fmt.Sprintf("i-%d", i), f.ledger)
 		qt.Assert(t, err, qt.IsNil)
@@ -292,12 +292,12 @@
 			}
 		}
 	})
-	f.throttler = throttler.New(throttler.Parts{
+	f.throttler = throttler.New(throttler.Dependencies{
 		Members: f.budgets, Peers: func() []string { return nil }, Clock: f.clock, Log: log.WithField("", ""), Metrics: measurer.New(), Address: routerAddress,
 	})
-	f.router = forwarder.New(settings, forwarder.Parts{
-		Examiner: e, Rotation: &f.rotation, Throttler: f.throttler, Leaves: func(masticway.Server) {}, Clock: f.clock, Log: log.WithField("", ""), Metrics: measurer.New(), Dialect: platform.Dialect{},
-		Bank: f.budgets, Beliefs: func() follower.Beliefs { return f.snapshot }, Dial: (&net.Dialer{}).DialContext,
+	f.router = forwarder.New(settings, forwarder.Dependencies{
+		Examiner: e, Rotation: &f.rotation, Throttler: f.throttler, OnLeaving: func(masticway.Server) {}, Clock: f.clock, Log: log.WithField("", ""), Metrics: measurer.New(), Codec: platform.HeaderCodec{},
+		Budgets: f.budgets, Snapshot: func() follower.Snapshot { return f.snapshot }, Dial: (&net.Dialer{}).DialContext,
 	})
 	f.frontend = httptest.NewServer(f.router)
 	t.Cleanup(f.frontend.Close)
@@ -476,7 +476,7 @@
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
 			f := newFixture(t, 1)
-			f.snapshot.Known = tc.ready
+			f.snapshot.ConfigurationLoaded = tc.ready
 			f.budgets.verdict = tc.verdict
 			got := f.do(t.Context(), "POST", tc.path, tc.extra...)
 			qt.Assert(t, got.err, qt.IsNil)
@@ -639,7 +639,7 @@
 	f := newFixture(t, 1)
 	f.router.Drain(f.clock.Now().Add(time.Minute))
 	qt.Assert(t, f.do(t.Context(), "POST", "/never/x").status, qt.Equals, 200)
-	f.router.Refuse()
+	f.router.StopForwarding()
 	got := f.do(t.Context(), "POST", "/never/x")
 	qt.Assert(t, got.status, qt.Equals, 503)
 	qt.Assert(t, got.header.Get("Retry-After") != "", qt.IsTrue)
--- a/loader/faults.go
+++ b/loader/faults.go
@@ -145,7 +145,7 @@
 
 func (f *faulter) everywhere(revision int64) bool {
 	for _, r := range f.fleet.Routers() {
-		if r.Daemon.Ready() && r.Metrics.Count("config_revision") < revision {
+		if r.Daemon.IsReady() && r.Metrics.Count("config_revision") < revision {
 			return false
 		}
 	}
--- a/relayer/relayer_test.go
+++ b/relayer/relayer_test.go
@@ -130,7 +130,7 @@
 	s := relayer.New(path, messenger.NewClient(), masticway.SystemClock{}, logrus.NewEntry(log), measurer.New())
 	t.Cleanup(s.Close)
 	f.logs[s] = hook
-	s.Ask(func() []string { return []string{f.address} })
+	s.SetPeers(func() []string { return []string{f.address} })
 	return s
 }
 
@@ -299,7 +299,7 @@
 func TestDirectPathIsRestored(t *testing.T) {
 	f := newRouterPair(t)
 	var restored atomic.Int32
-	f.store.WhenBack(func() { restored.Add(1) })
+	f.store.OnRestored(func() { restored.Add(1) })
 	f.ownPath.mode.Store(pathUnavailable)
 	f.takeDirectDown(t)
 	qt.Assert(t, restored.Load(), qt.Equals, int32(0))
--- a/sharer/sharer_test.go
+++ b/sharer/sharer_test.go
@@ -107,10 +107,10 @@
 	log, _ := test.NewNullLogger()
 	for i := range routers {
 		r := &simRouter{fleet: f, name: fmt.Sprintf("edge-%d", i), number: i, own: &countingStore{Rows: rows}}
-		r.store = sharer.New(sharer.Parts{
+		r.store = sharer.New(sharer.Dependencies{
 			Store: r.own, Readers: f, Clock: emulator.SteadyClock{}, Log: logrus.NewEntry(log), Metrics: measurer.New(),
 			Choose: func() ([]string, bool) { return []string{"edge-0", "edge-1"}, r.number < readerCount },
-		}, sharer.Table{Name: table, Substance: rowState})
+		}, sharer.Table{Name: table, Projection: rowState})
 		f.routers = append(f.routers, r)
 	}
 	for i := range servers {
--- a/starter/failure_test.go
+++ b/starter/failure_test.go
@@ -146,7 +146,7 @@
 	// The journal has the bills of the lost prompts as superseded, so that the request is charged once.
 	superseded := b.supersededCost()
 	qt.Assert(t, superseded > 0, qt.IsTrue)
-	qt.Assert(t, row.Settled+row.GivenBack-superseded, qt.Equals, answerCost(content))
+	qt.Assert(t, row.Settled+row.Refunded-superseded, qt.Equals, answerCost(content))
 }
 
 // supersededCost returns the total of the superseded bills in the journal: those for work whose result no caller got.
@@ -155,7 +155,7 @@
 	qt.Assert(b.t, err, qt.IsNil)
 	var sum masticway.Amount
 	for _, n := range names {
-		batch, err := batcher.Read[biller.Bill](context.Background(), b.Platform.Objects, n)
+		batch, err := batcher.ReadBatch[biller.Bill](context.Background(), b.Platform.Objects, n)
 		qt.Assert(b.t, err, qt.IsNil)
 		for _, bill := range batch {
 			if bill.Kind == biller.KindSuperseded {
@@ -493,9 +493,9 @@
 			qt.Assert(t, status, qt.Equals, 200, qt.Commentf("%s", body))
 			qt.Assert(t, s.Engine.Counts().Orders, qt.Equals, orders+1)
 			book := bookkeeper.New(b.Platform.Table)
-			_, err := book.NextFence(context.Background(), s.Name, "newer", masticway.Order{Action: "load_version"})
+			_, err := book.AssignFence(context.Background(), s.Name, "newer", masticway.Order{Action: "load_version"})
 			qt.Assert(t, err, qt.IsNil)
-			_, err = book.NextFence(context.Background(), s.Name, "newest", masticway.Order{Action: "load_version"})
+			_, err = book.AssignFence(context.Background(), s.Name, "newest", masticway.Order{Action: "load_version"})
 			qt.Assert(t, err, qt.IsNil)
 			qt.Assert(t, s.Engine.Counts().Orders, qt.Equals, orders+1)
 		})
--- a/starter/meeting_test.go
+++ b/starter/meeting_test.go
@@ -44,13 +44,13 @@
 			if tc.isReachable {
 				book := bookkeeper.New(b.Platform.Table)
 				b.eventually("it has its configuration", func() bool {
-					row, err := book.Daemon(context.Background(), r.Daemon.Incarnation())
-					return err == nil && row.Applied > 0
+					row, err := book.Lease(context.Background(), r.Daemon.Incarnation())
+					return err == nil && row.AppliedRevision > 0
 				})
-				qt.Assert(t, r.Daemon.Ready(), qt.IsFalse)
+				qt.Assert(t, r.Daemon.IsReady(), qt.IsFalse)
 				b.Network.Heal(b.Routers()[0].Name, second)
 			}
-			b.eventually("it serves", r.Daemon.Ready)
+			b.eventually("it serves", r.Daemon.IsReady)
 			if !tc.isReachable {
 				return
 			}
--- a/treasurer/planner_test.go
+++ b/treasurer/planner_test.go
@@ -227,7 +227,7 @@
 }
 
 // lend lends all that is asked for.
-func (b *harness) lend(ask treasurer.LoanAsk) {
+func (b *harness) lend(ask treasurer.LoanRequest) {
 	loan, amount := b.planner.Lend(b.now, ask)
 	qt.Assert(b.t, amount, qt.Equals, ask.Need)
 	b.record(b.planner.Clear(b.now, loan))
@@ -240,7 +240,7 @@
 	b := newHarness(t, 100000)
 	b.hold(1000)
 	b.run(300 * time.Millisecond)
-	b.lend(treasurer.LoanAsk{Number: 1, Borrower: "other~1", Workspace: "w", Need: 500})
+	b.lend(treasurer.LoanRequest{Number: 1, Borrower: "other~1", Workspace: "w", Need: 500})
 	before := b.planner.Positions()[0].Taken
 	repayment := treasurer.Repayment{Number: 1, Borrower: "other~1", Lender: b.self, Workspace: "w", Amount: 200}
 	b.planner.AcceptRepayment(b.now, repayment)
@@ -268,8 +268,8 @@
 			b.hold(1000)
 			b.run(300 * time.Millisecond)
 			before := b.planner.Positions()[0].Taken
-			ask := treasurer.LoanAsk{Number: 7, Borrower: "other~1", Workspace: "w", Need: asked}
-			cancellation := treasurer.Repayment{Number: 8, Borrower: "other~1", Lender: b.self, Workspace: "w", Ask: ask.Number}
+			ask := treasurer.LoanRequest{Number: 7, Borrower: "other~1", Workspace: "w", Need: asked}
+			cancellation := treasurer.Repayment{Number: 8, Borrower: "other~1", Lender: b.self, Workspace: "w", CanceledRequest: ask.Number}
 			if tc.arrival == "early" {
 				b.planner.AcceptRepayment(b.now, cancellation)
 			}
@@ -311,7 +311,7 @@
 	b := newHarness(t, 100000)
 	b.hold(1000)
 	b.run(300 * time.Millisecond)
-	b.lend(treasurer.LoanAsk{Number: 1, Borrower: "other~1", Workspace: "w", Need: 500})
+	b.lend(treasurer.LoanRequest{Number: 1, Borrower: "other~1", Workspace: "w", Need: 500})
 	before := b.planner.Positions()[0].Taken
 	for _, number := range []int64{4, 2, 3, 2, 4} {
 		b.planner.AcceptRepayment(b.now, treasurer.Repayment{Number: number, Borrower: "other~1", Lender: b.self, Workspace: "w", Amount: 100})
