--- a/commander/budgets.go
+++ b/commander/budgets.go
@@ -15,7 +15,7 @@
 )
 
 func budgetCommand() *command {
-	return &command{name: "budget", description: "show and top up budgets", subs: []*command{budgetShow(), budgetTopUp()}}
+	return &command{name: "budget", description: "show and top up budgets", subcommands: []*command{budgetShow(), budgetTopUp()}}
 }
 
 func budgetShow() *command {
@@ -28,7 +28,7 @@
 			s.AddPositionalValue(&budget, "budget", 1, true, "name of the budget")
 		},
 		run: func(ctx context.Context, e env) error {
-			return perform(ctx, c, e, apiCall{method: http.MethodGet, path: "/admin/v1/budgets/" + budget}, printBudget)
+			return callAndPrint(ctx, c, e, apiCall{method: http.MethodGet, path: "/admin/v1/budgets/" + budget}, printBudget)
 		},
 	}
 }
@@ -43,24 +43,24 @@
 	}
 	fmt.Fprintf(w, "budget %s, in tokens at weight one\n", v.Budget)
 	for _, r := range rows {
-		fmt.Fprintf(w, "  %-10s %s\n", r.name, tokens(r.amount))
+		fmt.Fprintf(w, "  %-10s %s\n", r.name, formatTokens(r.amount))
 	}
 	for _, g := range v.Grants {
 		state := "in use"
 		if g.Stranded {
 			state = "stranded: " + g.Reason
 		}
-		fmt.Fprintf(w, "  grant to %s: %s (%s)\n", g.Payer, tokens(g.Open), state)
+		fmt.Fprintf(w, "  grant to %s: %s (%s)\n", g.Payer, formatTokens(g.Open), state)
 	}
 	if v.Local != nil {
-		fmt.Fprintf(w, "  at this router: drawn %s spent %s held %s in %d holds\n", tokens(v.Local.Drawn), tokens(v.Local.Spent), tokens(v.Local.Held), v.Local.Holds)
+		fmt.Fprintf(w, "  at this router: drawn %s spent %s held %s in %d holds\n", formatTokens(v.Local.Drawn), formatTokens(v.Local.Spent), formatTokens(v.Local.Held), v.Local.Holds)
 	}
 }
 
 func budgetTopUp() *command {
 	c, f, budget, amount := &client{}, &changeFlags{}, "", ""
 	return &command{
-		name: "top-up", description: "add prepaid tokens to a budget, or make it",
+		name: "top-up", description: "add prepaid tokens to a budget, and create it if it does not exist",
 		example: "masticway budget top-up tailoring 1000000 --change-id order-17 --router http://127.0.0.1:8101 --token-file examples/admin.token",
 		flags: func(s *flaggy.Subcommand) {
 			c.flags(s)
@@ -80,10 +80,10 @@
 				return fmt.Errorf("encoding the amount: %w", err)
 			}
 			call := apiCall{method: http.MethodPost, path: "/admin/v1/budgets/" + budget + "/top-ups", body: body, headers: f.headers()}
-			return perform(ctx, c, e, call, func(w io.Writer, v struct {
+			return callAndPrint(ctx, c, e, call, func(w io.Writer, v struct {
 				Prepaid masticway.Amount `json:"prepaid"`
 			}) {
-				fmt.Fprintf(w, "prepaid is now %s tokens\n", tokens(v.Prepaid))
+				fmt.Fprintf(w, "prepaid is now %s tokens\n", formatTokens(v.Prepaid))
 			})
 		},
 	}
--- a/commander/gateway.go
+++ b/commander/gateway.go
@@ -16,44 +16,45 @@
 	"github.com/masticway/masticway/validator"
 )
 
-// collectAt is by how many percent a gateway's heap may grow before it is collected. It keeps little alive, so that collecting more
-// often costs hardly any processor time.
-const collectAt = 25
+// gcPercent is by how many percent a gateway's heap may grow before it is collected (GOGC). Its live heap is small, so collecting
+// more often than by default costs hardly any CPU time.
+const gcPercent = 25
 
 func gatewayCommand() *command {
 	var file string
 	return &command{
 		name: "gateway", description: "run a router on the users' platform", example: "masticway gateway settings.json",
 		flags: func(s *flaggy.Subcommand) {
-			s.AddPositionalValue(&file, "file", 1, false, "settings file; "+platform.SettingsVariable+" names it when absent")
+			s.AddPositionalValue(&file, "file", 1, false, "settings file; by default the one that "+platform.SettingsVariable+" names")
 		},
 		run: func(ctx context.Context, e env) error {
 			if file == "" {
 				file = platform.SettingsPath()
 			}
-			settings, err := readFile[forwarder.Settings](validator.KindGateway, file)
+			settings, err := decodeFile[forwarder.Settings](validator.KindGateway, file)
 			if err != nil {
 				return err
 			}
-			debug.SetGCPercent(collectAt)
+			debug.SetGCPercent(gcPercent)
 			d, err := starter.BuildGateway(settings, e.out)
 			if err != nil {
 				return err
 			}
 			stop := reloadOnHangup(func() error {
-				settings, err := readFile[forwarder.Settings](validator.KindGateway, file)
+				settings, err := decodeFile[forwarder.Settings](validator.KindGateway, file)
 				if err == nil {
 					d.Reload(settings)
 				}
 				return err
 			}, e)
 			defer stop()
-			return runRole(ctx, d)
+			return runDaemon(ctx, d)
 		},
 	}
 }
 
-// reloadOnHangup calls reload for each SIGHUP; settings that cannot be read change nothing.
+// reloadOnHangup calls reload on each SIGHUP until stop is called. If reload fails, it prints the error, and the previous
+// settings stay in effect.
 func reloadOnHangup(reload func() error, e env) (stop func()) {
 	hangups := make(chan os.Signal, 1)
 	signal.Notify(hangups, syscall.SIGHUP)
--- a/emulator/deployment.go
+++ b/emulator/deployment.go
@@ -11,30 +11,30 @@
 )
 
 //go:embed deployment.json.tmpl
-var deploymentText string
+var deploymentTemplateText string
 
-var deploymentTemplate = template.Must(template.New("deployment").Parse(deploymentText))
+var deploymentTemplate = template.Must(template.New("deployment").Parse(deploymentTemplateText))
 
-// What the template of a deployment says.
+// Values that deployment.json.tmpl contains.
 const (
-	// DeploymentHost is the host of all its routes.
+	// DeploymentHost is the host of all routes.
 	DeploymentHost = "soak.example"
-	// DeploymentKey stands before a workspace's name in its key.
+	// DeploymentKey is the prefix of a workspace's API key; the workspace's name follows.
 	DeploymentKey = "key-"
-	// DeploymentTimeout is the longest time that its routes keep a caller waiting.
+	// DeploymentTimeout is the request timeout of all routes.
 	DeploymentTimeout = 6 * time.Second
-	// DeploymentTokensPerEvent is how many tokens an event of its engines has.
+	// DeploymentTokensPerEvent is the number of tokens in an event from an engine.
 	DeploymentTokensPerEvent = 3
 )
 
-// Deployment is a configuration with a route of each kind and one more for each path, as the operator writes it.
+// Deployment is a deployment configuration with one route of each kind and one more for each path, in the operator's format.
 type Deployment struct {
 	Number  int64
 	Paths   []string
 	Prepaid map[string]int64
 }
 
-// Put writes the configuration and returns its size in bytes; it fails with the template's errors.
+// Put writes the configuration and returns its size in bytes. It returns an error if the template cannot be executed.
 func (d Deployment) Put(rows *Rows) (int, error) {
 	var document bytes.Buffer
 	if err := deploymentTemplate.Execute(&document, d); err != nil {
@@ -44,16 +44,18 @@
 	return document.Len(), nil
 }
 
-// Register writes a server's registration, as one that is ready or that is leaving.
-func (s *OpaqueServer) Register(rows *Rows, pool, zone string, leaving bool) {
+// Register writes a server's registration, with its state as ready or draining.
+func (s *OpaqueServer) Register(rows *Rows, pool, zone string, draining bool) {
 	state := "ready"
-	if leaving {
+	if draining {
 		state = "draining"
 	}
-	rows.Put(s.key(), fmt.Appendf(nil, `{"service":%q,"address":%q,"zone":%q,"slots":32,"state":%q}`, pool, s.Address(), zone, state))
+	rows.Put(s.registrationKey(), fmt.Appendf(nil, `{"service":%q,"address":%q,"zone":%q,"slots":32,"state":%q}`, pool, s.Address(), zone, state))
 }
 
 // Deregister removes a server's registration.
-func (s *OpaqueServer) Deregister(rows *Rows) { rows.Delete(s.key()) }
+func (s *OpaqueServer) Deregister(rows *Rows) { rows.Delete(s.registrationKey()) }
 
-func (s *OpaqueServer) key() masticway.RowKey { return masticway.RowKey{Table: "servers", Key: s.ID} }
+func (s *OpaqueServer) registrationKey() masticway.RowKey {
+	return masticway.RowKey{Table: "servers", Key: s.ID}
+}
--- a/emulator/link.go
+++ b/emulator/link.go
@@ -7,26 +7,27 @@
 	"time"
 )
 
-// linkPiece is what a link carries for one connection before it turns to the next, 8 KB.
-const linkPiece = 8 << 10
+// chunkBytes is the maximum number of bytes, 8 KB, that one connection receives before others get their turn.
+const chunkBytes = 8 << 10
 
-// Link is the network interface of one machine: what arrives on all of its connections shares one rate.
+// Link is a TCP proxy that emulates the network interface of one machine: the bytes that arrive on all of its
+// connections share one bandwidth limit. Bytes that leave the machine are not limited.
 type Link struct {
-	rate int64
+	bytesPerSecond int64
 
-	mu        sync.Mutex
-	free      time.Time
-	carried   int64
-	listeners []net.Listener
-	conns     map[net.Conn]bool
-	closed    bool
-	wg        sync.WaitGroup
+	mu            sync.Mutex
+	nextFree      time.Time
+	receivedBytes int64
+	listeners     []net.Listener
+	conns         map[net.Conn]bool
+	closed        bool
+	wg            sync.WaitGroup
 }
 
-// NewLink returns a link that lets in so many bytes a second.
-func NewLink(rate int64) *Link { return &Link{rate: rate, conns: map[net.Conn]bool{}} }
+// NewLink returns a proxy that forwards at most rate received bytes per second.
+func NewLink(rate int64) *Link { return &Link{bytesPerSecond: rate, conns: map[net.Conn]bool{}} }
 
-// To opens an address behind which a target (host and port) is reached through the link; it fails with the listener's error.
+// To opens a loopback address that forwards to target (host and port), and returns it. The error is the listener's.
 func (l *Link) To(target string) (string, error) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -39,14 +40,14 @@
 	return listener.Addr().String(), nil
 }
 
-// Carried returns how many bytes the link has let in.
+// Carried returns the number of bytes received from all targets.
 func (l *Link) Carried() int64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.carried
+	return l.receivedBytes
 }
 
-// Close ends the link and everything on it.
+// Close closes all listeners and connections and waits for their goroutines.
 func (l *Link) Close() {
 	l.mu.Lock()
 	l.closed = true
@@ -62,31 +63,31 @@
 
 func (l *Link) accept(listener net.Listener, target string) {
 	for {
-		near, err := listener.Accept()
+		caller, err := listener.Accept()
 		if err != nil {
 			return
 		}
-		far, err := net.Dial("tcp", target)
+		upstream, err := net.Dial("tcp", target)
 		if err != nil {
-			near.Close()
+			caller.Close()
 			continue
 		}
-		if !l.keep(near, far) {
+		if !l.track(caller, upstream) {
 			return
 		}
 		l.wg.Go(func() {
-			// Whichever side ends first ends both; the reason is of no use to either.
-			_, _ = io.Copy(far, near)
-			l.drop(near, far)
+			// Whichever side ends first closes both connections; neither side needs the error.
+			_, _ = io.Copy(upstream, caller)
+			l.closeConns(caller, upstream)
 		})
 		l.wg.Go(func() {
-			l.carry(near, far)
-			l.drop(near, far)
+			l.copyLimited(caller, upstream)
+			l.closeConns(caller, upstream)
 		})
 	}
 }
 
-func (l *Link) keep(conns ...net.Conn) bool {
+func (l *Link) track(conns ...net.Conn) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for _, c := range conns {
@@ -99,7 +100,7 @@
 	return !l.closed
 }
 
-func (l *Link) drop(conns ...net.Conn) {
+func (l *Link) closeConns(conns ...net.Conn) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for _, c := range conns {
@@ -108,14 +109,14 @@
 	}
 }
 
-// carry moves what arrives, a piece at a time, each when the link is free for it.
-func (l *Link) carry(near io.Writer, far io.Reader) {
-	piece := make([]byte, linkPiece)
+// copyLimited copies from upstream to caller in chunks and delays each one to keep the bandwidth limit.
+func (l *Link) copyLimited(caller io.Writer, upstream io.Reader) {
+	chunk := make([]byte, chunkBytes)
 	for {
-		n, err := far.Read(piece)
+		n, err := upstream.Read(chunk)
 		if n > 0 {
 			time.Sleep(time.Until(l.reserve(n)))
-			if _, err := near.Write(piece[:n]); err != nil {
+			if _, err := caller.Write(chunk[:n]); err != nil {
 				return
 			}
 		}
@@ -125,15 +126,15 @@
 	}
 }
 
-// reserve returns when the link will have let so many bytes in.
+// reserve reserves bandwidth for n bytes and returns the time at which they have arrived.
 func (l *Link) reserve(n int) time.Time {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := time.Now()
-	if l.free.Before(now) {
-		l.free = now
+	if l.nextFree.Before(now) {
+		l.nextFree = now
 	}
-	l.free = l.free.Add(time.Duration(int64(n) * int64(time.Second) / l.rate))
-	l.carried += int64(n)
-	return l.free
+	l.nextFree = l.nextFree.Add(time.Duration(int64(n) * int64(time.Second) / l.bytesPerSecond))
+	l.receivedBytes += int64(n)
+	return l.nextFree
 }
--- a/emulator/rows.go
+++ b/emulator/rows.go
@@ -10,40 +10,41 @@
 	"github.com/masticway/masticway"
 )
 
-// RowFaults are the faults of a row store.
+// RowFaults are the faults that can be injected into a row store.
 type RowFaults struct {
-	// Busy answers 503 to everything; nothing is done.
+	// Busy fails every call, with status 503 over HTTP, without executing it.
 	Busy bool
-	// Silent lets every call hang until its caller gives up; nothing is done.
+	// Silent blocks every call until its context is done, without executing it.
 	Silent bool
-	// Slow delays every call.
+	// Slow is how long every call waits before it is executed.
 	Slow time.Duration
-	// LoseAnswers makes so many writes and gives no answer to them.
+	// LoseAnswers is the number of writes that are executed without an answer.
 	LoseAnswers int
-	// LateWrites gives no answer to so many writes and makes them after LateBy, if their expectations still hold.
+	// LateWrites is the number of writes that get no answer and are executed after LateBy, if the expected
+	// versions still match then.
 	LateWrites int
 	LateBy     time.Duration
 }
 
-// Rows is a row store in memory.
+// Rows is an in-memory row store.
 type Rows struct {
 	mu      sync.Mutex
 	rows    map[masticway.RowKey]masticway.StoredRow
-	log     []masticway.StoredRow
+	history []masticway.StoredRow
 	version int64
-	// forgotten is the version up to which changes are no longer kept.
-	forgotten int64
+	// compacted is the version up to which the history has been discarded.
+	compacted int64
 	faults    RowFaults
 	started   time.Time
 	now       func() time.Time
 	changed   chan struct{}
-	// late is the number of writes that are still to be made.
-	late int
+	// pendingLateWrites is the number of late writes that have not been executed yet.
+	pendingLateWrites int
 }
 
 var _ masticway.RowStore = (*Rows)(nil)
 
-// NewRows returns an empty row store with a steady clock.
+// NewRows returns an empty row store; now is the clock from which its store time is taken.
 func NewRows(now func() time.Time) *Rows {
 	return &Rows{rows: map[masticway.RowKey]masticway.StoredRow{}, started: now(), now: now, changed: make(chan struct{})}
 }
@@ -55,7 +56,7 @@
 	s.faults = f
 }
 
-// Put writes a row as an operator or server would, whatever the faults.
+// Put writes a row on behalf of an operator or server, regardless of the faults, and returns the new version.
 func (s *Rows) Put(key masticway.RowKey, value []byte) int64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -63,14 +64,14 @@
 	return s.version
 }
 
-// Delete removes a row as an operator or server would.
+// Delete removes a row on behalf of an operator or server, regardless of the faults.
 func (s *Rows) Delete(key masticway.RowKey) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.commit(masticway.RowWrite{Deletes: []masticway.RowKey{key}})
 }
 
-// Row returns a row, with version zero when there is none.
+// Row returns a row, or one with version zero if it does not exist.
 func (s *Rows) Row(key masticway.RowKey) masticway.StoredRow {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -80,31 +81,31 @@
 	return masticway.StoredRow{RowKey: key}
 }
 
-// Compact forgets the history.
+// Compact discards the history, so that watches since an earlier version fail.
 func (s *Rows) Compact() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.forgotten = s.version
-	s.log = nil
-	s.wake()
+	s.compacted = s.version
+	s.history = nil
+	s.notifyWatchers()
 }
 
-// Wait returns when all late writes have been made or refused.
+// Wait waits until all late writes have been executed or have failed.
 func (s *Rows) Wait() {
-	for s.lateWrites() > 0 {
+	for s.pendingWrites() > 0 {
 		time.Sleep(time.Millisecond)
 	}
 }
 
-func (s *Rows) lateWrites() int {
+func (s *Rows) pendingWrites() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.late
+	return s.pendingLateWrites
 }
 
 // Read returns the rows of one part of a table.
 func (s *Rows) Read(ctx context.Context, table, part string) (masticway.RowReading, error) {
-	if err := s.fault(ctx); err != nil {
+	if err := s.injectFault(ctx); err != nil {
 		return masticway.RowReading{}, err
 	}
 	s.mu.Lock()
@@ -119,21 +120,21 @@
 	return out, nil
 }
 
-// Write commits a write, or does what the faults say.
+// Write commits a write if the expected versions match, subject to the faults.
 func (s *Rows) Write(ctx context.Context, w masticway.RowWrite) (masticway.RowReading, error) {
-	if err := s.fault(ctx); err != nil {
+	if err := s.injectFault(ctx); err != nil {
 		return masticway.RowReading{}, err
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.faults.LateWrites > 0 {
 		s.faults.LateWrites--
-		s.late++
+		s.pendingLateWrites++
 		time.AfterFunc(s.faults.LateBy, func() {
 			s.mu.Lock()
 			defer s.mu.Unlock()
-			s.late--
-			// Nobody waits for the outcome of a late write.
+			s.pendingLateWrites--
+			// No caller waits for the outcome of a late write.
 			_, _ = s.apply(w)
 		})
 		return masticway.RowReading{}, &masticway.OutcomeUnknownError{Service: "rows", Reason: "late"}
@@ -146,7 +147,7 @@
 	return out, err
 }
 
-// Apply commits a write whatever the faults; tests use it to decide themselves what is answered.
+// Apply commits a write if the expected versions match, regardless of the faults. Tests use it to choose the answer themselves.
 func (s *Rows) Apply(w masticway.RowWrite) (masticway.RowReading, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -155,16 +156,16 @@
 
 func (s *Rows) apply(w masticway.RowWrite) (masticway.RowReading, error) {
 	var current []masticway.StoredRow
-	holds := true
+	matches := true
 	for _, e := range w.Expected {
 		r := s.rows[e.RowKey]
 		r.RowKey = e.RowKey
-		holds = holds && r.Version == e.Version
+		matches = matches && r.Version == e.Version
 		if r.Version > 0 {
 			current = append(current, r)
 		}
 	}
-	if !holds {
+	if !matches {
 		return masticway.RowReading{}, &masticway.RowConflictError{Rows: current}
 	}
 	s.commit(w)
@@ -176,23 +177,24 @@
 	for _, p := range w.Puts {
 		row := masticway.StoredRow{RowKey: p.RowKey, Value: p.Value, Version: s.version}
 		s.rows[p.RowKey] = row
-		s.log = append(s.log, row)
+		s.history = append(s.history, row)
 	}
 	for _, k := range w.Deletes {
 		delete(s.rows, k)
-		s.log = append(s.log, masticway.StoredRow{RowKey: k, Version: s.version, Deleted: true})
+		s.history = append(s.history, masticway.StoredRow{RowKey: k, Version: s.version, Deleted: true})
 	}
-	s.wake()
+	s.notifyWatchers()
 }
 
-func (s *Rows) wake() {
+func (s *Rows) notifyWatchers() {
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
 
-// Watch returns the changes of a table.
+// Watch waits until a table has changes since f.Since, for at most f.MaxWait, and returns them. It fails with a HistoryLostError
+// if the changes are no longer kept or are larger than f.MaxBytes.
 func (s *Rows) Watch(ctx context.Context, f masticway.WatchRequest) (masticway.RowReading, error) {
-	if err := s.fault(ctx); err != nil {
+	if err := s.injectFault(ctx); err != nil {
 		return masticway.RowReading{}, err
 	}
 	timeout := time.NewTimer(f.MaxWait)
@@ -215,19 +217,19 @@
 func (s *Rows) changes(f masticway.WatchRequest) (masticway.RowReading, <-chan struct{}, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	lost := &masticway.HistoryLostError{Table: f.Table, Since: f.Since}
-	if f.Since < s.forgotten {
-		return masticway.RowReading{}, nil, lost
+	historyLost := &masticway.HistoryLostError{Table: f.Table, Since: f.Since}
+	if f.Since < s.compacted {
+		return masticway.RowReading{}, nil, historyLost
 	}
 	out := s.reading()
-	for _, r := range s.log {
+	for _, r := range s.history {
 		if r.Table == f.Table && r.Version > f.Since {
 			out.Rows = append(out.Rows, r)
 		}
 	}
 	if f.MaxBytes > 0 && out.Bytes() > f.MaxBytes {
-		lost.TooLarge = true
-		return masticway.RowReading{}, nil, lost
+		historyLost.TooLarge = true
+		return masticway.RowReading{}, nil, historyLost
 	}
 	return out, s.changed, nil
 }
@@ -236,8 +238,8 @@
 	return masticway.RowReading{Version: s.version, StoreTime: s.now().Sub(s.started)}
 }
 
-// fault does what the faults say of every call.
-func (s *Rows) fault(ctx context.Context) error {
+// injectFault applies the faults that concern every call.
+func (s *Rows) injectFault(ctx context.Context) error {
 	s.mu.Lock()
 	f := s.faults
 	s.mu.Unlock()
--- a/emulator/table.go
+++ b/emulator/table.go
@@ -13,34 +13,37 @@
 	"github.com/masticway/masticway"
 )
 
-// TableFaults are the faults of a table or object store.
+// TableFaults are the faults that can be injected into a table.
 type TableFaults struct {
-	// Down refuses everything; nothing is written.
+	// Down fails every call without executing it.
 	Down bool `json:"down"`
-	// Slow delays every call by so many milliseconds.
+	// Slow is how long every call waits before it is executed, in milliseconds.
 	Slow int `json:"slow_ms"`
-	// LoseAnswers drops the answers to so many commits after they took effect.
+	// LoseAnswers is the number of commits that take effect without an answer.
 	LoseAnswers int `json:"lose_answers"`
-	// WritesPerSecond bounds the commits; zero means no bound.
+	// WritesPerSecond is the maximum number of commits per second, failed ones included. Zero means no limit, and a
+	// negative number allows none.
 	WritesPerSecond int `json:"writes_per_second"`
 }
 
-// Table is a transactional table in memory.
+// Table is an in-memory transactional table.
 type Table struct {
-	mu      sync.Mutex
-	rows    map[string]masticway.Row
-	version int64
-	faults  TableFaults
-	reads   int64
-	byKind  map[string]int64
-	second  time.Time
-	used    int
+	mu           sync.Mutex
+	rows         map[string]masticway.Row
+	version      int64
+	faults       TableFaults
+	reads        int64
+	writesByKind map[string]int64
+	window       time.Time
+	windowWrites int
 }
 
 var _ masticway.Table = (*Table)(nil)
 
 // NewTable returns an empty table.
-func NewTable() *Table { return &Table{rows: map[string]masticway.Row{}, byKind: map[string]int64{}} }
+func NewTable() *Table {
+	return &Table{rows: map[string]masticway.Row{}, writesByKind: map[string]int64{}}
+}
 
 // SetFaults replaces the table's faults.
 func (t *Table) SetFaults(f TableFaults) {
@@ -49,18 +52,19 @@
 	t.faults = f
 }
 
-// Reads returns how many reads were carried out.
+// Reads returns the number of executed reads.
 func (t *Table) Reads() int64 {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.reads
 }
 
-// WritesByKind splits the writes by the kind of the first row that each transaction put.
+// WritesByKind returns the number of committed transactions by kind: the key prefix, up to the first slash, of the first row that
+// the transaction put.
 func (t *Table) WritesByKind() map[string]int64 {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return maps.Clone(t.byKind)
+	return maps.Clone(t.writesByKind)
 }
 
 func kindOf(tx masticway.Transaction) string {
@@ -71,7 +75,7 @@
 	return kind
 }
 
-func (t *Table) enter() (TableFaults, error) {
+func (t *Table) injectFault() (TableFaults, error) {
 	t.mu.Lock()
 	f := t.faults
 	t.mu.Unlock()
@@ -82,9 +86,9 @@
 	return f, nil
 }
 
-// Get reads a row.
+// Get returns a row, or one with version zero if it does not exist.
 func (t *Table) Get(_ context.Context, key string) (masticway.Row, error) {
-	if _, err := t.enter(); err != nil {
+	if _, err := t.injectFault(); err != nil {
 		return masticway.Row{}, err
 	}
 	t.mu.Lock()
@@ -96,9 +100,9 @@
 	return masticway.Row{Key: key}, nil
 }
 
-// Scan reads all rows with a prefix, in order.
+// Scan returns all rows whose key has a prefix, sorted by key.
 func (t *Table) Scan(_ context.Context, prefix string) ([]masticway.Row, error) {
-	if _, err := t.enter(); err != nil {
+	if _, err := t.injectFault(); err != nil {
 		return nil, err
 	}
 	t.mu.Lock()
@@ -114,14 +118,14 @@
 	return rows, nil
 }
 
-// Commit writes a transaction if all its conditions hold.
+// Commit commits a transaction if all its conditions are met.
 func (t *Table) Commit(_ context.Context, tx masticway.Transaction) error {
-	if _, err := t.enter(); err != nil {
+	if _, err := t.injectFault(); err != nil {
 		return err
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if !t.admit() {
+	if !t.allowWrite() {
 		return &masticway.UnavailableError{Service: "table", Reason: "rate bound"}
 	}
 	for _, c := range tx.Conditions {
@@ -130,7 +134,7 @@
 		}
 	}
 	t.version++
-	t.byKind[kindOf(tx)]++
+	t.writesByKind[kindOf(tx)]++
 	for _, p := range tx.Puts {
 		if p.Value == nil {
 			delete(t.rows, p.Key)
@@ -145,20 +149,20 @@
 	return nil
 }
 
-func (t *Table) admit() bool {
+func (t *Table) allowWrite() bool {
 	if t.faults.WritesPerSecond == 0 {
 		return true
 	}
 	now := time.Now().Truncate(time.Second)
-	if now != t.second {
-		t.second = now
-		t.used = 0
+	if now != t.window {
+		t.window = now
+		t.windowWrites = 0
 	}
-	t.used++
-	return t.used <= max(0, t.faults.WritesPerSecond)
+	t.windowWrites++
+	return t.windowWrites <= max(0, t.faults.WritesPerSecond)
 }
 
-// Objects is an object store in memory.
+// Objects is an in-memory object store.
 type Objects struct {
 	mu     sync.Mutex
 	data   map[string][]byte
@@ -178,7 +182,7 @@
 	o.down = down
 }
 
-// Writes returns how many objects were written.
+// Writes returns the number of executed writes.
 func (o *Objects) Writes() int64 {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -197,7 +201,7 @@
 	return nil
 }
 
-// Get reads an object.
+// Get returns an object.
 func (o *Objects) Get(_ context.Context, name string) ([]byte, error) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -211,7 +215,7 @@
 	return data, nil
 }
 
-// List names the objects with a prefix, in order.
+// List returns the sorted names of the objects with a prefix.
 func (o *Objects) List(_ context.Context, prefix string) ([]string, error) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -228,7 +232,7 @@
 	return names, nil
 }
 
-// Instances is an instance list whose readings lag.
+// Instances is an instance list that shows changes only after a lag.
 type Instances struct {
 	mu      sync.Mutex
 	entries map[string]masticway.Instance
@@ -245,7 +249,7 @@
 
 var _ masticway.InstanceList = (*Instances)(nil)
 
-// NewInstances returns an empty list that shows changes after a lag.
+// NewInstances returns an empty list that shows each change after lag.
 func NewInstances(lag time.Duration) *Instances {
 	return &Instances{entries: map[string]masticway.Instance{}, lag: lag}
 }
@@ -264,7 +268,7 @@
 	l.changes = append(l.changes, instanceChange{at: time.Now(), instance: i})
 }
 
-// SetState records a new state of a known instance.
+// SetState records the new state of an instance and reports whether the instance exists.
 func (l *Instances) SetState(id string, s masticway.InstanceState) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -281,15 +285,16 @@
 	return ok
 }
 
-// Instances reads the list as it was a lag ago, unless it still has the known version.
+// Instances returns the list with all changes that are at least as old as the lag, or only its version if the known version is
+// still current.
 func (l *Instances) Instances(_ context.Context, known string) (masticway.InstanceReading, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.down {
 		return masticway.InstanceReading{}, &masticway.UnavailableError{Service: "instance list", Reason: "outage"}
 	}
-	visible := time.Now().Add(-l.lag)
-	for len(l.changes) > 0 && !l.changes[0].at.After(visible) {
+	visibleUntil := time.Now().Add(-l.lag)
+	for len(l.changes) > 0 && !l.changes[0].at.After(visibleUntil) {
 		c := l.changes[0]
 		l.changes = l.changes[1:]
 		l.entries[c.instance.ID] = c.instance
