--- a/biller/biller_test.go
+++ b/biller/biller_test.go
@@ -45,7 +45,7 @@
 }
 
 func TestJournalSurvivesAnOutage(t *testing.T) {
-	store := emulator.NewObjects()
+	store := emulator.NewObjectStore()
 	j := biller.NewJournal("r~1")
 	ctx := context.Background()
 	j.Add(bill("w/a", "1", biller.KindFinal, 5))
--- a/bookkeeper/bookkeeper_test.go
+++ b/bookkeeper/bookkeeper_test.go
@@ -65,10 +65,10 @@
 		refused bool
 	}{
 		"no fault":                         {},
-		"answer lost, read back at once":   {faults: emulator.TableFaults{LoseAnswers: 1}},
-		"answer lost, not read back":       {faults: emulator.TableFaults{LoseAnswers: 1}, stopped: true, unknown: true},
+		"answer lost, read back at once":   {faults: emulator.TableFaults{DropAnswers: 1}},
+		"answer lost, not read back":       {faults: emulator.TableFaults{DropAnswers: 1}, stopped: true, unknown: true},
 		"down before":                      {faults: emulator.TableFaults{Down: true}, refused: true},
-		"rate limited, nothing is written": {faults: emulator.TableFaults{WritesPerSecond: -1}, refused: true},
+		"rate limited, nothing is written": {faults: emulator.TableFaults{MaxWritesPerSecond: -1}, refused: true},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -118,7 +118,7 @@
 
 func TestTopUpCountsOncePerChange(t *testing.T) {
 	ledger, table := newLedger(t, 1000)
-	table.SetFaults(emulator.TableFaults{LoseAnswers: 1})
+	table.SetFaults(emulator.TableFaults{DropAnswers: 1})
 	for range 3 {
 		row, err := ledger.TopUp(context.Background(), budget, "order-17", 500)
 		qt.Assert(t, err, qt.IsNil)
@@ -150,7 +150,7 @@
 			_, err := ledger.ApplyMove(context.Background(), m, version)
 			qt.Assert(t, err, qt.IsNil)
 			tc.closing.Grant = m.Grant
-			table.SetFaults(emulator.TableFaults{LoseAnswers: 1})
+			table.SetFaults(emulator.TableFaults{DropAnswers: 1})
 			for range 3 {
 				_, err := ledger.Recover(context.Background(), tc.closing)
 				qt.Assert(t, err, qt.IsNil)
@@ -188,7 +188,7 @@
 	ledger := bookkeeper.New(table)
 	first, err := ledger.AssignFence(context.Background(), "i", "a", masticway.Order{Action: "load_model"})
 	qt.Assert(t, err, qt.IsNil)
-	table.SetFaults(emulator.TableFaults{LoseAnswers: 1})
+	table.SetFaults(emulator.TableFaults{DropAnswers: 1})
 	second, err := ledger.AssignFence(context.Background(), "i", "b", masticway.Order{Action: "load_model"})
 	qt.Assert(t, err, qt.IsNil)
 	again, err := ledger.AssignFence(context.Background(), "i", "b", masticway.Order{Action: "load_model"})
@@ -256,7 +256,7 @@
 // been fenced, it must draw nothing more.
 func TestHistoriesAreLinearizable(t *testing.T) {
 	ledger, table := newLedger(t, 500)
-	table.SetFaults(emulator.TableFaults{LoseAnswers: 15})
+	table.SetFaults(emulator.TableFaults{DropAnswers: 15})
 	history := &opHistory{}
 	var wg sync.WaitGroup
 	for c := range 4 {
--- a/configurer/configurer_test.go
+++ b/configurer/configurer_test.go
@@ -29,7 +29,7 @@
 		"any base revision":             {base: configurer.AnyRevision, id: "b", revision: 2},
 		"based on an old revision":      {base: 0, id: "b", conflict: true},
 		"same change again":             {base: 0, id: "a", revision: 1},
-		"answer lost, read back":        {base: 1, id: "b", revision: 2, faults: emulator.TableFaults{LoseAnswers: 1}},
+		"answer lost, read back":        {base: 1, id: "b", revision: 2, faults: emulator.TableFaults{DropAnswers: 1}},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -62,7 +62,7 @@
 	ctx := context.Background()
 	_, err := store.Put(ctx, masticway.Change{ID: "first", Contract: contract(0)}, 0)
 	qt.Assert(t, err, qt.IsNil)
-	table.SetFaults(emulator.TableFaults{LoseAnswers: 3})
+	table.SetFaults(emulator.TableFaults{DropAnswers: 3})
 	var wg sync.WaitGroup
 	won := make([]bool, 8)
 	for i := range won {
--- a/connector/bench_test.go
+++ b/connector/bench_test.go
@@ -64,7 +64,7 @@
 func BenchmarkInstanceBytes(b *testing.B) {
 	for _, n := range []int{10, 100, 2450} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			list := emulator.NewInstances(0)
+			list := emulator.NewInstanceList(0)
 			for i := range n {
 				list.Set(masticway.Instance{
 					ID: fmt.Sprintf("engine-east-%d", i), Role: masticway.RoleSidecar, Address: fmt.Sprintf("10.1.%d.%d:7000", i/250, i%250),
--- a/connector/slow_test.go
+++ b/connector/slow_test.go
@@ -28,9 +28,9 @@
 
 // overLink returns an address that forwards to another one over a link of limited bandwidth.
 func overLink(t *testing.T, rate int64, address string) string {
-	link := emulator.NewLink(rate)
+	link := emulator.NewBandwidthProxy(rate)
 	t.Cleanup(link.Close)
-	local, err := link.To(address)
+	local, err := link.AddTarget(address)
 	qt.Assert(t, err, qt.IsNil)
 	return local
 }
--- a/emulator/deployment.go
+++ b/emulator/deployment.go
@@ -19,8 +19,8 @@
 const (
 	// DeploymentHost is the host of all routes.
 	DeploymentHost = "soak.example"
-	// DeploymentKey is the prefix of a workspace's API key; the workspace's name follows.
-	DeploymentKey = "key-"
+	// DeploymentKeyPrefix is the prefix of a workspace's API key; the workspace's name follows.
+	DeploymentKeyPrefix = "key-"
 	// DeploymentTimeout is the request timeout of all routes.
 	DeploymentTimeout = 6 * time.Second
 	// DeploymentTokensPerEvent is the number of tokens in an event from an engine.
@@ -35,7 +35,7 @@
 }
 
 // Put writes the configuration and returns its size in bytes. It returns an error if the template cannot be executed.
-func (d Deployment) Put(rows *Rows) (int, error) {
+func (d Deployment) Put(rows *RowStore) (int, error) {
 	var document bytes.Buffer
 	if err := deploymentTemplate.Execute(&document, d); err != nil {
 		return 0, fmt.Errorf("writing a configuration: %w", err)
@@ -45,7 +45,7 @@
 }
 
 // Register writes a server's registration, with its state as ready or draining.
-func (s *OpaqueServer) Register(rows *Rows, pool, zone string, draining bool) {
+func (s *OpaqueServer) Register(rows *RowStore, pool, zone string, draining bool) {
 	state := "ready"
 	if draining {
 		state = "draining"
@@ -54,7 +54,7 @@
 }
 
 // Deregister removes a server's registration.
-func (s *OpaqueServer) Deregister(rows *Rows) { rows.Delete(s.registrationKey()) }
+func (s *OpaqueServer) Deregister(rows *RowStore) { rows.Delete(s.registrationKey()) }
 
 func (s *OpaqueServer) registrationKey() masticway.RowKey {
 	return masticway.RowKey{Table: "servers", Key: s.ID}
--- a/emulator/engine.go
+++ b/emulator/engine.go
@@ -36,9 +36,9 @@
 	Down bool `json:"down"`
 	// Stall pauses all output without ending the streams.
 	Stall bool `json:"stall"`
-	// BreakAfterCount is the number of streams to break after the prompt's token count has been sent and before the
+	// BreakBeforeFirstToken is the number of streams to break after the prompt's token count has been sent and before the
 	// first token.
-	BreakAfterCount int `json:"break_after_count"`
+	BreakBeforeFirstToken int `json:"break_after_count"`
 	// HideCache omits cached prefixes from load reports.
 	HideCache bool `json:"hide_cache"`
 }
@@ -162,7 +162,7 @@
 func (e *Engine) Record(owner string, prompt, completion int64) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.counts.add([]Message{{Content: OwnerMark + owner + " "}}, prompt, completion)
+	e.counts.add([]Message{{Content: OwnerPrefix + owner + " "}}, prompt, completion)
 }
 
 // Running returns the number of requests in the batch.
@@ -393,10 +393,10 @@
 func (e *Engine) takeBreakFault() bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if e.faults.BreakAfterCount == 0 {
+	if e.faults.BreakBeforeFirstToken == 0 {
 		return false
 	}
-	e.faults.BreakAfterCount--
+	e.faults.BreakBeforeFirstToken--
 	return true
 }
 
--- a/emulator/link.go
+++ b/emulator/link.go
@@ -10,9 +10,9 @@
 // chunkBytes is the maximum number of bytes, 8 KB, that one connection receives before others get their turn.
 const chunkBytes = 8 << 10
 
-// Link is a TCP proxy that emulates the network interface of one machine: the bytes that arrive on all of its
+// BandwidthProxy is a TCP proxy that emulates the network interface of one machine: the bytes that arrive on all of its
 // connections share one bandwidth limit. Bytes that leave the machine are not limited.
-type Link struct {
+type BandwidthProxy struct {
 	bytesPerSecond int64
 
 	mu            sync.Mutex
@@ -24,11 +24,13 @@
 	wg            sync.WaitGroup
 }
 
-// NewLink returns a proxy that forwards at most rate received bytes per second.
-func NewLink(rate int64) *Link { return &Link{bytesPerSecond: rate, conns: map[net.Conn]bool{}} }
+// NewBandwidthProxy returns a proxy that forwards at most rate received bytes per second.
+func NewBandwidthProxy(rate int64) *BandwidthProxy {
+	return &BandwidthProxy{bytesPerSecond: rate, conns: map[net.Conn]bool{}}
+}
 
-// To opens a loopback address that forwards to target (host and port), and returns it. The error is the listener's.
-func (l *Link) To(target string) (string, error) {
+// AddTarget opens a loopback address that forwards to target (host and port), and returns it. The error is the listener's.
+func (l *BandwidthProxy) AddTarget(target string) (string, error) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return "", err
@@ -40,15 +42,15 @@
 	return listener.Addr().String(), nil
 }
 
-// Carried returns the number of bytes received from all targets.
-func (l *Link) Carried() int64 {
+// ReceivedBytes returns the number of bytes received from all targets.
+func (l *BandwidthProxy) ReceivedBytes() int64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.receivedBytes
 }
 
 // Close closes all listeners and connections and waits for their goroutines.
-func (l *Link) Close() {
+func (l *BandwidthProxy) Close() {
 	l.mu.Lock()
 	l.closed = true
 	for _, listener := range l.listeners {
@@ -61,7 +63,7 @@
 	l.wg.Wait()
 }
 
-func (l *Link) accept(listener net.Listener, target string) {
+func (l *BandwidthProxy) accept(listener net.Listener, target string) {
 	for {
 		caller, err := listener.Accept()
 		if err != nil {
@@ -87,7 +89,7 @@
 	}
 }
 
-func (l *Link) track(conns ...net.Conn) bool {
+func (l *BandwidthProxy) track(conns ...net.Conn) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for _, c := range conns {
@@ -100,7 +102,7 @@
 	return !l.closed
 }
 
-func (l *Link) closeConns(conns ...net.Conn) {
+func (l *BandwidthProxy) closeConns(conns ...net.Conn) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for _, c := range conns {
@@ -110,7 +112,7 @@
 }
 
 // copyLimited copies from upstream to caller in chunks and delays each one to keep the bandwidth limit.
-func (l *Link) copyLimited(caller io.Writer, upstream io.Reader) {
+func (l *BandwidthProxy) copyLimited(caller io.Writer, upstream io.Reader) {
 	chunk := make([]byte, chunkBytes)
 	for {
 		n, err := upstream.Read(chunk)
@@ -127,7 +129,7 @@
 }
 
 // reserve reserves bandwidth for n bytes and returns the time at which they have arrived.
-func (l *Link) reserve(n int) time.Time {
+func (l *BandwidthProxy) reserve(n int) time.Time {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := time.Now()
--- a/emulator/network.go
+++ b/emulator/network.go
@@ -25,15 +25,15 @@
 	return &Network{processes: map[string]string{}, delay: delay, partitions: map[[2]string]bool{}, changed: make(chan struct{})}
 }
 
-// Place records which process listens on an address, because partitions are between processes.
-func (n *Network) Place(address, process string) {
+// RegisterAddress records which process listens on an address, because partitions are between processes.
+func (n *Network) RegisterAddress(address, process string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.processes[address] = process
 }
 
-// Cut partitions two processes, or a from all others if b is "*".
-func (n *Network) Cut(a, b string) { n.setPartition(a, b, true) }
+// Partition partitions two processes, or a from all others if b is "*".
+func (n *Network) Partition(a, b string) { n.setPartition(a, b, true) }
 
 // Heal ends a partition that was started with the same arguments.
 func (n *Network) Heal(a, b string) { n.setPartition(a, b, false) }
--- a/emulator/opaque.go
+++ b/emulator/opaque.go
@@ -20,26 +20,26 @@
 
 // The faults of an opaque server.
 const (
-	// OpaqueGood runs the request and answers normally.
-	OpaqueGood OpaqueFault = ""
-	// OpaqueFull rejects the request with 503 without running it.
-	OpaqueFull OpaqueFault = "full"
-	// OpaqueOther answers with 421, as if the request were meant for another server, without running it.
-	OpaqueOther OpaqueFault = "other"
+	// OpaqueNoFault runs the request and answers normally.
+	OpaqueNoFault OpaqueFault = ""
+	// OpaqueOverloaded rejects the request with 503 without running it.
+	OpaqueOverloaded OpaqueFault = "full"
+	// OpaqueWrongServer answers with 421, as if the request were meant for another server, without running it.
+	OpaqueWrongServer OpaqueFault = "other"
 	// OpaqueError runs the request and answers with a signed 500.
 	OpaqueError OpaqueFault = "error"
 	// OpaqueReset runs the request and resets the connection without an answer.
 	OpaqueReset OpaqueFault = "reset"
-	// OpaqueCut runs the request and closes the connection in the middle of the answer.
-	OpaqueCut OpaqueFault = "cut"
+	// OpaqueTruncated runs the request and closes the connection in the middle of the answer.
+	OpaqueTruncated OpaqueFault = "cut"
 	// OpaqueHang runs the request and never answers.
 	OpaqueHang OpaqueFault = "hang"
-	// OpaqueForged runs the request and answers without its signature.
-	OpaqueForged OpaqueFault = "forged"
-	// OpaqueForeign runs the request and sends another request's answer instead of its own.
-	OpaqueForeign OpaqueFault = "foreign"
-	// OpaqueExtra runs the request and sends another request's answer before its own.
-	OpaqueExtra OpaqueFault = "extra"
+	// OpaqueUnsigned runs the request and answers without its signature.
+	OpaqueUnsigned OpaqueFault = "forged"
+	// OpaqueWrongRequest runs the request and sends another request's answer instead of its own.
+	OpaqueWrongRequest OpaqueFault = "foreign"
+	// OpaqueStrayAnswer runs the request and sends another request's answer before its own.
+	OpaqueStrayAnswer OpaqueFault = "extra"
 	// OpaqueCrash crashes the server shortly after it has started to run the request, and with it all other requests that it
 	// runs.
 	OpaqueCrash OpaqueFault = "crash"
@@ -52,54 +52,54 @@
 type OpaqueRun struct {
 	ID, Server, Workspace, LastEvent, Path string
 	TimeLeft                               time.Duration
-	Key                                    bool
+	HasKey                                 bool
 	Body                                   string
-	// At is when the server started to run the request, Fault the fault that was injected.
-	At    time.Time
-	Fault OpaqueFault
-	// Left is set if the connection ended before a stream was complete, or while OpaqueHang kept it without an
+	// StartedAt is when the server started to run the request, Fault the fault that was injected.
+	StartedAt time.Time
+	Fault     OpaqueFault
+	// CallerDisconnected is set if the connection ended before a stream was complete, or while OpaqueHang kept it without an
 	// answer.
-	Left bool
+	CallerDisconnected bool
 }
 
-// OpaqueLedger records the requests that all servers ran, across restarts.
-type OpaqueLedger struct {
+// OpaqueRunLog records the requests that all servers ran, across restarts.
+type OpaqueRunLog struct {
 	mu   sync.Mutex
 	runs []OpaqueRun
 }
 
 // Runs returns the requests that were run, in the order of their starts.
-func (l *OpaqueLedger) Runs() []OpaqueRun {
+func (l *OpaqueRunLog) Runs() []OpaqueRun {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return append([]OpaqueRun(nil), l.runs...)
 }
 
-func (l *OpaqueLedger) add(r OpaqueRun) int {
+func (l *OpaqueRunLog) add(r OpaqueRun) int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.runs = append(l.runs, r)
 	return len(l.runs) - 1
 }
 
-func (l *OpaqueLedger) markDisconnected(i int) {
+func (l *OpaqueRunLog) markDisconnected(i int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.runs[i].Left = true
+	l.runs[i].CallerDisconnected = true
 }
 
 // OpaqueArrival is a request that has reached a server, which may have rejected it.
 type OpaqueArrival struct {
-	ID string
-	At time.Time
-	// Rest is the Retry-After value, in seconds, that a rejected request was answered with. It is empty if there was none.
-	Rest string
+	ID         string
+	ReceivedAt time.Time
+	// RetryAfter is the Retry-After value, in seconds, that a rejected request was answered with. It is empty if there was none.
+	RetryAfter string
 }
 
 // OpaqueServer implements the protocol of the users' servers and can inject every fault that they have.
 type OpaqueServer struct {
 	ID       string
-	runLog   *OpaqueLedger
+	runLog   *OpaqueRunLog
 	listener net.Listener
 
 	mu     sync.Mutex
@@ -123,12 +123,12 @@
 }
 
 // StartOpaqueServer starts a server on a loopback port.
-func StartOpaqueServer(id string, runLog *OpaqueLedger) (*OpaqueServer, error) {
+func StartOpaqueServer(id string, runLog *OpaqueRunLog) (*OpaqueServer, error) {
 	return StartOpaqueServerAt("127.0.0.1:0", id, runLog)
 }
 
 // StartOpaqueServerAt starts a server on an address, such as the address of a server that has closed.
-func StartOpaqueServerAt(address, id string, runLog *OpaqueLedger) (*OpaqueServer, error) {
+func StartOpaqueServerAt(address, id string, runLog *OpaqueRunLog) (*OpaqueServer, error) {
 	listener, err := net.Listen("tcp", address)
 	if err != nil {
 		return nil, fmt.Errorf("listening for %s: %w", id, err)
@@ -141,15 +141,15 @@
 // Address returns the address on which the server listens.
 func (s *OpaqueServer) Address() string { return s.listener.Addr().String() }
 
-// Fail sets the faults of the next requests, one each, replacing earlier ones. Requests after them have no fault.
-func (s *OpaqueServer) Fail(faults ...OpaqueFault) {
+// InjectFaults sets the faults of the next requests, one each, replacing earlier ones. Requests after them have no fault.
+func (s *OpaqueServer) InjectFaults(faults ...OpaqueFault) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.faults = faults
 }
 
-// Stream sets the number of events in a stream and the time before each.
-func (s *OpaqueServer) Stream(events int, pause time.Duration) {
+// SetStream sets the number of events in a stream and the time before each.
+func (s *OpaqueServer) SetStream(events int, pause time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.events, s.pause = events, pause
@@ -176,9 +176,9 @@
 	s.Close()
 }
 
-// Echo makes plain answers repeat the request's ID and body, after workTime, and events repeat its ID, so that a caller
+// EnableEcho makes plain answers repeat the request's ID and body, after workTime, and events repeat its ID, so that a caller
 // that receives another request's answer can detect this from the body.
-func (s *OpaqueServer) Echo(workTime time.Duration) {
+func (s *OpaqueServer) EnableEcho(workTime time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.echo, s.workTime = true, workTime
@@ -190,15 +190,15 @@
 	return s.echo, s.workTime
 }
 
-// Limit sets the Server-Limit header of all answers, in requests per second. An empty string removes it.
-func (s *OpaqueServer) Limit(perSecond string) {
+// SetRateLimit sets the Server-Limit header of all answers, in requests per second. An empty string removes it.
+func (s *OpaqueServer) SetRateLimit(perSecond string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.rateLimit = perSecond
 }
 
-// Rest sets the Retry-After header of rejections, in seconds. An empty string removes it.
-func (s *OpaqueServer) Rest(seconds string) {
+// SetRetryAfter sets the Retry-After header of rejections, in seconds. An empty string removes it.
+func (s *OpaqueServer) SetRetryAfter(seconds string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.retryAfter = seconds
@@ -215,11 +215,11 @@
 	return header
 }
 
-// Leave adds the Server-Leaving header to all answers until the server stops draining.
-func (s *OpaqueServer) Leave() { s.setDraining(true) }
+// StartDraining adds the Server-Leaving header to all answers until the server stops draining.
+func (s *OpaqueServer) StartDraining() { s.setDraining(true) }
 
-// Stay removes the Server-Leaving header from answers, as after a restart of the server.
-func (s *OpaqueServer) Stay() { s.setDraining(false) }
+// StopDraining removes the Server-Leaving header from answers, as after a restart of the server.
+func (s *OpaqueServer) StopDraining() { s.setDraining(false) }
 
 func (s *OpaqueServer) setDraining(draining bool) {
 	s.mu.Lock()
@@ -301,9 +301,9 @@
 		fault = s.faults[0]
 		s.faults = s.faults[1:]
 	}
-	arrival := OpaqueArrival{ID: id, At: time.Now()}
-	if fault == OpaqueFull {
-		arrival.Rest = s.retryAfter
+	arrival := OpaqueArrival{ID: id, ReceivedAt: time.Now()}
+	if fault == OpaqueOverloaded {
+		arrival.RetryAfter = s.retryAfter
 	}
 	s.arrivals = append(s.arrivals, arrival)
 	return fault, s.events, s.pause
@@ -314,16 +314,16 @@
 	id := r.Header.Get("X-Attempt-Id")
 	fault, events, pause := s.recordArrival(id, body)
 	switch {
-	case fault == OpaqueFull:
+	case fault == OpaqueOverloaded:
 		return s.write(c, s.rejectionHeader()+"Content-Length: 0\r\n\r\n")
-	case fault == OpaqueOther || r.Header.Get("X-Expect-Instance") != s.ID:
+	case fault == OpaqueWrongServer || r.Header.Get("X-Expect-Instance") != s.ID:
 		return s.write(c, "HTTP/1.1 421 Misdirected Request\r\nX-Instance-Id: "+s.ID+"\r\nContent-Length: 0\r\n\r\n")
 	}
 	timeLeft, _ := strconv.ParseInt(r.Header.Get("X-Deadline-Ms"), 10, 64)
 	run := s.runLog.add(OpaqueRun{
 		ID: id, Server: s.ID, Workspace: r.Header.Get("X-Tenant"), LastEvent: r.Header.Get("Last-Event-Id"), Path: r.RequestURI,
-		TimeLeft: time.Duration(timeLeft) * time.Millisecond, Key: r.Header.Get("Authorization") != "", Body: body,
-		At: time.Now(), Fault: fault,
+		TimeLeft: time.Duration(timeLeft) * time.Millisecond, HasKey: r.Header.Get("Authorization") != "", Body: body,
+		StartedAt: time.Now(), Fault: fault,
 	})
 	header := "X-Attempt-Id: " + id + "\r\nX-Server-Signature: " + signaturePrefix + s.ID + "\r\n" + s.serverHeader()
 	switch fault {
@@ -342,18 +342,18 @@
 		return false
 	case OpaqueError:
 		return s.write(c, "HTTP/1.1 500 Internal Server Error\r\n"+header+"Content-Length: 4\r\n\r\noops")
-	case OpaqueForged:
+	case OpaqueUnsigned:
 		return s.write(c, "HTTP/1.1 200 OK\r\nX-Attempt-Id: "+id+"\r\n"+s.serverHeader()+"Content-Length: 4\r\n\r\nfake")
-	case OpaqueForeign, OpaqueExtra:
+	case OpaqueWrongRequest, OpaqueStrayAnswer:
 		s.write(c, "HTTP/1.1 200 OK\r\nX-Attempt-Id: another\r\nX-Server-Signature: s\r\nContent-Length: 7\r\n\r\nforeign")
-		if fault == OpaqueForeign {
+		if fault == OpaqueWrongRequest {
 			return false
 		}
 	}
 	if r.Header.Get("X-Token-Count") != "" {
-		return s.streamEvents(c, run, id, header, r.Header.Get("Last-Event-Id"), events, pause, fault == OpaqueCut)
+		return s.streamEvents(c, run, id, header, r.Header.Get("Last-Event-Id"), events, pause, fault == OpaqueTruncated)
 	}
-	if fault == OpaqueCut {
+	if fault == OpaqueTruncated {
 		s.write(c, "HTTP/1.1 200 OK\r\n"+header+"Content-Length: 100\r\n\r\nhalf")
 		return false
 	}
--- a/emulator/platform.go
+++ b/emulator/platform.go
@@ -12,13 +12,13 @@
 // Platform emulates the platform's services and serves them over HTTP.
 type Platform struct {
 	Table     *Table
-	Objects   *Objects
-	Instances *Instances
+	Objects   *ObjectStore
+	Instances *InstanceList
 }
 
 // NewPlatform returns an empty platform whose instance list lags behind by lag.
 func NewPlatform(lag time.Duration) *Platform {
-	return &Platform{Table: NewTable(), Objects: NewObjects(), Instances: NewInstances(lag)}
+	return &Platform{Table: NewTable(), Objects: NewObjectStore(), Instances: NewInstanceList(lag)}
 }
 
 // Handler returns the handler of the platform's protocol and its fault injection.
--- a/emulator/prompt.go
+++ b/emulator/prompt.go
@@ -7,12 +7,12 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// OwnerMark is the prefix of a prompt or body that names its owner, as in "ws:tailoring ".
-const OwnerMark = "ws:"
+// OwnerPrefix is the prefix of a prompt or body that names its owner, as in "ws:tailoring ".
+const OwnerPrefix = "ws:"
 
 // Owner returns the owner that text names, or the empty string if there is none.
 func Owner(text string) string {
-	rest, ok := strings.CutPrefix(text, OwnerMark)
+	rest, ok := strings.CutPrefix(text, OwnerPrefix)
 	if !ok {
 		return ""
 	}
--- a/emulator/rows.go
+++ b/emulator/rows.go
@@ -12,22 +12,22 @@
 
 // RowFaults are the faults that can be injected into a row store.
 type RowFaults struct {
-	// Busy fails every call, with status 503 over HTTP, without executing it.
-	Busy bool
-	// Silent blocks every call until its context is done, without executing it.
-	Silent bool
-	// Slow is how long every call waits before it is executed.
-	Slow time.Duration
-	// LoseAnswers is the number of writes that are executed without an answer.
-	LoseAnswers int
-	// LateWrites is the number of writes that get no answer and are executed after LateBy, if the expected
+	// Unavailable fails every call, with status 503 over HTTP, without executing it.
+	Unavailable bool
+	// Unresponsive blocks every call until its context is done, without executing it.
+	Unresponsive bool
+	// Delay is how long every call waits before it is executed.
+	Delay time.Duration
+	// DropAnswers is the number of writes that are executed without an answer.
+	DropAnswers int
+	// LateWrites is the number of writes that get no answer and are executed after LateWriteDelay, if the expected
 	// versions still match then.
-	LateWrites int
-	LateBy     time.Duration
+	LateWrites     int
+	LateWriteDelay time.Duration
 }
 
-// Rows is an in-memory row store.
-type Rows struct {
+// RowStore is an in-memory row store.
+type RowStore struct {
 	mu      sync.Mutex
 	rows    map[masticway.RowKey]masticway.StoredRow
 	history []masticway.StoredRow
@@ -42,22 +42,22 @@
 	pendingLateWrites int
 }
 
-var _ masticway.RowStore = (*Rows)(nil)
+var _ masticway.RowStore = (*RowStore)(nil)
 
-// NewRows returns an empty row store; now is the clock from which its store time is taken.
-func NewRows(now func() time.Time) *Rows {
-	return &Rows{rows: map[masticway.RowKey]masticway.StoredRow{}, started: now(), now: now, changed: make(chan struct{})}
+// NewRowStore returns an empty row store; now is the clock from which its store time is taken.
+func NewRowStore(now func() time.Time) *RowStore {
+	return &RowStore{rows: map[masticway.RowKey]masticway.StoredRow{}, started: now(), now: now, changed: make(chan struct{})}
 }
 
 // SetFaults replaces the store's faults.
-func (s *Rows) SetFaults(f RowFaults) {
+func (s *RowStore) SetFaults(f RowFaults) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.faults = f
 }
 
 // Put writes a row on behalf of an operator or server, regardless of the faults, and returns the new version.
-func (s *Rows) Put(key masticway.RowKey, value []byte) int64 {
+func (s *RowStore) Put(key masticway.RowKey, value []byte) int64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.commit(masticway.RowWrite{Puts: []masticway.RowPut{{RowKey: key, Value: value}}})
@@ -65,14 +65,14 @@
 }
 
 // Delete removes a row on behalf of an operator or server, regardless of the faults.
-func (s *Rows) Delete(key masticway.RowKey) {
+func (s *RowStore) Delete(key masticway.RowKey) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.commit(masticway.RowWrite{Deletes: []masticway.RowKey{key}})
 }
 
 // Row returns a row, or one with version zero if it does not exist.
-func (s *Rows) Row(key masticway.RowKey) masticway.StoredRow {
+func (s *RowStore) Row(key masticway.RowKey) masticway.StoredRow {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if r, ok := s.rows[key]; ok {
@@ -82,7 +82,7 @@
 }
 
 // Compact discards the history, so that watches since an earlier version fail.
-func (s *Rows) Compact() {
+func (s *RowStore) Compact() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.compacted = s.version
@@ -90,21 +90,21 @@
 	s.notifyWatchers()
 }
 
-// Wait waits until all late writes have been executed or have failed.
-func (s *Rows) Wait() {
+// AwaitLateWrites waits until all late writes have been executed or have failed.
+func (s *RowStore) AwaitLateWrites() {
 	for s.pendingWrites() > 0 {
 		time.Sleep(time.Millisecond)
 	}
 }
 
-func (s *Rows) pendingWrites() int {
+func (s *RowStore) pendingWrites() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.pendingLateWrites
 }
 
 // Read returns the rows of one part of a table.
-func (s *Rows) Read(ctx context.Context, table, part string) (masticway.RowReading, error) {
+func (s *RowStore) Read(ctx context.Context, table, part string) (masticway.RowReading, error) {
 	if err := s.injectFault(ctx); err != nil {
 		return masticway.RowReading{}, err
 	}
@@ -121,7 +121,7 @@
 }
 
 // Write commits a write if the expected versions match, subject to the faults.
-func (s *Rows) Write(ctx context.Context, w masticway.RowWrite) (masticway.RowReading, error) {
+func (s *RowStore) Write(ctx context.Context, w masticway.RowWrite) (masticway.RowReading, error) {
 	if err := s.injectFault(ctx); err != nil {
 		return masticway.RowReading{}, err
 	}
@@ -130,7 +130,7 @@
 	if s.faults.LateWrites > 0 {
 		s.faults.LateWrites--
 		s.pendingLateWrites++
-		time.AfterFunc(s.faults.LateBy, func() {
+		time.AfterFunc(s.faults.LateWriteDelay, func() {
 			s.mu.Lock()
 			defer s.mu.Unlock()
 			s.pendingLateWrites--
@@ -140,21 +140,21 @@
 		return masticway.RowReading{}, &masticway.OutcomeUnknownError{Service: "rows", Reason: "late"}
 	}
 	out, err := s.apply(w)
-	if s.faults.LoseAnswers > 0 {
-		s.faults.LoseAnswers--
+	if s.faults.DropAnswers > 0 {
+		s.faults.DropAnswers--
 		return masticway.RowReading{}, &masticway.OutcomeUnknownError{Service: "rows", Reason: "answer lost"}
 	}
 	return out, err
 }
 
 // Apply commits a write if the expected versions match, regardless of the faults. Tests use it to choose the answer themselves.
-func (s *Rows) Apply(w masticway.RowWrite) (masticway.RowReading, error) {
+func (s *RowStore) Apply(w masticway.RowWrite) (masticway.RowReading, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.apply(w)
 }
 
-func (s *Rows) apply(w masticway.RowWrite) (masticway.RowReading, error) {
+func (s *RowStore) apply(w masticway.RowWrite) (masticway.RowReading, error) {
 	var current []masticway.StoredRow
 	matches := true
 	for _, e := range w.Expected {
@@ -172,7 +172,7 @@
 	return s.reading(), nil
 }
 
-func (s *Rows) commit(w masticway.RowWrite) {
+func (s *RowStore) commit(w masticway.RowWrite) {
 	s.version++
 	for _, p := range w.Puts {
 		row := masticway.StoredRow{RowKey: p.RowKey, Value: p.Value, Version: s.version}
@@ -186,14 +186,14 @@
 	s.notifyWatchers()
 }
 
-func (s *Rows) notifyWatchers() {
+func (s *RowStore) notifyWatchers() {
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
 
 // Watch waits until a table has changes since f.Since, for at most f.MaxWait, and returns them. It fails with a HistoryLostError
 // if the changes are no longer kept or are larger than f.MaxBytes.
-func (s *Rows) Watch(ctx context.Context, f masticway.WatchRequest) (masticway.RowReading, error) {
+func (s *RowStore) Watch(ctx context.Context, f masticway.WatchRequest) (masticway.RowReading, error) {
 	if err := s.injectFault(ctx); err != nil {
 		return masticway.RowReading{}, err
 	}
@@ -214,7 +214,7 @@
 	}
 }
 
-func (s *Rows) changes(f masticway.WatchRequest) (masticway.RowReading, <-chan struct{}, error) {
+func (s *RowStore) changes(f masticway.WatchRequest) (masticway.RowReading, <-chan struct{}, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	historyLost := &masticway.HistoryLostError{Table: f.Table, Since: f.Since}
@@ -234,25 +234,25 @@
 	return out, s.changed, nil
 }
 
-func (s *Rows) reading() masticway.RowReading {
+func (s *RowStore) reading() masticway.RowReading {
 	return masticway.RowReading{Version: s.version, StoreTime: s.now().Sub(s.started)}
 }
 
 // injectFault applies the faults that concern every call.
-func (s *Rows) injectFault(ctx context.Context) error {
+func (s *RowStore) injectFault(ctx context.Context) error {
 	s.mu.Lock()
 	f := s.faults
 	s.mu.Unlock()
-	if f.Busy {
+	if f.Unavailable {
 		return &masticway.UnavailableError{Service: "rows", Reason: "busy"}
 	}
-	if f.Silent {
+	if f.Unresponsive {
 		<-ctx.Done()
 		return &masticway.UnavailableError{Service: "rows", Reason: "silent"}
 	}
-	if f.Slow > 0 {
+	if f.Delay > 0 {
 		select {
-		case <-time.After(f.Slow):
+		case <-time.After(f.Delay):
 		case <-ctx.Done():
 			return &masticway.UnavailableError{Service: "rows", Reason: "slow"}
 		}
--- a/emulator/service.go
+++ b/emulator/service.go
@@ -13,8 +13,8 @@
 
 // ServiceFaults are the faults that can be injected into a plain service.
 type ServiceFaults struct {
-	// Slow is how long every call waits between being run and being answered, in milliseconds.
-	Slow int `json:"slow_ms"`
+	// DelayMillis is how long every call waits between being run and being answered, in milliseconds.
+	DelayMillis int `json:"slow_ms"`
 	// DropAnswers is the number of calls whose connection is aborted after they have run.
 	DropAnswers int `json:"drop_answers"`
 	// Down rejects every call without running it.
@@ -89,7 +89,7 @@
 		s.faults.DropAnswers--
 	}
 	s.mu.Unlock()
-	time.Sleep(time.Duration(f.Slow) * time.Millisecond)
+	time.Sleep(time.Duration(f.DelayMillis) * time.Millisecond)
 	if drop {
 		panic(http.ErrAbortHandler)
 	}
--- a/emulator/table.go
+++ b/emulator/table.go
@@ -17,13 +17,13 @@
 type TableFaults struct {
 	// Down fails every call without executing it.
 	Down bool `json:"down"`
-	// Slow is how long every call waits before it is executed, in milliseconds.
-	Slow int `json:"slow_ms"`
-	// LoseAnswers is the number of commits that take effect without an answer.
-	LoseAnswers int `json:"lose_answers"`
-	// WritesPerSecond is the maximum number of commits per second, failed ones included. Zero means no limit, and a
+	// DelayMillis is how long every call waits before it is executed, in milliseconds.
+	DelayMillis int `json:"slow_ms"`
+	// DropAnswers is the number of commits that take effect without an answer.
+	DropAnswers int `json:"lose_answers"`
+	// MaxWritesPerSecond is the maximum number of commits per second, failed ones included. Zero means no limit, and a
 	// negative number allows none.
-	WritesPerSecond int `json:"writes_per_second"`
+	MaxWritesPerSecond int `json:"writes_per_second"`
 }
 
 // Table is an in-memory transactional table.
@@ -79,7 +79,7 @@
 	t.mu.Lock()
 	f := t.faults
 	t.mu.Unlock()
-	time.Sleep(time.Duration(f.Slow) * time.Millisecond)
+	time.Sleep(time.Duration(f.DelayMillis) * time.Millisecond)
 	if f.Down {
 		return f, &masticway.UnavailableError{Service: "table", Reason: "outage"}
 	}
@@ -142,15 +142,15 @@
 		}
 		t.rows[p.Key] = masticway.Row{Key: p.Key, Version: t.version, Value: slices.Clone(p.Value)}
 	}
-	if t.faults.LoseAnswers > 0 {
-		t.faults.LoseAnswers--
+	if t.faults.DropAnswers > 0 {
+		t.faults.DropAnswers--
 		return &masticway.OutcomeUnknownError{Service: "table", ID: tx.ID, Reason: "answer lost"}
 	}
 	return nil
 }
 
 func (t *Table) allowWrite() bool {
-	if t.faults.WritesPerSecond == 0 {
+	if t.faults.MaxWritesPerSecond == 0 {
 		return true
 	}
 	now := time.Now().Truncate(time.Second)
@@ -159,38 +159,38 @@
 		t.windowWrites = 0
 	}
 	t.windowWrites++
-	return t.windowWrites <= max(0, t.faults.WritesPerSecond)
+	return t.windowWrites <= max(0, t.faults.MaxWritesPerSecond)
 }
 
-// Objects is an in-memory object store.
-type Objects struct {
+// ObjectStore is an in-memory object store.
+type ObjectStore struct {
 	mu     sync.Mutex
 	data   map[string][]byte
 	down   bool
 	writes int64
 }
 
-var _ masticway.ObjectStore = (*Objects)(nil)
+var _ masticway.ObjectStore = (*ObjectStore)(nil)
 
-// NewObjects returns an empty object store.
-func NewObjects() *Objects { return &Objects{data: map[string][]byte{}} }
+// NewObjectStore returns an empty object store.
+func NewObjectStore() *ObjectStore { return &ObjectStore{data: map[string][]byte{}} }
 
 // SetDown switches an outage on or off.
-func (o *Objects) SetDown(down bool) {
+func (o *ObjectStore) SetDown(down bool) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.down = down
 }
 
 // Writes returns the number of executed writes.
-func (o *Objects) Writes() int64 {
+func (o *ObjectStore) Writes() int64 {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	return o.writes
 }
 
 // Put writes an object.
-func (o *Objects) Put(_ context.Context, name string, data []byte) error {
+func (o *ObjectStore) Put(_ context.Context, name string, data []byte) error {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	if o.down {
@@ -202,7 +202,7 @@
 }
 
 // Get returns an object.
-func (o *Objects) Get(_ context.Context, name string) ([]byte, error) {
+func (o *ObjectStore) Get(_ context.Context, name string) ([]byte, error) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	if o.down {
@@ -216,7 +216,7 @@
 }
 
 // List returns the sorted names of the objects with a prefix.
-func (o *Objects) List(_ context.Context, prefix string) ([]string, error) {
+func (o *ObjectStore) List(_ context.Context, prefix string) ([]string, error) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	if o.down {
@@ -232,8 +232,8 @@
 	return names, nil
 }
 
-// Instances is an instance list that shows changes only after a lag.
-type Instances struct {
+// InstanceList is an instance list that shows changes only after a lag.
+type InstanceList struct {
 	mu      sync.Mutex
 	entries map[string]masticway.Instance
 	changes []instanceChange
@@ -247,29 +247,29 @@
 	instance masticway.Instance
 }
 
-var _ masticway.InstanceList = (*Instances)(nil)
+var _ masticway.InstanceList = (*InstanceList)(nil)
 
-// NewInstances returns an empty list that shows each change after lag.
-func NewInstances(lag time.Duration) *Instances {
-	return &Instances{entries: map[string]masticway.Instance{}, lag: lag}
+// NewInstanceList returns an empty list that shows each change after lag.
+func NewInstanceList(lag time.Duration) *InstanceList {
+	return &InstanceList{entries: map[string]masticway.Instance{}, lag: lag}
 }
 
 // SetDown switches an outage on or off.
-func (l *Instances) SetDown(down bool) {
+func (l *InstanceList) SetDown(down bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.down = down
 }
 
 // Set records an instance or its new state.
-func (l *Instances) Set(i masticway.Instance) {
+func (l *InstanceList) Set(i masticway.Instance) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.changes = append(l.changes, instanceChange{at: time.Now(), instance: i})
 }
 
 // SetState records the new state of an instance and reports whether the instance exists.
-func (l *Instances) SetState(id string, s masticway.InstanceState) bool {
+func (l *InstanceList) SetState(id string, s masticway.InstanceState) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	instance, ok := l.entries[id]
@@ -287,7 +287,7 @@
 
 // Instances returns the list with all changes that are at least as old as the lag, or only its version if the known version is
 // still current.
-func (l *Instances) Instances(_ context.Context, known string) (masticway.InstanceReading, error) {
+func (l *InstanceList) Instances(_ context.Context, known string) (masticway.InstanceReading, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.down {
--- a/follower/follower_test.go
+++ b/follower/follower_test.go
@@ -16,7 +16,7 @@
 	"github.com/masticway/masticway/measurer"
 )
 
-func putConfiguration(rows *emulator.Rows, version int64) {
+func putConfiguration(rows *emulator.RowStore, version int64) {
 	value, _ := json.Marshal(masticway.Deployment{Version: version})
 	rows.Put(decoder{}.ConfigurationKey(), value)
 }
@@ -33,7 +33,7 @@
 }
 
 func TestWatchSurvivesOutagesAndCompaction(t *testing.T) {
-	rows := emulator.NewRows(time.Now)
+	rows := emulator.NewRowStore(time.Now)
 	var mu sync.Mutex
 	updates := 0
 	f := follower.New(rows, rows, decoder{}, masticway.SystemClock{}, logger.Discard().WithField("", ""), measurer.New(), func(follower.Snapshot) {
@@ -54,7 +54,7 @@
 	rows.Compact()
 	putConfiguration(rows, 3)
 	eventually(t, f, "after compaction", func(b follower.Snapshot) bool { return b.Deployment.Version == 3 })
-	rows.SetFaults(emulator.RowFaults{Busy: true})
+	rows.SetFaults(emulator.RowFaults{Unavailable: true})
 	putConfiguration(rows, 4)
 	time.Sleep(300 * time.Millisecond)
 	qt.Assert(t, f.Snapshot().Deployment.Version, qt.Equals, int64(3))
@@ -88,7 +88,7 @@
 // a change must be in force and a draining server out of use.
 func TestChangesArriveOverSaturatedLink(t *testing.T) {
 	const timeout, latency, maxDelay = 100 * time.Millisecond, 400 * time.Millisecond, 3 * time.Second
-	rows := emulator.NewRows(time.Now)
+	rows := emulator.NewRowStore(time.Now)
 	f := follower.New(timeoutStore{rows, timeout}, timeoutStore{rows, 10 * latency}, decoder{}, masticway.SystemClock{}, logger.Discard().WithField("", ""), measurer.New(), func(follower.Snapshot) {})
 	ctx, stop := context.WithCancel(t.Context())
 	var wg sync.WaitGroup
@@ -102,7 +102,7 @@
 	putConfiguration(rows, 1)
 	register(masticway.ServerReady)
 	eventually(t, f, "first snapshot", func(b follower.Snapshot) bool { return b.Deployment.Version == 1 && len(b.Servers["p"]) == 1 })
-	rows.SetFaults(emulator.RowFaults{Slow: latency})
+	rows.SetFaults(emulator.RowFaults{Delay: latency})
 	changed := time.Now()
 	putConfiguration(rows, 2)
 	register(masticway.ServerDraining)
--- a/follower/mirror_test.go
+++ b/follower/mirror_test.go
@@ -43,7 +43,7 @@
 // for 25 s, and small registrations, which are read in full every 2.5 s.
 func TestLargeTablesAreRelistedRarely(t *testing.T) {
 	const large = 100_000
-	rows := emulator.NewRows(time.Now)
+	rows := emulator.NewRowStore(time.Now)
 	store := &countingStore{RowStore: rows, fullReads: map[string]int{}}
 	f := follower.New(store, store, decoder{}, masticway.SystemClock{}, logger.Discard().WithField("", ""), measurer.New(), func(follower.Snapshot) {})
 	// The decoder reads JSON, which ignores trailing spaces.
@@ -74,7 +74,7 @@
 	eventually(t, f, "first snapshot", func(b follower.Snapshot) bool { return b.IsReady() })
 	qt.Assert(t, store.count("operator"), qt.Equals, 1)
 
-	rows.SetFaults(emulator.RowFaults{Busy: true})
+	rows.SetFaults(emulator.RowFaults{Unavailable: true})
 	time.Sleep(500 * time.Millisecond)
 	putPadded(2)
 	rows.SetFaults(emulator.RowFaults{})
@@ -111,7 +111,7 @@
 // TestDelayedFullReadRestoresNothing delays a full read of the servers until one of its rows has been deleted. The deleted
 // server must not stay in use, and the configuration must keep up meanwhile.
 func TestDelayedFullReadRestoresNothing(t *testing.T) {
-	rows := emulator.NewRows(time.Now)
+	rows := emulator.NewRowStore(time.Now)
 	for _, id := range []string{"i-1", "i-2"} {
 		row := serverRow(id, 0, masticway.ServerReady)
 		rows.Put(row.RowKey, row.Value)
--- a/keeper/world_test.go
+++ b/keeper/world_test.go
@@ -166,7 +166,7 @@
 	case 0:
 		w.table.SetFaults(emulator.TableFaults{Down: true})
 	case 1:
-		w.table.SetFaults(emulator.TableFaults{LoseAnswers: 1})
+		w.table.SetFaults(emulator.TableFaults{DropAnswers: 1})
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	if rapid.Bool().Draw(t, "read_back_fails") {
@@ -429,7 +429,7 @@
 
 func (w *world) closeGrants(t *rapid.T, rec *recoverer.Recovery, closings []bookkeeper.GrantClosure) {
 	if rapid.IntRange(0, 4).Draw(t, "answer_lost") == 0 {
-		w.table.SetFaults(emulator.TableFaults{LoseAnswers: 1})
+		w.table.SetFaults(emulator.TableFaults{DropAnswers: 1})
 	}
 	defer w.table.SetFaults(emulator.TableFaults{})
 	for _, c := range closings {
--- a/router/configuration_test.go
+++ b/router/configuration_test.go
@@ -44,7 +44,7 @@
 	for n := range changes {
 		putChange(n + 1)
 	}
-	platform.Table.SetFaults(emulator.TableFaults{Slow: delayMillis})
+	platform.Table.SetFaults(emulator.TableFaults{DelayMillis: delayMillis})
 	for range polls {
 		r.pollConfig()
 	}
--- a/router/peers_test.go
+++ b/router/peers_test.go
@@ -51,8 +51,8 @@
 	startHeartbeats := func(c *linker.Conn) { wg.Go(func() { sendHeartbeats(c) }) }
 	l := linker.NewListener(peerIdentity(instance), answer, startHeartbeats, func(*linker.Conn) {})
 	server := httptest.NewServer(l)
-	link := emulator.NewLink(slowLink)
-	address, err := link.To(server.Listener.Addr().String())
+	link := emulator.NewBandwidthProxy(slowLink)
+	address, err := link.AddTarget(server.Listener.Addr().String())
 	qt.Assert(t, err, qt.IsNil)
 	d := linker.Dialer{
 		Identity: peerIdentity("asking"), Dial: (&net.Dialer{}).DialContext,
--- a/starter/fleet.go
+++ b/starter/fleet.go
@@ -171,7 +171,7 @@
 	if err != nil {
 		return nil, err
 	}
-	f.Network.Place(l.Addr().String(), process)
+	f.Network.RegisterAddress(l.Addr().String(), process)
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.zones[process] = zone
--- a/starter/meeting_test.go
+++ b/starter/meeting_test.go
@@ -37,7 +37,7 @@
 			})
 			// The fleet numbers its processes, so the name of the next one is known.
 			second := fmt.Sprintf("router-local-%d", len(b.Sidecars())+len(b.Routers())+1)
-			b.Network.Cut(b.Routers()[0].Name, second)
+			b.Network.Partition(b.Routers()[0].Name, second)
 			r, err := b.AddRouter("local", "b")
 			qt.Assert(t, err, qt.IsNil)
 			qt.Assert(t, r.Name, qt.Equals, second)
--- a/treasurer/model_test.go
+++ b/treasurer/model_test.go
@@ -20,7 +20,7 @@
 // model is the planners of a fleet and the rows, in one goroutine. It counts itself what callers received.
 type model struct {
 	now     time.Time
-	rows    *emulator.Rows
+	rows    *emulator.RowStore
 	routers []*modelRouter
 	version int64
 	prepaid map[string]int64
@@ -66,7 +66,7 @@
 	}
 	w.burstShare = rapid.SampledFrom([]float64{0, 0.04, 0.5}).Draw(t, "burst")
 	w.holders = rapid.IntRange(0, 3).Draw(t, "holders")
-	w.rows = emulator.NewRows(func() time.Time { return w.now })
+	w.rows = emulator.NewRowStore(func() time.Time { return w.now })
 	for _, workspace := range workspaces {
 		w.prepaid[workspace] = rapid.Int64Range(300, 4000).Draw(t, "prepaid")
 	}
--- a/treasurer/simulation_test.go
+++ b/treasurer/simulation_test.go
@@ -80,7 +80,7 @@
 	trafficStart time.Time
 	events       fleetEvents
 	lastEvent    int
-	rows         *emulator.Rows
+	rows         *emulator.RowStore
 	routers      []*fleetRouter
 	names        []string
 	prepaid      map[string]int64
@@ -138,7 +138,7 @@
 		load: load, random: rand.New(rand.NewPCG(7, 11)), now: epoch, trafficStart: epoch, prepaid: map[string]int64{}, workspaceShare: map[string]float64{},
 		delivered: map[string]int64{}, stepsByKind: map[string]int{}, asked: map[string]int{}, unreachable: map[string]int{},
 	}
-	f.rows = emulator.NewRows(func() time.Time { return f.now })
+	f.rows = emulator.NewRowStore(func() time.Time { return f.now })
 	var sum float64
 	for i := range load.workspaces {
 		name := fmt.Sprintf("w%d", i)
