--- a/soaker/soaker_test.go
+++ b/soaker/soaker_test.go
@@ -142,7 +142,7 @@
 		promise        string
 	}{
 		"repeats what must not run twice": {
-			"forwarder/exchange.go", "\t}\n\treturn false\n}\n\n// giveUp", "\t}\n\treturn true\n}\n\n// giveUp",
+			"forwarder/exchange.go", "\t}\n\treturn false\n}\n\n// refusalFor", "\t}\n\treturn true\n}\n\n// refusalFor",
 			[]string{"server_fails"}, "once",
 		},
 		"calls not run what may have run": {
@@ -150,7 +150,7 @@
 			[]string{"server_fails"}, "not_run",
 		},
 		"counts nothing": {
-			"forwarder/exchange.go", "return int64(x.duePrompt() + min(", "return 0 * int64(x.duePrompt() + min(",
+			"forwarder/exchange.go", "return int64(x.unchargedPrompt() + min(", "return 0 * int64(x.unchargedPrompt() + min(",
 			[]string{"hangup"}, "budget",
 		},
 		"ends at once when told to end": {
@@ -158,7 +158,7 @@
 			[]string{"term"}, "answered",
 		},
 		"keeps its first configuration": {
-			"follower/beliefs.go", "if r.known && d.Version <= r.deployment.Version {", "if r.known {",
+			"follower/beliefs.go", "if r.configured && d.Version <= r.deployment.Version {", "if r.configured {",
 			[]string{"configure"}, "in_force",
 		},
 		"uses servers that leave": {
@@ -166,23 +166,23 @@
 			[]string{"server_drains"}, "drained",
 		},
 		"sends what crashes servers again and again": {
-			"examiner/register.go", "return weight >= weightToProve", "return weight < 0",
+			"examiner/register.go", "return weight >= minWeightToProve", "return weight < 0",
 			[]string{"deadly_request"}, "spared",
 		},
 		"does not hear of limits": {
-			"platform/dialect.go", "a.Limit, a.LimitUnreadable = limit, !readable", "a.LimitUnreadable = limit.Named || !readable",
+			"platform/dialect.go", "a.Limit, a.LimitInvalid = limit, !valid", "a.LimitInvalid = limit.IsSet || !valid",
 			[]string{"server_limits"}, "limited",
 		},
 		"does not hear that servers leave": {
-			"platform/dialect.go", "a.Leaving, _ = strconv.ParseBool(h.Get(headerLeaving))", "a.Leaving = false",
+			"platform/dialect.go", "a.Draining, _ = strconv.ParseBool(h.Get(headerDraining))", "a.Draining = false",
 			[]string{"server_leaves"}, "drained",
 		},
 		"does not let servers rest": {
-			"throttler/rests.go", "now.Add(min(rest, restMost))", "now.Add(min(rest, restMost) / 8)",
+			"throttler/rests.go", "now.Add(min(requested, maxBackoff))", "now.Add(min(requested, maxBackoff) / 8)",
 			[]string{"server_rests"}, "rested",
 		},
 		"passes a broken stream off as complete": {
-			"forwarder/relay.go", "if errors.Is(err, io.EOF) && len(bytes.TrimSpace(pending)) == 0 && x.begun {", "if errors.Is(err, io.ErrUnexpectedEOF) && x.begun || errors.Is(err, io.EOF) && len(bytes.TrimSpace(pending)) == 0 && x.begun {",
+			"forwarder/relay.go", "if errors.Is(err, io.EOF) && len(bytes.TrimSpace(pending)) == 0 && x.headWritten {", "if errors.Is(err, io.ErrUnexpectedEOF) && x.headWritten || errors.Is(err, io.EOF) && len(bytes.TrimSpace(pending)) == 0 && x.headWritten {",
 			[]string{"server_crashes"}, "whole",
 		},
 	}
