--- a/soaker/deployment.go
+++ b/soaker/deployment.go
@@ -9,8 +9,8 @@
 )
 
 const (
-	drainBound, servesOn = 2 * time.Second, 1500 * time.Millisecond // for work after a server's leaving was accepted (as the users' deployments have it); how much longer it serves
-	silentAfter          = 2 * time.Second                          // the row of a crashed server goes, after three heartbeats of less than a second
+	maxDrainDelay, extraServingTime = 2 * time.Second, 1500 * time.Millisecond // for work after a server's leaving was accepted (as the users' deployments have it); how much longer it serves
+	silenceTimeout                  = 2 * time.Second                          // the row of a crashed server goes, after three heartbeats of less than a second
 )
 
 // route is a route that every configuration has; answers to metered requests are streams, which cost prepaid tokens.
@@ -36,14 +36,14 @@
 // version is one accepted configuration, as the template has it.
 type version struct {
 	emulator.Deployment // its paths are of all versions up to this one, and of routes that nobody asks for
-	ack                 time.Time
+	acceptedAt          time.Time
 }
 
 // versionPath is a path that this version and all later ones serve.
 func versionPath(number int64) string { return fmt.Sprintf("version-%d", number) }
 
 // configure writes the next version: with so many more routes that nobody asks for, and so much more paid for workspaces.
-func (s *run) configure(more, paid int, to ...string) {
+func (s *soakRun) configure(more, paid int, to ...string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	v := version{Deployment: emulator.Deployment{Number: 1, Prepaid: s.prepaid}}
@@ -51,7 +51,7 @@
 		v.Number, v.Paths = s.versions[n-1].Number+int64(1+n%3), s.versions[n-1].Paths
 	}
 	v.Paths = append(v.Paths, versionPath(v.Number))
-	for range min(more, routesMost-len(v.Paths)) {
+	for range min(more, maxRoutes-len(v.Paths)) {
 		v.Paths = append(v.Paths, fmt.Sprintf("unused-%d", len(v.Paths)))
 	}
 	for _, workspace := range to {
@@ -61,17 +61,17 @@
 	if err != nil {
 		panic(err)
 	}
-	v.ack = time.Now()
+	v.acceptedAt = time.Now()
 	s.versions = append(s.versions, v)
-	s.note("version %d accepted, %d bytes, %d routes more, %d paid to %v", v.Number, size, more, paid, to)
+	s.logf("version %d accepted, %d bytes, %d routes more, %d paid to %v", v.Number, size, more, paid, to)
 }
 
-// newest returns the newest version that was accepted before a time; its number is zero when there is none.
-func (s *run) newest(before time.Time) (found version) {
+// newestVersion returns the newest version that was accepted before a time; its number is zero when there is none.
+func (s *soakRun) newestVersion(before time.Time) (found version) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, v := range s.versions {
-		if v.ack.Before(before) {
+		if v.acceptedAt.Before(before) {
 			found = v
 		}
 	}
@@ -79,31 +79,31 @@
 }
 
 // startServer starts the next life of the server in a slot.
-func (s *run) startServer(slot int) {
+func (s *soakRun) startServer(slot int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.lives++
-	server, err := emulator.StartOpaqueServer(fmt.Sprintf("%s-%d", pools[slot], s.lives), s.ledger)
+	s.incarnations++
+	server, err := emulator.StartOpaqueServer(fmt.Sprintf("%s-%d", pools[slot], s.incarnations), s.ledger)
 	if err != nil {
 		panic(err)
 	}
 	server.Stream(s.events, s.pause)
 	server.Echo(s.work)
-	server.CrashOn(deadlyMark, s.crashedBy(slot))
+	server.CrashOn(deadlyMark, s.crashHandler(slot))
 	s.servers[slot] = server
 	s.all = append(s.all, server)
 	s.register(server, false)
 }
 
-func (s *run) register(server *emulator.OpaqueServer, leaving bool) {
+func (s *soakRun) register(server *emulator.OpaqueServer, leaving bool) {
 	server.Register(s.rows, poolOf(server.ID), zoneName, leaving)
 }
 
 // poolOf returns the pool of a server's id.
 func poolOf(id string) string { return id[:strings.IndexByte(id, '-')] }
 
-// serverOf returns the server that a fault meets, and its slot.
-func (s *run) serverOf(e event) (server *emulator.OpaqueServer, slot int) {
+// targetServer returns the server that a fault meets, and its slot.
+func (s *soakRun) targetServer(e faultEvent) (server *emulator.OpaqueServer, slot int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	slot = e.target % len(pools)
--- a/soaker/link.go
+++ b/soaker/link.go
@@ -10,8 +10,8 @@
 const (
 	// chunkBytes is what a link reads at once: a few packets, so that a slow link passes bytes on evenly.
 	chunkBytes = 16 << 10
-	// cutPause separates two looks at whether a cut has ended.
-	cutPause = 5 * time.Millisecond
+	// cutPollInterval separates two looks at whether a cut has ended.
+	cutPollInterval = 5 * time.Millisecond
 )
 
 // condition is what is wrong with a link: a cut holds all bytes back, delay each chunk of them, and rate bounds the bytes
@@ -22,21 +22,21 @@
 	rate  float64
 }
 
-// link is a TCP proxy between a loopback listener and one target.
-type link struct {
+// proxy is a TCP proxy between a loopback listener and one target.
+type proxy struct {
 	net.Listener
-	target string
-	base   condition
-	now    atomic.Pointer[condition]
+	target  string
+	usual   condition
+	current atomic.Pointer[condition]
 
-	mu    sync.Mutex
-	conns []*net.TCPConn
-	free  [2]time.Time // when each direction has sent what it was given
+	mu     sync.Mutex
+	conns  []*net.TCPConn
+	freeAt [2]time.Time // when each direction has sent what it was given
 }
 
-func newLink(target string, c condition) *link {
-	l := &link{Listener: listen(), target: target, base: c}
-	l.now.Store(&c)
+func newProxy(target string, c condition) *proxy {
+	l := &proxy{Listener: listen(), target: target, usual: c}
+	l.current.Store(&c)
 	go l.accept()
 	return l
 }
@@ -51,7 +51,7 @@
 }
 
 // reset ends all connections as a broken machine would.
-func (l *link) reset() {
+func (l *proxy) reset() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for _, c := range l.conns {
@@ -60,7 +60,7 @@
 	}
 }
 
-func (l *link) accept() {
+func (l *proxy) accept() {
 	for {
 		near, err := l.Accept()
 		if err != nil {
@@ -71,12 +71,12 @@
 			_ = near.Close()
 			continue
 		}
-		go l.connect(near.(*net.TCPConn), far.(*net.TCPConn))
+		go l.relay(near.(*net.TCPConn), far.(*net.TCPConn))
 	}
 }
 
-// connect passes bytes both ways until both have ended.
-func (l *link) connect(near, far *net.TCPConn) {
+// relay passes bytes both ways until both have ended.
+func (l *proxy) relay(near, far *net.TCPConn) {
 	l.mu.Lock()
 	l.conns = append(l.conns, near, far)
 	l.mu.Unlock()
@@ -88,33 +88,33 @@
 }
 
 // forward passes one direction on; however one end has ended, the other one sees that no more comes.
-func (l *link) forward(direction int, to, from *net.TCPConn) {
+func (l *proxy) forward(direction int, to, from *net.TCPConn) {
 	defer to.CloseWrite()
 	buffer := make([]byte, chunkBytes)
 	for {
 		n, err := from.Read(buffer)
-		time.Sleep(time.Until(l.due(direction, n)))
+		time.Sleep(time.Until(l.waitTurn(direction, n)))
 		if _, failed := to.Write(buffer[:n]); err != nil || failed != nil {
 			return
 		}
 	}
 }
 
-// due waits for the end of a cut and returns when so many bytes of a direction may pass.
-func (l *link) due(direction, n int) time.Time {
-	c := l.now.Load()
-	for ; c.cut; c = l.now.Load() {
-		time.Sleep(cutPause)
+// waitTurn waits for the end of a cut and returns when so many bytes of a direction may pass.
+func (l *proxy) waitTurn(direction, n int) time.Time {
+	c := l.current.Load()
+	for ; c.cut; c = l.current.Load() {
+		time.Sleep(cutPollInterval)
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	due := time.Now()
 	if c.rate > 0 {
-		if l.free[direction].After(due) {
-			due = l.free[direction]
+		if l.freeAt[direction].After(due) {
+			due = l.freeAt[direction]
 		}
 		due = due.Add(time.Duration(float64(n) / c.rate * float64(time.Second)))
-		l.free[direction] = due
+		l.freeAt[direction] = due
 	}
 	return due.Add(c.delay)
 }
--- a/soaker/prober.go
+++ b/soaker/prober.go
@@ -7,77 +7,77 @@
 )
 
 const (
-	// applyWithin and narrowApplyWithin are how long after its acceptance a configuration is in force at routers in touch:
+	// applyTimeout and narrowApplyTimeout are how long after its acceptance a configuration is in force at routers in touch:
 	// as the users' deployments have it, where all links are fast and where some have 10 Mbit/s, which carry the largest
 	// configuration in 0.93 s, and twice where it has changed meanwhile. applySlack is what a busy machine adds.
-	applyWithin, narrowApplyWithin = 2 * time.Second, 3 * time.Second
-	applySlack                     = 500 * time.Millisecond
-	stable                         = 3 * time.Second                     // what was undisturbed for so long is in touch
-	probePause, probeTimeout       = 100 * time.Millisecond, time.Second // between two probes of a router, and for one
+	applyTimeout, narrowApplyTimeout = 2 * time.Second, 3 * time.Second
+	applySlack                       = 500 * time.Millisecond
+	stabilityPeriod                  = 3 * time.Second                     // what was undisturbed for so long is in touch
+	probeInterval, probeTimeout      = 100 * time.Millisecond, time.Second // between two probes of a router, and for one
 )
 
 // prober asks one router, past its link, for the path of the newest version and of the newest that is due.
 type prober struct {
 	*caller
-	process    *process
-	seen, life int64 // the newest version that the present life of the router has served
-	missed     int64 // the newest version of which it was noted that the router did not know it in time
+	process           *process
+	seen, incarnation int64 // the newest version that the present life of the router has served
+	missed            int64 // the newest version of which it was noted that the router did not know it in time
 }
 
 // probe asks until the soak ends.
 func (p *prober) probe(done <-chan struct{}) {
 	p.transport.DisableKeepAlives = true
 	for {
-		p.askFor(p.soak.newest(time.Now().Add(-p.soak.applyBound())))
-		p.askFor(p.soak.newest(time.Now()))
+		p.probeVersion(p.soak.newestVersion(time.Now().Add(-p.soak.maxApplyTime())))
+		p.probeVersion(p.soak.newestVersion(time.Now()))
 		select {
 		case <-done:
 			return
-		case <-time.After(probePause):
+		case <-time.After(probeInterval):
 		}
 	}
 }
 
-// applyBound is how long a configuration may take to be in force.
-func (s *run) applyBound() time.Duration {
+// maxApplyTime is how long a configuration may take to be in force.
+func (s *soakRun) maxApplyTime() time.Duration {
 	if s.narrow {
-		return narrowApplyWithin + applySlack
+		return narrowApplyTimeout + applySlack
 	}
-	return applyWithin + applySlack
+	return applyTimeout + applySlack
 }
 
-func (p *prober) askFor(v version) {
-	if life := p.process.life.Load(); life != p.life {
-		p.life, p.seen = life, 0
+func (p *prober) probeVersion(v version) {
+	if life := p.process.incarnation.Load(); life != p.incarnation {
+		p.incarnation, p.seen = life, 0
 	}
-	q := p.askForVersion(v)
-	if p.process.life.Load() != p.life {
+	q := p.requestVersion(v)
+	if p.process.incarnation.Load() != p.incarnation {
 		return
 	}
 	if q.status == http.StatusOK {
 		p.seen = max(p.seen, v.Number)
 	}
 	if q.status == http.StatusNotFound && p.seen >= v.Number {
-		p.soak.violate(promiseNoReturn, "router-%d served version %d, and does not know version %d now", q.router, p.seen, v.Number)
+		p.soak.reportViolation(promiseNoReturn, "router-%d served version %d, and does not know version %d now", q.router, p.seen, v.Number)
 	}
-	age := q.sentAt.Sub(v.ack)
-	if q.status != http.StatusNotFound || age <= p.soak.applyBound() || v.Number <= p.missed {
+	age := q.sentAt.Sub(v.acceptedAt)
+	if q.status != http.StatusNotFound || age <= p.soak.maxApplyTime() || v.Number <= p.missed {
 		return
 	}
 	// A version is due only where router and store were in touch all the while; that they starved is seen after the next look.
-	time.Sleep(2 * starvedPause)
-	if age <= p.soak.applyBound()+p.soak.heldSince(q.router, v.ack) {
+	time.Sleep(2 * starvationPollInterval)
+	if age <= p.soak.maxApplyTime()+p.soak.delaySince(q.router, v.acceptedAt) {
 		return
 	}
-	if p.soak.calm(q.sentAt.Add(-stable), q.endedAt, inTouch(q.router)...) {
-		p.soak.violate(promiseInForce, "router-%d does not know version %d %s after it was accepted (newest seen %d)", q.router, v.Number, age, p.seen)
+	if p.soak.isUndisturbed(q.sentAt.Add(-stabilityPeriod), q.endedAt, contactTargets(q.router)...) {
+		p.soak.reportViolation(promiseInForce, "router-%d does not know version %d %s after it was accepted (newest seen %d)", q.router, v.Number, age, p.seen)
 		p.missed = v.Number
 	}
 }
 
-// askForVersion asks for the path of a version; it sends nothing where there is none.
-func (c *caller) askForVersion(v version) *request {
-	q := &request{limit: probeTimeout, patience: probeTimeout + answerSlack, route: route{pool: "plain", repeatable: true}}
+// requestVersion asks for the path of a version; it sends nothing where there is none.
+func (c *caller) requestVersion(v version) *request {
+	q := &request{timeLimit: probeTimeout, waitTimeout: probeTimeout + answerSlack, route: route{pool: "plain", repeatable: true}}
 	if v.Number > 0 {
 		c.send(q, versionPath(v.Number))
 	}
@@ -88,7 +88,7 @@
 // which never takes a configuration is noticed on a machine, too, that holds routers up again and again.
 func (c *caller) awaitVersion(ctx context.Context, v version, until time.Time) {
 	for ctx.Err() == nil {
-		q := c.askForVersion(v)
+		q := c.requestVersion(v)
 		switch q.status {
 		case 0, http.StatusNotFound, http.StatusServiceUnavailable:
 		default:
@@ -96,9 +96,9 @@
 			return
 		}
 		if time.Now().After(until) {
-			c.soak.violate(promiseInForce, "%s: version %d is not in force %s after all faults: %s", c.name, v.Number, recoveryBound, q)
+			c.soak.reportViolation(promiseInForce, "%s: version %d is not in force %s after all faults: %s", c.name, v.Number, recoveryTimeout, q)
 			return
 		}
-		time.Sleep(probePause)
+		time.Sleep(probeInterval)
 	}
 }
--- a/soaker/process.go
+++ b/soaker/process.go
@@ -18,36 +18,36 @@
 )
 
 const (
-	zoneName               = "zone"
-	startBound, readyPause = 20 * time.Second, 50 * time.Millisecond // a router is ready within it, longer than any fault; between two looks
+	zoneName                        = "zone"
+	startTimeout, readyPollInterval = 20 * time.Second, 50 * time.Millisecond // a router is ready within it, longer than any fault; between two looks
 	// Ports of a router; its address is its own, so that no connection of another program has them.
 	callerPort, readinessPort, peerPort = 7101, 7102, 7103
-	toCallers, toStore                  = 0, 1 // the links of a router
+	callerProxy, storeProxy             = 0, 1 // the links of a router
 )
 
 // process is a router over all its lives.
 type process struct {
-	soak      *run
-	settings  forwarder.Settings
-	files     string     // the path of its files without their endings
-	links     [2]*link   // from its callers and to the store
-	operating sync.Mutex // serializes ends and starts
+	soak        *soakRun
+	settings    forwarder.Settings
+	files       string     // the path of its files without their endings
+	proxies     [2]*proxy  // from its callers and to the store
+	lifecycleMu sync.Mutex // serializes ends and starts
 
-	mu      sync.Mutex
-	command *exec.Cmd
-	ended   chan struct{}
-	asked   bool         // the present life was told to end
-	life    atomic.Int64 // the number of starts
-	pid     atomic.Int64
+	mu            sync.Mutex
+	command       *exec.Cmd
+	exited        chan struct{}
+	stopRequested bool         // the present life was told to end
+	incarnation   atomic.Int64 // the number of starts
+	pid           atomic.Int64
 }
 
 // addRouter makes a router on an address of its own and starts it.
-func (s *run) addRouter(ip, store string, seeds []string, c condition) error {
+func (s *soakRun) addRouter(ip, store string, seeds []string, c condition) error {
 	address := func(port int) string { return fmt.Sprintf("%s:%d", ip, port) }
-	callers, l := newLink(address(callerPort), condition{}), newLink(store, c)
+	callers, l := newProxy(address(callerPort), condition{}), newProxy(store, c)
 	i := len(s.processes)
 	s.routers[address(callerPort)], s.routers[callers.Addr().String()] = i, i
-	p := &process{soak: s, files: filepath.Join(s.Directory, routerTarget(i)), links: [2]*link{callers, l}, settings: forwarder.Settings{
+	p := &process{soak: s, files: filepath.Join(s.Directory, routerTarget(i)), proxies: [2]*proxy{callers, l}, settings: forwarder.Settings{
 		Instance: routerTarget(i), Zone: zoneName, LogLevel: "info", LogEvery: 1, CallerAddress: address(callerPort), ReadinessAddress: address(readinessPort),
 		PeerAddress: address(peerPort), PeerSeeds: seeds, StoreAddress: l.Addr().String(), GraceSeconds: s.grace.Seconds(),
 		Money:   forwarder.MoneySettings{Parts: 4, Reserve: masticway.Duration(5 * time.Second)},
@@ -75,8 +75,8 @@
 	if err := c.Start(); err != nil {
 		return err
 	}
-	p.command, p.ended, p.asked = c, ended, false
-	p.life.Add(1)
+	p.command, p.exited, p.stopRequested = c, ended, false
+	p.incarnation.Add(1)
 	p.pid.Store(int64(c.Process.Pid))
 	go p.wait(c, ended)
 	return nil
@@ -87,9 +87,9 @@
 	_ = c.Wait()
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.soak.note("%s ended: %v", p.settings.Instance, c.ProcessState)
-	if !p.asked {
-		p.soak.violate(promiseAlive, "%s ended by itself: %v", p.settings.Instance, c.ProcessState)
+	p.soak.logf("%s ended: %v", p.settings.Instance, c.ProcessState)
+	if !p.stopRequested {
+		p.soak.reportViolation(promiseAlive, "%s ended by itself: %v", p.settings.Instance, c.ProcessState)
 	}
 }
 
@@ -97,7 +97,7 @@
 func (p *process) signal(s syscall.Signal) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.asked = p.asked || s == syscall.SIGTERM || s == syscall.SIGKILL
+	p.stopRequested = p.stopRequested || s == syscall.SIGTERM || s == syscall.SIGKILL
 	_ = p.command.Process.Signal(s)
 }
 
@@ -105,7 +105,7 @@
 func (p *process) stop() {
 	p.signal(syscall.SIGTERM)
 	select {
-	case <-p.ended:
+	case <-p.exited:
 	case <-time.After(p.soak.grace):
 		p.kill()
 	}
@@ -113,13 +113,13 @@
 
 func (p *process) kill() {
 	p.signal(syscall.SIGKILL)
-	<-p.ended
+	<-p.exited
 }
 
 // awaitReady returns when the router says that it is ready, or false when it does not in time.
 func (p *process) awaitReady() bool {
 	client := &http.Client{Timeout: time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
-	for until := time.Now().Add(startBound); time.Now().Before(until); time.Sleep(readyPause) {
+	for until := time.Now().Add(startTimeout); time.Now().Before(until); time.Sleep(readyPollInterval) {
 		if response, err := client.Get("http://" + p.settings.ReadinessAddress); err == nil {
 			_ = response.Body.Close()
 			if response.StatusCode == http.StatusOK {
@@ -134,5 +134,5 @@
 	if p.command != nil {
 		p.kill()
 	}
-	_, _ = p.links[toCallers].Close(), p.links[toStore].Close()
+	_, _ = p.proxies[callerProxy].Close(), p.proxies[storeProxy].Close()
 }
--- a/soaker/starvation.go
+++ b/soaker/starvation.go
@@ -10,71 +10,71 @@
 )
 
 const (
-	starvedMost  = 300 * time.Millisecond // a thread that has waited longer for a processor was slowed down by the machine
-	starvedPause = 200 * time.Millisecond // between two looks
+	maxSchedulingDelay     = 300 * time.Millisecond // a thread that has waited longer for a processor was slowed down by the machine
+	starvationPollInterval = 200 * time.Millisecond // between two looks
 )
 
-// watch notes as a disturbance where the machine itself held up a router, or the soak with callers, store and servers.
-func (s *run) watch(done <-chan struct{}) {
-	w := waits{}
+// watchStarvation notes as a disturbance where the machine itself held up a router, or the soak with callers, store and servers.
+func (s *soakRun) watchStarvation(done <-chan struct{}) {
+	w := threadWaits{}
 	for {
 		own := w.longest(os.Getpid())
 		for i, p := range s.processes {
 			router := w.longest(int(p.pid.Load()))
-			if d := max(own, router); d > starvedMost {
-				s.disturb("starvation", starvedTarget(i), d)()
+			if d := max(own, router); d > maxSchedulingDelay {
+				s.beginDisturbance("starvation", starvedTarget(i), d)()
 			}
-			s.hold(i, own+router)
+			s.recordDelay(i, own+router)
 		}
 		select {
 		case <-done:
 			return
-		case <-time.After(starvedPause):
+		case <-time.After(starvationPollInterval):
 		}
 	}
 }
 
-// starved counts how often the machine held a router or the soak up.
-func (s *run) starved() int {
+// starvationCount counts how often the machine held a router or the soak up.
+func (s *soakRun) starvationCount() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	n := 0
 	for i := range s.processes {
-		n += len(s.spans[starvedTarget(i)])
+		n += len(s.disturbances[starvedTarget(i)])
 	}
 	return n
 }
 
-// heldUp is how long a router and the soak waited for a processor, one after the other, until a moment.
-type heldUp struct {
-	at    time.Time
-	waits time.Duration
+// schedulingDelay is how long a router and the soak waited for a processor, one after the other, until a moment.
+type schedulingDelay struct {
+	at     time.Time
+	length time.Duration
 }
 
-// hold notes what a look has found of a router.
-func (s *run) hold(router int, waits time.Duration) {
+// recordDelay notes what a look has found of a router.
+func (s *soakRun) recordDelay(router int, waits time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.held[router] = append(s.held[router], heldUp{at: time.Now(), waits: waits})
+	s.delays[router] = append(s.delays[router], schedulingDelay{at: time.Now(), length: waits})
 }
 
-// heldSince returns how long the machine has held a router up since a moment; many short waits delay as one long one does.
-func (s *run) heldSince(router int, from time.Time) (d time.Duration) {
+// delaySince returns how long the machine has held a router up since a moment; many short waits delay as one long one does.
+func (s *soakRun) delaySince(router int, from time.Time) (d time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for _, h := range s.held[router] {
+	for _, h := range s.delays[router] {
 		if h.at.After(from) {
-			d += h.waits
+			d += h.length
 		}
 	}
 	return d
 }
 
-// waits is how long each thread has been ready and not running until the last look, by the file in which the kernel counts.
-type waits map[string]time.Duration
+// threadWaits is how long each thread has been ready and not running until the last look, by the file in which the kernel counts.
+type threadWaits map[string]time.Duration
 
 // longest returns the longest wait of a process's threads since the last look.
-func (w waits) longest(pid int) (d time.Duration) {
+func (w threadWaits) longest(pid int) (d time.Duration) {
 	files, _ := filepath.Glob(fmt.Sprintf("/proc/%d/task/*/schedstat", pid))
 	for _, file := range files {
 		// A thread that has just ended has no count.
