--- a/soaker/caller.go
+++ b/soaker/caller.go
@@ -18,36 +18,36 @@
 	"github.com/masticway/masticway/emulator"
 )
 
-// Outcomes of a request for its caller.
+// Outcomes of a request as its caller sees them.
 const (
-	outcomeUnsent   = "unsent"   // there was no connection, or it broke before all was written
-	outcomeAnswered = "answered" // an answer that is complete by the protocol
-	outcomeBroken   = "broken"   // the connection ended before a complete answer
-	outcomeTimedOut = "silent"   // nothing more came while the caller waited
+	outcomeUnsent   = "unsent"   // there was no connection, or it broke before the whole request was written
+	outcomeAnswered = "answered" // the answer is complete according to the protocol
+	outcomeBroken   = "broken"   // the connection ended before the answer was complete
+	outcomeTimedOut = "silent"   // the answer was not complete when the caller stopped waiting
 )
 
 const (
-	answerSlack                   = time.Second                             // a caller waits so long beyond the request's time, twice what the rules allow
-	abandonShare, maxAbandonDelay = 0.03, 300 * time.Millisecond            // so many callers leave early, and so early
-	maxPrompt, maxSpareOutput     = 1500, 30                                // tokens of a prompt, and those declared beyond what a stream has
-	minTimeLimit, maxTimeLimit    = time.Second, 8 * time.Second            // the time that a caller gives
-	maxBodyBytes                  = 40 << 10                                // bytes; most bodies have far fewer
-	maxThinkTime, maxIdleTime     = 120 * time.Millisecond, 8 * time.Second // a caller's usual pause, and one in which a router may end
-	idleShare                     = 0.04                                    // the part of the longer pauses
-	connectTimeout                = time.Second                             // callers let a new connection take so long
+	answerSlack                   = time.Second                             // time that a caller waits beyond its time limit, twice what the rules allow
+	abandonShare, maxAbandonDelay = 0.03, 300 * time.Millisecond            // share of requests whose caller gives up early, and how long it waits at most
+	maxPrompt, maxSpareOutput     = 1500, 30                                // tokens of a prompt; tokens declared beyond the length of a stream
+	minTimeLimit, maxTimeLimit    = time.Second, 8 * time.Second            // the time limit that a caller sets
+	maxBodyBytes                  = 40 << 10                                // most bodies are far smaller
+	maxThinkTime, maxIdleTime     = 120 * time.Millisecond, 8 * time.Second // a usual pause between requests, and a long one in which a router may restart
+	idleShare                     = 0.04                                    // share of long pauses
+	connectTimeout                = time.Second                             // of a caller's new connection
 	statusWrongBody               = -http.StatusOK                          // a success whose body is not the request's own answer
 )
 
-// request is one request of a caller and what came of it.
+// request is a request of a caller and its outcome.
 type request struct {
 	route
 	id, path, workspace, body string
 	prompt, declared, router  int
-	timeLimit, waitTimeout    time.Duration // what the caller gives, and how long it waits: longer, unless it leaves early
-	reusedConn                bool          // the connection had carried a request before
-	recurringName             string        // what stays the same of a request that comes again, in place of its id in path and body
-	resumeAfter               int           // the caller has the events up to this one from an earlier answer, and goes on
-	written                   atomic.Bool   // the request was sent whole
+	timeLimit, waitTimeout    time.Duration // what the caller asks for, and how long it waits: longer, unless it gives up early
+	reusedConn                bool          // the connection had carried an earlier request
+	recurringName             string        // replaces the id in path and body, the same for all sends of a deadly request; empty for others
+	resumeAfter               int           // number of the last event that the caller has from an earlier answer; zero if it does not resume
+	written                   atomic.Bool   // the whole request was written
 
 	sentAt, endedAt             time.Time
 	outcome, answerID, signedBy string
@@ -55,13 +55,13 @@
 	err                         error
 }
 
-// String describes the request and what came of it.
+// String describes the request and its outcome.
 func (q *request) String() string {
-	return fmt.Sprintf("%s at router-%d, sent %s (kept %t), limit %s, %s with status %d and %d events after %s: %v", q.path, q.router,
+	return fmt.Sprintf("%s at router-%d, sent %s (connection reused %t), time limit %s, %s with status %d and %d events after %s: %v", q.path, q.router,
 		q.sentAt.UTC().Format(clockFormat), q.reusedConn, q.timeLimit, q.outcome, q.status, q.events, q.endedAt.Sub(q.sentAt).Round(time.Millisecond), q.err)
 }
 
-// caller sends requests one after the other on a connection that it keeps for as long as it is open.
+// caller sends requests one after the other and reuses its connection while it is open.
 type caller struct {
 	soak      *soakRun
 	random    *rand.Rand
@@ -70,7 +70,8 @@
 	transport http.Transport
 }
 
-// newCaller returns a caller whose new connections go to one of the addresses.
+// newCaller returns a caller that opens each connection to a random one of the addresses. Its other random choices come from
+// a stream of the seed.
 func (s *soakRun) newCaller(name string, stream int, addresses ...string) *caller {
 	c := &caller{soak: s, name: fmt.Sprintf("%s%d", name, stream), random: rand.New(rand.NewPCG(s.Seed, uint64(stream)))}
 	c.transport.DialContext = func(ctx context.Context, network, _ string) (net.Conn, error) {
@@ -95,15 +96,16 @@
 	}
 }
 
-func randomUpTo(random *rand.Rand, most time.Duration) time.Duration {
-	return 1 + time.Duration(random.Int64N(int64(most)))
+// randomUpTo returns a random duration that is positive and at most max.
+func randomUpTo(random *rand.Rand, max time.Duration) time.Duration {
+	return 1 + time.Duration(random.Int64N(int64(max)))
 }
 
-// sendToRoute sends a request for a route and returns its status.
+// sendToRoute sends a random request to a route, resumes its answer where possible, and returns the status of the first answer.
 func (c *caller) sendToRoute(r route) int {
 	q := &request{route: r, prompt: c.random.IntN(maxPrompt), declared: c.soak.events*emulator.DeploymentTokensPerEvent + c.random.IntN(maxSpareOutput)}
 	q.body = strings.Repeat("x", int(math.Pow(maxBodyBytes, c.random.Float64())))
-	// Routers are told whole milliseconds.
+	// The header that carries the time limit has whole milliseconds.
 	q.timeLimit = (minTimeLimit + randomUpTo(c.random, maxTimeLimit-minTimeLimit)).Truncate(time.Millisecond)
 	q.waitTimeout = min(q.timeLimit, emulator.DeploymentTimeout) + answerSlack
 	if c.random.Float64() < abandonShare {
@@ -120,12 +122,12 @@
 	return q.status
 }
 
-// canResume tells that an answer broke off amid its events, and that its caller may go on where it did.
+// canResume reports whether the answer broke off between its events and the caller may resume it. A stream has this many events.
 func (q *request) canResume(events int) bool {
 	return q.metered && q.repeatable && q.outcome == outcomeBroken && q.status == http.StatusOK && q.events > 0 && q.resumeAfter+q.events < events
 }
 
-// remainder is the request for what an answer that broke off had still to bring; its prompt has been paid for.
+// remainder returns the request for the events that are missing from a broken answer; its prompt has been paid for.
 func (q *request) remainder() *request {
 	return &request{
 		route: q.route, workspace: q.workspace, declared: q.declared, timeLimit: q.timeLimit, waitTimeout: min(q.timeLimit, emulator.DeploymentTimeout) + answerSlack,
@@ -133,7 +135,7 @@
 	}
 }
 
-// sendUntilServed asks until a request of a route is served.
+// sendUntilServed sends requests to a route until one is served, and reports a violation if none is by a deadline.
 func (c *caller) sendUntilServed(ctx context.Context, r route, until time.Time) {
 	for c.sendToRoute(r) != http.StatusOK && ctx.Err() == nil {
 		if time.Now().After(until) {
@@ -144,7 +146,7 @@
 	}
 }
 
-// send sends a request to a path and judges what can be judged at once.
+// send sends a request to a path and checks what can be checked at once.
 func (c *caller) send(q *request, path string) {
 	c.sent++
 	q.id = fmt.Sprintf("%s-%d", c.name, c.sent)
@@ -170,7 +172,7 @@
 	c.soak.checkResponse(q)
 }
 
-// exchange sends a request and reads its answer.
+// exchange sends a request and reads its answer into it.
 func (c *caller) exchange(q *request) error {
 	ctx, cancel := context.WithTimeout(context.Background(), q.waitTimeout)
 	defer cancel()
@@ -180,7 +182,7 @@
 		},
 		WroteRequest: func(i httptrace.WroteRequestInfo) { q.written.Store(i.Err == nil) },
 	})
-	// Without a way to read the body anew, the transport sends nothing once more by itself.
+	// The request has no GetBody, so the transport does not retry it by itself.
 	out := &http.Request{Method: http.MethodPost, URL: &url.URL{Scheme: "http", Host: emulator.DeploymentHost, Path: q.path}, ContentLength: int64(len(q.body))}
 	out.Body = io.NopCloser(strings.NewReader(q.body))
 	call := emulator.OpaqueCall{ID: q.id, TimeLeft: q.timeLimit, Metered: q.metered, Prompt: q.prompt, MaxOutput: q.declared, LastEvent: q.resumeAfter}
@@ -197,7 +199,7 @@
 	q.answerID, q.signedBy = emulator.AnswerOrigin(in.Header)
 	body, err := io.ReadAll(in.Body)
 	if q.recurringName == "" && q.status == http.StatusServiceUnavailable && isCrashRefusal(body) {
-		c.soak.reportViolation(promiseSpared, "taken for the cause of servers' ends: %s", q)
+		c.soak.reportViolation(promiseSpared, "refused as a request that crashes servers, but it does not: %s", q)
 	}
 	if q.status == http.StatusOK {
 		err = q.checkBody(string(body), c.soak.events, err)
@@ -205,17 +207,18 @@
 	return err
 }
 
-// checkBody holds what a success brought against a sound server's whole answer: one that ends early is a beginning of it.
+// checkBody compares the body of a success with the answer of a server without faults; a body that ends early must be a prefix
+// of it.
 func (q *request) checkBody(body string, events int, err error) error {
-	whole := "ok " + q.id + " " + q.body
+	want := "ok " + q.id + " " + q.body
 	if q.metered {
-		whole, q.events = "", strings.Count(body, "\n\n")
+		want, q.events = "", strings.Count(body, "\n\n")
 		for i := q.resumeAfter; i < events; i++ {
-			whole += fmt.Sprintf("id: %d\ndata: piece %d of %s\n\n", i+1, i+1, q.id)
+			want += fmt.Sprintf("id: %d\ndata: piece %d of %s\n\n", i+1, i+1, q.id)
 		}
 	}
-	if !strings.HasPrefix(whole, body) || err == nil && body != whole {
-		q.status, err = statusWrongBody, fmt.Errorf("got %.200q for %.200q", body, whole)
+	if !strings.HasPrefix(want, body) || err == nil && body != want {
+		q.status, err = statusWrongBody, fmt.Errorf("got %.200q for %.200q", body, want)
 	}
 	return err
 }
--- a/soaker/checks.go
+++ b/soaker/checks.go
@@ -10,46 +10,47 @@
 )
 
 const (
-	// timingSlack is what a busy machine and the proxies add to the bounds on work for servers that leave, on the time that a
-	// server is told, and on the 200 ms that a connection may be open after a request that is not read (loss_slack_ms).
+	// timingSlack is added for a busy machine and the proxies: to the time in which draining servers may get work, to the
+	// remaining time that a server is given, and to the 200 ms that a connection may be open after a request that is not
+	// read (loss_slack_ms).
 	timingSlack = 500 * time.Millisecond
 	storeTarget = "store"
-	clockFormat = "15:04:05.000" // to be found in the routers' logs
-	// A router that ends may cut off requests that were sent no later after SIGTERM and are still worked at in the last sixth
-	// of its grace.
+	clockFormat = "15:04:05.000" // as within the timestamps of the routers' logs, so that lines can be matched
+	// A router that shuts down may cut off a request that was sent less than lateSendWindow after SIGTERM and still runs in
+	// the last sixth of the grace period.
 	lateSendWindow, lateGraceDivisor = 3 * time.Second, 6
 )
 
 // Names of the promises that are checked.
 const (
 	promiseBudget    = "budget"    // no workspace gets more than its prepaid tokens
-	promiseOnce      = "once"      // a request that must not be repeated runs at most once
-	promiseNotRun    = "not_run"   // what was called not run never ran
-	promiseWhole     = "whole"     // a caller gets the whole answer to its own request, and no part of one looks complete
-	promiseUnchanged = "unchanged" // servers run what callers sent, for their workspace, where a configuration sends it
-	promiseAnswered  = "answered"  // an undisturbed router answers what it passed on, also around its graceful end
-	promiseInForce   = "in_force"  // an accepted configuration is in force in time at routers in touch
-	promiseNoReturn  = "no_return" // a configuration never goes back within a process's life
-	promiseDrained   = "drained"   // a server that leaves gets nothing new after a while
+	promiseOnce      = "once"      // a non-repeatable request runs at most once
+	promiseNotRun    = "not_run"   // a request that was reported as not run never ran
+	promiseWhole     = "whole"     // a caller gets the whole answer to its own request, and no partial answer looks complete
+	promiseUnchanged = "unchanged" // servers run what callers sent, for the caller's workspace, in the pool that a configuration routes it to
+	promiseAnswered  = "answered"  // an undisturbed router answers what it forwarded, also around its graceful shutdown
+	promiseInForce   = "in_force"  // an accepted configuration is applied in time by routers in contact with the store
+	promiseNoReturn  = "no_return" // a process never returns to an older configuration
+	promiseDrained   = "drained"   // a draining server gets no new requests after a while
 	promiseRecovered = "recovered" // requests are served again after all faults
-	promiseSpared    = "spared"    // a request that crashes servers is kept from them in time, and no other is
-	promiseLimited   = "limited"   // a server that names a limit gets no more than it allows, from all routers
-	promiseRested    = "rested"    // a server that asks a router for rest gets nothing from it meanwhile
-	promiseAlive     = "alive"     // a router's process ends only when it is made to
+	promiseSpared    = "spared"    // a request that crashes servers is withheld from them in time, and no other is
+	promiseLimited   = "limited"   // a server that advertises a rate limit gets no more than that from all routers together
+	promiseRested    = "rested"    // a server that asks a router to back off gets nothing from it meanwhile
+	promiseAlive     = "alive"     // a router's process ends only when it is stopped
 )
 
-// Violation is one promise that was not kept.
+// Violation is a promise that was not kept, with a description.
 type Violation struct{ Promise, Text string }
 
-// interval is a time in which something was disturbed; a zero end is still to come.
+// interval is a time from start to end; while it lasts, its end is zero.
 type interval struct{ from, to time.Time }
 
-// logf writes a line on what happened now.
+// logf writes a line with the current time to soak.log.
 func (s *soakRun) logf(format string, values ...any) {
 	fmt.Fprintf(s.log, "%s %s\n", time.Now().UTC().Format(clockFormat), fmt.Sprintf(format, values...))
 }
 
-// reportViolation notes a promise that was not kept.
+// reportViolation records a promise that was not kept.
 func (s *soakRun) reportViolation(promise, format string, values ...any) {
 	v := Violation{Promise: promise, Text: fmt.Sprintf(format, values...)}
 	s.logf("VIOLATION %s: %s", v.Promise, v.Text)
@@ -58,22 +59,22 @@
 	s.violations = append(s.violations, v)
 }
 
-// beginDisturbance notes that a target is disturbed, since some time ago and until the end is called.
+// beginDisturbance records that a target is disturbed, from a duration ago until the returned function is called.
 func (s *soakRun) beginDisturbance(what, target string, ago time.Duration) (end func()) {
 	s.logf("%s of %s begins", what, target)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	at := len(s.disturbances[target])
+	i := len(s.disturbances[target])
 	s.disturbances[target] = append(s.disturbances[target], interval{from: time.Now().Add(-ago)})
 	return func() {
 		s.logf("%s of %s ends", what, target)
 		s.mu.Lock()
 		defer s.mu.Unlock()
-		s.disturbances[target][at].to = time.Now()
+		s.disturbances[target][i].to = time.Now()
 	}
 }
 
-// isUndisturbed tells that none of the targets was disturbed at any time between two.
+// isUndisturbed reports whether none of the targets was disturbed at any time in an interval.
 func (s *soakRun) isUndisturbed(from, to time.Time, targets ...string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -85,26 +86,28 @@
 	return true
 }
 
-// routerTarget is disturbed while a router is, plannedTarget while it ends and starts as planned.
+// routerTarget names a router in the record of disturbances. It is disturbed by faults, plannedTarget by planned restarts,
+// which begin with SIGTERM.
 func routerTarget(i int) string  { return fmt.Sprintf("router-%d", i) }
 func plannedTarget(i int) string { return "planned-" + routerTarget(i) }
 
-// starvedTarget is disturbed while the machine holds a router up, or the soak itself.
+// starvedTarget is disturbed while the router or the soak itself waits too long for a processor.
 func starvedTarget(i int) string { return "starved-" + routerTarget(i) }
 
-// contactTargets names what must be undisturbed for a router to be in touch.
+// contactTargets returns the targets that must be undisturbed for a router to be in contact with the store.
 func contactTargets(router int) []string {
 	return []string{routerTarget(router), plannedTarget(router), starvedTarget(router), storeTarget}
 }
 
-// checkResponse judges what can be judged at once.
+// checkResponse counts a response and checks what can be checked without knowing what the servers ran.
 func (s *soakRun) checkResponse(q *request) {
 	s.mu.Lock()
 	if q.outcome == outcomeAnswered && q.status == http.StatusOK {
 		s.served++
 	}
 	if q.events > 0 {
-		// A workspace got the prompt once there is an event, and the events; it got the prompt of a resumed answer before.
+		// A workspace got the events, and with the first of them the prompt; a resumed answer's prompt was counted with the first
+		// request.
 		s.delivered[q.workspace] += int64(q.events * emulator.DeploymentTokensPerEvent)
 		if q.resumeAfter == 0 {
 			s.delivered[q.workspace] += int64(q.prompt)
@@ -115,20 +118,21 @@
 	got, paid := s.delivered[q.workspace], s.prepaid[q.workspace]
 	s.mu.Unlock()
 	if q.events > 0 && got > paid {
-		s.reportViolation(promiseBudget, "%s got %d tokens of %d prepaid, with %s", q.workspace, got, paid, q)
+		s.reportViolation(promiseBudget, "%s got %d tokens, but had prepaid %d, at request %s", q.workspace, got, paid, q)
 	}
 	switch q.status {
 	case statusWrongBody:
-		s.reportViolation(promiseWhole, "not its answer: %s", q)
+		s.reportViolation(promiseWhole, "the body is not the answer to this request: %s", q)
 	case http.StatusBadRequest, http.StatusUnauthorized, http.StatusForbidden, http.StatusNotFound, http.StatusRequestEntityTooLarge:
-		// Every configuration has these routes and keys, and a router that knows none answers 503; probes look for others.
+		// Every configuration has these routes and keys, and a router without a configuration answers 503. Probes, whose route
+		// has no name, also request paths that not every configuration has.
 		if q.name != "" {
-			s.reportViolation(promiseInForce, "refused what every configuration allows: %s", q)
+			s.reportViolation(promiseInForce, "refused, but every configuration allows it: %s", q)
 		}
 	}
 }
 
-// checkRuns holds what servers ran against what callers sent and got.
+// checkRuns compares what servers ran with what callers sent and got.
 func (s *soakRun) checkRuns() {
 	runs := map[string][]emulator.OpaqueRun{}
 	for _, r := range s.ledger.Runs() {
@@ -136,7 +140,7 @@
 		if q, sent := s.requests[r.ID]; sent {
 			s.checkRun(r, q)
 		} else {
-			s.reportViolation(promiseUnchanged, "%s ran %s, which nobody sent", r.Server, r.ID)
+			s.reportViolation(promiseUnchanged, "%s ran %s, which no caller sent", r.Server, r.ID)
 		}
 	}
 	for id, q := range s.requests {
@@ -150,20 +154,20 @@
 	}
 }
 
-// checkRun checks one run by itself.
+// checkRun checks a single run of a request.
 func (s *soakRun) checkRun(r emulator.OpaqueRun, q *request) {
 	if r.Path != q.path || r.Body != q.body || r.Workspace != q.workspace || r.Key || r.TimeLeft > q.timeLimit+timingSlack || poolOf(r.Server) != q.pool {
 		s.reportViolation(promiseUnchanged, "%s ran %s for %q with %s left, %d bytes, key %t: %s", r.Server, r.Path, r.Workspace, r.TimeLeft, len(r.Body), r.Key, q)
 	}
 	s.checkAnnouncedDrain(r, q)
-	// An acceptance binds routers that are in touch from then on.
-	left := s.drainAcceptedAt[r.Server]
-	if !left.IsZero() && r.At.Sub(left) > maxDrainDelay+timingSlack && s.isUndisturbed(left.Add(-stabilityPeriod), r.At, contactTargets(q.router)...) {
-		s.reportViolation(promiseDrained, "%s got a request %s after its leaving was accepted: %s", r.Server, r.At.Sub(left).Round(time.Millisecond), q)
+	// Only routers in contact with the store must know that the server is draining.
+	acceptedAt := s.drainAcceptedAt[r.Server]
+	if !acceptedAt.IsZero() && r.At.Sub(acceptedAt) > maxDrainDelay+timingSlack && s.isUndisturbed(acceptedAt.Add(-stabilityPeriod), r.At, contactTargets(q.router)...) {
+		s.reportViolation(promiseDrained, "%s got a request %s after the store accepted that it drains: %s", r.Server, r.At.Sub(acceptedAt).Round(time.Millisecond), q)
 	}
 }
 
-// checkFate holds what was said of a request against its runs.
+// checkFate compares what the answer says of a request's fate with its runs.
 func (s *soakRun) checkFate(q *request, runs []emulator.OpaqueRun) {
 	if len(runs) > 1 && !q.repeatable {
 		s.reportViolation(promiseOnce, "ran %d times: %s", len(runs), q)
@@ -181,36 +185,38 @@
 	}
 }
 
-// checkAnswered checks that a request that was read got an answer.
+// checkAnswered checks that a request that a router read was answered.
 func (s *soakRun) checkAnswered(q *request, runs []emulator.OpaqueRun) {
-	// A router that was disturbed other than by its planned end promises no answer, and neither does one whose store was,
-	// where the answer costs prepaid tokens.
+	// A router that was disturbed by more than a planned restart need not answer. If the answer costs prepaid tokens, neither
+	// need a router whose store was disturbed.
 	from := q.sentAt.Add(-stabilityPeriod)
 	if !s.isUndisturbed(from, q.endedAt, routerTarget(q.router)) || q.metered && !s.isUndisturbed(from, q.endedAt, storeTarget) {
 		return
 	}
-	// Where the machine held the router up at the time of the request, what is late or missing is not the router's.
+	// A router that had to wait for a processor at the time of the request is not to blame for a late or missing answer.
 	if !s.isUndisturbed(q.sentAt.Add(-timingSlack), q.endedAt, starvedTarget(q.router)) {
 		return
 	}
 	took := q.endedAt.Sub(q.sentAt)
-	// A server that failed, left or crashed may be why there is no answer, and so may the end of the request's time.
-	sound := len(runs) > 0 && took < min(q.timeLimit, emulator.DeploymentTimeout) && !slices.ContainsFunc(runs, func(r emulator.OpaqueRun) bool {
+	// There may be no answer because a server failed, stopped or crashed, or because the time limit expired.
+	mustAnswer := len(runs) > 0 && took < min(q.timeLimit, emulator.DeploymentTimeout) && !slices.ContainsFunc(runs, func(r emulator.OpaqueRun) bool {
 		return r.Fault != emulator.OpaqueGood || !s.isUndisturbed(from, q.endedAt, r.Server)
 	})
 	switch {
 	case q.outcome == outcomeTimedOut && q.waitTimeout > q.timeLimit:
-		s.reportViolation(promiseAnswered, "no answer within its time, %d runs: %s", len(runs), q)
+		s.reportViolation(promiseAnswered, "no answer within the time limit, %d runs: %s", len(runs), q)
 	case q.outcome == outcomeBroken && len(runs) == 0 && took > timingSlack:
-		// One that crossed the end of its connection was not read, and its caller sees that at once.
-		s.reportViolation(promiseAnswered, "it did not run, and its connection was closed late: %s", q)
-	case q.outcome == outcomeAnswered && q.status == http.StatusBadGateway && sound:
-		s.reportViolation(promiseAnswered, "ran at %s and its answer was thrown away: %s", runs[len(runs)-1].Server, q)
-	case q.outcome == outcomeBroken && sound && !s.mayBeCutOff(q):
-		s.reportViolation(promiseAnswered, "ran at %s and got no whole answer: %s", runs[len(runs)-1].Server, q)
+		// A request that was sent while the router closed the connection was not read; its caller sees that at once.
+		s.reportViolation(promiseAnswered, "not run, but its connection was closed late: %s", q)
+	case q.outcome == outcomeAnswered && q.status == http.StatusBadGateway && mustAnswer:
+		s.reportViolation(promiseAnswered, "ran at %s, but its answer was discarded: %s", runs[len(runs)-1].Server, q)
+	case q.outcome == outcomeBroken && mustAnswer && !s.mayBeCutOff(q):
+		s.reportViolation(promiseAnswered, "ran at %s, but its answer was incomplete: %s", runs[len(runs)-1].Server, q)
 	}
 }
 
+// mayBeCutOff reports whether a planned shutdown of the router may cut off a request, because it was sent within
+// lateSendWindow after SIGTERM and still ran in the last part of the grace period.
 func (s *soakRun) mayBeCutOff(q *request) bool {
 	return slices.ContainsFunc(s.disturbances[plannedTarget(q.router)], func(d interval) bool {
 		return q.sentAt.Before(d.from.Add(lateSendWindow)) && q.endedAt.After(d.from.Add(s.grace-s.grace/lateGraceDivisor))
--- a/soaker/deadly.go
+++ b/soaker/deadly.go
@@ -10,16 +10,16 @@
 )
 
 const (
-	deadlyMark                        = "deadly"                                // what the body of a request has that crashes the servers which run it
-	minDeadlyCrashes, maxDeadlySends  = 3, 3                                    // so many servers may end under it before it counts as known; it may be sent so often later (as the users' deployments have it)
-	maxDeadlyPause, maxDeadlyDuration = 400 * time.Millisecond, 8 * time.Second // its caller's longest pause, and how long it comes again
-	deadlyStreamBase                  = 1 << 20                                 // its callers' streams of random numbers begin here
-	impatientShare                    = 0.4                                     // the part of the events whose caller leaves each time about when the server ends
-	maxImpatientWait                  = 40 * time.Millisecond                   // what such a caller waits at the most, twice the time in which a server crashes
-	codeCrashesServers                = "request_ends_servers"                  // what the refusal of a request says that is kept from servers
+	deadlyMark                        = "deadly"                                // in the body of a request, crashes the servers that run it
+	minDeadlyCrashes, maxDeadlySends  = 3, 3                                    // servers that may crash before a request must be known as deadly; how often it may be sent afterwards (as in the users' deployments)
+	maxDeadlyPause, maxDeadlyDuration = 400 * time.Millisecond, 8 * time.Second // its caller's longest pause between sends; the longest time for which it is sent
+	deadlyStreamBase                  = 1 << 20                                 // the first of its callers' streams of random numbers
+	impatientShare                    = 0.4                                     // share of these faults whose caller gives up at about the time when the server crashes
+	maxImpatientWait                  = 40 * time.Millisecond                   // longest wait of such a caller, twice the time that a server takes to crash
+	codeCrashesServers                = "request_ends_servers"                  // the code with which a router refuses a request that crashes servers
 )
 
-// deadlyRequest has one request come again and again, which crashes every server that runs it.
+// deadlyRequest sends a request that crashes every server that runs it, again and again.
 func (s *soakRun) deadlyRequest(e faultEvent) {
 	s.mu.Lock()
 	name := fmt.Sprintf("%s-%d-%d", deadlyMark, e.target, len(s.requests))
@@ -31,7 +31,7 @@
 	c := s.newCaller("d", deadlyStreamBase+e.target, addresses...)
 	r := routes[e.target%len(routes)]
 	for until := time.Now().Add(e.duration); time.Now().Before(until); time.Sleep(randomUpTo(c.random, maxDeadlyPause)) {
-		// Each time on a connection of its own, to any router.
+		// Each send uses a new connection, to any router.
 		c.transport.CloseIdleConnections()
 		q := &request{route: r, recurringName: name, prompt: 10, declared: s.events * emulator.DeploymentTokensPerEvent, timeLimit: maxTimeLimit, waitTimeout: maxTimeLimit}
 		if e.severity < impatientShare {
@@ -44,7 +44,8 @@
 	}
 }
 
-// crashHandler returns what follows the crash of the server in a slot: its row stays until its silence is noticed, then it is back.
+// crashHandler returns the function that handles a crash of the server in a slot: the server's row stays until its missing
+// heartbeats are noticed, then a new server takes its place.
 func (s *soakRun) crashHandler(slot int) func(*emulator.OpaqueServer) {
 	return func(old *emulator.OpaqueServer) {
 		s.beginDisturbance("crash", old.ID, 0)
@@ -56,7 +57,7 @@
 	}
 }
 
-// checkDeadlyRequests checks that requests under which servers ended were kept from them in time, by routers in touch.
+// checkDeadlyRequests checks that routers in contact with the store stopped sending deadly requests in time.
 func (s *soakRun) checkDeadlyRequests() {
 	runs := map[string][]emulator.OpaqueRun{}
 	for _, r := range s.ledger.Runs() {
@@ -73,12 +74,12 @@
 		late := slices.DeleteFunc(slices.Clone(all), func(r emulator.OpaqueRun) bool {
 			return !r.At.After(known) || !s.isUndisturbed(r.At.Add(-stabilityPeriod), r.At, contactTargets(s.requests[r.ID].router)...)
 		})
-		s.logf("%s ended %d servers, sent %d times later", name, len(all), len(late))
+		s.logf("%s crashed %d servers, sent %d times after it had to be known", name, len(all), len(late))
 		if len(late) > maxDeadlySends {
-			s.reportViolation(promiseSpared, "%s was sent to servers %d times more, %d servers had ended under it", name, len(late), len(all))
+			s.reportViolation(promiseSpared, "%s was sent to servers %d times after it had to be known, it crashed %d servers", name, len(late), len(all))
 		}
 	}
 }
 
-// isCrashRefusal tells that a refusal takes its request for the cause of servers' ends.
+// isCrashRefusal reports whether the body of a refusal says that the request crashes servers.
 func isCrashRefusal(body []byte) bool { return strings.Contains(string(body), codeCrashesServers) }
--- a/soaker/deployment.go
+++ b/soaker/deployment.go
@@ -9,17 +9,17 @@
 )
 
 const (
-	maxDrainDelay, extraServingTime = 2 * time.Second, 1500 * time.Millisecond // for work after a server's leaving was accepted (as the users' deployments have it); how much longer it serves
-	silenceTimeout                  = 2 * time.Second                          // the row of a crashed server goes, after three heartbeats of less than a second
+	maxDrainDelay, extraServingTime = 2 * time.Second, 1500 * time.Millisecond // after the store accepted that a server drains: until it must get no new requests (as in the users' deployments), and how much longer it serves
+	silenceTimeout                  = 2 * time.Second                          // until the row of a crashed server is removed, after three heartbeats of less than a second
 )
 
-// route is a route that every configuration has; answers to metered requests are streams, which cost prepaid tokens.
+// route is a route that every configuration has. Answers to metered requests are streams, which cost prepaid tokens.
 type route struct {
 	name, pool                     string
 	metered, repeatable, anonymous bool
 }
 
-// routes are what callers ask for.
+// routes are the routes that callers request.
 var routes = []route{
 	{name: "draft", pool: "engine", metered: true},
 	{name: "chat", pool: "engine", metered: true, repeatable: true},
@@ -27,22 +27,22 @@
 	{name: "book", pool: "plain"},
 }
 
-// pools are the pools, one name for each server.
+// pools has the pool of the server in each slot.
 var pools = []string{"engine", "engine", "engine", "engine", "plain", "plain", "plain", "plain"}
 
-// workspaces are those that pay: the first has a budget that is at its end within seconds, the last one that never is.
+// workspaces are the callers' workspaces: the budget of the first is used up within seconds, that of the last never.
 var workspaces = []string{"thin", "middle", "wide"}
 
-// version is one accepted configuration, as the template has it.
+// version is an accepted version of the configuration.
 type version struct {
-	emulator.Deployment // its paths are of all versions up to this one, and of routes that nobody asks for
+	emulator.Deployment // its paths are those of all versions up to this one, and of routes that no caller requests
 	acceptedAt          time.Time
 }
 
-// versionPath is a path that this version and all later ones serve.
+// versionPath returns the path that a version and all later ones serve.
 func versionPath(number int64) string { return fmt.Sprintf("version-%d", number) }
 
-// configure writes the next version: with so many more routes that nobody asks for, and so much more paid for workspaces.
+// configure writes the next version, with more routes that no caller requests and with tokens paid to workspaces.
 func (s *soakRun) configure(more, paid int, to ...string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -63,10 +63,10 @@
 	}
 	v.acceptedAt = time.Now()
 	s.versions = append(s.versions, v)
-	s.logf("version %d accepted, %d bytes, %d routes more, %d paid to %v", v.Number, size, more, paid, to)
+	s.logf("version %d accepted, %d bytes, %d routes added, %d tokens paid to %v", v.Number, size, more, paid, to)
 }
 
-// newestVersion returns the newest version that was accepted before a time; its number is zero when there is none.
+// newestVersion returns the newest version that was accepted before a time; its number is zero if there is none.
 func (s *soakRun) newestVersion(before time.Time) (found version) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -78,7 +78,7 @@
 	return found
 }
 
-// startServer starts the next life of the server in a slot.
+// startServer starts the next incarnation of the server in a slot.
 func (s *soakRun) startServer(slot int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -95,14 +95,15 @@
 	s.register(server, false)
 }
 
-func (s *soakRun) register(server *emulator.OpaqueServer, leaving bool) {
-	server.Register(s.rows, poolOf(server.ID), zoneName, leaving)
+// register writes a server's row, as ready or as draining.
+func (s *soakRun) register(server *emulator.OpaqueServer, draining bool) {
+	server.Register(s.rows, poolOf(server.ID), zoneName, draining)
 }
 
-// poolOf returns the pool of a server's id.
+// poolOf returns the pool of a server from its id.
 func poolOf(id string) string { return id[:strings.IndexByte(id, '-')] }
 
-// targetServer returns the server that a fault meets, and its slot.
+// targetServer returns the server that a fault affects, and its slot.
 func (s *soakRun) targetServer(e faultEvent) (server *emulator.OpaqueServer, slot int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/soaker/faults.go
+++ b/soaker/faults.go
@@ -9,7 +9,7 @@
 	"github.com/masticway/masticway/emulator"
 )
 
-// faultEvent is one fault as drawn: what it meets, between 0 and 1 how bad it is, and how long it lasts.
+// faultEvent is a drawn fault: the number from which its target follows, its severity from 0 to 1, and its duration.
 type faultEvent struct {
 	kind     string
 	target   int
@@ -17,10 +17,11 @@
 	duration time.Duration
 }
 
-// scaled returns a part of the most by the event's size, never nothing.
-func (e faultEvent) scaled(most int) int { return 1 + int(e.severity*float64(most)) }
+// scaled returns a number from 1 to max by the fault's severity.
+func (e faultEvent) scaled(max int) int { return 1 + int(e.severity*float64(max)) }
 
-// fault is a kind of fault: its weight in the draw (without one it is drawn only where it is named), how long it lasts at most, and what it does until it is over.
+// fault is a kind of fault: its weight in the draw (a kind without weight is drawn only if Soak.Kinds names it), its longest
+// duration beyond minDuration, and the function that injects it and returns when it is over.
 type fault struct {
 	weight      int
 	maxDuration time.Duration
@@ -28,18 +29,18 @@
 }
 
 const (
-	maxGap, minDuration = 1400 * time.Millisecond, 150 * time.Millisecond // between the beginnings of two faults; the least length
-	maxRestartPause     = 1000                                            // milliseconds, the longest before a process is started again
+	maxGap, minDuration = 1400 * time.Millisecond, 150 * time.Millisecond // between the starts of two faults; the shortest duration of a fault
+	maxRestartPause     = 1000                                            // milliseconds before a process is started again
 	maxFailures         = 20                                              // requests that one fault makes a server fail
-	maxRoutes, maxTopUp = 4000, 30_000                                    // routes of a configuration, one that a call to the store bears; tokens at once
-	allRoutersSeverity  = 0.8                                             // from this size on a fault of a router meets all
-	silentLeaveShare    = 0.3                                             // the part of the leaving servers whose row goes without a word
+	maxRoutes, maxTopUp = 4000, 30_000                                    // routes of a configuration, which a call to the store can carry; tokens of one top-up
+	allRoutersSeverity  = 0.8                                             // above it, a router fault affects all routers
+	silentLeaveShare    = 0.3                                             // share of draining servers whose row is removed instead of marked
 )
 
-// Conditions of a link: slow and cut, and the one that stands for a reset of its connections.
+// Conditions of a proxy: slow, cut, and a marker that stands for a reset of its connections.
 var slow, cut, reset = condition{delay: 200 * time.Millisecond, rate: 256 << 10}, condition{cut: true}, condition{}
 
-// kinds are all kinds of faults by name.
+// kinds has all kinds of faults by name.
 var kinds = map[string]fault{
 	"term":              {10, 0, func(s *soakRun, e faultEvent) { s.restart(e, plannedTarget, (*process).stop) }},
 	"kill":              {5, 0, func(s *soakRun, e faultEvent) { s.restart(e, routerTarget, (*process).kill) }},
@@ -69,10 +70,10 @@
 	"top_up":            {4, 0, func(s *soakRun, e faultEvent) { s.configure(0, e.scaled(maxTopUp), workspaces[e.target%2]) }},
 }
 
-// Kinds returns the names of all kinds of faults, in order.
+// Kinds returns the sorted names of all kinds of faults.
 func Kinds() []string { return slices.Sorted(maps.Keys(kinds)) }
 
-// forTargets carries a fault out at the router that it meets, or at all at once.
+// forTargets calls do concurrently for each router that a fault affects: one router, or all.
 func (s *soakRun) forTargets(e faultEvent, do func(i int, p *process)) {
 	for i, p := range s.processes {
 		if i == e.target%s.Routers || e.severity > allRoutersSeverity {
@@ -81,7 +82,7 @@
 	}
 }
 
-// restart ends a router and starts it again; one that another fault ends already is left alone.
+// restart ends a router and starts it again, unless another fault restarts it already.
 func (s *soakRun) restart(e faultEvent, target func(int) string, end func(*process)) {
 	s.forTargets(e, func(i int, p *process) {
 		if !p.lifecycleMu.TryLock() {
@@ -98,7 +99,7 @@
 	})
 }
 
-// freeze pauses a router's process.
+// freeze suspends a router's process with SIGSTOP.
 func (s *soakRun) freeze(e faultEvent) {
 	s.forTargets(e, func(i int, p *process) {
 		defer s.beginDisturbance(e.kind, routerTarget(i), 0)()
@@ -108,7 +109,7 @@
 	})
 }
 
-// hangup has a router read its settings again, unless it is just being started.
+// hangup makes a router reload its settings, unless it is being restarted.
 func (s *soakRun) hangup(e faultEvent) {
 	s.forTargets(e, func(_ int, p *process) {
 		if p.lifecycleMu.TryLock() {
@@ -118,24 +119,24 @@
 	})
 }
 
-// proxyFault disturbs one of a router's links; a later fault takes an earlier one's place.
+// proxyFault returns a fault that changes the condition of one of a router's proxies; a later fault replaces an earlier one.
 func proxyFault(which int, c condition) func(s *soakRun, e faultEvent) {
 	return func(s *soakRun, e faultEvent) {
 		s.forTargets(e, func(i int, p *process) {
 			defer s.beginDisturbance(e.kind, routerTarget(i), 0)()
-			l := p.proxies[which]
+			target := p.proxies[which]
 			if c == reset {
-				l.reset()
+				target.reset()
 				return
 			}
-			l.current.Store(&c)
+			target.current.Store(&c)
 			time.Sleep(e.duration)
-			l.current.Store(&l.usual)
+			target.current.Store(&target.usual)
 		})
 	}
 }
 
-// storeFault disturbs the store; a later fault takes an earlier one's place.
+// storeFault returns a fault of the store; a later fault replaces an earlier one.
 func storeFault(f emulator.RowFaults) func(s *soakRun, e faultEvent) {
 	return func(s *soakRun, e faultEvent) {
 		defer s.beginDisturbance(e.kind, storeTarget, 0)()
@@ -145,7 +146,8 @@
 	}
 }
 
-// drain lets a server leave, by its word or by the absence of its row, and starts its next life.
+// drain drains a server, by marking its row as draining or by removing it, and starts the server's next incarnation. The old one
+// still serves until routers must have noticed.
 func (s *soakRun) drain(e faultEvent) {
 	old, slot := s.targetServer(e)
 	s.startServer(slot)
@@ -163,7 +165,7 @@
 	old.Deregister(s.rows)
 }
 
-// crash ends a server at once; its row stays until its silence is noticed.
+// crash ends a server at once; its row stays until its missing heartbeats are noticed.
 func (s *soakRun) crash(e faultEvent) {
 	old, slot := s.targetServer(e)
 	s.beginDisturbance(e.kind, old.ID, 0)
@@ -173,13 +175,13 @@
 	s.startServer(slot)
 }
 
-// failures are the ways in which a server fails.
+// failures are the ways in which a server can fail a request, and one request that it answers properly.
 var failures = []emulator.OpaqueFault{
 	emulator.OpaqueReset, emulator.OpaqueFull, emulator.OpaqueCut, emulator.OpaqueOther, emulator.OpaqueError, emulator.OpaqueGood,
 	emulator.OpaqueHang, emulator.OpaqueForged, emulator.OpaqueForeign, emulator.OpaqueExtra,
 }
 
-// failServer makes a server fail its next requests, each in another way.
+// failServer makes a server fail its next requests, one after the other in different ways.
 func (s *soakRun) failServer(e faultEvent) {
 	server, _ := s.targetServer(e)
 	server.Fail(slices.Repeat(failures, 1+maxFailures/len(failures)+1)[e.target%len(failures):][:e.scaled(maxFailures-1)]...)
--- a/soaker/limits.go
+++ b/soaker/limits.go
@@ -9,38 +9,38 @@
 )
 
 const (
-	maxLimitDuration           = 8 * time.Second                         // how long a server names a limit
-	maxRateLimit               = 4.0                                     // requests a second
-	limitOvershoot, limitSlack = 1.5, 5                                  // a server may get so many times what its limit allows, and so many requests (as the users' deployments have it)
-	limitWindow, limitDelay    = 4 * time.Second, 500 * time.Millisecond // in any window, by routers that have known for so long
+	maxLimitDuration           = 8 * time.Second                         // longest time for which a server advertises a rate limit
+	maxRateLimit               = 4.0                                     // requests per second
+	limitOvershoot, limitSlack = 1.5, 5                                  // a server may get this multiple of its limit, and this many requests more (as in the users' deployments)
+	limitWindow, limitDelay    = 4 * time.Second, 500 * time.Millisecond // in any window of this length, from routers that have known the limit for this long
 )
 
-// limitInterval is a time in which a server names a limit.
+// limitInterval is an interval in which a server advertises a rate limit.
 type limitInterval struct {
 	server string
 	rate   float64
 	interval
 }
 
-// limitServer has a server name a limit for a while.
+// limitServer makes a server advertise a rate limit for a while.
 func (s *soakRun) limitServer(e faultEvent) {
 	server, _ := s.targetServer(e)
 	rate := maxRateLimit * e.severity
 	server.Limit(strconv.FormatFloat(rate, 'f', 2, 64))
 	from := time.Now()
-	s.logf("%s names a limit of %.2f a second", server.ID, rate)
+	s.logf("%s advertises a rate limit of %.2f requests/s", server.ID, rate)
 	time.Sleep(maxLimitDuration/2 + e.duration)
 	server.Limit("")
-	s.logf("%s names no limit any more", server.ID)
+	s.logf("%s advertises no rate limit any more", server.ID)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.limits = append(s.limits, limitInterval{server.ID, rate, interval{from, time.Now()}})
 }
 
-// checkRateLimits checks that no server got more than its limit allows from the routers that it had told.
+// checkRateLimits checks that no server got more than its rate limit allows from the routers that had received the limit.
 func (s *soakRun) checkRateLimits() {
 	for _, l := range s.limits {
-		// Another fault may have lengthened or ended it.
+		// Another fault may have changed or ended the limit early.
 		overlaps := func(o limitInterval) bool {
 			return o != l && o.server == l.server && o.from.Before(l.to) && l.from.Before(o.to)
 		}
@@ -53,15 +53,15 @@
 				sent = append(sent, r.At)
 			}
 		}
-		most, allowed := maxWithin(sent, limitWindow), int(limitOvershoot*l.rate*limitWindow.Seconds()+limitSlack)
-		s.logf("%s got %d requests in %s of its limit of %.2f, %d are allowed", l.server, most, limitWindow, l.rate, allowed)
-		if most > allowed {
-			s.reportViolation(promiseLimited, "%s had named a limit of %.2f a second and got %d requests in %s, %d are allowed", l.server, l.rate, most, limitWindow, allowed)
+		peak, allowed := maxWithin(sent, limitWindow), int(limitOvershoot*l.rate*limitWindow.Seconds()+limitSlack)
+		s.logf("%s got %d requests within %s under its limit of %.2f requests/s, %d are allowed", l.server, peak, limitWindow, l.rate, allowed)
+		if peak > allowed {
+			s.reportViolation(promiseLimited, "%s advertised a rate limit of %.2f requests/s and got %d requests within %s, %d are allowed", l.server, l.rate, peak, limitWindow, allowed)
 		}
 	}
 }
 
-// countsForLimit tells that a run counts for a limit: its router had been told, and was not disturbed.
+// countsForLimit reports whether a run counts towards a limit: its router had received the limit and was not disturbed.
 func (s *soakRun) countsForLimit(r emulator.OpaqueRun, l limitInterval) bool {
 	q := s.requests[r.ID]
 	if q == nil || r.At.Before(l.from.Add(stabilityPeriod)) || r.At.After(l.to) || !s.isUndisturbed(r.At.Add(-limitWindow-stabilityPeriod), r.At, contactTargets(q.router)...) {
@@ -73,8 +73,8 @@
 	})
 }
 
-// maxWithin is the most times in any window.
-func maxWithin(times []time.Time, window time.Duration) (most int) {
+// maxWithin returns the largest number of times within any window.
+func maxWithin(times []time.Time, window time.Duration) (count int) {
 	for i, first := range times {
 		n := 0
 		for _, at := range times[i:] {
@@ -82,7 +82,7 @@
 				n++
 			}
 		}
-		most = max(most, n)
+		count = max(count, n)
 	}
-	return most
+	return count
 }
--- a/soaker/prober.go
+++ b/soaker/prober.go
@@ -7,24 +7,26 @@
 )
 
 const (
-	// applyTimeout and narrowApplyTimeout are how long after its acceptance a configuration is in force at routers in touch:
-	// as the users' deployments have it, where all links are fast and where some have 10 Mbit/s, which carry the largest
-	// configuration in 0.93 s, and twice where it has changed meanwhile. applySlack is what a busy machine adds.
+	// applyTimeout and narrowApplyTimeout are the times within which routers in contact with the store apply an accepted
+	// configuration, as in the users' deployments: the first if all network links are fast, the second if some have 10 Mbit/s.
+	// Such a link carries the largest configuration in 0.93 s, and carries it twice if it has changed meanwhile. applySlack
+	// is added for a busy machine.
 	applyTimeout, narrowApplyTimeout = 2 * time.Second, 3 * time.Second
 	applySlack                       = 500 * time.Millisecond
-	stabilityPeriod                  = 3 * time.Second                     // what was undisturbed for so long is in touch
-	probeInterval, probeTimeout      = 100 * time.Millisecond, time.Second // between two probes of a router, and for one
+	stabilityPeriod                  = 3 * time.Second                     // a router whose targets were undisturbed for this long is in contact with the store
+	probeInterval, probeTimeout      = 100 * time.Millisecond, time.Second // between the probes of a router; for one probe
 )
 
-// prober asks one router, past its link, for the path of the newest version and of the newest that is due.
+// prober requests from one router, not through its proxy, the path of the newest version and of the newest version that the
+// router must have applied.
 type prober struct {
 	*caller
 	process           *process
-	seen, incarnation int64 // the newest version that the present life of the router has served
-	missed            int64 // the newest version of which it was noted that the router did not know it in time
+	seen, incarnation int64 // the newest version that the router's current incarnation has served; that incarnation
+	missed            int64 // the newest version for which a violation was reported because the router did not apply it in time
 }
 
-// probe asks until the soak ends.
+// probe sends probes until the soak ends.
 func (p *prober) probe(done <-chan struct{}) {
 	p.transport.DisableKeepAlives = true
 	for {
@@ -38,7 +40,7 @@
 	}
 }
 
-// maxApplyTime is how long a configuration may take to be in force.
+// maxApplyTime returns how long routers may take to apply a configuration.
 func (s *soakRun) maxApplyTime() time.Duration {
 	if s.narrow {
 		return narrowApplyTimeout + applySlack
@@ -46,9 +48,10 @@
 	return applyTimeout + applySlack
 }
 
+// probeVersion requests the path of a version and checks the answer, unless the router restarted meanwhile.
 func (p *prober) probeVersion(v version) {
-	if life := p.process.incarnation.Load(); life != p.incarnation {
-		p.incarnation, p.seen = life, 0
+	if incarnation := p.process.incarnation.Load(); incarnation != p.incarnation {
+		p.incarnation, p.seen = incarnation, 0
 	}
 	q := p.requestVersion(v)
 	if p.process.incarnation.Load() != p.incarnation {
@@ -58,13 +61,14 @@
 		p.seen = max(p.seen, v.Number)
 	}
 	if q.status == http.StatusNotFound && p.seen >= v.Number {
-		p.soak.reportViolation(promiseNoReturn, "router-%d served version %d, and does not know version %d now", q.router, p.seen, v.Number)
+		p.soak.reportViolation(promiseNoReturn, "router-%d served version %d, but does not know version %d now", q.router, p.seen, v.Number)
 	}
 	age := q.sentAt.Sub(v.acceptedAt)
 	if q.status != http.StatusNotFound || age <= p.soak.maxApplyTime() || v.Number <= p.missed {
 		return
 	}
-	// A version is due only where router and store were in touch all the while; that they starved is seen after the next look.
+	// Only a router that was in contact with the store all the time must know the version. Starvation is recorded at the
+	// next poll.
 	time.Sleep(2 * starvationPollInterval)
 	if age <= p.soak.maxApplyTime()+p.soak.delaySince(q.router, v.acceptedAt) {
 		return
@@ -75,7 +79,7 @@
 	}
 }
 
-// requestVersion asks for the path of a version; it sends nothing where there is none.
+// requestVersion requests the path of a version; it sends nothing if the version's number is zero.
 func (c *caller) requestVersion(v version) *request {
 	q := &request{timeLimit: probeTimeout, waitTimeout: probeTimeout + answerSlack, route: route{pool: "plain", repeatable: true}}
 	if v.Number > 0 {
@@ -84,15 +88,15 @@
 	return q
 }
 
-// awaitVersion asks until a router knows a version's path. Nothing excuses a router that does not know it by then, so that one
-// which never takes a configuration is noticed on a machine, too, that holds routers up again and again.
+// awaitVersion sends requests until a router knows a version's path. A router that does not know it by the deadline has no
+// excuse, so a router that never applies a configuration is found even on a machine on which routers starve again and again.
 func (c *caller) awaitVersion(ctx context.Context, v version, until time.Time) {
 	for ctx.Err() == nil {
 		q := c.requestVersion(v)
 		switch q.status {
 		case 0, http.StatusNotFound, http.StatusServiceUnavailable:
 		default:
-			// It has the route, even where its servers are slow.
+			// The router has the route, even if its servers are slow.
 			return
 		}
 		if time.Now().After(until) {
--- /dev/null
+++ b/soaker/proxy.go
@@ -0,0 +1,121 @@
+package soaker
+
+import (
+	"net"
+	"sync"
+	"sync/atomic"
+	"time"
+)
+
+const (
+	// chunkBytes is how much a proxy reads at once: a few packets, so that a slow proxy forwards bytes evenly.
+	chunkBytes = 16 << 10
+	// cutPollInterval is the time between two checks whether a cut has ended.
+	cutPollInterval = 5 * time.Millisecond
+)
+
+// condition is how a proxy impairs its traffic: cut holds back all bytes, delay delays each chunk, and rate limits the bytes per
+// second in each direction unless it is zero.
+type condition struct {
+	cut   bool
+	delay time.Duration
+	rate  float64
+}
+
+// proxy is a TCP proxy between a loopback listener and one target.
+type proxy struct {
+	net.Listener
+	target  string
+	usual   condition
+	current atomic.Pointer[condition]
+
+	mu     sync.Mutex
+	conns  []*net.TCPConn
+	freeAt [2]time.Time // when the rate allows each direction its next bytes
+}
+
+// newProxy starts a proxy to a target.
+func newProxy(target string, c condition) *proxy {
+	p := &proxy{Listener: listen(), target: target, usual: c}
+	p.current.Store(&c)
+	go p.accept()
+	return p
+}
+
+// listen listens on a free loopback port. It panics if there is none, as httptest does.
+func listen() net.Listener {
+	l, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		panic(err)
+	}
+	return l
+}
+
+// reset ends all connections with a TCP reset.
+func (p *proxy) reset() {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	for _, c := range p.conns {
+		_ = c.SetLinger(0)
+		_ = c.Close()
+	}
+}
+
+func (p *proxy) accept() {
+	for {
+		near, err := p.Accept()
+		if err != nil {
+			return
+		}
+		far, err := net.Dial("tcp", p.target)
+		if err != nil {
+			_ = near.Close()
+			continue
+		}
+		go p.relay(near.(*net.TCPConn), far.(*net.TCPConn))
+	}
+}
+
+// relay forwards bytes in both directions until both have ended.
+func (p *proxy) relay(near, far *net.TCPConn) {
+	p.mu.Lock()
+	p.conns = append(p.conns, near, far)
+	p.mu.Unlock()
+	var wg sync.WaitGroup
+	wg.Go(func() { p.forward(0, far, near) })
+	wg.Go(func() { p.forward(1, near, far) })
+	wg.Wait()
+	_, _ = near.Close(), far.Close()
+}
+
+// forward forwards bytes in one direction. It ends with a CloseWrite, also after a reset of the other end.
+func (p *proxy) forward(direction int, to, from *net.TCPConn) {
+	defer to.CloseWrite()
+	buffer := make([]byte, chunkBytes)
+	for {
+		n, err := from.Read(buffer)
+		time.Sleep(time.Until(p.waitTurn(direction, n)))
+		if _, failed := to.Write(buffer[:n]); err != nil || failed != nil {
+			return
+		}
+	}
+}
+
+// waitTurn waits for the end of a cut and returns the time at which n bytes of a direction may be forwarded.
+func (p *proxy) waitTurn(direction, n int) time.Time {
+	c := p.current.Load()
+	for ; c.cut; c = p.current.Load() {
+		time.Sleep(cutPollInterval)
+	}
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	due := time.Now()
+	if c.rate > 0 {
+		if p.freeAt[direction].After(due) {
+			due = p.freeAt[direction]
+		}
+		due = due.Add(time.Duration(float64(n) / c.rate * float64(time.Second)))
+		p.freeAt[direction] = due
+	}
+	return due.Add(c.delay)
+}
--- /dev/null
+++ b/soaker/signals.go
@@ -0,0 +1,87 @@
+package soaker
+
+import (
+	"slices"
+	"strconv"
+	"time"
+
+	"github.com/masticway/masticway/emulator"
+)
+
+const (
+	maxBackoff                     = 3 * time.Second           // longest backoff that a server asks for
+	backoffDelay, maxSentInBackoff = 500 * time.Millisecond, 2 // this long after it was asked, a router may send at most this many requests (as in the users' deployments)
+	refusalsPerBackoff             = 6                         // requests that a server refuses with the same backoff
+)
+
+// announceDrain drains a server that announces this only in its answers, not in its row, and starts the server's next
+// incarnation.
+func (s *soakRun) announceDrain(e faultEvent) {
+	old, slot := s.targetServer(e)
+	s.startServer(slot)
+	old.Leave()
+	s.logf("%s announces in its answers that it drains", old.ID)
+	s.mu.Lock()
+	s.drainAnnouncedAt[old.ID] = time.Now()
+	s.mu.Unlock()
+	time.Sleep(2*maxDrainDelay + extraServingTime)
+	s.beginDisturbance(e.kind, old.ID, 0)
+	old.Close()
+	old.Deregister(s.rows)
+}
+
+// requestBackoff makes a server refuse its next requests and ask for a backoff.
+func (s *soakRun) requestBackoff(e faultEvent) {
+	server, _ := s.targetServer(e)
+	seconds := strconv.FormatFloat(e.duration.Seconds(), 'f', 2, 64)
+	server.Rest(seconds)
+	server.Fail(slices.Repeat([]emulator.OpaqueFault{emulator.OpaqueFull}, refusalsPerBackoff)...)
+	s.logf("%s refuses requests and asks for a backoff of %s s", server.ID, seconds)
+}
+
+// isRouterUndisturbed reports whether a router itself was undisturbed in an interval, whether or not its store was.
+func (s *soakRun) isRouterUndisturbed(router int, from, to time.Time) bool {
+	return s.isUndisturbed(from, to, routerTarget(router), plannedTarget(router), starvedTarget(router))
+}
+
+// checkBackoff checks that routers that a server asked to back off did.
+func (s *soakRun) checkBackoff(server *emulator.OpaqueServer) {
+	arrivals := server.Arrivals()
+	for _, refused := range arrivals {
+		q := s.requests[refused.ID]
+		seconds, err := strconv.ParseFloat(refused.Rest, 64)
+		if q == nil || err != nil {
+			continue
+		}
+		until := refused.At.Add(time.Duration(seconds * float64(time.Second)))
+		sent := 0
+		for _, a := range arrivals {
+			if other := s.requests[a.ID]; other != nil && other.router == q.router && a.At.After(refused.At.Add(backoffDelay)) && a.At.Before(until) {
+				sent++
+			}
+		}
+		if sent > maxSentInBackoff && s.isRouterUndisturbed(q.router, refused.At.Add(-stabilityPeriod), until) {
+			s.reportViolation(promiseRested, "%s asked router-%d to back off for %.2f s at %s and got %d requests from it", server.ID, q.router, seconds, refused.At.UTC().Format(clockFormat), sent)
+		}
+	}
+}
+
+// checkAnnouncedDrain checks that a run is not from a router that already had an answer in which the server announced that it
+// drains. This holds also for routers without contact with the store.
+func (s *soakRun) checkAnnouncedDrain(r emulator.OpaqueRun, q *request) {
+	announcedAt, ok := s.drainAnnouncedAt[r.Server]
+	if !ok || r.At.Sub(announcedAt) <= maxDrainDelay+timingSlack {
+		return
+	}
+	for _, o := range s.ledger.Runs() {
+		other := s.requests[o.ID]
+		if o.Server != r.Server || other == nil || other.router != q.router || other.signedBy != r.Server || o.At.Before(announcedAt) {
+			continue
+		}
+		// The router had the announcement by the time when it had forwarded the answer.
+		if q.sentAt.Sub(other.endedAt) > maxDrainDelay && s.isRouterUndisturbed(q.router, other.endedAt.Add(-stabilityPeriod), r.At) {
+			s.reportViolation(promiseDrained, "%s got a request %s after an answer announced that it drains: %s", r.Server, r.At.Sub(other.endedAt).Round(time.Millisecond), q)
+			return
+		}
+	}
+}
--- a/soaker/soak.go
+++ b/soaker/soak.go
@@ -16,35 +16,36 @@
 )
 
 const (
-	// MostRouters is the most routers of a soak, a few hundred processes.
+	// MostRouters is the largest number of routers of a soak; each is a process.
 	MostRouters                     = 200
-	callersPerRouter                = 12                               // callers for each router
-	recoveryTimeout, recoveryTokens = 12 * time.Second, 5_000_000      // requests are served so long after all faults (as the users' deployments have it) and a top-up
-	narrowBandwidth, narrowEvery    = 10e6 / 8, 3                      // a machine's narrow link of 10 Mbit/s in bytes a second, in one soak of so many
-	maxEvents, maxEventPause        = 10, 250 * time.Millisecond       // of a stream, and between two
-	minGrace, extraGrace            = 5 * time.Second, 3 * time.Second // routers have so long to end after SIGTERM, or so much more as is usual
-	maxWork                         = 250 * time.Millisecond           // what other answers take, far less than a router waits before it asks another server
-	slowWork, slowEvery             = time.Second, 8                   // more than that, in one soak of so many
+	callersPerRouter                = 12
+	recoveryTimeout, recoveryTokens = 12 * time.Second, 5_000_000      // until requests are served again after all faults (as in the users' deployments); the top-up before it
+	narrowBandwidth, narrowEvery    = 10e6 / 8, 3                      // bytes per second of a narrow network link of 10 Mbit/s, used in one of this many soaks
+	maxEvents, maxEventPause        = 10, 250 * time.Millisecond       // of a stream; between two events
+	minGrace, extraGrace            = 5 * time.Second, 3 * time.Second // grace period of routers after SIGTERM; what is added to it in half of the soaks, as is usual
+	maxWork                         = 250 * time.Millisecond           // duration of answers that are no streams, far less than a router waits before it tries another server
+	slowWork, slowEvery             = time.Second, 8                   // a longer duration than that wait, used in one of this many soaks
 )
 
-// Soak is a run as asked for.
+// Soak configures a soak.
 type Soak struct {
 	Seed               uint64
 	Duration           time.Duration
 	Routers            int
-	Program, Directory string   // the built program, and where settings and logs go
-	Kinds              []string // the kinds of faults that are drawn, all when there are none
+	Program, Directory string   // the built program; the directory for settings and logs
+	Kinds              []string // the kinds of faults that are drawn; if empty, all that have a weight
 }
 
-// Report is what a soak saw.
+// Report is the result of a soak.
 type Report struct {
 	Requests, Served, Resumed, Versions, Faults int
-	// Starved is how often the machine held a router or the soak up, which excuses what came in that time.
+	// Starved counts how often a router or the soak waited too long for a processor. What is late or missing at these times is
+	// no violation.
 	Starved    int
 	Violations []Violation
 }
 
-// soakRun is a soak that is under way.
+// soakRun is the state of a running soak.
 type soakRun struct {
 	Soak
 	random             *rand.Rand
@@ -53,19 +54,19 @@
 	store              *http.Server
 	ledger             *emulator.OpaqueLedger
 	processes          []*process
-	routers            map[string]int // the processes by the addresses that callers connect to
+	routers            map[string]int // index of the process by the address that callers connect to
 	faults             sync.WaitGroup
-	events             int           // of a stream
-	pause, work, grace time.Duration // between two events, of other answers, and for a router's end
-	narrow             bool          // tells that links are narrow
+	events             int           // per stream
+	pause, work, grace time.Duration // between two events; duration of other answers; grace period of routers
+	narrow             bool          // network links to the store are narrow
 
 	mu               sync.Mutex
-	servers          []*emulator.OpaqueServer // the present lives of all servers
-	incarnations     int                      // the number of all lives
-	drainAcceptedAt  map[string]time.Time     // when the store accepted that a life ends
-	drainAnnouncedAt map[string]time.Time     // when a life began to say in its answers that it ends
-	all              []*emulator.OpaqueServer // all lives of servers
-	limits           []limitInterval          // the times in which servers named limits
+	servers          []*emulator.OpaqueServer // the current incarnations, by slot
+	incarnations     int                      // number of incarnations of all servers
+	drainAcceptedAt  map[string]time.Time     // when the store accepted that a server drains
+	drainAnnouncedAt map[string]time.Time     // when a server started to announce in its answers that it drains
+	all              []*emulator.OpaqueServer // all incarnations of servers
+	limits           []limitInterval          // the intervals in which servers advertised rate limits
 	versions         []version
 	prepaid          map[string]int64
 	delivered        map[string]int64
@@ -75,12 +76,12 @@
 	violations       []Violation
 	served           int
 	resumed          int
-	faultsDrawn      int // faults
+	faultsDrawn      int
 }
 
-// Run runs the soak; the error says that it could not be carried out, the report what it saw.
+// Run runs the soak and returns its report. The error is not nil if the soak could not be carried out or ctx ended.
 func (o Soak) Run(ctx context.Context) (Report, error) {
-	// A directory that cannot be made has no log.
+	// If this fails, so does creating the log.
 	_ = os.MkdirAll(o.Directory, 0o755)
 	log, err := os.Create(filepath.Join(o.Directory, "soak.log"))
 	if err != nil {
@@ -110,7 +111,7 @@
 	return Report{Requests: len(s.requests), Served: s.served, Resumed: s.resumed, Versions: len(s.versions), Faults: s.faultsDrawn, Starved: s.starvationCount(), Violations: s.violations}, ctx.Err()
 }
 
-// start starts store, servers and routers.
+// start starts the store, the servers and the routers.
 func (s *soakRun) start() error {
 	listener := listen()
 	go func() { _ = s.store.Serve(listener) }()
@@ -121,15 +122,15 @@
 	if s.random.IntN(slowEvery) == 0 {
 		s.work = slowWork
 	}
-	s.logf("links of %.0f bytes a second, %d events each %s, work of %s, grace of %s", c.rate, s.events, s.pause, s.work, s.grace)
+	s.logf("store links of %.0f bytes/s (0 is unlimited), %d events per stream every %s, other answers take %s, grace period %s", c.rate, s.events, s.pause, s.work, s.grace)
 	for slot := range pools {
 		s.startServer(slot)
 	}
 	s.configure(0, 0)
-	// Addresses are drawn without the seed, so that soaks at the same time share none.
+	// The addresses do not depend on the seed, so that concurrent soaks do not share them.
 	subnet := fmt.Sprintf("127.%d.%d.", 1+rand.IntN(254), rand.IntN(256))
 	for i := range s.Routers {
-		// Each router is told of itself and of the first.
+		// Each router gets its own address and that of the first router as seeds.
 		seeds := []string{fmt.Sprintf("%s%d:%d", subnet, 1, peerPort), fmt.Sprintf("%s%d:%d", subnet, 1+i, peerPort)}
 		if err := s.addRouter(fmt.Sprint(subnet, 1+i), listener.Addr().String(), seeds, c); err != nil {
 			return err
@@ -143,7 +144,7 @@
 	return nil
 }
 
-// startLoad starts callers and probers, and the watch over the machine.
+// startLoad starts the callers, the probers and the watch for starvation.
 func (s *soakRun) startLoad(load *sync.WaitGroup, done <-chan struct{}) {
 	load.Go(func() { s.watchStarvation(done) })
 	var addresses []string
@@ -158,7 +159,7 @@
 	}
 }
 
-// injectFaults draws faults and carries each out beside the others, until the time is over.
+// injectFaults draws faults and injects them at their times, concurrently, until the duration of the soak is over.
 func (s *soakRun) injectFaults(ctx context.Context) {
 	var lots []string
 	for _, name := range Kinds() {
@@ -178,14 +179,14 @@
 		}
 		e := faultEvent{kind: lots[s.random.IntN(len(lots))], target: s.random.IntN(1 << 16), severity: s.random.Float64()}
 		e.duration = minDuration + time.Duration(s.random.Float64()*float64(kinds[e.kind].maxDuration))
-		s.logf("%s target %d size %.2f length %s", e.kind, e.target, e.severity, e.duration)
+		s.logf("%s target %d severity %.2f duration %s", e.kind, e.target, e.severity, e.duration)
 		s.faultsDrawn++
 		s.faults.Go(func() { kinds[e.kind].inject(s, e) })
 	}
 }
 
-// checkRecovery checks that each router serves each kind of request again, by the configuration accepted last; what is paid for is
-// enough.
+// checkRecovery checks that each router serves requests to each route again and applies the last accepted configuration. It
+// first pays enough tokens to all workspaces.
 func (s *soakRun) checkRecovery(ctx context.Context) {
 	s.configure(0, recoveryTokens, workspaces...)
 	last := s.newestVersion(time.Now())
--- a/soaker/starvation.go
+++ b/soaker/starvation.go
@@ -10,11 +10,12 @@
 )
 
 const (
-	maxSchedulingDelay     = 300 * time.Millisecond // a thread that has waited longer for a processor was slowed down by the machine
-	starvationPollInterval = 200 * time.Millisecond // between two looks
+	maxSchedulingDelay     = 300 * time.Millisecond // a thread that waited longer for a processor was starved
+	starvationPollInterval = 200 * time.Millisecond // between two polls
 )
 
-// watchStarvation notes as a disturbance where the machine itself held up a router, or the soak with callers, store and servers.
+// watchStarvation records a disturbance of a router whenever the router waited too long for a processor, or the soak itself did,
+// which runs the callers, the store and the servers.
 func (s *soakRun) watchStarvation(done <-chan struct{}) {
 	w := threadWaits{}
 	for {
@@ -34,7 +35,7 @@
 	}
 }
 
-// starvationCount counts how often the machine held a router or the soak up.
+// starvationCount returns how often routers were starved.
 func (s *soakRun) starvationCount() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -45,20 +46,20 @@
 	return n
 }
 
-// schedulingDelay is how long a router and the soak waited for a processor, one after the other, until a moment.
+// schedulingDelay is how long a router and the soak together waited for a processor in the poll interval that ended at a time.
 type schedulingDelay struct {
 	at     time.Time
 	length time.Duration
 }
 
-// recordDelay notes what a look has found of a router.
-func (s *soakRun) recordDelay(router int, waits time.Duration) {
+// recordDelay records the scheduling delay of a router at a poll.
+func (s *soakRun) recordDelay(router int, delay time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.delays[router] = append(s.delays[router], schedulingDelay{at: time.Now(), length: waits})
+	s.delays[router] = append(s.delays[router], schedulingDelay{at: time.Now(), length: delay})
 }
 
-// delaySince returns how long the machine has held a router up since a moment; many short waits delay as one long one does.
+// delaySince returns the total scheduling delay of a router since a time; many short waits delay a router as one long wait does.
 func (s *soakRun) delaySince(router int, from time.Time) (d time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -70,14 +71,15 @@
 	return d
 }
 
-// threadWaits is how long each thread has been ready and not running until the last look, by the file in which the kernel counts.
+// threadWaits has the total time that each thread had waited for a processor at the last poll, by the path of the thread's
+// schedstat file.
 type threadWaits map[string]time.Duration
 
-// longest returns the longest wait of a process's threads since the last look.
+// longest returns the longest wait of any of a process's threads since the last poll.
 func (w threadWaits) longest(pid int) (d time.Duration) {
 	files, _ := filepath.Glob(fmt.Sprintf("/proc/%d/task/*/schedstat", pid))
 	for _, file := range files {
-		// A thread that has just ended has no count.
+		// The file of a thread that has just ended cannot be read.
 		data, _ := os.ReadFile(file)
 		if counts := strings.Fields(string(data)); len(counts) > 1 {
 			ns, _ := strconv.ParseInt(counts[1], 10, 64)
