--- a/soaker/soaker_test.go
+++ b/soaker/soaker_test.go
@@ -17,15 +17,15 @@
 	"github.com/masticway/masticway/soaker"
 )
 
-// building lets one build run at a time; each uses all processors that it may.
-var building sync.Mutex
+// buildMu serializes builds, each of which uses all processors that it may.
+var buildMu sync.Mutex
 
-// build builds the program, with files of its source replaced, and returns its path.
-func build(t *testing.T, replaced map[string]string) string {
-	building.Lock()
-	defer building.Unlock()
+// build builds the program with some of its source files replaced, and returns its path.
+func build(t *testing.T, replacements map[string]string) string {
+	buildMu.Lock()
+	defer buildMu.Unlock()
 	directory := t.TempDir()
-	overlay, err := json.Marshal(struct{ Replace map[string]string }{replaced})
+	overlay, err := json.Marshal(struct{ Replace map[string]string }{replacements})
 	qt.Assert(t, err, qt.IsNil)
 	list := filepath.Join(directory, "overlay.json")
 	qt.Assert(t, os.WriteFile(list, overlay, 0o644), qt.IsNil)
@@ -37,10 +37,10 @@
 	return program
 }
 
-// programPath is where the product is built.
+// programPath is where the unchanged program is built.
 var programPath = filepath.Join(os.TempDir(), fmt.Sprintf("masticway-soaker-%d", os.Getpid()))
 
-// program is the product, built once.
+// program returns the path of the unchanged program, which it builds once.
 var program = sync.OnceValues(func() (string, error) {
 	c := exec.Command("go", "build", "-o", programPath, "./cmd/masticway")
 	c.Dir = ".."
@@ -57,14 +57,14 @@
 	os.Exit(code)
 }
 
-// running lets few soaks run at a time, so that they do not hold each other up.
-var running = make(chan struct{}, 4)
+// soakSlots limits the number of concurrent soaks, so that they do not slow each other down.
+var soakSlots = make(chan struct{}, 4)
 
-// soak runs a soak, no longer than the limit, and returns its report.
-func soak(t *testing.T, s soaker.Soak, limit time.Duration) soaker.Report {
-	running <- struct{}{}
-	defer func() { <-running }()
-	ctx, cancel := context.WithTimeout(context.Background(), limit)
+// soak runs a soak, cancels it after a timeout, and returns its report.
+func soak(t *testing.T, s soaker.Soak, timeout time.Duration) soaker.Report {
+	soakSlots <- struct{}{}
+	defer func() { <-soakSlots }()
+	ctx, cancel := context.WithTimeout(context.Background(), timeout)
 	defer cancel()
 	report, err := s.Run(ctx)
 	if ctx.Err() == nil {
@@ -73,8 +73,8 @@
 	return report
 }
 
-// keepPromises runs a soak in which nothing may be violated; the logs of one that failed stay.
-func keepPromises(t *testing.T, s soaker.Soak) {
+// assertPromisesKept runs a soak and fails the test on any violation. The logs of a failed soak are kept.
+func assertPromisesKept(t *testing.T, s soaker.Soak) {
 	var err error
 	s.Program, err = program()
 	qt.Assert(t, err, qt.IsNil)
@@ -92,68 +92,72 @@
 	for _, seed := range []uint64{101, 103, 108} {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
-			keepPromises(t, soaker.Soak{Seed: seed, Duration: 6 * time.Second, Routers: 2})
+			assertPromisesKept(t, soaker.Soak{Seed: seed, Duration: 6 * time.Second, Routers: 2})
 		})
 	}
 }
 
-// failedSeeds are soaks that failed for a fault of the product, by its cause; they stay as cases when it is mended.
+// failedSeeds has soaks that failed because of a fault of the product, by the cause; they stay as regression tests.
 var failedSeeds = map[string]soaker.Soak{
-	// A row of 0.9 MB takes as long on a link of 10 Mbit/s as a call to the store may, and a feed carries all versions.
+	// A row of 0.9 MB takes as long on a network link of 10 Mbit/s as a call to the store may, and a watch returns all versions.
 	"grown configuration over a narrow link": {Seed: 2, Duration: 8 * time.Second, Routers: 2, Kinds: []string{"grow", "configure"}},
-	// Requests that may be repeated are left after 0.7 of the route's target also when no allowance is left for another try.
-	"servers slower than the target":             {Seed: 12, Duration: 8 * time.Second, Routers: 2, Kinds: []string{"configure"}},
-	"servers slower than the target, and faults": {Seed: 102, Duration: 6 * time.Second, Routers: 2},
+	// Repeatable requests were handed over to another server after 0.7 of the route's latency objective even if no retry was left
+	// for the other server.
+	"servers slower than the latency objective":             {Seed: 12, Duration: 8 * time.Second, Routers: 2, Kinds: []string{"configure"}},
+	"servers slower than the latency objective, and faults": {Seed: 102, Duration: 6 * time.Second, Routers: 2},
 }
 
 func TestGrownConfigurationOverANarrowLink(t *testing.T) {
 	t.Parallel()
-	keepPromises(t, failedSeeds["grown configuration over a narrow link"])
+	assertPromisesKept(t, failedSeeds["grown configuration over a narrow link"])
 }
 
-func TestServersSlowerThanTheTarget(t *testing.T) {
+func TestServersSlowerThanTheLatencyObjective(t *testing.T) {
 	t.Parallel()
-	keepPromises(t, failedSeeds["servers slower than the target"])
-	keepPromises(t, failedSeeds["servers slower than the target, and faults"])
+	assertPromisesKept(t, failedSeeds["servers slower than the latency objective"])
+	assertPromisesKept(t, failedSeeds["servers slower than the latency objective, and faults"])
 }
 
-// TestRequestsThatCrashServersAreKeptFromThem has such requests come again while routers die and the store fails.
+// TestRequestsThatCrashServersAreKeptFromThem guards against routers that go on sending such a request to servers because they
+// forgot its crashes when they were killed or had no contact with the store.
 func TestRequestsThatCrashServersAreKeptFromThem(t *testing.T) {
 	t.Parallel()
-	keepPromises(t, soaker.Soak{Seed: 1, Duration: 8 * time.Second, Routers: 3, Kinds: []string{"deadly_request", "kill", "store_busy", "store_cut", "history_forgotten"}})
+	assertPromisesKept(t, soaker.Soak{Seed: 1, Duration: 8 * time.Second, Routers: 3, Kinds: []string{"deadly_request", "kill", "store_busy", "store_cut", "history_forgotten"}})
 }
 
-// TestWordsOfServersAreHeardUnderFaults: limits, wishes for rest and leaving are forgotten when routers die or the store is away.
-func TestWordsOfServersAreHeardUnderFaults(t *testing.T) {
+// TestSignalsOfServersAreHonoredUnderFaults guards against rate limits, backoffs and drains of servers that are forgotten when
+// routers end or have no contact with the store.
+func TestSignalsOfServersAreHonoredUnderFaults(t *testing.T) {
 	t.Parallel()
-	keepPromises(t, soaker.Soak{Seed: 3, Duration: 9 * time.Second, Routers: 3, Kinds: []string{"server_limits", "server_rests", "server_leaves", "server_drains", "kill", "term", "store_cut", "store_silent"}})
+	assertPromisesKept(t, soaker.Soak{Seed: 3, Duration: 9 * time.Second, Routers: 3, Kinds: []string{"server_limits", "server_rests", "server_leaves", "server_drains", "kill", "term", "store_cut", "store_silent"}})
 }
 
-// brokenLimit bounds a soak of a broken program: its start, five seconds, and what is checked after all faults.
-const brokenLimit = 40 * time.Second
+// brokenTimeout limits a soak of a broken program: its start, five seconds of faults, and the checks after them.
+const brokenTimeout = 40 * time.Second
 
-// TestBrokenProgramsFail checks that a soak notices each promise that a program breaks.
+// TestBrokenProgramsFail guards against checks that find nothing: for each promise that a program breaks, a soak must report a
+// violation.
 func TestBrokenProgramsFail(t *testing.T) {
 	t.Parallel()
 	cases := map[string]struct {
-		// file is where the text is replaced by the other one.
-		file, text, by string
+		// In the file, the old text is replaced by the new one.
+		file, old, new string
 		kinds          []string
 		promise        string
 	}{
-		"repeats what must not run twice": {
+		"retries non-repeatable requests": {
 			"forwarder/exchange.go", "\t}\n\treturn false\n}\n\n// refusalFor", "\t}\n\treturn true\n}\n\n// refusalFor",
 			[]string{"server_fails"}, "once",
 		},
-		"calls not run what may have run": {
+		"reports requests of unknown outcome as not run": {
 			"forwarder/exchange.go", "{Status: http.StatusBadGateway, Code: codeUnknown", "{Status: http.StatusServiceUnavailable, Code: codeUnknown",
 			[]string{"server_fails"}, "not_run",
 		},
-		"counts nothing": {
+		"charges no tokens": {
 			"forwarder/exchange.go", "return int64(x.unchargedPrompt() + min(", "return 0 * int64(x.unchargedPrompt() + min(",
 			[]string{"hangup"}, "budget",
 		},
-		"ends at once when told to end": {
+		"exits at once on SIGTERM": {
 			"starter/gateway.go", "d.forwarder.Drain(began.Add(grace - exitBefore))", "d.Kill()",
 			[]string{"term"}, "answered",
 		},
@@ -161,27 +165,27 @@
 			"follower/beliefs.go", "if r.configured && d.Version <= r.deployment.Version {", "if r.configured {",
 			[]string{"configure"}, "in_force",
 		},
-		"uses servers that leave": {
+		"uses draining servers": {
 			"platform/deployment.go", `if w.State != "ready" {`, `if w.State == "" {`,
 			[]string{"server_drains"}, "drained",
 		},
-		"sends what crashes servers again and again": {
+		"goes on sending requests that crash servers": {
 			"examiner/register.go", "return weight >= minWeightToProve", "return weight < 0",
 			[]string{"deadly_request"}, "spared",
 		},
-		"does not hear of limits": {
+		"ignores rate limits": {
 			"platform/dialect.go", "a.Limit, a.LimitInvalid = limit, !valid", "a.LimitInvalid = limit.IsSet || !valid",
 			[]string{"server_limits"}, "limited",
 		},
-		"does not hear that servers leave": {
+		"ignores drains announced in answers": {
 			"platform/dialect.go", "a.Draining, _ = strconv.ParseBool(h.Get(headerDraining))", "a.Draining = false",
 			[]string{"server_leaves"}, "drained",
 		},
-		"does not let servers rest": {
+		"shortens backoffs": {
 			"throttler/rests.go", "now.Add(min(requested, maxBackoff))", "now.Add(min(requested, maxBackoff) / 8)",
 			[]string{"server_rests"}, "rested",
 		},
-		"passes a broken stream off as complete": {
+		"completes a stream that broke off": {
 			"forwarder/relay.go", "if errors.Is(err, io.EOF) && len(bytes.TrimSpace(pending)) == 0 && x.headWritten {", "if errors.Is(err, io.ErrUnexpectedEOF) && x.headWritten || errors.Is(err, io.EOF) && len(bytes.TrimSpace(pending)) == 0 && x.headWritten {",
 			[]string{"server_crashes"}, "whole",
 		},
@@ -193,20 +197,20 @@
 			qt.Assert(t, err, qt.IsNil)
 			source, err := os.ReadFile(file)
 			qt.Assert(t, err, qt.IsNil)
-			qt.Assert(t, strings.Count(string(source), tc.text), qt.Equals, 1, qt.Commentf("%s has changed", tc.file))
+			qt.Assert(t, strings.Count(string(source), tc.old), qt.Equals, 1, qt.Commentf("%s has changed", tc.file))
 			broken := filepath.Join(t.TempDir(), "broken.go")
-			qt.Assert(t, os.WriteFile(broken, []byte(strings.Replace(string(source), tc.text, tc.by, 1)), 0o644), qt.IsNil)
+			qt.Assert(t, os.WriteFile(broken, []byte(strings.Replace(string(source), tc.old, tc.new, 1)), 0o644), qt.IsNil)
 			path := build(t, map[string]string{file: broken})
 			found, starved, versions := map[string]bool{}, 0, 0
-			// On a busy machine one soak may see nothing while it lasts, because what the machine held up does not count.
+			// On a busy machine a single soak may find nothing, because what happens while a router is starved is no violation.
 			for seed := uint64(1); seed <= 6 && !found[tc.promise]; seed++ {
-				report := soak(t, soaker.Soak{Seed: seed, Duration: 5 * time.Second, Routers: 2, Program: path, Directory: t.TempDir(), Kinds: tc.kinds}, brokenLimit)
+				report := soak(t, soaker.Soak{Seed: seed, Duration: 5 * time.Second, Routers: 2, Program: path, Directory: t.TempDir(), Kinds: tc.kinds}, brokenTimeout)
 				starved, versions = starved+report.Starved, versions+report.Versions
 				for _, v := range report.Violations {
 					found[v.Promise] = true
 				}
 			}
-			qt.Assert(t, found[tc.promise], qt.IsTrue, qt.Commentf("only %v; the machine held routers up %d times, %d versions of the configuration", found, starved, versions))
+			qt.Assert(t, found[tc.promise], qt.IsTrue, qt.Commentf("only %v; routers were starved %d times, %d versions of the configuration", found, starved, versions))
 		})
 	}
 }
