--- a/loader/client.go
+++ b/loader/client.go
@@ -16,37 +16,37 @@
 	"github.com/masticway/masticway/starter"
 )
 
-// verdict is how a request ended for its client.
-type verdict string
+// outcome is how a request ended for its client.
+type outcome string
 
 const (
-	verdictOK      verdict = "ok"
-	verdictRefused verdict = "refused"
-	verdictBroken  verdict = "broken"
+	outcomeOK      outcome = "ok"
+	outcomeRefused outcome = "refused"
+	outcomeBroken  outcome = "broken"
 )
 
 // answer is what a client got, in the end.
 type answer struct {
-	verdict verdict
+	outcome outcome
 	status  int
 	code    string
-	run     masticway.Fate
+	fate    masticway.Fate
 	text    string
 	usage   masticway.Usage
 	// id names the request that was answered, for explain.
 	id         string
-	tries      int
+	attempts   int
 	retryAfter time.Duration
 	// firstToken and whole count from the planned arrival.
 	firstToken time.Duration
 	whole      time.Duration
-	gaps       []time.Duration
+	tokenGaps  []time.Duration
 	ended      time.Time
 }
 
 const (
-	// retryMost bounds the pause that a client keeps before it asks again.
-	retryMost = 2 * time.Second
+	// maxRetryPause bounds the pause that a client keeps before it asks again.
+	maxRetryPause = 2 * time.Second
 	// brokenPause is the pause after a broken connection.
 	brokenPause = 50 * time.Millisecond
 )
@@ -60,19 +60,19 @@
 }
 
 // send carries out a planned request, asking again with the same key as the traffic says.
-func (c *client) send(ctx context.Context, p planned, began time.Time) answer {
+func (c *client) send(ctx context.Context, p plannedRequest, began time.Time) answer {
 	var a answer
 	for try := 0; ; try++ {
-		a = c.once(ctx, p, began)
-		a.tries = try + 1
+		a = c.sendOnce(ctx, p, began)
+		a.attempts = try + 1
 		a.ended = time.Now()
 		a.whole = a.ended.Sub(began)
-		if !again(a) || try >= p.traffic.Retries || ctx.Err() != nil {
+		if !shouldRetry(a) || try >= p.traffic.Retries || ctx.Err() != nil {
 			return a
 		}
 		pause := brokenPause
 		if a.retryAfter > 0 {
-			pause = min(a.retryAfter, retryMost)
+			pause = min(a.retryAfter, maxRetryPause)
 		}
 		select {
 		case <-ctx.Done():
@@ -82,21 +82,21 @@
 	}
 }
 
-// again tells whether a client asks again after an answer.
-func again(a answer) bool {
+// shouldRetry tells whether a client asks again after an answer.
+func shouldRetry(a answer) bool {
 	switch {
-	case a.verdict == verdictBroken:
+	case a.outcome == outcomeBroken:
 		return true
-	case a.verdict == verdictOK:
+	case a.outcome == outcomeOK:
 		return false
 	}
 	return a.status == http.StatusServiceUnavailable || a.status == http.StatusGatewayTimeout || a.status == http.StatusConflict || a.status == http.StatusBadGateway
 }
 
-func (c *client) once(ctx context.Context, p planned, began time.Time) answer {
+func (c *client) sendOnce(ctx context.Context, p plannedRequest, began time.Time) answer {
 	routers := c.routers()
 	if len(routers) == 0 {
-		return answer{verdict: verdictBroken, code: "no_router"}
+		return answer{outcome: outcomeBroken, code: "no_router"}
 	}
 	base := routers[rand.IntN(len(routers))].CallerURL
 	url, body := base+"/v1/chat/completions", p.chatBody()
@@ -105,7 +105,7 @@
 	}
 	request, err := http.NewRequestWithContext(ctx, http.MethodPost, url, bytes.NewReader(body))
 	if err != nil {
-		return answer{verdict: verdictBroken, code: err.Error()}
+		return answer{outcome: outcomeBroken, code: err.Error()}
 	}
 	request.Header.Set("Authorization", "Bearer "+c.keys[p.traffic.Workspace])
 	request.Header.Set("Content-Type", "application/json")
@@ -113,7 +113,7 @@
 	request.Header.Set("Masticway-Class", string(p.traffic.Class))
 	response, err := c.http.Do(request)
 	if err != nil {
-		return answer{verdict: verdictBroken, code: "connection"}
+		return answer{outcome: outcomeBroken, code: "connection"}
 	}
 	defer response.Body.Close()
 	a := answer{status: response.StatusCode, id: response.Header.Get("Masticway-Request-Id")}
@@ -121,9 +121,9 @@
 	case p.traffic.Service == "" && strings.HasPrefix(response.Header.Get("Content-Type"), "text/event-stream"):
 		readEvents(response.Body, &a, began)
 	case p.traffic.Service == "" && response.StatusCode == http.StatusOK:
-		readWhole(response.Body, &a, began)
+		readCompletion(response.Body, &a, began)
 	default:
-		readOther(response, &a, p)
+		readErrorOrService(response, &a, p)
 	}
 	return a
 }
@@ -138,8 +138,8 @@
 	return list
 }
 
-// wireError is the error body.
-type wireError struct {
+// errorBody is the error body.
+type errorBody struct {
 	Error *struct {
 		Code       string         `json:"code"`
 		Run        masticway.Fate `json:"run"`
@@ -147,15 +147,15 @@
 	} `json:"error"`
 }
 
-func (a *answer) refuse(e wireError) {
-	a.verdict = verdictRefused
+func (a *answer) setRefusal(e errorBody) {
+	a.outcome = outcomeRefused
 	a.code = e.Error.Code
-	a.run = e.Error.Run
+	a.fate = e.Error.Run
 	a.retryAfter = time.Duration(e.Error.RetryAfter) * time.Millisecond
 }
 
-type wireEvent struct {
-	wireError
+type completionBody struct {
+	errorBody
 	Choices []struct {
 		Delta struct {
 			Content string `json:"content"`
@@ -168,7 +168,7 @@
 }
 
 func readEvents(body io.Reader, a *answer, began time.Time) {
-	a.verdict = verdictBroken
+	a.outcome = outcomeBroken
 	a.code = "stream"
 	var text strings.Builder
 	var last time.Time
@@ -180,18 +180,18 @@
 			continue
 		}
 		if data == "[DONE]" {
-			a.verdict = verdictOK
+			a.outcome = outcomeOK
 			a.text = text.String()
 			return
 		}
-		var e wireEvent
+		var e completionBody
 		if json.Unmarshal([]byte(data), &e) != nil {
 			return
 		}
 		if e.Error != nil {
 			// The status said 200 before the stream broke off.
 			a.status = http.StatusBadGateway
-			a.refuse(e.wireError)
+			a.setRefusal(e.errorBody)
 			return
 		}
 		if e.Usage != nil {
@@ -205,7 +205,7 @@
 			if last.IsZero() {
 				a.firstToken = now.Sub(began)
 			} else {
-				a.gaps = append(a.gaps, now.Sub(last))
+				a.tokenGaps = append(a.tokenGaps, now.Sub(last))
 			}
 			last = now
 			text.WriteString(c.Delta.Content)
@@ -213,13 +213,13 @@
 	}
 }
 
-func readWhole(body io.Reader, a *answer, began time.Time) {
-	var e wireEvent
+func readCompletion(body io.Reader, a *answer, began time.Time) {
+	var e completionBody
 	if err := json.NewDecoder(body).Decode(&e); err != nil || len(e.Choices) == 0 {
-		a.verdict = verdictBroken
+		a.outcome = outcomeBroken
 		return
 	}
-	a.verdict = verdictOK
+	a.outcome = outcomeOK
 	a.firstToken = time.Since(began)
 	a.text = e.Choices[0].Message.Content
 	if e.Usage != nil {
@@ -227,26 +227,26 @@
 	}
 }
 
-func readOther(response *http.Response, a *answer, p planned) {
+func readErrorOrService(response *http.Response, a *answer, p plannedRequest) {
 	data, err := io.ReadAll(response.Body)
 	if err != nil {
-		a.verdict = verdictBroken
+		a.outcome = outcomeBroken
 		return
 	}
-	var e wireError
+	var e errorBody
 	if json.Unmarshal(data, &e) == nil && e.Error != nil {
-		a.refuse(e)
+		a.setRefusal(e)
 		return
 	}
-	a.verdict = verdictBroken
+	a.outcome = outcomeBroken
 	if response.StatusCode == http.StatusOK && p.traffic.Service != "" {
-		a.verdict = verdictOK
+		a.outcome = outcomeOK
 		a.text = string(data)
 	}
 }
 
-// right tells whether an answer is the whole answer to its own request.
-func (p planned) right(a answer) bool {
+// isCorrect tells whether an answer is the whole answer to its own request.
+func (p plannedRequest) isCorrect(a answer) bool {
 	if p.traffic.Service != "" {
 		var echo struct {
 			Echo string `json:"echo"`
--- a/loader/driver.go
+++ b/loader/driver.go
@@ -43,8 +43,8 @@
 	Vars string
 }
 
-// Use is what a watched process used on average.
-type Use struct {
+// ResourceUsage is what a watched process used on average.
+type ResourceUsage struct {
 	// CoreShare is processor time for each second, in parts of a core.
 	CoreShare float64 `json:"core_share"`
 	// ResidentMB is its resident memory at the end.
@@ -55,21 +55,21 @@
 
 // DriveReport is the result of a drive.
 type DriveReport struct {
-	Requests   int              `json:"requests"`
-	OK         int              `json:"ok"`
-	FirstToken measurer.Summary `json:"first_token"`
-	Between    measurer.Summary `json:"between_tokens"`
-	Whole      measurer.Summary `json:"whole"`
-	Uses       map[string]Use   `json:"uses"`
+	Requests      int                      `json:"requests"`
+	OK            int                      `json:"ok"`
+	FirstToken    measurer.Summary         `json:"first_token"`
+	BetweenTokens measurer.Summary         `json:"between_tokens"`
+	Whole         measurer.Summary         `json:"whole"`
+	Usage         map[string]ResourceUsage `json:"uses"`
 }
 
 // ticksPerSecond is the kernel's unit of processor time in /proc.
 const ticksPerSecond = 100
 
 type sample struct {
-	cpu   float64
-	rss   float64
-	bytes float64
+	cpuSeconds float64
+	residentMB float64
+	linkBytes  float64
 }
 
 func (w Watched) sample(ctx context.Context) (sample, error) {
@@ -90,14 +90,14 @@
 		if err != nil {
 			return s, fmt.Errorf("watching %s: %w", w.Name, err)
 		}
-		s.cpu += ticks / ticksPerSecond
+		s.cpuSeconds += ticks / ticksPerSecond
 	}
 	pages, err := strconv.ParseFloat(fields[resident], 64)
 	if err != nil {
 		return s, fmt.Errorf("watching %s: %w", w.Name, err)
 	}
-	s.rss = pages * float64(os.Getpagesize()) / (1 << 20)
-	s.bytes, err = w.linkBytes(ctx)
+	s.residentMB = pages * float64(os.Getpagesize()) / (1 << 20)
+	s.linkBytes, err = w.linkBytes(ctx)
 	return s, err
 }
 
@@ -133,16 +133,16 @@
 		return DriveReport{}, err
 	}
 	began := time.Now()
-	report := d.offer(ctx, began)
+	report := d.offerLoad(ctx, began)
 	seconds := time.Since(began).Seconds()
 	after, err := d.samples(ctx)
 	if err != nil {
 		return DriveReport{}, err
 	}
-	report.Uses = map[string]Use{}
+	report.Usage = map[string]ResourceUsage{}
 	for name, s := range after {
-		report.Uses[name] = Use{
-			CoreShare: (s.cpu - before[name].cpu) / seconds, ResidentMB: s.rss, LinkBytes: (s.bytes - before[name].bytes) / seconds,
+		report.Usage[name] = ResourceUsage{
+			CoreShare: (s.cpuSeconds - before[name].cpuSeconds) / seconds, ResidentMB: s.residentMB, LinkBytes: (s.linkBytes - before[name].linkBytes) / seconds,
 		}
 	}
 	return report, nil
@@ -160,8 +160,8 @@
 	return all, nil
 }
 
-// offer sends requests at random times that never wait for answers.
-func (d Drive) offer(ctx context.Context, began time.Time) DriveReport {
+// offerLoad sends requests at random times that never wait for answers.
+func (d Drive) offerLoad(ctx context.Context, began time.Time) DriveReport {
 	random := rand.New(rand.NewPCG(uint64(d.Seed), 1))
 	client := connector.NewHTTP(nil)
 	var mu sync.Mutex
@@ -177,12 +177,12 @@
 		report.Requests++
 		due := began.Add(at)
 		url := d.Callers[report.Requests%len(d.Callers)]
-		body := d.body(report.Requests)
+		body := d.requestBody(report.Requests)
 		wg.Go(func() {
-			a := d.once(ctx, client, url, body, due)
+			a := d.sendOnce(ctx, client, url, body, due)
 			mu.Lock()
 			defer mu.Unlock()
-			if a.verdict != verdictOK {
+			if a.outcome != outcomeOK {
 				return
 			}
 			report.OK++
@@ -191,39 +191,39 @@
 	}
 	wg.Wait()
 	sleepUntil(ctx, began.Add(d.Duration))
-	report.FirstToken, report.Between, report.Whole = measurer.Summarize(first), measurer.Summarize(between), measurer.Summarize(whole)
+	report.FirstToken, report.BetweenTokens, report.Whole = measurer.Summarize(first), measurer.Summarize(between), measurer.Summarize(whole)
 	return report
 }
 
 func recordAnswer(first, between, whole *hdrhistogram.Histogram, a answer, took time.Duration) {
 	_ = first.RecordValue(max(1, a.firstToken.Microseconds()))
 	_ = whole.RecordValue(max(1, took.Microseconds()))
-	for _, g := range a.gaps {
+	for _, g := range a.tokenGaps {
 		_ = between.RecordValue(max(1, g.Microseconds()))
 	}
 }
 
-func (d Drive) body(n int) []byte {
-	p := planned{
+func (d Drive) requestBody(n int) []byte {
+	p := plannedRequest{
 		traffic:  Traffic{Model: d.Model, Stream: true, MaxTokens: d.Tokens},
-		messages: []emulator.Message{{Role: "user", Content: fmt.Sprintf("%d %s [tokens=%d]", n, text(d.PromptBytes, uint64(n)), d.Tokens)}},
+		messages: []emulator.Message{{Role: "user", Content: fmt.Sprintf("%d %s [tokens=%d]", n, fillerText(d.PromptBytes, uint64(n)), d.Tokens)}},
 	}
 	return p.chatBody()
 }
 
-func (d Drive) once(ctx context.Context, client *http.Client, url string, body []byte, due time.Time) answer {
+func (d Drive) sendOnce(ctx context.Context, client *http.Client, url string, body []byte, due time.Time) answer {
 	request, err := http.NewRequestWithContext(ctx, http.MethodPost, url+"/v1/chat/completions", bytes.NewReader(body))
 	if err != nil {
-		return answer{verdict: verdictBroken}
+		return answer{outcome: outcomeBroken}
 	}
 	request.Header.Set("Authorization", "Bearer "+d.Key)
 	request.Header.Set("Content-Type", "application/json")
 	response, err := client.Do(request)
 	if err != nil {
-		return answer{verdict: verdictBroken}
+		return answer{outcome: outcomeBroken}
 	}
 	defer response.Body.Close()
-	a := answer{verdict: verdictBroken}
+	a := answer{outcome: outcomeBroken}
 	if response.StatusCode != http.StatusOK {
 		_, _ = io.Copy(io.Discard, response.Body)
 		return a
@@ -236,9 +236,9 @@
 func (r DriveReport) Print(w io.Writer) {
 	fmt.Fprintf(w, "%d requests, %d ok\n", r.Requests, r.OK)
 	printSummary(w, "first token", &r.FirstToken)
-	printSummary(w, "between tokens", &r.Between)
+	printSummary(w, "between tokens", &r.BetweenTokens)
 	printSummary(w, "whole", &r.Whole)
-	for name, u := range r.Uses {
+	for name, u := range r.Usage {
 		fmt.Fprintf(w, "    %-20s %.4f of a core, %.1f MB resident, %.0f link bytes/s\n", name, u.CoreShare, u.ResidentMB, u.LinkBytes)
 	}
 }
--- a/loader/faults.go
+++ b/loader/faults.go
@@ -18,40 +18,42 @@
 )
 
 const (
-	// quietWatch is how long a leaving upstream is watched for new work.
-	quietWatch = 8 * time.Second
-	// forceWatch is how long a change may take to be in force everywhere.
-	forceWatch = 10 * time.Second
-	watchPause = 10 * time.Millisecond
-	// recoverTimeout bounds the wait for a dead router's money.
-	recoverTimeout = 40 * time.Second
+	// drainWatchTime is how long a leaving upstream is watched for new work.
+	drainWatchTime = 8 * time.Second
+	// applyTimeout is how long a change may take to be in force everywhere.
+	applyTimeout = 10 * time.Second
+	pollInterval = 10 * time.Millisecond
+	// recoveryTimeout bounds the wait for a dead router's money.
+	recoveryTimeout = 40 * time.Second
 )
 
-// faulter brings a scenario's faults about, and watches what the fleet makes of them.
-type faulter struct {
-	fleet   *starter.Fleet
-	ledger  *ledger
-	mu      sync.Mutex
-	cutOff  int
-	quiet   []time.Duration
-	inForce []time.Duration
-	removed []*starter.FleetSidecar
-	// recovered is how long each dead router's money took to be back.
-	recovered []time.Duration
-	errs      []error
-	wg        sync.WaitGroup
+// faultInjector brings a scenario's faults about, and watches what the fleet makes of them.
+type faultInjector struct {
+	fleet      *starter.Fleet
+	ledger     *ledger
+	mu         sync.Mutex
+	cutOff     int
+	drainTimes []time.Duration
+	applyTimes []time.Duration
+	removed    []*starter.FleetSidecar
+	// recoveryTimes is how long each dead router's money took to be back.
+	recoveryTimes []time.Duration
+	errs          []error
+	wg            sync.WaitGroup
 }
 
-func newFaulter(f *starter.Fleet, l *ledger) *faulter { return &faulter{fleet: f, ledger: l} }
+func newFaultInjector(f *starter.Fleet, l *ledger) *faultInjector {
+	return &faultInjector{fleet: f, ledger: l}
+}
 
 // run carries all faults out at their times; it returns when the last has ended.
-func (f *faulter) run(ctx context.Context, faults []Fault, began time.Time) {
+func (f *faultInjector) run(ctx context.Context, faults []Fault, began time.Time) {
 	for _, fault := range faults {
 		f.wg.Go(func() {
 			if !sleepUntil(ctx, began.Add(fault.At.Std())) {
 				return
 			}
-			heal, err := f.strike(ctx, fault)
+			heal, err := f.inject(ctx, fault)
 			if err != nil {
 				f.mu.Lock()
 				f.errs = append(f.errs, fmt.Errorf("fault %s: %w", fault.Kind, err))
@@ -61,7 +63,7 @@
 			if heal == nil {
 				return
 			}
-			sleepUntil(ctx, began.Add(fault.At.Std()+fault.For.Std()))
+			sleepUntil(ctx, began.Add(fault.At.Std()+fault.Duration.Std()))
 			heal()
 		})
 	}
@@ -77,8 +79,8 @@
 	}
 }
 
-// strike brings a fault about and returns what ends it, or nothing.
-func (f *faulter) strike(ctx context.Context, fault Fault) (heal func(), err error) {
+// inject brings a fault about and returns what ends it, or nothing.
+func (f *faultInjector) inject(ctx context.Context, fault Fault) (heal func(), err error) {
 	table := f.fleet.Platform.Table
 	calm := func() { table.SetFaults(emulator.TableFaults{}) }
 	switch fault.Kind {
@@ -104,12 +106,12 @@
 	case FaultRegionCut:
 		return f.cutRegion(fault), nil
 	case FaultRouterKilled, FaultRouterCut, FaultRouterDrained:
-		return f.strikeRouter(fault)
+		return f.injectRouterFault(fault)
 	}
-	return f.strikeSidecar(fault)
+	return f.injectSidecarFault(fault)
 }
 
-func (f *faulter) topUp(ctx context.Context, fault Fault) error {
+func (f *faultInjector) topUp(ctx context.Context, fault Fault) error {
 	amount := masticway.Amount(fault.Value)
 	if _, err := bookkeeper.New(f.fleet.Platform.Table).TopUp(ctx, fault.Target, uuid.NewString(), amount); err != nil {
 		return err
@@ -119,7 +121,7 @@
 }
 
 // configChange puts a workspace's contract anew and watches until every router has applied it.
-func (f *faulter) configChange(ctx context.Context, fault Fault) error {
+func (f *faultInjector) configChange(ctx context.Context, fault Fault) error {
 	store := configurer.NewStore(f.fleet.Platform.Table)
 	c, _, err := store.Contract(ctx, fault.Target)
 	if err != nil {
@@ -131,19 +133,19 @@
 		return err
 	}
 	began := time.Now()
-	for time.Since(began) < forceWatch {
-		if f.everywhere(int64(change.Revision)) {
+	for time.Since(began) < applyTimeout {
+		if f.isAppliedEverywhere(int64(change.Revision)) {
 			break
 		}
-		time.Sleep(watchPause)
+		time.Sleep(pollInterval)
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.inForce = append(f.inForce, time.Since(began))
+	f.applyTimes = append(f.applyTimes, time.Since(began))
 	return nil
 }
 
-func (f *faulter) everywhere(revision int64) bool {
+func (f *faultInjector) isAppliedEverywhere(revision int64) bool {
 	for _, r := range f.fleet.Routers() {
 		if r.Daemon.Ready() && r.Metrics.Count("config_revision") < revision {
 			return false
@@ -153,7 +155,7 @@
 }
 
 // cutRegion cuts a region off from the platform and from all other regions.
-func (f *faulter) cutRegion(fault Fault) func() {
+func (f *faultInjector) cutRegion(fault Fault) func() {
 	var inside, outside []string
 	for _, r := range f.fleet.Routers() {
 		if r.Region == fault.Target {
@@ -202,7 +204,7 @@
 	return none, false
 }
 
-func (f *faulter) strikeRouter(fault Fault) (func(), error) {
+func (f *faultInjector) injectRouterFault(fault Fault) (func(), error) {
 	r, ok := pick(f.fleet.Routers(), fault.Target, func(r *starter.FleetRouter) string { return r.Name })
 	if !ok {
 		return nil, &NoTargetError{Kind: fault.Kind, Target: fault.Target}
@@ -229,26 +231,26 @@
 	dead := r.Daemon.Incarnation()
 	f.fleet.KillRouter(r.Name)
 	died := time.Now()
-	f.wg.Go(func() { f.watchRecovery(dead, died) })
+	f.wg.Go(func() { f.awaitRecovery(dead, died) })
 	return replace, nil
 }
 
-// watchRecovery waits until a dead incarnation has no money any more.
-func (f *faulter) watchRecovery(inc masticway.Incarnation, died time.Time) {
+// awaitRecovery waits until a dead incarnation has no money any more.
+func (f *faultInjector) awaitRecovery(inc masticway.Incarnation, died time.Time) {
 	book := bookkeeper.New(f.fleet.Platform.Table)
-	for time.Since(died) < recoverTimeout {
+	for time.Since(died) < recoveryTimeout {
 		grants, err := book.GrantsOf(context.Background(), inc)
 		if err == nil && len(grants) == 0 {
 			break
 		}
-		time.Sleep(watchPause)
+		time.Sleep(pollInterval)
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.recovered = append(f.recovered, time.Since(died))
+	f.recoveryTimes = append(f.recoveryTimes, time.Since(died))
 }
 
-func (f *faulter) strikeSidecar(fault Fault) (func(), error) {
+func (f *faultInjector) injectSidecarFault(fault Fault) (func(), error) {
 	s, ok := pick(f.fleet.Sidecars(), fault.Target, func(s *starter.FleetSidecar) string { return s.Name })
 	if !ok {
 		return nil, &NoTargetError{Kind: fault.Kind, Target: fault.Target}
@@ -260,7 +262,7 @@
 	case FaultSidecarKilled:
 		f.fleet.KillSidecar(s.Name, false)
 		return func() { _ = f.fleet.StartSidecar(s) }, nil
-	case FaultListHidesLeaving:
+	case FaultListHidesDraining:
 		f.fleet.Platform.Instances.SetDown(true)
 		f.drain(s)
 		return func() { f.fleet.Platform.Instances.SetDown(false) }, nil
@@ -282,18 +284,18 @@
 }
 
 // drain ends a sidecar gracefully and watches for the last new work that its upstream gets.
-func (f *faulter) drain(s *starter.FleetSidecar) {
+func (f *faultInjector) drain(s *starter.FleetSidecar) {
 	began := time.Now()
 	last := began
 	done := make(chan bool, 1)
 	go func() { done <- f.fleet.DrainSidecar(s.Name) }()
 	runs := s.Runs()
-	for time.Since(began) < quietWatch {
+	for time.Since(began) < drainWatchTime {
 		if now := s.Runs(); now != runs {
 			runs = now
 			last = time.Now()
 		}
-		time.Sleep(watchPause)
+		time.Sleep(pollInterval)
 	}
 	clean := <-done
 	f.mu.Lock()
@@ -301,6 +303,6 @@
 	if !clean {
 		f.cutOff++
 	}
-	f.quiet = append(f.quiet, last.Sub(began))
+	f.drainTimes = append(f.drainTimes, last.Sub(began))
 	f.removed = append(f.removed, s)
 }
--- a/loader/loader_test.go
+++ b/loader/loader_test.go
@@ -17,8 +17,8 @@
 	"github.com/masticway/masticway/starter"
 )
 
-// small is a scenario that runs in two seconds.
-const small = `{"name":"small","duration":"1500ms","regions":[{"name":"r","zones":["a","b"],"routers":2}],
+// smallScenario is a scenario that runs in two seconds.
+const smallScenario = `{"name":"small","duration":"1500ms","regions":[{"name":"r","zones":["a","b"],"routers":2}],
 	"engines":[{"model":"m","count":2,"token_time":"1ms","prefill_time":"1us"}],"services":[{"name":"s"}],
 	"catalog":{"models":[{"name":"m","prompt_weight":1000,"completion_weight":3000}],"services":[{"name":"s","price":10000}]},
 	"contracts":[{"workspace":"w","budget":"b","models":[{"name":"m"}],"services":[{"name":"s","non_repeatable":[{"method":"POST","path":"/book"}]}]}],
@@ -27,14 +27,14 @@
 		{"name":"book","workspace":"w","rate":10,"service":"s","path":"/book"}],
 	"faults":[{"at":"300ms","kind":"table_loses_answers","for":"500ms","value":3},{"at":"500ms","kind":"config_change","target":"w"}]}`
 
-func runner(t *testing.T, scenario string) loader.Runner {
+func newRunner(t *testing.T, scenario string) loader.Runner {
 	s, err := loader.Parse([]byte(scenario))
 	qt.Assert(t, err, qt.IsNil)
 	return loader.Runner{Scenario: s, Progress: io.Discard, Log: logger.Discard()}
 }
 
 func TestPromisesAreKept(t *testing.T) {
-	report, err := runner(t, small).Run(context.Background())
+	report, err := newRunner(t, smallScenario).Run(context.Background())
 	qt.Assert(t, err, qt.IsNil)
 	qt.Assert(t, report.Promises.Kept(), qt.IsTrue, qt.Commentf("%+v %v", report.Promises, report.Examples))
 	qt.Assert(t, report.Failures, qt.HasLen, 0)
@@ -86,8 +86,8 @@
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
-			r := runner(t, small)
-			r.Sabotage = tc.sabotage
+			r := newRunner(t, smallScenario)
+			r.InjectViolation = tc.sabotage
 			report, err := r.Run(context.Background())
 			qt.Assert(t, err, qt.IsNil)
 			qt.Assert(t, tc.broken(report.Promises), qt.IsTrue, qt.Commentf("%+v", report.Promises))
@@ -108,10 +108,10 @@
 	}
 }
 
-func TestFaultyScenariosAreRefused(t *testing.T) {
+func TestInvalidScenariosAreRejected(t *testing.T) {
 	cases := map[string]string{
-		"unknown fault":  strings.Replace(small, "table_loses_answers", "meteor", 1),
-		"faulty catalog": strings.Replace(small, `"prompt_weight":1000,`, "", 1),
+		"unknown fault":  strings.Replace(smallScenario, "table_loses_answers", "meteor", 1),
+		"faulty catalog": strings.Replace(smallScenario, `"prompt_weight":1000,`, "", 1),
 		"no traffic":     `{"name":"x","regions":[{"name":"r","zones":["a"]}],"traffic":[]}`,
 	}
 	for name, scenario := range cases {
--- a/loader/oracle.go
+++ b/loader/oracle.go
@@ -15,12 +15,12 @@
 type ledger struct {
 	mu       sync.Mutex
 	prepaid  map[string]masticway.Amount
-	wanted   map[string]masticway.Amount
+	demanded map[string]masticway.Amount
 	budgetOf map[string]string
 }
 
 func newLedger(s Scenario, contracts []masticway.Contract) *ledger {
-	l := &ledger{prepaid: map[string]masticway.Amount{}, wanted: map[string]masticway.Amount{}, budgetOf: map[string]string{}}
+	l := &ledger{prepaid: map[string]masticway.Amount{}, demanded: map[string]masticway.Amount{}, budgetOf: map[string]string{}}
 	for _, b := range s.Budgets {
 		l.prepaid[b.ID] = b.Prepaid
 	}
@@ -30,20 +30,20 @@
 	return l
 }
 
-// begin counts a request's true cost as wanted.
-func (l *ledger) begin(p planned) {
+// addDemand counts a request's true cost as wanted.
+func (l *ledger) addDemand(p plannedRequest) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.wanted[l.budgetOf[p.traffic.Workspace]] += p.cost
+	l.demanded[l.budgetOf[p.traffic.Workspace]] += p.cost
 }
 
-// refused takes a request's cost back, and tells whether its money was there all the same.
-func (l *ledger) refused(p planned) bool {
+// withdrawDemand takes a request's cost back, and tells whether its money was there all the same.
+func (l *ledger) withdrawDemand(p plannedRequest) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	b := l.budgetOf[p.traffic.Workspace]
-	l.wanted[b] -= p.cost
-	return l.prepaid[b]-l.wanted[b] >= p.cost
+	l.demanded[b] -= p.cost
+	return l.prepaid[b]-l.demanded[b] >= p.cost
 }
 
 func (l *ledger) topUp(budget string, amount masticway.Amount) {
@@ -77,18 +77,18 @@
 
 // Money is what happened to the budgets, in tokens at weight one.
 type Money struct {
-	Ran        float64 `json:"ran"`
-	Settled    float64 `json:"settled"`
-	Presumed   float64 `json:"presumed"`
-	GivenBack  float64 `json:"given_back"`
-	Underbill  float64 `json:"underbilled"`
-	StrandedAt float64 `json:"stranded_at_end"`
+	Ran         float64 `json:"ran"`
+	Settled     float64 `json:"settled"`
+	Presumed    float64 `json:"presumed"`
+	GivenBack   float64 `json:"given_back"`
+	Underbilled float64 `json:"underbilled"`
+	Stranded    float64 `json:"stranded_at_end"`
 }
 
-func asTokens(a masticway.Amount) float64 { return float64(a) / float64(masticway.PerToken) }
+func inTokens(a masticway.Amount) float64 { return float64(a) / float64(masticway.PerToken) }
 
-// ranCost adds up what the stand-ins say they ran, by budget.
-func ranCost(upstreams []*starter.FleetSidecar, catalog masticway.Catalog, budgetOf map[string]string) map[string]masticway.Amount {
+// costOfRuns adds up what the stand-ins say they ran, by budget.
+func costOfRuns(upstreams []*starter.FleetSidecar, catalog masticway.Catalog, budgetOf map[string]string) map[string]masticway.Amount {
 	ran := map[string]masticway.Amount{}
 	for _, s := range upstreams {
 		if s.Engine != nil {
@@ -120,15 +120,15 @@
 		if row.Check() != nil || row.Prepaid != prepaid {
 			p.BrokenRows++
 		}
-		p.Overspend += asTokens(max(0, ran[budget]-prepaid))
+		p.Overspend += inTokens(max(0, ran[budget]-prepaid))
 		billed := row.Settled - row.Presumed
-		p.Overbilled += asTokens(max(0, billed-ran[budget]))
-		m.Underbill += asTokens(max(0, ran[budget]-row.Settled))
-		m.Ran += asTokens(ran[budget])
-		m.Settled += asTokens(row.Settled)
-		m.Presumed += asTokens(row.Presumed)
-		m.GivenBack += asTokens(row.GivenBack)
-		m.StrandedAt += asTokens(row.Open())
+		p.Overbilled += inTokens(max(0, billed-ran[budget]))
+		m.Underbilled += inTokens(max(0, ran[budget]-row.Settled))
+		m.Ran += inTokens(ran[budget])
+		m.Settled += inTokens(row.Settled)
+		m.Presumed += inTokens(row.Presumed)
+		m.GivenBack += inTokens(row.GivenBack)
+		m.Stranded += inTokens(row.Open())
 	}
 	return m, nil
 }
--- a/loader/plan.go
+++ b/loader/plan.go
@@ -13,9 +13,9 @@
 	"github.com/masticway/masticway/emulator"
 )
 
-// planned is one request of the plan; the plan depends on the seed alone.
-type planned struct {
-	at       time.Duration
+// plannedRequest is one request of the plan; the plan depends on the seed alone.
+type plannedRequest struct {
+	arrival  time.Duration
 	traffic  Traffic
 	key      string
 	region   int
@@ -32,12 +32,12 @@
 const words = "chest waist sleeve inseam lapel vent cuff drape canvas dart seam hem yoke collar button lining "
 
 // plan draws all arrivals of a scenario.
-func plan(s Scenario, catalog masticway.Catalog, contracts []masticway.Contract) []planned {
+func plan(s Scenario, catalog masticway.Catalog, contracts []masticway.Contract) []plannedRequest {
 	forbidden := map[string]masticway.Contract{}
 	for _, c := range contracts {
 		forbidden[c.Workspace] = c
 	}
-	var all []planned
+	var all []plannedRequest
 	for i, t := range s.Traffic {
 		random := rand.New(rand.NewPCG(uint64(s.Seed), uint64(i)+1))
 		at := time.Duration(0)
@@ -46,18 +46,18 @@
 			if at >= s.Duration.Std() {
 				break
 			}
-			p := plannedRequest(s, catalog, t, random, at, fmt.Sprintf("%s-%d-%d", t.Name, s.Seed, n))
+			p := planRequest(s, catalog, t, random, at, fmt.Sprintf("%s-%d-%d", t.Name, s.Seed, n))
 			terms, _ := forbidden[t.Workspace].Service(t.Service)
 			p.nonRepeatable = terms.IsNonRepeatable(http.MethodPost, t.Path)
 			all = append(all, p)
 		}
 	}
-	slices.SortStableFunc(all, func(a, b planned) int { return int(a.at - b.at) })
+	slices.SortStableFunc(all, func(a, b plannedRequest) int { return int(a.arrival - b.arrival) })
 	return all
 }
 
-func plannedRequest(s Scenario, catalog masticway.Catalog, t Traffic, random *rand.Rand, at time.Duration, key string) planned {
-	p := planned{at: at, traffic: t, key: key, region: random.IntN(len(s.Regions))}
+func planRequest(s Scenario, catalog masticway.Catalog, t Traffic, random *rand.Rand, at time.Duration, key string) plannedRequest {
+	p := plannedRequest{arrival: at, traffic: t, key: key, region: random.IntN(len(s.Regions))}
 	if t.Service != "" {
 		service, _ := catalog.Service(t.Service)
 		p.body = fmt.Sprintf("%s%s %s", emulator.OwnerMark, t.Workspace, key)
@@ -69,8 +69,8 @@
 	natural := max(1, t.OutputTokens/2+random.IntN(t.OutputTokens+1))
 	group := random.IntN(t.Groups)
 	shared := fmt.Sprintf("%s%s group %s %d ", emulator.OwnerMark, t.Workspace, t.Name, group)
-	shared += text(t.SharedBytes-len(shared), uint64(group))
-	own := fmt.Sprintf("%s %s [tokens=%d]", key, text(t.PromptBytes-t.SharedBytes, random.Uint64()), natural)
+	shared += fillerText(t.SharedBytes-len(shared), uint64(group))
+	own := fmt.Sprintf("%s %s [tokens=%d]", key, fillerText(t.PromptBytes-t.SharedBytes, random.Uint64()), natural)
 	p.messages = []emulator.Message{{Role: "system", Content: shared}, {Role: "user", Content: own}}
 	p.tokens = natural
 	if t.MaxTokens > 0 {
@@ -80,8 +80,8 @@
 	return p
 }
 
-// text returns so many bytes of words, the same for the same seed.
-func text(bytes int, seed uint64) string {
+// fillerText returns so many bytes of words, the same for the same seed.
+func fillerText(bytes int, seed uint64) string {
 	if bytes <= 0 {
 		return ""
 	}
@@ -96,7 +96,7 @@
 }
 
 // chatBody is what the client sends for a model request.
-func (p planned) chatBody() []byte {
+func (p plannedRequest) chatBody() []byte {
 	body, err := json.Marshal(struct {
 		Model     string             `json:"model"`
 		Messages  []emulator.Message `json:"messages"`
--- a/loader/report.go
+++ b/loader/report.go
@@ -19,7 +19,7 @@
 type Outcomes struct {
 	Requests int `json:"requests"`
 	OK       int `json:"ok"`
-	Tries    int `json:"tries"`
+	Attempts int `json:"tries"`
 	// CutShort counts whole answers that a thin budget ended before their natural end.
 	CutShort int `json:"cut_short"`
 	// FalseRefusals were refused for money although it was there; TrueRefusals when it was not.
@@ -34,10 +34,10 @@
 
 // TrafficReport is what one stream of requests saw.
 type TrafficReport struct {
-	Outcomes   Outcomes          `json:"outcomes"`
-	FirstToken *measurer.Summary `json:"first_token,omitempty"`
-	Between    *measurer.Summary `json:"between_tokens,omitempty"`
-	Whole      *measurer.Summary `json:"whole,omitempty"`
+	Outcomes      Outcomes          `json:"outcomes"`
+	FirstToken    *measurer.Summary `json:"first_token,omitempty"`
+	BetweenTokens *measurer.Summary `json:"between_tokens,omitempty"`
+	Whole         *measurer.Summary `json:"whole,omitempty"`
 }
 
 // Report is the result of one run of a scenario.
@@ -66,20 +66,20 @@
 	Failures []string `json:"failures,omitempty"`
 }
 
-func (e *experiment) build(requests int, reads int64, writes map[string]int64, money Money) Report {
+func (e *experiment) buildReport(requests int, reads int64, writes map[string]int64, money Money) Report {
 	t := e.tally
 	s := e.runner.Scenario
 	r := Report{
 		Scenario: s.Name, Seed: s.Seed, Promises: t.promises, Money: money, Traffic: map[string]TrafficReport{},
-		RecoveryMS: milliseconds(e.faults.recovered), Examples: t.examples,
-		QuietMS: milliseconds(e.faults.quiet), InForceMS: milliseconds(e.faults.inForce),
+		RecoveryMS: milliseconds(e.faults.recoveryTimes), Examples: t.examples,
+		QuietMS: milliseconds(e.faults.drainTimes), InForceMS: milliseconds(e.faults.applyTimes),
 	}
 	falseRefusals, failed := 0, 0
-	for name, c := range t.counts {
+	for name, c := range t.outcomes {
 		report := TrafficReport{Outcomes: *c}
-		report.FirstToken = summary(t.first[name])
-		report.Between = summary(t.gaps[name])
-		report.Whole = summary(t.whole[name])
+		report.FirstToken = summarize(t.firstTokens[name])
+		report.BetweenTokens = summarize(t.tokenGaps[name])
+		report.Whole = summarize(t.wholeAnswers[name])
 		r.Traffic[name] = report
 		falseRefusals += c.FalseRefusals
 		failed += c.Failed + c.Unknown
@@ -93,7 +93,7 @@
 		r.TableWrites += float64(n) * 1000 / all
 	}
 	r.TableReads = float64(reads) * 1000 / all
-	r.judge(s.Expect)
+	r.checkExpectations(s.Expect)
 	return r
 }
 
@@ -105,7 +105,7 @@
 	return all
 }
 
-func (r *Report) judge(expect Expect) {
+func (r *Report) checkExpectations(expect Expect) {
 	if !r.Promises.Kept() {
 		r.Failures = append(r.Failures, fmt.Sprintf("a promise was broken: %+v", r.Promises))
 	}
@@ -124,9 +124,9 @@
 		t := r.Traffic[name]
 		o := t.Outcomes
 		fmt.Fprintf(w, "  %-18s %5d requests %5d ok, false refusals %d, true %d, limited %d, unknown %d, failed %d, cut short %d, tries %d %v\n",
-			name, o.Requests, o.OK, o.FalseRefusals, o.TrueRefusals, o.Limited, o.Unknown, o.Failed, o.CutShort, o.Tries, o.Codes)
+			name, o.Requests, o.OK, o.FalseRefusals, o.TrueRefusals, o.Limited, o.Unknown, o.Failed, o.CutShort, o.Attempts, o.Codes)
 		printSummary(w, "first token", t.FirstToken)
-		printSummary(w, "between tokens", t.Between)
+		printSummary(w, "between tokens", t.BetweenTokens)
 		printSummary(w, "whole", t.Whole)
 	}
 	p := r.Promises
@@ -134,9 +134,9 @@
 		p.Overspend, p.Overbilled, p.Crossed, p.Doubled, p.FalseNotRun, p.CutOff, p.BrokenRows, p.LostAnswers)
 	m := r.Money
 	fmt.Fprintf(w, "  money in tokens: ran %.3f settled %.3f presumed %.3f given back %.3f underbilled %.3f stranded %.3f\n",
-		m.Ran, m.Settled, m.Presumed, m.GivenBack, m.Underbill, m.StrandedAt)
+		m.Ran, m.Settled, m.Presumed, m.GivenBack, m.Underbilled, m.Stranded)
 	fmt.Fprintf(w, "  false refusals %.5f, failed %.5f, table writes %.2f and reads %.2f per 1000 requests %s\n",
-		r.FalseRefusalShare, r.FailedShare, r.TableWrites, r.TableReads, kinds(r.WritesByKind))
+		r.FalseRefusalShare, r.FailedShare, r.TableWrites, r.TableReads, formatWrites(r.WritesByKind))
 	if len(r.RecoveryMS) > 0 || len(r.QuietMS) > 0 || len(r.InForceMS) > 0 {
 		fmt.Fprintf(w, "  recovery %v ms, leaving upstreams quiet after %v ms, changes in force after %v ms\n", r.RecoveryMS, r.QuietMS, r.InForceMS)
 	}
@@ -148,7 +148,7 @@
 	}
 }
 
-func kinds(m map[string]float64) string {
+func formatWrites(m map[string]float64) string {
 	parts := make([]string, 0, len(m))
 	for _, k := range slices.Sorted(maps.Keys(m)) {
 		parts = append(parts, fmt.Sprintf("%s %.1f", k, m[k]))
@@ -197,7 +197,7 @@
 		for _, s := range []struct {
 			what    string
 			summary *measurer.Summary
-		}{{"first_token", t.FirstToken}, {"between", t.Between}, {"whole", t.Whole}} {
+		}{{"first_token", t.FirstToken}, {"between", t.BetweenTokens}, {"whole", t.Whole}} {
 			if s.summary == nil {
 				continue
 			}
@@ -218,7 +218,7 @@
 // Compare writes the medians of two sets of runs with their spread, and the ratio of the medians.
 func Compare(w io.Writer, a, b Runs) {
 	fmt.Fprintf(w, "%-40s %28s %28s %8s\n", "figure", "A median (min to max)", "B median (min to max)", "B/A")
-	inA, inB := collect(a), collect(b)
+	inA, inB := collectFigures(a), collectFigures(b)
 	for _, name := range slices.Sorted(maps.Keys(inA)) {
 		x, y := inA[name], inB[name]
 		if len(x) == 0 || len(y) == 0 {
@@ -232,7 +232,7 @@
 	}
 }
 
-func collect(r Runs) map[string][]float64 {
+func collectFigures(r Runs) map[string][]float64 {
 	all := map[string][]float64{}
 	for _, run := range r.Runs {
 		for _, f := range run.figures() {
@@ -253,8 +253,8 @@
 	}, " ")
 }
 
-// summary reads a histogram, or returns nothing without one.
-func summary(h *hdrhistogram.Histogram) *measurer.Summary {
+// summarize reads a histogram, or returns nothing without one.
+func summarize(h *hdrhistogram.Histogram) *measurer.Summary {
 	if h == nil {
 		return nil
 	}
--- a/loader/runner.go
+++ b/loader/runner.go
@@ -25,8 +25,8 @@
 	// answerTimeout bounds the wait for answers after the last arrival.
 	answerTimeout = 90 * time.Second
 	// instanceLag is the lag of the instance list in experiments.
-	instanceLag  = 500 * time.Millisecond
-	progressStep = 5 * time.Second
+	instanceLag      = 500 * time.Millisecond
+	progressInterval = 5 * time.Second
 	// clientProcess begins the network names of clients.
 	clientProcess = "client"
 )
@@ -37,18 +37,18 @@
 	// Progress takes a line every few seconds.
 	Progress io.Writer
 	Log      *logrus.Logger
-	// Sabotage, for tests, breaks a promise behind the fleet's back before the stand-ins are asked.
-	Sabotage func(*starter.Fleet)
+	// InjectViolation, for tests, breaks a promise behind the fleet's back before the stand-ins are asked.
+	InjectViolation func(*starter.Fleet)
 }
 
 // tally is what clients saw, by traffic.
 type tally struct {
-	mu       sync.Mutex
-	first    map[string]*hdrhistogram.Histogram
-	gaps     map[string]*hdrhistogram.Histogram
-	whole    map[string]*hdrhistogram.Histogram
-	counts   map[string]*Outcomes
-	promises Promises
+	mu           sync.Mutex
+	firstTokens  map[string]*hdrhistogram.Histogram
+	tokenGaps    map[string]*hdrhistogram.Histogram
+	wholeAnswers map[string]*hdrhistogram.Histogram
+	outcomes     map[string]*Outcomes
+	promises     Promises
 	// examples are requests whose promise was broken, for explain.
 	examples []string
 	services []serviceOutcome
@@ -56,14 +56,14 @@
 
 // serviceOutcome is how a service request ended, to be held against what ran.
 type serviceOutcome struct {
-	planned planned
+	planned plannedRequest
 	answer  answer
 }
 
 func newTally() *tally {
 	return &tally{
-		first: map[string]*hdrhistogram.Histogram{}, gaps: map[string]*hdrhistogram.Histogram{},
-		whole: map[string]*hdrhistogram.Histogram{}, counts: map[string]*Outcomes{},
+		firstTokens: map[string]*hdrhistogram.Histogram{}, tokenGaps: map[string]*hdrhistogram.Histogram{},
+		wholeAnswers: map[string]*hdrhistogram.Histogram{}, outcomes: map[string]*Outcomes{},
 	}
 }
 
@@ -76,44 +76,44 @@
 	_ = h.RecordValue(max(1, d.Microseconds()))
 }
 
-// take counts one request's end.
-func (t *tally) take(p planned, a answer, falseRefusal bool) {
+// add counts one request's end.
+func (t *tally) add(p plannedRequest, a answer, falseRefusal bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	name := p.traffic.Name
-	c, ok := t.counts[name]
+	c, ok := t.outcomes[name]
 	if !ok {
 		c = &Outcomes{Codes: map[string]int{}}
-		t.counts[name] = c
+		t.outcomes[name] = c
 	}
 	c.Requests++
-	c.Tries += a.tries
+	c.Attempts += a.attempts
 	if p.traffic.Service != "" {
 		t.services = append(t.services, serviceOutcome{planned: p, answer: a})
 	}
-	if a.verdict != verdictOK {
+	if a.outcome != outcomeOK {
 		c.Codes[a.code]++
-		c.refuse(a, falseRefusal)
+		c.countFailure(a, falseRefusal)
 		return
 	}
 	c.OK++
-	if !p.right(a) {
+	if !p.isCorrect(a) {
 		t.promises.Crossed++
 		t.examples = append(t.examples, fmt.Sprintf("wrong answer: request %s key %s completion %d of %d", a.id, p.key, a.usage.Completion, p.tokens))
 	}
 	if a.usage.Completion < p.tokens {
 		c.CutShort++
 	}
-	record(t.whole, name, a.whole)
+	record(t.wholeAnswers, name, a.whole)
 	if p.traffic.Service == "" {
-		record(t.first, name, a.firstToken)
+		record(t.firstTokens, name, a.firstToken)
 	}
-	for _, g := range a.gaps {
-		record(t.gaps, name, g)
+	for _, g := range a.tokenGaps {
+		record(t.tokenGaps, name, g)
 	}
 }
 
-func (o *Outcomes) refuse(a answer, falseRefusal bool) {
+func (o *Outcomes) countFailure(a answer, falseRefusal bool) {
 	budget := strings.HasPrefix(a.code, "budget_")
 	switch {
 	case budget && falseRefusal:
@@ -122,27 +122,27 @@
 		o.TrueRefusals++
 	case strings.HasPrefix(a.code, "limit_"), a.code == "overloaded":
 		o.Limited++
-	case a.run == masticway.FateUnknown:
+	case a.fate == masticway.FateUnknown:
 		o.Unknown++
 	default:
 		o.Failed++
 	}
 }
 
-// checkServices holds each service request's end against how often it ran.
-func (t *tally) checkServices(runs map[string]int) {
+// checkServiceRuns holds each service request's end against how often it ran.
+func (t *tally) checkServiceRuns(runs map[string]int) {
 	for _, s := range t.services {
 		n := runs[s.planned.body]
-		refused := s.answer.verdict == verdictRefused
+		refused := s.answer.outcome == outcomeRefused
 		if n > 1 && s.planned.nonRepeatable {
 			t.promises.Doubled++
 			t.examples = append(t.examples, fmt.Sprintf("ran %d times: request %s key %s", n, s.answer.id, s.planned.key))
 		}
-		if n > 0 && s.planned.nonRepeatable && s.answer.verdict == verdictBroken {
+		if n > 0 && s.planned.nonRepeatable && s.answer.outcome == outcomeBroken {
 			t.promises.LostAnswers++
 			t.examples = append(t.examples, fmt.Sprintf("ran and was never answered: key %s", s.planned.key))
 		}
-		if n > 0 && refused && s.answer.run == masticway.FateNotRun {
+		if n > 0 && refused && s.answer.fate == masticway.FateNotRun {
 			t.promises.FalseNotRun++
 			t.examples = append(t.examples, fmt.Sprintf("false not run: request %s key %s", s.answer.id, s.planned.key))
 		}
@@ -177,7 +177,7 @@
 	e := &experiment{
 		runner: r, fleet: fleet, catalog: catalog, keys: keys, contracts: contracts, ledger: newLedger(s, contracts), tally: newTally(),
 	}
-	e.faults = newFaulter(fleet, e.ledger)
+	e.faults = newFaultInjector(fleet, e.ledger)
 	return e.run(ctx)
 }
 
@@ -243,7 +243,7 @@
 	contracts []masticway.Contract
 	ledger    *ledger
 	tally     *tally
-	faults    *faulter
+	faults    *faultInjector
 	clients   []*client
 }
 
@@ -264,7 +264,7 @@
 		defer close(faultsDone)
 		e.faults.run(ctx, s.Faults, began)
 	}()
-	e.offer(ctx, all, began)
+	e.offerLoad(ctx, all, began)
 	readsAfter := e.fleet.Platform.Table.Reads()
 	written := e.fleet.Platform.Table.WritesByKind()
 	for kind, n := range writes {
@@ -275,41 +275,41 @@
 	case <-ctx.Done():
 		return Report{}, ctx.Err()
 	}
-	return e.report(ctx, len(all), readsAfter-reads, written)
+	return e.finish(ctx, len(all), readsAfter-reads, written)
 }
 
-// offer sends all planned requests at their times and waits for their ends.
-func (e *experiment) offer(ctx context.Context, all []planned, began time.Time) {
+// offerLoad sends all planned requests at their times and waits for their ends.
+func (e *experiment) offerLoad(ctx context.Context, all []plannedRequest, began time.Time) {
 	ctx, cancel := context.WithTimeout(ctx, e.runner.Scenario.Duration.Std()+answerTimeout)
 	defer cancel()
 	var wg sync.WaitGroup
-	progress := began.Add(progressStep)
+	progress := began.Add(progressInterval)
 	for i, p := range all {
-		if !sleepUntil(ctx, began.Add(p.at)) {
+		if !sleepUntil(ctx, began.Add(p.arrival)) {
 			break
 		}
 		if now := time.Now(); now.After(progress) {
 			fmt.Fprintf(e.runner.Progress, "%s: %s, %d of %d sent\n", e.runner.Scenario.Name, now.Sub(began).Round(time.Second), i, len(all))
-			progress = now.Add(progressStep)
+			progress = now.Add(progressInterval)
 		}
-		wg.Go(func() { e.one(ctx, p, began.Add(p.at)) })
+		wg.Go(func() { e.sendOne(ctx, p, began.Add(p.arrival)) })
 	}
 	wg.Wait()
 }
 
-func (e *experiment) one(ctx context.Context, p planned, began time.Time) {
-	e.ledger.begin(p)
+func (e *experiment) sendOne(ctx context.Context, p plannedRequest, began time.Time) {
+	e.ledger.addDemand(p)
 	a := e.clients[p.region].send(ctx, p, began)
 	falseRefusal := false
-	if a.verdict == verdictRefused && a.run == masticway.FateNotRun {
-		falseRefusal = e.ledger.refused(p)
+	if a.outcome == outcomeRefused && a.fate == masticway.FateNotRun {
+		falseRefusal = e.ledger.withdrawDemand(p)
 	}
-	e.tally.take(p, a, falseRefusal)
+	e.tally.add(p, a, falseRefusal)
 }
 
-func (e *experiment) report(ctx context.Context, requests int, reads int64, writes map[string]int64) (Report, error) {
-	if e.runner.Sabotage != nil {
-		e.runner.Sabotage(e.fleet)
+func (e *experiment) finish(ctx context.Context, requests int, reads int64, writes map[string]int64) (Report, error) {
+	if e.runner.InjectViolation != nil {
+		e.runner.InjectViolation(e.fleet)
 	}
 	upstreams := append(e.fleet.Sidecars(), e.faults.removed...)
 	for _, r := range e.fleet.Routers() {
@@ -319,10 +319,10 @@
 	}
 	t := e.tally
 	t.promises.CutOff = e.faults.cutOff
-	t.checkServices(serviceRuns(upstreams))
-	money, err := checkMoney(ctx, e.fleet, e.ledger, ranCost(upstreams, e.catalog, e.ledger.budgetOf), &t.promises)
+	t.checkServiceRuns(serviceRuns(upstreams))
+	money, err := checkMoney(ctx, e.fleet, e.ledger, costOfRuns(upstreams, e.catalog, e.ledger.budgetOf), &t.promises)
 	if err != nil {
 		return Report{}, err
 	}
-	return e.build(requests, reads, writes, money), errors.Join(e.faults.errs...)
+	return e.buildReport(requests, reads, writes, money), errors.Join(e.faults.errs...)
 }
--- a/loader/scenario.go
+++ b/loader/scenario.go
@@ -17,8 +17,8 @@
 	ZoneDelay   masticway.Duration `json:"zone_delay"`
 	RegionDelay masticway.Duration `json:"region_delay"`
 	ClientDelay masticway.Duration `json:"client_delay"`
-	Engines     []Engines          `json:"engines"`
-	Services    []Services         `json:"services"`
+	Engines     []EngineGroup      `json:"engines"`
+	Services    []ServiceGroup     `json:"services"`
 	Catalog     json.RawMessage    `json:"catalog"`
 	Contracts   []json.RawMessage  `json:"contracts"`
 	Budgets     []Budget           `json:"budgets"`
@@ -36,8 +36,8 @@
 	Routers int      `json:"routers"`
 }
 
-// Engines is a group of model engines in every region.
-type Engines struct {
+// EngineGroup is a group of model engines in every region.
+type EngineGroup struct {
 	Model       string             `json:"model"`
 	Count       int                `json:"count"`
 	Capacity    int                `json:"capacity"`
@@ -48,8 +48,8 @@
 	HideCache   bool               `json:"hide_cache"`
 }
 
-// Services is a group of plain services in every region.
-type Services struct {
+// ServiceGroup is a group of plain services in every region.
+type ServiceGroup struct {
 	Name  string `json:"name"`
 	Count int    `json:"count"`
 }
@@ -100,16 +100,16 @@
 	FaultRegionCut           FaultKind = "region_cut"
 	FaultTopUp               FaultKind = "top_up"
 	FaultConfigChange        FaultKind = "config_change"
-	FaultListHidesLeaving    FaultKind = "list_hides_leaving"
+	FaultListHidesDraining   FaultKind = "list_hides_leaving"
 )
 
 // Fault is something that fails, or that an operator does, during the load.
 type Fault struct {
-	At     masticway.Duration `json:"at"`
-	For    masticway.Duration `json:"for"`
-	Kind   FaultKind          `json:"kind"`
-	Target string             `json:"target"`
-	Value  int64              `json:"value"`
+	At       masticway.Duration `json:"at"`
+	Duration masticway.Duration `json:"for"`
+	Kind     FaultKind          `json:"kind"`
+	Target   string             `json:"target"`
+	Value    int64              `json:"value"`
 }
 
 // Expect bounds figures besides the promises; zero means that the figure is only reported.
