--- a/loader/client.go
+++ b/loader/client.go
@@ -16,7 +16,7 @@
 	"github.com/masticway/masticway/starter"
 )
 
-// outcome is how a request ended for its client.
+// outcome is the outcome of a request as its client sees it.
 type outcome string
 
 const (
@@ -25,7 +25,7 @@
 	outcomeBroken  outcome = "broken"
 )
 
-// answer is what a client got, in the end.
+// answer is the client's answer to the last attempt of a request.
 type answer struct {
 	outcome outcome
 	status  int
@@ -33,11 +33,11 @@
 	fate    masticway.Fate
 	text    string
 	usage   masticway.Usage
-	// id names the request that was answered, for explain.
+	// id is the request id in the answer, for the explain command.
 	id         string
 	attempts   int
 	retryAfter time.Duration
-	// firstToken and whole count from the planned arrival.
+	// firstToken and whole are the times from the planned arrival until the first token and the whole answer.
 	firstToken time.Duration
 	whole      time.Duration
 	tokenGaps  []time.Duration
@@ -45,13 +45,13 @@
 }
 
 const (
-	// maxRetryPause bounds the pause that a client keeps before it asks again.
+	// maxRetryPause limits the time that a client waits before a retry, if the answer names one.
 	maxRetryPause = 2 * time.Second
-	// brokenPause is the pause after a broken connection.
+	// brokenPause is the pause before a retry if the answer names no time, such as after a broken connection.
 	brokenPause = 50 * time.Millisecond
 )
 
-// client sends the requests of one region to its routers, as a balancer would.
+// client sends the requests of a region to its ready routers at random, like a load balancer.
 type client struct {
 	fleet  *starter.Fleet
 	region string
@@ -59,15 +59,15 @@
 	keys   map[string]string
 }
 
-// send carries out a planned request, asking again with the same key as the traffic says.
-func (c *client) send(ctx context.Context, p plannedRequest, began time.Time) answer {
+// send sends a planned request. It retries with the same idempotency key, as often as the traffic allows.
+func (c *client) send(ctx context.Context, p plannedRequest, arrival time.Time) answer {
 	var a answer
-	for try := 0; ; try++ {
-		a = c.sendOnce(ctx, p, began)
-		a.attempts = try + 1
+	for retries := 0; ; retries++ {
+		a = c.sendOnce(ctx, p, arrival)
+		a.attempts = retries + 1
 		a.ended = time.Now()
-		a.whole = a.ended.Sub(began)
-		if !shouldRetry(a) || try >= p.traffic.Retries || ctx.Err() != nil {
+		a.whole = a.ended.Sub(arrival)
+		if !shouldRetry(a) || retries >= p.traffic.Retries || ctx.Err() != nil {
 			return a
 		}
 		pause := brokenPause
@@ -82,7 +82,7 @@
 	}
 }
 
-// shouldRetry tells whether a client asks again after an answer.
+// shouldRetry reports whether a client retries after an answer.
 func shouldRetry(a answer) bool {
 	switch {
 	case a.outcome == outcomeBroken:
@@ -93,7 +93,8 @@
 	return a.status == http.StatusServiceUnavailable || a.status == http.StatusGatewayTimeout || a.status == http.StatusConflict || a.status == http.StatusBadGateway
 }
 
-func (c *client) sendOnce(ctx context.Context, p plannedRequest, began time.Time) answer {
+// sendOnce sends one attempt of a request to a random router.
+func (c *client) sendOnce(ctx context.Context, p plannedRequest, arrival time.Time) answer {
 	routers := c.routers()
 	if len(routers) == 0 {
 		return answer{outcome: outcomeBroken, code: "no_router"}
@@ -119,15 +120,16 @@
 	a := answer{status: response.StatusCode, id: response.Header.Get("Masticway-Request-Id")}
 	switch {
 	case p.traffic.Service == "" && strings.HasPrefix(response.Header.Get("Content-Type"), "text/event-stream"):
-		readEvents(response.Body, &a, began)
+		readEvents(response.Body, &a, arrival)
 	case p.traffic.Service == "" && response.StatusCode == http.StatusOK:
-		readCompletion(response.Body, &a, began)
+		readCompletion(response.Body, &a, arrival)
 	default:
 		readErrorOrService(response, &a, p)
 	}
 	return a
 }
 
+// routers returns the ready routers of the client's region.
 func (c *client) routers() []*starter.FleetRouter {
 	var list []*starter.FleetRouter
 	for _, r := range c.fleet.Routers() {
@@ -138,7 +140,7 @@
 	return list
 }
 
-// errorBody is the error body.
+// errorBody is the body of a refusal, and of an event that ends a stream with an error.
 type errorBody struct {
 	Error *struct {
 		Code       string         `json:"code"`
@@ -154,6 +156,7 @@
 	a.retryAfter = time.Duration(e.Error.RetryAfter) * time.Millisecond
 }
 
+// completionBody is the body of a completion, or the data of an event of a stream.
 type completionBody struct {
 	errorBody
 	Choices []struct {
@@ -167,7 +170,8 @@
 	Usage *masticway.Usage `json:"usage"`
 }
 
-func readEvents(body io.Reader, a *answer, began time.Time) {
+// readEvents reads a stream of events into an answer.
+func readEvents(body io.Reader, a *answer, arrival time.Time) {
 	a.outcome = outcomeBroken
 	a.code = "stream"
 	var text strings.Builder
@@ -189,7 +193,7 @@
 			return
 		}
 		if e.Error != nil {
-			// The status said 200 before the stream broke off.
+			// The response's status was 200, because the error came after the headers.
 			a.status = http.StatusBadGateway
 			a.setRefusal(e.errorBody)
 			return
@@ -203,7 +207,7 @@
 			}
 			now := time.Now()
 			if last.IsZero() {
-				a.firstToken = now.Sub(began)
+				a.firstToken = now.Sub(arrival)
 			} else {
 				a.tokenGaps = append(a.tokenGaps, now.Sub(last))
 			}
@@ -213,20 +217,22 @@
 	}
 }
 
-func readCompletion(body io.Reader, a *answer, began time.Time) {
+// readCompletion reads a completion that is not a stream into an answer.
+func readCompletion(body io.Reader, a *answer, arrival time.Time) {
 	var e completionBody
 	if err := json.NewDecoder(body).Decode(&e); err != nil || len(e.Choices) == 0 {
 		a.outcome = outcomeBroken
 		return
 	}
 	a.outcome = outcomeOK
-	a.firstToken = time.Since(began)
+	a.firstToken = time.Since(arrival)
 	a.text = e.Choices[0].Message.Content
 	if e.Usage != nil {
 		a.usage = *e.Usage
 	}
 }
 
+// readErrorOrService reads a refusal or the answer of a service into an answer.
 func readErrorOrService(response *http.Response, a *answer, p plannedRequest) {
 	data, err := io.ReadAll(response.Body)
 	if err != nil {
@@ -245,7 +251,7 @@
 	}
 }
 
-// isCorrect tells whether an answer is the whole answer to its own request.
+// isCorrect reports whether an answer is the whole answer to the planned request.
 func (p plannedRequest) isCorrect(a answer) bool {
 	if p.traffic.Service != "" {
 		var echo struct {
@@ -256,6 +262,6 @@
 	if p.traffic.MaxTokens > 0 {
 		return a.text == emulator.Answer(p.messages, p.tokens)
 	}
-	// Without a named maximum a thin budget may cut an answer short, and its usage says so.
+	// If the request sets no maximum, a small budget may cut its answer short; the usage shows the length.
 	return a.usage.Completion > 0 && a.text == emulator.Answer(p.messages, min(a.usage.Completion, p.tokens))
 }
--- a/loader/doc.go
+++ b/loader/doc.go
@@ -1,6 +1,6 @@
-// Package loader offers load to a fleet and checks every promise from outside.
+// Package loader sends load to a fleet and checks the promises of the system from outside.
 //
-// Arrivals are open-loop: they follow a seeded plan and never wait for answers,
-// and times count from the planned arrival. What the stand-ins say they did is
-// held against what clients were told and what the table bills.
+// The load is open-loop: requests arrive by a seeded plan, independent of answers, and all times are measured from the planned
+// arrival. The checks compare what the emulated upstreams report as run with what clients were told and what the table says was
+// charged.
 package loader
--- a/loader/driver.go
+++ b/loader/driver.go
@@ -21,9 +21,9 @@
 	"github.com/masticway/masticway/measurer"
 )
 
-// Drive offers steady load to processes that run already, and watches what they use.
+// Drive sends load at a steady rate to processes that are already running, and measures the resources that processes use.
 type Drive struct {
-	// Callers are base URLs of routers, or of a model engine to compare with.
+	// Callers has the base URLs of routers, or of a model engine for comparison.
 	Callers     []string
 	Key         string
 	Model       string
@@ -35,21 +35,21 @@
 	Watch       []Watched
 }
 
-// Watched is a process whose use of the machine is measured.
+// Watched is a process whose resource usage is measured.
 type Watched struct {
 	Name string
 	PID  int
-	// Vars is the URL of its metrics, or empty.
+	// Vars is the URL of the process's expvar metrics; if it is empty, link bytes are not measured.
 	Vars string
 }
 
-// ResourceUsage is what a watched process used on average.
+// ResourceUsage is the resource usage of a process during a drive.
 type ResourceUsage struct {
-	// CoreShare is processor time for each second, in parts of a core.
+	// CoreShare is the processor time per second of wall time.
 	CoreShare float64 `json:"core_share"`
-	// ResidentMB is its resident memory at the end.
+	// ResidentMB is the resident memory at the end.
 	ResidentMB float64 `json:"resident_mb"`
-	// LinkBytes is what its links sent and received in a second.
+	// LinkBytes is the number of bytes per second that the process's links sent and received.
 	LinkBytes float64 `json:"link_bytes_per_second"`
 }
 
@@ -63,22 +63,24 @@
 	Usage         map[string]ResourceUsage `json:"uses"`
 }
 
-// ticksPerSecond is the kernel's unit of processor time in /proc.
+// ticksPerSecond is the number of units of processor time in /proc per second.
 const ticksPerSecond = 100
 
+// sample is the state of a process at a time.
 type sample struct {
 	cpuSeconds float64
 	residentMB float64
 	linkBytes  float64
 }
 
+// sample reads the resource usage of the process so far.
 func (w Watched) sample(ctx context.Context) (sample, error) {
 	var s sample
 	data, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", w.PID))
 	if err != nil {
 		return s, fmt.Errorf("watching %s: %w", w.Name, err)
 	}
-	// The name in parentheses may hold blanks, so the fields are counted behind it.
+	// The process name in parentheses may contain spaces, so the fields are counted after it.
 	_, rest, _ := strings.Cut(string(data), ") ")
 	fields := strings.Fields(rest)
 	const user, system, resident = 11, 12, 21
@@ -101,6 +103,7 @@
 	return s, err
 }
 
+// linkBytes reads the number of bytes that the process's links have sent and received so far.
 func (w Watched) linkBytes(ctx context.Context) (float64, error) {
 	if w.Vars == "" {
 		return 0, nil
@@ -126,15 +129,15 @@
 	return vars.Masticway.Sent + vars.Masticway.Received, nil
 }
 
-// Run offers the load and returns what it saw.
+// Run sends the load and returns its report.
 func (d Drive) Run(ctx context.Context) (DriveReport, error) {
 	before, err := d.samples(ctx)
 	if err != nil {
 		return DriveReport{}, err
 	}
-	began := time.Now()
-	report := d.offerLoad(ctx, began)
-	seconds := time.Since(began).Seconds()
+	start := time.Now()
+	report := d.offerLoad(ctx, start)
+	seconds := time.Since(start).Seconds()
 	after, err := d.samples(ctx)
 	if err != nil {
 		return DriveReport{}, err
@@ -160,8 +163,8 @@
 	return all, nil
 }
 
-// offerLoad sends requests at random times that never wait for answers.
-func (d Drive) offerLoad(ctx context.Context, began time.Time) DriveReport {
+// offerLoad sends requests at random times, independent of the answers to earlier requests.
+func (d Drive) offerLoad(ctx context.Context, start time.Time) DriveReport {
 	random := rand.New(rand.NewPCG(uint64(d.Seed), 1))
 	client := connector.NewHTTP(nil)
 	var mu sync.Mutex
@@ -171,30 +174,31 @@
 	at := time.Duration(0)
 	for d.Rate > 0 {
 		at += time.Duration(random.ExpFloat64() / d.Rate * float64(time.Second))
-		if at >= d.Duration || !sleepUntil(ctx, began.Add(at)) {
+		if at >= d.Duration || !sleepUntil(ctx, start.Add(at)) {
 			break
 		}
 		report.Requests++
-		due := began.Add(at)
+		arrival := start.Add(at)
 		url := d.Callers[report.Requests%len(d.Callers)]
 		body := d.requestBody(report.Requests)
 		wg.Go(func() {
-			a := d.sendOnce(ctx, client, url, body, due)
+			a := d.sendOnce(ctx, client, url, body, arrival)
 			mu.Lock()
 			defer mu.Unlock()
 			if a.outcome != outcomeOK {
 				return
 			}
 			report.OK++
-			recordAnswer(first, between, whole, a, time.Since(due))
+			recordAnswer(first, between, whole, a, time.Since(arrival))
 		})
 	}
 	wg.Wait()
-	sleepUntil(ctx, began.Add(d.Duration))
+	sleepUntil(ctx, start.Add(d.Duration))
 	report.FirstToken, report.BetweenTokens, report.Whole = measurer.Summarize(first), measurer.Summarize(between), measurer.Summarize(whole)
 	return report
 }
 
+// recordAnswer records the times of an answer that took so long after its planned arrival.
 func recordAnswer(first, between, whole *hdrhistogram.Histogram, a answer, took time.Duration) {
 	_ = first.RecordValue(max(1, a.firstToken.Microseconds()))
 	_ = whole.RecordValue(max(1, took.Microseconds()))
@@ -203,6 +207,7 @@
 	}
 }
 
+// requestBody returns the body of the nth request.
 func (d Drive) requestBody(n int) []byte {
 	p := plannedRequest{
 		traffic:  Traffic{Model: d.Model, Stream: true, MaxTokens: d.Tokens},
@@ -211,7 +216,7 @@
 	return p.chatBody()
 }
 
-func (d Drive) sendOnce(ctx context.Context, client *http.Client, url string, body []byte, due time.Time) answer {
+func (d Drive) sendOnce(ctx context.Context, client *http.Client, url string, body []byte, arrival time.Time) answer {
 	request, err := http.NewRequestWithContext(ctx, http.MethodPost, url+"/v1/chat/completions", bytes.NewReader(body))
 	if err != nil {
 		return answer{outcome: outcomeBroken}
@@ -228,7 +233,7 @@
 		_, _ = io.Copy(io.Discard, response.Body)
 		return a
 	}
-	readEvents(response.Body, &a, due)
+	readEvents(response.Body, &a, arrival)
 	return a
 }
 
--- a/loader/faults.go
+++ b/loader/faults.go
@@ -18,25 +18,28 @@
 )
 
 const (
-	// drainWatchTime is how long a leaving upstream is watched for new work.
+	// drainWatchTime is how long the upstream of a draining sidecar is watched for new work.
 	drainWatchTime = 8 * time.Second
-	// applyTimeout is how long a change may take to be in force everywhere.
+	// applyTimeout limits the wait until all routers have applied a configuration change.
 	applyTimeout = 10 * time.Second
 	pollInterval = 10 * time.Millisecond
-	// recoveryTimeout bounds the wait for a dead router's money.
+	// recoveryTimeout limits the wait until the money of a killed router is returned.
 	recoveryTimeout = 40 * time.Second
 )
 
-// faultInjector brings a scenario's faults about, and watches what the fleet makes of them.
+// faultInjector injects the faults of a scenario and measures how the fleet handles them.
 type faultInjector struct {
-	fleet      *starter.Fleet
-	ledger     *ledger
-	mu         sync.Mutex
-	cutOff     int
+	fleet  *starter.Fleet
+	ledger *ledger
+	mu     sync.Mutex
+	// cutOff counts graceful shutdowns that cut off requests.
+	cutOff int
+	// drainTimes has the time for which each draining upstream still got new work.
 	drainTimes []time.Duration
+	// applyTimes has the time until each configuration change was applied by all routers.
 	applyTimes []time.Duration
 	removed    []*starter.FleetSidecar
-	// recoveryTimes is how long each dead router's money took to be back.
+	// recoveryTimes has the time until each killed router's money was returned.
 	recoveryTimes []time.Duration
 	errs          []error
 	wg            sync.WaitGroup
@@ -46,11 +49,11 @@
 	return &faultInjector{fleet: f, ledger: l}
 }
 
-// run carries all faults out at their times; it returns when the last has ended.
-func (f *faultInjector) run(ctx context.Context, faults []Fault, began time.Time) {
+// run injects all faults at their times and returns when the last has ended.
+func (f *faultInjector) run(ctx context.Context, faults []Fault, start time.Time) {
 	for _, fault := range faults {
 		f.wg.Go(func() {
-			if !sleepUntil(ctx, began.Add(fault.At.Std())) {
+			if !sleepUntil(ctx, start.Add(fault.At.Std())) {
 				return
 			}
 			heal, err := f.inject(ctx, fault)
@@ -63,13 +66,14 @@
 			if heal == nil {
 				return
 			}
-			sleepUntil(ctx, began.Add(fault.At.Std()+fault.Duration.Std()))
+			sleepUntil(ctx, start.Add(fault.At.Std()+fault.Duration.Std()))
 			heal()
 		})
 	}
 	f.wg.Wait()
 }
 
+// sleepUntil sleeps until a time, and reports false if ctx ends before it.
 func sleepUntil(ctx context.Context, at time.Time) bool {
 	select {
 	case <-ctx.Done():
@@ -79,20 +83,20 @@
 	}
 }
 
-// inject brings a fault about and returns what ends it, or nothing.
+// inject injects a fault and returns the function that ends it; the function is nil if nothing has to end.
 func (f *faultInjector) inject(ctx context.Context, fault Fault) (heal func(), err error) {
 	table := f.fleet.Platform.Table
-	calm := func() { table.SetFaults(emulator.TableFaults{}) }
+	healTable := func() { table.SetFaults(emulator.TableFaults{}) }
 	switch fault.Kind {
 	case FaultTableDown:
 		table.SetFaults(emulator.TableFaults{Down: true})
-		return calm, nil
+		return healTable, nil
 	case FaultTableSlow:
 		table.SetFaults(emulator.TableFaults{Slow: int(fault.Value)})
-		return calm, nil
+		return healTable, nil
 	case FaultTableLosesAnswers:
 		table.SetFaults(emulator.TableFaults{LoseAnswers: int(fault.Value)})
-		return calm, nil
+		return healTable, nil
 	case FaultObjectsDown:
 		f.fleet.Platform.Objects.SetDown(true)
 		return func() { f.fleet.Platform.Objects.SetDown(false) }, nil
@@ -111,6 +115,7 @@
 	return f.injectSidecarFault(fault)
 }
 
+// topUp adds to a prepaid budget, as an operator does.
 func (f *faultInjector) topUp(ctx context.Context, fault Fault) error {
 	amount := masticway.Amount(fault.Value)
 	if _, err := bookkeeper.New(f.fleet.Platform.Table).TopUp(ctx, fault.Target, uuid.NewString(), amount); err != nil {
@@ -120,7 +125,7 @@
 	return nil
 }
 
-// configChange puts a workspace's contract anew and watches until every router has applied it.
+// configChange changes the priority in a workspace's contract and waits until all routers have applied the change.
 func (f *faultInjector) configChange(ctx context.Context, fault Fault) error {
 	store := configurer.NewStore(f.fleet.Platform.Table)
 	c, _, err := store.Contract(ctx, fault.Target)
@@ -132,8 +137,8 @@
 	if err != nil {
 		return err
 	}
-	began := time.Now()
-	for time.Since(began) < applyTimeout {
+	start := time.Now()
+	for time.Since(start) < applyTimeout {
 		if f.isAppliedEverywhere(int64(change.Revision)) {
 			break
 		}
@@ -141,10 +146,11 @@
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.applyTimes = append(f.applyTimes, time.Since(began))
+	f.applyTimes = append(f.applyTimes, time.Since(start))
 	return nil
 }
 
+// isAppliedEverywhere reports whether all ready routers have applied a revision of the configuration.
 func (f *faultInjector) isAppliedEverywhere(revision int64) bool {
 	for _, r := range f.fleet.Routers() {
 		if r.Daemon.Ready() && r.Metrics.Count("config_revision") < revision {
@@ -154,7 +160,7 @@
 	return true
 }
 
-// cutRegion cuts a region off from the platform and from all other regions.
+// cutRegion cuts a region off from the platform and from the routers of other regions, and returns the function that ends this.
 func (f *faultInjector) cutRegion(fault Fault) func() {
 	var inside, outside []string
 	for _, r := range f.fleet.Routers() {
@@ -170,15 +176,15 @@
 		}
 	}
 	outside = append(outside, starter.PlatformProcess)
-	each := func(set func(a, b string)) {
+	forEachPair := func(set func(a, b string)) {
 		for _, a := range inside {
 			for _, b := range outside {
 				set(a, b)
 			}
 		}
 	}
-	each(f.fleet.Network.Cut)
-	return func() { each(f.fleet.Network.Heal) }
+	forEachPair(f.fleet.Network.Cut)
+	return func() { forEachPair(f.fleet.Network.Heal) }
 }
 
 // NoTargetError reports a fault whose target does not exist.
@@ -187,10 +193,10 @@
 	Target string
 }
 
-// Error names fault and target.
+// Error names the kind of fault and the target.
 func (e *NoTargetError) Error() string { return fmt.Sprintf("%s: no target %q", e.Kind, e.Target) }
 
-// pick chooses from a list by number or by the start of a name; the empty target is the first.
+// pick returns the element of a list with an index or with a prefix of its name; an empty target picks the first.
 func pick[T any](list []T, target string, name func(T) string) (T, bool) {
 	var none T
 	if n, err := strconv.Atoi(target); err == nil && n < len(list) {
@@ -204,6 +210,7 @@
 	return none, false
 }
 
+// injectRouterFault injects a fault of a router and returns the function that ends it.
 func (f *faultInjector) injectRouterFault(fault Fault) (func(), error) {
 	r, ok := pick(f.fleet.Routers(), fault.Target, func(r *starter.FleetRouter) string { return r.Name })
 	if !ok {
@@ -228,17 +235,17 @@
 		}
 		return replace, nil
 	}
-	dead := r.Daemon.Incarnation()
+	inc := r.Daemon.Incarnation()
 	f.fleet.KillRouter(r.Name)
-	died := time.Now()
-	f.wg.Go(func() { f.awaitRecovery(dead, died) })
+	killedAt := time.Now()
+	f.wg.Go(func() { f.awaitRecovery(inc, killedAt) })
 	return replace, nil
 }
 
-// awaitRecovery waits until a dead incarnation has no money any more.
-func (f *faultInjector) awaitRecovery(inc masticway.Incarnation, died time.Time) {
+// awaitRecovery waits until a killed incarnation holds no grants any more, and records how long that took.
+func (f *faultInjector) awaitRecovery(inc masticway.Incarnation, killedAt time.Time) {
 	book := bookkeeper.New(f.fleet.Platform.Table)
-	for time.Since(died) < recoveryTimeout {
+	for time.Since(killedAt) < recoveryTimeout {
 		grants, err := book.GrantsOf(context.Background(), inc)
 		if err == nil && len(grants) == 0 {
 			break
@@ -247,9 +254,10 @@
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.recoveryTimes = append(f.recoveryTimes, time.Since(died))
+	f.recoveryTimes = append(f.recoveryTimes, time.Since(killedAt))
 }
 
+// injectSidecarFault injects a fault of a sidecar or its upstream and returns the function that ends it.
 func (f *faultInjector) injectSidecarFault(fault Fault) (func(), error) {
 	s, ok := pick(f.fleet.Sidecars(), fault.Target, func(s *starter.FleetSidecar) string { return s.Name })
 	if !ok {
@@ -283,26 +291,26 @@
 	return func() { s.Engine.SetFaults(emulator.EngineFaults{}) }, nil
 }
 
-// drain ends a sidecar gracefully and watches for the last new work that its upstream gets.
+// drain shuts a sidecar down gracefully and records for how long its upstream still got new work.
 func (f *faultInjector) drain(s *starter.FleetSidecar) {
-	began := time.Now()
-	last := began
+	start := time.Now()
+	lastRunAt := start
 	done := make(chan bool, 1)
 	go func() { done <- f.fleet.DrainSidecar(s.Name) }()
 	runs := s.Runs()
-	for time.Since(began) < drainWatchTime {
+	for time.Since(start) < drainWatchTime {
 		if now := s.Runs(); now != runs {
 			runs = now
-			last = time.Now()
+			lastRunAt = time.Now()
 		}
 		time.Sleep(pollInterval)
 	}
-	clean := <-done
+	drained := <-done
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if !clean {
+	if !drained {
 		f.cutOff++
 	}
-	f.drainTimes = append(f.drainTimes, last.Sub(began))
+	f.drainTimes = append(f.drainTimes, lastRunAt.Sub(start))
 	f.removed = append(f.removed, s)
 }
--- a/loader/loader_test.go
+++ b/loader/loader_test.go
@@ -17,7 +17,7 @@
 	"github.com/masticway/masticway/starter"
 )
 
-// smallScenario is a scenario that runs in two seconds.
+// smallScenario takes about two seconds.
 const smallScenario = `{"name":"small","duration":"1500ms","regions":[{"name":"r","zones":["a","b"],"routers":2}],
 	"engines":[{"model":"m","count":2,"token_time":"1ms","prefill_time":"1us"}],"services":[{"name":"s"}],
 	"catalog":{"models":[{"name":"m","prompt_weight":1000,"completion_weight":3000}],"services":[{"name":"s","price":10000}]},
@@ -45,13 +45,14 @@
 	qt.Assert(t, text.String(), qt.Contains, "promises: overspend 0.000")
 }
 
-// TestOracleNoticesBrokenPromises lets work through behind the fleet's back; each kind must be found.
+// TestOracleNoticesBrokenPromises guards against checks that find nothing: it changes what the emulated upstreams report as run,
+// and the report must show the broken promise.
 func TestOracleNoticesBrokenPromises(t *testing.T) {
 	cases := map[string]struct {
-		sabotage func(f *starter.Fleet)
-		broken   func(p loader.Promises) bool
+		inject func(f *starter.Fleet)
+		broken func(p loader.Promises) bool
 	}{
-		"an unchecked run beyond the prepaid sum": {
+		"a run beyond the prepaid amount": {
 			func(f *starter.Fleet) {
 				for _, s := range f.Sidecars() {
 					if s.Engine != nil {
@@ -61,7 +62,7 @@
 			},
 			func(p loader.Promises) bool { return p.Overspend > 0 },
 		},
-		"a booking that ran twice": {
+		"a non-repeatable request that ran twice": {
 			func(f *starter.Fleet) {
 				for _, s := range f.Sidecars() {
 					if s.Service != nil {
@@ -73,7 +74,7 @@
 			},
 			func(p loader.Promises) bool { return p.Doubled > 0 },
 		},
-		"money billed that nothing ran for": {
+		"a charge for which nothing ran": {
 			func(f *starter.Fleet) {
 				for _, s := range f.Sidecars() {
 					if s.Engine != nil {
@@ -87,7 +88,7 @@
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
 			r := newRunner(t, smallScenario)
-			r.InjectViolation = tc.sabotage
+			r.InjectViolation = tc.inject
 			report, err := r.Run(context.Background())
 			qt.Assert(t, err, qt.IsNil)
 			qt.Assert(t, tc.broken(report.Promises), qt.IsTrue, qt.Commentf("%+v", report.Promises))
@@ -110,9 +111,9 @@
 
 func TestInvalidScenariosAreRejected(t *testing.T) {
 	cases := map[string]string{
-		"unknown fault":  strings.Replace(smallScenario, "table_loses_answers", "meteor", 1),
-		"faulty catalog": strings.Replace(smallScenario, `"prompt_weight":1000,`, "", 1),
-		"no traffic":     `{"name":"x","regions":[{"name":"r","zones":["a"]}],"traffic":[]}`,
+		"unknown fault":   strings.Replace(smallScenario, "table_loses_answers", "meteor", 1),
+		"invalid catalog": strings.Replace(smallScenario, `"prompt_weight":1000,`, "", 1),
+		"no traffic":      `{"name":"x","regions":[{"name":"r","zones":["a"]}],"traffic":[]}`,
 	}
 	for name, scenario := range cases {
 		t.Run(name, func(t *testing.T) {
--- a/loader/oracle.go
+++ b/loader/oracle.go
@@ -11,7 +11,8 @@
 	"github.com/masticway/masticway/starter"
 )
 
-// ledger knows everything that clients want and were told, as no router can.
+// ledger tracks, by budget, what is prepaid and the true cost of all requests that clients have sent, without those that were
+// refused as not run. No router knows this for the whole fleet.
 type ledger struct {
 	mu       sync.Mutex
 	prepaid  map[string]masticway.Amount
@@ -30,14 +31,15 @@
 	return l
 }
 
-// addDemand counts a request's true cost as wanted.
+// addDemand adds the true cost of a request to the demand on its budget.
 func (l *ledger) addDemand(p plannedRequest) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.demanded[l.budgetOf[p.traffic.Workspace]] += p.cost
 }
 
-// withdrawDemand takes a request's cost back, and tells whether its money was there all the same.
+// withdrawDemand subtracts the cost of a refused request from the demand on its budget, and reports whether the budget could have
+// paid for it.
 func (l *ledger) withdrawDemand(p plannedRequest) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -52,30 +54,30 @@
 	l.prepaid[budget] += amount
 }
 
-// Promises counts what must never happen; all must be zero.
+// Promises counts violations of promises; all must be zero.
 type Promises struct {
-	// Overspend is what upstreams ran beyond prepaid sums, in tokens at weight one.
+	// Overspend is the cost of what upstreams ran beyond the prepaid amounts, in tokens of weight one.
 	Overspend float64 `json:"overspend_tokens"`
-	// Overbilled is what budgets were charged beyond what upstreams ran, without what is presumed.
+	// Overbilled is what budgets were charged beyond the cost of what upstreams ran, without presumed charges.
 	Overbilled float64 `json:"overbilled_tokens"`
 	// Crossed counts answers that were not the whole answer to their own request.
 	Crossed int `json:"crossed_answers"`
 	// Doubled counts non-repeatable requests that ran more than once.
 	Doubled int `json:"doubled_runs"`
-	// FalseNotRun counts requests called "not run" that ran.
+	// FalseNotRun counts requests that ran although they were refused as not run.
 	FalseNotRun int `json:"false_not_run"`
-	// CutOff counts graceful shutdowns that cut something off.
+	// CutOff counts graceful shutdowns that cut off requests.
 	CutOff int `json:"cut_off"`
 	// BrokenRows counts budget rows that would allow overspending.
 	BrokenRows int `json:"broken_rows"`
-	// LostAnswers counts non-repeatable requests that ran and whose client was never told the answer.
+	// LostAnswers counts non-repeatable requests that ran but whose client got no answer, not even a refusal.
 	LostAnswers int `json:"lost_answers"`
 }
 
-// Kept tells whether all promises were kept.
+// Kept reports whether all promises were kept.
 func (p Promises) Kept() bool { return p == Promises{} }
 
-// Money is what happened to the budgets, in tokens at weight one.
+// Money has the totals of all budgets, in tokens of weight one.
 type Money struct {
 	Ran         float64 `json:"ran"`
 	Settled     float64 `json:"settled"`
@@ -85,9 +87,10 @@
 	Stranded    float64 `json:"stranded_at_end"`
 }
 
+// inTokens converts an amount to tokens of weight one.
 func inTokens(a masticway.Amount) float64 { return float64(a) / float64(masticway.PerToken) }
 
-// costOfRuns adds up what the stand-ins say they ran, by budget.
+// costOfRuns returns the cost of what the emulated upstreams report as run, by budget.
 func costOfRuns(upstreams []*starter.FleetSidecar, catalog masticway.Catalog, budgetOf map[string]string) map[string]masticway.Amount {
 	ran := map[string]masticway.Amount{}
 	for _, s := range upstreams {
@@ -106,7 +109,7 @@
 	return ran
 }
 
-// checkMoney holds what ran against what was prepaid and what the table bills.
+// checkMoney compares the cost of what ran with what was prepaid and with what the table says was charged.
 func checkMoney(ctx context.Context, fleet *starter.Fleet, l *ledger, ran map[string]masticway.Amount, p *Promises) (Money, error) {
 	var m Money
 	book := bookkeeper.New(fleet.Platform.Table)
@@ -115,14 +118,14 @@
 	for budget, prepaid := range l.prepaid {
 		row, err := book.Budget(ctx, budget)
 		if err != nil {
-			return m, fmt.Errorf("reading the end of budget %s: %w", budget, err)
+			return m, fmt.Errorf("reading the final row of budget %s: %w", budget, err)
 		}
 		if row.Check() != nil || row.Prepaid != prepaid {
 			p.BrokenRows++
 		}
 		p.Overspend += inTokens(max(0, ran[budget]-prepaid))
-		billed := row.Settled - row.Presumed
-		p.Overbilled += inTokens(max(0, billed-ran[budget]))
+		charged := row.Settled - row.Presumed
+		p.Overbilled += inTokens(max(0, charged-ran[budget]))
 		m.Underbilled += inTokens(max(0, ran[budget]-row.Settled))
 		m.Ran += inTokens(ran[budget])
 		m.Settled += inTokens(row.Settled)
@@ -133,7 +136,7 @@
 	return m, nil
 }
 
-// serviceRuns adds up how often each service body ran.
+// serviceRuns returns how often a service ran each request body.
 func serviceRuns(upstreams []*starter.FleetSidecar) map[string]int {
 	runs := map[string]int{}
 	for _, s := range upstreams {
--- a/loader/plan.go
+++ b/loader/plan.go
@@ -13,7 +13,7 @@
 	"github.com/masticway/masticway/emulator"
 )
 
-// plannedRequest is one request of the plan; the plan depends on the seed alone.
+// plannedRequest is a request of the plan. For a scenario, the plan depends only on the seed.
 type plannedRequest struct {
 	arrival  time.Duration
 	traffic  Traffic
@@ -21,21 +21,22 @@
 	region   int
 	messages []emulator.Message
 	body     string
-	// tokens is the length that the whole answer must have.
+	// tokens is the length of the whole answer.
 	tokens int
 	// cost is the true price.
 	cost masticway.Amount
-	// nonRepeatable tells that the contract forbids running it twice.
+	// nonRepeatable is set if the contract forbids running the request twice.
 	nonRepeatable bool
 }
 
+// words are the words of prompts.
 const words = "chest waist sleeve inseam lapel vent cuff drape canvas dart seam hem yoke collar button lining "
 
-// plan draws all arrivals of a scenario.
+// plan draws all requests of a scenario, ordered by their arrivals.
 func plan(s Scenario, catalog masticway.Catalog, contracts []masticway.Contract) []plannedRequest {
-	forbidden := map[string]masticway.Contract{}
+	contractOf := map[string]masticway.Contract{}
 	for _, c := range contracts {
-		forbidden[c.Workspace] = c
+		contractOf[c.Workspace] = c
 	}
 	var all []plannedRequest
 	for i, t := range s.Traffic {
@@ -47,8 +48,8 @@
 				break
 			}
 			p := planRequest(s, catalog, t, random, at, fmt.Sprintf("%s-%d-%d", t.Name, s.Seed, n))
-			terms, _ := forbidden[t.Workspace].Service(t.Service)
-			p.nonRepeatable = terms.IsNonRepeatable(http.MethodPost, t.Path)
+			service, _ := contractOf[t.Workspace].Service(t.Service)
+			p.nonRepeatable = service.IsNonRepeatable(http.MethodPost, t.Path)
 			all = append(all, p)
 		}
 	}
@@ -56,6 +57,7 @@
 	return all
 }
 
+// planRequest draws a request of a stream of traffic that arrives at a time after the start.
 func planRequest(s Scenario, catalog masticway.Catalog, t Traffic, random *rand.Rand, at time.Duration, key string) plannedRequest {
 	p := plannedRequest{arrival: at, traffic: t, key: key, region: random.IntN(len(s.Regions))}
 	if t.Service != "" {
@@ -65,22 +67,22 @@
 		return p
 	}
 	model, _ := catalog.Model(t.Model)
-	// Answers are from half to one and a half times the named length.
-	natural := max(1, t.OutputTokens/2+random.IntN(t.OutputTokens+1))
+	// The answer has from half to one and a half times OutputTokens, unless MaxTokens cuts it short.
+	uncutTokens := max(1, t.OutputTokens/2+random.IntN(t.OutputTokens+1))
 	group := random.IntN(t.Groups)
 	shared := fmt.Sprintf("%s%s group %s %d ", emulator.OwnerMark, t.Workspace, t.Name, group)
 	shared += fillerText(t.SharedBytes-len(shared), uint64(group))
-	own := fmt.Sprintf("%s %s [tokens=%d]", key, fillerText(t.PromptBytes-t.SharedBytes, random.Uint64()), natural)
+	own := fmt.Sprintf("%s %s [tokens=%d]", key, fillerText(t.PromptBytes-t.SharedBytes, random.Uint64()), uncutTokens)
 	p.messages = []emulator.Message{{Role: "system", Content: shared}, {Role: "user", Content: own}}
-	p.tokens = natural
+	p.tokens = uncutTokens
 	if t.MaxTokens > 0 {
-		p.tokens = min(natural, t.MaxTokens)
+		p.tokens = min(uncutTokens, t.MaxTokens)
 	}
 	p.cost = model.Cost(emulator.CountTokens(p.messages), p.tokens)
 	return p
 }
 
-// fillerText returns so many bytes of words, the same for the same seed.
+// fillerText returns text of a length, which depends only on the seed.
 func fillerText(bytes int, seed uint64) string {
 	if bytes <= 0 {
 		return ""
@@ -95,7 +97,7 @@
 	return b.String()[:bytes]
 }
 
-// chatBody is what the client sends for a model request.
+// chatBody returns the body of a request to a model.
 func (p plannedRequest) chatBody() []byte {
 	body, err := json.Marshal(struct {
 		Model     string             `json:"model"`
@@ -104,7 +106,7 @@
 		MaxTokens int                `json:"max_tokens,omitempty"`
 	}{p.traffic.Model, p.messages, p.traffic.Stream, p.traffic.MaxTokens})
 	if err != nil {
-		// The body holds only strings and numbers.
+		// Strings, numbers and booleans can always be encoded.
 		panic(err)
 	}
 	return body
--- a/loader/report.go
+++ b/loader/report.go
@@ -20,19 +20,22 @@
 	Requests int `json:"requests"`
 	OK       int `json:"ok"`
 	Attempts int `json:"tries"`
-	// CutShort counts whole answers that a thin budget ended before their natural end.
+	// CutShort counts complete answers that are shorter than planned because the budget did not allow more.
 	CutShort int `json:"cut_short"`
-	// FalseRefusals were refused for money although it was there; TrueRefusals when it was not.
+	// FalseRefusals counts requests that were refused for lack of money although the budget could have paid for them,
+	// TrueRefusals those for which it could not.
 	FalseRefusals int `json:"false_refusals"`
 	TrueRefusals  int `json:"true_refusals"`
-	Limited       int `json:"limited"`
-	Unknown       int `json:"unknown"`
-	Failed        int `json:"failed"`
-	// Codes counts the error codes of the last answers.
+	// Limited counts refusals because of limits or overload, Unknown other requests of unknown outcome, and Failed all
+	// other requests without success.
+	Limited int `json:"limited"`
+	Unknown int `json:"unknown"`
+	Failed  int `json:"failed"`
+	// Codes counts the error codes of requests without success, by the last attempt.
 	Codes map[string]int `json:"codes,omitempty"`
 }
 
-// TrafficReport is what one stream of requests saw.
+// TrafficReport is the result of one stream of requests.
 type TrafficReport struct {
 	Outcomes      Outcomes          `json:"outcomes"`
 	FirstToken    *measurer.Summary `json:"first_token,omitempty"`
@@ -47,25 +50,26 @@
 	Promises Promises                 `json:"promises"`
 	Money    Money                    `json:"money"`
 	Traffic  map[string]TrafficReport `json:"traffic"`
-	// Shares are parts of all requests.
+	// The shares are fractions of all requests.
 	FalseRefusalShare float64 `json:"false_refusal_share"`
 	FailedShare       float64 `json:"failed_share"`
-	// TableWrites and TableReads are for each 1,000 requests.
+	// TableWrites and TableReads are per 1,000 requests.
 	TableWrites float64 `json:"table_writes_per_1000"`
 	TableReads  float64 `json:"table_reads_per_1000"`
-	// WritesByKind splits the writes, also for each 1,000 requests.
+	// WritesByKind has the writes by kind of row, also per 1,000 requests.
 	WritesByKind map[string]float64 `json:"writes_by_kind_per_1000"`
-	// RecoveryMS is the time from each router's death until its money was back.
+	// RecoveryMS has, for each killed router, the time until its money was returned.
 	RecoveryMS []int64 `json:"recovery_ms,omitempty"`
-	// QuietMS is how long leaving upstreams still got new work.
+	// QuietMS has, for each draining upstream, the time for which it still got new work.
 	QuietMS []int64 `json:"quiet_ms,omitempty"`
-	// InForceMS is how long changes took to be in force everywhere.
+	// InForceMS has, for each configuration change, the time until all routers had applied it.
 	InForceMS []int64  `json:"in_force_ms,omitempty"`
 	Examples  []string `json:"examples,omitempty"`
-	// Failures names what was not as promised or expected.
+	// Failures describes broken promises and missed expectations.
 	Failures []string `json:"failures,omitempty"`
 }
 
+// buildReport makes the report from the tally, the injected faults and the use of the table.
 func (e *experiment) buildReport(requests int, reads int64, writes map[string]int64, money Money) Report {
 	t := e.tally
 	s := e.runner.Scenario
@@ -105,6 +109,7 @@
 	return all
 }
 
+// checkExpectations adds a failure for broken promises and for each missed expectation.
 func (r *Report) checkExpectations(expect Expect) {
 	if !r.Promises.Kept() {
 		r.Failures = append(r.Failures, fmt.Sprintf("a promise was broken: %+v", r.Promises))
@@ -148,6 +153,7 @@
 	}
 }
 
+// formatWrites formats the writes by kind.
 func formatWrites(m map[string]float64) string {
 	parts := make([]string, 0, len(m))
 	for _, k := range slices.Sorted(maps.Keys(m)) {
@@ -163,7 +169,7 @@
 	fmt.Fprintf(w, "    %-15s p50 %8.2f  p95 %8.2f  p99 %8.2f  max %8.2f ms\n", name, s.P50, s.P95, s.P99, s.Max)
 }
 
-// Runs is a file of reports of the same scenario under several seeds.
+// Runs has the reports of a scenario under several seeds, as stored in a file.
 type Runs struct {
 	Runs []Report `json:"runs"`
 }
@@ -181,12 +187,13 @@
 	return r, nil
 }
 
-// figure is one named number of a report.
+// figure is a named number of a report.
 type figure struct {
 	name  string
 	value float64
 }
 
+// figures returns the numbers of a report that Compare compares.
 func (r Report) figures() []figure {
 	list := []figure{
 		{"overspend", r.Promises.Overspend}, {"false_refusal_share", r.FalseRefusalShare}, {"failed_share", r.FailedShare},
@@ -215,7 +222,7 @@
 	return float64(slices.Max(list))
 }
 
-// Compare writes the medians of two sets of runs with their spread, and the ratio of the medians.
+// Compare writes the medians of two sets of runs with their minima and maxima, and the ratio of the medians.
 func Compare(w io.Writer, a, b Runs) {
 	fmt.Fprintf(w, "%-40s %28s %28s %8s\n", "figure", "A median (min to max)", "B median (min to max)", "B/A")
 	inA, inB := collectFigures(a), collectFigures(b)
@@ -232,6 +239,7 @@
 	}
 }
 
+// collectFigures returns the sorted values of each figure.
 func collectFigures(r Runs) map[string][]float64 {
 	all := map[string][]float64{}
 	for _, run := range r.Runs {
@@ -253,7 +261,7 @@
 	}, " ")
 }
 
-// summarize reads a histogram, or returns nothing without one.
+// summarize summarizes a histogram; it returns nil if there is none.
 func summarize(h *hdrhistogram.Histogram) *measurer.Summary {
 	if h == nil {
 		return nil
--- a/loader/runner.go
+++ b/loader/runner.go
@@ -22,26 +22,27 @@
 
 const (
 	readyTimeout = 30 * time.Second
-	// answerTimeout bounds the wait for answers after the last arrival.
+	// answerTimeout limits the wait for answers after the last arrival.
 	answerTimeout = 90 * time.Second
-	// instanceLag is the lag of the instance list in experiments.
+	// instanceLag is how far the instance list lags behind in experiments.
 	instanceLag      = 500 * time.Millisecond
 	progressInterval = 5 * time.Second
-	// clientProcess begins the network names of clients.
+	// clientProcess is the prefix of the clients' names and locations in the network.
 	clientProcess = "client"
 )
 
-// Runner carries out a scenario.
+// Runner runs a scenario.
 type Runner struct {
 	Scenario Scenario
-	// Progress takes a line every few seconds.
+	// Progress gets a line every few seconds.
 	Progress io.Writer
 	Log      *logrus.Logger
-	// InjectViolation, for tests, breaks a promise behind the fleet's back before the stand-ins are asked.
+	// InjectViolation, for tests, changes what the emulated upstreams report as run, so that a promise appears broken. It is
+	// called before the checks.
 	InjectViolation func(*starter.Fleet)
 }
 
-// tally is what clients saw, by traffic.
+// tally counts the outcomes that clients saw, by the name of the traffic.
 type tally struct {
 	mu           sync.Mutex
 	firstTokens  map[string]*hdrhistogram.Histogram
@@ -49,12 +50,12 @@
 	wholeAnswers map[string]*hdrhistogram.Histogram
 	outcomes     map[string]*Outcomes
 	promises     Promises
-	// examples are requests whose promise was broken, for explain.
+	// examples describes requests for which a promise was broken, for use with the explain command.
 	examples []string
 	services []serviceOutcome
 }
 
-// serviceOutcome is how a service request ended, to be held against what ran.
+// serviceOutcome is the outcome of a request to a service, to be compared with what ran.
 type serviceOutcome struct {
 	planned plannedRequest
 	answer  answer
@@ -67,6 +68,7 @@
 	}
 }
 
+// record adds a duration to the histogram with a name, and creates the histogram if needed.
 func record(m map[string]*hdrhistogram.Histogram, name string, d time.Duration) {
 	h, ok := m[name]
 	if !ok {
@@ -76,33 +78,33 @@
 	_ = h.RecordValue(max(1, d.Microseconds()))
 }
 
-// add counts one request's end.
+// add counts the outcome of a request.
 func (t *tally) add(p plannedRequest, a answer, falseRefusal bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	name := p.traffic.Name
-	c, ok := t.outcomes[name]
+	o, ok := t.outcomes[name]
 	if !ok {
-		c = &Outcomes{Codes: map[string]int{}}
-		t.outcomes[name] = c
+		o = &Outcomes{Codes: map[string]int{}}
+		t.outcomes[name] = o
 	}
-	c.Requests++
-	c.Attempts += a.attempts
+	o.Requests++
+	o.Attempts += a.attempts
 	if p.traffic.Service != "" {
 		t.services = append(t.services, serviceOutcome{planned: p, answer: a})
 	}
 	if a.outcome != outcomeOK {
-		c.Codes[a.code]++
-		c.countFailure(a, falseRefusal)
+		o.Codes[a.code]++
+		o.countFailure(a, falseRefusal)
 		return
 	}
-	c.OK++
+	o.OK++
 	if !p.isCorrect(a) {
 		t.promises.Crossed++
 		t.examples = append(t.examples, fmt.Sprintf("wrong answer: request %s key %s completion %d of %d", a.id, p.key, a.usage.Completion, p.tokens))
 	}
 	if a.usage.Completion < p.tokens {
-		c.CutShort++
+		o.CutShort++
 	}
 	record(t.wholeAnswers, name, a.whole)
 	if p.traffic.Service == "" {
@@ -113,12 +115,13 @@
 	}
 }
 
+// countFailure counts a request without success.
 func (o *Outcomes) countFailure(a answer, falseRefusal bool) {
-	budget := strings.HasPrefix(a.code, "budget_")
+	lacksMoney := strings.HasPrefix(a.code, "budget_")
 	switch {
-	case budget && falseRefusal:
+	case lacksMoney && falseRefusal:
 		o.FalseRefusals++
-	case budget:
+	case lacksMoney:
 		o.TrueRefusals++
 	case strings.HasPrefix(a.code, "limit_"), a.code == "overloaded":
 		o.Limited++
@@ -129,7 +132,7 @@
 	}
 }
 
-// checkServiceRuns holds each service request's end against how often it ran.
+// checkServiceRuns compares the outcome of each request to a service with how often it ran.
 func (t *tally) checkServiceRuns(runs map[string]int) {
 	for _, s := range t.services {
 		n := runs[s.planned.body]
@@ -140,16 +143,16 @@
 		}
 		if n > 0 && s.planned.nonRepeatable && s.answer.outcome == outcomeBroken {
 			t.promises.LostAnswers++
-			t.examples = append(t.examples, fmt.Sprintf("ran and was never answered: key %s", s.planned.key))
+			t.examples = append(t.examples, fmt.Sprintf("ran, but was never answered: key %s", s.planned.key))
 		}
 		if n > 0 && refused && s.answer.fate == masticway.FateNotRun {
 			t.promises.FalseNotRun++
-			t.examples = append(t.examples, fmt.Sprintf("false not run: request %s key %s", s.answer.id, s.planned.key))
+			t.examples = append(t.examples, fmt.Sprintf("reported as not run, but ran: request %s key %s", s.answer.id, s.planned.key))
 		}
 	}
 }
 
-// Run carries the scenario out and returns its report; the error tells that the experiment itself failed.
+// Run runs the scenario and returns its report. The error is not nil if the experiment itself failed.
 func (r Runner) Run(ctx context.Context) (Report, error) {
 	s := r.Scenario
 	catalog, err := s.catalog()
@@ -181,6 +184,7 @@
 	return e.run(ctx)
 }
 
+// spec returns the fleet of the scenario.
 func (r Runner) spec() starter.FleetSpec {
 	s := r.Scenario
 	spec := starter.FleetSpec{
@@ -204,7 +208,7 @@
 	return spec
 }
 
-// delay is the one-way time between two places, written region/zone; the platform has no place.
+// delay returns the one-way network delay between two locations, which are written region/zone. The platform's location is empty.
 func (s Scenario) delay(from, to string) time.Duration {
 	fromRegion, _, _ := strings.Cut(from, "/")
 	toRegion, _, _ := strings.Cut(to, "/")
@@ -219,18 +223,19 @@
 	return s.RegionDelay.Std()
 }
 
+// seed writes catalog, contracts and budgets to the fleet's platform, and returns a new key for each workspace.
 func seed(ctx context.Context, fleet *starter.Fleet, s Scenario, catalog masticway.Catalog, contracts []masticway.Contract) (map[string]string, error) {
 	keys := map[string]string{}
-	keyed := make([]masticway.Contract, 0, len(contracts))
+	withKeys := make([]masticway.Contract, 0, len(contracts))
 	for _, c := range contracts {
 		keys[c.Workspace] = authenticator.NewKey()
-		keyed = append(keyed, c.WithKeyHashes(authenticator.Hash(keys[c.Workspace])))
+		withKeys = append(withKeys, c.WithKeyHashes(authenticator.Hash(keys[c.Workspace])))
 	}
 	var budgets []starter.Prepaid
 	for _, b := range s.Budgets {
 		budgets = append(budgets, starter.Prepaid{Budget: b.ID, Amount: b.Prepaid})
 	}
-	return keys, fleet.Seed(ctx, catalog, keyed, budgets)
+	return keys, fleet.Seed(ctx, catalog, withKeys, budgets)
 }
 
 // experiment is one run of a scenario on its fleet.
@@ -239,7 +244,7 @@
 	fleet   *starter.Fleet
 	catalog masticway.Catalog
 	keys    map[string]string
-	// contracts say which calls must run at most once.
+	// contracts define which requests must run at most once.
 	contracts []masticway.Contract
 	ledger    *ledger
 	tally     *tally
@@ -247,6 +252,7 @@
 	clients   []*client
 }
 
+// run offers the planned load, injects the faults and returns the report.
 func (e *experiment) run(ctx context.Context) (Report, error) {
 	s := e.runner.Scenario
 	all := plan(s, e.catalog, e.contracts)
@@ -258,13 +264,13 @@
 	}
 	reads := e.fleet.Platform.Table.Reads()
 	writes := e.fleet.Platform.Table.WritesByKind()
-	began := time.Now()
+	start := time.Now()
 	faultsDone := make(chan struct{})
 	go func() {
 		defer close(faultsDone)
-		e.faults.run(ctx, s.Faults, began)
+		e.faults.run(ctx, s.Faults, start)
 	}()
-	e.offerLoad(ctx, all, began)
+	e.offerLoad(ctx, all, start)
 	readsAfter := e.fleet.Platform.Table.Reads()
 	written := e.fleet.Platform.Table.WritesByKind()
 	for kind, n := range writes {
@@ -278,28 +284,29 @@
 	return e.finish(ctx, len(all), readsAfter-reads, written)
 }
 
-// offerLoad sends all planned requests at their times and waits for their ends.
-func (e *experiment) offerLoad(ctx context.Context, all []plannedRequest, began time.Time) {
+// offerLoad sends all planned requests at their times and waits for their outcomes.
+func (e *experiment) offerLoad(ctx context.Context, all []plannedRequest, start time.Time) {
 	ctx, cancel := context.WithTimeout(ctx, e.runner.Scenario.Duration.Std()+answerTimeout)
 	defer cancel()
 	var wg sync.WaitGroup
-	progress := began.Add(progressInterval)
+	progress := start.Add(progressInterval)
 	for i, p := range all {
-		if !sleepUntil(ctx, began.Add(p.arrival)) {
+		if !sleepUntil(ctx, start.Add(p.arrival)) {
 			break
 		}
 		if now := time.Now(); now.After(progress) {
-			fmt.Fprintf(e.runner.Progress, "%s: %s, %d of %d sent\n", e.runner.Scenario.Name, now.Sub(began).Round(time.Second), i, len(all))
+			fmt.Fprintf(e.runner.Progress, "%s: %s, %d of %d sent\n", e.runner.Scenario.Name, now.Sub(start).Round(time.Second), i, len(all))
 			progress = now.Add(progressInterval)
 		}
-		wg.Go(func() { e.sendOne(ctx, p, began.Add(p.arrival)) })
+		wg.Go(func() { e.sendOne(ctx, p, start.Add(p.arrival)) })
 	}
 	wg.Wait()
 }
 
-func (e *experiment) sendOne(ctx context.Context, p plannedRequest, began time.Time) {
+// sendOne sends a planned request and counts its outcome.
+func (e *experiment) sendOne(ctx context.Context, p plannedRequest, arrival time.Time) {
 	e.ledger.addDemand(p)
-	a := e.clients[p.region].send(ctx, p, began)
+	a := e.clients[p.region].send(ctx, p, arrival)
 	falseRefusal := false
 	if a.outcome == outcomeRefused && a.fate == masticway.FateNotRun {
 		falseRefusal = e.ledger.withdrawDemand(p)
@@ -307,6 +314,7 @@
 	e.tally.add(p, a, falseRefusal)
 }
 
+// finish shuts the routers down, checks the promises and returns the report.
 func (e *experiment) finish(ctx context.Context, requests int, reads int64, writes map[string]int64) (Report, error) {
 	if e.runner.InjectViolation != nil {
 		e.runner.InjectViolation(e.fleet)
--- a/loader/scenario.go
+++ b/loader/scenario.go
@@ -8,7 +8,7 @@
 	"github.com/masticway/masticway/validator"
 )
 
-// Scenario is a load experiment: a fleet, its traffic and what fails.
+// Scenario is a load experiment: a fleet, its traffic and the faults.
 type Scenario struct {
 	Name        string             `json:"name"`
 	Seed        int64              `json:"seed"`
@@ -29,7 +29,7 @@
 	Expect      Expect             `json:"expect"`
 }
 
-// Region is one region of the fleet.
+// Region is a region of the fleet.
 type Region struct {
 	Name    string   `json:"name"`
 	Zones   []string `json:"zones"`
@@ -54,13 +54,13 @@
 	Count int    `json:"count"`
 }
 
-// Budget is a prepaid sum at the start.
+// Budget is a budget with its prepaid amount at the start.
 type Budget struct {
 	ID      string           `json:"id"`
 	Prepaid masticway.Amount `json:"prepaid"`
 }
 
-// Traffic is one stream of requests.
+// Traffic is a stream of similar requests.
 type Traffic struct {
 	Name         string          `json:"name"`
 	Workspace    string          `json:"workspace"`
@@ -78,7 +78,7 @@
 	Retries      int             `json:"retries"`
 }
 
-// FaultKind names what fails.
+// FaultKind is a kind of fault.
 type FaultKind string
 
 // The kinds of faults.
@@ -103,7 +103,7 @@
 	FaultListHidesDraining   FaultKind = "list_hides_leaving"
 )
 
-// Fault is something that fails, or that an operator does, during the load.
+// Fault is a failure, or an action of an operator, during the load.
 type Fault struct {
 	At       masticway.Duration `json:"at"`
 	Duration masticway.Duration `json:"for"`
@@ -112,13 +112,13 @@
 	Value    int64              `json:"value"`
 }
 
-// Expect bounds figures besides the promises; zero means that the figure is only reported.
+// Expect has upper limits of figures, beside the promises; a figure without limit (zero) is only reported.
 type Expect struct {
 	FalseRefusalShare float64 `json:"false_refusal_share"`
 	FailedShare       float64 `json:"failed_share"`
 }
 
-// Parse reads a scenario and checks it, with its catalog and contracts.
+// Parse decodes a scenario and validates it, its catalog and its contracts.
 func Parse(data []byte) (Scenario, error) {
 	s, err := validator.Decode[Scenario](validator.KindScenario, data)
 	if err != nil {
--- a/soaker/soak.go
+++ b/soaker/soak.go
@@ -170,12 +170,12 @@
 			lots = append(lots, slices.Repeat([]string{name}, max(1, kinds[name].weight))...)
 		}
 	}
-	began := time.Now()
+	start := time.Now()
 	for at := randomUpTo(s.random, maxGap); at < s.Duration; at += randomUpTo(s.random, maxGap) {
 		select {
 		case <-ctx.Done():
 			return
-		case <-time.After(time.Until(began.Add(at))):
+		case <-time.After(time.Until(start.Add(at))):
 		}
 		e := faultEvent{kind: lots[s.random.IntN(len(lots))], target: s.random.IntN(1 << 16), severity: s.random.Float64()}
 		e.duration = minDuration + time.Duration(s.random.Float64()*float64(kinds[e.kind].maxDuration))
