--- a/soaker/deadly.go
+++ b/soaker/deadly.go
@@ -10,9 +10,9 @@
 )
 
 const (
-	deadlyMark                        = "deadly"                                // in the body of a request, crashes the servers that run it
+	deadlyMark                        = "deadly"                                // a request whose body contains it crashes the servers that run it
 	minDeadlyCrashes, maxDeadlySends  = 3, 3                                    // servers that may crash before a request must be known as deadly; how often it may be sent afterwards (as in the users' deployments)
-	maxDeadlyPause, maxDeadlyDuration = 400 * time.Millisecond, 8 * time.Second // its caller's longest pause between sends; the longest time for which it is sent
+	maxDeadlyPause, maxDeadlyDuration = 400 * time.Millisecond, 8 * time.Second // its caller's longest pause between sends; the longest time for which it is sent, beyond minDuration
 	deadlyStreamBase                  = 1 << 20                                 // the first of its callers' streams of random numbers
 	impatientShare                    = 0.4                                     // share of these faults whose caller gives up at about the time when the server crashes
 	maxImpatientWait                  = 40 * time.Millisecond                   // longest wait of such a caller, twice the time that a server takes to crash
--- a/soaker/signals.go
+++ b/soaker/signals.go
@@ -9,7 +9,7 @@
 )
 
 const (
-	maxBackoff                     = 3 * time.Second           // longest backoff that a server asks for
+	maxBackoff                     = 3 * time.Second           // longest backoff that a server asks for, beyond minDuration
 	backoffDelay, maxSentInBackoff = 500 * time.Millisecond, 2 // this long after it was asked, a router may send at most this many requests (as in the users' deployments)
 	refusalsPerBackoff             = 6                         // requests that a server refuses with the same backoff
 )
@@ -44,7 +44,7 @@
 	return s.isUndisturbed(from, to, routerTarget(router), plannedTarget(router), starvedTarget(router))
 }
 
-// checkBackoff checks that routers that a server asked to back off did.
+// checkBackoff checks that the routers backed off that a server had asked to.
 func (s *soakRun) checkBackoff(server *emulator.OpaqueServer) {
 	arrivals := server.Arrivals()
 	for _, refused := range arrivals {
@@ -66,8 +66,8 @@
 	}
 }
 
-// checkAnnouncedDrain checks that a run is not from a router that already had an answer in which the server announced that it
-// drains. This holds also for routers without contact with the store.
+// checkAnnouncedDrain checks that a run does not come from a router that had earlier forwarded an answer in which the server
+// announced that it drains. This must hold even for routers without contact with the store.
 func (s *soakRun) checkAnnouncedDrain(r emulator.OpaqueRun, q *request) {
 	announcedAt, ok := s.drainAnnouncedAt[r.Server]
 	if !ok || r.At.Sub(announcedAt) <= maxDrainDelay+timingSlack {
