--- a/soaker/soak.go
+++ b/soaker/soak.go
@@ -16,7 +16,7 @@
 )
 
 const (
-	// MostRouters is the largest number of routers of a soak; each is a process.
+	// MostRouters is the largest number of routers of a soak, each of which is a process.
 	MostRouters                     = 200
 	callersPerRouter                = 12
 	recoveryTimeout, recoveryTokens = 12 * time.Second, 5_000_000      // until requests are served again after all faults (as in the users' deployments); the top-up before it
@@ -24,7 +24,7 @@
 	maxEvents, maxEventPause        = 10, 250 * time.Millisecond       // of a stream; between two events
 	minGrace, extraGrace            = 5 * time.Second, 3 * time.Second // grace period of routers after SIGTERM; what is added to it in half of the soaks, as is usual
 	maxWork                         = 250 * time.Millisecond           // duration of answers that are no streams, far less than a router waits before it tries another server
-	slowWork, slowEvery             = time.Second, 8                   // a longer duration than that wait, used in one of this many soaks
+	slowWork, slowEvery             = time.Second, 8                   // a longer duration of these answers, used in one of this many soaks
 )
 
 // Soak configures a soak.
