--- a/accountant/outages.go
+++ b/accountant/outages.go
@@ -2,20 +2,21 @@
 
 import "time"
 
-// outageKey names what can be out at a router.
-type outageKey struct{ router, begin, table string }
+// outageKey identifies an outage: the router, the event with which it began and the table, if any.
+type outageKey struct{ router, beginEvent, table string }
 
-// outageEnds tells which event ends which.
-var outageEnds = map[string]string{"store_direct": "store_turned_away", "store_regained": "store_lost"}
+// beginOf maps an event that ends an outage to the event with which that outage began.
+var beginOf = map[string]string{"store_direct": "store_turned_away", "store_regained": "store_lost"}
 
-// outages keeps what is out at each router, and sums up what was.
+// outages holds the open outages of each router and sums up those that have ended.
 type outages struct {
 	open map[outageKey]Line
 	done rows
 }
 
-// note takes an event in a router's order, and returns how long the outage lasted that it ends, zero otherwise.
-func (o outages) note(l Line) int64 {
+// add adds an event and returns the duration in milliseconds of the outage that it ends, zero if there is none. The events of
+// a router must be in order.
+func (o outages) add(l Line) int64 {
 	switch l.Event {
 	case "store_turned_away", "store_lost":
 		key := outageKey{l.Router, l.Event, l.Text("table")}
@@ -23,38 +24,40 @@
 			o.open[key] = l
 		}
 	case "store_direct", "store_regained":
-		return o.end(outageKey{l.Router, outageEnds[l.Event], l.Text("table")}, l.Time, "ended")
+		return o.end(outageKey{l.Router, beginOf[l.Event], l.Text("table")}, l.Time, "ended")
 	case "started":
 		o.endAll(l.Router, l.Time, "process_ended")
 	}
 	return 0
 }
 
-// end sums an outage up.
-func (o outages) end(key outageKey, at time.Time, how string) int64 {
+// end ends an outage and returns its duration in milliseconds.
+func (o outages) end(key outageKey, at time.Time, reason string) int64 {
 	begin, ok := o.open[key]
 	if !ok {
 		return 0
 	}
 	delete(o.open, key)
 	took := at.Sub(begin.Time).Milliseconds()
-	o.done.add(Key{Name: key.router, Detail: key.begin, Reason: key.table}, begin, took, how)
+	o.done.add(Key{Name: key.router, Detail: key.beginEvent, Reason: key.table}, begin, took, reason)
 	return took
 }
 
-func (o outages) endAll(router string, at time.Time, how string) {
+// endAll ends all outages of a router.
+func (o outages) endAll(router string, at time.Time, reason string) {
 	for key := range o.open {
 		if key.router == router {
-			o.end(key, at, how)
+			o.end(key, at, reason)
 		}
 	}
 }
 
-// state tells what a router has of the store now: direct calls, calls through others, or tables that it cannot read.
+// state returns how a router currently reaches the store: directly, through other routers, or not for a table, of which it names
+// the last by name.
 func (o outages) state(router string) string {
 	state, lost := "direct", ""
 	for key := range o.open {
-		if key.router == router && key.begin == "store_lost" {
+		if key.router == router && key.beginEvent == "store_lost" {
 			lost = max(lost, key.table)
 		} else if key.router == router {
 			state = "through_others"
