--- a/loader/client.go
+++ b/loader/client.go
@@ -133,7 +133,7 @@
 func (c *client) routers() []*starter.FleetRouter {
 	var list []*starter.FleetRouter
 	for _, r := range c.fleet.Routers() {
-		if r.Region == c.region && r.Daemon.Ready() {
+		if r.Region == c.region && r.Daemon.IsReady() {
 			list = append(list, r)
 		}
 	}
--- a/loader/driver.go
+++ b/loader/driver.go
@@ -166,7 +166,7 @@
 // offerLoad sends requests at random times, independent of the answers to earlier requests.
 func (d Drive) offerLoad(ctx context.Context, start time.Time) DriveReport {
 	random := rand.New(rand.NewPCG(uint64(d.Seed), 1))
-	client := connector.NewHTTP(nil)
+	client := connector.NewHTTPClient(nil)
 	var mu sync.Mutex
 	var wg sync.WaitGroup
 	var report DriveReport
--- a/loader/faults.go
+++ b/loader/faults.go
@@ -92,10 +92,10 @@
 		table.SetFaults(emulator.TableFaults{Down: true})
 		return healTable, nil
 	case FaultTableSlow:
-		table.SetFaults(emulator.TableFaults{Slow: int(fault.Value)})
+		table.SetFaults(emulator.TableFaults{DelayMillis: int(fault.Value)})
 		return healTable, nil
 	case FaultTableLosesAnswers:
-		table.SetFaults(emulator.TableFaults{LoseAnswers: int(fault.Value)})
+		table.SetFaults(emulator.TableFaults{DropAnswers: int(fault.Value)})
 		return healTable, nil
 	case FaultObjectsDown:
 		f.fleet.Platform.Objects.SetDown(true)
@@ -153,7 +153,7 @@
 // isAppliedEverywhere reports whether all ready routers have applied a revision of the configuration.
 func (f *faultInjector) isAppliedEverywhere(revision int64) bool {
 	for _, r := range f.fleet.Routers() {
-		if r.Daemon.Ready() && r.Metrics.Count("config_revision") < revision {
+		if r.Daemon.IsReady() && r.Metrics.Count("config_revision") < revision {
 			return false
 		}
 	}
@@ -183,7 +183,7 @@
 			}
 		}
 	}
-	forEachPair(f.fleet.Network.Cut)
+	forEachPair(f.fleet.Network.Partition)
 	return func() { forEachPair(f.fleet.Network.Heal) }
 }
 
@@ -225,7 +225,7 @@
 	}
 	switch fault.Kind {
 	case FaultRouterCut:
-		f.fleet.Network.Cut(r.Name, "*")
+		f.fleet.Network.Partition(r.Name, "*")
 		return func() { f.fleet.Network.Heal(r.Name, "*") }, nil
 	case FaultRouterDrained:
 		if !f.fleet.DrainRouter(r.Name) {
@@ -265,7 +265,7 @@
 	}
 	switch fault.Kind {
 	case FaultSidecarCut:
-		f.fleet.Network.Cut(s.Name, "*")
+		f.fleet.Network.Partition(s.Name, "*")
 		return func() { f.fleet.Network.Heal(s.Name, "*") }, nil
 	case FaultSidecarKilled:
 		f.fleet.KillSidecar(s.Name, false)
--- a/loader/oracle.go
+++ b/loader/oracle.go
@@ -130,8 +130,8 @@
 		m.Ran += inTokens(ran[budget])
 		m.Settled += inTokens(row.Settled)
 		m.Presumed += inTokens(row.Presumed)
-		m.GivenBack += inTokens(row.GivenBack)
-		m.Stranded += inTokens(row.Open())
+		m.GivenBack += inTokens(row.Refunded)
+		m.Stranded += inTokens(row.OpenAmount())
 	}
 	return m, nil
 }
--- a/loader/plan.go
+++ b/loader/plan.go
@@ -62,7 +62,7 @@
 	p := plannedRequest{arrival: at, traffic: t, key: key, region: random.IntN(len(s.Regions))}
 	if t.Service != "" {
 		service, _ := catalog.Service(t.Service)
-		p.body = fmt.Sprintf("%s%s %s", emulator.OwnerMark, t.Workspace, key)
+		p.body = fmt.Sprintf("%s%s %s", emulator.OwnerPrefix, t.Workspace, key)
 		p.cost = service.Price
 		return p
 	}
@@ -70,7 +70,7 @@
 	// The answer has from half to one and a half times OutputTokens, unless MaxTokens cuts it short.
 	uncutTokens := max(1, t.OutputTokens/2+random.IntN(t.OutputTokens+1))
 	group := random.IntN(t.Groups)
-	shared := fmt.Sprintf("%s%s group %s %d ", emulator.OwnerMark, t.Workspace, t.Name, group)
+	shared := fmt.Sprintf("%s%s group %s %d ", emulator.OwnerPrefix, t.Workspace, t.Name, group)
 	shared += fillerText(t.SharedBytes-len(shared), uint64(group))
 	own := fmt.Sprintf("%s %s [tokens=%d]", key, fillerText(t.PromptBytes-t.SharedBytes, random.Uint64()), uncutTokens)
 	p.messages = []emulator.Message{{Role: "system", Content: shared}, {Role: "user", Content: own}}
--- a/sidecar/drain.go
+++ b/sidecar/drain.go
@@ -17,7 +17,7 @@
 // It returns false when the context ended before all runs had finished.
 func (c *Sidecar) Drain(ctx context.Context) bool {
 	c.mu.Lock()
-	c.core.Leave()
+	c.core.Drain()
 	c.mu.Unlock()
 	c.sendBeats()
 	finished := c.awaitRuns(ctx)
--- a/sidecar/orders.go
+++ b/sidecar/orders.go
@@ -30,7 +30,7 @@
 }
 
 func (c *Sidecar) carryOut(o masticway.Order) error {
-	newest, err := bookkeeper.Fence(c.ctx, c.fences, c.settings.Instance)
+	newest, err := bookkeeper.LatestFence(c.ctx, c.fences, c.settings.Instance)
 	if err != nil {
 		return fmt.Errorf("reading the fence: %w", err)
 	}
--- a/sidecar/sidecar.go
+++ b/sidecar/sidecar.go
@@ -47,7 +47,7 @@
 	self     masticway.Incarnation
 	clock    masticway.Clock
 	log      *logrus.Entry
-	book     *bookkeeper.Book
+	book     *bookkeeper.Ledger
 	fences   masticway.Table
 	upstream masticway.Upstream
 	listener *linker.Listener
@@ -75,8 +75,8 @@
 		settings: s, self: self, clock: clock, log: log, book: bookkeeper.New(table), fences: table,
 		upstream: upstream, metrics: metrics,
 		core: sealer.New(sealer.Settings{
-			Self: self, KeepFor: s.KeepFor.Std(), KeepBytes: s.KeepBytes,
-			OrphanAfter: s.OrphanAfter.Std(), MaxRuns: s.MaxRuns,
+			Self: self, AnswerTTL: s.KeepFor.Std(), MaxAnswerBytes: s.KeepBytes,
+			OrphanTimeout: s.OrphanAfter.Std(), MaxRuns: s.MaxRuns,
 		}),
 		cancel: map[masticway.RunKey]context.CancelFunc{},
 		ctx:    ctx, stop: stop,
@@ -103,7 +103,7 @@
 func (c *Sidecar) Leaving() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.core.Leaving()
+	return c.core.IsDraining()
 }
 
 // Start begins heartbeats and clean-up.
@@ -131,7 +131,7 @@
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.core.LinkDown(c.clock.Now(), inc)
+	c.core.Detach(c.clock.Now(), inc)
 }
 
 // handle takes one message from a router.
@@ -158,8 +158,8 @@
 	case m.Beat != nil:
 		c.takeBeat(conn, *m.Beat)
 	case m.Changes != nil:
-		c.core.Learn(m.Changes.List)
-		c.core.Know(m.Changes.Upto)
+		c.core.ApplyChanges(m.Changes.List)
+		c.core.AdvanceRevision(m.Changes.Upto)
 	case m.Want != nil:
 		_ = conn.Send(linker.Message{Changes: &linker.Changes{List: c.core.ChangesAfter(m.Want.After)}})
 	case m.Count != nil:
@@ -177,9 +177,9 @@
 }
 
 func (c *Sidecar) takeBeat(conn *linker.Conn, b linker.Beat) {
-	c.apply(c.core.Introduce(c.clock.Now(), conn.Peer().Incarnation))
+	c.apply(c.core.VerifyAhead(c.clock.Now(), conn.Peer().Incarnation))
 	if b.Upto > 0 {
-		c.core.Closed(conn.Peer().Incarnation, b.Open, b.Upto)
+		c.core.DropClosedGrants(conn.Peer().Incarnation, b.Open, b.Upto)
 	}
 	now := c.clock.Now()
 	if b.Revision > c.core.Revision() && now.Sub(c.wanted) > wantPause {
@@ -190,21 +190,21 @@
 
 // verify reads what the table says of an incarnation.
 func (c *Sidecar) verify(inc masticway.Incarnation) {
-	standing := sealer.StandingUnknown
+	standing := sealer.StatusUnknown
 	links, version, err := c.book.Links(c.ctx, inc)
 	switch {
 	case err != nil:
 		c.log.WithFields(logrus.Fields{"event": "verify_failed", "incarnation": inc, "error": err}).Warn("cannot verify")
 	case version == 0 || links.State == bookkeeper.LinksSealed:
-		standing = sealer.StandingSealed
+		standing = sealer.StatusSealed
 	case !links.Has(c.self):
-		standing = sealer.StandingUnlinked
+		standing = sealer.StatusUnlinked
 	default:
-		standing = sealer.StandingOpen
+		standing = sealer.StatusOpen
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.apply(c.core.Verified(c.clock.Now(), inc, standing))
+	c.apply(c.core.ApplyVerification(c.clock.Now(), inc, standing))
 }
 
 func (c *Sidecar) count(conn *linker.Conn, m linker.Message) {
--- a/soaker/checks.go
+++ b/soaker/checks.go
@@ -156,14 +156,14 @@
 
 // checkRun checks a single run of a request.
 func (s *soakRun) checkRun(r emulator.OpaqueRun, q *request) {
-	if r.Path != q.path || r.Body != q.body || r.Workspace != q.workspace || r.Key || r.TimeLeft > q.timeLimit+timingSlack || poolOf(r.Server) != q.pool {
-		s.reportViolation(promiseUnchanged, "%s ran %s for %q with %s left, %d bytes, key %t: %s", r.Server, r.Path, r.Workspace, r.TimeLeft, len(r.Body), r.Key, q)
+	if r.Path != q.path || r.Body != q.body || r.Workspace != q.workspace || r.HasKey || r.TimeLeft > q.timeLimit+timingSlack || poolOf(r.Server) != q.pool {
+		s.reportViolation(promiseUnchanged, "%s ran %s for %q with %s left, %d bytes, key %t: %s", r.Server, r.Path, r.Workspace, r.TimeLeft, len(r.Body), r.HasKey, q)
 	}
 	s.checkAnnouncedDrain(r, q)
 	// Only routers in contact with the store must know that the server is draining.
 	acceptedAt := s.drainAcceptedAt[r.Server]
-	if !acceptedAt.IsZero() && r.At.Sub(acceptedAt) > maxDrainDelay+timingSlack && s.isUndisturbed(acceptedAt.Add(-stabilityPeriod), r.At, contactTargets(q.router)...) {
-		s.reportViolation(promiseDrained, "%s got a request %s after the store accepted that it drains: %s", r.Server, r.At.Sub(acceptedAt).Round(time.Millisecond), q)
+	if !acceptedAt.IsZero() && r.StartedAt.Sub(acceptedAt) > maxDrainDelay+timingSlack && s.isUndisturbed(acceptedAt.Add(-stabilityPeriod), r.StartedAt, contactTargets(q.router)...) {
+		s.reportViolation(promiseDrained, "%s got a request %s after the store accepted that it drains: %s", r.Server, r.StartedAt.Sub(acceptedAt).Round(time.Millisecond), q)
 	}
 }
 
@@ -200,7 +200,7 @@
 	took := q.endedAt.Sub(q.sentAt)
 	// There may be no answer because a server failed, stopped or crashed, or because the time limit expired.
 	mustAnswer := len(runs) > 0 && took < min(q.timeLimit, emulator.DeploymentTimeout) && !slices.ContainsFunc(runs, func(r emulator.OpaqueRun) bool {
-		return r.Fault != emulator.OpaqueGood || !s.isUndisturbed(from, q.endedAt, r.Server)
+		return r.Fault != emulator.OpaqueNoFault || !s.isUndisturbed(from, q.endedAt, r.Server)
 	})
 	switch {
 	case q.outcome == outcomeTimedOut && q.waitTimeout > q.timeLimit:
--- a/soaker/deadly.go
+++ b/soaker/deadly.go
@@ -69,10 +69,10 @@
 		if len(all) < minDeadlyCrashes {
 			continue
 		}
-		slices.SortFunc(all, func(x, y emulator.OpaqueRun) int { return x.At.Compare(y.At) })
-		known := all[minDeadlyCrashes-1].At.Add(stabilityPeriod)
+		slices.SortFunc(all, func(x, y emulator.OpaqueRun) int { return x.StartedAt.Compare(y.StartedAt) })
+		known := all[minDeadlyCrashes-1].StartedAt.Add(stabilityPeriod)
 		late := slices.DeleteFunc(slices.Clone(all), func(r emulator.OpaqueRun) bool {
-			return !r.At.After(known) || !s.isUndisturbed(r.At.Add(-stabilityPeriod), r.At, contactTargets(s.requests[r.ID].router)...)
+			return !r.StartedAt.After(known) || !s.isUndisturbed(r.StartedAt.Add(-stabilityPeriod), r.StartedAt, contactTargets(s.requests[r.ID].router)...)
 		})
 		s.logf("%s crashed %d servers, sent %d times after it had to be known", name, len(all), len(late))
 		if len(late) > maxDeadlySends {
--- a/soaker/limits.go
+++ b/soaker/limits.go
@@ -26,11 +26,11 @@
 func (s *soakRun) limitServer(e faultEvent) {
 	server, _ := s.targetServer(e)
 	rate := maxRateLimit * e.severity
-	server.Limit(strconv.FormatFloat(rate, 'f', 2, 64))
+	server.SetRateLimit(strconv.FormatFloat(rate, 'f', 2, 64))
 	from := time.Now()
 	s.logf("%s advertises a rate limit of %.2f requests/s", server.ID, rate)
 	time.Sleep(maxLimitDuration/2 + e.duration)
-	server.Limit("")
+	server.SetRateLimit("")
 	s.logf("%s advertises no rate limit any more", server.ID)
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -50,7 +50,7 @@
 		var sent []time.Time
 		for _, r := range s.ledger.Runs() {
 			if r.Server == l.server && s.countsForLimit(r, l) {
-				sent = append(sent, r.At)
+				sent = append(sent, r.StartedAt)
 			}
 		}
 		peak, allowed := maxWithin(sent, limitWindow), int(limitOvershoot*l.rate*limitWindow.Seconds()+limitSlack)
@@ -64,12 +64,12 @@
 // countsForLimit reports whether a run counts towards a limit: its router had received the limit and was not disturbed.
 func (s *soakRun) countsForLimit(r emulator.OpaqueRun, l limitInterval) bool {
 	q := s.requests[r.ID]
-	if q == nil || r.At.Before(l.from.Add(stabilityPeriod)) || r.At.After(l.to) || !s.isUndisturbed(r.At.Add(-limitWindow-stabilityPeriod), r.At, contactTargets(q.router)...) {
+	if q == nil || r.StartedAt.Before(l.from.Add(stabilityPeriod)) || r.StartedAt.After(l.to) || !s.isUndisturbed(r.StartedAt.Add(-limitWindow-stabilityPeriod), r.StartedAt, contactTargets(q.router)...) {
 		return false
 	}
 	return slices.ContainsFunc(s.ledger.Runs(), func(o emulator.OpaqueRun) bool {
 		other := s.requests[o.ID]
-		return o.Server == l.server && other != nil && other.router == q.router && o.At.After(l.from) && o.At.Add(s.work+limitDelay).Before(r.At)
+		return o.Server == l.server && other != nil && other.router == q.router && o.StartedAt.After(l.from) && o.StartedAt.Add(s.work+limitDelay).Before(r.StartedAt)
 	})
 }
 
--- a/soaker/signals.go
+++ b/soaker/signals.go
@@ -19,7 +19,7 @@
 func (s *soakRun) announceDrain(e faultEvent) {
 	old, slot := s.targetServer(e)
 	s.startServer(slot)
-	old.Leave()
+	old.StartDraining()
 	s.logf("%s announces in its answers that it drains", old.ID)
 	s.mu.Lock()
 	s.drainAnnouncedAt[old.ID] = time.Now()
@@ -34,8 +34,8 @@
 func (s *soakRun) requestBackoff(e faultEvent) {
 	server, _ := s.targetServer(e)
 	seconds := strconv.FormatFloat(e.duration.Seconds(), 'f', 2, 64)
-	server.Rest(seconds)
-	server.Fail(slices.Repeat([]emulator.OpaqueFault{emulator.OpaqueFull}, refusalsPerBackoff)...)
+	server.SetRetryAfter(seconds)
+	server.InjectFaults(slices.Repeat([]emulator.OpaqueFault{emulator.OpaqueOverloaded}, refusalsPerBackoff)...)
 	s.logf("%s refuses requests and asks for a backoff of %s s", server.ID, seconds)
 }
 
@@ -49,19 +49,19 @@
 	arrivals := server.Arrivals()
 	for _, refused := range arrivals {
 		q := s.requests[refused.ID]
-		seconds, err := strconv.ParseFloat(refused.Rest, 64)
+		seconds, err := strconv.ParseFloat(refused.RetryAfter, 64)
 		if q == nil || err != nil {
 			continue
 		}
-		until := refused.At.Add(time.Duration(seconds * float64(time.Second)))
+		until := refused.ReceivedAt.Add(time.Duration(seconds * float64(time.Second)))
 		sent := 0
 		for _, a := range arrivals {
-			if other := s.requests[a.ID]; other != nil && other.router == q.router && a.At.After(refused.At.Add(backoffDelay)) && a.At.Before(until) {
+			if other := s.requests[a.ID]; other != nil && other.router == q.router && a.ReceivedAt.After(refused.ReceivedAt.Add(backoffDelay)) && a.ReceivedAt.Before(until) {
 				sent++
 			}
 		}
-		if sent > maxSentInBackoff && s.isRouterUndisturbed(q.router, refused.At.Add(-stabilityPeriod), until) {
-			s.reportViolation(promiseRested, "%s asked router-%d to back off for %.2f s at %s and got %d requests from it", server.ID, q.router, seconds, refused.At.UTC().Format(clockFormat), sent)
+		if sent > maxSentInBackoff && s.isRouterUndisturbed(q.router, refused.ReceivedAt.Add(-stabilityPeriod), until) {
+			s.reportViolation(promiseRested, "%s asked router-%d to back off for %.2f s at %s and got %d requests from it", server.ID, q.router, seconds, refused.ReceivedAt.UTC().Format(clockFormat), sent)
 		}
 	}
 }
@@ -70,17 +70,17 @@
 // announced that it drains. This must hold even for routers without contact with the store.
 func (s *soakRun) checkAnnouncedDrain(r emulator.OpaqueRun, q *request) {
 	announcedAt, ok := s.drainAnnouncedAt[r.Server]
-	if !ok || r.At.Sub(announcedAt) <= maxDrainDelay+timingSlack {
+	if !ok || r.StartedAt.Sub(announcedAt) <= maxDrainDelay+timingSlack {
 		return
 	}
 	for _, o := range s.ledger.Runs() {
 		other := s.requests[o.ID]
-		if o.Server != r.Server || other == nil || other.router != q.router || other.signedBy != r.Server || o.At.Before(announcedAt) {
+		if o.Server != r.Server || other == nil || other.router != q.router || other.signedBy != r.Server || o.StartedAt.Before(announcedAt) {
 			continue
 		}
 		// The router had the announcement by the time when it had forwarded the answer.
-		if q.sentAt.Sub(other.endedAt) > maxDrainDelay && s.isRouterUndisturbed(q.router, other.endedAt.Add(-stabilityPeriod), r.At) {
-			s.reportViolation(promiseDrained, "%s got a request %s after an answer announced that it drains: %s", r.Server, r.At.Sub(other.endedAt).Round(time.Millisecond), q)
+		if q.sentAt.Sub(other.endedAt) > maxDrainDelay && s.isRouterUndisturbed(q.router, other.endedAt.Add(-stabilityPeriod), r.StartedAt) {
+			s.reportViolation(promiseDrained, "%s got a request %s after an answer announced that it drains: %s", r.Server, r.StartedAt.Sub(other.endedAt).Round(time.Millisecond), q)
 			return
 		}
 	}
--- a/soaker/soak.go
+++ b/soaker/soak.go
@@ -50,9 +50,9 @@
 	Soak
 	random             *rand.Rand
 	log                io.Writer
-	rows               *emulator.Rows
+	rows               *emulator.RowStore
 	store              *http.Server
-	ledger             *emulator.OpaqueLedger
+	ledger             *emulator.OpaqueRunLog
 	processes          []*process
 	routers            map[string]int // index of the process by the address that callers connect to
 	faults             sync.WaitGroup
@@ -88,9 +88,9 @@
 		return Report{}, err
 	}
 	defer log.Close()
-	random, rows := rand.New(rand.NewPCG(o.Seed, 0)), emulator.NewRows(time.Now)
+	random, rows := rand.New(rand.NewPCG(o.Seed, 0)), emulator.NewRowStore(time.Now)
 	s := &soakRun{
-		Soak: o, random: random, log: log, rows: rows, store: &http.Server{Handler: rows.Handler()}, ledger: &emulator.OpaqueLedger{},
+		Soak: o, random: random, log: log, rows: rows, store: &http.Server{Handler: rows.Handler()}, ledger: &emulator.OpaqueRunLog{},
 		events: 2 + random.IntN(maxEvents-1), pause: randomUpTo(random, maxEventPause), work: randomUpTo(random, maxWork), grace: minGrace + time.Duration(random.IntN(2))*extraGrace,
 		servers: make([]*emulator.OpaqueServer, len(pools)), drainAcceptedAt: map[string]time.Time{}, drainAnnouncedAt: map[string]time.Time{}, delivered: map[string]int64{},
 		prepaid: map[string]int64{"thin": 4_000, "middle": 40_000, "wide": 50_000_000}, requests: map[string]*request{}, routers: map[string]int{}, disturbances: map[string][]interval{}, delays: map[int][]schedulingDelay{},
