--- a/loader/client.go
+++ b/loader/client.go
@@ -16,42 +16,42 @@
 	"github.com/masticway/masticway/starter"
 )
 
-// verdict is how a request ended for its client.
-type verdict string
+// outcome is the outcome of a request as its client sees it.
+type outcome string
 
 const (
-	verdictOK      verdict = "ok"
-	verdictRefused verdict = "refused"
-	verdictBroken  verdict = "broken"
+	outcomeOK      outcome = "ok"
+	outcomeRefused outcome = "refused"
+	outcomeBroken  outcome = "broken"
 )
 
-// answer is what a client got, in the end.
+// answer is the client's answer to the last attempt of a request.
 type answer struct {
-	verdict verdict
+	outcome outcome
 	status  int
 	code    string
-	run     masticway.Fate
+	fate    masticway.Fate
 	text    string
 	usage   masticway.Usage
-	// id names the request that was answered, for explain.
+	// id is the request id in the answer, for the explain command.
 	id         string
-	tries      int
+	attempts   int
 	retryAfter time.Duration
-	// firstToken and whole count from the planned arrival.
+	// firstToken and whole are the times from the planned arrival until the first token and the whole answer.
 	firstToken time.Duration
 	whole      time.Duration
-	gaps       []time.Duration
+	tokenGaps  []time.Duration
 	ended      time.Time
 }
 
 const (
-	// retryMost bounds the pause that a client keeps before it asks again.
-	retryMost = 2 * time.Second
-	// brokenPause is the pause after a broken connection.
+	// maxRetryPause limits the time that a client waits before a retry, if the answer names one.
+	maxRetryPause = 2 * time.Second
+	// brokenPause is the pause before a retry if the answer names no time, such as after a broken connection.
 	brokenPause = 50 * time.Millisecond
 )
 
-// client sends the requests of one region to its routers, as a balancer would.
+// client sends the requests of a region to its ready routers at random, like a load balancer.
 type client struct {
 	fleet  *starter.Fleet
 	region string
@@ -59,20 +59,20 @@
 	keys   map[string]string
 }
 
-// send carries out a planned request, asking again with the same key as the traffic says.
-func (c *client) send(ctx context.Context, p planned, began time.Time) answer {
+// send sends a planned request. It retries with the same idempotency key, as often as the traffic allows.
+func (c *client) send(ctx context.Context, p plannedRequest, arrival time.Time) answer {
 	var a answer
-	for try := 0; ; try++ {
-		a = c.once(ctx, p, began)
-		a.tries = try + 1
+	for retries := 0; ; retries++ {
+		a = c.sendOnce(ctx, p, arrival)
+		a.attempts = retries + 1
 		a.ended = time.Now()
-		a.whole = a.ended.Sub(began)
-		if !again(a) || try >= p.traffic.Retries || ctx.Err() != nil {
+		a.whole = a.ended.Sub(arrival)
+		if !shouldRetry(a) || retries >= p.traffic.Retries || ctx.Err() != nil {
 			return a
 		}
 		pause := brokenPause
 		if a.retryAfter > 0 {
-			pause = min(a.retryAfter, retryMost)
+			pause = min(a.retryAfter, maxRetryPause)
 		}
 		select {
 		case <-ctx.Done():
@@ -82,21 +82,22 @@
 	}
 }
 
-// again tells whether a client asks again after an answer.
-func again(a answer) bool {
+// shouldRetry reports whether a client retries after an answer.
+func shouldRetry(a answer) bool {
 	switch {
-	case a.verdict == verdictBroken:
+	case a.outcome == outcomeBroken:
 		return true
-	case a.verdict == verdictOK:
+	case a.outcome == outcomeOK:
 		return false
 	}
 	return a.status == http.StatusServiceUnavailable || a.status == http.StatusGatewayTimeout || a.status == http.StatusConflict || a.status == http.StatusBadGateway
 }
 
-func (c *client) once(ctx context.Context, p planned, began time.Time) answer {
+// sendOnce sends one attempt of a request to a random router.
+func (c *client) sendOnce(ctx context.Context, p plannedRequest, arrival time.Time) answer {
 	routers := c.routers()
 	if len(routers) == 0 {
-		return answer{verdict: verdictBroken, code: "no_router"}
+		return answer{outcome: outcomeBroken, code: "no_router"}
 	}
 	base := routers[rand.IntN(len(routers))].CallerURL
 	url, body := base+"/v1/chat/completions", p.chatBody()
@@ -105,7 +106,7 @@
 	}
 	request, err := http.NewRequestWithContext(ctx, http.MethodPost, url, bytes.NewReader(body))
 	if err != nil {
-		return answer{verdict: verdictBroken, code: err.Error()}
+		return answer{outcome: outcomeBroken, code: err.Error()}
 	}
 	request.Header.Set("Authorization", "Bearer "+c.keys[p.traffic.Workspace])
 	request.Header.Set("Content-Type", "application/json")
@@ -113,21 +114,22 @@
 	request.Header.Set("Masticway-Class", string(p.traffic.Class))
 	response, err := c.http.Do(request)
 	if err != nil {
-		return answer{verdict: verdictBroken, code: "connection"}
+		return answer{outcome: outcomeBroken, code: "connection"}
 	}
 	defer response.Body.Close()
 	a := answer{status: response.StatusCode, id: response.Header.Get("Masticway-Request-Id")}
 	switch {
 	case p.traffic.Service == "" && strings.HasPrefix(response.Header.Get("Content-Type"), "text/event-stream"):
-		readEvents(response.Body, &a, began)
+		readEvents(response.Body, &a, arrival)
 	case p.traffic.Service == "" && response.StatusCode == http.StatusOK:
-		readWhole(response.Body, &a, began)
+		readCompletion(response.Body, &a, arrival)
 	default:
-		readOther(response, &a, p)
+		readErrorOrService(response, &a, p)
 	}
 	return a
 }
 
+// routers returns the ready routers of the client's region.
 func (c *client) routers() []*starter.FleetRouter {
 	var list []*starter.FleetRouter
 	for _, r := range c.fleet.Routers() {
@@ -138,8 +140,8 @@
 	return list
 }
 
-// wireError is the error body.
-type wireError struct {
+// errorBody is the body of a refusal, and of an event that ends a stream with an error.
+type errorBody struct {
 	Error *struct {
 		Code       string         `json:"code"`
 		Run        masticway.Fate `json:"run"`
@@ -147,15 +149,16 @@
 	} `json:"error"`
 }
 
-func (a *answer) refuse(e wireError) {
-	a.verdict = verdictRefused
+func (a *answer) setRefusal(e errorBody) {
+	a.outcome = outcomeRefused
 	a.code = e.Error.Code
-	a.run = e.Error.Run
+	a.fate = e.Error.Run
 	a.retryAfter = time.Duration(e.Error.RetryAfter) * time.Millisecond
 }
 
-type wireEvent struct {
-	wireError
+// completionBody is the body of a completion, or the data of an event of a stream.
+type completionBody struct {
+	errorBody
 	Choices []struct {
 		Delta struct {
 			Content string `json:"content"`
@@ -167,8 +170,9 @@
 	Usage *masticway.Usage `json:"usage"`
 }
 
-func readEvents(body io.Reader, a *answer, began time.Time) {
-	a.verdict = verdictBroken
+// readEvents reads a stream of events into an answer.
+func readEvents(body io.Reader, a *answer, arrival time.Time) {
+	a.outcome = outcomeBroken
 	a.code = "stream"
 	var text strings.Builder
 	var last time.Time
@@ -180,18 +184,18 @@
 			continue
 		}
 		if data == "[DONE]" {
-			a.verdict = verdictOK
+			a.outcome = outcomeOK
 			a.text = text.String()
 			return
 		}
-		var e wireEvent
+		var e completionBody
 		if json.Unmarshal([]byte(data), &e) != nil {
 			return
 		}
 		if e.Error != nil {
-			// The status said 200 before the stream broke off.
+			// The response's status was 200, because the error came after the headers.
 			a.status = http.StatusBadGateway
-			a.refuse(e.wireError)
+			a.setRefusal(e.errorBody)
 			return
 		}
 		if e.Usage != nil {
@@ -203,9 +207,9 @@
 			}
 			now := time.Now()
 			if last.IsZero() {
-				a.firstToken = now.Sub(began)
+				a.firstToken = now.Sub(arrival)
 			} else {
-				a.gaps = append(a.gaps, now.Sub(last))
+				a.tokenGaps = append(a.tokenGaps, now.Sub(last))
 			}
 			last = now
 			text.WriteString(c.Delta.Content)
@@ -213,40 +217,42 @@
 	}
 }
 
-func readWhole(body io.Reader, a *answer, began time.Time) {
-	var e wireEvent
+// readCompletion reads a completion that is not a stream into an answer.
+func readCompletion(body io.Reader, a *answer, arrival time.Time) {
+	var e completionBody
 	if err := json.NewDecoder(body).Decode(&e); err != nil || len(e.Choices) == 0 {
-		a.verdict = verdictBroken
+		a.outcome = outcomeBroken
 		return
 	}
-	a.verdict = verdictOK
-	a.firstToken = time.Since(began)
+	a.outcome = outcomeOK
+	a.firstToken = time.Since(arrival)
 	a.text = e.Choices[0].Message.Content
 	if e.Usage != nil {
 		a.usage = *e.Usage
 	}
 }
 
-func readOther(response *http.Response, a *answer, p planned) {
+// readErrorOrService reads a refusal or the answer of a service into an answer.
+func readErrorOrService(response *http.Response, a *answer, p plannedRequest) {
 	data, err := io.ReadAll(response.Body)
 	if err != nil {
-		a.verdict = verdictBroken
+		a.outcome = outcomeBroken
 		return
 	}
-	var e wireError
+	var e errorBody
 	if json.Unmarshal(data, &e) == nil && e.Error != nil {
-		a.refuse(e)
+		a.setRefusal(e)
 		return
 	}
-	a.verdict = verdictBroken
+	a.outcome = outcomeBroken
 	if response.StatusCode == http.StatusOK && p.traffic.Service != "" {
-		a.verdict = verdictOK
+		a.outcome = outcomeOK
 		a.text = string(data)
 	}
 }
 
-// right tells whether an answer is the whole answer to its own request.
-func (p planned) right(a answer) bool {
+// isCorrect reports whether an answer is the whole answer to the planned request.
+func (p plannedRequest) isCorrect(a answer) bool {
 	if p.traffic.Service != "" {
 		var echo struct {
 			Echo string `json:"echo"`
@@ -256,6 +262,6 @@
 	if p.traffic.MaxTokens > 0 {
 		return a.text == emulator.Answer(p.messages, p.tokens)
 	}
-	// Without a named maximum a thin budget may cut an answer short, and its usage says so.
+	// If the request sets no maximum, a small budget may cut its answer short; the usage shows the length.
 	return a.usage.Completion > 0 && a.text == emulator.Answer(p.messages, min(a.usage.Completion, p.tokens))
 }
--- a/loader/driver.go
+++ b/loader/driver.go
@@ -21,9 +21,9 @@
 	"github.com/masticway/masticway/measurer"
 )
 
-// Drive offers steady load to processes that run already, and watches what they use.
+// Drive sends load at a steady rate to processes that are already running, and measures the resources that processes use.
 type Drive struct {
-	// Callers are base URLs of routers, or of a model engine to compare with.
+	// Callers has the base URLs of routers, or of a model engine for comparison.
 	Callers     []string
 	Key         string
 	Model       string
@@ -35,50 +35,52 @@
 	Watch       []Watched
 }
 
-// Watched is a process whose use of the machine is measured.
+// Watched is a process whose resource usage is measured.
 type Watched struct {
 	Name string
 	PID  int
-	// Vars is the URL of its metrics, or empty.
+	// Vars is the URL of the process's expvar metrics; if it is empty, link bytes are not measured.
 	Vars string
 }
 
-// Use is what a watched process used on average.
-type Use struct {
-	// CoreShare is processor time for each second, in parts of a core.
+// ResourceUsage is the resource usage of a process during a drive.
+type ResourceUsage struct {
+	// CoreShare is the processor time per second of wall time.
 	CoreShare float64 `json:"core_share"`
-	// ResidentMB is its resident memory at the end.
+	// ResidentMB is the resident memory at the end.
 	ResidentMB float64 `json:"resident_mb"`
-	// LinkBytes is what its links sent and received in a second.
+	// LinkBytes is the number of bytes per second that the process's links sent and received.
 	LinkBytes float64 `json:"link_bytes_per_second"`
 }
 
 // DriveReport is the result of a drive.
 type DriveReport struct {
-	Requests   int              `json:"requests"`
-	OK         int              `json:"ok"`
-	FirstToken measurer.Summary `json:"first_token"`
-	Between    measurer.Summary `json:"between_tokens"`
-	Whole      measurer.Summary `json:"whole"`
-	Uses       map[string]Use   `json:"uses"`
+	Requests      int                      `json:"requests"`
+	OK            int                      `json:"ok"`
+	FirstToken    measurer.Summary         `json:"first_token"`
+	BetweenTokens measurer.Summary         `json:"between_tokens"`
+	Whole         measurer.Summary         `json:"whole"`
+	Usage         map[string]ResourceUsage `json:"uses"`
 }
 
-// ticksPerSecond is the kernel's unit of processor time in /proc.
+// ticksPerSecond is the number of units of processor time in /proc per second.
 const ticksPerSecond = 100
 
+// sample is the state of a process at a time.
 type sample struct {
-	cpu   float64
-	rss   float64
-	bytes float64
+	cpuSeconds float64
+	residentMB float64
+	linkBytes  float64
 }
 
+// sample reads the resource usage of the process so far.
 func (w Watched) sample(ctx context.Context) (sample, error) {
 	var s sample
 	data, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", w.PID))
 	if err != nil {
 		return s, fmt.Errorf("watching %s: %w", w.Name, err)
 	}
-	// The name in parentheses may hold blanks, so the fields are counted behind it.
+	// The process name in parentheses may contain spaces, so the fields are counted after it.
 	_, rest, _ := strings.Cut(string(data), ") ")
 	fields := strings.Fields(rest)
 	const user, system, resident = 11, 12, 21
@@ -90,17 +92,18 @@
 		if err != nil {
 			return s, fmt.Errorf("watching %s: %w", w.Name, err)
 		}
-		s.cpu += ticks / ticksPerSecond
+		s.cpuSeconds += ticks / ticksPerSecond
 	}
 	pages, err := strconv.ParseFloat(fields[resident], 64)
 	if err != nil {
 		return s, fmt.Errorf("watching %s: %w", w.Name, err)
 	}
-	s.rss = pages * float64(os.Getpagesize()) / (1 << 20)
-	s.bytes, err = w.linkBytes(ctx)
+	s.residentMB = pages * float64(os.Getpagesize()) / (1 << 20)
+	s.linkBytes, err = w.linkBytes(ctx)
 	return s, err
 }
 
+// linkBytes reads the number of bytes that the process's links have sent and received so far.
 func (w Watched) linkBytes(ctx context.Context) (float64, error) {
 	if w.Vars == "" {
 		return 0, nil
@@ -126,23 +129,23 @@
 	return vars.Masticway.Sent + vars.Masticway.Received, nil
 }
 
-// Run offers the load and returns what it saw.
+// Run sends the load and returns its report.
 func (d Drive) Run(ctx context.Context) (DriveReport, error) {
 	before, err := d.samples(ctx)
 	if err != nil {
 		return DriveReport{}, err
 	}
-	began := time.Now()
-	report := d.offer(ctx, began)
-	seconds := time.Since(began).Seconds()
+	start := time.Now()
+	report := d.offerLoad(ctx, start)
+	seconds := time.Since(start).Seconds()
 	after, err := d.samples(ctx)
 	if err != nil {
 		return DriveReport{}, err
 	}
-	report.Uses = map[string]Use{}
+	report.Usage = map[string]ResourceUsage{}
 	for name, s := range after {
-		report.Uses[name] = Use{
-			CoreShare: (s.cpu - before[name].cpu) / seconds, ResidentMB: s.rss, LinkBytes: (s.bytes - before[name].bytes) / seconds,
+		report.Usage[name] = ResourceUsage{
+			CoreShare: (s.cpuSeconds - before[name].cpuSeconds) / seconds, ResidentMB: s.residentMB, LinkBytes: (s.linkBytes - before[name].linkBytes) / seconds,
 		}
 	}
 	return report, nil
@@ -160,8 +163,8 @@
 	return all, nil
 }
 
-// offer sends requests at random times that never wait for answers.
-func (d Drive) offer(ctx context.Context, began time.Time) DriveReport {
+// offerLoad sends requests at random times, independent of the answers to earlier requests.
+func (d Drive) offerLoad(ctx context.Context, start time.Time) DriveReport {
 	random := rand.New(rand.NewPCG(uint64(d.Seed), 1))
 	client := connector.NewHTTPClient(nil)
 	var mu sync.Mutex
@@ -171,64 +174,66 @@
 	at := time.Duration(0)
 	for d.Rate > 0 {
 		at += time.Duration(random.ExpFloat64() / d.Rate * float64(time.Second))
-		if at >= d.Duration || !sleepUntil(ctx, began.Add(at)) {
+		if at >= d.Duration || !sleepUntil(ctx, start.Add(at)) {
 			break
 		}
 		report.Requests++
-		due := began.Add(at)
+		arrival := start.Add(at)
 		url := d.Callers[report.Requests%len(d.Callers)]
-		body := d.body(report.Requests)
+		body := d.requestBody(report.Requests)
 		wg.Go(func() {
-			a := d.once(ctx, client, url, body, due)
+			a := d.sendOnce(ctx, client, url, body, arrival)
 			mu.Lock()
 			defer mu.Unlock()
-			if a.verdict != verdictOK {
+			if a.outcome != outcomeOK {
 				return
 			}
 			report.OK++
-			recordAnswer(first, between, whole, a, time.Since(due))
+			recordAnswer(first, between, whole, a, time.Since(arrival))
 		})
 	}
 	wg.Wait()
-	sleepUntil(ctx, began.Add(d.Duration))
-	report.FirstToken, report.Between, report.Whole = measurer.Summarize(first), measurer.Summarize(between), measurer.Summarize(whole)
+	sleepUntil(ctx, start.Add(d.Duration))
+	report.FirstToken, report.BetweenTokens, report.Whole = measurer.Summarize(first), measurer.Summarize(between), measurer.Summarize(whole)
 	return report
 }
 
+// recordAnswer records the times of an answer that took so long after its planned arrival.
 func recordAnswer(first, between, whole *hdrhistogram.Histogram, a answer, took time.Duration) {
 	_ = first.RecordValue(max(1, a.firstToken.Microseconds()))
 	_ = whole.RecordValue(max(1, took.Microseconds()))
-	for _, g := range a.gaps {
+	for _, g := range a.tokenGaps {
 		_ = between.RecordValue(max(1, g.Microseconds()))
 	}
 }
 
-func (d Drive) body(n int) []byte {
-	p := planned{
+// requestBody returns the body of the nth request.
+func (d Drive) requestBody(n int) []byte {
+	p := plannedRequest{
 		traffic:  Traffic{Model: d.Model, Stream: true, MaxTokens: d.Tokens},
-		messages: []emulator.Message{{Role: "user", Content: fmt.Sprintf("%d %s [tokens=%d]", n, text(d.PromptBytes, uint64(n)), d.Tokens)}},
+		messages: []emulator.Message{{Role: "user", Content: fmt.Sprintf("%d %s [tokens=%d]", n, fillerText(d.PromptBytes, uint64(n)), d.Tokens)}},
 	}
 	return p.chatBody()
 }
 
-func (d Drive) once(ctx context.Context, client *http.Client, url string, body []byte, due time.Time) answer {
+func (d Drive) sendOnce(ctx context.Context, client *http.Client, url string, body []byte, arrival time.Time) answer {
 	request, err := http.NewRequestWithContext(ctx, http.MethodPost, url+"/v1/chat/completions", bytes.NewReader(body))
 	if err != nil {
-		return answer{verdict: verdictBroken}
+		return answer{outcome: outcomeBroken}
 	}
 	request.Header.Set("Authorization", "Bearer "+d.Key)
 	request.Header.Set("Content-Type", "application/json")
 	response, err := client.Do(request)
 	if err != nil {
-		return answer{verdict: verdictBroken}
+		return answer{outcome: outcomeBroken}
 	}
 	defer response.Body.Close()
-	a := answer{verdict: verdictBroken}
+	a := answer{outcome: outcomeBroken}
 	if response.StatusCode != http.StatusOK {
 		_, _ = io.Copy(io.Discard, response.Body)
 		return a
 	}
-	readEvents(response.Body, &a, due)
+	readEvents(response.Body, &a, arrival)
 	return a
 }
 
@@ -236,9 +241,9 @@
 func (r DriveReport) Print(w io.Writer) {
 	fmt.Fprintf(w, "%d requests, %d ok\n", r.Requests, r.OK)
 	printSummary(w, "first token", &r.FirstToken)
-	printSummary(w, "between tokens", &r.Between)
+	printSummary(w, "between tokens", &r.BetweenTokens)
 	printSummary(w, "whole", &r.Whole)
-	for name, u := range r.Uses {
+	for name, u := range r.Usage {
 		fmt.Fprintf(w, "    %-20s %.4f of a core, %.1f MB resident, %.0f link bytes/s\n", name, u.CoreShare, u.ResidentMB, u.LinkBytes)
 	}
 }
--- a/loader/faults.go
+++ b/loader/faults.go
@@ -18,40 +18,45 @@
 )
 
 const (
-	// quietWatch is how long a leaving upstream is watched for new work.
-	quietWatch = 8 * time.Second
-	// forceWatch is how long a change may take to be in force everywhere.
-	forceWatch = 10 * time.Second
-	watchPause = 10 * time.Millisecond
-	// recoverTimeout bounds the wait for a dead router's money.
-	recoverTimeout = 40 * time.Second
+	// drainWatchTime is how long the upstream of a draining sidecar is watched for new work.
+	drainWatchTime = 8 * time.Second
+	// applyTimeout limits the wait until all routers have applied a configuration change.
+	applyTimeout = 10 * time.Second
+	pollInterval = 10 * time.Millisecond
+	// recoveryTimeout limits the wait until the money of a killed router is returned.
+	recoveryTimeout = 40 * time.Second
 )
 
-// faulter brings a scenario's faults about, and watches what the fleet makes of them.
-type faulter struct {
-	fleet   *starter.Fleet
-	ledger  *ledger
-	mu      sync.Mutex
-	cutOff  int
-	quiet   []time.Duration
-	inForce []time.Duration
-	removed []*starter.FleetSidecar
-	// recovered is how long each dead router's money took to be back.
-	recovered []time.Duration
-	errs      []error
-	wg        sync.WaitGroup
+// faultInjector injects the faults of a scenario and measures how the fleet handles them.
+type faultInjector struct {
+	fleet  *starter.Fleet
+	ledger *ledger
+	mu     sync.Mutex
+	// cutOff counts graceful shutdowns that cut off requests.
+	cutOff int
+	// drainTimes has the time for which each draining upstream still got new work.
+	drainTimes []time.Duration
+	// applyTimes has the time until each configuration change was applied by all routers.
+	applyTimes []time.Duration
+	removed    []*starter.FleetSidecar
+	// recoveryTimes has the time until each killed router's money was returned.
+	recoveryTimes []time.Duration
+	errs          []error
+	wg            sync.WaitGroup
 }
 
-func newFaulter(f *starter.Fleet, l *ledger) *faulter { return &faulter{fleet: f, ledger: l} }
+func newFaultInjector(f *starter.Fleet, l *ledger) *faultInjector {
+	return &faultInjector{fleet: f, ledger: l}
+}
 
-// run carries all faults out at their times; it returns when the last has ended.
-func (f *faulter) run(ctx context.Context, faults []Fault, began time.Time) {
+// run injects all faults at their times and returns when the last has ended.
+func (f *faultInjector) run(ctx context.Context, faults []Fault, start time.Time) {
 	for _, fault := range faults {
 		f.wg.Go(func() {
-			if !sleepUntil(ctx, began.Add(fault.At.Std())) {
+			if !sleepUntil(ctx, start.Add(fault.At.Std())) {
 				return
 			}
-			heal, err := f.strike(ctx, fault)
+			heal, err := f.inject(ctx, fault)
 			if err != nil {
 				f.mu.Lock()
 				f.errs = append(f.errs, fmt.Errorf("fault %s: %w", fault.Kind, err))
@@ -61,13 +66,14 @@
 			if heal == nil {
 				return
 			}
-			sleepUntil(ctx, began.Add(fault.At.Std()+fault.For.Std()))
+			sleepUntil(ctx, start.Add(fault.At.Std()+fault.Duration.Std()))
 			heal()
 		})
 	}
 	f.wg.Wait()
 }
 
+// sleepUntil sleeps until a time, and reports false if ctx ends before it.
 func sleepUntil(ctx context.Context, at time.Time) bool {
 	select {
 	case <-ctx.Done():
@@ -77,20 +83,20 @@
 	}
 }
 
-// strike brings a fault about and returns what ends it, or nothing.
-func (f *faulter) strike(ctx context.Context, fault Fault) (heal func(), err error) {
+// inject injects a fault and returns the function that ends it; the function is nil if nothing has to end.
+func (f *faultInjector) inject(ctx context.Context, fault Fault) (heal func(), err error) {
 	table := f.fleet.Platform.Table
-	calm := func() { table.SetFaults(emulator.TableFaults{}) }
+	healTable := func() { table.SetFaults(emulator.TableFaults{}) }
 	switch fault.Kind {
 	case FaultTableDown:
 		table.SetFaults(emulator.TableFaults{Down: true})
-		return calm, nil
+		return healTable, nil
 	case FaultTableSlow:
 		table.SetFaults(emulator.TableFaults{DelayMillis: int(fault.Value)})
-		return calm, nil
+		return healTable, nil
 	case FaultTableLosesAnswers:
 		table.SetFaults(emulator.TableFaults{DropAnswers: int(fault.Value)})
-		return calm, nil
+		return healTable, nil
 	case FaultObjectsDown:
 		f.fleet.Platform.Objects.SetDown(true)
 		return func() { f.fleet.Platform.Objects.SetDown(false) }, nil
@@ -104,12 +110,13 @@
 	case FaultRegionCut:
 		return f.cutRegion(fault), nil
 	case FaultRouterKilled, FaultRouterCut, FaultRouterDrained:
-		return f.strikeRouter(fault)
+		return f.injectRouterFault(fault)
 	}
-	return f.strikeSidecar(fault)
+	return f.injectSidecarFault(fault)
 }
 
-func (f *faulter) topUp(ctx context.Context, fault Fault) error {
+// topUp adds to a prepaid budget, as an operator does.
+func (f *faultInjector) topUp(ctx context.Context, fault Fault) error {
 	amount := masticway.Amount(fault.Value)
 	if _, err := bookkeeper.New(f.fleet.Platform.Table).TopUp(ctx, fault.Target, uuid.NewString(), amount); err != nil {
 		return err
@@ -118,8 +125,8 @@
 	return nil
 }
 
-// configChange puts a workspace's contract anew and watches until every router has applied it.
-func (f *faulter) configChange(ctx context.Context, fault Fault) error {
+// configChange changes the priority in a workspace's contract and waits until all routers have applied the change.
+func (f *faultInjector) configChange(ctx context.Context, fault Fault) error {
 	store := configurer.NewStore(f.fleet.Platform.Table)
 	c, _, err := store.Contract(ctx, fault.Target)
 	if err != nil {
@@ -130,20 +137,21 @@
 	if err != nil {
 		return err
 	}
-	began := time.Now()
-	for time.Since(began) < forceWatch {
-		if f.everywhere(int64(change.Revision)) {
+	start := time.Now()
+	for time.Since(start) < applyTimeout {
+		if f.isAppliedEverywhere(int64(change.Revision)) {
 			break
 		}
-		time.Sleep(watchPause)
+		time.Sleep(pollInterval)
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.inForce = append(f.inForce, time.Since(began))
+	f.applyTimes = append(f.applyTimes, time.Since(start))
 	return nil
 }
 
-func (f *faulter) everywhere(revision int64) bool {
+// isAppliedEverywhere reports whether all ready routers have applied a revision of the configuration.
+func (f *faultInjector) isAppliedEverywhere(revision int64) bool {
 	for _, r := range f.fleet.Routers() {
 		if r.Daemon.IsReady() && r.Metrics.Count("config_revision") < revision {
 			return false
@@ -152,8 +160,8 @@
 	return true
 }
 
-// cutRegion cuts a region off from the platform and from all other regions.
-func (f *faulter) cutRegion(fault Fault) func() {
+// cutRegion cuts a region off from the platform and from the routers of other regions, and returns the function that ends this.
+func (f *faultInjector) cutRegion(fault Fault) func() {
 	var inside, outside []string
 	for _, r := range f.fleet.Routers() {
 		if r.Region == fault.Target {
@@ -168,15 +176,15 @@
 		}
 	}
 	outside = append(outside, starter.PlatformProcess)
-	each := func(set func(a, b string)) {
+	forEachPair := func(set func(a, b string)) {
 		for _, a := range inside {
 			for _, b := range outside {
 				set(a, b)
 			}
 		}
 	}
-	each(f.fleet.Network.Partition)
-	return func() { each(f.fleet.Network.Heal) }
+	forEachPair(f.fleet.Network.Partition)
+	return func() { forEachPair(f.fleet.Network.Heal) }
 }
 
 // NoTargetError reports a fault whose target does not exist.
@@ -185,10 +193,10 @@
 	Target string
 }
 
-// Error names fault and target.
+// Error names the kind of fault and the target.
 func (e *NoTargetError) Error() string { return fmt.Sprintf("%s: no target %q", e.Kind, e.Target) }
 
-// pick chooses from a list by number or by the start of a name; the empty target is the first.
+// pick returns the element of a list with an index or with a prefix of its name; an empty target picks the first.
 func pick[T any](list []T, target string, name func(T) string) (T, bool) {
 	var none T
 	if n, err := strconv.Atoi(target); err == nil && n < len(list) {
@@ -202,7 +210,8 @@
 	return none, false
 }
 
-func (f *faulter) strikeRouter(fault Fault) (func(), error) {
+// injectRouterFault injects a fault of a router and returns the function that ends it.
+func (f *faultInjector) injectRouterFault(fault Fault) (func(), error) {
 	r, ok := pick(f.fleet.Routers(), fault.Target, func(r *starter.FleetRouter) string { return r.Name })
 	if !ok {
 		return nil, &NoTargetError{Kind: fault.Kind, Target: fault.Target}
@@ -226,29 +235,30 @@
 		}
 		return replace, nil
 	}
-	dead := r.Daemon.Incarnation()
+	inc := r.Daemon.Incarnation()
 	f.fleet.KillRouter(r.Name)
-	died := time.Now()
-	f.wg.Go(func() { f.watchRecovery(dead, died) })
+	killedAt := time.Now()
+	f.wg.Go(func() { f.awaitRecovery(inc, killedAt) })
 	return replace, nil
 }
 
-// watchRecovery waits until a dead incarnation has no money any more.
-func (f *faulter) watchRecovery(inc masticway.Incarnation, died time.Time) {
+// awaitRecovery waits until a killed incarnation holds no grants any more, and records how long that took.
+func (f *faultInjector) awaitRecovery(inc masticway.Incarnation, killedAt time.Time) {
 	book := bookkeeper.New(f.fleet.Platform.Table)
-	for time.Since(died) < recoverTimeout {
+	for time.Since(killedAt) < recoveryTimeout {
 		grants, err := book.GrantsOf(context.Background(), inc)
 		if err == nil && len(grants) == 0 {
 			break
 		}
-		time.Sleep(watchPause)
+		time.Sleep(pollInterval)
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.recovered = append(f.recovered, time.Since(died))
+	f.recoveryTimes = append(f.recoveryTimes, time.Since(killedAt))
 }
 
-func (f *faulter) strikeSidecar(fault Fault) (func(), error) {
+// injectSidecarFault injects a fault of a sidecar or its upstream and returns the function that ends it.
+func (f *faultInjector) injectSidecarFault(fault Fault) (func(), error) {
 	s, ok := pick(f.fleet.Sidecars(), fault.Target, func(s *starter.FleetSidecar) string { return s.Name })
 	if !ok {
 		return nil, &NoTargetError{Kind: fault.Kind, Target: fault.Target}
@@ -260,7 +270,7 @@
 	case FaultSidecarKilled:
 		f.fleet.KillSidecar(s.Name, false)
 		return func() { _ = f.fleet.StartSidecar(s) }, nil
-	case FaultListHidesLeaving:
+	case FaultListHidesDraining:
 		f.fleet.Platform.Instances.SetDown(true)
 		f.drain(s)
 		return func() { f.fleet.Platform.Instances.SetDown(false) }, nil
@@ -281,26 +291,26 @@
 	return func() { s.Engine.SetFaults(emulator.EngineFaults{}) }, nil
 }
 
-// drain ends a sidecar gracefully and watches for the last new work that its upstream gets.
-func (f *faulter) drain(s *starter.FleetSidecar) {
-	began := time.Now()
-	last := began
+// drain shuts a sidecar down gracefully and records for how long its upstream still got new work.
+func (f *faultInjector) drain(s *starter.FleetSidecar) {
+	start := time.Now()
+	lastRunAt := start
 	done := make(chan bool, 1)
 	go func() { done <- f.fleet.DrainSidecar(s.Name) }()
 	runs := s.Runs()
-	for time.Since(began) < quietWatch {
+	for time.Since(start) < drainWatchTime {
 		if now := s.Runs(); now != runs {
 			runs = now
-			last = time.Now()
+			lastRunAt = time.Now()
 		}
-		time.Sleep(watchPause)
+		time.Sleep(pollInterval)
 	}
-	clean := <-done
+	drained := <-done
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if !clean {
+	if !drained {
 		f.cutOff++
 	}
-	f.quiet = append(f.quiet, last.Sub(began))
+	f.drainTimes = append(f.drainTimes, lastRunAt.Sub(start))
 	f.removed = append(f.removed, s)
 }
--- a/loader/oracle.go
+++ b/loader/oracle.go
@@ -11,16 +11,17 @@
 	"github.com/masticway/masticway/starter"
 )
 
-// ledger knows everything that clients want and were told, as no router can.
+// ledger tracks, by budget, what is prepaid and the true cost of all requests that clients have sent, without those that were
+// refused as not run. No router knows this for the whole fleet.
 type ledger struct {
 	mu       sync.Mutex
 	prepaid  map[string]masticway.Amount
-	wanted   map[string]masticway.Amount
+	demanded map[string]masticway.Amount
 	budgetOf map[string]string
 }
 
 func newLedger(s Scenario, contracts []masticway.Contract) *ledger {
-	l := &ledger{prepaid: map[string]masticway.Amount{}, wanted: map[string]masticway.Amount{}, budgetOf: map[string]string{}}
+	l := &ledger{prepaid: map[string]masticway.Amount{}, demanded: map[string]masticway.Amount{}, budgetOf: map[string]string{}}
 	for _, b := range s.Budgets {
 		l.prepaid[b.ID] = b.Prepaid
 	}
@@ -30,20 +31,21 @@
 	return l
 }
 
-// begin counts a request's true cost as wanted.
-func (l *ledger) begin(p planned) {
+// addDemand adds the true cost of a request to the demand on its budget.
+func (l *ledger) addDemand(p plannedRequest) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.wanted[l.budgetOf[p.traffic.Workspace]] += p.cost
+	l.demanded[l.budgetOf[p.traffic.Workspace]] += p.cost
 }
 
-// refused takes a request's cost back, and tells whether its money was there all the same.
-func (l *ledger) refused(p planned) bool {
+// withdrawDemand subtracts the cost of a refused request from the demand on its budget, and reports whether the budget could have
+// paid for it.
+func (l *ledger) withdrawDemand(p plannedRequest) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	b := l.budgetOf[p.traffic.Workspace]
-	l.wanted[b] -= p.cost
-	return l.prepaid[b]-l.wanted[b] >= p.cost
+	l.demanded[b] -= p.cost
+	return l.prepaid[b]-l.demanded[b] >= p.cost
 }
 
 func (l *ledger) topUp(budget string, amount masticway.Amount) {
@@ -52,43 +54,44 @@
 	l.prepaid[budget] += amount
 }
 
-// Promises counts what must never happen; all must be zero.
+// Promises counts violations of promises; all must be zero.
 type Promises struct {
-	// Overspend is what upstreams ran beyond prepaid sums, in tokens at weight one.
+	// Overspend is the cost of what upstreams ran beyond the prepaid amounts, in tokens of weight one.
 	Overspend float64 `json:"overspend_tokens"`
-	// Overbilled is what budgets were charged beyond what upstreams ran, without what is presumed.
+	// Overbilled is what budgets were charged beyond the cost of what upstreams ran, without presumed charges.
 	Overbilled float64 `json:"overbilled_tokens"`
 	// Crossed counts answers that were not the whole answer to their own request.
 	Crossed int `json:"crossed_answers"`
 	// Doubled counts non-repeatable requests that ran more than once.
 	Doubled int `json:"doubled_runs"`
-	// FalseNotRun counts requests called "not run" that ran.
+	// FalseNotRun counts requests that ran although they were refused as not run.
 	FalseNotRun int `json:"false_not_run"`
-	// CutOff counts graceful shutdowns that cut something off.
+	// CutOff counts graceful shutdowns that cut off requests.
 	CutOff int `json:"cut_off"`
 	// BrokenRows counts budget rows that would allow overspending.
 	BrokenRows int `json:"broken_rows"`
-	// LostAnswers counts non-repeatable requests that ran and whose client was never told the answer.
+	// LostAnswers counts non-repeatable requests that ran but whose client got no answer, not even a refusal.
 	LostAnswers int `json:"lost_answers"`
 }
 
-// Kept tells whether all promises were kept.
+// Kept reports whether all promises were kept.
 func (p Promises) Kept() bool { return p == Promises{} }
 
-// Money is what happened to the budgets, in tokens at weight one.
+// Money has the totals of all budgets, in tokens of weight one.
 type Money struct {
-	Ran        float64 `json:"ran"`
-	Settled    float64 `json:"settled"`
-	Presumed   float64 `json:"presumed"`
-	GivenBack  float64 `json:"given_back"`
-	Underbill  float64 `json:"underbilled"`
-	StrandedAt float64 `json:"stranded_at_end"`
+	Ran         float64 `json:"ran"`
+	Settled     float64 `json:"settled"`
+	Presumed    float64 `json:"presumed"`
+	GivenBack   float64 `json:"given_back"`
+	Underbilled float64 `json:"underbilled"`
+	Stranded    float64 `json:"stranded_at_end"`
 }
 
-func asTokens(a masticway.Amount) float64 { return float64(a) / float64(masticway.PerToken) }
+// inTokens converts an amount to tokens of weight one.
+func inTokens(a masticway.Amount) float64 { return float64(a) / float64(masticway.PerToken) }
 
-// ranCost adds up what the stand-ins say they ran, by budget.
-func ranCost(upstreams []*starter.FleetSidecar, catalog masticway.Catalog, budgetOf map[string]string) map[string]masticway.Amount {
+// costOfRuns returns the cost of what the emulated upstreams report as run, by budget.
+func costOfRuns(upstreams []*starter.FleetSidecar, catalog masticway.Catalog, budgetOf map[string]string) map[string]masticway.Amount {
 	ran := map[string]masticway.Amount{}
 	for _, s := range upstreams {
 		if s.Engine != nil {
@@ -106,7 +109,7 @@
 	return ran
 }
 
-// checkMoney holds what ran against what was prepaid and what the table bills.
+// checkMoney compares the cost of what ran with what was prepaid and with what the table says was charged.
 func checkMoney(ctx context.Context, fleet *starter.Fleet, l *ledger, ran map[string]masticway.Amount, p *Promises) (Money, error) {
 	var m Money
 	book := bookkeeper.New(fleet.Platform.Table)
@@ -115,25 +118,25 @@
 	for budget, prepaid := range l.prepaid {
 		row, err := book.Budget(ctx, budget)
 		if err != nil {
-			return m, fmt.Errorf("reading the end of budget %s: %w", budget, err)
+			return m, fmt.Errorf("reading the final row of budget %s: %w", budget, err)
 		}
 		if row.Check() != nil || row.Prepaid != prepaid {
 			p.BrokenRows++
 		}
-		p.Overspend += asTokens(max(0, ran[budget]-prepaid))
-		billed := row.Settled - row.Presumed
-		p.Overbilled += asTokens(max(0, billed-ran[budget]))
-		m.Underbill += asTokens(max(0, ran[budget]-row.Settled))
-		m.Ran += asTokens(ran[budget])
-		m.Settled += asTokens(row.Settled)
-		m.Presumed += asTokens(row.Presumed)
-		m.GivenBack += asTokens(row.Refunded)
-		m.StrandedAt += asTokens(row.OpenAmount())
+		p.Overspend += inTokens(max(0, ran[budget]-prepaid))
+		charged := row.Settled - row.Presumed
+		p.Overbilled += inTokens(max(0, charged-ran[budget]))
+		m.Underbilled += inTokens(max(0, ran[budget]-row.Settled))
+		m.Ran += inTokens(ran[budget])
+		m.Settled += inTokens(row.Settled)
+		m.Presumed += inTokens(row.Presumed)
+		m.GivenBack += inTokens(row.Refunded)
+		m.Stranded += inTokens(row.OpenAmount())
 	}
 	return m, nil
 }
 
-// serviceRuns adds up how often each service body ran.
+// serviceRuns returns how often a service ran each request body.
 func serviceRuns(upstreams []*starter.FleetSidecar) map[string]int {
 	runs := map[string]int{}
 	for _, s := range upstreams {
--- a/loader/plan.go
+++ b/loader/plan.go
@@ -13,31 +13,32 @@
 	"github.com/masticway/masticway/emulator"
 )
 
-// planned is one request of the plan; the plan depends on the seed alone.
-type planned struct {
-	at       time.Duration
+// plannedRequest is a request of the plan. For a scenario, the plan depends only on the seed.
+type plannedRequest struct {
+	arrival  time.Duration
 	traffic  Traffic
 	key      string
 	region   int
 	messages []emulator.Message
 	body     string
-	// tokens is the length that the whole answer must have.
+	// tokens is the length of the whole answer.
 	tokens int
 	// cost is the true price.
 	cost masticway.Amount
-	// nonRepeatable tells that the contract forbids running it twice.
+	// nonRepeatable is set if the contract forbids running the request twice.
 	nonRepeatable bool
 }
 
+// words are the words of prompts.
 const words = "chest waist sleeve inseam lapel vent cuff drape canvas dart seam hem yoke collar button lining "
 
-// plan draws all arrivals of a scenario.
-func plan(s Scenario, catalog masticway.Catalog, contracts []masticway.Contract) []planned {
-	forbidden := map[string]masticway.Contract{}
+// plan draws all requests of a scenario, ordered by their arrivals.
+func plan(s Scenario, catalog masticway.Catalog, contracts []masticway.Contract) []plannedRequest {
+	contractOf := map[string]masticway.Contract{}
 	for _, c := range contracts {
-		forbidden[c.Workspace] = c
+		contractOf[c.Workspace] = c
 	}
-	var all []planned
+	var all []plannedRequest
 	for i, t := range s.Traffic {
 		random := rand.New(rand.NewPCG(uint64(s.Seed), uint64(i)+1))
 		at := time.Duration(0)
@@ -46,18 +47,19 @@
 			if at >= s.Duration.Std() {
 				break
 			}
-			p := plannedRequest(s, catalog, t, random, at, fmt.Sprintf("%s-%d-%d", t.Name, s.Seed, n))
-			terms, _ := forbidden[t.Workspace].Service(t.Service)
-			p.nonRepeatable = terms.IsNonRepeatable(http.MethodPost, t.Path)
+			p := planRequest(s, catalog, t, random, at, fmt.Sprintf("%s-%d-%d", t.Name, s.Seed, n))
+			service, _ := contractOf[t.Workspace].Service(t.Service)
+			p.nonRepeatable = service.IsNonRepeatable(http.MethodPost, t.Path)
 			all = append(all, p)
 		}
 	}
-	slices.SortStableFunc(all, func(a, b planned) int { return int(a.at - b.at) })
+	slices.SortStableFunc(all, func(a, b plannedRequest) int { return int(a.arrival - b.arrival) })
 	return all
 }
 
-func plannedRequest(s Scenario, catalog masticway.Catalog, t Traffic, random *rand.Rand, at time.Duration, key string) planned {
-	p := planned{at: at, traffic: t, key: key, region: random.IntN(len(s.Regions))}
+// planRequest draws a request of a stream of traffic that arrives at a time after the start.
+func planRequest(s Scenario, catalog masticway.Catalog, t Traffic, random *rand.Rand, at time.Duration, key string) plannedRequest {
+	p := plannedRequest{arrival: at, traffic: t, key: key, region: random.IntN(len(s.Regions))}
 	if t.Service != "" {
 		service, _ := catalog.Service(t.Service)
 		p.body = fmt.Sprintf("%s%s %s", emulator.OwnerPrefix, t.Workspace, key)
@@ -65,23 +67,23 @@
 		return p
 	}
 	model, _ := catalog.Model(t.Model)
-	// Answers are from half to one and a half times the named length.
-	natural := max(1, t.OutputTokens/2+random.IntN(t.OutputTokens+1))
+	// The answer has from half to one and a half times OutputTokens, unless MaxTokens cuts it short.
+	uncutTokens := max(1, t.OutputTokens/2+random.IntN(t.OutputTokens+1))
 	group := random.IntN(t.Groups)
 	shared := fmt.Sprintf("%s%s group %s %d ", emulator.OwnerPrefix, t.Workspace, t.Name, group)
-	shared += text(t.SharedBytes-len(shared), uint64(group))
-	own := fmt.Sprintf("%s %s [tokens=%d]", key, text(t.PromptBytes-t.SharedBytes, random.Uint64()), natural)
+	shared += fillerText(t.SharedBytes-len(shared), uint64(group))
+	own := fmt.Sprintf("%s %s [tokens=%d]", key, fillerText(t.PromptBytes-t.SharedBytes, random.Uint64()), uncutTokens)
 	p.messages = []emulator.Message{{Role: "system", Content: shared}, {Role: "user", Content: own}}
-	p.tokens = natural
+	p.tokens = uncutTokens
 	if t.MaxTokens > 0 {
-		p.tokens = min(natural, t.MaxTokens)
+		p.tokens = min(uncutTokens, t.MaxTokens)
 	}
 	p.cost = model.Cost(emulator.CountTokens(p.messages), p.tokens)
 	return p
 }
 
-// text returns so many bytes of words, the same for the same seed.
-func text(bytes int, seed uint64) string {
+// fillerText returns text of a length, which depends only on the seed.
+func fillerText(bytes int, seed uint64) string {
 	if bytes <= 0 {
 		return ""
 	}
@@ -95,8 +97,8 @@
 	return b.String()[:bytes]
 }
 
-// chatBody is what the client sends for a model request.
-func (p planned) chatBody() []byte {
+// chatBody returns the body of a request to a model.
+func (p plannedRequest) chatBody() []byte {
 	body, err := json.Marshal(struct {
 		Model     string             `json:"model"`
 		Messages  []emulator.Message `json:"messages"`
@@ -104,7 +106,7 @@
 		MaxTokens int                `json:"max_tokens,omitempty"`
 	}{p.traffic.Model, p.messages, p.traffic.Stream, p.traffic.MaxTokens})
 	if err != nil {
-		// The body holds only strings and numbers.
+		// Strings, numbers and booleans can always be encoded.
 		panic(err)
 	}
 	return body
--- a/loader/report.go
+++ b/loader/report.go
@@ -19,25 +19,28 @@
 type Outcomes struct {
 	Requests int `json:"requests"`
 	OK       int `json:"ok"`
-	Tries    int `json:"tries"`
-	// CutShort counts whole answers that a thin budget ended before their natural end.
+	Attempts int `json:"tries"`
+	// CutShort counts complete answers that are shorter than planned because the budget did not allow more.
 	CutShort int `json:"cut_short"`
-	// FalseRefusals were refused for money although it was there; TrueRefusals when it was not.
+	// FalseRefusals counts requests that were refused for lack of money although the budget could have paid for them,
+	// TrueRefusals those for which it could not.
 	FalseRefusals int `json:"false_refusals"`
 	TrueRefusals  int `json:"true_refusals"`
-	Limited       int `json:"limited"`
-	Unknown       int `json:"unknown"`
-	Failed        int `json:"failed"`
-	// Codes counts the error codes of the last answers.
+	// Limited counts refusals because of limits or overload, Unknown other requests of unknown outcome, and Failed all
+	// other requests without success.
+	Limited int `json:"limited"`
+	Unknown int `json:"unknown"`
+	Failed  int `json:"failed"`
+	// Codes counts the error codes of requests without success, by the last attempt.
 	Codes map[string]int `json:"codes,omitempty"`
 }
 
-// TrafficReport is what one stream of requests saw.
+// TrafficReport is the result of one stream of requests.
 type TrafficReport struct {
-	Outcomes   Outcomes          `json:"outcomes"`
-	FirstToken *measurer.Summary `json:"first_token,omitempty"`
-	Between    *measurer.Summary `json:"between_tokens,omitempty"`
-	Whole      *measurer.Summary `json:"whole,omitempty"`
+	Outcomes      Outcomes          `json:"outcomes"`
+	FirstToken    *measurer.Summary `json:"first_token,omitempty"`
+	BetweenTokens *measurer.Summary `json:"between_tokens,omitempty"`
+	Whole         *measurer.Summary `json:"whole,omitempty"`
 }
 
 // Report is the result of one run of a scenario.
@@ -47,39 +50,40 @@
 	Promises Promises                 `json:"promises"`
 	Money    Money                    `json:"money"`
 	Traffic  map[string]TrafficReport `json:"traffic"`
-	// Shares are parts of all requests.
+	// The shares are fractions of all requests.
 	FalseRefusalShare float64 `json:"false_refusal_share"`
 	FailedShare       float64 `json:"failed_share"`
-	// TableWrites and TableReads are for each 1,000 requests.
+	// TableWrites and TableReads are per 1,000 requests.
 	TableWrites float64 `json:"table_writes_per_1000"`
 	TableReads  float64 `json:"table_reads_per_1000"`
-	// WritesByKind splits the writes, also for each 1,000 requests.
+	// WritesByKind has the writes by kind of row, also per 1,000 requests.
 	WritesByKind map[string]float64 `json:"writes_by_kind_per_1000"`
-	// RecoveryMS is the time from each router's death until its money was back.
+	// RecoveryMS has, for each killed router, the time until its money was returned.
 	RecoveryMS []int64 `json:"recovery_ms,omitempty"`
-	// QuietMS is how long leaving upstreams still got new work.
+	// QuietMS has, for each draining upstream, the time for which it still got new work.
 	QuietMS []int64 `json:"quiet_ms,omitempty"`
-	// InForceMS is how long changes took to be in force everywhere.
+	// InForceMS has, for each configuration change, the time until all routers had applied it.
 	InForceMS []int64  `json:"in_force_ms,omitempty"`
 	Examples  []string `json:"examples,omitempty"`
-	// Failures names what was not as promised or expected.
+	// Failures describes broken promises and missed expectations.
 	Failures []string `json:"failures,omitempty"`
 }
 
-func (e *experiment) build(requests int, reads int64, writes map[string]int64, money Money) Report {
+// buildReport makes the report from the tally, the injected faults and the use of the table.
+func (e *experiment) buildReport(requests int, reads int64, writes map[string]int64, money Money) Report {
 	t := e.tally
 	s := e.runner.Scenario
 	r := Report{
 		Scenario: s.Name, Seed: s.Seed, Promises: t.promises, Money: money, Traffic: map[string]TrafficReport{},
-		RecoveryMS: milliseconds(e.faults.recovered), Examples: t.examples,
-		QuietMS: milliseconds(e.faults.quiet), InForceMS: milliseconds(e.faults.inForce),
+		RecoveryMS: milliseconds(e.faults.recoveryTimes), Examples: t.examples,
+		QuietMS: milliseconds(e.faults.drainTimes), InForceMS: milliseconds(e.faults.applyTimes),
 	}
 	falseRefusals, failed := 0, 0
-	for name, c := range t.counts {
+	for name, c := range t.outcomes {
 		report := TrafficReport{Outcomes: *c}
-		report.FirstToken = summary(t.first[name])
-		report.Between = summary(t.gaps[name])
-		report.Whole = summary(t.whole[name])
+		report.FirstToken = summarize(t.firstTokens[name])
+		report.BetweenTokens = summarize(t.tokenGaps[name])
+		report.Whole = summarize(t.wholeAnswers[name])
 		r.Traffic[name] = report
 		falseRefusals += c.FalseRefusals
 		failed += c.Failed + c.Unknown
@@ -93,7 +97,7 @@
 		r.TableWrites += float64(n) * 1000 / all
 	}
 	r.TableReads = float64(reads) * 1000 / all
-	r.judge(s.Expect)
+	r.checkExpectations(s.Expect)
 	return r
 }
 
@@ -105,7 +109,8 @@
 	return all
 }
 
-func (r *Report) judge(expect Expect) {
+// checkExpectations adds a failure for broken promises and for each missed expectation.
+func (r *Report) checkExpectations(expect Expect) {
 	if !r.Promises.Kept() {
 		r.Failures = append(r.Failures, fmt.Sprintf("a promise was broken: %+v", r.Promises))
 	}
@@ -124,9 +129,9 @@
 		t := r.Traffic[name]
 		o := t.Outcomes
 		fmt.Fprintf(w, "  %-18s %5d requests %5d ok, false refusals %d, true %d, limited %d, unknown %d, failed %d, cut short %d, tries %d %v\n",
-			name, o.Requests, o.OK, o.FalseRefusals, o.TrueRefusals, o.Limited, o.Unknown, o.Failed, o.CutShort, o.Tries, o.Codes)
+			name, o.Requests, o.OK, o.FalseRefusals, o.TrueRefusals, o.Limited, o.Unknown, o.Failed, o.CutShort, o.Attempts, o.Codes)
 		printSummary(w, "first token", t.FirstToken)
-		printSummary(w, "between tokens", t.Between)
+		printSummary(w, "between tokens", t.BetweenTokens)
 		printSummary(w, "whole", t.Whole)
 	}
 	p := r.Promises
@@ -134,9 +139,9 @@
 		p.Overspend, p.Overbilled, p.Crossed, p.Doubled, p.FalseNotRun, p.CutOff, p.BrokenRows, p.LostAnswers)
 	m := r.Money
 	fmt.Fprintf(w, "  money in tokens: ran %.3f settled %.3f presumed %.3f given back %.3f underbilled %.3f stranded %.3f\n",
-		m.Ran, m.Settled, m.Presumed, m.GivenBack, m.Underbill, m.StrandedAt)
+		m.Ran, m.Settled, m.Presumed, m.GivenBack, m.Underbilled, m.Stranded)
 	fmt.Fprintf(w, "  false refusals %.5f, failed %.5f, table writes %.2f and reads %.2f per 1000 requests %s\n",
-		r.FalseRefusalShare, r.FailedShare, r.TableWrites, r.TableReads, kinds(r.WritesByKind))
+		r.FalseRefusalShare, r.FailedShare, r.TableWrites, r.TableReads, formatWrites(r.WritesByKind))
 	if len(r.RecoveryMS) > 0 || len(r.QuietMS) > 0 || len(r.InForceMS) > 0 {
 		fmt.Fprintf(w, "  recovery %v ms, leaving upstreams quiet after %v ms, changes in force after %v ms\n", r.RecoveryMS, r.QuietMS, r.InForceMS)
 	}
@@ -148,7 +153,8 @@
 	}
 }
 
-func kinds(m map[string]float64) string {
+// formatWrites formats the writes by kind.
+func formatWrites(m map[string]float64) string {
 	parts := make([]string, 0, len(m))
 	for _, k := range slices.Sorted(maps.Keys(m)) {
 		parts = append(parts, fmt.Sprintf("%s %.1f", k, m[k]))
@@ -163,7 +169,7 @@
 	fmt.Fprintf(w, "    %-15s p50 %8.2f  p95 %8.2f  p99 %8.2f  max %8.2f ms\n", name, s.P50, s.P95, s.P99, s.Max)
 }
 
-// Runs is a file of reports of the same scenario under several seeds.
+// Runs has the reports of a scenario under several seeds, as stored in a file.
 type Runs struct {
 	Runs []Report `json:"runs"`
 }
@@ -181,12 +187,13 @@
 	return r, nil
 }
 
-// figure is one named number of a report.
+// figure is a named number of a report.
 type figure struct {
 	name  string
 	value float64
 }
 
+// figures returns the numbers of a report that Compare compares.
 func (r Report) figures() []figure {
 	list := []figure{
 		{"overspend", r.Promises.Overspend}, {"false_refusal_share", r.FalseRefusalShare}, {"failed_share", r.FailedShare},
@@ -197,7 +204,7 @@
 		for _, s := range []struct {
 			what    string
 			summary *measurer.Summary
-		}{{"first_token", t.FirstToken}, {"between", t.Between}, {"whole", t.Whole}} {
+		}{{"first_token", t.FirstToken}, {"between", t.BetweenTokens}, {"whole", t.Whole}} {
 			if s.summary == nil {
 				continue
 			}
@@ -215,10 +222,10 @@
 	return float64(slices.Max(list))
 }
 
-// Compare writes the medians of two sets of runs with their spread, and the ratio of the medians.
+// Compare writes the medians of two sets of runs with their minima and maxima, and the ratio of the medians.
 func Compare(w io.Writer, a, b Runs) {
 	fmt.Fprintf(w, "%-40s %28s %28s %8s\n", "figure", "A median (min to max)", "B median (min to max)", "B/A")
-	inA, inB := collect(a), collect(b)
+	inA, inB := collectFigures(a), collectFigures(b)
 	for _, name := range slices.Sorted(maps.Keys(inA)) {
 		x, y := inA[name], inB[name]
 		if len(x) == 0 || len(y) == 0 {
@@ -232,7 +239,8 @@
 	}
 }
 
-func collect(r Runs) map[string][]float64 {
+// collectFigures returns the sorted values of each figure.
+func collectFigures(r Runs) map[string][]float64 {
 	all := map[string][]float64{}
 	for _, run := range r.Runs {
 		for _, f := range run.figures() {
@@ -253,8 +261,8 @@
 	}, " ")
 }
 
-// summary reads a histogram, or returns nothing without one.
-func summary(h *hdrhistogram.Histogram) *measurer.Summary {
+// summarize summarizes a histogram; it returns nil if there is none.
+func summarize(h *hdrhistogram.Histogram) *measurer.Summary {
 	if h == nil {
 		return nil
 	}
--- a/loader/scenario.go
+++ b/loader/scenario.go
@@ -8,7 +8,7 @@
 	"github.com/masticway/masticway/validator"
 )
 
-// Scenario is a load experiment: a fleet, its traffic and what fails.
+// Scenario is a load experiment: a fleet, its traffic and the faults.
 type Scenario struct {
 	Name        string             `json:"name"`
 	Seed        int64              `json:"seed"`
@@ -17,8 +17,8 @@
 	ZoneDelay   masticway.Duration `json:"zone_delay"`
 	RegionDelay masticway.Duration `json:"region_delay"`
 	ClientDelay masticway.Duration `json:"client_delay"`
-	Engines     []Engines          `json:"engines"`
-	Services    []Services         `json:"services"`
+	Engines     []EngineGroup      `json:"engines"`
+	Services    []ServiceGroup     `json:"services"`
 	Catalog     json.RawMessage    `json:"catalog"`
 	Contracts   []json.RawMessage  `json:"contracts"`
 	Budgets     []Budget           `json:"budgets"`
@@ -29,15 +29,15 @@
 	Expect      Expect             `json:"expect"`
 }
 
-// Region is one region of the fleet.
+// Region is a region of the fleet.
 type Region struct {
 	Name    string   `json:"name"`
 	Zones   []string `json:"zones"`
 	Routers int      `json:"routers"`
 }
 
-// Engines is a group of model engines in every region.
-type Engines struct {
+// EngineGroup is a group of model engines in every region.
+type EngineGroup struct {
 	Model       string             `json:"model"`
 	Count       int                `json:"count"`
 	Capacity    int                `json:"capacity"`
@@ -48,19 +48,19 @@
 	HideCache   bool               `json:"hide_cache"`
 }
 
-// Services is a group of plain services in every region.
-type Services struct {
+// ServiceGroup is a group of plain services in every region.
+type ServiceGroup struct {
 	Name  string `json:"name"`
 	Count int    `json:"count"`
 }
 
-// Budget is a prepaid sum at the start.
+// Budget is a budget with its prepaid amount at the start.
 type Budget struct {
 	ID      string           `json:"id"`
 	Prepaid masticway.Amount `json:"prepaid"`
 }
 
-// Traffic is one stream of requests.
+// Traffic is a stream of similar requests.
 type Traffic struct {
 	Name         string          `json:"name"`
 	Workspace    string          `json:"workspace"`
@@ -78,7 +78,7 @@
 	Retries      int             `json:"retries"`
 }
 
-// FaultKind names what fails.
+// FaultKind is a kind of fault.
 type FaultKind string
 
 // The kinds of faults.
@@ -100,25 +100,25 @@
 	FaultRegionCut           FaultKind = "region_cut"
 	FaultTopUp               FaultKind = "top_up"
 	FaultConfigChange        FaultKind = "config_change"
-	FaultListHidesLeaving    FaultKind = "list_hides_leaving"
+	FaultListHidesDraining   FaultKind = "list_hides_leaving"
 )
 
-// Fault is something that fails, or that an operator does, during the load.
+// Fault is a failure, or an action of an operator, during the load.
 type Fault struct {
-	At     masticway.Duration `json:"at"`
-	For    masticway.Duration `json:"for"`
-	Kind   FaultKind          `json:"kind"`
-	Target string             `json:"target"`
-	Value  int64              `json:"value"`
+	At       masticway.Duration `json:"at"`
+	Duration masticway.Duration `json:"for"`
+	Kind     FaultKind          `json:"kind"`
+	Target   string             `json:"target"`
+	Value    int64              `json:"value"`
 }
 
-// Expect bounds figures besides the promises; zero means that the figure is only reported.
+// Expect has upper limits of figures, beside the promises; a figure without limit (zero) is only reported.
 type Expect struct {
 	FalseRefusalShare float64 `json:"false_refusal_share"`
 	FailedShare       float64 `json:"failed_share"`
 }
 
-// Parse reads a scenario and checks it, with its catalog and contracts.
+// Parse decodes a scenario and validates it, its catalog and its contracts.
 func Parse(data []byte) (Scenario, error) {
 	s, err := validator.Decode[Scenario](validator.KindScenario, data)
 	if err != nil {
--- a/soaker/deadly.go
+++ b/soaker/deadly.go
@@ -10,32 +10,32 @@
 )
 
 const (
-	deadlyMark              = "deadly"                                // what the body of a request has that crashes the servers which run it
-	deadlyEnds, deadlySends = 3, 3                                    // so many servers may end under it before it counts as known; it may be sent so often later (as the users' deployments have it)
-	deadlyPause, deadlyMost = 400 * time.Millisecond, 8 * time.Second // its caller's longest pause, and how long it comes again
-	deadlyCaller            = 1 << 20                                 // its callers' streams of random numbers begin here
-	hurriedShare            = 0.4                                     // the part of the events whose caller leaves each time about when the server ends
-	hurriedMost             = 40 * time.Millisecond                   // what such a caller waits at the most, twice the time in which a server crashes
-	blamedCode              = "request_ends_servers"                  // what the refusal of a request says that is kept from servers
+	deadlyMark                        = "deadly"                                // a request whose body contains it crashes the servers that run it
+	minDeadlyCrashes, maxDeadlySends  = 3, 3                                    // servers that may crash before a request must be known as deadly; how often it may be sent afterwards (as in the users' deployments)
+	maxDeadlyPause, maxDeadlyDuration = 400 * time.Millisecond, 8 * time.Second // its caller's longest pause between sends; the longest time for which it is sent, beyond minDuration
+	deadlyStreamBase                  = 1 << 20                                 // the first of its callers' streams of random numbers
+	impatientShare                    = 0.4                                     // share of these faults whose caller gives up at about the time when the server crashes
+	maxImpatientWait                  = 40 * time.Millisecond                   // longest wait of such a caller, twice the time that a server takes to crash
+	codeCrashesServers                = "request_ends_servers"                  // the code with which a router refuses a request that crashes servers
 )
 
-// deadlyRequest has one request come again and again, which crashes every server that runs it.
-func (s *run) deadlyRequest(e event) {
+// deadlyRequest sends a request that crashes every server that runs it, again and again.
+func (s *soakRun) deadlyRequest(e faultEvent) {
 	s.mu.Lock()
 	name := fmt.Sprintf("%s-%d-%d", deadlyMark, e.target, len(s.requests))
 	s.mu.Unlock()
 	var addresses []string
 	for _, p := range s.processes {
-		addresses = append(addresses, p.links[toCallers].Addr().String())
+		addresses = append(addresses, p.proxies[callerProxy].Addr().String())
 	}
-	c := s.newCaller("d", deadlyCaller+e.target, addresses...)
+	c := s.newCaller("d", deadlyStreamBase+e.target, addresses...)
 	r := routes[e.target%len(routes)]
-	for until := time.Now().Add(e.length); time.Now().Before(until); time.Sleep(below(c.random, deadlyPause)) {
-		// Each time on a connection of its own, to any router.
+	for until := time.Now().Add(e.duration); time.Now().Before(until); time.Sleep(randomUpTo(c.random, maxDeadlyPause)) {
+		// Each send uses a new connection, to any router.
 		c.transport.CloseIdleConnections()
-		q := &request{route: r, fixed: name, prompt: 10, declared: s.events * emulator.DeploymentTokensPerEvent, limit: limitMost, patience: limitMost}
-		if e.size < hurriedShare {
-			q.patience = below(c.random, hurriedMost)
+		q := &request{route: r, recurringName: name, prompt: 10, declared: s.events * emulator.DeploymentTokensPerEvent, timeLimit: maxTimeLimit, waitTimeout: maxTimeLimit}
+		if e.severity < impatientShare {
+			q.waitTimeout = randomUpTo(c.random, maxImpatientWait)
 		}
 		if !r.anonymous {
 			q.workspace = workspaces[len(workspaces)-1]
@@ -44,41 +44,42 @@
 	}
 }
 
-// crashedBy returns what follows the crash of the server in a slot: its row stays until its silence is noticed, then it is back.
-func (s *run) crashedBy(slot int) func(*emulator.OpaqueServer) {
+// crashHandler returns the function that handles a crash of the server in a slot: the server's row stays until its missing
+// heartbeats are noticed, then a new server takes its place.
+func (s *soakRun) crashHandler(slot int) func(*emulator.OpaqueServer) {
 	return func(old *emulator.OpaqueServer) {
-		s.disturb("crash", old.ID, 0)
+		s.beginDisturbance("crash", old.ID, 0)
 		s.faults.Go(func() {
-			time.Sleep(silentAfter)
+			time.Sleep(silenceTimeout)
 			old.Deregister(s.rows)
 			s.startServer(slot)
 		})
 	}
 }
 
-// judgeDeadly checks that requests under which servers ended were kept from them in time, by routers in touch.
-func (s *run) judgeDeadly() {
+// checkDeadlyRequests checks that routers in contact with the store stopped sending deadly requests in time.
+func (s *soakRun) checkDeadlyRequests() {
 	runs := map[string][]emulator.OpaqueRun{}
 	for _, r := range s.ledger.Runs() {
-		if q := s.requests[r.ID]; q != nil && q.fixed != "" && r.Fault == emulator.OpaqueCrash {
-			runs[q.fixed] = append(runs[q.fixed], r)
+		if q := s.requests[r.ID]; q != nil && q.recurringName != "" && r.Fault == emulator.OpaqueCrash {
+			runs[q.recurringName] = append(runs[q.recurringName], r)
 		}
 	}
 	for name, all := range runs {
-		if len(all) < deadlyEnds {
+		if len(all) < minDeadlyCrashes {
 			continue
 		}
 		slices.SortFunc(all, func(x, y emulator.OpaqueRun) int { return x.StartedAt.Compare(y.StartedAt) })
-		known := all[deadlyEnds-1].StartedAt.Add(stable)
+		known := all[minDeadlyCrashes-1].StartedAt.Add(stabilityPeriod)
 		late := slices.DeleteFunc(slices.Clone(all), func(r emulator.OpaqueRun) bool {
-			return !r.StartedAt.After(known) || !s.calm(r.StartedAt.Add(-stable), r.StartedAt, inTouch(s.requests[r.ID].router)...)
+			return !r.StartedAt.After(known) || !s.isUndisturbed(r.StartedAt.Add(-stabilityPeriod), r.StartedAt, contactTargets(s.requests[r.ID].router)...)
 		})
-		s.note("%s ended %d servers, sent %d times later", name, len(all), len(late))
-		if len(late) > deadlySends {
-			s.violate(promiseSpared, "%s was sent to servers %d times more, %d servers had ended under it", name, len(late), len(all))
+		s.logf("%s crashed %d servers, sent %d times after it had to be known", name, len(all), len(late))
+		if len(late) > maxDeadlySends {
+			s.reportViolation(promiseSpared, "%s was sent to servers %d times after it had to be known, it crashed %d servers", name, len(late), len(all))
 		}
 	}
 }
 
-// blames tells that a refusal takes its request for the cause of servers' ends.
-func blames(body []byte) bool { return strings.Contains(string(body), blamedCode) }
+// isCrashRefusal reports whether the body of a refusal says that the request crashes servers.
+func isCrashRefusal(body []byte) bool { return strings.Contains(string(body), codeCrashesServers) }
--- a/soaker/process.go
+++ b/soaker/process.go
@@ -18,94 +18,95 @@
 )
 
 const (
-	zoneName               = "zone"
-	startBound, readyPause = 20 * time.Second, 50 * time.Millisecond // a router is ready within it, longer than any fault; between two looks
-	// Ports of a router; its address is its own, so that no connection of another program has them.
+	zoneName                        = "zone"
+	startTimeout, readyPollInterval = 20 * time.Second, 50 * time.Millisecond // until a router is ready, longer than any fault lasts; between two checks
+	// Ports of a router. Each router has its own IP address, so no connection of another program uses them.
 	callerPort, readinessPort, peerPort = 7101, 7102, 7103
-	toCallers, toStore                  = 0, 1 // the links of a router
+	callerProxy, storeProxy             = 0, 1 // the index of a router's proxies
 )
 
-// process is a router over all its lives.
+// process is a router's process and its restarts.
 type process struct {
-	soak      *run
-	settings  forwarder.Settings
-	files     string     // the path of its files without their endings
-	links     [2]*link   // from its callers and to the store
-	operating sync.Mutex // serializes ends and starts
+	soak        *soakRun
+	settings    forwarder.Settings
+	files       string     // the path of its files without their extensions
+	proxies     [2]*proxy  // from its callers, and to the store
+	lifecycleMu sync.Mutex // serializes restarts and reloads
 
-	mu      sync.Mutex
-	command *exec.Cmd
-	ended   chan struct{}
-	asked   bool         // the present life was told to end
-	life    atomic.Int64 // the number of starts
-	pid     atomic.Int64
+	mu            sync.Mutex
+	command       *exec.Cmd
+	exited        chan struct{}
+	stopRequested bool         // the current incarnation was sent SIGTERM or SIGKILL
+	incarnation   atomic.Int64 // the number of starts
+	pid           atomic.Int64
 }
 
-// addRouter makes a router on an address of its own and starts it.
-func (s *run) addRouter(ip, store string, seeds []string, c condition) error {
+// addRouter creates a router with its own IP address and starts it.
+func (s *soakRun) addRouter(ip, store string, seeds []string, c condition) error {
 	address := func(port int) string { return fmt.Sprintf("%s:%d", ip, port) }
-	callers, l := newLink(address(callerPort), condition{}), newLink(store, c)
+	fromCallers, toStore := newProxy(address(callerPort), condition{}), newProxy(store, c)
 	i := len(s.processes)
-	s.routers[address(callerPort)], s.routers[callers.Addr().String()] = i, i
-	p := &process{soak: s, files: filepath.Join(s.Directory, routerTarget(i)), links: [2]*link{callers, l}, settings: forwarder.Settings{
+	s.routers[address(callerPort)], s.routers[fromCallers.Addr().String()] = i, i
+	p := &process{soak: s, files: filepath.Join(s.Directory, routerTarget(i)), proxies: [2]*proxy{fromCallers, toStore}, settings: forwarder.Settings{
 		Instance: routerTarget(i), Zone: zoneName, LogLevel: "info", LogEvery: 1, CallerAddress: address(callerPort), ReadinessAddress: address(readinessPort),
-		PeerAddress: address(peerPort), PeerSeeds: seeds, StoreAddress: l.Addr().String(), GraceSeconds: s.grace.Seconds(),
+		PeerAddress: address(peerPort), PeerSeeds: seeds, StoreAddress: toStore.Addr().String(), GraceSeconds: s.grace.Seconds(),
 		Money:   forwarder.MoneySettings{Parts: 4, Reserve: masticway.Duration(5 * time.Second)},
 		Retries: forwarder.RetriesSettings{Ratio: 0.2, Slack: 50, WindowSeconds: 10},
-		// With one holder of a workspace the other routers borrow, as most do in a large fleet.
+		// With a single holder per workspace the other routers borrow, as most routers do in a large fleet.
 		Policy: forwarder.PolicySettings{Holders: 1},
 	}}
 	s.processes = append(s.processes, p)
 	return p.start()
 }
 
-// start starts the next life.
+// start starts the next incarnation.
 func (p *process) start() error {
 	settings, err := json.Marshal(p.settings)
-	log, failed := os.OpenFile(p.files+".log", os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644)
-	if err := errors.Join(err, failed, os.WriteFile(p.files+".json", settings, 0o644)); err != nil {
+	log, logErr := os.OpenFile(p.files+".log", os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644)
+	if err := errors.Join(err, logErr, os.WriteFile(p.files+".json", settings, 0o644)); err != nil {
 		return err
 	}
 	defer log.Close()
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	c, ended := exec.Command(p.soak.Program, "gateway", p.files+".json"), make(chan struct{})
-	// A machine of the users' deployments has one core.
+	c, exited := exec.Command(p.soak.Program, "gateway", p.files+".json"), make(chan struct{})
+	// An instance of the users' deployments has one core.
 	c.Stdout, c.Stderr, c.Env = log, log, append(os.Environ(), "GOMAXPROCS=1")
 	if err := c.Start(); err != nil {
 		return err
 	}
-	p.command, p.ended, p.asked = c, ended, false
-	p.life.Add(1)
+	p.command, p.exited, p.stopRequested = c, exited, false
+	p.incarnation.Add(1)
 	p.pid.Store(int64(c.Process.Pid))
-	go p.wait(c, ended)
+	go p.wait(c, exited)
 	return nil
 }
 
-func (p *process) wait(c *exec.Cmd, ended chan struct{}) {
-	defer close(ended)
+// wait waits for the end of an incarnation, and reports a violation if it was not stopped.
+func (p *process) wait(c *exec.Cmd, exited chan struct{}) {
+	defer close(exited)
 	_ = c.Wait()
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.soak.note("%s ended: %v", p.settings.Instance, c.ProcessState)
-	if !p.asked {
-		p.soak.violate(promiseAlive, "%s ended by itself: %v", p.settings.Instance, c.ProcessState)
+	p.soak.logf("%s ended: %v", p.settings.Instance, c.ProcessState)
+	if !p.stopRequested {
+		p.soak.reportViolation(promiseAlive, "%s exited without being stopped: %v", p.settings.Instance, c.ProcessState)
 	}
 }
 
-// signal sends a signal to the present life; one that has just ended takes none.
+// signal sends a signal to the current incarnation; it has no effect if that has ended.
 func (p *process) signal(s syscall.Signal) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.asked = p.asked || s == syscall.SIGTERM || s == syscall.SIGKILL
+	p.stopRequested = p.stopRequested || s == syscall.SIGTERM || s == syscall.SIGKILL
 	_ = p.command.Process.Signal(s)
 }
 
-// stop ends the present life with SIGTERM, and with SIGKILL when its grace is over.
+// stop ends the current incarnation with SIGTERM, and with SIGKILL after the grace period.
 func (p *process) stop() {
 	p.signal(syscall.SIGTERM)
 	select {
-	case <-p.ended:
+	case <-p.exited:
 	case <-time.After(p.soak.grace):
 		p.kill()
 	}
@@ -113,13 +114,13 @@
 
 func (p *process) kill() {
 	p.signal(syscall.SIGKILL)
-	<-p.ended
+	<-p.exited
 }
 
-// awaitReady returns when the router says that it is ready, or false when it does not in time.
+// awaitReady waits until the router is ready; it returns false if that takes too long.
 func (p *process) awaitReady() bool {
 	client := &http.Client{Timeout: time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
-	for until := time.Now().Add(startBound); time.Now().Before(until); time.Sleep(readyPause) {
+	for until := time.Now().Add(startTimeout); time.Now().Before(until); time.Sleep(readyPollInterval) {
 		if response, err := client.Get("http://" + p.settings.ReadinessAddress); err == nil {
 			_ = response.Body.Close()
 			if response.StatusCode == http.StatusOK {
@@ -134,5 +135,5 @@
 	if p.command != nil {
 		p.kill()
 	}
-	_, _ = p.links[toCallers].Close(), p.links[toStore].Close()
+	_, _ = p.proxies[callerProxy].Close(), p.proxies[storeProxy].Close()
 }
