--- a/loader/driver.go
+++ b/loader/driver.go
@@ -23,8 +23,8 @@
 
 // Drive sends load at a steady rate to processes that are already running, and measures the resources that processes use.
 type Drive struct {
-	// Callers has the base URLs of routers, or of a model engine for comparison.
-	Callers     []string
+	// BaseURLs has the base URLs of routers, or of a model engine for comparison.
+	BaseURLs    []string
 	Key         string
 	Model       string
 	Rate        float64
@@ -32,15 +32,15 @@
 	Tokens      int
 	PromptBytes int
 	Seed        int64
-	Watch       []Watched
+	Processes   []Process
 }
 
-// Watched is a process whose resource usage is measured.
-type Watched struct {
+// Process is a process whose resource usage is measured.
+type Process struct {
 	Name string
 	PID  int
-	// Vars is the URL of the process's expvar metrics; if it is empty, link bytes are not measured.
-	Vars string
+	// MetricsURL is the URL of the process's expvar metrics; if it is empty, link bytes are not measured.
+	MetricsURL string
 }
 
 // ResourceUsage is the resource usage of a process during a drive.
@@ -74,7 +74,7 @@
 }
 
 // sample reads the resource usage of the process so far.
-func (w Watched) sample(ctx context.Context) (sample, error) {
+func (w Process) sample(ctx context.Context) (sample, error) {
 	var s sample
 	data, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", w.PID))
 	if err != nil {
@@ -104,11 +104,11 @@
 }
 
 // linkBytes reads the number of bytes that the process's links have sent and received so far.
-func (w Watched) linkBytes(ctx context.Context) (float64, error) {
-	if w.Vars == "" {
+func (w Process) linkBytes(ctx context.Context) (float64, error) {
+	if w.MetricsURL == "" {
 		return 0, nil
 	}
-	request, err := http.NewRequestWithContext(ctx, http.MethodGet, w.Vars, nil)
+	request, err := http.NewRequestWithContext(ctx, http.MethodGet, w.MetricsURL, nil)
 	if err != nil {
 		return 0, fmt.Errorf("watching %s: %w", w.Name, err)
 	}
@@ -153,7 +153,7 @@
 
 func (d Drive) samples(ctx context.Context) (map[string]sample, error) {
 	all := map[string]sample{}
-	for _, w := range d.Watch {
+	for _, w := range d.Processes {
 		s, err := w.sample(ctx)
 		if err != nil {
 			return nil, err
@@ -179,7 +179,7 @@
 		}
 		report.Requests++
 		arrival := start.Add(at)
-		url := d.Callers[report.Requests%len(d.Callers)]
+		url := d.BaseURLs[report.Requests%len(d.BaseURLs)]
 		body := d.requestBody(report.Requests)
 		wg.Go(func() {
 			a := d.sendOnce(ctx, client, url, body, arrival)
--- a/soaker/soak.go
+++ b/soaker/soak.go
@@ -16,8 +16,8 @@
 )
 
 const (
-	// MostRouters is the largest number of routers of a soak, each of which is a process.
-	MostRouters                     = 200
+	// MaxRouters is the largest number of routers of a soak, each of which is a process.
+	MaxRouters                      = 200
 	callersPerRouter                = 12
 	recoveryTimeout, recoveryTokens = 12 * time.Second, 5_000_000      // until requests are served again after all faults (as in the users' deployments); the top-up before it
 	narrowBandwidth, narrowEvery    = 10e6 / 8, 3                      // bytes per second of a narrow network link of 10 Mbit/s, used in one of this many soaks
