--- a/linker/conn.go
+++ b/linker/conn.go
@@ -19,67 +19,69 @@
 )
 
 const (
-	// queueLength bounds the messages that wait for the socket.
-	queueLength = 8192
-	// batchMost bounds the messages packed into one WebSocket message.
-	batchMost = 128
-	// readLimit bounds one WebSocket message in bytes.
-	readLimit = 16 << 20
-	// batchBytes bounds what is packed into one WebSocket message, 1 MB, unless one message alone is larger: many large
-	// ones together are over the reader's limit.
-	batchBytes = 1 << 20
-	// pieceBytes is what has to pass within a timeout, 16 KB: the time that a whole message takes grows with its size, and
-	// a link that is ended in the middle of one begins it again.
+	// maxQueuedMessages bounds the messages that wait to be written to the socket.
+	maxQueuedMessages = 8192
+	// maxBatchMessages bounds the messages packed into one WebSocket message.
+	maxBatchMessages = 128
+	// maxMessageBytes bounds one WebSocket message in bytes.
+	maxMessageBytes = 16 << 20
+	// maxBatchBytes is 1 MB. Messages are packed into one WebSocket message up to this size, and a larger one is sent alone:
+	// without this bound, several large messages together would exceed the reader's limit.
+	maxBatchBytes = 1 << 20
+	// pieceBytes is how much must be read or written within a timeout, 16 KB. A timeout for a whole message would be too short
+	// for a large one on a slow connection, and a link that is closed in the middle of a message has to send it again from the
+	// start.
 	pieceBytes = 16 << 10
-	// writeTimeout ends a link whose peer does not take the next piece.
+	// writeTimeout closes a link if the peer doesn't accept the next piece in time.
 	writeTimeout = 5 * time.Second
-	// readTimeout ends a link that has been silent over several heartbeats, or on which the next piece doesn't come.
+	// readTimeout closes a link that has been silent for several heartbeat intervals, or on which the next piece doesn't arrive
+	// in time.
 	readTimeout = 5 * time.Second
 )
 
-// DownError reports a message that could not be sent or answered because the link is down.
+// DownError reports that a message could not be sent or answered because the link is down.
 type DownError struct {
 	Peer   string
 	Reason string
 }
 
-// Error names the peer.
+// Error returns a text that names the peer and the reason.
 func (e *DownError) Error() string { return fmt.Sprintf("link to %s is down: %s", e.Peer, e.Reason) }
 
-// LateError reports a question on which nothing came within its pause, neither the answer nor parts of large messages.
-type LateError struct {
-	Peer  string
-	Pause time.Duration
+// IdleTimeoutError reports a call during which, for its idle timeout, neither the reply nor a piece of a large message arrived.
+type IdleTimeoutError struct {
+	Peer    string
+	Timeout time.Duration
 }
 
-// Error names the peer.
-func (e *LateError) Error() string {
-	return fmt.Sprintf("nothing came from %s for %s", e.Peer, e.Pause)
+// Error returns a text that names the peer and the timeout.
+func (e *IdleTimeoutError) Error() string {
+	return fmt.Sprintf("no data from %s for %s", e.Peer, e.Timeout)
 }
 
-// question is one that waits for its answer.
-type question struct {
-	answer chan Message
-	// late ends the wait after a pause; it is nil where the context alone does.
-	late  *time.Timer
-	pause time.Duration
+// pendingCall is a request whose reply has not arrived yet.
+type pendingCall struct {
+	reply chan Message
+	// timer cancels the call after timeout. It is nil if only the context bounds the call.
+	timer   *time.Timer
+	timeout time.Duration
 }
 
-// Handler takes a message from a link, in order; it must not block.
+// Handler handles a message from a link. Messages are passed in the order of their arrival, and a Handler must not block.
 type Handler func(c *Conn, m Message)
 
-// Conn is one authenticated link.
+// Conn is an authenticated link.
 type Conn struct {
-	socket *websocket.Conn
-	peer   masticway.Peer
-	self   Identity
-	done   chan struct{}
-	once   sync.Once
-	calls  atomic.Uint64
+	socket   *websocket.Conn
+	peer     masticway.Peer
+	identity Identity
+	done     chan struct{}
+	once     sync.Once
+	lastCall atomic.Uint64
 
 	mu      sync.Mutex
-	answers map[uint64]question
-	// queue grows with what waits, because most of many links are idle.
+	pending map[uint64]pendingCall
+	// queue grows as needed instead of having a fixed size, because most of the many links are idle.
 	queue []Message
 	wake  chan struct{}
 }
@@ -87,22 +89,22 @@
 var _ masticway.Link[Message] = (*Conn)(nil)
 
 func newConn(socket *websocket.Conn, peer masticway.Peer, self Identity) *Conn {
-	socket.SetReadLimit(readLimit)
+	socket.SetReadLimit(maxMessageBytes)
 	return &Conn{
-		socket: socket, peer: peer, self: self,
+		socket: socket, peer: peer, identity: self,
 		wake:    make(chan struct{}, 1),
 		done:    make(chan struct{}),
-		answers: map[uint64]question{},
+		pending: map[uint64]pendingCall{},
 	}
 }
 
-// Peer names the process at the other end.
+// Peer returns the identity of the process at the other end.
 func (c *Conn) Peer() masticway.Peer { return c.peer }
 
-// Done is closed when the link has ended.
+// Done returns a channel that is closed when the link is closed.
 func (c *Conn) Done() <-chan struct{} { return c.done }
 
-// Bind returns a context that also ends with the link.
+// Bind returns a copy of ctx that is also canceled when the link is closed.
 func (c *Conn) Bind(ctx context.Context) (context.Context, context.CancelFunc) {
 	bound, cancel := context.WithCancel(ctx)
 	go func() {
@@ -115,7 +117,7 @@
 	return bound, cancel
 }
 
-// Close ends the link.
+// Close closes the link.
 func (c *Conn) Close() {
 	c.once.Do(func() {
 		close(c.done)
@@ -123,7 +125,7 @@
 	})
 }
 
-// Send queues a message; it fails with DownError, and ends the link when the queue is full.
+// Send queues a message. It fails with DownError if the link is closed; if the queue is full, it closes the link and fails too.
 func (c *Conn) Send(m Message) error {
 	select {
 	case <-c.done:
@@ -131,7 +133,7 @@
 	default:
 	}
 	c.mu.Lock()
-	full := len(c.queue) >= queueLength
+	full := len(c.queue) >= maxQueuedMessages
 	if !full {
 		c.queue = append(c.queue, m)
 	}
@@ -147,75 +149,77 @@
 	return nil
 }
 
-// Ask sends a question and waits for its answer.
+// Ask sends a request and waits for its reply.
 //
-// When it fails after sending, the peer may have acted on the question.
+// If it fails after sending, the peer may have acted on the request.
 func (c *Conn) Ask(ctx context.Context, m Message) (Message, error) {
-	return c.ask(ctx, m, question{})
+	return c.call(ctx, m, pendingCall{})
 }
 
-// AskLarge is Ask for an answer of any size: it fails with LateError once nothing large has come for a pause.
+// AskLarge is like Ask, but for a reply of any size: it fails with IdleTimeoutError if neither the reply nor a whole piece of
+// any message arrives for idleTimeout.
 //
-// The time that a large answer takes grows with its size, and so does that of others that come before it on the link.
-func (c *Conn) AskLarge(ctx context.Context, m Message, pause time.Duration) (Message, error) {
-	asking, cancel := context.WithCancelCause(ctx)
+// A fixed timeout would not do: the time that a large reply takes grows with its size, and it also has to wait for large
+// messages that precede it on the link.
+func (c *Conn) AskLarge(ctx context.Context, m Message, idleTimeout time.Duration) (Message, error) {
+	callCtx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	late := time.AfterFunc(pause, func() { cancel(&LateError{Peer: c.peer.Instance, Pause: pause}) })
-	defer late.Stop()
-	return c.ask(asking, m, question{late: late, pause: pause})
+	timer := time.AfterFunc(idleTimeout, func() { cancel(&IdleTimeoutError{Peer: c.peer.Instance, Timeout: idleTimeout}) })
+	defer timer.Stop()
+	return c.call(callCtx, m, pendingCall{timer: timer, timeout: idleTimeout})
 }
 
-func (c *Conn) ask(ctx context.Context, m Message, q question) (Message, error) {
-	m.Call = c.calls.Add(1)
-	q.answer = make(chan Message, 1)
+func (c *Conn) call(ctx context.Context, m Message, p pendingCall) (Message, error) {
+	m.Call = c.lastCall.Add(1)
+	p.reply = make(chan Message, 1)
 	c.mu.Lock()
-	c.answers[m.Call] = q
+	c.pending[m.Call] = p
 	c.mu.Unlock()
 	defer func() {
 		c.mu.Lock()
-		delete(c.answers, m.Call)
+		delete(c.pending, m.Call)
 		c.mu.Unlock()
 	}()
 	if err := c.Send(m); err != nil {
 		return Message{}, err
 	}
 	select {
-	case a := <-q.answer:
-		return a, nil
+	case reply := <-p.reply:
+		return reply, nil
 	case <-c.done:
-		return Message{}, &DownError{Peer: c.peer.Instance, Reason: "closed while asking"}
+		return Message{}, &DownError{Peer: c.peer.Instance, Reason: "closed while waiting for the reply"}
 	case <-ctx.Done():
-		return Message{}, fmt.Errorf("asking %s: %w", c.peer.Instance, context.Cause(ctx))
+		return Message{}, fmt.Errorf("calling %s: %w", c.peer.Instance, context.Cause(ctx))
 	}
 }
 
-// progress puts off the end of the questions that may have large answers.
-func (c *Conn) progress() {
+// extendTimeouts restarts the idle timers of the pending calls that may have large replies.
+func (c *Conn) extendTimeouts() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for _, q := range c.answers {
-		if q.late != nil {
-			q.late.Reset(q.pause)
+	for _, p := range c.pending {
+		if p.timer != nil {
+			p.timer.Reset(p.timeout)
 		}
 	}
 }
 
-// Answer sends the reply to a question.
-func (c *Conn) Answer(question, reply Message) error {
-	reply.Reply = question.Call
+// Answer sends the reply to a request.
+func (c *Conn) Answer(request, reply Message) error {
+	reply.Reply = request.Call
 	return c.Send(reply)
 }
 
-// run reads until the link ends; the writer runs beside it.
+// run reads messages until the link fails or is closed. The writer runs in a goroutine of its own.
 func (c *Conn) run(h Handler) {
 	var writer sync.WaitGroup
-	writer.Go(c.write)
+	writer.Go(c.writeLoop)
 	for {
 		data, err := c.readMessage()
 		if err != nil {
 			break
 		}
-		c.self.count(CounterReceived, len(data))
+		c.identity.count(CounterReceived, len(data))
 		var batch []Message
 		if err := cbor.Unmarshal(data, &batch); err != nil {
 			break
@@ -228,16 +232,16 @@
 	writer.Wait()
 }
 
-// readMessage reads one WebSocket message; each piece has its own deadline.
+// readMessage reads one WebSocket message. Each piece of it has its own deadline.
 func (c *Conn) readMessage() ([]byte, error) {
-	c.expectPiece()
+	c.extendReadDeadline()
 	_, message, err := c.socket.NextReader()
 	if err != nil {
 		return nil, err
 	}
 	var data bytes.Buffer
 	for {
-		c.expectPiece()
+		c.extendReadDeadline()
 		_, err := io.CopyN(&data, message, pieceBytes)
 		if errors.Is(err, io.EOF) {
 			return data.Bytes(), nil
@@ -245,11 +249,11 @@
 		if err != nil {
 			return nil, err
 		}
-		c.progress()
+		c.extendTimeouts()
 	}
 }
 
-func (c *Conn) expectPiece() { _ = c.socket.SetReadDeadline(time.Now().Add(readTimeout)) }
+func (c *Conn) extendReadDeadline() { _ = c.socket.SetReadDeadline(time.Now().Add(readTimeout)) }
 
 func (c *Conn) deliver(m Message, h Handler) {
 	if m.Reply == 0 {
@@ -257,14 +261,14 @@
 		return
 	}
 	c.mu.Lock()
-	q, ok := c.answers[m.Reply]
+	p, ok := c.pending[m.Reply]
 	c.mu.Unlock()
 	if ok {
-		q.answer <- m
+		p.reply <- m
 	}
 }
 
-func (c *Conn) write() {
+func (c *Conn) writeLoop() {
 	for {
 		select {
 		case <-c.done:
@@ -272,10 +276,10 @@
 		case <-c.wake:
 		}
 		c.mu.Lock()
-		waiting := c.queue
+		queued := c.queue
 		c.queue = nil
 		c.mu.Unlock()
-		for batch := range slices.Chunk(waiting, batchMost) {
+		for batch := range slices.Chunk(queued, maxBatchMessages) {
 			if err := c.writeBatch(batch); err != nil {
 				c.Close()
 				return
@@ -284,23 +288,23 @@
 	}
 }
 
-// writeBatch packs messages into one WebSocket message, or into several when they are large.
+// writeBatch packs messages into one WebSocket message, or into several if they are large.
 func (c *Conn) writeBatch(batch []Message) error {
 	data, err := cbor.Marshal(batch)
 	if err != nil {
 		return fmt.Errorf("encoding %d messages: %w", len(batch), err)
 	}
-	if half := len(batch) / 2; half > 0 && len(data) > batchBytes {
+	if half := len(batch) / 2; half > 0 && len(data) > maxBatchBytes {
 		if err := c.writeBatch(batch[:half]); err != nil {
 			return err
 		}
 		return c.writeBatch(batch[half:])
 	}
-	c.self.count(CounterSent, len(data))
+	c.identity.count(CounterSent, len(data))
 	return c.writeMessage(data)
 }
 
-// writeMessage writes one WebSocket message; each piece has its own deadline.
+// writeMessage writes one WebSocket message. Each piece of it has its own deadline.
 func (c *Conn) writeMessage(data []byte) error {
 	if len(data) <= pieceBytes {
 		_ = c.socket.SetWriteDeadline(time.Now().Add(writeTimeout))
@@ -319,7 +323,7 @@
 	return message.Close()
 }
 
-// Decode reads a batch of messages as a link does; it is exported for fuzzing.
+// Decode decodes a batch of messages as a link does. It is exported for fuzzing.
 func Decode(data []byte) ([]Message, error) {
 	var batch []Message
 	if err := cbor.Unmarshal(data, &batch); err != nil {
@@ -328,7 +332,7 @@
 	return batch, nil
 }
 
-// Encode writes a batch of messages as a link does.
+// Encode encodes a batch of messages as a link does.
 func Encode(batch []Message) ([]byte, error) { return cbor.Marshal(batch) }
 
 // DialFunc opens a connection to an address.
--- a/linker/handshake.go
+++ b/linker/handshake.go
@@ -18,46 +18,46 @@
 )
 
 const (
-	// Path is where a process takes links.
+	// Path is the HTTP path at which a process accepts links.
 	Path             = "/link"
 	nonceBytes       = 16
 	handshakeTimeout = 2 * time.Second
-	backoffLeast     = 50 * time.Millisecond
-	backoffMost      = time.Second
-	// bufferBytes is small because most of many links are idle; a longer message takes several reads.
+	minBackoff       = 50 * time.Millisecond
+	maxBackoff       = time.Second
+	// bufferBytes is small because most of the many links are idle. A longer message takes several reads.
 	bufferBytes = 1024
-	// MAC labels keep the two directions apart.
+	// The labels make the MACs of the two directions differ, so that one cannot be replayed as the other.
 	labelServer = "masticway server"
 	labelClient = "masticway client"
 )
 
-// writeBuffers are shared by all links, since each needs one only while it writes.
+// writeBuffers is shared by all links because a link needs a write buffer only while it writes.
 var writeBuffers sync.Pool
 
-// HandshakeError reports a peer that did not prove who it is.
+// HandshakeError reports that a peer could not be authenticated or has another protocol version.
 type HandshakeError struct {
 	Reason string
 }
 
-// Error gives the reason.
+// Error returns a text with the reason.
 func (e *HandshakeError) Error() string { return "handshake failed: " + e.Reason }
 
-// Meter counts what links carry.
+// Meter counts the bytes that links send and receive.
 type Meter interface {
 	Add(name string, n int64)
 }
 
-// Names of the counters that a Meter is given, in bytes of messages.
+// Names of the counters passed to a Meter. They count the bytes of encoded messages.
 const (
 	CounterSent     = "link_bytes_sent"
 	CounterReceived = "link_bytes_received"
 )
 
-// Identity is what a process proves on its links.
+// Identity is a process's identity with the key that authenticates it to its peers.
 type Identity struct {
 	Self masticway.Peer
 	Key  []byte
-	// Meter counts the bytes of all its links; it may be nil.
+	// Meter counts the bytes of all links of the process. It may be nil.
 	Meter Meter
 }
 
@@ -81,13 +81,13 @@
 	return []byte(string(p.Role) + "\x00" + p.Instance + "\x00" + string(p.Incarnation))
 }
 
-func nonce() []byte {
+func newNonce() []byte {
 	n := make([]byte, nonceBytes)
 	_, _ = cryptorand.Read(n)
 	return n
 }
 
-func writeOne(socket *websocket.Conn, v any) error {
+func writeHandshake(socket *websocket.Conn, v any) error {
 	data, err := cbor.Marshal(v)
 	if err != nil {
 		return fmt.Errorf("encoding handshake: %w", err)
@@ -96,7 +96,7 @@
 	return socket.WriteMessage(websocket.BinaryMessage, data)
 }
 
-func readOne(socket *websocket.Conn, v any) error {
+func readHandshake(socket *websocket.Conn, v any) error {
 	_ = socket.SetReadDeadline(time.Now().Add(handshakeTimeout))
 	_, data, err := socket.ReadMessage()
 	if err != nil {
@@ -105,24 +105,24 @@
 	return cbor.Unmarshal(data, v)
 }
 
-// Listener takes links from peers as an http.Handler.
+// Listener is an http.Handler that accepts links from peers.
 type Listener struct {
 	identity Identity
 	handler  Handler
-	up       func(*Conn)
-	down     func(*Conn)
+	onUp     func(*Conn)
+	onDown   func(*Conn)
 	upgrader websocket.Upgrader
 
-	mu    sync.Mutex
-	conns map[masticway.Incarnation]*Conn
-	wg    sync.WaitGroup
-	ended bool
+	mu     sync.Mutex
+	conns  map[masticway.Incarnation]*Conn
+	wg     sync.WaitGroup
+	closed bool
 }
 
-// NewListener returns a listener that calls up and down as links come and go.
-func NewListener(i Identity, h Handler, up, down func(*Conn)) *Listener {
+// NewListener returns a listener that calls onUp after a link is established and onDown after it is closed.
+func NewListener(i Identity, h Handler, onUp, onDown func(*Conn)) *Listener {
 	return &Listener{
-		identity: i, handler: h, up: up, down: down,
+		identity: i, handler: h, onUp: onUp, onDown: onDown,
 		upgrader: websocket.Upgrader{
 			HandshakeTimeout: handshakeTimeout, ReadBufferSize: bufferBytes, WriteBufferSize: bufferBytes, WriteBufferPool: &writeBuffers,
 		},
@@ -130,7 +130,7 @@
 	}
 }
 
-// ServeHTTP upgrades a request to a link and serves it until it ends.
+// ServeHTTP upgrades a request to a link and runs it until it is closed.
 func (l *Listener) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	socket, err := l.upgrader.Upgrade(w, r, nil)
 	if err != nil {
@@ -147,43 +147,43 @@
 		return
 	}
 	defer l.wg.Done()
-	l.up(c)
+	l.onUp(c)
 	c.run(l.handler)
 	l.remove(c)
-	l.down(c)
+	l.onDown(c)
 }
 
 func (l *Listener) accept(socket *websocket.Conn) (masticway.Peer, error) {
 	socket.SetReadLimit(1 << 16)
 	var h hello
-	if err := readOne(socket, &h); err != nil {
+	if err := readHandshake(socket, &h); err != nil {
 		return h.Peer, err
 	}
 	if h.Version != Version {
 		return h.Peer, &HandshakeError{Reason: fmt.Sprintf("version %d, not %d", h.Version, Version)}
 	}
-	own := nonce()
-	w := welcome{Version: Version, Peer: l.identity.Self, Nonce: own}
-	w.MAC = l.identity.mac(labelServer, h.Nonce, own, peerBytes(h.Peer), peerBytes(l.identity.Self))
-	if err := writeOne(socket, w); err != nil {
+	ownNonce := newNonce()
+	w := welcome{Version: Version, Peer: l.identity.Self, Nonce: ownNonce}
+	w.MAC = l.identity.mac(labelServer, h.Nonce, ownNonce, peerBytes(h.Peer), peerBytes(l.identity.Self))
+	if err := writeHandshake(socket, w); err != nil {
 		return h.Peer, err
 	}
 	var p proof
-	if err := readOne(socket, &p); err != nil {
+	if err := readHandshake(socket, &p); err != nil {
 		return h.Peer, err
 	}
-	expected := l.identity.mac(labelClient, own, h.Nonce, peerBytes(h.Peer), peerBytes(l.identity.Self))
+	expected := l.identity.mac(labelClient, ownNonce, h.Nonce, peerBytes(h.Peer), peerBytes(l.identity.Self))
 	if !hmac.Equal(expected, p.MAC) {
 		return h.Peer, &HandshakeError{Reason: "wrong key"}
 	}
 	return h.Peer, nil
 }
 
-// add replaces an older link of the same incarnation, whose unread messages must not be acted on.
+// add registers a link. It closes an older link of the same incarnation, whose unread messages must not be acted on.
 func (l *Listener) add(c *Conn) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.ended {
+	if l.closed {
 		return false
 	}
 	if old, ok := l.conns[c.peer.Incarnation]; ok {
@@ -202,7 +202,7 @@
 	}
 }
 
-// Get returns the link of an incarnation, or nil.
+// Get returns the link to an incarnation, or nil if there is none.
 func (l *Listener) Get(inc masticway.Incarnation) *Conn {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -220,10 +220,10 @@
 	return all
 }
 
-// Close ends all links and waits for them.
+// Close closes all links and waits until they have ended.
 func (l *Listener) Close() {
 	l.mu.Lock()
-	l.ended = true
+	l.closed = true
 	for _, c := range l.conns {
 		c.Close()
 	}
@@ -231,17 +231,17 @@
 	l.wg.Wait()
 }
 
-// Dialer keeps links to peers.
+// Dialer opens links to peers.
 type Dialer struct {
 	Identity Identity
 	Dial     DialFunc
 	Handler  Handler
-	// Up and Down are called as the link comes and goes.
+	// Up is called after a link is established, Down after it is closed.
 	Up   func(*Conn)
 	Down func(*Conn)
 }
 
-// Once opens one link and proves both ends; the caller must run it.
+// Once opens a link and authenticates both ends. The caller must pass the link to Serve.
 func (d Dialer) Once(ctx context.Context, address string) (*Conn, error) {
 	w := websocket.Dialer{
 		NetDialContext: d.Dial, HandshakeTimeout: handshakeTimeout,
@@ -252,50 +252,50 @@
 		return nil, fmt.Errorf("dialing link %s: %w", address, err)
 	}
 	_ = response.Body.Close()
-	peer, err := d.prove(socket)
+	peer, err := d.authenticate(socket)
 	if err != nil {
 		_ = socket.Close()
-		return nil, fmt.Errorf("proving link %s: %w", address, err)
+		return nil, fmt.Errorf("authenticating link %s: %w", address, err)
 	}
 	return newConn(socket, peer, d.Identity), nil
 }
 
-func (d Dialer) prove(socket *websocket.Conn) (masticway.Peer, error) {
+func (d Dialer) authenticate(socket *websocket.Conn) (masticway.Peer, error) {
 	socket.SetReadLimit(1 << 16)
-	own := nonce()
-	if err := writeOne(socket, hello{Version: Version, Peer: d.Identity.Self, Nonce: own}); err != nil {
+	ownNonce := newNonce()
+	if err := writeHandshake(socket, hello{Version: Version, Peer: d.Identity.Self, Nonce: ownNonce}); err != nil {
 		return masticway.Peer{}, err
 	}
 	var w welcome
-	if err := readOne(socket, &w); err != nil {
+	if err := readHandshake(socket, &w); err != nil {
 		return masticway.Peer{}, err
 	}
-	expected := d.Identity.mac(labelServer, own, w.Nonce, peerBytes(d.Identity.Self), peerBytes(w.Peer))
+	expected := d.Identity.mac(labelServer, ownNonce, w.Nonce, peerBytes(d.Identity.Self), peerBytes(w.Peer))
 	if !hmac.Equal(expected, w.MAC) {
 		return w.Peer, &HandshakeError{Reason: "wrong key"}
 	}
-	mac := d.Identity.mac(labelClient, w.Nonce, own, peerBytes(d.Identity.Self), peerBytes(w.Peer))
-	return w.Peer, writeOne(socket, proof{MAC: mac})
+	mac := d.Identity.mac(labelClient, w.Nonce, ownNonce, peerBytes(d.Identity.Self), peerBytes(w.Peer))
+	return w.Peer, writeHandshake(socket, proof{MAC: mac})
 }
 
-// Keep holds a link to an address until the context ends, dialing again with jittered backoff.
+// Keep maintains a link to an address until ctx is done. It reconnects with jittered exponential backoff.
 func (d Dialer) Keep(ctx context.Context, address string) {
-	wait := backoffLeast
+	wait := minBackoff
 	for ctx.Err() == nil {
 		c, err := d.Once(ctx, address)
 		if err != nil {
 			if !sleep(ctx, time.Duration(rand.Int64N(int64(wait)))+wait/2) {
 				return
 			}
-			wait = min(2*wait, backoffMost)
+			wait = min(2*wait, maxBackoff)
 			continue
 		}
-		wait = backoffLeast
+		wait = minBackoff
 		d.Serve(ctx, c)
 	}
 }
 
-// Serve runs a link until it or the context ends.
+// Serve runs a link until it is closed or ctx is done.
 func (d Dialer) Serve(ctx context.Context, c *Conn) {
 	stop := context.AfterFunc(ctx, c.Close)
 	defer stop()
--- a/linker/linker_test.go
+++ b/linker/linker_test.go
@@ -18,22 +18,22 @@
 	"github.com/masticway/masticway/sealer"
 )
 
-// TestMain checks that no link leaves a goroutine behind.
+// TestMain checks that links leave no goroutines behind.
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
 func identity(instance, key string) linker.Identity {
 	return linker.Identity{Self: masticway.Peer{Instance: instance, Incarnation: masticway.Incarnation(instance + "~1")}, Key: []byte(key)}
 }
 
-// serve starts a listener that answers Find, and keeps the order of what it hears.
-func serve(t *testing.T, key string) (address string, heard func() []string, l *linker.Listener) {
+// serve starts a listener that answers Find requests and records their identities in the order of arrival.
+func serve(t *testing.T, key string) (address string, received func() []string, l *linker.Listener) {
 	var mu sync.Mutex
-	var list []string
+	var identities []string
 	handle := func(c *linker.Conn, m linker.Message) {
 		mu.Lock()
 		defer mu.Unlock()
 		if m.Find != nil {
-			list = append(list, string(m.Find.Identity))
+			identities = append(identities, string(m.Find.Identity))
 			_ = c.Answer(m, linker.Message{Status: &sealer.Status{Known: true}})
 		}
 	}
@@ -46,7 +46,7 @@
 	return strings.TrimPrefix(server.URL, "http://"), func() []string {
 		mu.Lock()
 		defer mu.Unlock()
-		return append([]string(nil), list...)
+		return append([]string(nil), identities...)
 	}, l
 }
 
@@ -57,8 +57,8 @@
 	}
 }
 
-func TestQuestionsAreAnsweredInOrder(t *testing.T) {
-	address, heard, l := serve(t, "0123456789abcdef")
+func TestRequestsAreAnsweredInOrder(t *testing.T) {
+	address, received, l := serve(t, "0123456789abcdef")
 	d := dialer("0123456789abcdef")
 	ctx, cancel := context.WithCancel(context.Background())
 	c, err := d.Once(ctx, address)
@@ -70,7 +70,7 @@
 		qt.Assert(t, err, qt.IsNil)
 		qt.Assert(t, a.Status.Known, qt.IsTrue)
 	}
-	qt.Assert(t, heard(), qt.DeepEquals, []string{"a", "b", "c"})
+	qt.Assert(t, received(), qt.DeepEquals, []string{"a", "b", "c"})
 	qt.Assert(t, c.Peer().Incarnation, qt.Equals, masticway.Incarnation("server~1"))
 	cancel()
 	wg.Wait()
@@ -80,7 +80,7 @@
 	l.Close()
 }
 
-func TestWrongKeyGetsNoLink(t *testing.T) {
+func TestWrongKeyIsRejected(t *testing.T) {
 	cases := map[string]struct{ server, client string }{
 		"other key": {"0123456789abcdef", "fedcba9876543210"},
 		"no key":    {"0123456789abcdef", ""},
@@ -89,14 +89,14 @@
 		t.Run(name, func(t *testing.T) {
 			address, _, l := serve(t, tc.server)
 			_, err := dialer(tc.client).Once(context.Background(), address)
-			var refused *linker.HandshakeError
-			qt.Assert(t, err, qt.ErrorAs, &refused)
+			var handshakeErr *linker.HandshakeError
+			qt.Assert(t, err, qt.ErrorAs, &handshakeErr)
 			qt.Assert(t, l.All(), qt.HasLen, 0)
 		})
 	}
 }
 
-func TestNewerLinkReplacesTheOlder(t *testing.T) {
+func TestNewLinkReplacesOldOne(t *testing.T) {
 	address, _, l := serve(t, "0123456789abcdef")
 	d := dialer("0123456789abcdef")
 	ctx, cancel := context.WithCancel(context.Background())
@@ -115,7 +115,7 @@
 	qt.Assert(t, l.All(), qt.HasLen, 1)
 }
 
-func TestKeepDialsAgain(t *testing.T) {
+func TestDialerReconnects(t *testing.T) {
 	address, _, l := serve(t, "0123456789abcdef")
 	d := dialer("0123456789abcdef")
 	ups := make(chan *linker.Conn, 4)
@@ -131,12 +131,12 @@
 	l.Close()
 }
 
-func TestPeerThatDoesNotReadLosesItsLink(t *testing.T) {
+func TestFullQueueClosesLink(t *testing.T) {
 	address, _, _ := serve(t, "0123456789abcdef")
 	d := dialer("0123456789abcdef")
 	c, err := d.Once(context.Background(), address)
 	qt.Assert(t, err, qt.IsNil)
-	// Nothing runs the link, so its queue fills: memory stays bounded and the link ends.
+	// Nothing runs the link, so its queue fills up. The link must close instead of using more memory.
 	var down *linker.DownError
 	for {
 		if err = c.Send(linker.Message{Find: &sealer.Find{}}); err != nil {
@@ -165,12 +165,12 @@
 		if err != nil {
 			return
 		}
-		again, err := linker.Encode(batch)
+		encoded, err := linker.Encode(batch)
 		if err != nil {
-			t.Fatalf("decoded but not encoded: %v", err)
+			t.Fatalf("cannot encode what was decoded: %v", err)
 		}
-		if _, err := linker.Decode(again); err != nil {
-			t.Fatalf("encoded but not decoded: %v", err)
+		if _, err := linker.Decode(encoded); err != nil {
+			t.Fatalf("cannot decode what was encoded: %v", err)
 		}
 	})
 }
@@ -188,7 +188,7 @@
 	}
 }
 
-// BenchmarkChangeBytes reports the bytes of one changed contract on a link.
+// BenchmarkChangeBytes reports the encoded size of a change to one contract.
 func BenchmarkChangeBytes(b *testing.B) {
 	for _, n := range []int{1, 4, 11} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
--- a/linker/message.go
+++ b/linker/message.go
@@ -9,12 +9,12 @@
 	"github.com/masticway/masticway/sealer"
 )
 
-// Version is the version of the link messages; both ends must have the same.
+// Version is the version of the protocol on links. Both ends must have the same.
 const Version = 1
 
-// Message is one message on a link; exactly one of its bodies is set.
+// Message is one message on a link. Exactly one of its bodies is set.
 type Message struct {
-	// Call is set on a question, and Reply on its answer.
+	// Call is set on a request that expects a reply, and Reply on that reply, to the same number.
 	Call  uint64 `cbor:"1,keyasint,omitempty"`
 	Reply uint64 `cbor:"2,keyasint,omitempty"`
 
@@ -53,24 +53,24 @@
 	Explained  *Explained          `cbor:"51,keyasint,omitempty"`
 }
 
-// Beat is the heartbeat of either end, with what the other needs to know.
+// Beat is the heartbeat that each end sends periodically, with state that the other end needs.
 type Beat struct {
 	Revision masticway.Revision `cbor:"1,keyasint"`
 	Leaving  bool               `cbor:"2,keyasint,omitempty"`
-	// Unseen is how long ago the sender last knew the newest accepted revision for certain.
+	// Unseen is how long ago the sender's revision was confirmed to be the newest.
 	Unseen time.Duration         `cbor:"6,keyasint,omitempty"`
 	Load   *masticway.LoadReport `cbor:"3,keyasint,omitempty"`
-	// Open and Upto tell a sidecar which of the router's grants still matter.
+	// Open lists the sending router's open grants with numbers up to Upto, so that a sidecar can drop the totals of closed ones.
 	Open []int64 `cbor:"4,keyasint,omitempty"`
 	Upto int64   `cbor:"5,keyasint,omitempty"`
 }
 
-// Count asks a sidecar for a prompt's true token count.
+// Count asks a sidecar for the exact token count of a prompt.
 type Count struct {
 	Prompt []byte `cbor:"1,keyasint"`
 }
 
-// CountIs answers Count; a negative number means that the upstream did not say.
+// CountIs answers Count. Tokens is negative if the upstream did not return a count.
 type CountIs struct {
 	Tokens int `cbor:"1,keyasint"`
 }
@@ -81,14 +81,14 @@
 	Reason string `cbor:"2,keyasint,omitempty"`
 }
 
-// Changes passes configuration changes on.
+// Changes distributes configuration changes.
 type Changes struct {
 	List []masticway.Change `cbor:"1,keyasint"`
-	// Upto is the sender's revision; the list may lack older changes that it no longer keeps.
+	// Upto is the sender's revision. The list may lack older changes that the sender no longer keeps.
 	Upto masticway.Revision `cbor:"2,keyasint,omitempty"`
 }
 
-// Want asks a peer whose heartbeat named a newer revision for the changes after one.
+// Want asks a peer for the configuration changes after a revision. It is sent when the peer's heartbeat has a newer revision.
 type Want struct {
 	After masticway.Revision `cbor:"1,keyasint"`
 }
@@ -98,23 +98,23 @@
 	Verdict keeper.Verdict     `cbor:"1,keyasint"`
 	Grant   masticway.GrantKey `cbor:"2,keyasint"`
 	Amount  masticway.Amount   `cbor:"3,keyasint"`
-	// Sure tells that the keeper would remember an earlier request with the same identity.
+	// Sure is set if the keeper has run long enough to recognize every earlier request with the same identity.
 	Sure   bool          `cbor:"4,keyasint"`
 	Waited time.Duration `cbor:"5,keyasint"`
-	// Open tells of a duplicate that the first request is still under way.
+	// Open is set on a duplicate whose first request is still in progress.
 	Open bool `cbor:"8,keyasint,omitempty"`
-	// Limit and Retry name a contract limit that refuses the request.
+	// Limit is the contract limit that refuses the request, if one does, and Retry the time after which to try again.
 	Limit string        `cbor:"6,keyasint,omitempty"`
 	Retry time.Duration `cbor:"7,keyasint,omitempty"`
 }
 
-// Resize shrinks a hold.
+// Resize reduces a hold.
 type Resize struct {
 	Hold   masticway.HoldID `cbor:"1,keyasint"`
 	Amount masticway.Amount `cbor:"2,keyasint"`
 }
 
-// Settle reports what became of a hold.
+// Settle reports the charges of a finished hold.
 type Settle struct {
 	Hold    masticway.HoldID `cbor:"1,keyasint"`
 	Charges []keeper.Charge  `cbor:"3,keyasint"`
@@ -123,17 +123,17 @@
 // Settled acknowledges a settlement.
 type Settled struct{}
 
-// GiveBack asks a peer to return idle money of a budget.
+// GiveBack asks a peer to return a budget's idle money.
 type GiveBack struct {
 	Budget string `cbor:"1,keyasint"`
 }
 
-// Reach tells a keeper which sidecars its money will be used at.
+// Reach asks a peer to record the sidecars at which its money may be used.
 type Reach struct {
 	Sidecars []masticway.Incarnation `cbor:"1,keyasint"`
 }
 
-// Reached acknowledges that the keeper's durable set holds the sidecars.
+// Reached confirms that the peer has stored the sidecars durably.
 type Reached struct{}
 
 // WantConfig asks a peer for its whole configuration.
@@ -144,12 +144,12 @@
 	Request string `cbor:"1,keyasint"`
 }
 
-// Explained answers Explain with a JSON trace, or nothing.
+// Explained answers Explain with a trace in JSON, which is empty if the peer has none.
 type Explained struct {
 	Trace []byte `cbor:"1,keyasint"`
 }
 
-// hello, welcome and proof are the handshake.
+// hello, welcome and proof are the messages of the handshake, in this order.
 type hello struct {
 	Version int            `cbor:"1,keyasint"`
 	Peer    masticway.Peer `cbor:"2,keyasint"`
--- a/linker/slow_test.go
+++ b/linker/slow_test.go
@@ -16,19 +16,19 @@
 )
 
 const (
-	// slowLink is 10 Mbit/s, the slowest link of a router, in bytes a second.
-	slowLink = 10_000_000 / 8
-	// fastLink is 200 Mbit/s, in bytes a second.
-	fastLink = 200_000_000 / 8
-	// largeAnswer takes 12.6 s on a slow link, in bytes: more than the buffers of its connections hold and it carries in 5 s,
-	// so that writing takes longer too.
-	largeAnswer = 15 << 20
-	// slowAnswerLimit is over twice what the answers of a test take on a slow link.
-	slowAnswerLimit = 40 * time.Second
+	// slowLinkRate is the rate of a router's slowest link in bytes per second: 10 Mbit/s.
+	slowLinkRate = 10_000_000 / 8
+	// fastLinkRate is 200 Mbit/s in bytes per second.
+	fastLinkRate = 200_000_000 / 8
+	// largeReplyBytes takes 12.6 s on a slow link. It is more than the buffers of the link's connections hold plus what the link
+	// carries in 5 s, so that writing it takes longer than writeTimeout too.
+	largeReplyBytes = 15 << 20
+	// slowReplyTimeout is over twice the time that the replies of a test take on a slow link.
+	slowReplyTimeout = 40 * time.Second
 )
 
-// run opens a link to an address and runs it until stop is called.
-func run(t *testing.T, address string) (c *linker.Conn, stop func()) {
+// connect opens a link to an address and runs it until stop is called.
+func connect(t *testing.T, address string) (c *linker.Conn, stop func()) {
 	d := dialer("0123456789abcdef")
 	ctx, cancel := context.WithCancel(context.Background())
 	c, err := d.Once(ctx, address)
@@ -38,15 +38,15 @@
 	}
 	var wg sync.WaitGroup
 	wg.Go(func() { d.Serve(ctx, c) })
-	wg.Go(func() { beat(c) })
+	wg.Go(func() { sendHeartbeats(c) })
 	return c, func() {
 		cancel()
 		wg.Wait()
 	}
 }
 
-// beat sends heartbeats while a link is up; without them the other end takes it for silent.
-func beat(c *linker.Conn) {
+// sendHeartbeats sends heartbeats while a link is up. Without them the other end would time out.
+func sendHeartbeats(c *linker.Conn) {
 	tick := time.NewTicker(time.Second)
 	defer tick.Stop()
 	for {
@@ -54,27 +54,28 @@
 		case <-c.Done():
 			return
 		case <-tick.C:
-			// It fails once the link is down, which the next turn finds.
+			// Sending fails once the link is down, which the next iteration detects.
 			_ = c.Send(linker.Message{Beat: &linker.Beat{}})
 		}
 	}
 }
 
-// behindLink dials a listener that answers every question with so many bytes, and runs the link.
-func behindLink(t *testing.T, rate int64, bytes int) *linker.Conn {
+// connectOverLink connects over an emulated link to a listener that answers every Explain request with the given number of
+// bytes.
+func connectOverLink(t *testing.T, rate int64, bytes int) *linker.Conn {
 	trace := make([]byte, bytes)
-	answer := func(c *linker.Conn, m linker.Message) {
+	handle := func(c *linker.Conn, m linker.Message) {
 		if m.Explain == nil {
 			return
 		}
 		_ = c.Answer(m, linker.Message{Explained: &linker.Explained{Trace: trace}})
 	}
-	l := linker.NewListener(identity("server", "0123456789abcdef"), answer, func(*linker.Conn) {}, func(*linker.Conn) {})
+	l := linker.NewListener(identity("server", "0123456789abcdef"), handle, func(*linker.Conn) {}, func(*linker.Conn) {})
 	server := httptest.NewServer(l)
 	link := emulator.NewLink(rate)
 	address, err := link.To(server.Listener.Addr().String())
 	qt.Assert(t, err, qt.IsNil)
-	c, stop := run(t, address)
+	c, stop := connect(t, address)
 	t.Cleanup(func() {
 		stop()
 		l.Close()
@@ -84,22 +85,24 @@
 	return c
 }
 
-func TestLargeAnswersCome(t *testing.T) {
+// TestLargeRepliesArrive guards against timeouts that bound a whole message: they would close the link before a large reply has
+// arrived over a slow connection.
+func TestLargeRepliesArrive(t *testing.T) {
 	cases := map[string]struct {
-		rate             int64
-		questions, bytes int
+		rate         int64
+		calls, bytes int
 	}{
-		"one that takes longer than a link may be silent": {rate: slowLink, questions: 1, bytes: largeAnswer},
-		"many that wait together":                         {rate: fastLink, questions: 20, bytes: 1 << 20},
+		"one that takes longer than the read timeout": {rate: slowLinkRate, calls: 1, bytes: largeReplyBytes},
+		"many at the same time":                       {rate: fastLinkRate, calls: 20, bytes: 1 << 20},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			c := behindLink(t, tc.rate, tc.bytes)
-			ctx, cancel := context.WithTimeout(t.Context(), slowAnswerLimit)
+			c := connectOverLink(t, tc.rate, tc.bytes)
+			ctx, cancel := context.WithTimeout(t.Context(), slowReplyTimeout)
 			defer cancel()
 			var wg sync.WaitGroup
-			for range tc.questions {
+			for range tc.calls {
 				wg.Go(func() {
 					a, err := c.Ask(ctx, linker.Message{Explain: &linker.Explain{}})
 					if qt.Check(t, err, qt.IsNil) {
@@ -112,24 +115,24 @@
 	}
 }
 
-// faulty is a connection whose writes no longer go out as they are after a number of bytes, and never fail.
-type faulty struct {
+// faultyConn is a connection that silently drops or delays what is written after a number of bytes. Its writes report no error.
+type faultyConn struct {
 	net.Conn
-	left int
-	// trickles sends on a byte now and then; otherwise nothing goes out any more.
-	trickles bool
+	remaining int
+	// trickle sends the rest one byte at a time, every 100 ms. Otherwise the rest is dropped.
+	trickle bool
 }
 
-func (f *faulty) SetWriteDeadline(time.Time) error { return nil }
+func (f *faultyConn) SetWriteDeadline(time.Time) error { return nil }
 
-func (f *faulty) Write(data []byte) (int, error) {
-	whole := min(f.left, len(data))
-	f.left -= whole
+func (f *faultyConn) Write(data []byte) (int, error) {
+	whole := min(f.remaining, len(data))
+	f.remaining -= whole
 	if _, err := f.Conn.Write(data[:whole]); err != nil {
 		return 0, err
 	}
 	for _, b := range data[whole:] {
-		if !f.trickles {
+		if !f.trickle {
 			break
 		}
 		time.Sleep(100 * time.Millisecond)
@@ -140,11 +143,11 @@
 	return len(data), nil
 }
 
-// faultyListener makes its connections faulty.
+// faultyListener accepts connections that are wrapped in a faultyConn.
 type faultyListener struct {
 	net.Listener
-	after    int
-	trickles bool
+	faultAfter int
+	trickle    bool
 }
 
 func (l faultyListener) Accept() (net.Conn, error) {
@@ -152,42 +155,43 @@
 	if err != nil {
 		return nil, err
 	}
-	return &faulty{Conn: c, left: l.after, trickles: l.trickles}, nil
+	return &faultyConn{Conn: c, remaining: l.faultAfter, trickle: l.trickle}, nil
 }
 
-func TestPeerThatStopsInAMessageLosesItsLink(t *testing.T) {
-	cases := map[string]struct{ trickles bool }{
-		"stops":    {},
-		"trickles": {trickles: true},
+// TestStalledMessageClosesLink guards against a link that stays up although its peer stops, or nearly stops, within a message.
+func TestStalledMessageClosesLink(t *testing.T) {
+	cases := map[string]struct{ trickle bool }{
+		"stalls":   {},
+		"trickles": {trickle: true},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			c := behindFaultyConn(t, 100_000, tc.trickles)
-			asking, cancel := context.WithTimeout(t.Context(), slowAnswerLimit)
+			c := connectOverFaultyConn(t, 100_000, tc.trickle)
+			ctx, cancel := context.WithTimeout(t.Context(), slowReplyTimeout)
 			defer cancel()
 			select {
 			case <-c.Done():
-			case <-asking.Done():
+			case <-ctx.Done():
 				t.Fatal("the link is still up")
 			}
 		})
 	}
 }
 
-// behindFaultyConn is behindLink with a connection that is faulty after so many bytes, and a question sent.
-func behindFaultyConn(t *testing.T, after int, trickles bool) *linker.Conn {
-	answer := func(c *linker.Conn, m linker.Message) {
+// connectOverFaultyConn connects to a listener whose connections are faulty, and sends a request for a large reply.
+func connectOverFaultyConn(t *testing.T, faultAfter int, trickle bool) *linker.Conn {
+	handle := func(c *linker.Conn, m linker.Message) {
 		if m.Explain == nil {
 			return
 		}
-		_ = c.Answer(m, linker.Message{Explained: &linker.Explained{Trace: make([]byte, 10*after)}})
+		_ = c.Answer(m, linker.Message{Explained: &linker.Explained{Trace: make([]byte, 10*faultAfter)}})
 	}
-	l := linker.NewListener(identity("server", "0123456789abcdef"), answer, func(*linker.Conn) {}, func(*linker.Conn) {})
+	l := linker.NewListener(identity("server", "0123456789abcdef"), handle, func(*linker.Conn) {}, func(*linker.Conn) {})
 	server := httptest.NewUnstartedServer(l)
-	server.Listener = faultyListener{Listener: server.Listener, after: after, trickles: trickles}
+	server.Listener = faultyListener{Listener: server.Listener, faultAfter: faultAfter, trickle: trickle}
 	server.Start()
-	c, stop := run(t, server.Listener.Addr().String())
+	c, stop := connect(t, server.Listener.Addr().String())
 	t.Cleanup(func() {
 		stop()
 		l.Close()
@@ -197,26 +201,26 @@
 	return c
 }
 
-func TestLargeQuestionsLastWhileSomethingComes(t *testing.T) {
-	const pause = 500 * time.Millisecond
+func TestLargeCallsTimeOutOnlyWhenIdle(t *testing.T) {
+	const idleTimeout = 500 * time.Millisecond
 	cases := map[string]struct {
-		question linker.Message
-		late     bool
+		request  linker.Message
+		timesOut bool
 	}{
-		"an answer that takes longer than the pause": {question: linker.Message{Explain: &linker.Explain{}}},
-		"no answer": {question: linker.Message{Find: &sealer.Find{}}, late: true},
+		"a reply that takes longer than the idle timeout": {request: linker.Message{Explain: &linker.Explain{}}},
+		"no reply": {request: linker.Message{Find: &sealer.Find{}}, timesOut: true},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			c := behindLink(t, slowLink, 2<<20)
-			ctx, cancel := context.WithTimeout(t.Context(), slowAnswerLimit)
+			c := connectOverLink(t, slowLinkRate, 2<<20)
+			ctx, cancel := context.WithTimeout(t.Context(), slowReplyTimeout)
 			defer cancel()
-			a, err := c.AskLarge(ctx, tc.question, pause)
-			if tc.late {
-				var late *linker.LateError
-				qt.Assert(t, err, qt.ErrorAs, &late)
-				qt.Assert(t, late.Pause, qt.Equals, pause)
+			a, err := c.AskLarge(ctx, tc.request, idleTimeout)
+			if tc.timesOut {
+				var timeoutErr *linker.IdleTimeoutError
+				qt.Assert(t, err, qt.ErrorAs, &timeoutErr)
+				qt.Assert(t, timeoutErr.Timeout, qt.Equals, idleTimeout)
 				return
 			}
 			qt.Assert(t, err, qt.IsNil)
