--- a/sidecar/beats.go
+++ b/sidecar/beats.go
@@ -8,7 +8,7 @@
 	"github.com/masticway/masticway/linker"
 )
 
-func (c *Sidecar) beat() {
+func (c *Sidecar) heartbeatLoop() {
 	for {
 		select {
 		case <-c.ctx.Done():
@@ -19,18 +19,18 @@
 		c.apply(c.core.Tick(c.clock.Now()))
 		c.metrics.Gauge(metricRunning, int64(c.core.Running()))
 		c.mu.Unlock()
-		c.sendBeats()
+		c.sendHeartbeats()
 	}
 }
 
-// sendBeats reports load only when it has changed, because there are many links.
-func (c *Sidecar) sendBeats() {
-	m := c.beatMessage()
+// sendHeartbeats includes the load only if it has changed, because a sidecar has many links.
+func (c *Sidecar) sendHeartbeats() {
+	m := c.heartbeatMessage()
 	c.mu.Lock()
-	if c.told != nil && m.Beat.Load != nil && sameLoad(*c.told, *m.Beat.Load) {
+	if c.reportedLoad != nil && m.Beat.Load != nil && equalLoad(*c.reportedLoad, *m.Beat.Load) {
 		m.Beat.Load = nil
 	} else {
-		c.told = m.Beat.Load
+		c.reportedLoad = m.Beat.Load
 	}
 	c.mu.Unlock()
 	for _, conn := range c.listener.All() {
@@ -38,19 +38,19 @@
 	}
 }
 
-// sameLoad tells whether two reports differ in their time only.
-func sameLoad(a, b masticway.LoadReport) bool {
+// equalLoad reports whether two load reports are equal apart from their times.
+func equalLoad(a, b masticway.LoadReport) bool {
 	a.ReportedAt, b.ReportedAt = time.Time{}, time.Time{}
 	return reflect.DeepEqual(a, b)
 }
 
-func (c *Sidecar) beatMessage() linker.Message {
+func (c *Sidecar) heartbeatMessage() linker.Message {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return linker.Message{Beat: &linker.Beat{Revision: c.core.Revision(), Leaving: c.core.Leaving(), Load: c.load}}
 }
 
-func (c *Sidecar) watchLoad() {
+func (c *Sidecar) pollLoad() {
 	for {
 		report, err := c.upstream.Load(c.ctx)
 		if err == nil {
--- a/sidecar/doc.go
+++ b/sidecar/doc.go
@@ -1,6 +1,6 @@
-// Package sidecar is the process beside one upstream instance.
+// Package sidecar implements the process that runs beside one upstream instance.
 //
-// It is a shell around the sealer's decisions: it serves links, runs work at
-// the upstream, verifies incarnations in the table and reports load. It is the
-// only way to its upstream.
+// It carries out the decisions of package sealer: it serves links, runs requests
+// at the upstream, verifies routers' incarnations in the table and reports load.
+// All requests to the upstream pass through it.
 package sidecar
--- a/sidecar/drain.go
+++ b/sidecar/drain.go
@@ -9,27 +9,27 @@
 	"github.com/masticway/masticway/bookkeeper"
 )
 
-// reportTries bounds the attempts to leave the totals at shutdown.
-const reportTries = 20
+// maxReportAttempts bounds the attempts to write the totals at shutdown.
+const maxReportAttempts = 20
 
-// Drain refuses new work, lets what runs finish, and leaves the totals in the table.
+// Drain refuses new work, waits for the runs in progress, and writes the totals to the table.
 //
-// It returns false when the context ended before all runs had finished.
+// It returns false if ctx is done before all runs have finished.
 func (c *Sidecar) Drain(ctx context.Context) bool {
 	c.mu.Lock()
 	c.core.Leave()
 	c.mu.Unlock()
-	c.sendBeats()
+	c.sendHeartbeats()
 	finished := c.awaitRuns(ctx)
 	if !finished {
 		c.mu.Lock()
-		cut := c.core.Running()
+		interrupted := c.core.Running()
 		c.mu.Unlock()
-		c.metrics.Add(metricDrainCut, int64(cut))
-		c.log.WithFields(logrus.Fields{"event": "drain_expired", "running": cut}).Warn("drain expired")
+		c.metrics.Add(metricDrainCut, int64(interrupted))
+		c.log.WithFields(logrus.Fields{"event": "drain_expired", "running": interrupted}).Warn("drain expired")
 		return false
 	}
-	c.leaveReport(ctx)
+	c.writeTotals(ctx)
 	return true
 }
 
@@ -49,14 +49,14 @@
 	}
 }
 
-func (c *Sidecar) leaveReport(ctx context.Context) {
+func (c *Sidecar) writeTotals(ctx context.Context) {
 	c.mu.Lock()
 	report := bookkeeper.Report{Sidecar: c.self, Totals: c.core.Totals("")}
 	c.mu.Unlock()
-	for range reportTries {
+	for range maxReportAttempts {
 		err := c.book.PutReport(ctx, report)
 		if err == nil {
-			c.log.WithFields(logrus.Fields{"event": "totals_left", "grants": len(report.Totals)}).Info("totals left")
+			c.log.WithFields(logrus.Fields{"event": "totals_left", "grants": len(report.Totals)}).Info("totals written")
 			return
 		}
 		select {
@@ -65,5 +65,5 @@
 		case <-c.clock.After(200 * time.Millisecond):
 		}
 	}
-	c.log.WithField("event", "totals_not_left").Warn("totals not left")
+	c.log.WithField("event", "totals_not_left").Warn("cannot write totals")
 }
--- a/sidecar/orders.go
+++ b/sidecar/orders.go
@@ -8,9 +8,9 @@
 	"github.com/masticway/masticway/linker"
 )
 
-// order passes an order to the upstream, unless its fencing number is not the newest in the table.
-func (c *Sidecar) order(conn *linker.Conn, m linker.Message) {
-	err := c.carryOut(*m.Order)
+// handleOrder passes an order to the upstream unless its fencing number is older than the newest one known.
+func (c *Sidecar) handleOrder(conn *linker.Conn, m linker.Message) {
+	err := c.executeOrder(*m.Order)
 	answer := linker.OrderIs{Done: err == nil}
 	if err != nil {
 		answer.Reason = err.Error()
@@ -18,28 +18,28 @@
 	_ = conn.Answer(m, linker.Message{OrderIs: &answer})
 }
 
-// FenceError reports an order with an old fencing number.
-type FenceError struct {
+// StaleFenceError reports an order with an old fencing number.
+type StaleFenceError struct {
 	Fence  int64
 	Newest int64
 }
 
-// Error names both numbers.
-func (e *FenceError) Error() string {
+// Error returns a text that names both numbers.
+func (e *StaleFenceError) Error() string {
 	return fmt.Sprintf("fencing number %d is older than %d", e.Fence, e.Newest)
 }
 
-func (c *Sidecar) carryOut(o masticway.Order) error {
-	newest, err := bookkeeper.Fence(c.ctx, c.fences, c.settings.Instance)
+func (c *Sidecar) executeOrder(o masticway.Order) error {
+	newest, err := bookkeeper.Fence(c.ctx, c.table, c.settings.Instance)
 	if err != nil {
 		return fmt.Errorf("reading the fence: %w", err)
 	}
 	c.mu.Lock()
-	newest = max(newest, c.fence)
-	c.fence = newest
+	newest = max(newest, c.newestFence)
+	c.newestFence = newest
 	c.mu.Unlock()
 	if o.Fence < newest {
-		return &FenceError{Fence: o.Fence, Newest: newest}
+		return &StaleFenceError{Fence: o.Fence, Newest: newest}
 	}
 	return c.upstream.Order(c.ctx, o)
 }
--- a/sidecar/runs.go
+++ b/sidecar/runs.go
@@ -9,7 +9,7 @@
 	"github.com/masticway/masticway/sealer"
 )
 
-// apply carries out the sealer's effects; the caller holds the lock, so that messages keep their order.
+// apply carries out the sealer's effects. The caller must hold c.mu so that messages keep their order.
 func (c *Sidecar) apply(effects []sealer.Effect) {
 	for _, e := range effects {
 		switch e := e.(type) {
@@ -18,7 +18,7 @@
 		case sealer.Start:
 			c.start(e)
 		case sealer.Stop:
-			if cancel, ok := c.cancel[e.Run]; ok {
+			if cancel, ok := c.cancels[e.Run]; ok {
 				cancel()
 			}
 		case sealer.Verify:
@@ -53,7 +53,7 @@
 
 func (c *Sidecar) start(e sealer.Start) {
 	ctx, cancel := context.WithCancel(c.ctx)
-	c.cancel[e.Run] = cancel
+	c.cancels[e.Run] = cancel
 	c.metrics.Add(metricRuns, 1)
 	c.wg.Go(func() {
 		defer cancel()
@@ -62,10 +62,10 @@
 }
 
 func (c *Sidecar) run(ctx context.Context, e sealer.Start) {
-	began := c.clock.Now()
+	started := c.clock.Now()
 	outcome, err := c.upstream.Run(ctx, e.Call, sink{sidecar: c, run: e.Run})
 	if c.ctx.Err() != nil {
-		// The process is ending: whoever asks learns nothing rather than a guess.
+		// The process is shutting down and canceled the run. Report nothing: the run's fate would be a guess.
 		return
 	}
 	var failure *masticway.UpstreamError
@@ -73,27 +73,27 @@
 		failure = &masticway.UpstreamError{Reason: err.Error(), Started: true}
 	}
 	now := c.clock.Now()
-	c.metrics.Observe(metricRunSeconds, e.Call.Model+e.Call.Service, now.Sub(began))
+	c.metrics.Observe(metricRunSeconds, e.Call.Model+e.Call.Service, now.Sub(started))
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	delete(c.cancel, e.Run)
+	delete(c.cancels, e.Run)
 	c.apply(c.core.Finished(now, e.Run, outcome, failure))
 }
 
-// sink passes an upstream's answer to the sealer.
+// sink passes the parts of an upstream's answer to the sealer.
 type sink struct {
 	sidecar *Sidecar
 	run     masticway.RunKey
 }
 
-// PromptCounted passes the prompt's token count.
+// PromptCounted passes on the prompt's token count.
 func (s sink) PromptCounted(prompt, cached int) {
 	s.sidecar.mu.Lock()
 	defer s.sidecar.mu.Unlock()
 	s.sidecar.apply(s.sidecar.core.Counted(s.run, prompt, cached))
 }
 
-// Chunk passes a piece of the answer.
+// Chunk passes on one part of the answer.
 func (s sink) Chunk(c masticway.Chunk) {
 	s.sidecar.metrics.Add(metricTokens, int64(c.Tokens))
 	s.sidecar.mu.Lock()
--- a/sidecar/sidecar.go
+++ b/sidecar/sidecar.go
@@ -15,19 +15,19 @@
 	"github.com/masticway/masticway/sealer"
 )
 
-// Settings are a sidecar's settings file.
+// Settings are the contents of a sidecar's settings file.
 type Settings struct {
 	masticway.ProcessSettings
-	LinkAddress string             `json:"link_address"`
-	UpstreamURL string             `json:"upstream_url"`
-	Silence     masticway.Duration `json:"silence"`
-	KeepFor     masticway.Duration `json:"keep_for"`
-	KeepBytes   int                `json:"keep_bytes"`
-	OrphanAfter masticway.Duration `json:"orphan_after"`
-	MaxRuns     int                `json:"max_runs"`
+	LinkAddress    string             `json:"link_address"`
+	UpstreamURL    string             `json:"upstream_url"`
+	Silence        masticway.Duration `json:"silence"`
+	AnswerTTL      masticway.Duration `json:"keep_for"`
+	MaxAnswerBytes int                `json:"keep_bytes"`
+	OrphanTimeout  masticway.Duration `json:"orphan_after"`
+	MaxRuns        int                `json:"max_runs"`
 }
 
-// Names of the metrics.
+// Names of metrics.
 const (
 	metricRuns       = "runs"
 	metricRefused    = "refused"
@@ -38,54 +38,55 @@
 	metricRunSeconds = "run"
 )
 
-// wantPause separates two questions for configuration changes.
-const wantPause = 200 * time.Millisecond
+// changesRequestInterval is the minimum time between two requests for configuration changes.
+const changesRequestInterval = 200 * time.Millisecond
 
-// Sidecar is one running sidecar.
+// Sidecar is the process beside one upstream.
 type Sidecar struct {
 	settings Settings
 	self     masticway.Incarnation
 	clock    masticway.Clock
 	log      *logrus.Entry
 	book     *bookkeeper.Book
-	fences   masticway.Table
+	table    masticway.Table
 	upstream masticway.Upstream
 	listener *linker.Listener
 	metrics  *measurer.Set
 
-	mu     sync.Mutex
-	core   *sealer.Sealer
-	cancel map[masticway.RunKey]context.CancelFunc
-	load   *masticway.LoadReport
-	// told is the load that the last heartbeat reported.
-	told  *masticway.LoadReport
-	fence int64
-	// wanted is when a router was last asked for changes; many know a new one at once.
-	wanted time.Time
+	mu      sync.Mutex
+	core    *sealer.Sealer
+	cancels map[masticway.RunKey]context.CancelFunc
+	load    *masticway.LoadReport
+	// reportedLoad is the load last sent in a heartbeat.
+	reportedLoad *masticway.LoadReport
+	newestFence  int64
+	// changesRequestedAt is when a router was last asked for changes. Many routers announce a new revision at once, and one of
+	// them is enough to ask.
+	changesRequestedAt time.Time
 
 	ctx  context.Context
 	stop context.CancelFunc
 	wg   sync.WaitGroup
 }
 
-// New returns a sidecar that is not yet running.
+// New returns a sidecar that has not been started.
 func New(s Settings, self masticway.Incarnation, key linker.Identity, clock masticway.Clock, log *logrus.Entry, table masticway.Table, upstream masticway.Upstream, metrics *measurer.Set) *Sidecar {
 	ctx, stop := context.WithCancel(context.Background())
 	c := &Sidecar{
-		settings: s, self: self, clock: clock, log: log, book: bookkeeper.New(table), fences: table,
+		settings: s, self: self, clock: clock, log: log, book: bookkeeper.New(table), table: table,
 		upstream: upstream, metrics: metrics,
 		core: sealer.New(sealer.Settings{
-			Self: self, KeepFor: s.KeepFor.Std(), KeepBytes: s.KeepBytes,
-			OrphanAfter: s.OrphanAfter.Std(), MaxRuns: s.MaxRuns,
+			Self: self, KeepFor: s.AnswerTTL.Std(), KeepBytes: s.MaxAnswerBytes,
+			OrphanAfter: s.OrphanTimeout.Std(), MaxRuns: s.MaxRuns,
 		}),
-		cancel: map[masticway.RunKey]context.CancelFunc{},
-		ctx:    ctx, stop: stop,
+		cancels: map[masticway.RunKey]context.CancelFunc{},
+		ctx:     ctx, stop: stop,
 	}
-	c.listener = linker.NewListener(key, c.handle, c.linkUp, c.linkDown)
+	c.listener = linker.NewListener(key, c.handle, c.handleLinkUp, c.handleLinkDown)
 	return c
 }
 
-// Handler serves links, health and metrics.
+// Handler returns the handler for links, health checks and metrics.
 func (c *Sidecar) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.Handle(linker.Path, c.listener)
@@ -99,32 +100,32 @@
 	return mux
 }
 
-// Leaving tells whether new work is refused.
+// Leaving reports whether the sidecar refuses new work.
 func (c *Sidecar) Leaving() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.core.Leaving()
 }
 
-// Start begins heartbeats and clean-up.
+// Start starts the goroutines that send heartbeats, remove old runs and poll the upstream's load.
 func (c *Sidecar) Start() {
-	c.wg.Go(c.beat)
-	c.wg.Go(c.watchLoad)
+	c.wg.Go(c.heartbeatLoop)
+	c.wg.Go(c.pollLoad)
 }
 
-// Close ends everything at once, as a crash would.
+// Close stops everything at once, without a drain, as a crash would.
 func (c *Sidecar) Close() {
 	c.stop()
 	c.listener.Close()
 	c.wg.Wait()
 }
 
-func (c *Sidecar) linkUp(conn *linker.Conn) {
+func (c *Sidecar) handleLinkUp(conn *linker.Conn) {
 	c.log.WithFields(logrus.Fields{"event": "link_up", "peer": conn.Peer().Incarnation}).Debug("link up")
-	_ = conn.Send(c.beatMessage())
+	_ = conn.Send(c.heartbeatMessage())
 }
 
-func (c *Sidecar) linkDown(conn *linker.Conn) {
+func (c *Sidecar) handleLinkDown(conn *linker.Conn) {
 	inc := conn.Peer().Incarnation
 	if other := c.listener.Get(inc); other != nil {
 		return
@@ -134,7 +135,7 @@
 	c.core.LinkDown(c.clock.Now(), inc)
 }
 
-// handle takes one message from a router.
+// handle handles one message from a router.
 func (c *Sidecar) handle(conn *linker.Conn, m linker.Message) {
 	now := c.clock.Now()
 	from := conn.Peer().Incarnation
@@ -154,60 +155,60 @@
 		status := c.core.Find(m.Find.Identity)
 		_ = conn.Answer(m, linker.Message{Status: &status})
 	case m.Seal != nil:
-		c.seal(conn, m)
+		c.handleSeal(conn, m)
 	case m.Beat != nil:
-		c.takeBeat(conn, *m.Beat)
+		c.handleHeartbeat(conn, *m.Beat)
 	case m.Changes != nil:
 		c.core.Learn(m.Changes.List)
 		c.core.Know(m.Changes.Upto)
 	case m.Want != nil:
 		_ = conn.Send(linker.Message{Changes: &linker.Changes{List: c.core.ChangesAfter(m.Want.After)}})
 	case m.Count != nil:
-		c.wg.Go(func() { c.count(conn, m) })
+		c.wg.Go(func() { c.handleCount(conn, m) })
 	case m.Order != nil:
-		c.wg.Go(func() { c.order(conn, m) })
+		c.wg.Go(func() { c.handleOrder(conn, m) })
 	}
 }
 
-func (c *Sidecar) seal(conn *linker.Conn, m linker.Message) {
+func (c *Sidecar) handleSeal(conn *linker.Conn, m linker.Message) {
 	report, effects := c.core.Seal(c.clock.Now(), m.Seal.Incarnation)
 	c.apply(effects)
 	c.metrics.Add(metricSealed, 1)
 	_ = conn.Answer(m, linker.Message{Sealed: &report})
 }
 
-func (c *Sidecar) takeBeat(conn *linker.Conn, b linker.Beat) {
+func (c *Sidecar) handleHeartbeat(conn *linker.Conn, b linker.Beat) {
 	c.apply(c.core.Introduce(c.clock.Now(), conn.Peer().Incarnation))
 	if b.Upto > 0 {
 		c.core.Closed(conn.Peer().Incarnation, b.Open, b.Upto)
 	}
 	now := c.clock.Now()
-	if b.Revision > c.core.Revision() && now.Sub(c.wanted) > wantPause {
-		c.wanted = now
+	if b.Revision > c.core.Revision() && now.Sub(c.changesRequestedAt) > changesRequestInterval {
+		c.changesRequestedAt = now
 		_ = conn.Send(linker.Message{Want: &linker.Want{After: c.core.Revision()}})
 	}
 }
 
-// verify reads what the table says of an incarnation.
+// verify reads the state of an incarnation from the table.
 func (c *Sidecar) verify(inc masticway.Incarnation) {
-	standing := sealer.StandingUnknown
+	state := sealer.StandingUnknown
 	links, version, err := c.book.Links(c.ctx, inc)
 	switch {
 	case err != nil:
-		c.log.WithFields(logrus.Fields{"event": "verify_failed", "incarnation": inc, "error": err}).Warn("cannot verify")
+		c.log.WithFields(logrus.Fields{"event": "verify_failed", "incarnation": inc, "error": err}).Warn("cannot verify incarnation")
 	case version == 0 || links.State == bookkeeper.LinksSealed:
-		standing = sealer.StandingSealed
+		state = sealer.StandingSealed
 	case !links.Has(c.self):
-		standing = sealer.StandingUnlinked
+		state = sealer.StandingUnlinked
 	default:
-		standing = sealer.StandingOpen
+		state = sealer.StandingOpen
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.apply(c.core.Verified(c.clock.Now(), inc, standing))
+	c.apply(c.core.Verified(c.clock.Now(), inc, state))
 }
 
-func (c *Sidecar) count(conn *linker.Conn, m linker.Message) {
+func (c *Sidecar) handleCount(conn *linker.Conn, m linker.Message) {
 	tokens, err := c.upstream.Count(c.ctx, m.Count.Prompt)
 	if err != nil {
 		tokens = -1
