--- a/receiver/doc.go
+++ b/receiver/doc.go
@@ -1,6 +1,7 @@
-// Package receiver takes in the answers to HTTP calls, however large they are and however slow the link is.
+// Package receiver reads responses to HTTP calls, however large they are and however slow the network is.
 //
-// A limit on the whole of an answer fails the larger ones on slow links again and
-// again, each time after most of it has arrived. So what is bounded is how long
-// an answer takes to begin and how long it may pause: one that arrives goes on.
+// A timeout for a whole response would make large responses fail on slow
+// networks with every retry, each time after most of the data has arrived.
+// Therefore the limits are on the time until a response begins and on the pauses
+// within it: a response that keeps arriving is not canceled.
 package receiver
--- a/receiver/receiver.go
+++ b/receiver/receiver.go
@@ -10,110 +10,112 @@
 	"time"
 )
 
-// pieceBytes is how much of a body is read at once, 16 KB, an eighth of a second on a link of 1 Mbit/s: the transport fills
-// what it is given before it returns, and a pause is only seen between two pieces.
+// pieceBytes is how much of a body is read at once: 16 KB, an eighth of a second at 1 Mbit/s. The transport may fill the whole
+// buffer before Read returns, so that a pause is noticed only between two pieces.
 const pieceBytes = 16 << 10
 
-// PauseLimit is how long an answer between the machines of a deployment may pause once it has begun, 2 s: packets wait for
-// up to half a second on a full link, each way, and one of them may be lost.
+// PauseLimit is the idle timeout for responses between the machines of a deployment. It is 2 s because a packet may be queued
+// for up to half a second in each direction on a saturated network path, and one packet may be lost.
 const PauseLimit = 2 * time.Second
 
-// leastRate is how fast an answer has to arrive on the whole, in bytes a second: an eightieth of the slowest link of a
-// router. One that is slower is as good as silent.
-const leastRate = 16 << 10
+// minRate is the lowest average rate, in bytes per second, at which a response may arrive: an eightieth of the rate of a
+// router's slowest network path. A slower response is treated like one that does not arrive.
+const minRate = 16 << 10
 
-// errLate is the cause of a call that was ended because nothing came in time.
-var errLate = errors.New("nothing came in time")
+// errTimeout is the cause of a call that was canceled because of a timeout of its Limits.
+var errTimeout = errors.New("nothing came in time")
 
-// Limits bound the receiving of one answer.
+// Limits bounds the receiving of one response.
 type Limits struct {
-	// Begin is how long it may take until its head is there.
+	// Begin is the longest time until the response's header has arrived.
 	Begin time.Duration
-	// Pause is how long nothing may come once it has begun.
+	// Pause is the longest time without data once the header has arrived.
 	Pause time.Duration
-	// Bytes bounds its body.
+	// Bytes is the largest size of the body.
 	Bytes int64
 }
 
-// Answer is an answer that has arrived whole.
-type Answer struct {
+// Response is a response that has been received completely.
+type Response struct {
 	Status int
 	Body   []byte
 }
 
-// Error reports an answer that did not arrive, with how much of its body had.
+// Error reports a response that was not received completely, with the number of bytes of its body that were.
 type Error struct {
 	Bytes int
 	Took  time.Duration
 	Err   error
 }
 
-// Error tells how far the answer came.
+// Error returns a text with the cause and how much was received.
 func (e *Error) Error() string {
 	return fmt.Sprintf("%v (%d bytes in %d ms)", e.Err, e.Bytes, e.Took.Milliseconds())
 }
 
-// Unwrap returns what ended it.
+// Unwrap returns the cause.
 func (e *Error) Unwrap() error { return e.Err }
 
-// TooLargeError reports an answer whose body is over its limit, in bytes.
+// TooLargeError reports a response whose body exceeds its limit in bytes.
 type TooLargeError struct {
 	Limit int64
 }
 
-// Error names the limit.
+// Error returns a text that names the limit.
 func (e *TooLargeError) Error() string { return fmt.Sprintf("the answer has over %d bytes", e.Limit) }
 
-// progressKey is the context's key for the function of WithProgress.
+// progressKey is the context key of the function passed to WithProgress.
 type progressKey struct{}
 
-// WithProgress returns a context for requests, with a function that is called whenever more of a successful answer has
-// arrived that has over 16 KB. Smaller ones are there as soon as they begin.
+// WithProgress returns a context for requests. Do calls progress whenever a part of a successful response of over 16 KB has
+// arrived. Smaller responses are complete almost as soon as they begin, and are not reported.
 func WithProgress(ctx context.Context, progress func()) context.Context {
 	return context.WithValue(ctx, progressKey{}, progress)
 }
 
-// Do sends a request and returns its whole answer; it fails with Error, which wraps TooLargeError or what the transport
-// says. The request's context bounds it too.
-func Do(client *http.Client, request *http.Request, l Limits) (Answer, error) {
-	began := time.Now()
+// Do sends a request and returns its complete response. It fails with Error, which wraps TooLargeError or the transport's error.
+// The request's context bounds the call too.
+func Do(client *http.Client, request *http.Request, l Limits) (Response, error) {
+	start := time.Now()
 	ctx, cancel := context.WithCancelCause(request.Context())
 	defer cancel(nil)
-	late := time.AfterFunc(l.Begin, func() { cancel(errLate) })
-	defer late.Stop()
+	timer := time.AfterFunc(l.Begin, func() { cancel(errTimeout) })
+	defer timer.Stop()
 	response, err := client.Do(request.WithContext(ctx))
 	if err != nil {
-		return Answer{}, &Error{Took: time.Since(began), Err: cause(ctx, err)}
+		return Response{}, &Error{Took: time.Since(start), Err: cause(ctx, err)}
 	}
 	defer response.Body.Close()
 	if response.ContentLength > l.Bytes {
-		return Answer{}, &Error{Took: time.Since(began), Err: &TooLargeError{Limit: l.Bytes}}
+		return Response{}, &Error{Took: time.Since(start), Err: &TooLargeError{Limit: l.Bytes}}
 	}
-	body, err := readAll(ctx, response, l, late)
+	body, err := readAll(ctx, response, l, timer)
 	if err != nil {
-		return Answer{}, &Error{Bytes: len(body), Took: time.Since(began), Err: cause(ctx, err)}
+		return Response{}, &Error{Bytes: len(body), Took: time.Since(start), Err: cause(ctx, err)}
 	}
-	return Answer{Status: response.StatusCode, Body: body}, nil
+	return Response{Status: response.StatusCode, Body: body}, nil
 }
 
-// Progress calls the function of WithProgress, if the context has one, for an answer that arrives under another context.
+// Progress calls the function passed to WithProgress, if ctx has one. Callers use it for a response that arrives under another
+// context.
 func Progress(ctx context.Context) {
 	if progress, ok := ctx.Value(progressKey{}).(func()); ok {
 		progress()
 	}
 }
 
-// readAll reads a body; each piece that comes puts the end of the call off.
-func readAll(ctx context.Context, response *http.Response, l Limits, late *time.Timer) ([]byte, error) {
-	began := time.Now()
+// readAll reads a body. Each piece that arrives restarts the idle timer.
+func readAll(ctx context.Context, response *http.Response, l Limits, timer *time.Timer) ([]byte, error) {
+	start := time.Now()
 	body := make([]byte, 0, max(pieceBytes, response.ContentLength))
 	for {
 		if response.StatusCode == http.StatusOK && max(int64(len(body)), response.ContentLength) > pieceBytes {
 			Progress(ctx)
 		}
-		// What a link that is only just fast enough would have taken less than this, beyond a pause.
-		spared := time.Duration(len(body))*time.Second/leastRate - time.Since(began)
-		late.Reset(min(l.Pause, l.Pause+spared))
+		// slack is how far the body is ahead of minRate. It is negative if the body arrives more slowly, and shortens the
+		// timeout then; the call is canceled once the body is a whole idle timeout behind.
+		slack := time.Duration(len(body))*time.Second/minRate - time.Since(start)
+		timer.Reset(min(l.Pause, l.Pause+slack))
 		body = slices.Grow(body, pieceBytes)
 		n, err := response.Body.Read(body[len(body) : len(body)+pieceBytes])
 		body = body[:len(body)+n]
@@ -129,10 +131,10 @@
 	}
 }
 
-// cause tells that the call was ended here, rather than with which words the transport noticed.
+// cause returns errTimeout if the call was canceled because of it, and otherwise err, the transport's error.
 func cause(ctx context.Context, err error) error {
-	if errors.Is(context.Cause(ctx), errLate) {
-		return errLate
+	if errors.Is(context.Cause(ctx), errTimeout) {
+		return errTimeout
 	}
 	return err
 }
--- a/receiver/receiver_test.go
+++ b/receiver/receiver_test.go
@@ -17,21 +17,21 @@
 )
 
 const (
-	begin = 200 * time.Millisecond
-	pause = 200 * time.Millisecond
-	limit = 1 << 20
-	// anyBytes stands for a number of bytes that depends on time.
+	headerTimeout = 200 * time.Millisecond
+	idleTimeout   = 200 * time.Millisecond
+	maxBytes      = 1 << 20
+	// anyBytes is used where the number of bytes that arrive depends on timing.
 	anyBytes = -1
 )
 
-// piece is a part of an answer that is sent after a wait.
+// piece is a part of a response that is sent after a delay.
 type piece struct {
-	after time.Duration
+	delay time.Duration
 	bytes int
 }
 
-// answering sends an answer in pieces; its head goes out with the first one.
-func answering(t *testing.T, status, length int, oneChunk bool, pieces []piece) *http.Request {
+// newRequest returns a request to a server that sends its response in pieces, the header together with the first one.
+func newRequest(t *testing.T, status, length int, oneChunk bool, pieces []piece) *http.Request {
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if oneChunk {
 			sendOneChunk(w, pieces)
@@ -42,7 +42,7 @@
 		}
 		for i, p := range pieces {
 			select {
-			case <-time.After(p.after):
+			case <-time.After(p.delay):
 			case <-r.Context().Done():
 				return
 			}
@@ -59,7 +59,7 @@
 	return request
 }
 
-// sendOneChunk sends pieces within one chunk, as a slow link carries what a server has written at once.
+// sendOneChunk sends all pieces within one HTTP chunk, in the way a slow network delivers what a server has written at once.
 func sendOneChunk(w http.ResponseWriter, pieces []piece) {
 	conn, _, err := w.(http.Hijacker).Hijack()
 	if err != nil {
@@ -72,57 +72,59 @@
 	}
 	fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n%x\r\n", size)
 	for _, p := range pieces {
-		time.Sleep(p.after)
+		time.Sleep(p.delay)
 		fmt.Fprint(conn, strings.Repeat("x", p.bytes))
 	}
 	fmt.Fprint(conn, "\r\n0\r\n\r\n")
 }
 
-func TestAnswersThatArriveAreNotGivenUp(t *testing.T) {
+// TestOnlyStalledResponsesTimeOut guards against timeouts that bound a whole response: a large response on a slow network would
+// never be received.
+func TestOnlyStalledResponsesTimeOut(t *testing.T) {
 	steady := make([]piece, 12)
 	for i := range steady {
-		steady[i] = piece{after: 50 * time.Millisecond, bytes: 1000}
+		steady[i] = piece{delay: 50 * time.Millisecond, bytes: 1000}
 	}
-	// Pieces that the transport may well collect before it hands them over.
+	// The transport may collect several of these pieces before it returns them.
 	large := make([]piece, 16)
 	for i := range large {
-		large[i] = piece{after: 50 * time.Millisecond, bytes: limit / 16}
+		large[i] = piece{delay: 50 * time.Millisecond, bytes: maxBytes / 16}
 	}
-	// A byte now and then, for much longer than any limit.
+	// One byte every 50 ms, for much longer than any timeout.
 	trickle := make([]piece, 100)
 	for i := range trickle {
-		trickle[i] = piece{after: 50 * time.Millisecond, bytes: 1}
+		trickle[i] = piece{delay: 50 * time.Millisecond, bytes: 1}
 	}
 	cases := map[string]struct {
 		status int
 		pieces []piece
-		// oneChunk sends all pieces as one chunk, length says how long the answer is.
+		// oneChunk sends all pieces as one chunk. length is the Content-Length; if it is zero, there is none.
 		oneChunk bool
 		length   int
-		// want is the size of the whole answer, zero for one that is given up.
+		// want is the size of the complete response, or zero if the call must fail.
 		want     int
 		arrived  int
 		tooLarge bool
 		progress bool
 	}{
-		"at once":                            {status: 200, pieces: []piece{{bytes: 5}}, want: 5},
-		"longer than any limit on it":        {status: 200, pieces: steady, want: 12000},
-		"large, longer than any limit on it": {status: 200, pieces: large, want: limit, progress: true},
-		"large, in one chunk":                {status: 200, pieces: large, oneChunk: true, want: limit, progress: true},
-		"as large as it may be":              {status: 200, pieces: []piece{{bytes: limit}}, want: limit, progress: true},
-		"larger":                             {status: 200, pieces: []piece{{bytes: limit + 1}}, tooLarge: true, progress: true, arrived: limit + 1},
-		"said to be larger":                  {status: 200, length: limit + 1, pieces: []piece{{bytes: 1}}, tooLarge: true},
-		"begins late":                        {status: 200, pieces: []piece{{after: 2 * begin, bytes: 5}}},
-		"pauses":                             {status: 200, pieces: []piece{{bytes: 7}, {after: 2 * pause, bytes: 5}}, arrived: 7},
-		"trickles":                           {status: 200, pieces: trickle, arrived: anyBytes},
-		"a failure is no success coming":     {status: 503, pieces: []piece{{bytes: limit}}, want: limit},
+		"immediate":                         {status: 200, pieces: []piece{{bytes: 5}}, want: 5},
+		"longer than any timeout":           {status: 200, pieces: steady, want: 12000},
+		"large, longer than any timeout":    {status: 200, pieces: large, want: maxBytes, progress: true},
+		"large, in one chunk":               {status: 200, pieces: large, oneChunk: true, want: maxBytes, progress: true},
+		"as large as allowed":               {status: 200, pieces: []piece{{bytes: maxBytes}}, want: maxBytes, progress: true},
+		"too large":                         {status: 200, pieces: []piece{{bytes: maxBytes + 1}}, tooLarge: true, progress: true, arrived: maxBytes + 1},
+		"Content-Length too large":          {status: 200, length: maxBytes + 1, pieces: []piece{{bytes: 1}}, tooLarge: true},
+		"header too late":                   {status: 200, pieces: []piece{{delay: 2 * headerTimeout, bytes: 5}}},
+		"stalls":                            {status: 200, pieces: []piece{{bytes: 7}, {delay: 2 * idleTimeout, bytes: 5}}, arrived: 7},
+		"trickles":                          {status: 200, pieces: trickle, arrived: anyBytes},
+		"no progress reports for a failure": {status: 503, pieces: []piece{{bytes: maxBytes}}, want: maxBytes},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
-			request := answering(t, tc.status, tc.length, tc.oneChunk, tc.pieces)
+			request := newRequest(t, tc.status, tc.length, tc.oneChunk, tc.pieces)
 			progress := false
 			ctx := receiver.WithProgress(request.Context(), func() { progress = true })
-			answer, err := receiver.Do(http.DefaultClient, request.WithContext(ctx), receiver.Limits{Begin: begin, Pause: pause, Bytes: limit})
+			answer, err := receiver.Do(http.DefaultClient, request.WithContext(ctx), receiver.Limits{Begin: headerTimeout, Pause: idleTimeout, Bytes: maxBytes})
 			qt.Check(t, progress, qt.Equals, tc.progress)
 			if tc.want > 0 {
 				qt.Assert(t, err, qt.IsNil)
@@ -141,10 +143,10 @@
 	}
 }
 
-func TestCallersContextEndsTheReceiving(t *testing.T) {
-	request := answering(t, 200, 0, false, []piece{{bytes: 5}, {after: pause / 2, bytes: 5}, {after: pause / 2, bytes: 5}})
-	ctx, cancel := context.WithTimeout(request.Context(), pause*3/4)
+func TestCallersContextCancelsReceiving(t *testing.T) {
+	request := newRequest(t, 200, 0, false, []piece{{bytes: 5}, {delay: idleTimeout / 2, bytes: 5}, {delay: idleTimeout / 2, bytes: 5}})
+	ctx, cancel := context.WithTimeout(request.Context(), idleTimeout*3/4)
 	defer cancel()
-	_, err := receiver.Do(http.DefaultClient, request.WithContext(ctx), receiver.Limits{Begin: begin, Pause: pause, Bytes: limit})
+	_, err := receiver.Do(http.DefaultClient, request.WithContext(ctx), receiver.Limits{Begin: headerTimeout, Pause: idleTimeout, Bytes: maxBytes})
 	qt.Assert(t, err, qt.ErrorIs, context.DeadlineExceeded)
 }
