--- a/authenticator/authenticator.go
+++ b/authenticator/authenticator.go
@@ -12,11 +12,11 @@
 )
 
 const (
-	// keyPrefix marks caller keys, so that a leaked one is recognised.
+	// keyPrefix marks caller keys so that a leaked one is recognized.
 	keyPrefix = "mw_"
 	keyBytes  = 24
-	// secretLeast is the shortest secret accepted from a file, in bytes.
-	secretLeast = 16
+	// minSecretBytes is the shortest secret that is accepted from a file.
+	minSecretBytes = 16
 )
 
 // NewKey returns a random caller key.
@@ -26,20 +26,20 @@
 	return keyPrefix + hex.EncodeToString(b)
 }
 
-// Hash returns the form in which a key is stored.
+// Hash returns the hash under which a key is stored.
 func Hash(key string) string {
 	sum := sha256.Sum256([]byte(key))
 	return hex.EncodeToString(sum[:])
 }
 
-// Equal compares two secrets in constant time.
+// Equal reports whether two secrets are equal. It takes constant time.
 func Equal(a, b string) bool {
 	x := sha256.Sum256([]byte(a))
 	y := sha256.Sum256([]byte(b))
 	return subtle.ConstantTimeCompare(x[:], y[:]) == 1
 }
 
-// Bearer returns the token of an Authorization header, or nothing.
+// Bearer returns the bearer token of the Authorization header, or "" if there is none.
 func Bearer(r *http.Request) string {
 	token, ok := strings.CutPrefix(r.Header.Get("Authorization"), "Bearer ")
 	if !ok {
@@ -48,24 +48,24 @@
 	return strings.TrimSpace(token)
 }
 
-// SecretError reports a secret file that cannot be used; it never holds the secret.
+// SecretError reports a secret file that cannot be used. It never contains the secret.
 type SecretError struct {
 	File   string
 	Reason string
 }
 
-// Error names the file.
+// Error returns a text that names the file and the reason.
 func (e *SecretError) Error() string { return fmt.Sprintf("secret file %s: %s", e.File, e.Reason) }
 
-// ReadSecret reads a secret from a file.
+// ReadSecret reads a secret from a file and trims white space around it.
 func ReadSecret(file string) (string, error) {
 	data, err := os.ReadFile(file)
 	if err != nil {
 		return "", &SecretError{File: file, Reason: err.Error()}
 	}
 	secret := strings.TrimSpace(string(data))
-	if len(secret) < secretLeast {
-		return "", &SecretError{File: file, Reason: fmt.Sprintf("shorter than %d bytes", secretLeast)}
+	if len(secret) < minSecretBytes {
+		return "", &SecretError{File: file, Reason: fmt.Sprintf("shorter than %d bytes", minSecretBytes)}
 	}
 	return secret, nil
 }
--- a/authenticator/authenticator_test.go
+++ b/authenticator/authenticator_test.go
@@ -14,11 +14,11 @@
 
 func TestBearer(t *testing.T) {
 	cases := map[string]struct{ header, token string }{
-		"a token":      {"Bearer mw_1", "mw_1"},
-		"blank around": {"Bearer  mw_1 ", "mw_1"},
-		"none":         {"", ""},
-		"other scheme": {"Basic mw_1", ""},
-		"bare":         {"mw_1", ""},
+		"token":         {"Bearer mw_1", "mw_1"},
+		"spaces around": {"Bearer  mw_1 ", "mw_1"},
+		"no header":     {"", ""},
+		"other scheme":  {"Basic mw_1", ""},
+		"no scheme":     {"mw_1", ""},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -39,8 +39,8 @@
 	file := filepath.Join(t.TempDir(), "secret")
 	qt.Assert(t, os.WriteFile(file, []byte("too short\n"), 0o600), qt.IsNil)
 	_, err := authenticator.ReadSecret(file)
-	var refused *authenticator.SecretError
-	qt.Assert(t, err, qt.ErrorAs, &refused)
+	var secretErr *authenticator.SecretError
+	qt.Assert(t, err, qt.ErrorAs, &secretErr)
 	qt.Assert(t, strings.Contains(err.Error(), "too short\n"), qt.IsFalse)
 	qt.Assert(t, os.WriteFile(file, []byte(a+"\n"), 0o600), qt.IsNil)
 	secret, err := authenticator.ReadSecret(file)
--- a/authenticator/doc.go
+++ b/authenticator/doc.go
@@ -1,4 +1,4 @@
-// Package authenticator makes, hashes and compares keys and tokens.
+// Package authenticator generates, hashes and compares keys and tokens.
 //
-// Caller keys are kept only as hashes, and comparisons take constant time.
+// Caller keys are stored only as hashes, and comparisons take constant time.
 package authenticator
