--- a/charter/charter.go
+++ b/charter/charter.go
@@ -11,11 +11,11 @@
 // State is a state of a chart.
 type State string
 
-// Event is what moves a chart from one state to the next.
+// Event triggers a transition from one state to another.
 type Event string
 
 //go:embed charts/*.json
-var files embed.FS
+var chartFiles embed.FS
 
 // Names of the embedded charts.
 const (
@@ -28,52 +28,52 @@
 	Delivery = "delivery"
 )
 
-// Chart is a checked state chart; it is immutable.
+// Chart is a valid state chart. It is immutable.
 type Chart struct {
 	name    string
 	initial State
 	states  map[State]map[Event]State
 }
 
-type file struct {
+type chartFile struct {
 	Name    string `json:"name"`
 	Initial State  `json:"initial"`
-	// Events lists every event that the code may send.
+	// Events lists all events that the code may send.
 	Events []Event                   `json:"events"`
 	States map[State]map[Event]State `json:"states"`
 }
 
-// FaultError reports a chart that cannot be used.
+// FaultError reports an invalid chart.
 type FaultError struct {
 	Chart string
 	Fault string
 }
 
-// Error names chart and fault.
+// Error returns a text that names the chart and the fault.
 func (e *FaultError) Error() string { return fmt.Sprintf("chart %s: %s", e.Chart, e.Fault) }
 
-// StepError reports an event that a chart does not allow in a state.
+// StepError reports an event for which a state has no transition.
 type StepError struct {
 	Chart string
 	State State
 	Event Event
 }
 
-// Error describes the step.
+// Error returns a text that names the chart, the state and the event.
 func (e *StepError) Error() string {
 	return fmt.Sprintf("chart %s: no step from %s on %s", e.Chart, e.State, e.Event)
 }
 
-// Load returns an embedded chart; it fails with FaultError when the chart is faulty.
+// Load returns an embedded chart. It fails with FaultError if the chart is invalid.
 func Load(name string) (Chart, error) {
-	data, err := files.ReadFile("charts/" + name + ".json")
+	data, err := chartFiles.ReadFile("charts/" + name + ".json")
 	if err != nil {
 		return Chart{}, fmt.Errorf("reading chart %s: %w", name, err)
 	}
 	return Parse(data)
 }
 
-// MustLoad returns an embedded chart; package tests check that all embedded charts load.
+// MustLoad is like Load but panics on an error. The package's tests check that all embedded charts load.
 func MustLoad(name string) Chart {
 	c, err := Load(name)
 	if err != nil {
@@ -82,7 +82,7 @@
 	return c
 }
 
-// Check loads every embedded chart and returns the first fault.
+// Check loads every embedded chart and returns the first error.
 func Check() error {
 	for _, n := range []string{Request, Hold, Grant, Upstream, Change, Recovery, Delivery} {
 		if _, err := Load(n); err != nil {
@@ -92,20 +92,20 @@
 	return nil
 }
 
-// Parse reads and checks a chart.
+// Parse decodes and validates a chart.
 func Parse(data []byte) (Chart, error) {
-	var f file
+	var f chartFile
 	if err := json.Unmarshal(data, &f); err != nil {
 		return Chart{}, fmt.Errorf("parsing chart: %w", err)
 	}
 	c := Chart{name: f.Name, initial: f.Initial, states: f.States}
-	if err := c.check(f.Events); err != nil {
+	if err := c.validate(f.Events); err != nil {
 		return Chart{}, err
 	}
 	return c, nil
 }
 
-func (c Chart) check(events []Event) error {
+func (c Chart) validate(events []Event) error {
 	if _, ok := c.states[c.initial]; !ok {
 		return &FaultError{Chart: c.name, Fault: fmt.Sprintf("initial state %q is missing", c.initial)}
 	}
@@ -126,19 +126,19 @@
 			return &FaultError{Chart: c.name, Fault: fmt.Sprintf("event %q is never used", e)}
 		}
 	}
-	return c.checkReachable()
+	return c.validateReachable()
 }
 
-func (c Chart) checkReachable() error {
+func (c Chart) validateReachable() error {
 	seen := map[State]bool{c.initial: true}
-	open := []State{c.initial}
-	for len(open) > 0 {
-		s := open[0]
-		open = open[1:]
+	queue := []State{c.initial}
+	for len(queue) > 0 {
+		s := queue[0]
+		queue = queue[1:]
 		for _, target := range c.states[s] {
 			if !seen[target] {
 				seen[target] = true
-				open = append(open, target)
+				queue = append(queue, target)
 			}
 		}
 	}
@@ -150,10 +150,10 @@
 	return nil
 }
 
-// Initial returns the state in which everything starts.
+// Initial returns the initial state.
 func (c Chart) Initial() State { return c.initial }
 
-// Next returns the state after an event; it fails with StepError and the same state when there is no such step.
+// Next returns the state after an event. If the state has no transition for it, Next returns the same state and a StepError.
 func (c Chart) Next(s State, e Event) (State, error) {
 	next, ok := c.states[s][e]
 	if !ok {
@@ -162,5 +162,5 @@
 	return next, nil
 }
 
-// Final tells whether nothing follows a state.
+// Final reports whether a state has no outgoing transitions.
 func (c Chart) Final(s State) bool { return len(c.states[s]) == 0 }
--- a/charter/charter_test.go
+++ b/charter/charter_test.go
@@ -8,11 +8,11 @@
 	"github.com/masticway/masticway/charter"
 )
 
-func TestEmbeddedChartsAreSound(t *testing.T) {
+func TestEmbeddedChartsAreValid(t *testing.T) {
 	qt.Assert(t, charter.Check(), qt.IsNil)
 }
 
-func TestFaultyChartsAreRefused(t *testing.T) {
+func TestInvalidChartsAreRejected(t *testing.T) {
 	cases := map[string]struct {
 		chart string
 		fault string
@@ -32,7 +32,7 @@
 	}
 }
 
-func TestStepOutsideChartIsAnError(t *testing.T) {
+func TestMissingTransitionIsAnError(t *testing.T) {
 	c := charter.MustLoad(charter.Hold)
 	held, err := c.Next(c.Initial(), "taken")
 	qt.Assert(t, err, qt.IsNil)
@@ -40,6 +40,6 @@
 	qt.Assert(t, err, qt.IsNil)
 	qt.Assert(t, c.Final(settled), qt.IsTrue)
 	_, err = c.Next(settled, "settled")
-	var step *charter.StepError
-	qt.Assert(t, err, qt.ErrorAs, &step)
+	var stepErr *charter.StepError
+	qt.Assert(t, err, qt.ErrorAs, &stepErr)
 }
--- a/charter/doc.go
+++ b/charter/doc.go
@@ -1,6 +1,6 @@
-// Package charter interprets the state charts that the fleet's life cycles follow.
+// Package charter interprets the state charts of requests, holds, upstreams and other objects.
 //
-// A chart is a JSON file, so that an operator can read what may happen to a
-// request or an upstream, and so that the code cannot drift from it: a step
-// that the chart does not allow is an error. Faulty charts are refused at start.
+// Each chart is a JSON file, so that an operator can read what may happen to a
+// request or an upstream. The code cannot deviate from it, because a transition
+// that the chart does not allow is an error. Invalid charts are rejected at start.
 package charter
