--- a/explainer/doc.go
+++ b/explainer/doc.go
@@ -1,6 +1,7 @@
-// Package explainer remembers what was decided about each request.
+// Package explainer records the decisions made about each request.
 //
-// A trace names contract, money, candidates, attempts and bill. It holds no
-// secret and no prompt text. Memory is bounded: old traces leave it and are
-// found in the object store, where they go in batches.
+// A trace contains the workspace, the configuration revision, the holds, the
+// candidates, the attempts and the bill. It contains no secret and no prompt
+// text. Memory is bounded: old traces are dropped from it and can be found in
+// the object store, to which traces are written in batches.
 package explainer
--- a/explainer/explainer.go
+++ b/explainer/explainer.go
@@ -15,17 +15,17 @@
 )
 
 const (
-	// kept bounds the traces in memory.
-	kept = 1024
-	// candidatesKept bounds the candidates of one attempt, best first.
-	candidatesKept = 6
-	// pendingMost bounds the traces that wait for the object store.
-	pendingMost = 4096
-	// prefix is where batches lie in the object store.
-	prefix = "explain/"
+	// maxTraces bounds the traces in memory.
+	maxTraces = 1024
+	// maxCandidates bounds the candidates in the trace of one attempt. The best ones are kept.
+	maxCandidates = 6
+	// maxPending bounds the traces that have not been written to the object store yet.
+	maxPending = 4096
+	// objectPrefix is the prefix of the batches' names in the object store.
+	objectPrefix = "explain/"
 )
 
-// Attempt is one try at an upstream.
+// Attempt is one attempt to run the request at an upstream.
 type Attempt struct {
 	Number     int                `json:"number"`
 	Sidecar    string             `json:"sidecar"`
@@ -38,7 +38,7 @@
 	Cost       masticway.Amount   `json:"cost"`
 }
 
-// Hold is the money taken for a request.
+// Hold is money that was held for the request.
 type Hold struct {
 	ID     masticway.HoldID   `json:"id"`
 	Payer  string             `json:"payer"`
@@ -48,7 +48,7 @@
 	Waited masticway.Duration `json:"waited"`
 }
 
-// Trace is what was decided about one request.
+// Trace records the decisions about one request.
 type Trace struct {
 	Request   string             `json:"request"`
 	Identity  masticway.Identity `json:"identity"`
@@ -67,7 +67,7 @@
 	Took      masticway.Duration `json:"took"`
 }
 
-// Memory holds recent traces; it is safe for concurrent use.
+// Memory holds recent traces. It is safe for concurrent use.
 type Memory struct {
 	batches *batcher.Batcher[Trace]
 
@@ -76,29 +76,29 @@
 	order  []string
 }
 
-// NewMemory returns an empty memory whose batches carry the owner's name.
+// NewMemory returns an empty Memory. The names of its batches contain the owner.
 func NewMemory(owner masticway.Incarnation) *Memory {
-	return &Memory{batches: batcher.New[Trace](prefix, owner, pendingMost), traces: map[string]Trace{}}
+	return &Memory{batches: batcher.New[Trace](objectPrefix, owner, maxPending), traces: map[string]Trace{}}
 }
 
-// Add remembers a trace.
+// Add adds a trace.
 func (m *Memory) Add(t Trace) {
 	for i, a := range t.Attempts {
 		slices.SortFunc(a.Candidates, func(x, y chooser.Score) int { return cmp.Compare(x.Seconds, y.Seconds) })
-		t.Attempts[i].Candidates = slices.Clone(a.Candidates[:min(len(a.Candidates), candidatesKept)])
+		t.Attempts[i].Candidates = slices.Clone(a.Candidates[:min(len(a.Candidates), maxCandidates)])
 	}
 	m.batches.Add(t)
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.traces[t.Request] = t
 	m.order = append(m.order, t.Request)
-	if len(m.order) > kept {
+	if len(m.order) > maxTraces {
 		delete(m.traces, m.order[0])
 		m.order = m.order[1:]
 	}
 }
 
-// Flush writes what waits as one object; after a failure it is written by the next flush.
+// Flush writes the pending traces to the store as one object. After a failure, the next Flush writes the same batch again.
 func (m *Memory) Flush(ctx context.Context, store masticway.ObjectStore) error {
 	return m.batches.Flush(ctx, store, "")
 }
@@ -111,15 +111,15 @@
 	return t, ok
 }
 
-// RequestID makes a request id that names the incarnation which traces it.
+// RequestID returns a request ID that contains the incarnation that records the trace.
 func RequestID(owner masticway.Incarnation, serial string) string {
 	return string(owner) + "." + serial
 }
 
-// Search looks for a trace in the object store; it fails with NotFoundError when there is none.
+// Search looks up a trace in the object store. It fails with NotFoundError if there is none.
 func Search(ctx context.Context, store masticway.ObjectStore, request string) (Trace, error) {
 	owner, _, _ := strings.Cut(request, ".")
-	names, err := store.List(ctx, prefix+owner+"/")
+	names, err := store.List(ctx, objectPrefix+owner+"/")
 	if err != nil {
 		return Trace{}, fmt.Errorf("listing traces of %s: %w", owner, err)
 	}
--- a/explainer/explainer_test.go
+++ b/explainer/explainer_test.go
@@ -19,7 +19,7 @@
 	for i := range 5000 {
 		m.Add(explainer.Trace{Request: explainer.RequestID("r~1", fmt.Sprint(i))})
 		if i%1000 == 0 {
-			// A batch that an outage refuses is written with the next.
+			// A batch that cannot be written during an outage is written by a later flush.
 			store.SetDown(i == 2000)
 			_ = m.Flush(ctx, store)
 			store.SetDown(false)
