--- a/logger/doc.go
+++ b/logger/doc.go
@@ -1,2 +1,2 @@
-// Package logger makes the structured logs: one line of key=value pairs for each event.
+// Package logger creates structured loggers, which write one line of key=value pairs for each event.
 package logger
--- a/logger/logger.go
+++ b/logger/logger.go
@@ -8,7 +8,7 @@
 	"github.com/sirupsen/logrus"
 )
 
-// New returns a logger that writes key=value lines at a level and above.
+// New returns a logger that writes lines of key=value pairs for events at or above a level.
 func New(level string, out io.Writer) (*logrus.Logger, error) {
 	l, err := logrus.ParseLevel(level)
 	if err != nil {
--- a/logger/queue.go
+++ b/logger/queue.go
@@ -8,31 +8,31 @@
 )
 
 const (
-	// queueLines bounds the lines that wait to be written, a few seconds of a busy router's.
-	queueLines = 4096
-	// dropReport is how often lost lines are reported.
-	dropReport = time.Second
+	// maxQueuedLines bounds the lines that wait to be written: a few seconds of a busy router's log.
+	maxQueuedLines = 4096
+	// dropReportInterval is the minimum time between two reports of dropped lines.
+	dropReportInterval = time.Second
 )
 
-// Queue writes lines in the background, so that a slow reader of the log never holds a request up. What does not fit
-// is dropped, counted and reported.
+// Queue writes lines in the background so that a slow reader of the log does not delay requests. Lines that do not fit are
+// dropped, counted and reported.
 type Queue struct {
 	out     io.Writer
 	lines   chan []byte
 	dropped atomic.Int64
-	// closing ends the writing once what waits is written, done tells that it has ended.
+	// closing is closed to stop the writer after it has written the queued lines. done is closed when it has stopped.
 	closing chan struct{}
 	done    chan struct{}
 }
 
-// NewQueue returns a queue in front of a writer.
+// NewQueue returns a queue that writes to out.
 func NewQueue(out io.Writer) *Queue {
-	q := &Queue{out: out, lines: make(chan []byte, queueLines), closing: make(chan struct{}), done: make(chan struct{})}
+	q := &Queue{out: out, lines: make(chan []byte, maxQueuedLines), closing: make(chan struct{}), done: make(chan struct{})}
 	go q.run()
 	return q
 }
 
-// Write takes one line; it never blocks and never fails.
+// Write queues one line. It never blocks and never fails.
 func (q *Queue) Write(line []byte) (int, error) {
 	select {
 	case q.lines <- append([]byte(nil), line...):
@@ -42,10 +42,10 @@
 	return len(line), nil
 }
 
-// Dropped returns how many lines have not been reported as lost yet.
+// Dropped returns the number of dropped lines that have not been reported yet.
 func (q *Queue) Dropped() int64 { return q.dropped.Load() }
 
-// Close writes what waits and ends the queue; what a handler that is still under way writes afterwards is dropped.
+// Close writes the queued lines and stops the queue. Lines that handlers write afterwards are dropped.
 func (q *Queue) Close() {
 	close(q.closing)
 	<-q.done
@@ -53,23 +53,23 @@
 
 func (q *Queue) run() {
 	defer close(q.done)
-	var reported time.Time
+	var lastReport time.Time
 	for {
 		line, ok := q.next()
 		if !ok {
 			return
 		}
-		// A log that cannot be written has nowhere to say so.
+		// There is no other place to report an error of the log itself.
 		_, _ = q.out.Write(line)
-		if n := q.dropped.Load(); n > 0 && time.Since(reported) > dropReport {
-			reported = time.Now()
+		if n := q.dropped.Load(); n > 0 && time.Since(lastReport) > dropReportInterval {
+			lastReport = time.Now()
 			q.dropped.Add(-n)
 			_, _ = fmt.Fprintf(q.out, "level=warning event=log_lines_dropped lines=%d\n", n)
 		}
 	}
 }
 
-// next waits for a line; there is none when the queue is closed and all that waited has been given out.
+// next waits for a line. It returns false once the queue is closed and empty.
 func (q *Queue) next() ([]byte, bool) {
 	select {
 	case line := <-q.lines:
