--- a/measurer/doc.go
+++ b/measurer/doc.go
@@ -1,6 +1,6 @@
-// Package measurer counts and times what a role does, in bounded memory.
+// Package measurer collects the metrics of a role in bounded memory.
 //
-// Counters are expvar values of one role, so that several roles in one process
-// stay apart. Histograms are kept for each class and for the busiest
-// workspaces; all other workspaces share one label.
+// Counters are expvar values in a map of their own for each role, so that several
+// roles in one process stay apart. A histogram has a bounded number of labels;
+// the labels that come later share one.
 package measurer
--- a/measurer/measurer.go
+++ b/measurer/measurer.go
@@ -13,16 +13,16 @@
 )
 
 const (
-	// labelLimit bounds the labels of one histogram; what comes later is counted as labelOther.
-	labelLimit = 32
-	labelOther = "other"
-	// The histograms cover a microsecond to ten minutes with two significant digits.
-	lowest      = 1
-	highest     = int64(10 * time.Minute / time.Microsecond)
-	significant = 2
+	// maxLabels bounds the labels of one histogram. Values under further labels are recorded under otherLabel.
+	maxLabels  = 32
+	otherLabel = "other"
+	// Histograms cover 1 µs to 10 minutes with two significant digits.
+	minMicros = 1
+	maxMicros = int64(10 * time.Minute / time.Microsecond)
+	digits    = 2
 )
 
-// Set is the metrics of one role.
+// Set holds the metrics of one role.
 type Set struct {
 	vars *expvar.Map
 
@@ -35,17 +35,17 @@
 	return &Set{vars: new(expvar.Map).Init(), histograms: map[string]map[string]*hdrhistogram.Histogram{}}
 }
 
-// Add counts an event.
+// Add adds n to a counter.
 func (s *Set) Add(name string, n int64) { s.vars.Add(name, n) }
 
-// Gauge sets a value that goes up and down.
+// Gauge sets a gauge, a value that goes up and down.
 func (s *Set) Gauge(name string, v int64) {
 	g := new(expvar.Int)
 	g.Set(v)
 	s.vars.Set(name, g)
 }
 
-// Count returns a counter's value.
+// Count returns the value of a counter, or zero if there is none with this name.
 func (s *Set) Count(name string) int64 {
 	v, ok := s.vars.Get(name).(*expvar.Int)
 	if !ok {
@@ -54,7 +54,7 @@
 	return v.Value()
 }
 
-// Observe records a duration under a label.
+// Observe records a duration in a histogram under a label.
 func (s *Set) Observe(name, label string, d time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -64,18 +64,18 @@
 		s.histograms[name] = labels
 	}
 	h, ok := labels[label]
-	if !ok && len(labels) >= labelLimit {
-		label = labelOther
+	if !ok && len(labels) >= maxLabels {
+		label = otherLabel
 		h, ok = labels[label]
 	}
 	if !ok {
-		h = hdrhistogram.New(lowest, highest, significant)
+		h = hdrhistogram.New(minMicros, maxMicros, digits)
 		labels[label] = h
 	}
-	_ = h.RecordValue(min(max(d.Microseconds(), lowest), highest))
+	_ = h.RecordValue(min(max(d.Microseconds(), minMicros), maxMicros))
 }
 
-// Summary is what a histogram shows; times are in milliseconds.
+// Summary summarizes a histogram. Times are in milliseconds.
 type Summary struct {
 	Count int64   `json:"count"`
 	P50   float64 `json:"p50_ms"`
@@ -84,7 +84,7 @@
 	Max   float64 `json:"max_ms"`
 }
 
-// Summarize reads a histogram of microseconds.
+// Summarize returns the summary of a histogram of microseconds.
 func Summarize(h *hdrhistogram.Histogram) Summary {
 	ms := func(v int64) float64 { return float64(v) / 1000 }
 	return Summary{
@@ -93,10 +93,10 @@
 	}
 }
 
-// NewHistogram returns a histogram for Summarize, in microseconds.
-func NewHistogram() *hdrhistogram.Histogram { return hdrhistogram.New(lowest, highest, significant) }
+// NewHistogram returns a histogram of microseconds for use with Summarize.
+func NewHistogram() *hdrhistogram.Histogram { return hdrhistogram.New(minMicros, maxMicros, digits) }
 
-// Summaries returns all histograms by name and label.
+// Summaries returns the summaries of all histograms by name and label.
 func (s *Set) Summaries() map[string]map[string]Summary {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -110,7 +110,7 @@
 	return all
 }
 
-// ServeHTTP writes counters, gauges, histograms and memory as JSON.
+// ServeHTTP writes counters, gauges, histogram summaries, heap size and the number of goroutines as JSON.
 func (s *Set) ServeHTTP(w http.ResponseWriter, _ *http.Request) {
 	var memory runtime.MemStats
 	runtime.ReadMemStats(&memory)
--- a/measurer/measurer_test.go
+++ b/measurer/measurer_test.go
@@ -22,7 +22,7 @@
 	qt.Assert(t, labels["other"].Count, qt.Equals, int64(68))
 }
 
-func TestPageIsJSON(t *testing.T) {
+func TestServesJSON(t *testing.T) {
 	s := measurer.New()
 	s.Add("requests", 3)
 	s.Gauge("holds_open", 2)
