--- a/validator/doc.go
+++ b/validator/doc.go
@@ -1,6 +1,6 @@
-// Package validator checks and decodes settings, contracts and scenarios.
+// Package validator validates and decodes settings, contracts and scenarios.
 //
-// One JSON schema for each kind is the only place where a field is described:
-// it gives the check, the default and the line in docs/SETTINGS.md. All faults
-// of a file are reported together, each with its JSON path.
+// Each kind of document has one JSON schema, which is the only description of its
+// fields: the validation, the defaults and the tables in docs/SETTINGS.md come
+// from it. All errors in a file are reported together, each with its JSON path.
 package validator
--- a/validator/validator.go
+++ b/validator/validator.go
@@ -15,7 +15,7 @@
 	"golang.org/x/text/message"
 )
 
-// Kind names what a document is.
+// Kind is the kind of a document.
 type Kind string
 
 // The kinds of documents.
@@ -29,26 +29,26 @@
 	KindGateway  Kind = "gateway"
 )
 
-// Kinds lists all kinds in the order of the settings page.
+// Kinds lists all kinds in the order in which the settings page describes them.
 var Kinds = []Kind{KindRouter, KindSidecar, KindEmulator, KindContract, KindCatalog, KindScenario, KindGateway}
 
 //go:embed schemas/*.json
-var files embed.FS
+var schemaFiles embed.FS
 
-// Fault is one thing wrong with a document.
+// Fault is one error in a document.
 type Fault struct {
-	// Path is the JSON path of the value, such as "/money/policy".
+	// Path is the JSON path of the invalid value, such as "/money/policy".
 	Path    string
 	Message string
 }
 
-// FaultsError reports everything that is wrong with a document.
+// FaultsError reports all errors in a document.
 type FaultsError struct {
 	Kind   Kind
 	Faults []Fault
 }
 
-// Error lists all faults, one a line.
+// Error returns a text with one line for each fault.
 func (e *FaultsError) Error() string {
 	lines := make([]string, 0, len(e.Faults)+1)
 	lines = append(lines, fmt.Sprintf("%s: %d fault(s)", e.Kind, len(e.Faults)))
@@ -58,11 +58,11 @@
 	return strings.Join(lines, "\n")
 }
 
-var compiled = sync.OnceValues(func() (map[Kind]*jsonschema.Schema, error) {
+var compileSchemas = sync.OnceValues(func() (map[Kind]*jsonschema.Schema, error) {
 	compiler := jsonschema.NewCompiler()
 	schemas := map[Kind]*jsonschema.Schema{}
 	for _, k := range Kinds {
-		data, err := files.ReadFile("schemas/" + string(k) + ".json")
+		data, err := schemaFiles.ReadFile("schemas/" + string(k) + ".json")
 		if err != nil {
 			return nil, fmt.Errorf("reading schema %s: %w", k, err)
 		}
@@ -82,9 +82,9 @@
 	return schemas, nil
 })
 
-// Check reports all faults of a document as a FaultsError.
+// Check validates a document and reports all of its faults as a FaultsError.
 func Check(k Kind, data []byte) error {
-	schemas, err := compiled()
+	schemas, err := compileSchemas()
 	if err != nil {
 		return err
 	}
@@ -120,7 +120,7 @@
 	return faults
 }
 
-// Decode checks a document, fills in defaults from the schema and decodes it.
+// Decode validates a document, adds the defaults of the schema for absent fields, and decodes it.
 func Decode[T any](k Kind, data []byte) (T, error) {
 	var v T
 	if err := Check(k, data); err != nil {
@@ -130,7 +130,7 @@
 	if err != nil {
 		return v, err
 	}
-	filled, err := fill(schema, data)
+	filled, err := applyDefaults(schema, data)
 	if err != nil {
 		return v, err
 	}
@@ -142,7 +142,7 @@
 	return v, nil
 }
 
-// Property is a field of a document as its schema describes it.
+// Property describes a field of a document. It is decoded from the JSON schema.
 type Property struct {
 	Type        string              `json:"type"`
 	Title       string              `json:"title"`
@@ -157,10 +157,10 @@
 	Pattern     string              `json:"pattern"`
 }
 
-// Schema returns a kind's schema.
+// Schema returns the schema of a kind.
 func Schema(k Kind) (Property, error) {
 	var p Property
-	data, err := files.ReadFile("schemas/" + string(k) + ".json")
+	data, err := schemaFiles.ReadFile("schemas/" + string(k) + ".json")
 	if err != nil {
 		return p, fmt.Errorf("reading schema %s: %w", k, err)
 	}
@@ -170,18 +170,18 @@
 	return p, nil
 }
 
-// fill adds the defaults of absent fields.
-func fill(p Property, data json.RawMessage) (json.RawMessage, error) {
+// applyDefaults adds the defaults of absent fields.
+func applyDefaults(p Property, data json.RawMessage) (json.RawMessage, error) {
 	switch {
 	case p.Type == "object" && p.Properties != nil:
-		return fillObject(p, data)
+		return applyObjectDefaults(p, data)
 	case p.Type == "array" && p.Items != nil:
 		var items []json.RawMessage
 		if err := json.Unmarshal(data, &items); err != nil {
 			return nil, fmt.Errorf("reading list: %w", err)
 		}
 		for i, item := range items {
-			filled, err := fill(*p.Items, item)
+			filled, err := applyDefaults(*p.Items, item)
 			if err != nil {
 				return nil, err
 			}
@@ -192,7 +192,7 @@
 	return data, nil
 }
 
-func fillObject(p Property, data json.RawMessage) (json.RawMessage, error) {
+func applyObjectDefaults(p Property, data json.RawMessage) (json.RawMessage, error) {
 	fields := map[string]json.RawMessage{}
 	if len(data) > 0 {
 		if err := json.Unmarshal(data, &fields); err != nil {
@@ -208,7 +208,7 @@
 		if !ok && (field.Type != "object" || field.Properties == nil) {
 			continue
 		}
-		filled, err := fill(field, value)
+		filled, err := applyDefaults(field, value)
 		if err != nil {
 			return nil, err
 		}
--- a/validator/validator_test.go
+++ b/validator/validator_test.go
@@ -11,10 +11,10 @@
 	"github.com/masticway/masticway/validator"
 )
 
-const goodRouter = `{"instance":"r","platform_url":"http://127.0.0.1:1","fleet_key_file":"k","caller_address":"127.0.0.1:1",
+const validRouter = `{"instance":"r","platform_url":"http://127.0.0.1:1","fleet_key_file":"k","caller_address":"127.0.0.1:1",
 	"admin_address":"127.0.0.1:2","link_address":"127.0.0.1:3","admin_token_file":"t"}`
 
-func TestAllFaultsAreReportedAtOnce(t *testing.T) {
+func TestAllFaultsAreReportedTogether(t *testing.T) {
 	bad := `{"instance":"a b","platform_url":"ftp://x","caller_address":"nowhere","admin_address":"127.0.0.1:2",
 		"link_address":"127.0.0.1:3","lease":"soon","money":{"policy":"generous","slices":0,"unknown":1},
 		"retry":{"limit":99},"queue":{"overcommit":9},"extra":true,"admin_token_file":""}`
@@ -33,7 +33,7 @@
 }
 
 func TestDefaultsComeFromTheSchema(t *testing.T) {
-	s, err := validator.Decode[router.Settings](validator.KindRouter, []byte(goodRouter))
+	s, err := validator.Decode[router.Settings](validator.KindRouter, []byte(validRouter))
 	qt.Assert(t, err, qt.IsNil)
 	qt.Assert(t, s.Retry.Limit, qt.Equals, 3)
 	qt.Assert(t, s.Lease.Std() > 0, qt.IsTrue)
@@ -42,16 +42,16 @@
 
 func TestContractFaults(t *testing.T) {
 	cases := map[string]string{
-		"negative rate":    `{"workspace":"w","budget":"b","requests_per_second":-1}`,
-		"unknown field":    `{"workspace":"w","budget":"b","colour":"red"}`,
-		"absurd maximum":   `{"workspace":"w","budget":"b","models":[{"name":"m","max_output":1e30}]}`,
-		"key not hashed":   `{"workspace":"w","budget":"b","key_hashes":["secret"]}`,
-		"slash in a name":  `{"workspace":"w/x","budget":"b"}`,
-		"no budget":        `{"workspace":"w"}`,
-		"not JSON":         `{"workspace":`,
-		"a list":           `[]`,
-		"unknown class":    `{"workspace":"w","budget":"b","class":"royal"}`,
-		"relative pattern": `{"workspace":"w","budget":"b","services":[{"name":"s","non_repeatable":[{"method":"*","path":"x"}]}]}`,
+		"negative rate":     `{"workspace":"w","budget":"b","requests_per_second":-1}`,
+		"unknown field":     `{"workspace":"w","budget":"b","colour":"red"}`,
+		"maximum too large": `{"workspace":"w","budget":"b","models":[{"name":"m","max_output":1e30}]}`,
+		"key not hashed":    `{"workspace":"w","budget":"b","key_hashes":["secret"]}`,
+		"slash in a name":   `{"workspace":"w/x","budget":"b"}`,
+		"no budget":         `{"workspace":"w"}`,
+		"not JSON":          `{"workspace":`,
+		"a list":            `[]`,
+		"unknown class":     `{"workspace":"w","budget":"b","class":"royal"}`,
+		"relative pattern":  `{"workspace":"w","budget":"b","services":[{"name":"s","non_repeatable":[{"method":"*","path":"x"}]}]}`,
 	}
 	for name, document := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -70,7 +70,7 @@
 }
 
 func FuzzDecode(f *testing.F) {
-	f.Add(goodRouter)
+	f.Add(validRouter)
 	f.Add(`{"workspace":"w","budget":"b","horizon":"5s"}`)
 	f.Add(`{"models":[{"name":"m","prompt_weight":1,"completion_weight":2}]}`)
 	f.Add(`{"horizon":{}}`)
@@ -80,7 +80,7 @@
 			if validator.Check(k, []byte(document)) != nil {
 				continue
 			}
-			// What the schema accepts must decode.
+			// A document that the schema accepts must also decode.
 			var err error
 			switch k {
 			case validator.KindRouter:
@@ -91,7 +91,7 @@
 				_, err = validator.Decode[masticway.Catalog](k, []byte(document))
 			}
 			if err != nil {
-				t.Fatalf("%s accepted but not decoded: %v", k, err)
+				t.Fatalf("%s accepted but cannot be decoded: %v", k, err)
 			}
 		}
 	})
