--- a/explainer/explainer.go
+++ b/explainer/explainer.go
@@ -76,7 +76,7 @@
 	order  []string
 }
 
-// NewMemory returns an empty Memory. The names of its batches contain the owner.
+// NewMemory returns an empty cache of traces. The names of its batches contain the owner.
 func NewMemory(owner masticway.Incarnation) *Memory {
 	return &Memory{batches: batcher.New[Trace](objectPrefix, owner, maxPending), traces: map[string]Trace{}}
 }
--- a/linker/conn.go
+++ b/linker/conn.go
@@ -125,7 +125,7 @@
 	})
 }
 
-// Send queues a message. It fails with DownError if the link is closed; if the queue is full, it closes the link and fails too.
+// Send queues a message. It fails with DownError if the link is closed or the queue is full. A full queue also closes the link.
 func (c *Conn) Send(m Message) error {
 	select {
 	case <-c.done:
@@ -156,8 +156,8 @@
 	return c.call(ctx, m, pendingCall{})
 }
 
-// AskLarge is like Ask, but for a reply of any size: it fails with IdleTimeoutError if neither the reply nor a whole piece of
-// any message arrives for idleTimeout.
+// AskLarge sends a request whose reply may have any size, and waits for the reply. It fails with IdleTimeoutError if neither
+// the reply nor a whole piece of any message arrives for idleTimeout.
 //
 // A fixed timeout would not do: the time that a large reply takes grows with its size, and it also has to wait for large
 // messages that precede it on the link.
--- a/linker/handshake.go
+++ b/linker/handshake.go
@@ -236,8 +236,9 @@
 	Identity Identity
 	Dial     DialFunc
 	Handler  Handler
-	// Up is called after a link is established, Down after it is closed.
-	Up   func(*Conn)
+	// Up is called after a link is established.
+	Up func(*Conn)
+	// Down is called after a link is closed.
 	Down func(*Conn)
 }
 
--- a/linker/message.go
+++ b/linker/message.go
@@ -14,8 +14,9 @@
 
 // Message is one message on a link. Exactly one of its bodies is set.
 type Message struct {
-	// Call is set on a request that expects a reply, and Reply on that reply, to the same number.
-	Call  uint64 `cbor:"1,keyasint,omitempty"`
+	// Call is the number of a request that expects a reply.
+	Call uint64 `cbor:"1,keyasint,omitempty"`
+	// Reply is the number of the request that this message replies to.
 	Reply uint64 `cbor:"2,keyasint,omitempty"`
 
 	Beat     *Beat            `cbor:"10,keyasint,omitempty"`
@@ -60,9 +61,10 @@
 	// Unseen is how long ago the sender's revision was confirmed to be the newest.
 	Unseen time.Duration         `cbor:"6,keyasint,omitempty"`
 	Load   *masticway.LoadReport `cbor:"3,keyasint,omitempty"`
-	// Open lists the sending router's open grants with numbers up to Upto, so that a sidecar can drop the totals of closed ones.
+	// Open lists the sending router's open grants. A sidecar drops the totals of the others.
 	Open []int64 `cbor:"4,keyasint,omitempty"`
-	Upto int64   `cbor:"5,keyasint,omitempty"`
+	// Upto is the highest grant number that this list covers. Grants with higher numbers may be open.
+	Upto int64 `cbor:"5,keyasint,omitempty"`
 }
 
 // Count asks a sidecar for the exact token count of a prompt.
@@ -103,8 +105,9 @@
 	Waited time.Duration `cbor:"5,keyasint"`
 	// Open is set on a duplicate whose first request is still in progress.
 	Open bool `cbor:"8,keyasint,omitempty"`
-	// Limit is the contract limit that refuses the request, if one does, and Retry the time after which to try again.
-	Limit string        `cbor:"6,keyasint,omitempty"`
+	// Limit is the contract limit that refuses the request, if one does.
+	Limit string `cbor:"6,keyasint,omitempty"`
+	// Retry is the time after which the request may be retried.
 	Retry time.Duration `cbor:"7,keyasint,omitempty"`
 }
 
