--- a/linker/message.go
+++ b/linker/message.go
@@ -54,7 +54,7 @@
 	Explained  *Explained          `cbor:"51,keyasint,omitempty"`
 }
 
-// Beat is the heartbeat that each end sends periodically, with state that the other end needs.
+// Beat is sent periodically by each end, as a heartbeat with state that the other end needs.
 type Beat struct {
 	Revision masticway.Revision `cbor:"1,keyasint"`
 	Leaving  bool               `cbor:"2,keyasint,omitempty"`
@@ -90,7 +90,8 @@
 	Upto masticway.Revision `cbor:"2,keyasint,omitempty"`
 }
 
-// Want asks a peer for the configuration changes after a revision. It is sent when the peer's heartbeat has a newer revision.
+// Want asks a peer for the configuration changes after a revision. It is sent when the peer's heartbeat has a newer
+// revision.
 type Want struct {
 	After masticway.Revision `cbor:"1,keyasint"`
 }
