--- a/chooser/bench_test.go
+++ b/chooser/bench_test.go
@@ -7,7 +7,7 @@
 	"github.com/masticway/masticway/chooser"
 )
 
-// BenchmarkChoose places one request of 12 KB among so many upstreams.
+// BenchmarkChoose chooses an upstream for a request with a prompt of 12 KB.
 func BenchmarkChoose(b *testing.B) {
 	for _, n := range []int{4, 16, 64} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
@@ -17,7 +17,7 @@
 			for i := range n {
 				name := fmt.Sprint("upstream-", i)
 				candidates = append(candidates, chooser.Candidate{Instance: name, Zone: "z"})
-				c.Report(start, name, report(i%4, 0))
+				c.Report(start, name, loadReport(i%4, 0))
 				c.Sent(start, name, work)
 			}
 			b.ReportAllocs()
@@ -28,7 +28,7 @@
 	}
 }
 
-// BenchmarkPrefixes hashes one prompt.
+// BenchmarkPrefixes computes the prefix hashes of one prompt.
 func BenchmarkPrefixes(b *testing.B) {
 	data := make([]byte, 12_000)
 	b.SetBytes(int64(len(data)))
--- a/chooser/servers.go
+++ b/chooser/servers.go
@@ -10,21 +10,22 @@
 	"github.com/masticway/masticway"
 )
 
-// ranksCounted is how many ranks count.
-const ranksCounted = 6
+// maxRank is the rank above which the cost of a server no longer grows.
+const maxRank = 6
 
-// Prompt describes a request to be placed at one of a pool's servers.
+// Prompt describes a request for which one of a pool's servers must be chosen.
 type Prompt struct {
 	Tokens int
-	// Output is the most tokens that the answer may have.
+	// Output is the maximum number of tokens in the answer.
 	Output int
 	Parts  []masticway.PromptPart
 	// Zone is the router's availability zone.
 	Zone string
 }
 
-// home is the part by which all routers gather requests at one engine: the last one that others may share.
-func (p Prompt) home() (string, bool) {
+// homePart returns the part by which all routers choose the same engine, the home of the prompt: the last part that other
+// requests may share.
+func (p Prompt) homePart() (string, bool) {
 	switch len(p.Parts) {
 	case 0:
 		return "", false
@@ -34,52 +35,52 @@
 	return p.Parts[len(p.Parts)-2].ID, true
 }
 
-// Servers places requests at servers that are reached without a sidecar, from the router's own observations only;
-// it is not safe for concurrent use.
+// Servers chooses among servers without sidecars, using only the router's own observations. It is not safe for concurrent use.
 type Servers struct {
 	policy ServerPolicy
 	loads  map[string]*serverLoad
-	// born is when the lives of the known servers began.
-	born map[string]time.Time
-	turn int
+	// startTimes holds the start times of the known servers' current incarnations.
+	startTimes map[string]time.Time
+	choices    int
 }
 
-// NewServers returns a placement that has observed nothing.
+// NewServers returns a Servers without observations.
 func NewServers(p ServerPolicy) *Servers {
 	return &Servers{policy: p, loads: map[string]*serverLoad{}}
 }
 
-// Choose returns the index of the server with the least expected cost in milliseconds, or -1 without one.
-func (s *Servers) Choose(now time.Time, engine bool, p Prompt, servers []masticway.Server) (int, float64) {
-	s.turn++
+// Choose returns the index of the server with the lowest expected cost, and the cost in milliseconds. The index is -1 if there
+// are no servers.
+func (s *Servers) Choose(now time.Time, isEngine bool, p Prompt, servers []masticway.Server) (int, float64) {
+	s.choices++
 	var ranks []int
-	if part, ok := p.home(); ok && engine {
+	if part, ok := p.homePart(); ok && isEngine {
 		ranks = rankServers(part, servers)
 	}
 	rankCost := s.rankCost(p)
-	best, least := -1, 0.0
+	best, bestCost := -1, 0.0
 	for i := range servers {
-		// Equal costs take turns.
-		k := (i + s.turn) % len(servers)
-		cost := s.cost(now, engine, p, servers[k], ranks != nil && ranks[k] == 0)
+		// Servers with equal costs take turns.
+		k := (i + s.choices) % len(servers)
+		cost := s.cost(now, isEngine, p, servers[k], ranks != nil && ranks[k] == 0)
 		if ranks != nil {
-			cost += float64(min(ranks[k], ranksCounted)) * rankCost
+			cost += float64(min(ranks[k], maxRank)) * rankCost
 		}
-		if best < 0 || cost < least {
-			best, least = k, cost
+		if best < 0 || cost < bestCost {
+			best, bestCost = k, cost
 		}
 	}
-	return best, least
+	return best, bestCost
 }
 
-// rankServers orders servers by their rendezvous weights for a part, so that all routers agree without a word on its
-// home, rank zero, and on where its requests go when that is crowded.
+// rankServers returns the ranks of servers by their rendezvous weights for a prompt part. All routers thus agree without
+// communication on the part's home, rank zero, and on the servers to use if the home is overloaded.
 func rankServers(part string, servers []masticway.Server) []int {
 	hash := xxhash.Sum64String(part)
 	weights := make([]uint64, len(servers))
 	order := make([]int, len(servers))
 	for i, server := range servers {
-		weights[i] = rendezvous(hash, server.ID)
+		weights[i] = rendezvousWeight(hash, server.ID)
 		order[i] = i
 	}
 	slices.SortFunc(order, func(x, y int) int { return cmp.Compare(weights[y], weights[x]) })
--- a/examiner/tell.go
+++ b/examiner/tell.go
@@ -11,108 +11,110 @@
 	"github.com/masticway/masticway/messenger"
 )
 
-// pathTell is where routers tell each other of suspects.
-const pathTell = "/peer/suspects"
+// pathSuspects is the path of the requests by which routers exchange evidence.
+const pathSuspects = "/peer/suspects"
 
 const (
-	// tellTimeout bounds one message to another router.
-	tellTimeout = 400 * time.Millisecond
-	// toldMost bounds the routers that one tells at a time; each of them tells as many others in turn.
-	toldMost = 16
-	// askedMost bounds the routers that one which starts asks at a time, askPause separates two rounds.
-	askedMost = 2
-	askPause  = 200 * time.Millisecond
+	// sendTimeout is the timeout of one message to another router.
+	sendTimeout = 400 * time.Millisecond
+	// maxSharePeers is the maximum number of routers to which evidence is sent at a time. Each of them sends it on to as many
+	// others.
+	maxSharePeers = 16
+	// maxFetchPeers is the number of routers that a starting router asks in each round, and fetchRetryInterval the time between
+	// two rounds.
+	maxFetchPeers      = 2
+	fetchRetryInterval = 200 * time.Millisecond
 )
 
-// news is what one router tells another.
-type news struct {
+// message is a message from one router to another.
+type message struct {
 	Entries []Entry `cbor:"1,keyasint,omitempty"`
-	// Ask tells that the sender has just started and wants to know all.
-	Ask bool `cbor:"2,keyasint,omitempty"`
+	// FetchAll is set if the sender has just started and asks for all evidence.
+	FetchAll bool `cbor:"2,keyasint,omitempty"`
 }
 
-// tell tells other routers of evidence, side by side.
-func (e *Examiner) tell(ctx context.Context, entries []Entry) {
+// share sends evidence to other routers concurrently.
+func (e *Examiner) share(ctx context.Context, entries []Entry) {
 	var wg sync.WaitGroup
-	for _, address := range e.listeners(toldMost) {
+	for _, address := range e.pickPeers(maxSharePeers) {
 		wg.Go(func() {
-			if _, err := e.say(ctx, address, news{Entries: entries}); err != nil {
-				e.Log.WithFields(logrus.Fields{"event": "suspects_not_told", "address": address, "error": err}).Debug("a router was not told")
+			if _, err := e.send(ctx, address, message{Entries: entries}); err != nil {
+				e.Log.WithFields(logrus.Fields{"event": "suspects_not_told", "address": address, "error": err}).Debug("cannot send suspects to a router")
 				return
 			}
-			e.Metrics.Add(metricTold, int64(len(entries)))
+			e.Metrics.Add(metricShared, int64(len(entries)))
 		})
 	}
 	wg.Wait()
 }
 
-func (e *Examiner) say(ctx context.Context, address string, n news) (news, error) {
-	ctx, cancel := context.WithTimeout(ctx, tellTimeout)
+func (e *Examiner) send(ctx context.Context, address string, msg message) (message, error) {
+	ctx, cancel := context.WithTimeout(ctx, sendTimeout)
 	defer cancel()
-	return messenger.Call[news](ctx, e.Messages, address, pathTell, n)
+	return messenger.Call[message](ctx, e.Messages, address, pathSuspects, msg)
 }
 
-// listeners are some of the other routers, others with each call.
-func (e *Examiner) listeners(most int) []string {
+// pickPeers returns up to max of the other routers. Successive calls return different ones in turn.
+func (e *Examiner) pickPeers(max int) []string {
 	all := e.Peers()
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	var chosen []string
-	for i := range min(len(all), most) {
-		chosen = append(chosen, all[(e.first+i)%len(all)])
+	var peers []string
+	for i := range min(len(all), max) {
+		peers = append(peers, all[(e.nextPeer+i)%len(all)])
 	}
-	e.first += len(chosen)
-	return chosen
+	e.nextPeer += len(peers)
+	return peers
 }
 
-// hear takes what another router tells.
-func (e *Examiner) hear(entries []Entry) {
+// mergeEntries adds the evidence from another router.
+func (e *Examiner) mergeEntries(entries []Entry) {
 	if len(entries) == 0 {
 		return
 	}
-	heard := int64(0)
+	merged := int64(0)
 	e.update(func(now time.Time) {
-		for _, n := range entries {
-			if e.register.Heard(now, n) {
-				heard++
+		for _, entry := range entries {
+			if e.registry.Merge(now, entry) {
+				merged++
 			}
 		}
 	})
-	e.Metrics.Add(metricHeard, heard)
+	e.Metrics.Add(metricReceived, merged)
 }
 
-// askOthers asks other routers for what they know until one has told or the store has.
-func (e *Examiner) askOthers(ctx context.Context) {
-	for ctx.Err() == nil && !e.hasListed() {
-		for _, address := range e.listeners(askedMost) {
-			answer, err := e.say(ctx, address, news{Ask: true})
+// fetchFromPeers asks other routers for all evidence until one replies or the store's table has been read.
+func (e *Examiner) fetchFromPeers(ctx context.Context) {
+	for ctx.Err() == nil && !e.isTableRead() {
+		for _, address := range e.pickPeers(maxFetchPeers) {
+			reply, err := e.send(ctx, address, message{FetchAll: true})
 			if err == nil {
-				e.hear(answer.Entries)
+				e.mergeEntries(reply.Entries)
 				return
 			}
 		}
 		select {
 		case <-ctx.Done():
-		case <-e.Clock.After(askPause):
+		case <-e.Clock.After(fetchRetryInterval):
 		}
 	}
 }
 
-func (e *Examiner) hasListed() bool {
+func (e *Examiner) isTableRead() bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.listed
+	return e.tableRead
 }
 
-// Serve answers other routers.
+// Serve registers the handler for the messages of other routers.
 func (e *Examiner) Serve(mux *http.ServeMux) {
-	messenger.Handle(mux, pathTell, func(_ context.Context, n news) news {
-		e.hear(n.Entries)
-		if !n.Ask {
-			return news{}
+	messenger.Handle(mux, pathSuspects, func(_ context.Context, msg message) message {
+		e.mergeEntries(msg.Entries)
+		if !msg.FetchAll {
+			return message{}
 		}
 		e.mu.Lock()
 		defer e.mu.Unlock()
-		return news{Entries: e.register.Known()}
+		return message{Entries: e.registry.Entries()}
 	})
 }
--- a/treasurer/witness.go
+++ b/treasurer/witness.go
@@ -10,96 +10,101 @@
 )
 
 const (
-	// witnessesNamed is how many other routers a book names. While the store is silent most of them have to have taken a
-	// statement before more goes out than the book says, so that a successor needs to ask only some: of three, two each.
-	// With two, of which one had to hear and both to be asked, a router that was restarted in a cut while another one was
-	// cost its workspace 10% of a budget.
-	witnessesNamed = 3
-	// unheardAfter is how long most witnesses may leave a statement without an answer before requests are admitted only by
-	// what they have heard: two statements that time out, after which callers would wait for nothing.
-	unheardAfter = 300 * time.Millisecond
+	// maxWitnesses is how many other routers a checkpoint names as witnesses. While the store cannot be reached, a majority
+	// of them must accept a report before more is cleared than the checkpoint covers, so that a successor needs answers
+	// from only some: two of three in both cases. With two witnesses, of which one had to accept and both had to answer, a
+	// router that was restarted during a partition at the same time as one of them cost its workspace 10% of a budget.
+	maxWitnesses = 3
+	// unackedTimeout is how long a report may lack a quorum before requests are admitted only by what the witnesses have
+	// acknowledged: the time of two reports that time out. After it callers would wait for nothing.
+	unackedTimeout = 300 * time.Millisecond
 )
 
-// Witness is a router that remembers what another one states while the store is silent.
+// Witness is a router that remembers what another router reports while the store cannot be reached.
 type Witness struct {
 	Incarnation masticway.Incarnation `json:"incarnation"`
 	Address     string                `json:"address"`
 }
 
-// Statement is the most that its issuer has taken, by workspace, where that is more than its book says.
+// Statement reports the most that its sender has taken, by workspace, where that exceeds what its checkpoint covers.
 type Statement struct {
 	Issuer masticway.Incarnation `cbor:"1,keyasint"`
-	// Witness is whom it is for; another incarnation on the instance has not seen the ones before and takes none.
+	// Witness is the recipient. Another incarnation on its instance lacks the earlier reports and must refuse this one.
 	Witness masticway.Incarnation `cbor:"2,keyasint"`
-	// Oldest and Newest are the books that may be the issuer's last when it dies now.
+	// These are the sequence numbers of the oldest and the newest checkpoint that may be the sender's last if it crashes
+	// now.
 	Oldest int64            `cbor:"3,keyasint"`
 	Newest int64            `cbor:"4,keyasint"`
 	Taken  map[string]int64 `cbor:"5,keyasint"`
-	// Address is where the witness is reached; it is not told.
+	// Address is where the witness is reached; it is not sent.
 	Address string `cbor:"-"`
 }
 
-// Stated is one workspace's part of a statement, and the newest book when it was made: a later book says the same itself.
+// Stated is a report about one workspace, with the newest checkpoint when it was made: a later checkpoint covers the same
+// amount.
 type Stated struct {
 	Taken int64 `cbor:"1,keyasint"`
 	Book  int64 `cbor:"2,keyasint"`
 }
 
-// Recollection is what a witness remembers of an ended incarnation; Same tells that it is the witness that was named.
+// Recollection is a witness's record of what an ended incarnation has reported to it. Its first field is set if the
+// incarnation that answers is the one named as the witness.
 type Recollection struct {
 	Same   bool              `cbor:"1,keyasint"`
 	Stated map[string]Stated `cbor:"2,keyasint"`
 }
 
-// testimony is what a witness remembers of one issuer.
-type testimony struct {
-	stated map[string]Stated
-	// over tells that a successor has asked; what the issuer states from then on is refused.
-	over bool
+// senderReports is a witness's record of one sender.
+type senderReports struct {
+	reported map[string]Stated
+	// ended is set once a successor has asked for the record; further reports of the sender are refused.
+	ended bool
 }
 
-// Testified takes another router's statement; it returns false when the issuer has ended or means another witness.
-func (p *Purse) Testified(s Statement) bool {
-	known := p.testimonies[s.Issuer]
-	if s.Witness != p.settings.Incarnation || known.over {
+// AcceptReport accepts another router's report. It returns false if the sender has ended or the report is for another
+// incarnation.
+func (p *Planner) AcceptReport(s Statement) bool {
+	record := p.peerReports[s.Issuer]
+	if s.Witness != p.settings.Incarnation || record.ended {
 		return false
 	}
-	if known.stated == nil {
-		known.stated = map[string]Stated{}
+	if record.reported == nil {
+		record.reported = map[string]Stated{}
 	}
-	maps.DeleteFunc(known.stated, func(_ string, old Stated) bool { return old.Book < s.Oldest })
+	maps.DeleteFunc(record.reported, func(_ string, old Stated) bool { return old.Book < s.Oldest })
 	for workspace, taken := range s.Taken {
-		// One that was overtaken on the way must not make the newer one look as old as itself.
-		old := known.stated[workspace]
-		known.stated[workspace] = Stated{Taken: max(taken, old.Taken), Book: max(s.Newest, old.Book)}
+		// Reports may arrive out of order: an older one must not lower the amount or the checkpoint of a newer one.
+		old := record.reported[workspace]
+		record.reported[workspace] = Stated{Taken: max(taken, old.Taken), Book: max(s.Newest, old.Book)}
 	}
-	p.testimonies[s.Issuer] = known
+	p.peerReports[s.Issuer] = record
 	return true
 }
 
-// Recall tells a successor what an ended incarnation has stated to a witness, and takes no statement of it any more.
-func (p *Purse) Recall(witness, ended masticway.Incarnation) Recollection {
+// FinalReports returns what an ended incarnation has reported to a witness, and refuses further reports of it.
+func (p *Planner) FinalReports(witness, ended masticway.Incarnation) Recollection {
 	if witness != p.settings.Incarnation {
 		return Recollection{}
 	}
-	known := p.testimonies[ended]
-	known.over = true
-	p.testimonies[ended] = known
-	return Recollection{Same: true, Stated: maps.Clone(known.stated)}
+	record := p.peerReports[ended]
+	record.ended = true
+	p.peerReports[ended] = record
+	return Recollection{Same: true, Stated: maps.Clone(record.reported)}
 }
 
-// witnesses names the routers that follow this one in their order, which spreads the work evenly.
-func (p *Purse) witnesses() []Witness {
+// chooseWitnesses returns the routers that follow this one in the circular order of incarnations, which spreads the load
+// evenly.
+func (p *Planner) chooseWitnesses() []Witness {
 	var others []Witness
 	for _, o := range p.peers {
 		others = append(others, o.Witness)
 	}
-	slices.SortFunc(others, func(x, y Witness) int { return compareFrom(p.settings.Incarnation, x.Incarnation, y.Incarnation) })
-	return others[:min(len(others), witnessesNamed)]
+	slices.SortFunc(others, func(x, y Witness) int { return compareCircular(p.settings.Incarnation, x.Incarnation, y.Incarnation) })
+	return others[:min(len(others), maxWitnesses)]
 }
 
-// compareFrom orders incarnations in a circle that begins behind one of them.
-func compareFrom(begin, x, y masticway.Incarnation) int {
+// compareCircular compares incarnations in the circular order that starts after begin.
+func compareCircular(begin, x, y masticway.Incarnation) int {
 	if (x > begin) != (y > begin) {
 		if x > begin {
 			return -1
@@ -109,54 +114,56 @@
 	return cmp.Compare(x, y)
 }
 
-// bookLate tells that the store does not take the book as it usually does, so that what waits for it goes to the witnesses.
-func (p *Purse) bookLate(now time.Time) bool {
-	return !p.failingSince.IsZero() || p.bookBusy && now.Sub(p.bookAt) > slowAnswer
+// isCheckpointLate reports whether the store takes longer than usual for a checkpoint, so that what waits for it must be
+// reported to witnesses.
+func (p *Planner) isCheckpointLate(now time.Time) bool {
+	return !p.failingSince.IsZero() || p.checkpointInFlight && now.Sub(p.checkpointSentAt) > slowStoreLatency
 }
 
-// unpromised is the most that has been taken of each workspace for which an answer waits for a promise.
-func (p *Purse) unpromised(now time.Time) map[string]int64 {
+// unclearedTaken returns the amount taken of each workspace that has holds waiting for clearance, as far as reports can
+// clear them.
+func (p *Planner) unclearedTaken(now time.Time) map[string]int64 {
 	taken := map[string]int64{}
 	for workspace, a := range p.accounts {
-		stated := min(a.taken, p.expected(now, a))
-		if len(a.gates) > 0 && stated > p.promised(now, a) {
-			taken[workspace] = stated
+		amount := min(a.taken, p.expectedLimit(now, a))
+		if len(a.awaitingClearance) > 0 && amount > p.currentLimit(now, a) {
+			taken[workspace] = amount
 		}
 	}
 	return taken
 }
 
-// Statements returns what to tell the witnesses now: what waits for a promise that the silent store cannot take.
-func (p *Purse) Statements(now time.Time) []Statement {
+// DueReports returns the reports to send now, for holds that wait for a spend limit while the store is late.
+func (p *Planner) DueReports(now time.Time) []Statement {
 	var taken map[string]int64
-	if p.bookLate(now) {
-		taken = p.unpromised(now)
+	if p.isCheckpointLate(now) {
+		taken = p.unclearedTaken(now)
 	}
 	if len(taken) == 0 {
-		p.statedAt = time.Time{}
+		p.unackedSince = time.Time{}
 		return nil
 	}
-	if p.statedAt.IsZero() {
-		p.statedAt = now
+	if p.unackedSince.IsZero() {
+		p.unackedSince = now
 	}
 	var due []Statement
-	for _, w := range p.named() {
-		if p.testifying[w.Incarnation] {
+	for _, w := range p.currentWitnesses() {
+		if p.reportsInFlight[w.Incarnation] {
 			continue
 		}
-		p.testifying[w.Incarnation] = true
+		p.reportsInFlight[w.Incarnation] = true
 		due = append(due, Statement{
 			Issuer: p.settings.Incarnation, Witness: w.Incarnation, Address: w.Address,
-			Oldest: p.inForce[0].sequence, Newest: p.book.Sequence, Taken: taken,
+			Oldest: p.limitsInForce[0].sequence, Newest: p.checkpoint.Sequence, Taken: taken,
 		})
 	}
 	return due
 }
 
-// named lists the witnesses of all books that the store may have.
-func (p *Purse) named() []Witness {
+// currentWitnesses lists the witnesses of all checkpoints that the store may have.
+func (p *Planner) currentWitnesses() []Witness {
 	var all []Witness
-	for _, f := range p.inForce {
+	for _, f := range p.limitsInForce {
 		for _, w := range f.witnesses {
 			if !slices.Contains(all, w) {
 				all = append(all, w)
@@ -166,95 +173,97 @@
 	return all
 }
 
-// Witnessed notes whether a witness has taken a statement, and returns the requests that this answers.
-func (p *Purse) Witnessed(now time.Time, s Statement, taken bool) []Reply {
-	delete(p.testifying, s.Witness)
-	if !taken {
+// CompleteReport records whether a witness has accepted a report, and returns the replies that result.
+func (p *Planner) CompleteReport(now time.Time, s Statement, accepted bool) []Reply {
+	delete(p.reportsInFlight, s.Witness)
+	if !accepted {
 		return nil
 	}
-	for _, f := range p.inForce {
-		// A book that was sent after the statement was made is not one that it speaks of.
+	for _, f := range p.limitsInForce {
+		// The report says nothing about checkpoints that were sent after it was made.
 		if f.sequence <= s.Newest {
-			f.hear(s)
+			f.recordAck(s)
 		}
 	}
-	if p.believed(now, s) {
-		p.statedAt = time.Time{}
+	if p.isAcked(now, s) {
+		p.unackedSince = time.Time{}
 	}
 	return p.Tick(now)
 }
 
-// hear notes what a witness of the book has taken.
-func (f inForce) hear(s Statement) {
+// recordAck records what a witness of the checkpoint has acknowledged.
+func (f checkpointLimits) recordAck(s Statement) {
 	if !slices.ContainsFunc(f.witnesses, func(w Witness) bool { return w.Incarnation == s.Witness }) {
 		return
 	}
-	known, ok := f.heard[s.Witness]
+	acked, ok := f.acked[s.Witness]
 	if !ok {
-		known = map[string]int64{}
-		f.heard[s.Witness] = known
+		acked = map[string]int64{}
+		f.acked[s.Witness] = acked
 	}
 	for workspace, amount := range s.Taken {
-		known[workspace] = max(known[workspace], amount)
+		acked[workspace] = max(acked[workspace], amount)
 	}
 }
 
-// witnessed is what most witnesses of the book have heard of a workspace.
-func (f inForce) witnessed(workspace string) int64 {
-	var heard []int64
-	for _, known := range f.heard {
-		heard = append(heard, known[workspace])
+// quorumTaken returns the amount of a workspace that a quorum of the checkpoint's witnesses has acknowledged.
+func (f checkpointLimits) quorumTaken(workspace string) int64 {
+	var amounts []int64
+	for _, acked := range f.acked {
+		amounts = append(amounts, acked[workspace])
 	}
-	most := majority(len(f.witnesses))
-	if len(heard) < most {
+	needed := quorum(len(f.witnesses))
+	if len(amounts) < needed {
 		return 0
 	}
-	slices.Sort(heard)
-	return heard[len(heard)-most]
+	slices.Sort(amounts)
+	return amounts[len(amounts)-needed]
 }
 
-// majority is how many of a book's witnesses have to hear of something before it may go out.
-func majority(named int) int { return named/2 + 1 }
+// quorum returns how many of a checkpoint's witnesses must acknowledge an amount before it is cleared.
+func quorum(witnesses int) int { return witnesses/2 + 1 }
 
-// believed tells that enough witnesses have heard of all that a statement says.
-func (p *Purse) believed(now time.Time, s Statement) bool {
+// isAcked reports whether a quorum of witnesses has acknowledged all of a report.
+func (p *Planner) isAcked(now time.Time, s Statement) bool {
 	for workspace, amount := range s.Taken {
-		if a, ok := p.accounts[workspace]; ok && p.promised(now, a) < amount {
+		if a, ok := p.accounts[workspace]; ok && p.currentLimit(now, a) < amount {
 			return false
 		}
 	}
 	return true
 }
 
-// unheard tells that most witnesses have not answered a statement for a while.
-func (p *Purse) unheard(now time.Time) bool {
-	return !p.statedAt.IsZero() && now.Sub(p.statedAt) > unheardAfter
+// areReportsUnacked reports whether reports have lacked a quorum for longer than unackedTimeout.
+func (p *Planner) areReportsUnacked(now time.Time) bool {
+	return !p.unackedSince.IsZero() && now.Sub(p.unackedSince) > unackedTimeout
 }
 
-// Enough tells that so many of the named witnesses have answered that one of them has heard of whatever went out.
-func (e Ended) Enough(recalled []Recollection) bool {
-	same := 0
-	for _, r := range recalled {
+// HasQuorum reports whether so many of the named witnesses have answered that at least one of them has acknowledged
+// whatever was cleared.
+func (e EndedIncarnation) HasQuorum(records []Recollection) bool {
+	answered := 0
+	for _, r := range records {
 		if r.Same {
-			same++
+			answered++
 		}
 	}
-	return same > len(e.Witnesses)-majority(len(e.Witnesses))
+	return answered > len(e.Witnesses)-quorum(len(e.Witnesses))
 }
 
-// Known returns the most that an ended incarnation has taken, by workspace: what its last book says and its witnesses
-// remember, once enough of these have been asked. What they remember of books before its last one is in that book.
-func (e Ended) Known(recalled []Recollection) map[string]int64 {
-	if len(e.Witnesses) == 0 || !e.Enough(recalled) {
-		return e.Spent
+// PresumedSpent returns the most that an ended incarnation can have spent, by workspace: what its last checkpoint allows
+// without witnesses and what these remember, if enough of them have answered, else all that its limits allow. What they
+// remember of earlier checkpoints is covered by the last one.
+func (e EndedIncarnation) PresumedSpent(records []Recollection) map[string]int64 {
+	if len(e.Witnesses) == 0 || !e.HasQuorum(records) {
+		return e.MaxSpent
 	}
-	known := maps.Clone(e.Written)
-	for _, r := range recalled {
+	presumed := maps.Clone(e.MaxUnwitnessed)
+	for _, r := range records {
 		for workspace, s := range r.Stated {
 			if r.Same && s.Book >= e.Sequence {
-				known[workspace] = max(known[workspace], s.Taken)
+				presumed[workspace] = max(presumed[workspace], s.Taken)
 			}
 		}
 	}
-	return known
+	return presumed
 }
