--- a/accountant/account_test.go
+++ b/accountant/account_test.go
@@ -15,13 +15,13 @@
 	"github.com/masticway/masticway/accountant"
 )
 
-// line is an event of a router, so many milliseconds after the start.
+// line returns the log line of a router's event, ms milliseconds after the start.
 func line(router string, ms int, fields string) string {
 	at := time.Date(2026, 1, 2, 3, 0, 0, 0, time.UTC).Add(time.Duration(ms) * time.Millisecond)
 	return fmt.Sprintf("time=%q level=info msg=x instance=%s %s\n", at.Format(time.RFC3339Nano), router, fields)
 }
 
-// account reads one source for each router.
+// account returns the report on sources, each with the lines of one router.
 func account(t *testing.T, sources ...[]string) accountant.Report {
 	t.Helper()
 	a := accountant.New(time.Second, "")
@@ -33,7 +33,7 @@
 	return report
 }
 
-// summary gives the rows of a table as name, family, reason and so on, with the count and the kinds.
+// summary returns the rows of a table as text: the key's fields, the count and the kinds.
 func summary(t *testing.T, r accountant.Report, table string) []string {
 	t.Helper()
 	for _, one := range r.Tables {
@@ -86,7 +86,7 @@
 	})
 	row := r.Tables[0].Rows[0]
 	qt.Assert(t, row.Share, qt.Equals, 2.0/6)
-	qt.Assert(t, row.Asked, qt.Equals, int64(200))
+	qt.Assert(t, row.TokensAsked, qt.Equals, int64(200))
 	qt.Assert(t, row.MeanMS, qt.Equals, int64(150))
 	qt.Assert(t, row.MoneyMS, qt.Equals, int64(150))
 	qt.Assert(t, row.Example, qt.Equals, "a2")
@@ -103,7 +103,7 @@
 		line("edge-1", 6, "event=grant_closed incarnation=edge-1~1 workspace=w2 granted=500 presumed=90 taken=20 written=50 silent_ms=5900"),
 		line("edge-1", 7, "event=not_repaid lender=edge-2~1 workspace=w1 amount=7"),
 	}, []string{
-		// The line about the restart was lost.
+		// The line about the restart is missing.
 		line("edge-2", 0, fmt.Sprintf(status, 90)), line("edge-2", 1, fmt.Sprintf(status, 10)),
 	})
 	qt.Assert(t, summary(t, r, "money_refused_by_workspace"), qt.DeepEquals, []string{
@@ -134,7 +134,7 @@
 		line("edge-1", 0, failed+"a1"), line("edge-1", 10, timeout+"a1"), line("edge-1", 20, failed+"a2"),
 		line("edge-1", 30, failed+"a3"), line("edge-1", 30, timeout+"a4"),
 	}, []string{
-		// The later end counts, whichever is read first.
+		// The later end counts, in whichever order they are read.
 		line("edge-2", 5, served+"a1"), line("edge-2", 40, served+"a3"),
 	})
 	qt.Assert(t, summary(t, r, "failed_attempts_by_server"), qt.DeepEquals, []string{"s1 10.0.0.1:80 3 silent=3 unknown=3"})
@@ -152,7 +152,7 @@
 		[]string{line("edge-1", 0, "event=started"), version("edge-1", 10, 3), version("edge-1", 1000, 4), version("edge-1", 3000, 6), version("edge-1", 3500, 4)},
 		[]string{line("edge-2", 0, "event=started"), version("edge-2", 20, 3), version("edge-2", 1900, 5)},
 		[]string{line("edge-3", 5000, "event=started"), version("edge-3", 5100, 5)},
-		// A new process is in no lag, whatever the one before it had.
+		// A new process does not lag, whatever version the previous one had.
 		[]string{version("edge-4", 30, 3), line("edge-4", 6000, "event=started"), version("edge-4", 6100, 4)},
 	)
 	qt.Assert(t, summary(t, r, "configuration_versions_by_routers"), qt.DeepEquals, []string{
@@ -161,8 +161,8 @@
 	})
 	for _, table := range r.Tables {
 		if table.Name == "configuration_versions_by_routers" {
-			qt.Assert(t, table.Rows[0].MostMS, qt.Equals, int64(0))
-			qt.Assert(t, table.Rows[1].MostMS, qt.Equals, int64(900))
+			qt.Assert(t, table.Rows[0].MaxMS, qt.Equals, int64(0))
+			qt.Assert(t, table.Rows[1].MaxMS, qt.Equals, int64(900))
 		}
 	}
 }
@@ -185,8 +185,8 @@
 	qt.Assert(t, summary(t, r, "other_events"), qt.DeepEquals, []string{"new_event 1"})
 	for _, table := range r.Tables {
 		if table.Name == "changes" {
-			qt.Assert(t, table.Rows[1].MostMS, qt.Equals, int64(400))
-			qt.Assert(t, table.Rows[3].MostMS, qt.Equals, int64(300))
+			qt.Assert(t, table.Rows[1].MaxMS, qt.Equals, int64(400))
+			qt.Assert(t, table.Rows[3].MaxMS, qt.Equals, int64(300))
 		}
 	}
 }
@@ -228,7 +228,7 @@
 	qt.Assert(t, missing.Lines, qt.Equals, int64(1))
 }
 
-func TestStoryOfOneRequest(t *testing.T) {
+func TestTraceOfOneRequest(t *testing.T) {
 	a := accountant.New(time.Second, "a1")
 	first := line("edge-1", 0, "event=configuration_in_force version=7") + line("edge-1", 1, "event=configuration_in_force version=8") +
 		line("edge-1", 20, failed+"a1") + line("edge-1", 25, failed+"other") + line("edge-1", 40, timeout+"a1")
@@ -237,11 +237,11 @@
 	qt.Assert(t, a.Read("2", strings.NewReader(second)), qt.IsNil)
 	s, err := a.Story()
 	qt.Assert(t, err, qt.IsNil)
-	var told []string
+	var got []string
 	for _, e := range s.Entries {
-		told = append(told, fmt.Sprint(e.Router, " ", e.Event, " ", e.Text("version"), e.Text("outcome"), " ", e.Before))
+		got = append(got, fmt.Sprint(e.Router, " ", e.Event, " ", e.Text("version"), e.Text("outcome"), " ", e.IsEarlierState))
 	}
-	qt.Assert(t, told, qt.DeepEquals, []string{
+	qt.Assert(t, got, qt.DeepEquals, []string{
 		"edge-1 configuration_in_force 8 true", "edge-1 attempt_failed  false", "edge-2 request budget_unreachable false",
 		"edge-1 request timeout false",
 	})
@@ -260,8 +260,8 @@
 func TestReportAsTextAndJSON(t *testing.T) {
 	r := account(t, []string{line("edge-1", 0, exhausted+"a1"), line("edge-1", 10, timeout+"a2"), line("edge-1", 10, "event=store_direct")})
 	cases := map[string]struct {
-		most int
-		says []string
+		maxRows  int
+		contains []string
 	}{
 		"all":     {0, []string{"not_served_by_cause: 2 of 2 rows", "no total of them is known", "03:00:00.010"}},
 		"limited": {1, []string{"not_served_by_cause: 1 of 2 rows", "changes: 1 of 1 rows"}},
@@ -269,11 +269,11 @@
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
 			var out bytes.Buffer
-			qt.Assert(t, r.Print(&out, tc.most), qt.IsNil)
-			for _, text := range tc.says {
+			qt.Assert(t, r.Print(&out, tc.maxRows), qt.IsNil)
+			for _, text := range tc.contains {
 				qt.Assert(t, out.String(), qt.Contains, text)
 			}
-			// No request was charged, so that column is left out.
+			// No request was charged, so the column tokens_used is omitted.
 			qt.Assert(t, out.String(), qt.Not(qt.Contains), "tokens_used")
 		})
 	}
--- a/accountant/reader.go
+++ b/accountant/reader.go
@@ -9,11 +9,12 @@
 )
 
 const (
-	// lineLimit bounds the bytes of a line.
-	lineLimit = 1 << 20
-	// lateBy is how far a router's line may go back in time before it counts as out of order.
-	lateBy = time.Second
-	// eventDropped is written without a time when a router's log could not keep up.
+	// maxLineBytes limits the length of a line.
+	maxLineBytes = 1 << 20
+	// maxDisorder is how much earlier than the router's newest line a line may be before it counts as out of order.
+	maxDisorder = time.Second
+	// eventDropped is the event that a router logs, without a time, when it has dropped log lines because its log could not
+	// keep up.
 	eventDropped = "log_lines_dropped"
 )
 
@@ -28,7 +29,7 @@
 
 func (e *ReadError) Unwrap() error { return e.Cause }
 
-// Input tells what was read: lines that are no events are skipped, and routers say which lines they had to drop.
+// Input describes what was read. Skipped counts lines that are not events, and Dropped lines that routers reported as dropped.
 type Input struct {
 	Sources    int       `json:"sources"`
 	Lines      int64     `json:"lines"`
@@ -40,30 +41,31 @@
 	Last       time.Time `json:"last"`
 }
 
-// String tells what was read in one line.
+// String returns a description in one line.
 func (i Input) String() string {
 	return fmt.Sprintf("%d sources, %d lines from %s to %s: %d events, %d other lines skipped, %d dropped by routers, %d out of order",
 		i.Sources, i.Lines, i.First.Format(time.RFC3339), i.Last.Format(time.RFC3339), i.Events, i.Skipped, i.Dropped, i.OutOfOrder)
 }
 
-// reader reads sources line by line; a line without a router is the one's before it, or the source's.
+// reader reads sources line by line. A line without a router is assigned to the router of the line before it, or to the
+// name of the source if it is the first.
 type reader struct {
 	input  Input
 	router string
-	// last is the time of each router's newest line.
-	last map[string]time.Time
+	// newest holds the time of each router's newest line.
+	newest map[string]time.Time
 }
 
-// read hands every event of a source over.
+// read calls take for each event of a source.
 func (r *reader) read(name string, from io.Reader, take func(Line)) error {
 	r.input.Sources++
 	r.router = name
 	lines := bufio.NewScanner(from)
-	lines.Buffer(nil, lineLimit)
+	lines.Buffer(nil, maxLineBytes)
 	before := r.input.Lines
 	for lines.Scan() {
 		r.input.Lines++
-		r.note(lines.Text(), take)
+		r.handleLine(lines.Text(), take)
 	}
 	if err := lines.Err(); err != nil {
 		return &ReadError{Source: name, Line: r.input.Lines - before + 1, Cause: err}
@@ -71,8 +73,8 @@
 	return nil
 }
 
-// note hands a line over if it is an event.
-func (r *reader) note(text string, take func(Line)) {
+// handleLine calls take if the line is an event, other than one about dropped lines.
+func (r *reader) handleLine(text string, take func(Line)) {
 	l, ok := ParseLine(text)
 	if !ok || l.Time.IsZero() && l.Event != eventDropped {
 		r.input.Skipped++
@@ -87,16 +89,16 @@
 		r.input.Dropped += l.Number("lines")
 		return
 	}
-	r.input.First, r.input.Last = widen(r.input.First, r.input.Last, l.Time)
-	if l.Time.Before(r.last[l.Router].Add(-lateBy)) {
+	r.input.First, r.input.Last = extendSpan(r.input.First, r.input.Last, l.Time)
+	if l.Time.Before(r.newest[l.Router].Add(-maxDisorder)) {
 		r.input.OutOfOrder++
 	}
-	_, r.last[l.Router] = widen(l.Time, r.last[l.Router], l.Time)
+	_, r.newest[l.Router] = extendSpan(l.Time, r.newest[l.Router], l.Time)
 	take(l)
 }
 
-// widen takes a time into a span.
-func widen(first, last, at time.Time) (time.Time, time.Time) {
+// extendSpan returns the span from first to last extended to contain at.
+func extendSpan(first, last, at time.Time) (time.Time, time.Time) {
 	if first.IsZero() || at.Before(first) {
 		first = at
 	}
--- a/keeper/world_test.go
+++ b/keeper/world_test.go
@@ -22,7 +22,7 @@
 
 func TestMain(m *testing.M) {
 	flag.Parse()
-	// The same steps at every run; a longer search sets the flag.
+	// A fixed seed gives the same steps in each run; the flag -rapid.seed chooses others.
 	if f := flag.Lookup("rapid.seed"); f.Value.String() == "0" {
 		_ = flag.Set("rapid.seed", "20261202")
 		_ = flag.Set("rapid.nofailfile", "true")
@@ -32,15 +32,15 @@
 
 const worldBudget = "b"
 
-// world is a fleet's money without sockets: the decision code, the table and nothing else.
+// world simulates the money of a fleet without I/O: routers' keepers, sidecars' sealers and recoveries on an emulated table.
 type world struct {
 	now      time.Time
 	table    *emulator.Table
-	book     *bookkeeper.Book
+	ledger   *bookkeeper.Book
 	routers  []*worldRouter
 	sidecars []*worldSidecar
 	runs     []*worldRun
-	serial   int
+	lastID   int
 	prepaid  masticway.Amount
 }
 
@@ -51,7 +51,7 @@
 	version int64
 	moves   []pendingMove
 	dead    bool
-	// recoveries are two at once, by two others.
+	// recoveries are two concurrent recoveries by two other routers.
 	recoveries []*recoverer.Recovery
 }
 
@@ -77,12 +77,12 @@
 	counted  bool
 	prompt   int
 	tokens   int
-	final    *sealer.Final
+	result   *sealer.Final
 	settled  bool
 }
 
-// ran is what the upstream really did, known to nobody else.
-func (r *worldRun) ran() masticway.Amount {
+// trueCost returns the cost of what the upstream ran, which no other part of the simulation can see.
+func (r *worldRun) trueCost() masticway.Amount {
 	if !r.counted {
 		return 0
 	}
@@ -91,7 +91,7 @@
 
 func newWorld(prepaid masticway.Amount, routers, sidecars int, policy keeper.Policy) *world {
 	w := &world{now: time.Unix(1_800_000_000, 0), table: emulator.NewTable(), prepaid: prepaid}
-	w.book = bookkeeper.New(w.table)
+	w.ledger = bookkeeper.New(w.table)
 	for i := range sidecars {
 		self := masticway.NewIncarnation(fmt.Sprintf("s%d", i), "1")
 		w.sidecars = append(w.sidecars, &worldSidecar{self: self, core: sealer.New(sealer.Settings{
@@ -101,7 +101,7 @@
 	for range routers {
 		w.addRouter(policy)
 	}
-	if _, err := w.book.TopUp(context.Background(), worldBudget, "first", prepaid); err != nil {
+	if _, err := w.ledger.TopUp(context.Background(), worldBudget, "first", prepaid); err != nil {
 		panic(err)
 	}
 	return w
@@ -111,7 +111,7 @@
 	self := masticway.NewIncarnation(fmt.Sprintf("r%d", len(w.routers)), "1")
 	r := &worldRouter{self: self, links: bookkeeper.Links{Incarnation: self, State: bookkeeper.LinksOpen}}
 	r.keeper = keeper.New(keeper.Settings{Incarnation: self, Policy: policy, Slices: 4, IdleAfter: 2 * time.Second}, w.now)
-	version, err := w.book.OpenLinks(context.Background(), self)
+	version, err := w.ledger.OpenLinks(context.Background(), self)
 	if err != nil {
 		return
 	}
@@ -121,7 +121,7 @@
 			r.links.Sidecars = append(r.links.Sidecars, s.self)
 		}
 	}
-	if r.version, err = w.book.PutLinks(context.Background(), r.links, r.version); err != nil {
+	if r.version, err = w.ledger.PutLinks(context.Background(), r.links, r.version); err != nil {
 		return
 	}
 	w.routers = append(w.routers, r)
@@ -140,22 +140,22 @@
 	}
 }
 
-// hold asks a router's keeper for money.
+// hold sends a hold request to a router's keeper.
 func (w *world) hold(t *rapid.T) {
 	r := w.routers[rapid.IntRange(0, len(w.routers)-1).Draw(t, "router")]
 	if r.dead {
 		return
 	}
-	w.serial++
+	w.lastID++
 	most := masticway.Amount(rapid.IntRange(10, 300).Draw(t, "most"))
 	least := masticway.Amount(rapid.IntRange(5, int(most)).Draw(t, "least"))
 	w.apply(r, r.keeper.Hold(w.now, keeper.HoldRequest{
-		ID: masticway.HoldID(fmt.Sprint(w.serial)), Budget: worldBudget, Identity: masticway.Identity(fmt.Sprint("w/", w.serial)),
+		ID: masticway.HoldID(fmt.Sprint(w.lastID)), Budget: worldBudget, Identity: masticway.Identity(fmt.Sprint("w/", w.lastID)),
 		Sender: r.self, Most: most, Least: least, Horizon: 2 * time.Second, Wait: 300 * time.Millisecond,
 	}))
 }
 
-// move carries out one pending move against a table that may be down or lose the answer.
+// move carries out a router's oldest pending move on a table that may be unavailable or lose its answer.
 func (w *world) move(t *rapid.T) {
 	r := w.routers[rapid.IntRange(0, len(w.routers)-1).Draw(t, "router")]
 	if r.dead || len(r.moves) == 0 {
@@ -170,11 +170,11 @@
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	if rapid.Bool().Draw(t, "read_back_fails") {
-		// The answer is lost and the process stops looking for now.
+		// The move's outcome cannot be read back this time.
 		cancel()
 	}
 	defer cancel()
-	result, err := w.book.Move(ctx, p.move, r.version)
+	result, err := w.ledger.Move(ctx, p.move, r.version)
 	w.table.SetFaults(emulator.TableFaults{})
 	if err == nil {
 		r.moves = r.moves[1:]
@@ -194,7 +194,7 @@
 	p.unknown = true
 }
 
-// send dispatches a held run to a sidecar; a dead router's messages may still arrive.
+// send dispatches a run with a hold to a sidecar; messages of a router that has crashed may still arrive.
 func (w *world) send(t *rapid.T) {
 	run := w.pickRun(t, func(r *worldRun) bool { return !r.sent })
 	if run == nil {
@@ -207,7 +207,7 @@
 	run.sent = true
 	run.sidecar = s
 	run.key = masticway.RunKey{Identity: masticway.Identity("w/" + string(run.hold.ID)), Attempt: 1}
-	w.take(run, s.core.Dispatch(w.now, sealer.Dispatch{
+	w.applySealer(run, s.core.Dispatch(w.now, sealer.Dispatch{
 		Run: run.key, Sender: run.payer.self, Hold: run.hold.ID, Grant: run.hold.Grant, Bound: run.hold.Amount,
 		PromptWeight: 1, CompletionWeight: 3, Call: masticway.Call{Model: "m", MaxOutput: 1000},
 	}, run.payer.self))
@@ -226,11 +226,11 @@
 	return list[rapid.IntRange(0, len(list)-1).Draw(t, "run")]
 }
 
-func (w *world) take(run *worldRun, effects []sealer.Effect) {
+func (w *world) applySealer(run *worldRun, effects []sealer.Effect) {
 	for _, e := range effects {
 		switch e := e.(type) {
 		case sealer.Verify:
-			w.take(run, run.sidecar.core.Verified(w.now, e.Incarnation, w.standing(run.sidecar, e.Incarnation)))
+			w.applySealer(run, run.sidecar.core.Verified(w.now, e.Incarnation, w.incarnationStatus(run.sidecar, e.Incarnation)))
 		case sealer.Start:
 			run.accepted = true
 		case sealer.Send:
@@ -238,14 +238,14 @@
 			case sealer.Refused:
 				run.refused = true
 			case sealer.Final:
-				run.final = &m
+				run.result = &m
 			}
 		}
 	}
 }
 
-func (w *world) standing(s *worldSidecar, inc masticway.Incarnation) sealer.Standing {
-	links, version, err := w.book.Links(context.Background(), inc)
+func (w *world) incarnationStatus(s *worldSidecar, inc masticway.Incarnation) sealer.Standing {
+	links, version, err := w.ledger.Links(context.Background(), inc)
 	switch {
 	case err != nil:
 		return sealer.StandingUnknown
@@ -257,9 +257,9 @@
 	return sealer.StandingOpen
 }
 
-// work lets an upstream run on by a step.
+// work advances a run at an upstream by one step.
 func (w *world) work(t *rapid.T) {
-	run := w.pickRun(t, func(r *worldRun) bool { return r.accepted && r.final == nil && !r.sidecar.gone })
+	run := w.pickRun(t, func(r *worldRun) bool { return r.accepted && r.result == nil && !r.sidecar.gone })
 	if run == nil {
 		return
 	}
@@ -267,13 +267,13 @@
 	if !run.counted {
 		run.counted = true
 		run.prompt = rapid.IntRange(1, max(1, int(run.hold.Amount)/2)).Draw(t, "prompt")
-		w.take(run, core.Counted(run.key, run.prompt, 0))
+		w.applySealer(run, core.Counted(run.key, run.prompt, 0))
 		return
 	}
 	for range rapid.IntRange(1, 20).Draw(t, "tokens") {
 		effects := core.Chunk(run.key, masticway.Chunk{Text: "x", Tokens: 1})
 		if slices.ContainsFunc(effects, func(e sealer.Effect) bool { _, stop := e.(sealer.Stop); return stop }) {
-			w.take(run, core.Finished(w.now, run.key, masticway.Outcome{}, nil))
+			w.applySealer(run, core.Finished(w.now, run.key, masticway.Outcome{}, nil))
 			return
 		}
 		run.tokens++
@@ -283,23 +283,23 @@
 		if rapid.IntRange(0, 3).Draw(t, "fails") == 0 {
 			failure = &masticway.UpstreamError{Reason: "lost", Started: true}
 		}
-		w.take(run, core.Finished(w.now, run.key, masticway.Outcome{}, failure))
+		w.applySealer(run, core.Finished(w.now, run.key, masticway.Outcome{}, failure))
 	}
 }
 
-// settle brings a final word to its payer, sometimes twice.
+// settle reports a run's result to its payer, sometimes more than once.
 func (w *world) settle(t *rapid.T) {
 	run := w.pickRun(t, func(r *worldRun) bool {
-		known := r.final != nil || r.refused || (r.sent && r.sidecar.gone)
-		return known && !r.payer.dead && (!r.settled || r.final != nil)
+		decided := r.result != nil || r.refused || (r.sent && r.sidecar.gone)
+		return decided && !r.payer.dead && (!r.settled || r.result != nil)
 	})
 	if run == nil {
 		return
 	}
 	var charges []keeper.Charge
 	switch {
-	case run.final != nil:
-		charges = []keeper.Charge{{Sidecar: run.sidecar.self, Amount: run.final.Cost}}
+	case run.result != nil:
+		charges = []keeper.Charge{{Sidecar: run.sidecar.self, Amount: run.result.Cost}}
 	case run.sent && !run.refused:
 		charges = []keeper.Charge{{Sidecar: run.sidecar.self, Amount: run.hold.Amount, Presumed: true}}
 	}
@@ -317,21 +317,21 @@
 	}
 }
 
-func (w *world) giveBack(t *rapid.T) {
+func (w *world) returnFree(t *rapid.T) {
 	r := w.routers[rapid.IntRange(0, len(w.routers)-1).Draw(t, "router")]
 	if !r.dead {
 		w.apply(r, r.keeper.GiveBack(w.now, worldBudget, rapid.Bool().Draw(t, "elsewhere")))
 	}
 }
 
-func (w *world) yield(t *rapid.T) {
+func (w *world) handOver(t *rapid.T) {
 	r := w.routers[rapid.IntRange(0, len(w.routers)-1).Draw(t, "router")]
 	if !r.dead {
 		w.apply(r, r.keeper.Yield(w.now, worldBudget))
 	}
 }
 
-// kill starts two recoveries of one router; it may not know and go on sending.
+// kill starts two recoveries of one router, which may still be running and go on sending.
 func (w *world) kill(t *rapid.T) {
 	r := w.routers[rapid.IntRange(0, len(w.routers)-1).Draw(t, "router")]
 	if len(r.recoveries) > 0 {
@@ -344,7 +344,7 @@
 	}
 }
 
-// addSidecar starts one that no router has in its durable set, so that it must refuse everybody.
+// addSidecar starts a sidecar that only routers added later have in their links rows; it must refuse all others.
 func (w *world) addSidecar(*rapid.T) {
 	if len(w.sidecars) >= 6 {
 		return
@@ -368,12 +368,12 @@
 	}
 	if rapid.Bool().Draw(t, "graceful") && s.core.Running() == 0 {
 		s.core.Leave()
-		_ = w.book.PutReport(context.Background(), bookkeeper.Report{Sidecar: s.self, Totals: s.core.Totals("")})
+		_ = w.ledger.PutReport(context.Background(), bookkeeper.Report{Sidecar: s.self, Totals: s.core.Totals("")})
 	}
 	s.gone = true
 }
 
-// recover takes one step of one recovery.
+// recover advances one recovery by one step.
 func (w *world) recover(t *rapid.T) {
 	var open []*recoverer.Recovery
 	for _, r := range w.routers {
@@ -391,49 +391,49 @@
 	for _, e := range rec.Tick(w.now) {
 		switch e := e.(type) {
 		case recoverer.Mark:
-			w.mark(rec)
+			w.sealInTable(rec)
 		case recoverer.Ask:
-			w.ask(rec, e.Sidecar)
+			w.sealAtSidecar(rec, e.Sidecar)
 		case recoverer.Return:
-			w.returnMoney(t, rec, e.Closings)
+			w.closeGrants(t, rec, e.Closings)
 		}
 	}
 }
 
-func (w *world) mark(rec *recoverer.Recovery) {
-	links, err := w.book.Seal(context.Background(), rec.Victim())
+func (w *world) sealInTable(rec *recoverer.Recovery) {
+	links, err := w.ledger.Seal(context.Background(), rec.Incarnation())
 	if err != nil {
 		rec.Marked(links, nil, false)
 		return
 	}
-	grants, err := w.book.GrantsOf(context.Background(), rec.Victim())
+	grants, err := w.ledger.GrantsOf(context.Background(), rec.Incarnation())
 	rec.Marked(links, grants, err == nil)
 }
 
-func (w *world) ask(rec *recoverer.Recovery, sidecar masticway.Incarnation) {
+func (w *world) sealAtSidecar(rec *recoverer.Recovery, sidecar masticway.Incarnation) {
 	for _, s := range w.sidecars {
 		if s.self != sidecar {
 			continue
 		}
 		if !s.gone {
-			report, _ := s.core.Seal(w.now, rec.Victim())
+			report, _ := s.core.Seal(w.now, rec.Incarnation())
 			rec.Witnessed(report)
 			return
 		}
-		left, found, err := w.book.Report(context.Background(), sidecar)
+		left, found, err := w.ledger.Report(context.Background(), sidecar)
 		if err == nil {
 			rec.Vanished(sidecar, left, found)
 		}
 	}
 }
 
-func (w *world) returnMoney(t *rapid.T, rec *recoverer.Recovery, closings []bookkeeper.Closing) {
+func (w *world) closeGrants(t *rapid.T, rec *recoverer.Recovery, closings []bookkeeper.Closing) {
 	if rapid.IntRange(0, 4).Draw(t, "answer_lost") == 0 {
 		w.table.SetFaults(emulator.TableFaults{LoseAnswers: 1})
 	}
 	defer w.table.SetFaults(emulator.TableFaults{})
 	for _, c := range closings {
-		if _, err := w.book.Recover(context.Background(), c); err != nil {
+		if _, err := w.ledger.Recover(context.Background(), c); err != nil {
 			rec.Returned(false)
 			return
 		}
@@ -442,25 +442,25 @@
 }
 
 func (w *world) topUp(t *rapid.T) {
-	w.serial++
+	w.lastID++
 	amount := masticway.Amount(rapid.IntRange(1, 500).Draw(t, "amount"))
-	id := fmt.Sprint("t", w.serial)
+	id := fmt.Sprint("t", w.lastID)
 	for range rapid.IntRange(1, 2).Draw(t, "times") {
-		if _, err := w.book.TopUp(context.Background(), worldBudget, id, amount); err != nil {
+		if _, err := w.ledger.TopUp(context.Background(), worldBudget, id, amount); err != nil {
 			t.Fatalf("top-up: %v", err)
 		}
 	}
 	w.prepaid += amount
 }
 
-// check holds the promises of money against what upstreams really ran.
+// check verifies the invariants of money against the true cost of what upstreams ran.
 func (w *world) check(t *rapid.T) {
 	for _, r := range w.routers {
 		if err := r.keeper.Fault(); err != nil {
 			t.Fatal(err)
 		}
 	}
-	row, err := w.book.Budget(context.Background(), worldBudget)
+	row, err := w.ledger.Budget(context.Background(), worldBudget)
 	if err != nil {
 		t.Fatalf("reading the budget: %v", err)
 	}
@@ -472,7 +472,7 @@
 	}
 	var ran masticway.Amount
 	for _, r := range w.runs {
-		ran += r.ran()
+		ran += r.trueCost()
 	}
 	if ran > w.prepaid {
 		t.Fatalf("upstreams ran %d of %d prepaid", ran, w.prepaid)
@@ -488,7 +488,7 @@
 		w := newWorld(prepaid, 3, 3, rapid.SampledFrom([]keeper.Policy{keeper.PolicyForecast, keeper.PolicySlice}).Draw(t, "policy"))
 		t.Repeat(map[string]func(*rapid.T){
 			"": w.check, "hold": w.hold, "hold_again": w.hold, "move": w.move, "move_again": w.move, "send": w.send, "send_again": w.send,
-			"work": w.work, "work_again": w.work, "settle": w.settle, "tick": w.tick, "give_back": w.giveBack, "yield": w.yield,
+			"work": w.work, "work_again": w.work, "settle": w.settle, "tick": w.tick, "give_back": w.returnFree, "yield": w.handOver,
 			"kill": w.kill, "add_sidecar": w.addSidecar, "kill_sidecar": w.killSidecar, "recover": w.recover, "recover_again": w.recover, "top_up": w.topUp,
 		})
 	})
