--- a/accountant/account.go
+++ b/accountant/account.go
@@ -19,8 +19,8 @@
 	"grant_closed":         {"incarnation", "workspace", "granted", "presumed", "taken", "written", "silent_ms"}, "chart_fault": nil, "refusal_unwritten": nil,
 }
 
-// Account summarizes the log lines of a fleet.
-type Account struct {
+// Analyzer summarizes the log lines of a fleet.
+type Analyzer struct {
 	bucket time.Duration
 	reader reader
 
@@ -36,8 +36,8 @@
 
 // New returns an analyzer with time buckets of the given length. If request is not empty, it only collects the lines that
 // concern the request with that id.
-func New(bucket time.Duration, request string) *Account {
-	return &Account{
+func New(bucket time.Duration, request string) *Analyzer {
+	return &Analyzer{
 		bucket: bucket, reader: reader{newest: map[string]time.Time{}},
 		causes: rows{}, routes: rows{}, workspaces: rows{}, routers: rows{}, times: rows{},
 		served: rows{}, servers: rows{}, changed: rows{}, others: rows{},
@@ -48,10 +48,10 @@
 }
 
 // Read adds all lines of a source. name is used as the router of lines before the first that names one.
-func (a *Account) Read(name string, r io.Reader) error { return a.reader.read(name, r, a.addLine) }
+func (a *Analyzer) Read(name string, r io.Reader) error { return a.reader.read(name, r, a.addLine) }
 
 // addLine adds one event.
-func (a *Account) addLine(l Line) {
+func (a *Analyzer) addLine(l Line) {
 	outageMS := a.outages.add(l)
 	switch {
 	case a.trace.request != "":
@@ -70,7 +70,7 @@
 }
 
 // addRequestEnd adds the end of a request.
-func (a *Account) addRequestEnd(l Line) {
+func (a *Analyzer) addRequestEnd(l Line) {
 	key, ms := causeOf(l, a.outages.state(l.Router)), l.Number("ms")
 	a.joined.add(l, key.Family)
 	route := Key{Name: cmp.Or(l.Text("route"), "-")}
@@ -89,7 +89,7 @@
 }
 
 // addEvent adds any other event. If the event ends an outage, outageMS is how long that lasted.
-func (a *Account) addEvent(l Line, outageMS int64) {
+func (a *Analyzer) addEvent(l Line, outageMS int64) {
 	a.versions.add(l)
 	a.money.add(l)
 	fields, ok := listedEvents[l.Event]
@@ -105,10 +105,10 @@
 }
 
 // bucketStart returns the start of a line's time bucket.
-func (a *Account) bucketStart(l Line) time.Time { return l.Time.UTC().Truncate(a.bucket) }
+func (a *Analyzer) bucketStart(l Line) time.Time { return l.Time.UTC().Truncate(a.bucket) }
 
 // Report returns the summary. No lines may be added afterwards, because it ends the outages that are still open.
-func (a *Account) Report() (Report, error) {
+func (a *Analyzer) Report() (Report, error) {
 	if a.reader.input.Events == 0 {
 		return Report{}, &NotFoundError{What: "an event of key=value pairs", Lines: a.reader.input.Lines}
 	}
--- a/accountant/account_test.go
+++ b/accountant/account_test.go
@@ -235,7 +235,7 @@
 	second := line("edge-2", 30, unreachable+"a1") + line("edge-3", 31, "event=store_direct")
 	qt.Assert(t, a.Read("1", strings.NewReader(first)), qt.IsNil)
 	qt.Assert(t, a.Read("2", strings.NewReader(second)), qt.IsNil)
-	s, err := a.Story()
+	s, err := a.Trace()
 	qt.Assert(t, err, qt.IsNil)
 	var got []string
 	for _, e := range s.Entries {
@@ -252,7 +252,7 @@
 
 	other := accountant.New(time.Second, "b1")
 	qt.Assert(t, other.Read("1", strings.NewReader(first)), qt.IsNil)
-	_, err = other.Story()
+	_, err = other.Trace()
 	_, missing := errors.AsType[*accountant.NotFoundError](err)
 	qt.Assert(t, missing, qt.IsTrue)
 }
--- a/accountant/story.go
+++ b/accountant/story.go
@@ -59,8 +59,8 @@
 	}
 }
 
-// Story returns the trace of the request whose id was given to New.
-func (a *Account) Story() (Trace, error) {
+// Trace returns the trace of the request whose id was given to New.
+func (a *Analyzer) Trace() (Trace, error) {
 	t := a.trace
 	if len(t.entries) == 0 {
 		return Trace{}, &NotFoundError{What: "about request " + t.request, Lines: a.reader.input.Lines}
--- a/batcher/batcher.go
+++ b/batcher/batcher.go
@@ -67,8 +67,8 @@
 	return nil
 }
 
-// Waiting returns the number of records that have not been written yet.
-func (b *Batcher[T]) Waiting() int {
+// Pending returns the number of records that have not been written yet.
+func (b *Batcher[T]) Pending() int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return len(b.pending) + len(b.inFlight)
@@ -81,8 +81,8 @@
 	return b.dropped
 }
 
-// Read reads the batch with a name from the object store.
-func Read[T any](ctx context.Context, store masticway.ObjectStore, name string) ([]T, error) {
+// ReadBatch reads the batch with a name from the object store.
+func ReadBatch[T any](ctx context.Context, store masticway.ObjectStore, name string) ([]T, error) {
 	data, err := store.Get(ctx, name)
 	if err != nil {
 		return nil, fmt.Errorf("reading %s: %w", name, err)
--- a/batcher/batcher_test.go
+++ b/batcher/batcher_test.go
@@ -13,12 +13,12 @@
 
 // answerLosingStore writes objects, but its first answersToLose answers are an unknown outcome.
 type answerLosingStore struct {
-	*emulator.Objects
+	*emulator.ObjectStore
 	answersToLose int
 }
 
 func (f *answerLosingStore) Put(ctx context.Context, name string, data []byte) error {
-	err := f.Objects.Put(ctx, name, data)
+	err := f.ObjectStore.Put(ctx, name, data)
 	if f.answersToLose > 0 {
 		f.answersToLose--
 		return &masticway.OutcomeUnknownError{Service: "object store", ID: name, Reason: "answer lost"}
@@ -27,7 +27,7 @@
 }
 
 func TestLostAnswerNeitherLosesNorDoublesRecords(t *testing.T) {
-	store := &answerLosingStore{Objects: emulator.NewObjects(), answersToLose: 2}
+	store := &answerLosingStore{ObjectStore: emulator.NewObjectStore(), answersToLose: 2}
 	b := batcher.New[int]("p/", "r~1", 10)
 	ctx := context.Background()
 	for i := range 4 {
@@ -39,7 +39,7 @@
 	qt.Assert(t, err, qt.IsNil)
 	var all []int
 	for _, n := range names {
-		batch, err := batcher.Read[int](ctx, store, n)
+		batch, err := batcher.ReadBatch[int](ctx, store, n)
 		qt.Assert(t, err, qt.IsNil)
 		all = append(all, batch...)
 	}
@@ -51,6 +51,6 @@
 	for i := range 5 {
 		b.Add(i)
 	}
-	qt.Assert(t, b.Waiting(), qt.Equals, 3)
+	qt.Assert(t, b.Pending(), qt.Equals, 3)
 	qt.Assert(t, b.Dropped(), qt.Equals, int64(2))
 }
--- a/biller/biller.go
+++ b/biller/biller.go
@@ -79,8 +79,8 @@
 	return &Auditor{first: map[masticway.Identity]Bill{}, seenHolds: map[masticway.HoldID]time.Time{}, readAt: map[string]time.Time{}}
 }
 
-// Take returns the refunds that are due for bills, and those to be retried. It considers each hold only once.
-func (a *Auditor) Take(now time.Time, bills []Bill) []Refund {
+// FindRefunds returns the refunds that are due for bills, and those to be retried. It considers each hold only once.
+func (a *Auditor) FindRefunds(now time.Time, bills []Bill) []Refund {
 	refunds := a.retries
 	a.retries = nil
 	for _, b := range bills {
@@ -105,8 +105,8 @@
 	return refunds
 }
 
-// Retry queues a refund that could not be written to the table, to be returned again with the next refunds.
-func (a *Auditor) Retry(f Refund) { a.retries = append(a.retries, f) }
+// RetryRefund queues a refund that could not be written to the table, to be returned again with the next refunds.
+func (a *Auditor) RetryRefund(f Refund) { a.retries = append(a.retries, f) }
 
 func refundOf(b Bill) Refund {
 	return Refund{Budget: b.Budget, Identity: b.Identity, Hold: b.Hold, Amount: b.Cost}
@@ -131,8 +131,8 @@
 	}
 }
 
-// ReadNew returns the bills of the batches of the current and the previous hour that this auditor has not read yet.
-func (a *Auditor) ReadNew(ctx context.Context, store masticway.ObjectStore, now time.Time) ([]Bill, error) {
+// ReadNewBills returns the bills of the batches of the current and the previous hour that this auditor has not read yet.
+func (a *Auditor) ReadNewBills(ctx context.Context, store masticway.ObjectStore, now time.Time) ([]Bill, error) {
 	var names []string
 	for _, hour := range []time.Time{now.Add(-time.Hour), now} {
 		list, err := store.List(ctx, journalPrefix+Bucket(hour))
@@ -146,7 +146,7 @@
 		if _, seen := a.readAt[n]; seen {
 			continue
 		}
-		batch, err := batcher.Read[Bill](ctx, store, n)
+		batch, err := batcher.ReadBatch[Bill](ctx, store, n)
 		if err != nil {
 			return bills, err
 		}
--- a/biller/biller_test.go
+++ b/biller/biller_test.go
@@ -35,7 +35,7 @@
 			a := biller.NewAuditor()
 			var holds []masticway.HoldID
 			for _, b := range tc.bills {
-				for _, r := range a.Take(start, []biller.Bill{b}) {
+				for _, r := range a.FindRefunds(start, []biller.Bill{b}) {
 					holds = append(holds, r.Hold)
 				}
 			}
@@ -45,7 +45,7 @@
 }
 
 func TestJournalSurvivesAnOutage(t *testing.T) {
-	store := emulator.NewObjects()
+	store := emulator.NewObjectStore()
 	j := biller.NewJournal("r~1")
 	ctx := context.Background()
 	j.Add(bill("w/a", "1", biller.KindFinal, 5))
@@ -55,20 +55,20 @@
 	store.SetDown(false)
 	qt.Assert(t, j.Flush(ctx, store, biller.Bucket(start)), qt.IsNil)
 	qt.Assert(t, j.Flush(ctx, store, biller.Bucket(start)), qt.IsNil)
-	qt.Assert(t, j.Waiting(), qt.Equals, 0)
+	qt.Assert(t, j.Pending(), qt.Equals, 0)
 	a := biller.NewAuditor()
-	bills, err := a.ReadNew(ctx, store, start)
+	bills, err := a.ReadNewBills(ctx, store, start)
 	qt.Assert(t, err, qt.IsNil)
 	qt.Assert(t, bills, qt.HasLen, 2)
-	again, err := a.ReadNew(ctx, store, start)
+	again, err := a.ReadNewBills(ctx, store, start)
 	qt.Assert(t, err, qt.IsNil)
 	qt.Assert(t, again, qt.HasLen, 0)
 }
 
 func TestFailedRefundIsRetried(t *testing.T) {
 	a := biller.NewAuditor()
-	refunds := a.Take(start, []biller.Bill{bill("w/a", "1", biller.KindSuperseded, 5)})
-	a.Retry(refunds[0])
-	qt.Assert(t, a.Take(start, nil), qt.HasLen, 1)
-	qt.Assert(t, a.Take(start, nil), qt.HasLen, 0)
+	refunds := a.FindRefunds(start, []biller.Bill{bill("w/a", "1", biller.KindSuperseded, 5)})
+	a.RetryRefund(refunds[0])
+	qt.Assert(t, a.FindRefunds(start, nil), qt.HasLen, 1)
+	qt.Assert(t, a.FindRefunds(start, nil), qt.HasLen, 0)
 }
--- a/bookkeeper/bookkeeper.go
+++ b/bookkeeper/bookkeeper.go
@@ -23,13 +23,13 @@
 	extraDrawShare = 0.5
 )
 
-// Book reads and writes the rows of money and of recoveries.
-type Book struct {
+// Ledger reads and writes the rows of money and of recoveries.
+type Ledger struct {
 	table masticway.Table
 }
 
 // New returns a ledger that uses the given table.
-func New(t masticway.Table) *Book { return &Book{table: t} }
+func New(t masticway.Table) *Ledger { return &Ledger{table: t} }
 
 // errAlreadyDone ends an update that has nothing to change, usually because it is already committed.
 var errAlreadyDone = errors.New("nothing to commit")
@@ -115,22 +115,22 @@
 	return min(remaining, max(need, min(want, need+extra)))
 }
 
-// Move carries out a keeper's move. linksVersion is the version of the payer's links row as the payer knows it.
+// ApplyMove carries out a keeper's move. linksVersion is the version of the payer's links row as the payer knows it.
 //
 // It fails with a SealedError if the payer has been fenced.
-func (b *Book) Move(ctx context.Context, m keeper.Move, linksVersion int64) (keeper.MoveResult, error) {
+func (b *Ledger) ApplyMove(ctx context.Context, m keeper.Move, linksVersion int64) (keeper.MoveResult, error) {
 	key := prefixBudget + m.Grant.Budget
 	id := fmt.Sprintf("move/%s/%d/%d", m.Grant.Payer, m.Grant.Number, m.Seq)
 	result := keeper.MoveResult{Move: m}
 	err := update(ctx, b.table, key, id, func(row Budget, version int64) ([]masticway.Condition, []masticway.Put, error) {
 		if version == 0 {
-			result.Missing = true
+			result.BudgetMissing = true
 			return nil, nil, errAlreadyDone
 		}
 		next, drawn, done := applyMove(row, m)
 		result.Drawn = drawn
-		result.Left = next.Left()
-		result.Elsewhere = next.Open() - openAmount(next, m.Grant)
+		result.Remaining = next.Remaining()
+		result.OthersOpen = next.OpenAmount() - openAmount(next, m.Grant)
 		result.OtherPayers = next.otherPayers(m.Grant.Payer)
 		if done {
 			return nil, nil, errAlreadyDone
@@ -147,7 +147,7 @@
 }
 
 // explainMoveError returns a SealedError if a move failed because its payer has been fenced.
-func (b *Book) explainMoveError(ctx context.Context, m keeper.Move, linksVersion int64, cause error) error {
+func (b *Ledger) explainMoveError(ctx context.Context, m keeper.Move, linksVersion int64, cause error) error {
 	row, err := b.table.Get(ctx, prefixLinks+string(m.Grant.Payer))
 	if err != nil {
 		return cause
@@ -166,7 +166,7 @@
 func (b Budget) otherPayers(self masticway.Incarnation) []masticway.Incarnation {
 	var payers []masticway.Incarnation
 	for _, g := range b.Grants {
-		if g.Payer != self && g.Open() > 0 {
+		if g.Payer != self && g.OpenAmount() > 0 {
 			payers = append(payers, g.Payer)
 		}
 	}
@@ -176,7 +176,7 @@
 // openAmount returns the open amount of one grant, zero if there is no such grant.
 func openAmount(b Budget, k masticway.GrantKey) masticway.Amount {
 	if i := b.grantIndex(k); i >= 0 {
-		return b.Grants[i].Open()
+		return b.Grants[i].OpenAmount()
 	}
 	return 0
 }
@@ -226,12 +226,12 @@
 		if m.DrawnBefore > 0 {
 			return 0
 		}
-		return min(b.Left(), b.Prepaid/masticway.Amount(m.Slices))
+		return min(b.Remaining(), b.Prepaid/masticway.Amount(m.Slices))
 	}
 	if m.Need == 0 && m.Want == 0 {
 		return 0
 	}
-	return DrawSize(b.Left(), m.Need, m.Want, b.Open() == openAmount(b, m.Grant))
+	return DrawSize(b.Remaining(), m.Need, m.Want, b.OpenAmount() == openAmount(b, m.Grant))
 }
 
 // movePuts returns the writes of a move: the budget, and the grant's index row if the grant is new or closed.
@@ -247,7 +247,7 @@
 }
 
 // TopUp adds prepaid money to a budget, once for each change id, and creates the budget if it does not exist.
-func (b *Book) TopUp(ctx context.Context, budget, changeID string, amount masticway.Amount) (Budget, error) {
+func (b *Ledger) TopUp(ctx context.Context, budget, changeID string, amount masticway.Amount) (Budget, error) {
 	if amount <= 0 {
 		return Budget{}, &AmountError{Amount: amount}
 	}
@@ -283,7 +283,7 @@
 func (e *AmountError) Error() string { return fmt.Sprintf("amount %d is not positive", e.Amount) }
 
 // Refund subtracts a double bill from the settled amount, once for each hold.
-func (b *Book) Refund(ctx context.Context, budget string, hold masticway.HoldID, amount masticway.Amount) error {
+func (b *Ledger) Refund(ctx context.Context, budget string, hold masticway.HoldID, amount masticway.Amount) error {
 	marker := prefixRefund + string(hold)
 	return update(ctx, b.table, prefixBudget+budget, marker, func(row Budget, version int64) ([]masticway.Condition, []masticway.Put, error) {
 		mark, err := b.table.Get(ctx, marker)
@@ -298,7 +298,7 @@
 		}
 		next := row.clone()
 		next.Settled -= amount
-		next.GivenBack += amount
+		next.Refunded += amount
 		return []masticway.Condition{{Key: marker}}, []masticway.Put{
 			{Key: prefixBudget + budget, Value: encode(next)},
 			{Key: marker, Value: encode(amount)},
@@ -307,7 +307,7 @@
 }
 
 // Budget reads one budget. It fails with a NotFoundError if there is none.
-func (b *Book) Budget(ctx context.Context, id string) (Budget, error) {
+func (b *Ledger) Budget(ctx context.Context, id string) (Budget, error) {
 	row, err := b.table.Get(ctx, prefixBudget+id)
 	if err != nil {
 		return Budget{}, fmt.Errorf("reading budget %s: %w", id, err)
@@ -319,7 +319,7 @@
 }
 
 // OpenLinks writes the first links row of an incarnation and returns its version.
-func (b *Book) OpenLinks(ctx context.Context, inc masticway.Incarnation) (int64, error) {
+func (b *Ledger) OpenLinks(ctx context.Context, inc masticway.Incarnation) (int64, error) {
 	return b.PutLinks(ctx, Links{Incarnation: inc, State: LinksOpen}, 0)
 }
 
@@ -327,7 +327,7 @@
 //
 // It fails with a SealedError if the row has another version. Usually the row has been sealed or deleted; it may also
 // be that an earlier write of the caller succeeded whose answer was lost, so the caller should read the row.
-func (b *Book) PutLinks(ctx context.Context, links Links, version int64) (int64, error) {
+func (b *Ledger) PutLinks(ctx context.Context, links Links, version int64) (int64, error) {
 	key := prefixLinks + string(links.Incarnation)
 	value := encode(links)
 	var found int64
@@ -355,7 +355,7 @@
 }
 
 // Links reads a links row and its version, which is zero if there is none.
-func (b *Book) Links(ctx context.Context, inc masticway.Incarnation) (Links, int64, error) {
+func (b *Ledger) Links(ctx context.Context, inc masticway.Incarnation) (Links, int64, error) {
 	row, err := b.table.Get(ctx, prefixLinks+string(inc))
 	if err != nil {
 		return Links{}, 0, err
@@ -364,45 +364,45 @@
 	return links, row.Version, err
 }
 
-// PutDaemon writes a lease row. It needs no condition, because only the incarnation itself writes its row.
-func (b *Book) PutDaemon(ctx context.Context, d Daemon) error {
+// PutLease writes a lease row. It needs no condition, because only the incarnation itself writes its row.
+func (b *Ledger) PutLease(ctx context.Context, d RouterLease) error {
 	key := prefixDaemon + string(d.Incarnation)
 	return b.table.Commit(ctx, masticway.Transaction{ID: key, Puts: []masticway.Put{{Key: key, Value: encode(d)}}})
 }
 
-// Daemon reads one lease row. It fails with a NotFoundError if there is none.
-func (b *Book) Daemon(ctx context.Context, inc masticway.Incarnation) (Daemon, error) {
+// Lease reads one lease row. It fails with a NotFoundError if there is none.
+func (b *Ledger) Lease(ctx context.Context, inc masticway.Incarnation) (RouterLease, error) {
 	row, err := b.table.Get(ctx, prefixDaemon+string(inc))
 	if err != nil {
-		return Daemon{}, err
+		return RouterLease{}, err
 	}
 	if row.Version == 0 {
-		return Daemon{}, &masticway.NotFoundError{Kind: "daemon", Name: string(inc)}
+		return RouterLease{}, &masticway.NotFoundError{Kind: "daemon", Name: string(inc)}
 	}
-	return decode[Daemon](row)
+	return decode[RouterLease](row)
 }
 
 // Challenge asks an incarnation that seems to have failed to renew its lease at once.
-func (b *Book) Challenge(ctx context.Context, inc, by masticway.Incarnation) error {
+func (b *Ledger) Challenge(ctx context.Context, inc, by masticway.Incarnation) error {
 	key := prefixChallenge + string(inc)
 	return b.table.Commit(ctx, masticway.Transaction{ID: key, Puts: []masticway.Put{{Key: key, Value: encode(by)}}})
 }
 
-// Challenged returns the version of an incarnation's newest challenge, which is zero if there is none.
-func (b *Book) Challenged(ctx context.Context, inc masticway.Incarnation) (int64, error) {
+// ChallengeVersion returns the version of an incarnation's newest challenge, which is zero if there is none.
+func (b *Ledger) ChallengeVersion(ctx context.Context, inc masticway.Incarnation) (int64, error) {
 	row, err := b.table.Get(ctx, prefixChallenge+string(inc))
 	return row.Version, err
 }
 
-// Daemons returns all lease rows.
-func (b *Book) Daemons(ctx context.Context) ([]Daemon, error) {
+// Leases returns all lease rows.
+func (b *Ledger) Leases(ctx context.Context) ([]RouterLease, error) {
 	rows, err := b.table.Scan(ctx, prefixDaemon)
 	if err != nil {
 		return nil, err
 	}
-	daemons := make([]Daemon, 0, len(rows))
+	daemons := make([]RouterLease, 0, len(rows))
 	for _, r := range rows {
-		d, err := decode[Daemon](r)
+		d, err := decode[RouterLease](r)
 		if err != nil {
 			return nil, err
 		}
@@ -412,13 +412,13 @@
 }
 
 // PutReport stores a sidecar's totals for later recoveries.
-func (b *Book) PutReport(ctx context.Context, r Report) error {
+func (b *Ledger) PutReport(ctx context.Context, r Report) error {
 	key := prefixReport + string(r.Sidecar)
 	return b.table.Commit(ctx, masticway.Transaction{ID: key, Puts: []masticway.Put{{Key: key, Value: encode(r)}}})
 }
 
 // Report reads the totals that a sidecar stored, and reports whether there are any.
-func (b *Book) Report(ctx context.Context, sidecar masticway.Incarnation) (Report, bool, error) {
+func (b *Ledger) Report(ctx context.Context, sidecar masticway.Incarnation) (Report, bool, error) {
 	row, err := b.table.Get(ctx, prefixReport+string(sidecar))
 	if err != nil {
 		return Report{}, false, err
--- a/bookkeeper/bookkeeper_test.go
+++ b/bookkeeper/bookkeeper_test.go
@@ -19,7 +19,7 @@
 
 const budget = "b"
 
-func newLedger(t *testing.T, prepaid masticway.Amount) (*bookkeeper.Book, *emulator.Table) {
+func newLedger(t *testing.T, prepaid masticway.Amount) (*bookkeeper.Ledger, *emulator.Table) {
 	table := emulator.NewTable()
 	ledger := bookkeeper.New(table)
 	_, err := ledger.TopUp(context.Background(), budget, "first", prepaid)
@@ -27,7 +27,7 @@
 	return ledger, table
 }
 
-func open(t *testing.T, ledger *bookkeeper.Book, inc masticway.Incarnation) int64 {
+func open(t *testing.T, ledger *bookkeeper.Ledger, inc masticway.Incarnation) int64 {
 	version, err := ledger.OpenLinks(context.Background(), inc)
 	qt.Assert(t, err, qt.IsNil)
 	return version
@@ -65,10 +65,10 @@
 		refused bool
 	}{
 		"no fault":                         {},
-		"answer lost, read back at once":   {faults: emulator.TableFaults{LoseAnswers: 1}},
-		"answer lost, not read back":       {faults: emulator.TableFaults{LoseAnswers: 1}, stopped: true, unknown: true},
+		"answer lost, read back at once":   {faults: emulator.TableFaults{DropAnswers: 1}},
+		"answer lost, not read back":       {faults: emulator.TableFaults{DropAnswers: 1}, stopped: true, unknown: true},
 		"down before":                      {faults: emulator.TableFaults{Down: true}, refused: true},
-		"rate limited, nothing is written": {faults: emulator.TableFaults{WritesPerSecond: -1}, refused: true},
+		"rate limited, nothing is written": {faults: emulator.TableFaults{MaxWritesPerSecond: -1}, refused: true},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -81,7 +81,7 @@
 				cancel()
 			}
 			m := move("r~1", 1, 100, 100)
-			result, err := ledger.Move(ctx, m, version)
+			result, err := ledger.ApplyMove(ctx, m, version)
 			table.SetFaults(emulator.TableFaults{})
 			if tc.unknown {
 				var unknown *masticway.OutcomeUnknownError
@@ -93,13 +93,13 @@
 			}
 			if tc.unknown || tc.refused {
 				// After the same move has been repeated, there must be exactly one draw.
-				result, err = ledger.Move(context.Background(), m, version)
+				result, err = ledger.ApplyMove(context.Background(), m, version)
 			}
 			qt.Assert(t, err, qt.IsNil)
 			qt.Assert(t, result.Drawn, qt.Equals, masticway.Amount(100))
 			row, err := ledger.Budget(context.Background(), budget)
 			qt.Assert(t, err, qt.IsNil)
-			qt.Assert(t, row.Open(), qt.Equals, masticway.Amount(100))
+			qt.Assert(t, row.OpenAmount(), qt.Equals, masticway.Amount(100))
 		})
 	}
 }
@@ -109,7 +109,7 @@
 	version := open(t, ledger, "r~1")
 	_, err := ledger.Seal(context.Background(), "r~1")
 	qt.Assert(t, err, qt.IsNil)
-	_, err = ledger.Move(context.Background(), move("r~1", 1, 100, 100), version)
+	_, err = ledger.ApplyMove(context.Background(), move("r~1", 1, 100, 100), version)
 	var sealed *masticway.SealedError
 	qt.Assert(t, err, qt.ErrorAs, &sealed)
 	_, err = ledger.PutLinks(context.Background(), bookkeeper.Links{Incarnation: "r~1", State: bookkeeper.LinksOpen, Sidecars: []masticway.Incarnation{"s~1"}}, version)
@@ -118,7 +118,7 @@
 
 func TestTopUpCountsOncePerChange(t *testing.T) {
 	ledger, table := newLedger(t, 1000)
-	table.SetFaults(emulator.TableFaults{LoseAnswers: 1})
+	table.SetFaults(emulator.TableFaults{DropAnswers: 1})
 	for range 3 {
 		row, err := ledger.TopUp(context.Background(), budget, "order-17", 500)
 		qt.Assert(t, err, qt.IsNil)
@@ -131,26 +131,26 @@
 
 func TestRecoverIsIdempotent(t *testing.T) {
 	cases := map[string]struct {
-		closing  bookkeeper.Closing
+		closing  bookkeeper.GrantClosure
 		settled  masticway.Amount
 		presumed masticway.Amount
 		open     masticway.Amount
 	}{
-		"spent is known":      {closing: bookkeeper.Closing{Spent: 30}, settled: 30},
-		"a run goes on":       {closing: bookkeeper.Closing{Spent: 30, Running: 20}, settled: 30, open: 20},
-		"a sidecar vanished":  {closing: bookkeeper.Closing{Spent: 30, Vanished: true}, settled: 100, presumed: 70},
-		"vanished and a run":  {closing: bookkeeper.Closing{Spent: 30, Running: 20, Vanished: true}, settled: 0, open: 100},
-		"more than was drawn": {closing: bookkeeper.Closing{Spent: 300}, settled: 100},
+		"spent is known":      {closing: bookkeeper.GrantClosure{Spent: 30}, settled: 30},
+		"a run goes on":       {closing: bookkeeper.GrantClosure{Spent: 30, Running: 20}, settled: 30, open: 20},
+		"a sidecar vanished":  {closing: bookkeeper.GrantClosure{Spent: 30, SidecarLost: true}, settled: 100, presumed: 70},
+		"vanished and a run":  {closing: bookkeeper.GrantClosure{Spent: 30, Running: 20, SidecarLost: true}, settled: 0, open: 100},
+		"more than was drawn": {closing: bookkeeper.GrantClosure{Spent: 300}, settled: 100},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
 			ledger, table := newLedger(t, 1000)
 			version := open(t, ledger, "r~1")
 			m := move("r~1", 1, 100, 100)
-			_, err := ledger.Move(context.Background(), m, version)
+			_, err := ledger.ApplyMove(context.Background(), m, version)
 			qt.Assert(t, err, qt.IsNil)
 			tc.closing.Grant = m.Grant
-			table.SetFaults(emulator.TableFaults{LoseAnswers: 1})
+			table.SetFaults(emulator.TableFaults{DropAnswers: 1})
 			for range 3 {
 				_, err := ledger.Recover(context.Background(), tc.closing)
 				qt.Assert(t, err, qt.IsNil)
@@ -159,7 +159,7 @@
 			qt.Assert(t, err, qt.IsNil)
 			qt.Assert(t, row.Settled, qt.Equals, tc.settled)
 			qt.Assert(t, row.Presumed, qt.Equals, tc.presumed)
-			qt.Assert(t, row.Open(), qt.Equals, tc.open)
+			qt.Assert(t, row.OpenAmount(), qt.Equals, tc.open)
 			qt.Assert(t, row.Check(), qt.IsNil)
 		})
 	}
@@ -169,9 +169,9 @@
 	ledger, _ := newLedger(t, 1000)
 	version := open(t, ledger, "r~1")
 	m := move("r~1", 1, 100, 100)
-	_, err := ledger.Move(context.Background(), m, version)
+	_, err := ledger.ApplyMove(context.Background(), m, version)
 	qt.Assert(t, err, qt.IsNil)
-	_, err = ledger.Move(context.Background(), keeper.Move{Grant: m.Grant, Seq: 2, Spent: 80, Close: true, Return: 20, DrawnBefore: 100}, version)
+	_, err = ledger.ApplyMove(context.Background(), keeper.Move{Grant: m.Grant, Seq: 2, Spent: 80, Close: true, Return: 20, DrawnBefore: 100}, version)
 	qt.Assert(t, err, qt.IsNil)
 	for range 2 {
 		qt.Assert(t, ledger.Refund(context.Background(), budget, "hold-1", 30), qt.IsNil)
@@ -186,12 +186,12 @@
 func TestFencingNumbersRise(t *testing.T) {
 	table := emulator.NewTable()
 	ledger := bookkeeper.New(table)
-	first, err := ledger.NextFence(context.Background(), "i", "a", masticway.Order{Action: "load_model"})
+	first, err := ledger.AssignFence(context.Background(), "i", "a", masticway.Order{Action: "load_model"})
 	qt.Assert(t, err, qt.IsNil)
-	table.SetFaults(emulator.TableFaults{LoseAnswers: 1})
-	second, err := ledger.NextFence(context.Background(), "i", "b", masticway.Order{Action: "load_model"})
+	table.SetFaults(emulator.TableFaults{DropAnswers: 1})
+	second, err := ledger.AssignFence(context.Background(), "i", "b", masticway.Order{Action: "load_model"})
 	qt.Assert(t, err, qt.IsNil)
-	again, err := ledger.NextFence(context.Background(), "i", "b", masticway.Order{Action: "load_model"})
+	again, err := ledger.AssignFence(context.Background(), "i", "b", masticway.Order{Action: "load_model"})
 	qt.Assert(t, err, qt.IsNil)
 	qt.Assert(t, []int64{first.Fence, second.Fence, again.Fence}, qt.DeepEquals, []int64{1, 2, 2})
 }
@@ -256,7 +256,7 @@
 // been fenced, it must draw nothing more.
 func TestHistoriesAreLinearizable(t *testing.T) {
 	ledger, table := newLedger(t, 500)
-	table.SetFaults(emulator.TableFaults{LoseAnswers: 15})
+	table.SetFaults(emulator.TableFaults{DropAnswers: 15})
 	history := &opHistory{}
 	var wg sync.WaitGroup
 	for c := range 4 {
@@ -267,7 +267,7 @@
 			for n := range 6 {
 				out := history.record(c, ledgerOp{draw: 60}, func() ledgerResult {
 					grant := masticway.GrantKey{Budget: budget, Payer: inc, Number: int64(n + 1)}
-					result, err := ledger.Move(context.Background(), keeper.Move{Grant: grant, Seq: 1, Need: 60}, version)
+					result, err := ledger.ApplyMove(context.Background(), keeper.Move{Grant: grant, Seq: 1, Need: 60}, version)
 					var sealed *masticway.SealedError
 					if err != nil && !errors.As(err, &sealed) {
 						t.Error(err)
@@ -295,7 +295,7 @@
 				t.Error(err)
 			}
 			history.record(10+c, ledgerOp{recover: true}, func() ledgerResult {
-				returned, err := ledger.Recover(context.Background(), bookkeeper.Closing{Grant: masticway.GrantKey{Budget: budget, Payer: inc, Number: 1}})
+				returned, err := ledger.Recover(context.Background(), bookkeeper.GrantClosure{Grant: masticway.GrantKey{Budget: budget, Payer: inc, Number: 1}})
 				if err != nil {
 					t.Error(err)
 				}
@@ -307,7 +307,7 @@
 	history.record(20, ledgerOp{audit: true}, func() ledgerResult {
 		row, err := ledger.Budget(context.Background(), budget)
 		qt.Assert(t, err, qt.IsNil)
-		return ledgerResult{amount: row.Left()}
+		return ledgerResult{amount: row.Remaining()}
 	})
 	qt.Assert(t, porcupine.CheckOperations(ledgerModel.ToModel(), history.operations), qt.IsTrue)
 }
--- a/bookkeeper/fence.go
+++ b/bookkeeper/fence.go
@@ -16,8 +16,8 @@
 	ID     string          `json:"id"`
 }
 
-// Fence returns the latest fencing number assigned for an upstream, zero if there is none.
-func Fence(ctx context.Context, t masticway.Table, instance string) (int64, error) {
+// LatestFence returns the latest fencing number assigned for an upstream, zero if there is none.
+func LatestFence(ctx context.Context, t masticway.Table, instance string) (int64, error) {
 	row, err := t.Get(ctx, prefixFence+instance)
 	if err != nil {
 		return 0, err
@@ -26,9 +26,9 @@
 	return f.Number, err
 }
 
-// NextFence assigns an order the next fencing number of its upstream. If id is that of the upstream's latest order,
+// AssignFence assigns an order the next fencing number of its upstream. If id is that of the upstream's latest order,
 // that order is returned instead.
-func (b *Book) NextFence(ctx context.Context, instance, id string, o masticway.Order) (masticway.Order, error) {
+func (b *Ledger) AssignFence(ctx context.Context, instance, id string, o masticway.Order) (masticway.Order, error) {
 	key := prefixFence + instance
 	err := update(ctx, b.table, key, "order/"+id, func(row fenceRow, _ int64) ([]masticway.Condition, []masticway.Put, error) {
 		if row.ID == id {
--- a/bookkeeper/recovery.go
+++ b/bookkeeper/recovery.go
@@ -9,7 +9,7 @@
 
 // Seal fences an incarnation in the table, so that it can no longer draw money or link to another sidecar. It returns the
 // sealed row.
-func (b *Book) Seal(ctx context.Context, inc masticway.Incarnation) (Links, error) {
+func (b *Ledger) Seal(ctx context.Context, inc masticway.Incarnation) (Links, error) {
 	key := prefixLinks + string(inc)
 	var sealed Links
 	err := update(ctx, b.table, key, "seal/"+string(inc), func(row Links, version int64) ([]masticway.Condition, []masticway.Put, error) {
@@ -27,7 +27,7 @@
 }
 
 // GrantsOf returns the grants of an incarnation, which it reads from the index rows.
-func (b *Book) GrantsOf(ctx context.Context, inc masticway.Incarnation) ([]masticway.GrantKey, error) {
+func (b *Ledger) GrantsOf(ctx context.Context, inc masticway.Incarnation) ([]masticway.GrantKey, error) {
 	rows, err := b.table.Scan(ctx, prefixGrant+string(inc)+"/")
 	if err != nil {
 		return nil, fmt.Errorf("listing grants of %s: %w", inc, err)
@@ -43,19 +43,19 @@
 	return keys, nil
 }
 
-// Closing is what the recovery of an incarnation found out about one of its grants.
-type Closing struct {
+// GrantClosure is what the recovery of an incarnation found out about one of its grants.
+type GrantClosure struct {
 	Grant masticway.GrantKey
 	// Spent is the true cost that the sidecars reported.
 	Spent masticway.Amount
 	// Running is the maximum cost of runs still in progress; that much stays granted.
 	Running masticway.Amount
-	// Vanished is set if a sidecar is gone without a final report. Once nothing runs, the rest of the grant is presumed spent.
-	Vanished bool
+	// SidecarLost is set if a sidecar is gone without a final report. Once nothing runs, the rest of the grant is presumed spent.
+	SidecarLost bool
 }
 
 // Recover returns the rest of a sealed incarnation's grant to its budget. It is idempotent and safe to run concurrently.
-func (b *Book) Recover(ctx context.Context, c Closing) (returned masticway.Amount, err error) {
+func (b *Ledger) Recover(ctx context.Context, c GrantClosure) (returned masticway.Amount, err error) {
 	key := prefixBudget + c.Grant.Budget
 	id := fmt.Sprintf("recover/%s/%d", c.Grant.Payer, c.Grant.Number)
 	err = update(ctx, b.table, key, id, func(row Budget, _ int64) ([]masticway.Condition, []masticway.Put, error) {
@@ -81,7 +81,7 @@
 
 // applyClosure returns the budget after a recovery step, what the step returned and whether it closed the grant.
 // done is set if there is nothing to change.
-func applyClosure(row Budget, c Closing) (next Budget, returned masticway.Amount, closed, done bool) {
+func applyClosure(row Budget, c GrantClosure) (next Budget, returned masticway.Amount, closed, done bool) {
 	next = row.clone()
 	i := next.grantIndex(c.Grant)
 	if i < 0 {
@@ -90,7 +90,7 @@
 	g := next.Grants[i]
 	limit := g.Drawn - g.Returned
 	spent := min(max(c.Spent, g.Settled), limit)
-	if c.Vanished && c.Running == 0 {
+	if c.SidecarLost && c.Running == 0 {
 		next.Presumed += limit - spent
 		spent = limit
 	}
@@ -99,7 +99,7 @@
 		next.Grants = append(next.Grants[:i], next.Grants[i+1:]...)
 		return next, limit - spent, true, false
 	}
-	if c.Vanished {
+	if c.SidecarLost {
 		return next, 0, false, true
 	}
 	refund := max(0, limit-spent-c.Running)
@@ -112,8 +112,8 @@
 	return next, refund, false, false
 }
 
-// Forget deletes the links, lease and challenge rows of an incarnation whose grants are all closed.
-func (b *Book) Forget(ctx context.Context, inc masticway.Incarnation) error {
+// DeleteIncarnation deletes the links, lease and challenge rows of an incarnation whose grants are all closed.
+func (b *Ledger) DeleteIncarnation(ctx context.Context, inc masticway.Incarnation) error {
 	return b.table.Commit(ctx, masticway.Transaction{
 		ID: "forget/" + string(inc),
 		Puts: []masticway.Put{
--- a/bookkeeper/rows.go
+++ b/bookkeeper/rows.go
@@ -21,8 +21,8 @@
 	Seq int64 `json:"seq"`
 }
 
-// Open returns the part of the grant that is neither settled nor returned.
-func (g Grant) Open() masticway.Amount { return g.Drawn - g.Settled - g.Returned }
+// OpenAmount returns the part of the grant that is neither settled nor returned.
+func (g Grant) OpenAmount() masticway.Amount { return g.Drawn - g.Settled - g.Returned }
 
 // Budget is the row of one prepaid budget.
 type Budget struct {
@@ -31,31 +31,31 @@
 	Settled masticway.Amount `json:"settled"`
 	// Presumed is the part of Settled of which it is unknown whether a lost sidecar ran it.
 	Presumed masticway.Amount `json:"presumed,omitempty"`
-	// GivenBack is the sum of the refunds for double bills, which has already been subtracted from Settled.
-	GivenBack masticway.Amount `json:"given_back,omitempty"`
-	Grants    []Grant          `json:"grants,omitempty"`
+	// Refunded is the sum of the refunds for double bills, which has already been subtracted from Settled.
+	Refunded masticway.Amount `json:"given_back,omitempty"`
+	Grants   []Grant          `json:"grants,omitempty"`
 }
 
-// Open returns the sum of all open grants.
-func (b Budget) Open() masticway.Amount {
+// OpenAmount returns the sum of all open grants.
+func (b Budget) OpenAmount() masticway.Amount {
 	var sum masticway.Amount
 	for _, g := range b.Grants {
-		sum += g.Open()
+		sum += g.OpenAmount()
 	}
 	return sum
 }
 
-// Left returns the amount that can still be granted.
-func (b Budget) Left() masticway.Amount { return b.Prepaid - b.Settled - b.Open() }
+// Remaining returns the amount that can still be granted.
+func (b Budget) Remaining() masticway.Amount { return b.Prepaid - b.Settled - b.OpenAmount() }
 
 // Check returns an InvariantError if the row breaks an invariant.
 func (b Budget) Check() error {
-	if b.Left() < 0 || b.Settled < 0 {
-		return &InvariantError{Budget: b.ID, Prepaid: b.Prepaid, Settled: b.Settled, Open: b.Open()}
+	if b.Remaining() < 0 || b.Settled < 0 {
+		return &InvariantError{Budget: b.ID, Prepaid: b.Prepaid, Settled: b.Settled, Open: b.OpenAmount()}
 	}
 	for _, g := range b.Grants {
-		if g.Open() < 0 {
-			return &InvariantError{Budget: b.ID, Prepaid: b.Prepaid, Settled: b.Settled, Open: g.Open()}
+		if g.OpenAmount() < 0 {
+			return &InvariantError{Budget: b.ID, Prepaid: b.Prepaid, Settled: b.Settled, Open: g.OpenAmount()}
 		}
 	}
 	return nil
@@ -99,25 +99,25 @@
 	Incarnation masticway.Incarnation   `json:"incarnation"`
 	State       LinksState              `json:"state"`
 	Sidecars    []masticway.Incarnation `json:"sidecars"`
-	// Absorbed is the cost, by grant number, of what sidecars had run that have been removed from the set.
-	Absorbed map[int64]masticway.Amount `json:"absorbed,omitempty"`
+	// SpentByRemoved is the cost, by grant number, of what sidecars had run that have been removed from the set.
+	SpentByRemoved map[int64]masticway.Amount `json:"absorbed,omitempty"`
 }
 
 // Has reports whether a sidecar is in the set.
 func (l Links) Has(sidecar masticway.Incarnation) bool { return slices.Contains(l.Sidecars, sidecar) }
 
-// Daemon is the lease row of a router.
-type Daemon struct {
-	Incarnation masticway.Incarnation `json:"incarnation"`
-	Instance    string                `json:"instance"`
-	Address     string                `json:"address"`
-	Region      string                `json:"region"`
-	Zone        string                `json:"zone"`
-	Lease       time.Time             `json:"lease"`
-	Applied     masticway.Revision    `json:"applied"`
-	State       string                `json:"state"`
-	// Stranded names the recoveries that this router carries out and what blocks them.
-	Stranded string `json:"stranded,omitempty"`
+// RouterLease is the lease row of a router.
+type RouterLease struct {
+	Incarnation     masticway.Incarnation `json:"incarnation"`
+	Instance        string                `json:"instance"`
+	Address         string                `json:"address"`
+	Region          string                `json:"region"`
+	Zone            string                `json:"zone"`
+	ExpiresAt       time.Time             `json:"lease"`
+	AppliedRevision masticway.Revision    `json:"applied"`
+	State           string                `json:"state"`
+	// BlockedRecoveries names the recoveries that this router carries out and what blocks them.
+	BlockedRecoveries string `json:"stranded,omitempty"`
 }
 
 // Report is the row that a sidecar leaves at a graceful shutdown.
--- a/chooser/bench_test.go
+++ b/chooser/bench_test.go
@@ -17,8 +17,8 @@
 			for i := range n {
 				name := fmt.Sprint("upstream-", i)
 				candidates = append(candidates, chooser.Candidate{Instance: name, Zone: "z"})
-				c.Report(start, name, loadReport(i%4, 0))
-				c.Sent(start, name, work)
+				c.RecordReport(start, name, loadReport(i%4, 0))
+				c.RecordSent(start, name, work)
 			}
 			b.ReportAllocs()
 			for b.Loop() {
--- a/chooser/chooser.go
+++ b/chooser/chooser.go
@@ -53,15 +53,15 @@
 	zonePenalty = 0.002
 )
 
-// Work describes a request for which an upstream must be chosen.
-type Work struct {
+// Request describes a request for which an upstream must be chosen.
+type Request struct {
 	PromptBytes int
 	Prefixes    []uint64
 	// Zone is the router's availability zone.
 	Zone string
 }
 
-func (req Work) tokens() float64 { return float64(req.PromptBytes) / bytesPerToken }
+func (req Request) tokens() float64 { return float64(req.PromptBytes) / bytesPerToken }
 
 // Candidate is an upstream that may be chosen.
 type Candidate struct {
@@ -121,7 +121,7 @@
 }
 
 // Choose returns the index of the best candidate, or -1 if there are none, and the scores of all candidates.
-func (c *Chooser) Choose(now time.Time, req Work, candidates []Candidate) (int, []Score) {
+func (c *Chooser) Choose(now time.Time, req Request, candidates []Candidate) (int, []Score) {
 	scores := make([]Score, 0, len(candidates))
 	best := -1
 	c.choices++
@@ -156,7 +156,7 @@
 //
 // Without a common home, each router would send requests with one prefix to a different engine, and the engines' caches would
 // hold many copies of the prefix.
-func homeIndex(req Work, candidates []Candidate) int {
+func homeIndex(req Request, candidates []Candidate) int {
 	if len(req.Prefixes) == 0 {
 		return -1
 	}
@@ -183,7 +183,7 @@
 
 // score computes a candidate's expected time to the first token. homeDepth is the number of prefix blocks that are assumed to be
 // cached because the candidate is the home; it is zero for other candidates.
-func (c *Chooser) score(now time.Time, req Work, k Candidate, homeDepth int) Score {
+func (c *Chooser) score(now time.Time, req Request, k Candidate, homeDepth int) Score {
 	u := c.upstream(k.Instance)
 	prefillTime := u.report.PrefillTime
 	if prefillTime == 0 {
@@ -224,21 +224,21 @@
 }
 
 // cachedTokens estimates the number of prompt tokens in the cache: the predicted tokens times the hit rate.
-func (u *upstream) cachedTokens(now time.Time, req Work, homeDepth int) int {
+func (u *upstream) cachedTokens(now time.Time, req Request, homeDepth int) int {
 	return int(float64(u.predictedTokens(now, req, homeDepth)) * u.hitRate)
 }
 
 // predictedTokens returns the number of prompt tokens that the cache hints predict, without regard to the hit rate.
-func (u *upstream) predictedTokens(now time.Time, req Work, homeDepth int) int {
+func (u *upstream) predictedTokens(now time.Time, req Request, homeDepth int) int {
 	return max(homeDepth, u.prefixes.depth(now, req.Prefixes)) * blockBytes / bytesPerToken
 }
 
-// Counted updates an upstream's hit rate from the number of prompt tokens that were expected in its cache and the number that
+// RecordCacheHit updates an upstream's hit rate from the number of prompt tokens that were expected in its cache and the number that
 // were there.
 //
 // Cache reports are delayed and incomplete, and an engine may have evicted prefixes that a router sent. The hit rate prevents
 // such hints from attracting requests to a busy upstream.
-func (c *Chooser) Counted(instance string, expected, cached int) {
+func (c *Chooser) RecordCacheHit(instance string, expected, cached int) {
 	if expected <= 0 {
 		return
 	}
@@ -247,10 +247,10 @@
 	u.hitRate = max(minHitRate, (1-hitRateWeight)*u.hitRate+hitRateWeight*share)
 }
 
-// Sent records a request sent to an upstream, whose prompt is now likely to be cached there.
+// RecordSent records a request sent to an upstream, whose prompt is now likely to be cached there.
 //
 // It returns the number of prompt tokens expected in the cache, to be compared later with the number that was there.
-func (c *Chooser) Sent(now time.Time, instance string, req Work) (expected int) {
+func (c *Chooser) RecordSent(now time.Time, instance string, req Request) (expected int) {
 	u := c.upstream(instance)
 	expected = u.predictedTokens(now, req, 0)
 	u.setInFlight(now, u.inFlight+1)
@@ -260,8 +260,8 @@
 	return expected
 }
 
-// FirstToken records that an upstream has finished the prefill of a request.
-func (c *Chooser) FirstToken(instance string, req Work) {
+// RecordFirstToken records that an upstream has finished the prefill of a request.
+func (c *Chooser) RecordFirstToken(instance string, req Request) {
 	u := c.upstream(instance)
 	u.pendingPrefill = max(0, u.pendingPrefill-req.tokens())
 	if u.inFlight == 0 {
@@ -269,8 +269,8 @@
 	}
 }
 
-// Done records the end of a run and how long it occupied a slot of the upstream.
-func (c *Chooser) Done(now time.Time, instance string, took time.Duration, firstTokenSeen bool, req Work) {
+// RecordDone records the end of a run and how long it occupied a slot of the upstream.
+func (c *Chooser) RecordDone(now time.Time, instance string, took time.Duration, firstTokenSeen bool, req Request) {
 	u := c.upstream(instance)
 	u.setInFlight(now, max(0, u.inFlight-1))
 	if !firstTokenSeen {
@@ -284,8 +284,8 @@
 	}
 }
 
-// Report records an upstream's report on its load and its cache, which arrives with a delay.
-func (c *Chooser) Report(now time.Time, instance string, r masticway.LoadReport) {
+// RecordReport records an upstream's report on its load and its cache, which arrives with a delay.
+func (c *Chooser) RecordReport(now time.Time, instance string, r masticway.LoadReport) {
 	u := c.upstream(instance)
 	fresh := !r.ReportedAt.Equal(u.report.ReportedAt)
 	u.report = r
@@ -332,8 +332,8 @@
 	return u.inFlight, u.report.Capacity
 }
 
-// Wait estimates how long the given upstreams take to drain a queue of this length.
-func (c *Chooser) Wait(queued int, candidates []Candidate) time.Duration {
+// EstimateWait estimates how long the given upstreams take to drain a queue of this length.
+func (c *Chooser) EstimateWait(queued int, candidates []Candidate) time.Duration {
 	rate := 0.0
 	for _, k := range candidates {
 		u := c.upstream(k.Instance)
--- a/chooser/cold.go
+++ b/chooser/cold.go
@@ -12,9 +12,9 @@
 // second.
 const coldWindow = 1200 * time.Millisecond
 
-// ColdBound is the maximum number of requests that a cold server may get from all routers together in any second: Overshoot times
+// ColdRateLimit is the maximum number of requests that a cold server may get from all routers together in any second: Overshoot times
 // the configured rate, plus Slack.
-type ColdBound struct {
+type ColdRateLimit struct {
 	Overshoot float64
 	Slack     float64
 }
@@ -22,12 +22,12 @@
 // ownerLimit returns the maximum number of requests that the server's owner may send to it. The owner is the only router that
 // sends to the server while it is cold. The limit is half of the total, because two routers may both consider themselves the
 // owner while they know of different routers.
-func (b ColdBound) ownerLimit(rate float64) int { return max(1, int((b.Overshoot*rate+b.Slack)/2)) }
+func (b ColdRateLimit) ownerLimit(rate float64) int { return max(1, int((b.Overshoot*rate+b.Slack)/2)) }
 
-// Warm returns the warm servers, which may get any request, and the cold servers that may get one more request from this router,
+// Eligible returns the warm servers, which may get any request, and the cold servers that may get one more request from this router,
 // which must own the server and have sent fewer requests than the owner's limit. Cold servers are meant for requests that no warm
 // server can take: they are slow, and crash under a load that a warm server handles.
-func (s *Servers) Warm(now time.Time, servers []masticway.Server, rate float64, owns func(server string) bool) (warm, cold []masticway.Server) {
+func (s *Servers) Eligible(now time.Time, servers []masticway.Server, rate float64, owns func(server string) bool) (warm, cold []masticway.Server) {
 	for i, server := range servers {
 		if !server.IsCold(now) {
 			if warm != nil {
--- a/chooser/cold_test.go
+++ b/chooser/cold_test.go
@@ -14,7 +14,7 @@
 // The limit of a deployment with cold servers: 1.5 times ten requests per second, plus five.
 const coldRate = 10.0
 
-var coldLimit = chooser.ColdBound{Overshoot: 1.5, Slack: 5}
+var coldLimit = chooser.ColdRateLimit{Overshoot: 1.5, Slack: 5}
 
 // coldPool returns n servers, of which some are cold.
 func coldPool(n int, cold ...int) []masticway.Server {
@@ -40,7 +40,7 @@
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
 			s := chooser.NewServers(chooser.ServerPolicy{Cold: coldLimit})
-			warm, cold := s.Warm(testTime, coldPool(3, tc.cold...), coldRate, func(string) bool { return tc.ownsAll })
+			warm, cold := s.Eligible(testTime, coldPool(3, tc.cold...), coldRate, func(string) bool { return tc.ownsAll })
 			qt.Assert(t, warm, qt.HasLen, tc.wantWarm)
 			qt.Assert(t, cold, qt.HasLen, tc.wantCold)
 		})
@@ -63,7 +63,7 @@
 	for i := range routers * requestsEach {
 		now := testTime.Add(span * time.Duration(i) / (routers * requestsEach))
 		r := random.IntN(routers)
-		_, cold := choosers[r].Warm(now, servers, coldRate, func(server string) bool {
+		_, cold := choosers[r].Eligible(now, servers, coldRate, func(server string) bool {
 			owner := int(server[len(server)-1] - '0')
 			return r == owner || r == owner+1
 		})
@@ -71,7 +71,7 @@
 			continue
 		}
 		k, _ := choosers[r].Choose(now, true, chat("hot"), cold)
-		choosers[r].Sent(now, chat("hot"), cold[k].ID)
+		choosers[r].RecordSent(now, chat("hot"), cold[k].ID)
 		// The network may delay a request by up to this much.
 		arrived[cold[k].ID] = append(arrived[cold[k].ID], now.Add(time.Duration(random.IntN(100))*time.Millisecond))
 	}
--- a/chooser/cost.go
+++ b/chooser/cost.go
@@ -31,7 +31,7 @@
 	// go there. With 0.04, a sixth less traffic crosses zones.
 	ZoneTokenCost float64
 	// Cold limits the requests to cold servers.
-	Cold ColdBound
+	Cold ColdRateLimit
 }
 
 func (s *Servers) cost(now time.Time, isEngine bool, p Prompt, server masticway.Server, isHome bool) float64 {
--- a/chooser/observations.go
+++ b/chooser/observations.go
@@ -77,8 +77,8 @@
 	ended          bool
 }
 
-// Sent records a request sent to a server.
-func (s *Servers) Sent(now time.Time, p Prompt, server string) *Placement {
+// RecordSent records a request sent to a server.
+func (s *Servers) RecordSent(now time.Time, p Prompt, server string) *Placement {
 	l := s.load(server)
 	uncached := float64(p.Tokens - l.cachedTokens(now, p, false))
 	l.inFlight++
@@ -101,8 +101,8 @@
 	}
 }
 
-// First records the first event of an answer.
-func (s *Servers) First(now time.Time, p *Placement) {
+// RecordFirstEvent records the first event of an answer.
+func (s *Servers) RecordFirstEvent(now time.Time, p *Placement) {
 	if p.firstEventSeen {
 		return
 	}
@@ -118,21 +118,21 @@
 // usualFirstEvent is the time in milliseconds that an idle engine takes for a first event, excluding the prefill.
 const usualFirstEvent = 60.0
 
-// Verdict is how a request ended, as far as it concerns the health of its server.
-type Verdict int
+// Result is how a request ended, as far as it concerns the health of its server.
+type Result int
 
 // The results of a request.
 const (
-	VerdictGood Verdict = iota
-	// VerdictNone is for requests whose result says nothing about the server, such as those that the caller aborted.
-	VerdictNone
-	VerdictFailed
-	// VerdictUnreached is for requests whose connection could not be established.
-	VerdictUnreached
+	ResultSuccess Result = iota
+	// ResultNeutral is for requests whose result says nothing about the server, such as those that the caller aborted.
+	ResultNeutral
+	ResultFailure
+	// ResultUnreachable is for requests whose connection could not be established.
+	ResultUnreachable
 )
 
-// Ended records the end of a request.
-func (s *Servers) Ended(now time.Time, p *Placement, v Verdict) {
+// RecordEnd records the end of a request.
+func (s *Servers) RecordEnd(now time.Time, p *Placement, v Result) {
 	if p.ended {
 		return
 	}
@@ -146,20 +146,20 @@
 		l.pendingPrefill = 0
 	}
 	switch v {
-	case VerdictGood:
+	case ResultSuccess:
 		l.failureRate *= 1 - failureWeight
 		l.connectFailures = 0
-	case VerdictFailed:
+	case ResultFailure:
 		l.failureRate += (1 - l.failureRate) * failureWeight
-	case VerdictUnreached:
+	case ResultUnreachable:
 		l.failureRate += (1 - l.failureRate) * failureWeight
 		l.avoidUntil = now.Add(min(maxAvoidTime, minAvoidTime<<min(l.connectFailures, 4)))
 		l.connectFailures++
 	}
 }
 
-// Suspect reports whether a server's failure rate is clearly above the average of the other servers of its pool.
-func (s *Servers) Suspect(id string, servers []masticway.Server) bool {
+// IsOutlier reports whether a server's failure rate is clearly above the average of the other servers of its pool.
+func (s *Servers) IsOutlier(id string, servers []masticway.Server) bool {
 	if len(servers) < 2 {
 		return false
 	}
@@ -176,10 +176,10 @@
 // caused by requests, not by a server, stay within it.
 const outlierMargin = 0.2
 
-// Keep removes the servers that are not in the given map and have no requests in flight, and the information about earlier
+// SyncIncarnations removes the servers that are not in the given map and have no requests in flight, and the information about earlier
 // incarnations, because a restarted server has an empty cache and no load. The map holds the start time of each server's current
 // incarnation. It returns the IDs of the servers that have restarted.
-func (s *Servers) Keep(startTimes map[string]time.Time) (restarted []string) {
+func (s *Servers) SyncIncarnations(startTimes map[string]time.Time) (restarted []string) {
 	s.startTimes = startTimes
 	for id, l := range s.loads {
 		startedAt, ok := startTimes[id]
--- a/chooser/servers_test.go
+++ b/chooser/servers_test.go
@@ -44,7 +44,7 @@
 	s, servers := chooser.NewServers(chooser.ServerPolicy{}), pool(9)
 	home, _ := s.Choose(testTime, true, chat("s"), servers)
 	for i := range 12 {
-		s.Sent(testTime, chat(fmt.Sprintf("other%d", i)), servers[home].ID)
+		s.RecordSent(testTime, chat(fmt.Sprintf("other%d", i)), servers[home].ID)
 	}
 	next, _ := s.Choose(testTime, true, chat("s"), servers)
 	qt.Assert(t, next, qt.Not(qt.Equals), home)
@@ -63,7 +63,7 @@
 				prompt := chat("s")
 				prompt.Parts[2].ID = fmt.Sprintf("own-%d-%d", r, i)
 				k, _ := s.Choose(testTime, true, prompt, servers)
-				s.Sent(testTime, prompt, servers[k].ID)
+				s.RecordSent(testTime, prompt, servers[k].ID)
 				used[k] = true
 			}
 		}
@@ -118,8 +118,8 @@
 
 func TestUnreachableServerIsAvoided(t *testing.T) {
 	s, servers := chooser.NewServers(chooser.ServerPolicy{}), pool(2)
-	p := s.Sent(testTime, chooser.Prompt{}, servers[0].ID)
-	s.Ended(testTime, p, chooser.VerdictUnreached)
+	p := s.RecordSent(testTime, chooser.Prompt{}, servers[0].ID)
+	s.RecordEnd(testTime, p, chooser.ResultUnreachable)
 	for range 4 {
 		i, _ := s.Choose(testTime.Add(100*time.Millisecond), false, chooser.Prompt{Zone: "z"}, servers)
 		qt.Assert(t, i, qt.Equals, 1)
@@ -140,14 +140,14 @@
 			s, servers := chooser.NewServers(chooser.ServerPolicy{}), pool(3)
 			for range 10 {
 				for i, server := range servers {
-					verdict := chooser.VerdictGood
+					verdict := chooser.ResultSuccess
 					if tc.fails[i] {
-						verdict = chooser.VerdictFailed
+						verdict = chooser.ResultFailure
 					}
-					s.Ended(testTime, s.Sent(testTime, chooser.Prompt{}, server.ID), verdict)
+					s.RecordEnd(testTime, s.RecordSent(testTime, chooser.Prompt{}, server.ID), verdict)
 				}
 			}
-			qt.Assert(t, s.Suspect(servers[0].ID, servers), qt.Equals, tc.want)
+			qt.Assert(t, s.IsOutlier(servers[0].ID, servers), qt.Equals, tc.want)
 		})
 	}
 }
@@ -173,10 +173,10 @@
 	s := chooser.NewServers(chooser.ServerPolicy{})
 	servers := []masticway.Server{{ID: "a"}, {ID: "b"}}
 	startTimes := map[string]time.Time{"a": testTime, "b": testTime}
-	qt.Assert(t, s.Keep(startTimes), qt.HasLen, 0)
+	qt.Assert(t, s.SyncIncarnations(startTimes), qt.HasLen, 0)
 	var open []*chooser.Placement
 	for range 20 {
-		open = append(open, s.Sent(testTime, chooser.Prompt{}, "a"))
+		open = append(open, s.RecordSent(testTime, chooser.Prompt{}, "a"))
 	}
 	costs := func() (float64, float64) {
 		_, a := s.Choose(testTime, false, chooser.Prompt{}, servers[:1])
@@ -185,11 +185,11 @@
 	}
 	busy, idle := costs()
 	qt.Assert(t, busy > idle, qt.IsTrue)
-	qt.Assert(t, s.Keep(map[string]time.Time{"a": testTime.Add(time.Second), "b": testTime}), qt.DeepEquals, []string{"a"})
+	qt.Assert(t, s.SyncIncarnations(map[string]time.Time{"a": testTime.Add(time.Second), "b": testTime}), qt.DeepEquals, []string{"a"})
 	restarted, idle := costs()
 	qt.Assert(t, restarted, qt.Equals, idle)
 	for _, p := range open {
-		s.Ended(testTime, p, chooser.VerdictUnreached)
+		s.RecordEnd(testTime, p, chooser.ResultUnreachable)
 	}
 	restarted, idle = costs()
 	qt.Assert(t, restarted, qt.Equals, idle, qt.Commentf("the ends of the earlier incarnation's requests must not count"))
--- a/commander/account.go
+++ b/commander/account.go
@@ -48,7 +48,7 @@
 		}
 	}
 	if f.request != "" {
-		story, err := account.Story()
+		story, err := account.Trace()
 		if err != nil {
 			return err
 		}
@@ -71,7 +71,7 @@
 	return encoder.Encode(v)
 }
 
-func readLog(account *accountant.Account, name string) error {
+func readLog(account *accountant.Analyzer, name string) error {
 	if name == "-" {
 		return account.Read(name, os.Stdin)
 	}
--- a/commander/budgets.go
+++ b/commander/budgets.go
@@ -48,12 +48,12 @@
 	for _, g := range v.Grants {
 		state := "in use"
 		if g.Stranded {
-			state = "stranded: " + g.Why
+			state = "stranded: " + g.Reason
 		}
 		fmt.Fprintf(w, "  grant to %s: %s (%s)\n", g.Payer, tokens(g.Open), state)
 	}
-	if v.Here != nil {
-		fmt.Fprintf(w, "  at this router: drawn %s spent %s held %s in %d holds\n", tokens(v.Here.Drawn), tokens(v.Here.Spent), tokens(v.Here.Held), v.Here.Holds)
+	if v.Local != nil {
+		fmt.Fprintf(w, "  at this router: drawn %s spent %s held %s in %d holds\n", tokens(v.Local.Drawn), tokens(v.Local.Spent), tokens(v.Local.Held), v.Local.Holds)
 	}
 }
 
--- a/configurer/bench_test.go
+++ b/configurer/bench_test.go
@@ -10,8 +10,8 @@
 	"github.com/masticway/masticway/configurer"
 )
 
-func newConfiguration(n int) configurer.Full {
-	f := configurer.Full{Revision: 1}
+func newConfiguration(n int) configurer.Configuration {
+	f := configurer.Configuration{Revision: 1}
 	for i := range n {
 		name := fmt.Sprint("workspace-", i)
 		c := masticway.Contract{
@@ -53,7 +53,7 @@
 			for b.Loop() {
 				runtime.GC()
 				runtime.ReadMemStats(&before)
-				s := configurer.FromFull(newConfiguration(n))
+				s := configurer.NewSnapshot(newConfiguration(n))
 				runtime.GC()
 				runtime.ReadMemStats(&after)
 				runtime.KeepAlive(s)
--- a/configurer/configurer_test.go
+++ b/configurer/configurer_test.go
@@ -29,7 +29,7 @@
 		"any base revision":             {base: configurer.AnyRevision, id: "b", revision: 2},
 		"based on an old revision":      {base: 0, id: "b", conflict: true},
 		"same change again":             {base: 0, id: "a", revision: 1},
-		"answer lost, read back":        {base: 1, id: "b", revision: 2, faults: emulator.TableFaults{LoseAnswers: 1}},
+		"answer lost, read back":        {base: 1, id: "b", revision: 2, faults: emulator.TableFaults{DropAnswers: 1}},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -62,7 +62,7 @@
 	ctx := context.Background()
 	_, err := store.Put(ctx, masticway.Change{ID: "first", Contract: contract(0)}, 0)
 	qt.Assert(t, err, qt.IsNil)
-	table.SetFaults(emulator.TableFaults{LoseAnswers: 3})
+	table.SetFaults(emulator.TableFaults{DropAnswers: 3})
 	var wg sync.WaitGroup
 	won := make([]bool, 8)
 	for i := range won {
@@ -89,8 +89,8 @@
 	var s configurer.State
 	_, gap := s.Apply([]masticway.Change{{Revision: 1}})
 	qt.Assert(t, gap, qt.IsTrue)
-	s.Load(configurer.Full{Revision: 3, Contracts: []masticway.Contract{*contract(3, "old")}})
-	qt.Assert(t, s.Load(configurer.Full{Revision: 2}), qt.IsFalse)
+	s.Load(configurer.Configuration{Revision: 3, Contracts: []masticway.Contract{*contract(3, "old")}})
+	qt.Assert(t, s.Load(configurer.Configuration{Revision: 2}), qt.IsFalse)
 	applied, gap := s.Apply([]masticway.Change{{Revision: 5, Contract: contract(5, "new")}, {Revision: 2}, {Revision: 4, Contract: contract(4, "mid")}})
 	qt.Assert(t, gap, qt.IsFalse)
 	qt.Assert(t, applied, qt.HasLen, 2)
@@ -98,20 +98,20 @@
 	qt.Assert(t, applied, qt.HasLen, 0)
 	_, gap = s.Apply([]masticway.Change{{Revision: 7}})
 	qt.Assert(t, gap, qt.IsTrue)
-	c, ok := s.Snapshot().ByKeyHash("new")
+	c, ok := s.Snapshot().ContractByKeyHash("new")
 	qt.Assert(t, ok, qt.IsTrue)
 	qt.Assert(t, c.Priority, qt.Equals, 5)
 	for _, revoked := range []string{"old", "mid"} {
-		_, ok := s.Snapshot().ByKeyHash(revoked)
+		_, ok := s.Snapshot().ContractByKeyHash(revoked)
 		qt.Assert(t, ok, qt.IsFalse)
 	}
-	qt.Assert(t, s.After(3), qt.HasLen, 2)
+	qt.Assert(t, s.ChangesAfter(3), qt.HasLen, 2)
 }
 
 func TestSnapshotsAreImmutable(t *testing.T) {
-	before := configurer.FromFull(configurer.Full{Revision: 1, Contracts: []masticway.Contract{*contract(1, "k")}})
+	before := configurer.NewSnapshot(configurer.Configuration{Revision: 1, Contracts: []masticway.Contract{*contract(1, "k")}})
 	after := before.With(masticway.Change{Revision: 2, Removed: "w"})
-	_, was := before.ByKeyHash("k")
-	_, is := after.ByKeyHash("k")
+	_, was := before.ContractByKeyHash("k")
+	_, is := after.ContractByKeyHash("k")
 	qt.Assert(t, []bool{was, is}, qt.DeepEquals, []bool{true, false})
 }
--- a/configurer/snapshot.go
+++ b/configurer/snapshot.go
@@ -27,8 +27,8 @@
 	return c, ok
 }
 
-// ByKeyHash returns the contract of the workspace that holds a caller key, and whether there is one.
-func (s Snapshot) ByKeyHash(hash string) (masticway.Contract, bool) {
+// ContractByKeyHash returns the contract of the workspace that holds a caller key, and whether there is one.
+func (s Snapshot) ContractByKeyHash(hash string) (masticway.Contract, bool) {
 	workspace, ok := s.byKey[hash]
 	if !ok {
 		return masticway.Contract{}, false
@@ -80,20 +80,20 @@
 	return maps.Clone(m)
 }
 
-// Full is a complete configuration, in the form in which peers exchange it.
-type Full struct {
+// Configuration is a complete configuration, in the form in which peers exchange it.
+type Configuration struct {
 	Revision  masticway.Revision   `json:"revision" cbor:"1,keyasint"`
 	Catalog   masticway.Catalog    `json:"catalog" cbor:"2,keyasint"`
 	Contracts []masticway.Contract `json:"contracts" cbor:"3,keyasint"`
 }
 
-// Full returns the complete configuration of the snapshot.
-func (s Snapshot) Full() Full {
-	return Full{Revision: s.revision, Catalog: s.catalog, Contracts: s.Contracts()}
+// Configuration returns the complete configuration of the snapshot.
+func (s Snapshot) Configuration() Configuration {
+	return Configuration{Revision: s.revision, Catalog: s.catalog, Contracts: s.Contracts()}
 }
 
-// FromFull returns a snapshot of a complete configuration.
-func FromFull(f Full) Snapshot {
+// NewSnapshot returns a snapshot of a complete configuration.
+func NewSnapshot(f Configuration) Snapshot {
 	s := Snapshot{revision: f.Revision, catalog: f.Catalog, contracts: map[string]masticway.Contract{}, byKey: map[string]string{}}
 	for _, c := range f.Contracts {
 		s.contracts[c.Workspace] = c
@@ -117,15 +117,15 @@
 // Snapshot returns the newest applied configuration.
 func (s *State) Snapshot() Snapshot { return s.snapshot }
 
-// Ready reports whether a configuration has been loaded.
-func (s *State) Ready() bool { return s.ready }
+// IsReady reports whether a configuration has been loaded.
+func (s *State) IsReady() bool { return s.ready }
 
 // Load replaces the whole configuration and reports whether it did; it ignores one that is not newer than the current one.
-func (s *State) Load(f Full) bool {
+func (s *State) Load(f Configuration) bool {
 	if s.ready && f.Revision <= s.snapshot.revision {
 		return false
 	}
-	s.snapshot = FromFull(f)
+	s.snapshot = NewSnapshot(f)
 	s.recent = nil
 	s.ready = true
 	return true
@@ -152,8 +152,8 @@
 	return applied, false
 }
 
-// After returns the recent changes after a revision, as far as they are still kept.
-func (s *State) After(r masticway.Revision) []masticway.Change {
+// ChangesAfter returns the recent changes after a revision, as far as they are still kept.
+func (s *State) ChangesAfter(r masticway.Revision) []masticway.Change {
 	i := slices.IndexFunc(s.recent, func(c masticway.Change) bool { return c.Revision > r })
 	if i < 0 {
 		return nil
--- a/configurer/store.go
+++ b/configurer/store.go
@@ -76,9 +76,9 @@
 	eventAppliedEverywhere charter.Event = "everywhere"
 )
 
-// Standing returns the state of a change in the change state chart, given the error of Put and whether all daemons apply
+// ChangeState returns the state of a change in the change state chart, given the error of Put and whether all daemons apply
 // the change.
-func Standing(err error, appliedEverywhere bool) charter.State {
+func ChangeState(err error, appliedEverywhere bool) charter.State {
 	event := eventCommitted
 	if _, ok := errors.AsType[*RevisionConflictError](err); ok {
 		event = eventConflicted
@@ -223,26 +223,26 @@
 	return c.Value, c.Revision, err
 }
 
-// Full reads the complete configuration. It reads the head revision first, so that the result may contain later changes but
+// Configuration reads the complete configuration. It reads the head revision first, so that the result may contain later changes but
 // misses none.
-func (s *Store) Full(ctx context.Context) (Full, error) {
+func (s *Store) Configuration(ctx context.Context) (Configuration, error) {
 	revision, err := s.Head(ctx)
 	if err != nil {
-		return Full{}, fmt.Errorf("reading the head revision: %w", err)
+		return Configuration{}, fmt.Errorf("reading the head revision: %w", err)
 	}
 	catalog, _, err := s.Catalog(ctx)
 	if err != nil {
-		return Full{}, fmt.Errorf("reading the catalog: %w", err)
+		return Configuration{}, fmt.Errorf("reading the catalog: %w", err)
 	}
 	rows, err := s.table.Scan(ctx, prefixContract)
 	if err != nil {
-		return Full{}, fmt.Errorf("reading contracts: %w", err)
+		return Configuration{}, fmt.Errorf("reading contracts: %w", err)
 	}
-	f := Full{Revision: revision, Catalog: catalog}
+	f := Configuration{Revision: revision, Catalog: catalog}
 	for _, r := range rows {
 		var c stored[masticway.Contract]
 		if err := json.Unmarshal(r.Value, &c); err != nil {
-			return Full{}, fmt.Errorf("decoding row %s: %w", r.Key, err)
+			return Configuration{}, fmt.Errorf("decoding row %s: %w", r.Key, err)
 		}
 		f.Contracts = append(f.Contracts, c.Value)
 	}
--- a/connector/bench_test.go
+++ b/connector/bench_test.go
@@ -41,7 +41,7 @@
 			server := httptest.NewServer(platform.Handler())
 			defer server.Close()
 			var bytes atomic.Int64
-			client := connector.NewHTTP(func(ctx context.Context, network, address string) (net.Conn, error) {
+			client := connector.NewHTTPClient(func(ctx context.Context, network, address string) (net.Conn, error) {
 				c, err := (&net.Dialer{}).DialContext(ctx, network, address)
 				return countingConn{Conn: c, bytes: &bytes}, err
 			})
@@ -64,7 +64,7 @@
 func BenchmarkInstanceBytes(b *testing.B) {
 	for _, n := range []int{10, 100, 2450} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			list := emulator.NewInstances(0)
+			list := emulator.NewInstanceList(0)
 			for i := range n {
 				list.Set(masticway.Instance{
 					ID: fmt.Sprintf("engine-east-%d", i), Role: masticway.RoleSidecar, Address: fmt.Sprintf("10.1.%d.%d:7000", i/250, i%250),
--- a/connector/client.go
+++ b/connector/client.go
@@ -21,8 +21,8 @@
 // DialFunc opens a connection to an address.
 type DialFunc func(ctx context.Context, network, address string) (net.Conn, error)
 
-// NewHTTP returns a client that dials with dial and keeps idle connections.
-func NewHTTP(dial DialFunc) *http.Client {
+// NewHTTPClient returns a client that dials with dial and keeps idle connections.
+func NewHTTPClient(dial DialFunc) *http.Client {
 	if dial == nil {
 		dial = (&net.Dialer{}).DialContext
 	}
@@ -38,7 +38,7 @@
 // The standard transport retries a request with an Idempotency-Key on its own if a reused connection breaks, even after the
 // server has acted on it. A separate connection for each request rules that out.
 func NewNoRetryHTTPClient(dial DialFunc) *http.Client {
-	client := NewHTTP(dial)
+	client := NewHTTPClient(dial)
 	client.Transport.(*http.Transport).DisableKeepAlives = true
 	return client
 }
--- a/connector/contract_test.go
+++ b/connector/contract_test.go
@@ -24,7 +24,7 @@
 			platform := emulator.NewPlatform(0)
 			server := httptest.NewServer(platform.Handler())
 			t.Cleanup(server.Close)
-			return connector.NewPlatform(server.URL, connector.NewHTTP(nil), time.Second), platform.Table
+			return connector.NewPlatform(server.URL, connector.NewHTTPClient(nil), time.Second), platform.Table
 		},
 	}
 }
@@ -50,8 +50,8 @@
 		"no condition":                     {tx: masticway.Transaction{Puts: []masticway.Put{{Key: "new", Value: []byte("v")}}}, value: "v"},
 		"removal":                          {tx: masticway.Transaction{Puts: []masticway.Put{{Key: "old"}}}},
 		"down":                             {faults: emulator.TableFaults{Down: true}, tx: putTransaction("new", "v", 0), unavailable: true},
-		"rate limited":                     {faults: emulator.TableFaults{WritesPerSecond: -1}, tx: putTransaction("new", "v", 0), unavailable: true},
-		"answer lost after the commit":     {faults: emulator.TableFaults{LoseAnswers: 1}, tx: putTransaction("new", "v", 0), unknown: true, value: "v"},
+		"rate limited":                     {faults: emulator.TableFaults{MaxWritesPerSecond: -1}, tx: putTransaction("new", "v", 0), unavailable: true},
+		"answer lost after the commit":     {faults: emulator.TableFaults{DropAnswers: 1}, tx: putTransaction("new", "v", 0), unknown: true, value: "v"},
 	}
 	for implementation, build := range tables(t) {
 		for name, tc := range cases {
@@ -102,7 +102,7 @@
 func TestRefusedConnectionMeansNotWritten(t *testing.T) {
 	server := httptest.NewServer(nil)
 	server.Close()
-	p := connector.NewPlatform(server.URL, connector.NewHTTP(nil), time.Second)
+	p := connector.NewPlatform(server.URL, connector.NewHTTPClient(nil), time.Second)
 	var unavailable *masticway.UnavailableError
 	qt.Assert(t, p.Commit(context.Background(), putTransaction("k", "v", 0)), qt.ErrorAs, &unavailable)
 }
@@ -111,8 +111,8 @@
 	platform := emulator.NewPlatform(0)
 	server := httptest.NewServer(platform.Handler())
 	defer server.Close()
-	p := connector.NewPlatform(server.URL, connector.NewHTTP(nil), 20*time.Millisecond)
-	platform.Table.SetFaults(emulator.TableFaults{Slow: 200})
+	p := connector.NewPlatform(server.URL, connector.NewHTTPClient(nil), 20*time.Millisecond)
+	platform.Table.SetFaults(emulator.TableFaults{DelayMillis: 200})
 	var unknown *masticway.OutcomeUnknownError
 	qt.Assert(t, p.Commit(context.Background(), putTransaction("k", "v", 0)), qt.ErrorAs, &unknown)
 }
@@ -122,8 +122,8 @@
 	server := httptest.NewServer(platform.Handler())
 	defer server.Close()
 	stores := map[string]masticway.ObjectStore{
-		"in memory": emulator.NewObjects(),
-		"over HTTP": connector.NewPlatform(server.URL, connector.NewHTTP(nil), time.Second).Objects(),
+		"in memory": emulator.NewObjectStore(),
+		"over HTTP": connector.NewPlatform(server.URL, connector.NewHTTPClient(nil), time.Second).Objects(),
 	}
 	for name, store := range stores {
 		t.Run(name, func(t *testing.T) {
--- a/connector/slow_test.go
+++ b/connector/slow_test.go
@@ -28,9 +28,9 @@
 
 // overLink returns an address that forwards to another one over a link of limited bandwidth.
 func overLink(t *testing.T, rate int64, address string) string {
-	link := emulator.NewLink(rate)
+	link := emulator.NewBandwidthProxy(rate)
 	t.Cleanup(link.Close)
-	local, err := link.To(address)
+	local, err := link.AddTarget(address)
 	qt.Assert(t, err, qt.IsNil)
 	return local
 }
@@ -54,13 +54,13 @@
 	platform := emulator.NewPlatform(0)
 	server := httptest.NewServer(platform.Handler())
 	defer server.Close()
-	direct := connector.NewPlatform(server.URL, connector.NewHTTP(nil), 10*time.Second)
+	direct := connector.NewPlatform(server.URL, connector.NewHTTPClient(nil), 10*time.Second)
 	qt.Assert(t, direct.Commit(t.Context(), putTransaction("large", large, 0)), qt.IsNil)
 	qt.Assert(t, direct.Objects().Put(t.Context(), "large", []byte(large)), qt.IsNil)
 	address := overLink(t, slowLink, server.Listener.Addr().String())
 	for name, read := range cases {
 		t.Run(name, func(t *testing.T) {
-			value, err := read(connector.NewPlatform("http://"+address, connector.NewHTTP(nil), callTimeout))
+			value, err := read(connector.NewPlatform("http://"+address, connector.NewHTTPClient(nil), callTimeout))
 			qt.Assert(t, err, qt.IsNil)
 			qt.Assert(t, value, qt.HasLen, largeValue)
 		})
@@ -74,7 +74,7 @@
 		_, _ = w.Write([]byte(`{"key":"k","value":"dg==","version":1}` + strings.Repeat(" ", answerLimit) + `]`))
 	}))
 	defer server.Close()
-	_, err := connector.NewPlatform(server.URL, connector.NewHTTP(nil), 10*time.Second).Get(t.Context(), "k")
+	_, err := connector.NewPlatform(server.URL, connector.NewHTTPClient(nil), 10*time.Second).Get(t.Context(), "k")
 	var unavailable *masticway.UnavailableError
 	qt.Assert(t, err, qt.ErrorAs, &unavailable)
 	qt.Assert(t, unavailable.Reason, qt.Contains, (&receiver.TooLargeError{Limit: answerLimit}).Error())
--- a/connector/upstream.go
+++ b/connector/upstream.go
@@ -49,7 +49,7 @@
 
 // NewUpstream returns a client of the upstream at a base URL.
 func NewUpstream(base string, dial DialFunc, idleTimeout time.Duration) Upstream {
-	u := Upstream{base: base, client: NewHTTP(dial), noRetry: NewNoRetryHTTPClient(dial), dial: dial, idleTimeout: idleTimeout}
+	u := Upstream{base: base, client: NewHTTPClient(dial), noRetry: NewNoRetryHTTPClient(dial), dial: dial, idleTimeout: idleTimeout}
 	if u.dial == nil {
 		u.dial = (&net.Dialer{}).DialContext
 	}
--- a/emulator/clock.go
+++ b/emulator/clock.go
@@ -2,11 +2,11 @@
 
 import "time"
 
-// SteadyClock reads the process's steady clock alone, so that in a test's bubble of time it goes as the bubble does.
-type SteadyClock struct{}
+// MonotonicClock reads the process's steady clock alone, so that in a test's bubble of time it goes as the bubble does.
+type MonotonicClock struct{}
 
 // Now returns the present time.
-func (SteadyClock) Now() time.Time { return time.Now() }
+func (MonotonicClock) Now() time.Time { return time.Now() }
 
 // After waits on the steady clock.
-func (SteadyClock) After(d time.Duration) <-chan time.Time { return time.After(d) }
+func (MonotonicClock) After(d time.Duration) <-chan time.Time { return time.After(d) }
--- a/emulator/deployment.go
+++ b/emulator/deployment.go
@@ -19,8 +19,8 @@
 const (
 	// DeploymentHost is the host of all its routes.
 	DeploymentHost = "soak.example"
-	// DeploymentKey stands before a workspace's name in its key.
-	DeploymentKey = "key-"
+	// DeploymentKeyPrefix stands before a workspace's name in its key.
+	DeploymentKeyPrefix = "key-"
 	// DeploymentTimeout is the longest time that its routes keep a caller waiting.
 	DeploymentTimeout = 6 * time.Second
 	// DeploymentTokensPerEvent is how many tokens an event of its engines has.
@@ -35,7 +35,7 @@
 }
 
 // Put writes the configuration and returns its size in bytes; it fails with the template's errors.
-func (d Deployment) Put(rows *Rows) (int, error) {
+func (d Deployment) Put(rows *RowStore) (int, error) {
 	var document bytes.Buffer
 	if err := deploymentTemplate.Execute(&document, d); err != nil {
 		return 0, fmt.Errorf("writing a configuration: %w", err)
@@ -45,7 +45,7 @@
 }
 
 // Register writes a server's registration, as one that is ready or that is leaving.
-func (s *OpaqueServer) Register(rows *Rows, pool, zone string, leaving bool) {
+func (s *OpaqueServer) Register(rows *RowStore, pool, zone string, leaving bool) {
 	state := "ready"
 	if leaving {
 		state = "draining"
@@ -54,6 +54,6 @@
 }
 
 // Deregister removes a server's registration.
-func (s *OpaqueServer) Deregister(rows *Rows) { rows.Delete(s.key()) }
+func (s *OpaqueServer) Deregister(rows *RowStore) { rows.Delete(s.key()) }
 
 func (s *OpaqueServer) key() masticway.RowKey { return masticway.RowKey{Table: "servers", Key: s.ID} }
--- a/emulator/engine.go
+++ b/emulator/engine.go
@@ -36,8 +36,8 @@
 	Down bool `json:"down"`
 	// Stall stops all output without ending it.
 	Stall bool `json:"stall"`
-	// BreakAfterCount breaks so many streams between the prompt's count and the first token.
-	BreakAfterCount int `json:"break_after_count"`
+	// BreakBeforeFirstToken breaks so many streams between the prompt's count and the first token.
+	BreakBeforeFirstToken int `json:"break_after_count"`
 	// HideCache leaves cached prefixes out of load reports.
 	HideCache bool `json:"hide_cache"`
 }
@@ -159,7 +159,7 @@
 func (e *Engine) Record(owner string, prompt, completion int64) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.counts.add([]Message{{Content: OwnerMark + owner + " "}}, prompt, completion)
+	e.counts.add([]Message{{Content: OwnerPrefix + owner + " "}}, prompt, completion)
 }
 
 // Running returns the size of the batch now.
@@ -387,10 +387,10 @@
 func (e *Engine) breaks() bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if e.faults.BreakAfterCount == 0 {
+	if e.faults.BreakBeforeFirstToken == 0 {
 		return false
 	}
-	e.faults.BreakAfterCount--
+	e.faults.BreakBeforeFirstToken--
 	return true
 }
 
--- a/emulator/link.go
+++ b/emulator/link.go
@@ -10,8 +10,8 @@
 // linkPiece is what a link carries for one connection before it turns to the next, 8 KB.
 const linkPiece = 8 << 10
 
-// Link is the network interface of one machine: what arrives on all of its connections shares one rate.
-type Link struct {
+// BandwidthProxy is the network interface of one machine: what arrives on all of its connections shares one rate.
+type BandwidthProxy struct {
 	rate int64
 
 	mu        sync.Mutex
@@ -23,11 +23,13 @@
 	wg        sync.WaitGroup
 }
 
-// NewLink returns a link that lets in so many bytes a second.
-func NewLink(rate int64) *Link { return &Link{rate: rate, conns: map[net.Conn]bool{}} }
+// NewBandwidthProxy returns a link that lets in so many bytes a second.
+func NewBandwidthProxy(rate int64) *BandwidthProxy {
+	return &BandwidthProxy{rate: rate, conns: map[net.Conn]bool{}}
+}
 
-// To opens an address behind which a target (host and port) is reached through the link; it fails with the listener's error.
-func (l *Link) To(target string) (string, error) {
+// AddTarget opens an address behind which a target (host and port) is reached through the link; it fails with the listener's error.
+func (l *BandwidthProxy) AddTarget(target string) (string, error) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return "", err
@@ -39,15 +41,15 @@
 	return listener.Addr().String(), nil
 }
 
-// Carried returns how many bytes the link has let in.
-func (l *Link) Carried() int64 {
+// ReceivedBytes returns how many bytes the link has let in.
+func (l *BandwidthProxy) ReceivedBytes() int64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.carried
 }
 
 // Close ends the link and everything on it.
-func (l *Link) Close() {
+func (l *BandwidthProxy) Close() {
 	l.mu.Lock()
 	l.closed = true
 	for _, listener := range l.listeners {
@@ -60,7 +62,7 @@
 	l.wg.Wait()
 }
 
-func (l *Link) accept(listener net.Listener, target string) {
+func (l *BandwidthProxy) accept(listener net.Listener, target string) {
 	for {
 		near, err := listener.Accept()
 		if err != nil {
@@ -86,7 +88,7 @@
 	}
 }
 
-func (l *Link) keep(conns ...net.Conn) bool {
+func (l *BandwidthProxy) keep(conns ...net.Conn) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for _, c := range conns {
@@ -99,7 +101,7 @@
 	return !l.closed
 }
 
-func (l *Link) drop(conns ...net.Conn) {
+func (l *BandwidthProxy) drop(conns ...net.Conn) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for _, c := range conns {
@@ -109,7 +111,7 @@
 }
 
 // carry moves what arrives, a piece at a time, each when the link is free for it.
-func (l *Link) carry(near io.Writer, far io.Reader) {
+func (l *BandwidthProxy) carry(near io.Writer, far io.Reader) {
 	piece := make([]byte, linkPiece)
 	for {
 		n, err := far.Read(piece)
@@ -126,7 +128,7 @@
 }
 
 // reserve returns when the link will have let so many bytes in.
-func (l *Link) reserve(n int) time.Time {
+func (l *BandwidthProxy) reserve(n int) time.Time {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := time.Now()
--- a/emulator/network.go
+++ b/emulator/network.go
@@ -24,15 +24,15 @@
 	return &Network{places: map[string]string{}, delay: delay, cut: map[[2]string]bool{}, change: make(chan struct{})}
 }
 
-// Place says which process listens on an address; faults name processes.
-func (n *Network) Place(address, process string) {
+// RegisterAddress says which process listens on an address; faults name processes.
+func (n *Network) RegisterAddress(address, process string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.places[address] = process
 }
 
-// Cut holds back everything between two processes, or between one and all when b is "*".
-func (n *Network) Cut(a, b string) { n.set(a, b, true) }
+// Partition holds back everything between two processes, or between one and all when b is "*".
+func (n *Network) Partition(a, b string) { n.set(a, b, true) }
 
 // Heal ends a cut.
 func (n *Network) Heal(a, b string) { n.set(a, b, false) }
--- a/emulator/opaque.go
+++ b/emulator/opaque.go
@@ -20,26 +20,26 @@
 
 // The faults of an opaque server; the last word of each says what was run.
 const (
-	// OpaqueGood answers as it should.
-	OpaqueGood OpaqueFault = ""
-	// OpaqueFull refuses without running.
-	OpaqueFull OpaqueFault = "full"
-	// OpaqueOther answers that it is another server, without running.
-	OpaqueOther OpaqueFault = "other"
+	// OpaqueNoFault answers as it should.
+	OpaqueNoFault OpaqueFault = ""
+	// OpaqueOverloaded refuses without running.
+	OpaqueOverloaded OpaqueFault = "full"
+	// OpaqueWrongServer answers that it is another server, without running.
+	OpaqueWrongServer OpaqueFault = "other"
 	// OpaqueError runs and fails with a 500 of its own.
 	OpaqueError OpaqueFault = "error"
 	// OpaqueReset runs and resets the connection without an answer.
 	OpaqueReset OpaqueFault = "reset"
-	// OpaqueCut runs and breaks off in the middle.
-	OpaqueCut OpaqueFault = "cut"
+	// OpaqueTruncated runs and breaks off in the middle.
+	OpaqueTruncated OpaqueFault = "cut"
 	// OpaqueHang runs and never answers.
 	OpaqueHang OpaqueFault = "hang"
-	// OpaqueForged runs and answers without its signature.
-	OpaqueForged OpaqueFault = "forged"
-	// OpaqueForeign runs and answers for another request.
-	OpaqueForeign OpaqueFault = "foreign"
-	// OpaqueExtra runs and sends another request's answer first.
-	OpaqueExtra OpaqueFault = "extra"
+	// OpaqueUnsigned runs and answers without its signature.
+	OpaqueUnsigned OpaqueFault = "forged"
+	// OpaqueWrongRequest runs and answers for another request.
+	OpaqueWrongRequest OpaqueFault = "foreign"
+	// OpaqueStrayAnswer runs and sends another request's answer first.
+	OpaqueStrayAnswer OpaqueFault = "extra"
 	// OpaqueCrash ends the server soon after it has begun to run the request, and with it all else that it runs.
 	OpaqueCrash OpaqueFault = "crash"
 )
@@ -51,53 +51,53 @@
 type OpaqueRun struct {
 	ID, Server, Workspace, LastEvent, Path string
 	TimeLeft                               time.Duration
-	Key                                    bool
+	HasKey                                 bool
 	Body                                   string
-	// At is when the server began to work on it, Fault how it treated it.
-	At    time.Time
-	Fault OpaqueFault
-	// Left tells that the caller's connection ended before the answer was whole.
-	Left bool
+	// StartedAt is when the server began to work on it, Fault how it treated it.
+	StartedAt time.Time
+	Fault     OpaqueFault
+	// CallerDisconnected tells that the caller's connection ended before the answer was whole.
+	CallerDisconnected bool
 }
 
-// OpaqueLedger counts what all servers ran, over their lives.
-type OpaqueLedger struct {
+// OpaqueRunLog counts what all servers ran, over their lives.
+type OpaqueRunLog struct {
 	mu   sync.Mutex
 	runs []OpaqueRun
 }
 
 // Runs returns what was run, in order.
-func (l *OpaqueLedger) Runs() []OpaqueRun {
+func (l *OpaqueRunLog) Runs() []OpaqueRun {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return append([]OpaqueRun(nil), l.runs...)
 }
 
-func (l *OpaqueLedger) add(r OpaqueRun) int {
+func (l *OpaqueRunLog) add(r OpaqueRun) int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.runs = append(l.runs, r)
 	return len(l.runs) - 1
 }
 
-func (l *OpaqueLedger) left(i int) {
+func (l *OpaqueRunLog) left(i int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.runs[i].Left = true
+	l.runs[i].CallerDisconnected = true
 }
 
 // OpaqueArrival is a request that has reached a server, which may have turned it away.
 type OpaqueArrival struct {
-	ID string
-	At time.Time
-	// Rest is the time of rest that the server asked for when it turned the request away, in seconds as text.
-	Rest string
+	ID         string
+	ReceivedAt time.Time
+	// RetryAfter is the time of rest that the server asked for when it turned the request away, in seconds as text.
+	RetryAfter string
 }
 
 // OpaqueServer speaks the protocol of the users' servers, with every fault that they show.
 type OpaqueServer struct {
 	ID     string
-	ledger *OpaqueLedger
+	ledger *OpaqueRunLog
 	l      net.Listener
 
 	mu     sync.Mutex
@@ -121,12 +121,12 @@
 }
 
 // StartOpaqueServer starts a server on a loopback port.
-func StartOpaqueServer(id string, ledger *OpaqueLedger) (*OpaqueServer, error) {
+func StartOpaqueServer(id string, ledger *OpaqueRunLog) (*OpaqueServer, error) {
 	return StartOpaqueServerAt("127.0.0.1:0", id, ledger)
 }
 
 // StartOpaqueServerAt starts a server on an address, such as that of one that has ended.
-func StartOpaqueServerAt(address, id string, ledger *OpaqueLedger) (*OpaqueServer, error) {
+func StartOpaqueServerAt(address, id string, ledger *OpaqueRunLog) (*OpaqueServer, error) {
 	l, err := net.Listen("tcp", address)
 	if err != nil {
 		return nil, fmt.Errorf("listening for %s: %w", id, err)
@@ -139,15 +139,15 @@
 // Address is where the server listens.
 func (s *OpaqueServer) Address() string { return s.l.Addr().String() }
 
-// Fail sets how the next requests are treated, one entry each; after them all is well.
-func (s *OpaqueServer) Fail(faults ...OpaqueFault) {
+// InjectFaults sets how the next requests are treated, one entry each; after them all is well.
+func (s *OpaqueServer) InjectFaults(faults ...OpaqueFault) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.faults = faults
 }
 
-// Stream sets how streams are answered.
-func (s *OpaqueServer) Stream(events int, pause time.Duration) {
+// SetStream sets how streams are answered.
+func (s *OpaqueServer) SetStream(events int, pause time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.events, s.pause = events, pause
@@ -174,9 +174,9 @@
 	s.Close()
 }
 
-// Echo makes plain answers repeat the request's id and body, after the time that the work takes, and events repeat its id,
+// EnableEcho makes plain answers repeat the request's id and body, after the time that the work takes, and events repeat its id,
 // so that an answer which is not the request's own shows in its body.
-func (s *OpaqueServer) Echo(work time.Duration) {
+func (s *OpaqueServer) EnableEcho(work time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.echo, s.work = true, work
@@ -188,15 +188,15 @@
 	return s.echo, s.work
 }
 
-// Limit makes all answers name a limit, in requests a second as text; an empty text ends it.
-func (s *OpaqueServer) Limit(perSecond string) {
+// SetRateLimit makes all answers name a limit, in requests a second as text; an empty text ends it.
+func (s *OpaqueServer) SetRateLimit(perSecond string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.limit = perSecond
 }
 
-// Rest makes the answers that turn requests away ask for a time of rest, in seconds as text; an empty text ends it.
-func (s *OpaqueServer) Rest(seconds string) {
+// SetRetryAfter makes the answers that turn requests away ask for a time of rest, in seconds as text; an empty text ends it.
+func (s *OpaqueServer) SetRetryAfter(seconds string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.rest = seconds
@@ -213,11 +213,11 @@
 	return head
 }
 
-// Leave makes all answers tell that the server leaves, until it stays after all, as one that has started again does.
-func (s *OpaqueServer) Leave() { s.setLeaving(true) }
+// StartDraining makes all answers tell that the server leaves, until it stays after all, as one that has started again does.
+func (s *OpaqueServer) StartDraining() { s.setLeaving(true) }
 
-// Stay ends that.
-func (s *OpaqueServer) Stay() { s.setLeaving(false) }
+// StopDraining ends that.
+func (s *OpaqueServer) StopDraining() { s.setLeaving(false) }
 
 func (s *OpaqueServer) setLeaving(leaving bool) {
 	s.mu.Lock()
@@ -299,9 +299,9 @@
 		fault = s.faults[0]
 		s.faults = s.faults[1:]
 	}
-	arrival := OpaqueArrival{ID: id, At: time.Now()}
-	if fault == OpaqueFull {
-		arrival.Rest = s.rest
+	arrival := OpaqueArrival{ID: id, ReceivedAt: time.Now()}
+	if fault == OpaqueOverloaded {
+		arrival.RetryAfter = s.rest
 	}
 	s.arrivals = append(s.arrivals, arrival)
 	return fault, s.events, s.pause
@@ -312,16 +312,16 @@
 	id := r.Header.Get("X-Attempt-Id")
 	fault, events, pause := s.next(id, body)
 	switch {
-	case fault == OpaqueFull:
+	case fault == OpaqueOverloaded:
 		return s.write(c, s.turnAway()+"Content-Length: 0\r\n\r\n")
-	case fault == OpaqueOther || r.Header.Get("X-Expect-Instance") != s.ID:
+	case fault == OpaqueWrongServer || r.Header.Get("X-Expect-Instance") != s.ID:
 		return s.write(c, "HTTP/1.1 421 Misdirected Request\r\nX-Instance-Id: "+s.ID+"\r\nContent-Length: 0\r\n\r\n")
 	}
 	left, _ := strconv.ParseInt(r.Header.Get("X-Deadline-Ms"), 10, 64)
 	run := s.ledger.add(OpaqueRun{
 		ID: id, Server: s.ID, Workspace: r.Header.Get("X-Tenant"), LastEvent: r.Header.Get("Last-Event-Id"), Path: r.RequestURI,
-		TimeLeft: time.Duration(left) * time.Millisecond, Key: r.Header.Get("Authorization") != "", Body: body,
-		At: time.Now(), Fault: fault,
+		TimeLeft: time.Duration(left) * time.Millisecond, HasKey: r.Header.Get("Authorization") != "", Body: body,
+		StartedAt: time.Now(), Fault: fault,
 	})
 	head := "X-Attempt-Id: " + id + "\r\nX-Server-Signature: " + signaturePrefix + s.ID + "\r\n" + s.says()
 	switch fault {
@@ -340,18 +340,18 @@
 		return false
 	case OpaqueError:
 		return s.write(c, "HTTP/1.1 500 Internal Server Error\r\n"+head+"Content-Length: 4\r\n\r\noops")
-	case OpaqueForged:
+	case OpaqueUnsigned:
 		return s.write(c, "HTTP/1.1 200 OK\r\nX-Attempt-Id: "+id+"\r\n"+s.says()+"Content-Length: 4\r\n\r\nfake")
-	case OpaqueForeign, OpaqueExtra:
+	case OpaqueWrongRequest, OpaqueStrayAnswer:
 		s.write(c, "HTTP/1.1 200 OK\r\nX-Attempt-Id: another\r\nX-Server-Signature: s\r\nContent-Length: 7\r\n\r\nforeign")
-		if fault == OpaqueForeign {
+		if fault == OpaqueWrongRequest {
 			return false
 		}
 	}
 	if r.Header.Get("X-Token-Count") != "" {
-		return s.stream(c, run, id, head, r.Header.Get("Last-Event-Id"), events, pause, fault == OpaqueCut)
+		return s.stream(c, run, id, head, r.Header.Get("Last-Event-Id"), events, pause, fault == OpaqueTruncated)
 	}
-	if fault == OpaqueCut {
+	if fault == OpaqueTruncated {
 		s.write(c, "HTTP/1.1 200 OK\r\n"+head+"Content-Length: 100\r\n\r\nhalf")
 		return false
 	}
--- a/emulator/platform.go
+++ b/emulator/platform.go
@@ -12,13 +12,13 @@
 // Platform is the stand-in for the platform's services, served over HTTP.
 type Platform struct {
 	Table     *Table
-	Objects   *Objects
-	Instances *Instances
+	Objects   *ObjectStore
+	Instances *InstanceList
 }
 
 // NewPlatform returns an empty platform whose instance list lags.
 func NewPlatform(lag time.Duration) *Platform {
-	return &Platform{Table: NewTable(), Objects: NewObjects(), Instances: NewInstances(lag)}
+	return &Platform{Table: NewTable(), Objects: NewObjectStore(), Instances: NewInstanceList(lag)}
 }
 
 // Handler serves the platform's protocol and its fault switches.
--- a/emulator/prompt.go
+++ b/emulator/prompt.go
@@ -7,12 +7,12 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// OwnerMark begins a prompt or body that names its owner, as in "ws:tailoring ".
-const OwnerMark = "ws:"
+// OwnerPrefix begins a prompt or body that names its owner, as in "ws:tailoring ".
+const OwnerPrefix = "ws:"
 
 // Owner returns the owner that a text names, or nothing.
 func Owner(text string) string {
-	rest, ok := strings.CutPrefix(text, OwnerMark)
+	rest, ok := strings.CutPrefix(text, OwnerPrefix)
 	if !ok {
 		return ""
 	}
--- a/emulator/rows.go
+++ b/emulator/rows.go
@@ -12,21 +12,21 @@
 
 // RowFaults are the faults of a row store.
 type RowFaults struct {
-	// Busy answers 503 to everything; nothing is done.
-	Busy bool
-	// Silent lets every call hang until its caller gives up; nothing is done.
-	Silent bool
-	// Slow delays every call.
-	Slow time.Duration
-	// LoseAnswers makes so many writes and gives no answer to them.
-	LoseAnswers int
-	// LateWrites gives no answer to so many writes and makes them after LateBy, if their expectations still hold.
-	LateWrites int
-	LateBy     time.Duration
+	// Unavailable answers 503 to everything; nothing is done.
+	Unavailable bool
+	// Unresponsive lets every call hang until its caller gives up; nothing is done.
+	Unresponsive bool
+	// Delay delays every call.
+	Delay time.Duration
+	// DropAnswers makes so many writes and gives no answer to them.
+	DropAnswers int
+	// LateWrites gives no answer to so many writes and makes them after LateWriteDelay, if their expectations still hold.
+	LateWrites     int
+	LateWriteDelay time.Duration
 }
 
-// Rows is a row store in memory.
-type Rows struct {
+// RowStore is a row store in memory.
+type RowStore struct {
 	mu      sync.Mutex
 	rows    map[masticway.RowKey]masticway.StoredRow
 	log     []masticway.StoredRow
@@ -41,22 +41,22 @@
 	late int
 }
 
-var _ masticway.RowStore = (*Rows)(nil)
+var _ masticway.RowStore = (*RowStore)(nil)
 
-// NewRows returns an empty row store with a steady clock.
-func NewRows(now func() time.Time) *Rows {
-	return &Rows{rows: map[masticway.RowKey]masticway.StoredRow{}, started: now(), now: now, changed: make(chan struct{})}
+// NewRowStore returns an empty row store with a steady clock.
+func NewRowStore(now func() time.Time) *RowStore {
+	return &RowStore{rows: map[masticway.RowKey]masticway.StoredRow{}, started: now(), now: now, changed: make(chan struct{})}
 }
 
 // SetFaults replaces the store's faults.
-func (s *Rows) SetFaults(f RowFaults) {
+func (s *RowStore) SetFaults(f RowFaults) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.faults = f
 }
 
 // Put writes a row as an operator or server would, whatever the faults.
-func (s *Rows) Put(key masticway.RowKey, value []byte) int64 {
+func (s *RowStore) Put(key masticway.RowKey, value []byte) int64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.commit(masticway.RowWrite{Puts: []masticway.RowPut{{RowKey: key, Value: value}}})
@@ -64,14 +64,14 @@
 }
 
 // Delete removes a row as an operator or server would.
-func (s *Rows) Delete(key masticway.RowKey) {
+func (s *RowStore) Delete(key masticway.RowKey) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.commit(masticway.RowWrite{Deletes: []masticway.RowKey{key}})
 }
 
 // Row returns a row, with version zero when there is none.
-func (s *Rows) Row(key masticway.RowKey) masticway.StoredRow {
+func (s *RowStore) Row(key masticway.RowKey) masticway.StoredRow {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if r, ok := s.rows[key]; ok {
@@ -81,7 +81,7 @@
 }
 
 // Compact forgets the history.
-func (s *Rows) Compact() {
+func (s *RowStore) Compact() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.forgotten = s.version
@@ -89,21 +89,21 @@
 	s.wake()
 }
 
-// Wait returns when all late writes have been made or refused.
-func (s *Rows) Wait() {
+// AwaitLateWrites returns when all late writes have been made or refused.
+func (s *RowStore) AwaitLateWrites() {
 	for s.lateWrites() > 0 {
 		time.Sleep(time.Millisecond)
 	}
 }
 
-func (s *Rows) lateWrites() int {
+func (s *RowStore) lateWrites() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.late
 }
 
 // Read returns the rows of one part of a table.
-func (s *Rows) Read(ctx context.Context, table, part string) (masticway.RowReading, error) {
+func (s *RowStore) Read(ctx context.Context, table, part string) (masticway.RowReading, error) {
 	if err := s.fault(ctx); err != nil {
 		return masticway.RowReading{}, err
 	}
@@ -120,7 +120,7 @@
 }
 
 // Write commits a write, or does what the faults say.
-func (s *Rows) Write(ctx context.Context, w masticway.RowWrite) (masticway.RowReading, error) {
+func (s *RowStore) Write(ctx context.Context, w masticway.RowWrite) (masticway.RowReading, error) {
 	if err := s.fault(ctx); err != nil {
 		return masticway.RowReading{}, err
 	}
@@ -129,7 +129,7 @@
 	if s.faults.LateWrites > 0 {
 		s.faults.LateWrites--
 		s.late++
-		time.AfterFunc(s.faults.LateBy, func() {
+		time.AfterFunc(s.faults.LateWriteDelay, func() {
 			s.mu.Lock()
 			defer s.mu.Unlock()
 			s.late--
@@ -139,21 +139,21 @@
 		return masticway.RowReading{}, &masticway.OutcomeUnknownError{Service: "rows", Reason: "late"}
 	}
 	out, err := s.apply(w)
-	if s.faults.LoseAnswers > 0 {
-		s.faults.LoseAnswers--
+	if s.faults.DropAnswers > 0 {
+		s.faults.DropAnswers--
 		return masticway.RowReading{}, &masticway.OutcomeUnknownError{Service: "rows", Reason: "answer lost"}
 	}
 	return out, err
 }
 
 // Apply commits a write whatever the faults; tests use it to decide themselves what is answered.
-func (s *Rows) Apply(w masticway.RowWrite) (masticway.RowReading, error) {
+func (s *RowStore) Apply(w masticway.RowWrite) (masticway.RowReading, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.apply(w)
 }
 
-func (s *Rows) apply(w masticway.RowWrite) (masticway.RowReading, error) {
+func (s *RowStore) apply(w masticway.RowWrite) (masticway.RowReading, error) {
 	var current []masticway.StoredRow
 	holds := true
 	for _, e := range w.Expected {
@@ -171,7 +171,7 @@
 	return s.reading(), nil
 }
 
-func (s *Rows) commit(w masticway.RowWrite) {
+func (s *RowStore) commit(w masticway.RowWrite) {
 	s.version++
 	for _, p := range w.Puts {
 		row := masticway.StoredRow{RowKey: p.RowKey, Value: p.Value, Version: s.version}
@@ -185,13 +185,13 @@
 	s.wake()
 }
 
-func (s *Rows) wake() {
+func (s *RowStore) wake() {
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
 
 // Watch returns the changes of a table.
-func (s *Rows) Watch(ctx context.Context, f masticway.WatchRequest) (masticway.RowReading, error) {
+func (s *RowStore) Watch(ctx context.Context, f masticway.WatchRequest) (masticway.RowReading, error) {
 	if err := s.fault(ctx); err != nil {
 		return masticway.RowReading{}, err
 	}
@@ -212,7 +212,7 @@
 	}
 }
 
-func (s *Rows) changes(f masticway.WatchRequest) (masticway.RowReading, <-chan struct{}, error) {
+func (s *RowStore) changes(f masticway.WatchRequest) (masticway.RowReading, <-chan struct{}, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	lost := &masticway.HistoryLostError{Table: f.Table, Since: f.Since}
@@ -232,25 +232,25 @@
 	return out, s.changed, nil
 }
 
-func (s *Rows) reading() masticway.RowReading {
+func (s *RowStore) reading() masticway.RowReading {
 	return masticway.RowReading{Version: s.version, StoreTime: s.now().Sub(s.started)}
 }
 
 // fault does what the faults say of every call.
-func (s *Rows) fault(ctx context.Context) error {
+func (s *RowStore) fault(ctx context.Context) error {
 	s.mu.Lock()
 	f := s.faults
 	s.mu.Unlock()
-	if f.Busy {
+	if f.Unavailable {
 		return &masticway.UnavailableError{Service: "rows", Reason: "busy"}
 	}
-	if f.Silent {
+	if f.Unresponsive {
 		<-ctx.Done()
 		return &masticway.UnavailableError{Service: "rows", Reason: "silent"}
 	}
-	if f.Slow > 0 {
+	if f.Delay > 0 {
 		select {
-		case <-time.After(f.Slow):
+		case <-time.After(f.Delay):
 		case <-ctx.Done():
 			return &masticway.UnavailableError{Service: "rows", Reason: "slow"}
 		}
--- a/emulator/rowserver.go
+++ b/emulator/rowserver.go
@@ -30,7 +30,7 @@
 const pageRows = 500
 
 // Handler serves the row store's protocol.
-func (s *Rows) Handler() http.Handler {
+func (s *RowStore) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /-/rows-get", s.serveRead)
 	mux.HandleFunc("GET /-/rows-feed", s.serveFollow)
@@ -38,7 +38,7 @@
 	return mux
 }
 
-func (s *Rows) serveRead(w http.ResponseWriter, r *http.Request) {
+func (s *RowStore) serveRead(w http.ResponseWriter, r *http.Request) {
 	query := r.URL.Query()
 	out, err := s.Read(r.Context(), query.Get("table"), query.Get("part"))
 	more := false
@@ -53,7 +53,7 @@
 	answerRows(w, out, more, err)
 }
 
-func (s *Rows) serveFollow(w http.ResponseWriter, r *http.Request) {
+func (s *RowStore) serveFollow(w http.ResponseWriter, r *http.Request) {
 	query := r.URL.Query()
 	since, _ := strconv.ParseInt(query.Get("since_rev"), 10, 64)
 	wait, _ := strconv.ParseInt(query.Get("wait_ms"), 10, 64)
@@ -61,7 +61,7 @@
 	answerRows(w, out, false, err)
 }
 
-func (s *Rows) serveWrite(w http.ResponseWriter, r *http.Request) {
+func (s *RowStore) serveWrite(w http.ResponseWriter, r *http.Request) {
 	var in struct {
 		Expected []rowJSON `json:"expected_rev"`
 		Puts     []rowJSON `json:"puts"`
--- a/emulator/service.go
+++ b/emulator/service.go
@@ -13,8 +13,8 @@
 
 // ServiceFaults are the faults of a plain service.
 type ServiceFaults struct {
-	// Slow delays every call by so many milliseconds, after it has run.
-	Slow int `json:"slow_ms"`
+	// DelayMillis delays every call by so many milliseconds, after it has run.
+	DelayMillis int `json:"slow_ms"`
 	// DropAnswers breaks the connection after so many calls have run.
 	DropAnswers int `json:"drop_answers"`
 	// Down refuses everything before it runs.
@@ -89,7 +89,7 @@
 		s.faults.DropAnswers--
 	}
 	s.mu.Unlock()
-	time.Sleep(time.Duration(f.Slow) * time.Millisecond)
+	time.Sleep(time.Duration(f.DelayMillis) * time.Millisecond)
 	if drop {
 		panic(http.ErrAbortHandler)
 	}
--- a/emulator/table.go
+++ b/emulator/table.go
@@ -17,12 +17,12 @@
 type TableFaults struct {
 	// Down refuses everything; nothing is written.
 	Down bool `json:"down"`
-	// Slow delays every call by so many milliseconds.
-	Slow int `json:"slow_ms"`
-	// LoseAnswers drops the answers to so many commits after they took effect.
-	LoseAnswers int `json:"lose_answers"`
-	// WritesPerSecond bounds the commits; zero means no bound.
-	WritesPerSecond int `json:"writes_per_second"`
+	// DelayMillis delays every call by so many milliseconds.
+	DelayMillis int `json:"slow_ms"`
+	// DropAnswers drops the answers to so many commits after they took effect.
+	DropAnswers int `json:"lose_answers"`
+	// MaxWritesPerSecond bounds the commits; zero means no bound.
+	MaxWritesPerSecond int `json:"writes_per_second"`
 }
 
 // Table is a transactional table in memory.
@@ -75,7 +75,7 @@
 	t.mu.Lock()
 	f := t.faults
 	t.mu.Unlock()
-	time.Sleep(time.Duration(f.Slow) * time.Millisecond)
+	time.Sleep(time.Duration(f.DelayMillis) * time.Millisecond)
 	if f.Down {
 		return f, &masticway.UnavailableError{Service: "table", Reason: "outage"}
 	}
@@ -138,15 +138,15 @@
 		}
 		t.rows[p.Key] = masticway.Row{Key: p.Key, Version: t.version, Value: slices.Clone(p.Value)}
 	}
-	if t.faults.LoseAnswers > 0 {
-		t.faults.LoseAnswers--
+	if t.faults.DropAnswers > 0 {
+		t.faults.DropAnswers--
 		return &masticway.OutcomeUnknownError{Service: "table", ID: tx.ID, Reason: "answer lost"}
 	}
 	return nil
 }
 
 func (t *Table) admit() bool {
-	if t.faults.WritesPerSecond == 0 {
+	if t.faults.MaxWritesPerSecond == 0 {
 		return true
 	}
 	now := time.Now().Truncate(time.Second)
@@ -155,38 +155,38 @@
 		t.used = 0
 	}
 	t.used++
-	return t.used <= max(0, t.faults.WritesPerSecond)
+	return t.used <= max(0, t.faults.MaxWritesPerSecond)
 }
 
-// Objects is an object store in memory.
-type Objects struct {
+// ObjectStore is an object store in memory.
+type ObjectStore struct {
 	mu     sync.Mutex
 	data   map[string][]byte
 	down   bool
 	writes int64
 }
 
-var _ masticway.ObjectStore = (*Objects)(nil)
+var _ masticway.ObjectStore = (*ObjectStore)(nil)
 
-// NewObjects returns an empty object store.
-func NewObjects() *Objects { return &Objects{data: map[string][]byte{}} }
+// NewObjectStore returns an empty object store.
+func NewObjectStore() *ObjectStore { return &ObjectStore{data: map[string][]byte{}} }
 
 // SetDown switches an outage on or off.
-func (o *Objects) SetDown(down bool) {
+func (o *ObjectStore) SetDown(down bool) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.down = down
 }
 
 // Writes returns how many objects were written.
-func (o *Objects) Writes() int64 {
+func (o *ObjectStore) Writes() int64 {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	return o.writes
 }
 
 // Put writes an object.
-func (o *Objects) Put(_ context.Context, name string, data []byte) error {
+func (o *ObjectStore) Put(_ context.Context, name string, data []byte) error {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	if o.down {
@@ -198,7 +198,7 @@
 }
 
 // Get reads an object.
-func (o *Objects) Get(_ context.Context, name string) ([]byte, error) {
+func (o *ObjectStore) Get(_ context.Context, name string) ([]byte, error) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	if o.down {
@@ -212,7 +212,7 @@
 }
 
 // List names the objects with a prefix, in order.
-func (o *Objects) List(_ context.Context, prefix string) ([]string, error) {
+func (o *ObjectStore) List(_ context.Context, prefix string) ([]string, error) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	if o.down {
@@ -228,8 +228,8 @@
 	return names, nil
 }
 
-// Instances is an instance list whose readings lag.
-type Instances struct {
+// InstanceList is an instance list whose readings lag.
+type InstanceList struct {
 	mu      sync.Mutex
 	entries map[string]masticway.Instance
 	changes []instanceChange
@@ -243,29 +243,29 @@
 	instance masticway.Instance
 }
 
-var _ masticway.InstanceList = (*Instances)(nil)
+var _ masticway.InstanceList = (*InstanceList)(nil)
 
-// NewInstances returns an empty list that shows changes after a lag.
-func NewInstances(lag time.Duration) *Instances {
-	return &Instances{entries: map[string]masticway.Instance{}, lag: lag}
+// NewInstanceList returns an empty list that shows changes after a lag.
+func NewInstanceList(lag time.Duration) *InstanceList {
+	return &InstanceList{entries: map[string]masticway.Instance{}, lag: lag}
 }
 
 // SetDown switches an outage on or off.
-func (l *Instances) SetDown(down bool) {
+func (l *InstanceList) SetDown(down bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.down = down
 }
 
 // Set records an instance or its new state.
-func (l *Instances) Set(i masticway.Instance) {
+func (l *InstanceList) Set(i masticway.Instance) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.changes = append(l.changes, instanceChange{at: time.Now(), instance: i})
 }
 
 // SetState records a new state of a known instance.
-func (l *Instances) SetState(id string, s masticway.InstanceState) bool {
+func (l *InstanceList) SetState(id string, s masticway.InstanceState) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	instance, ok := l.entries[id]
@@ -282,7 +282,7 @@
 }
 
 // Instances reads the list as it was a lag ago, unless it still has the known version.
-func (l *Instances) Instances(_ context.Context, known string) (masticway.InstanceReading, error) {
+func (l *InstanceList) Instances(_ context.Context, known string) (masticway.InstanceReading, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.down {
--- a/examiner/examiner.go
+++ b/examiner/examiner.go
@@ -44,12 +44,12 @@
 
 // Members provides the membership of the routers.
 type Members interface {
-	// Owns reports whether this router owns a key.
-	Owns(key string) bool
+	// OwnsKey reports whether this router owns a key.
+	OwnsKey(key string) bool
 }
 
-// Parts holds the dependencies of an examiner.
-type Parts struct {
+// Dependencies holds the dependencies of an examiner.
+type Dependencies struct {
 	Store    masticway.RowStore
 	Messages *messenger.Client
 	// Peers returns the addresses of other routers.
@@ -63,7 +63,7 @@
 
 // Examiner applies the decisions of Registry, and exchanges evidence with the store and other routers.
 type Examiner struct {
-	Parts
+	Dependencies
 	// suspectCount is the number of requests in the registry. It is read by every request.
 	suspectCount atomic.Int64
 	wake         chan struct{}
@@ -81,9 +81,9 @@
 var _ masticway.Examiner = (*Examiner)(nil)
 
 // New returns an examiner without suspects.
-func New(p Parts) *Examiner {
+func New(p Dependencies) *Examiner {
 	return &Examiner{
-		Parts: p, wake: make(chan struct{}, 1), registry: NewRegistry(p.Self, rand.Float64), changed: make(chan struct{}),
+		Dependencies: p, wake: make(chan struct{}, 1), registry: NewRegistry(p.Self, rand.Float64), changed: make(chan struct{}),
 		provenSince: map[masticway.RequestDigest]time.Time{},
 	}
 }
@@ -235,8 +235,8 @@
 	return nil
 }
 
-// Take applies a reading of the store's table. If whole is set, the reading contains all rows.
-func (e *Examiner) Take(whole bool, reading masticway.RowReading) {
+// ApplyReading applies a reading of the store's table. If whole is set, the reading contains all rows.
+func (e *Examiner) ApplyReading(whole bool, reading masticway.RowReading) {
 	if !whole && len(reading.Rows) == 0 {
 		return
 	}
@@ -288,7 +288,7 @@
 	now := e.Clock.Now()
 	due = e.registry.DueChanges(now, maxWriteRows)
 	if len(due) == 0 {
-		expired = e.registry.ExpiredChanges(now, e.Members.Owns)
+		expired = e.registry.ExpiredChanges(now, e.Members.OwnsKey)
 	}
 	unshared = e.registry.Unshared(now)
 	e.mu.Unlock()
--- a/examiner/world_test.go
+++ b/examiner/world_test.go
@@ -69,7 +69,7 @@
 	t            *testing.T
 	random       *rand.Rand
 	now          time.Time
-	rows         *emulator.Rows
+	rows         *emulator.RowStore
 	routers      []*simRouter
 	servers      map[masticway.ServerIncarnation][]*simRun
 	restartTimes []time.Time
@@ -81,7 +81,7 @@
 
 func newWorld(t *testing.T, seed uint64, routers, servers int) *world {
 	w := &world{t: t, random: rand.New(rand.NewPCG(seed, 1)), now: testTime, servers: map[masticway.ServerIncarnation][]*simRun{}}
-	w.rows = emulator.NewRows(func() time.Time { return w.now })
+	w.rows = emulator.NewRowStore(func() time.Time { return w.now })
 	for i := range routers {
 		w.routers = append(w.routers, &simRouter{Registry: NewRegistry(masticway.Incarnation(fmt.Sprintf("r%d~1", i)), w.random.Float64)})
 	}
--- a/explainer/explainer.go
+++ b/explainer/explainer.go
@@ -124,7 +124,7 @@
 		return Trace{}, fmt.Errorf("listing traces of %s: %w", owner, err)
 	}
 	for i := len(names) - 1; i >= 0; i-- {
-		batch, err := batcher.Read[Trace](ctx, store, names[i])
+		batch, err := batcher.ReadBatch[Trace](ctx, store, names[i])
 		if err != nil {
 			return Trace{}, err
 		}
--- a/explainer/explainer_test.go
+++ b/explainer/explainer_test.go
@@ -13,7 +13,7 @@
 )
 
 func TestOldTracesAreFoundInTheObjectStore(t *testing.T) {
-	store := emulator.NewObjects()
+	store := emulator.NewObjectStore()
 	m := explainer.NewMemory("r~1")
 	ctx := context.Background()
 	for i := range 5000 {
--- a/follower/beliefs.go
+++ b/follower/beliefs.go
@@ -17,24 +17,24 @@
 	recoveryGrace = 2 * time.Second
 )
 
-// Beliefs is a router's view of its deployment at one moment; it is immutable.
-type Beliefs struct {
+// Snapshot is a router's view of its deployment at one moment; it is immutable.
+type Snapshot struct {
 	// ConfigurationLoaded is set once a configuration has been read, ServersLoaded once the registered servers have been
 	// read.
-	Known      bool
-	Listed     bool
-	Deployment masticway.Deployment
+	ConfigurationLoaded bool
+	ServersLoaded       bool
+	Deployment          masticway.Deployment
 	// Servers holds the servers that may get new work, by pool.
 	Servers map[string][]masticway.Server
 	// EvacuatedZones lists the availability zones whose servers must get no new work.
-	Evacuated []string
+	EvacuatedZones []string
 }
 
-// Ready reports whether requests can be served.
-func (b Beliefs) Ready() bool { return b.Known && b.Listed }
+// IsReady reports whether requests can be served.
+func (b Snapshot) IsReady() bool { return b.ConfigurationLoaded && b.ServersLoaded }
 
-// Lives returns the current incarnations of the servers that may get new work.
-func (b Beliefs) Lives() map[masticway.ServerIncarnation]bool {
+// Incarnations returns the current incarnations of the servers that may get new work.
+func (b Snapshot) Incarnations() map[masticway.ServerIncarnation]bool {
 	incarnations := map[masticway.ServerIncarnation]bool{}
 	for _, servers := range b.Servers {
 		for _, s := range servers {
@@ -229,10 +229,10 @@
 }
 
 // Snapshot returns the current view of the deployment.
-func (r *Registry) Snapshot() Beliefs {
-	b := Beliefs{
-		Known: r.configured, Listed: r.serversLoaded, Deployment: r.deployment, Servers: map[string][]masticway.Server{},
-		Evacuated: slices.Sorted(maps.Keys(r.evacuations)),
+func (r *Registry) Snapshot() Snapshot {
+	b := Snapshot{
+		ConfigurationLoaded: r.configured, ServersLoaded: r.serversLoaded, Deployment: r.deployment, Servers: map[string][]masticway.Server{},
+		EvacuatedZones: slices.Sorted(maps.Keys(r.evacuations)),
 	}
 	for _, id := range slices.Sorted(maps.Keys(r.entries)) {
 		e := r.entries[id]
--- a/follower/departures.go
+++ b/follower/departures.go
@@ -54,10 +54,10 @@
 	}
 }
 
-// Leaves records that a server announced in an answer that its current incarnation takes no new work. This applies at once,
+// MarkDraining records that a server announced in an answer that its current incarnation takes no new work. This applies at once,
 // even if the store is unreachable or does not have that information yet, and holds whatever the store later says about
 // that incarnation.
-func (f *Follower) Leaves(s masticway.Server) {
+func (f *Follower) MarkDraining(s masticway.Server) {
 	f.update(func(now time.Time) bool {
 		if !f.registry.MarkDraining(now, s.ID, s.Incarnation()) {
 			return false
--- a/follower/evacuations_test.go
+++ b/follower/evacuations_test.go
@@ -58,7 +58,7 @@
 			for _, reading := range tc.readings {
 				r.UpdateEvacuations(epoch, reading.fullVersion > 0, masticway.RowReading{Version: reading.fullVersion, Rows: reading.rows})
 			}
-			qt.Assert(t, r.Snapshot().Evacuated, qt.DeepEquals, tc.want)
+			qt.Assert(t, r.Snapshot().EvacuatedZones, qt.DeepEquals, tc.want)
 			open := map[string]bool{}
 			for _, s := range r.Snapshot().Servers["p"] {
 				open[s.Zone] = true
--- a/follower/follower.go
+++ b/follower/follower.go
@@ -49,11 +49,11 @@
 	log      *logrus.Entry
 	metrics  *measurer.Set
 	// onChange is called with each new snapshot.
-	onChange func(Beliefs)
+	onChange func(Snapshot)
 
 	mu       sync.Mutex
 	registry *Registry
-	snapshot atomic.Pointer[Beliefs]
+	snapshot atomic.Pointer[Snapshot]
 	// reportedCold holds the servers that were logged as cold, with the time of the log line.
 	reportedCold map[string]time.Time
 	// tables are the tables that are watched for other parts of the router.
@@ -64,26 +64,26 @@
 type Table struct {
 	Name, Part string
 	// MaxWait is how long one watch call may wait for changes, RelistInterval the minimum time between full reads.
-	Wait, Relist time.Duration
+	MaxWait, RelistInterval time.Duration
 	// Apply is called with each read result; a full one holds all rows of the table.
-	Take func(full bool, reading masticway.RowReading)
+	Apply func(full bool, reading masticway.RowReading)
 }
 
-// Also adds a table to watch; it must be called before Run.
-func (f *Follower) Also(t Table) { f.tables = append(f.tables, t) }
+// AddTable adds a table to watch; it must be called before Run.
+func (f *Follower) AddTable(t Table) { f.tables = append(f.tables, t) }
 
 // New returns a follower that calls onChange, from one goroutine at a time, whenever the snapshot changes. The fallback is
 // the same store with a longer timeout. It is needed when a router's link is so congested that calls exceed the usual
 // timeout, which is as long as money operations can wait: configuration changes must still take effect in time, and
 // draining servers must still be avoided.
-func New(store, fallback masticway.RowStore, d masticway.DeploymentDecoder, clock masticway.Clock, log *logrus.Entry, metrics *measurer.Set, onChange func(Beliefs)) *Follower {
+func New(store, fallback masticway.RowStore, d masticway.DeploymentDecoder, clock masticway.Clock, log *logrus.Entry, metrics *measurer.Set, onChange func(Snapshot)) *Follower {
 	f := &Follower{store: store, fallback: fallback, decoder: d, clock: clock, log: log, metrics: metrics, onChange: onChange, registry: NewRegistry(d), reportedCold: map[string]time.Time{}}
-	f.snapshot.Store(&Beliefs{})
+	f.snapshot.Store(&Snapshot{})
 	return f
 }
 
-// Beliefs returns the newest snapshot.
-func (f *Follower) Beliefs() Beliefs { return *f.snapshot.Load() }
+// Snapshot returns the newest snapshot.
+func (f *Follower) Snapshot() Snapshot { return *f.snapshot.Load() }
 
 // Run watches the tables until the context ends.
 func (f *Follower) Run(ctx context.Context) {
@@ -101,7 +101,7 @@
 	servers := &tableWatcher{Follower: f, table: f.decoder.ServerTable(), interval: serverPollInterval, maxWait: maxWatchWait, relistInterval: relistInterval, rowsExpire: true, apply: f.applyServers}
 	watchers := []*tableWatcher{configuration, servers}
 	for _, t := range f.tables {
-		watchers = append(watchers, &tableWatcher{Follower: f, table: t.Name, part: t.Part, interval: configurationPollInterval, maxWait: t.Wait, relistInterval: t.Relist, apply: t.Take})
+		watchers = append(watchers, &tableWatcher{Follower: f, table: t.Name, part: t.Part, interval: configurationPollInterval, maxWait: t.MaxWait, relistInterval: t.RelistInterval, apply: t.Apply})
 	}
 	for _, m := range watchers {
 		wg.Go(func() { m.run(ctx) })
--- a/follower/follower_test.go
+++ b/follower/follower_test.go
@@ -16,27 +16,27 @@
 	"github.com/masticway/masticway/measurer"
 )
 
-func putConfiguration(rows *emulator.Rows, version int64) {
+func putConfiguration(rows *emulator.RowStore, version int64) {
 	value, _ := json.Marshal(masticway.Deployment{Version: version})
 	rows.Put(decoder{}.ConfigurationKey(), value)
 }
 
 // eventually waits until a condition on the newest snapshot is met.
-func eventually(t *testing.T, f *follower.Follower, description string, isMet func(follower.Beliefs) bool) {
+func eventually(t *testing.T, f *follower.Follower, description string, isMet func(follower.Snapshot) bool) {
 	t.Helper()
 	for deadline := time.Now().Add(5 * time.Second); time.Now().Before(deadline); time.Sleep(5 * time.Millisecond) {
-		if isMet(f.Beliefs()) {
+		if isMet(f.Snapshot()) {
 			return
 		}
 	}
-	t.Fatalf("%s: still %+v", description, f.Beliefs())
+	t.Fatalf("%s: still %+v", description, f.Snapshot())
 }
 
 func TestWatchSurvivesOutagesAndCompaction(t *testing.T) {
-	rows := emulator.NewRows(time.Now)
+	rows := emulator.NewRowStore(time.Now)
 	var mu sync.Mutex
 	updates := 0
-	f := follower.New(rows, rows, decoder{}, masticway.SystemClock{}, logger.Discard().WithField("", ""), measurer.New(), func(follower.Beliefs) {
+	f := follower.New(rows, rows, decoder{}, masticway.SystemClock{}, logger.Discard().WithField("", ""), measurer.New(), func(follower.Snapshot) {
 		mu.Lock()
 		updates++
 		mu.Unlock()
@@ -47,19 +47,19 @@
 	defer wg.Wait()
 	defer stop()
 
-	eventually(t, f, "no configuration yet", func(b follower.Beliefs) bool { return b.Listed && !b.Ready() })
+	eventually(t, f, "no configuration yet", func(b follower.Snapshot) bool { return b.ServersLoaded && !b.IsReady() })
 	putConfiguration(rows, 1)
-	eventually(t, f, "first configuration", func(b follower.Beliefs) bool { return b.Ready() && b.Deployment.Version == 1 })
+	eventually(t, f, "first configuration", func(b follower.Snapshot) bool { return b.IsReady() && b.Deployment.Version == 1 })
 	putConfiguration(rows, 2)
 	rows.Compact()
 	putConfiguration(rows, 3)
-	eventually(t, f, "after compaction", func(b follower.Beliefs) bool { return b.Deployment.Version == 3 })
-	rows.SetFaults(emulator.RowFaults{Busy: true})
+	eventually(t, f, "after compaction", func(b follower.Snapshot) bool { return b.Deployment.Version == 3 })
+	rows.SetFaults(emulator.RowFaults{Unavailable: true})
 	putConfiguration(rows, 4)
 	time.Sleep(300 * time.Millisecond)
-	qt.Assert(t, f.Beliefs().Deployment.Version, qt.Equals, int64(3))
+	qt.Assert(t, f.Snapshot().Deployment.Version, qt.Equals, int64(3))
 	rows.SetFaults(emulator.RowFaults{})
-	eventually(t, f, "after an outage", func(b follower.Beliefs) bool { return b.Deployment.Version == 4 })
+	eventually(t, f, "after an outage", func(b follower.Snapshot) bool { return b.Deployment.Version == 4 })
 	mu.Lock()
 	defer mu.Unlock()
 	qt.Assert(t, updates > 3, qt.IsTrue)
@@ -88,8 +88,8 @@
 // a change must be in force and a draining server out of use.
 func TestChangesArriveOverSaturatedLink(t *testing.T) {
 	const timeout, latency, maxDelay = 100 * time.Millisecond, 400 * time.Millisecond, 3 * time.Second
-	rows := emulator.NewRows(time.Now)
-	f := follower.New(timeoutStore{rows, timeout}, timeoutStore{rows, 10 * latency}, decoder{}, masticway.SystemClock{}, logger.Discard().WithField("", ""), measurer.New(), func(follower.Beliefs) {})
+	rows := emulator.NewRowStore(time.Now)
+	f := follower.New(timeoutStore{rows, timeout}, timeoutStore{rows, 10 * latency}, decoder{}, masticway.SystemClock{}, logger.Discard().WithField("", ""), measurer.New(), func(follower.Snapshot) {})
 	ctx, stop := context.WithCancel(t.Context())
 	var wg sync.WaitGroup
 	wg.Go(func() { f.Run(ctx) })
@@ -101,11 +101,11 @@
 	}
 	putConfiguration(rows, 1)
 	register(masticway.ServerReady)
-	eventually(t, f, "first snapshot", func(b follower.Beliefs) bool { return b.Deployment.Version == 1 && len(b.Servers["p"]) == 1 })
-	rows.SetFaults(emulator.RowFaults{Slow: latency})
+	eventually(t, f, "first snapshot", func(b follower.Snapshot) bool { return b.Deployment.Version == 1 && len(b.Servers["p"]) == 1 })
+	rows.SetFaults(emulator.RowFaults{Delay: latency})
 	changed := time.Now()
 	putConfiguration(rows, 2)
 	register(masticway.ServerDraining)
-	eventually(t, f, "changed snapshot", func(b follower.Beliefs) bool { return b.Deployment.Version == 2 && len(b.Servers["p"]) == 0 })
+	eventually(t, f, "changed snapshot", func(b follower.Snapshot) bool { return b.Deployment.Version == 2 && len(b.Servers["p"]) == 0 })
 	qt.Assert(t, time.Since(changed) < maxDelay, qt.IsTrue)
 }
--- a/follower/mirror_test.go
+++ b/follower/mirror_test.go
@@ -43,9 +43,9 @@
 // for 25 s, and small registrations, which are read in full every 2.5 s.
 func TestLargeTablesAreRelistedRarely(t *testing.T) {
 	const large = 100_000
-	rows := emulator.NewRows(time.Now)
+	rows := emulator.NewRowStore(time.Now)
 	store := &countingStore{RowStore: rows, fullReads: map[string]int{}}
-	f := follower.New(store, store, decoder{}, masticway.SystemClock{}, logger.Discard().WithField("", ""), measurer.New(), func(follower.Beliefs) {})
+	f := follower.New(store, store, decoder{}, masticway.SystemClock{}, logger.Discard().WithField("", ""), measurer.New(), func(follower.Snapshot) {})
 	// The decoder reads JSON, which ignores trailing spaces.
 	putPadded := func(version int64) {
 		row := configurationRow(version, 0)
@@ -71,14 +71,14 @@
 	})
 	defer wg.Wait()
 	defer stop()
-	eventually(t, f, "first snapshot", func(b follower.Beliefs) bool { return b.Ready() })
+	eventually(t, f, "first snapshot", func(b follower.Snapshot) bool { return b.IsReady() })
 	qt.Assert(t, store.count("operator"), qt.Equals, 1)
 
-	rows.SetFaults(emulator.RowFaults{Busy: true})
+	rows.SetFaults(emulator.RowFaults{Unavailable: true})
 	time.Sleep(500 * time.Millisecond)
 	putPadded(2)
 	rows.SetFaults(emulator.RowFaults{})
-	eventually(t, f, "after an outage", func(b follower.Beliefs) bool { return b.Deployment.Version == 2 })
+	eventually(t, f, "after an outage", func(b follower.Snapshot) bool { return b.Deployment.Version == 2 })
 	time.Sleep(3 * time.Second)
 	// Once per version: a change of this size is read from the table itself.
 	qt.Check(t, store.count("operator"), qt.Equals, 2)
@@ -86,7 +86,7 @@
 
 	rows.Compact()
 	putPadded(3)
-	eventually(t, f, "after compaction", func(b follower.Beliefs) bool { return b.Deployment.Version == 3 })
+	eventually(t, f, "after compaction", func(b follower.Snapshot) bool { return b.Deployment.Version == 3 })
 }
 
 // blockingStore blocks one full read of the server table until it is released.
@@ -111,14 +111,14 @@
 // TestDelayedFullReadRestoresNothing delays a full read of the servers until one of its rows has been deleted. The deleted
 // server must not stay in use, and the configuration must keep up meanwhile.
 func TestDelayedFullReadRestoresNothing(t *testing.T) {
-	rows := emulator.NewRows(time.Now)
+	rows := emulator.NewRowStore(time.Now)
 	for _, id := range []string{"i-1", "i-2"} {
 		row := serverRow(id, 0, masticway.ServerReady)
 		rows.Put(row.RowKey, row.Value)
 	}
 	putConfiguration(rows, 1)
 	slow := &blockingStore{RowStore: rows, release: make(chan struct{}), blocked: make(chan struct{})}
-	f := follower.New(slow, rows, decoder{}, masticway.SystemClock{}, logger.Discard().WithField("", ""), measurer.New(), func(follower.Beliefs) {})
+	f := follower.New(slow, rows, decoder{}, masticway.SystemClock{}, logger.Discard().WithField("", ""), measurer.New(), func(follower.Snapshot) {})
 	ctx, stop := context.WithCancel(t.Context())
 	var wg sync.WaitGroup
 	wg.Go(func() { f.Run(ctx) })
@@ -127,7 +127,7 @@
 	<-slow.blocked
 	rows.Delete(masticway.RowKey{Table: "upstreams", Key: "i-2"})
 	putConfiguration(rows, 2)
-	eventually(t, f, "the other table", func(b follower.Beliefs) bool { return b.Deployment.Version == 2 })
+	eventually(t, f, "the other table", func(b follower.Snapshot) bool { return b.Deployment.Version == 2 })
 	close(slow.release)
-	eventually(t, f, "the servers", func(b follower.Beliefs) bool { return b.Listed && len(b.Servers["p"]) == 1 })
+	eventually(t, f, "the servers", func(b follower.Snapshot) bool { return b.ServersLoaded && len(b.Servers["p"]) == 1 })
 }
--- a/forwarder/admit.go
+++ b/forwarder/admit.go
@@ -102,7 +102,7 @@
 	head, err := f.codec.ParseRequest(r.Header)
 	x.q.OpaqueRequest = head
 	switch {
-	case !snapshot.Known:
+	case !snapshot.ConfigurationLoaded:
 		return x, refusal(http.StatusServiceUnavailable, codeNotReady, "no configuration is known yet", retryAfterDefault)
 	case err != nil:
 		return x, refusal(http.StatusBadRequest, codeMalformed, err.Error(), 0)
@@ -170,7 +170,7 @@
 }
 
 // resolveRoute looks up the route, the workspace and the pool of the request.
-func (x *exchange) resolveRoute(snapshot follower.Beliefs, r *http.Request) *masticway.RefusalError {
+func (x *exchange) resolveRoute(snapshot follower.Snapshot, r *http.Request) *masticway.RefusalError {
 	d := snapshot.Deployment
 	x.q.revision = d.Version
 	host := r.Host
--- a/forwarder/attempt.go
+++ b/forwarder/attempt.go
@@ -49,7 +49,7 @@
 	x.server = a.server.ID
 	out := a.run()
 	if errors.Is(ctx.Err(), context.Canceled) {
-		out.result = chooser.VerdictNone
+		out.result = chooser.ResultNeutral
 	}
 	a.recordResult(out.result)
 	return out
@@ -77,16 +77,16 @@
 	a := &attempt{x: x, server: server, parent: ctx}
 	a.ctx, a.cancel = context.WithCancelCause(ctx)
 	x.f.mu.Lock()
-	a.placement = x.f.servers.Sent(x.f.clock.Now(), x.q.prompt, server.ID)
+	a.placement = x.f.servers.RecordSent(x.f.clock.Now(), x.q.prompt, server.ID)
 	x.f.mu.Unlock()
 	return a
 }
 
 // recordResult records what the end of the attempt says about its server.
-func (a *attempt) recordResult(r chooser.Verdict) {
+func (a *attempt) recordResult(r chooser.Result) {
 	f := a.x.f
 	f.mu.Lock()
-	f.servers.Ended(f.clock.Now(), a.placement, r)
+	f.servers.RecordEnd(f.clock.Now(), a.placement, r)
 	f.mu.Unlock()
 }
 
@@ -165,13 +165,13 @@
 // sendFailure returns the outcome of an attempt that got no answer.
 func (a *attempt) sendFailure(err error) outcome {
 	if _, ok := errors.AsType[*sender.ConnectionLimitError](err); ok {
-		return outcome{fate: masticway.FateNotRun, result: chooser.VerdictNone, reason: err.Error(), isFull: true}
+		return outcome{fate: masticway.FateNotRun, result: chooser.ResultNeutral, reason: err.Error(), isFull: true}
 	}
 	if failure, ok := errors.AsType[*sender.Error](err); ok && !failure.Sent {
 		if errors.Is(err, syscall.ECONNREFUSED) {
 			a.x.f.checkUnreachable(a.server)
 		}
-		return outcome{fate: masticway.FateNotRun, result: chooser.VerdictUnreached, reason: err.Error()}
+		return outcome{fate: masticway.FateNotRun, result: chooser.ResultUnreachable, reason: err.Error()}
 	}
 	return a.connectionFailure(err)
 }
@@ -182,7 +182,7 @@
 	if cause != nil {
 		err = fmt.Errorf("%w (%w)", cause, err)
 	}
-	return outcome{fate: masticway.FateUnknown, result: chooser.VerdictFailed, reason: err.Error(), abandoned: cause != nil}
+	return outcome{fate: masticway.FateUnknown, result: chooser.ResultFailure, reason: err.Error(), abandoned: cause != nil}
 }
 
 // connectionFailure is failure for a connection that ended before the answer did. The connection counts as broken unless this
@@ -227,13 +227,13 @@
 }
 
 func (a *attempt) notRunOutcome(status int) outcome {
-	out := outcome{fate: masticway.FateNotRun, result: chooser.VerdictNone, reason: "status " + strconv.Itoa(status) + ", not run"}
+	out := outcome{fate: masticway.FateNotRun, result: chooser.ResultNeutral, reason: "status " + strconv.Itoa(status) + ", not run"}
 	if status == http.StatusServiceUnavailable || status == http.StatusTooManyRequests {
 		out.isFull = true
-		out.result = chooser.VerdictFailed
+		out.result = chooser.ResultFailure
 	}
 	if status == http.StatusMisdirectedRequest {
-		out.result = chooser.VerdictUnreached
+		out.result = chooser.ResultUnreachable
 	}
 	return out
 }
@@ -248,23 +248,23 @@
 	a.recordFirstPart()
 	bad := answer.Status >= http.StatusInternalServerError
 	if bad && x.q.route.RetryPolicy == masticway.RetryUnlimited && x.possibleRuns()+1 < x.q.route.MaxServers && x.isOutlier(a.server) {
-		return outcome{fate: masticway.FateRan, result: chooser.VerdictFailed, reason: "status " + strconv.Itoa(answer.Status) + " of a suspect server"}
+		return outcome{fate: masticway.FateRan, result: chooser.ResultFailure, reason: "status " + strconv.Itoa(answer.Status) + " of a suspect server"}
 	}
 	x.fate = masticway.FateRan
 	if x.headWritten {
 		// The resumption of a stream got an answer that is not a stream, which cannot be appended to the caller's stream.
-		return outcome{fate: masticway.FateRan, result: chooser.VerdictNone, reason: "status " + strconv.Itoa(answer.Status) + " to a resumption"}
+		return outcome{fate: masticway.FateRan, result: chooser.ResultNeutral, reason: "status " + strconv.Itoa(answer.Status) + " to a resumption"}
 	}
 	if !a.awaitClearance() {
-		return outcome{fate: masticway.FateRan, result: chooser.VerdictNone, reason: errHoldNotCleared.Error()}
+		return outcome{fate: masticway.FateRan, result: chooser.ResultNeutral, reason: errHoldNotCleared.Error()}
 	}
 	x.beginAnswer(answer)
 	x.w.Header().Set("Content-Length", strconv.Itoa(len(body)))
 	x.w.WriteHeader(answer.Status)
 	_, _ = x.w.Write(body)
-	result := chooser.VerdictGood
+	result := chooser.ResultSuccess
 	if bad {
-		result = chooser.VerdictFailed
+		result = chooser.ResultFailure
 	}
 	return outcome{done: true, fate: masticway.FateRan, result: result}
 }
@@ -297,12 +297,12 @@
 		a.firstAt = now
 	}
 	a.x.f.mu.Lock()
-	a.x.f.servers.First(now, a.placement)
+	a.x.f.servers.RecordFirstEvent(now, a.placement)
 	a.x.f.mu.Unlock()
 }
 
 func (x *exchange) isOutlier(s masticway.Server) bool {
 	x.f.mu.Lock()
 	defer x.f.mu.Unlock()
-	return x.f.servers.Suspect(s.ID, x.f.snapshot().Servers[x.q.pool.Name])
+	return x.f.servers.IsOutlier(s.ID, x.f.snapshot().Servers[x.q.pool.Name])
 }
--- a/forwarder/candidates.go
+++ b/forwarder/candidates.go
@@ -56,7 +56,7 @@
 	x.f.mu.Lock()
 	defer x.f.mu.Unlock()
 	now := x.f.clock.Now()
-	warm, cold := x.f.servers.Warm(now, servers, x.q.pool.MaxColdRate, x.f.budgets.Owns)
+	warm, cold := x.f.servers.Eligible(now, servers, x.q.pool.MaxColdRate, x.f.budgets.OwnsKey)
 	for _, group := range [][]masticway.Server{warm, cold} {
 		if len(group) > 0 {
 			i, _ := x.f.servers.Choose(now, x.q.pool.IsEngine, x.q.prompt, group)
@@ -68,7 +68,7 @@
 
 // noServerOutcome returns the outcome of a request that no server can take now.
 func (x *exchange) noServerOutcome() outcome {
-	out := outcome{fate: masticway.FateNotRun, result: chooser.VerdictNone, reason: "no server is known or left to ask"}
+	out := outcome{fate: masticway.FateNotRun, result: chooser.ResultNeutral, reason: "no server is known or left to ask"}
 	if throttled, ok := x.throttledOutcome(); ok {
 		return throttled
 	}
@@ -102,7 +102,7 @@
 	if !ok {
 		return outcome{}, false
 	}
-	out = outcome{fate: masticway.FateNotRun, result: chooser.VerdictNone, reason: shortest.Reason, code: codeServersLimited}
+	out = outcome{fate: masticway.FateNotRun, result: chooser.ResultNeutral, reason: shortest.Reason, code: codeServersLimited}
 	if shortest.BackoffRequested {
 		out.code = codeServersBackingOff
 	}
--- a/forwarder/ends.go
+++ b/forwarder/ends.go
@@ -102,7 +102,7 @@
 }
 
 // retain drops the checks of servers that are not in the snapshot.
-func (c *checks) retain(snapshot follower.Beliefs) {
+func (c *checks) retain(snapshot follower.Snapshot) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if len(c.byServer) == 0 {
--- a/forwarder/exchange.go
+++ b/forwarder/exchange.go
@@ -200,7 +200,7 @@
 // outcome is the result of an attempt.
 type outcome struct {
 	fate   masticway.Fate
-	result chooser.Verdict
+	result chooser.Result
 	// done is set if the caller has the whole answer.
 	done   bool
 	reason string
@@ -221,7 +221,7 @@
 	defer x.discardNext()
 	for {
 		if x.isExpired() {
-			return x.refusalFor(ctx, outcome{fate: masticway.FateNotRun, result: chooser.VerdictNone, reason: "its time was over before it was sent"})
+			return x.refusalFor(ctx, outcome{fate: masticway.FateNotRun, result: chooser.ResultNeutral, reason: "its time was over before it was sent"})
 		}
 		a, none := x.nextAttempt(ctx)
 		if a == nil {
@@ -273,7 +273,7 @@
 			return false
 		}
 	}
-	if out.result == chooser.VerdictUnreached {
+	if out.result == chooser.ResultUnreachable {
 		// The request reached no server, so another attempt adds no load.
 		return true
 	}
--- a/forwarder/forwarder.go
+++ b/forwarder/forwarder.go
@@ -29,8 +29,8 @@
 	Settle(id treasurer.HoldID, used int64)
 	// Members returns the estimated number of routers, or zero if it is unknown.
 	Members() int
-	// Owns reports whether this router is the single owner of a key. No router owns any key until the number of routers is known.
-	Owns(key string) bool
+	// OwnsKey reports whether this router is the single owner of a key. No router owns any key until the number of routers is known.
+	OwnsKey(key string) bool
 }
 
 // drainNotice is how long a draining router still accepts any request. The load balancer needs two failed checks, a second apart,
@@ -46,7 +46,7 @@
 	codec    masticway.HeaderCodec
 	budgets  Budgets
 	sender   *sender.Sender
-	snapshot func() follower.Beliefs
+	snapshot func() follower.Snapshot
 	checks   *checks
 	examiner masticway.Examiner
 	rotation masticway.Rotation
@@ -66,31 +66,31 @@
 	servedCount atomic.Int64
 }
 
-// Parts holds the dependencies of a Forwarder.
-type Parts struct {
-	Clock   masticway.Clock
-	Log     *logrus.Entry
-	Metrics *measurer.Set
-	Dialect masticway.HeaderCodec
-	Bank    Budgets
-	Beliefs func() follower.Beliefs
+// Dependencies holds the dependencies of a Forwarder.
+type Dependencies struct {
+	Clock    masticway.Clock
+	Log      *logrus.Entry
+	Metrics  *measurer.Set
+	Codec    masticway.HeaderCodec
+	Budgets  Budgets
+	Snapshot func() follower.Snapshot
 	// Examiner identifies the requests under which servers crash.
 	Examiner masticway.Examiner
 	// Rotation reports whether the router is in the load balancer's rotation, and admits load.
 	Rotation masticway.Rotation
 	// Throttler enforces the rate limits and backoff that servers announce.
 	Throttler masticway.Throttler
-	// Leaves is called for servers that announce that they drain.
-	Leaves func(masticway.Server)
+	// OnLeaving is called for servers that announce that they drain.
+	OnLeaving func(masticway.Server)
 	// Dial connects to servers.
 	Dial func(ctx context.Context, network, address string) (net.Conn, error)
 }
 
 // New returns a Forwarder.
-func New(s Settings, p Parts) *Forwarder {
+func New(s Settings, p Dependencies) *Forwarder {
 	f := &Forwarder{
-		settings: s, clock: p.Clock, log: p.Log, metrics: p.Metrics, codec: p.Dialect, budgets: p.Bank, snapshot: p.Beliefs,
-		examiner: p.Examiner, rotation: p.Rotation, throttler: p.Throttler, onLeaving: p.Leaves,
+		settings: s, clock: p.Clock, log: p.Log, metrics: p.Metrics, codec: p.Codec, budgets: p.Budgets, snapshot: p.Snapshot,
+		examiner: p.Examiner, rotation: p.Rotation, throttler: p.Throttler, onLeaving: p.OnLeaving,
 		checks: &checks{dial: p.Dial, clock: p.Clock, log: p.Log, byServer: map[masticway.ServerIncarnation]*check{}},
 		sender: sender.New(p.Dial, p.Clock.Now), servers: chooser.NewServers(s.serverPolicy()), allowances: map[string]*retrier.Allowance{},
 	}
@@ -98,8 +98,8 @@
 	return f
 }
 
-// Changed applies a new snapshot of the configuration and the servers. It drops the state of servers that are gone or restarted.
-func (f *Forwarder) Changed(snapshot follower.Beliefs) {
+// Update applies a new snapshot of the configuration and the servers. It drops the state of servers that are gone or restarted.
+func (f *Forwarder) Update(snapshot follower.Snapshot) {
 	startedAt, addresses := map[string]time.Time{}, map[string]bool{}
 	addressOf := map[string]string{}
 	for _, servers := range snapshot.Servers {
@@ -110,7 +110,7 @@
 		}
 	}
 	f.mu.Lock()
-	restarted := f.servers.Keep(startedAt)
+	restarted := f.servers.SyncIncarnations(startedAt)
 	f.mu.Unlock()
 	for _, id := range restarted {
 		// Idle connections belong to the previous incarnation, so they are closed.
@@ -123,7 +123,7 @@
 
 // Ready reports whether the router accepts new connections.
 func (f *Forwarder) Ready() bool {
-	return f.drainState.Load() == nil && f.snapshot().Ready() && !f.rotation.IsOut()
+	return f.drainState.Load() == nil && f.snapshot().IsReady() && !f.rotation.IsOut()
 }
 
 // drain is the state of a router that shuts down.
@@ -145,9 +145,9 @@
 	f.drainState.Store(&drain{since: f.clock.Now(), until: until})
 }
 
-// Refuse stops the forwarding of requests. It must be called before idle connections are closed: a connection on which a request
+// StopForwarding stops the forwarding of requests. It must be called before idle connections are closed: a connection on which a request
 // has just arrived looks idle until it is read, so the request would be forwarded and its answer lost.
-func (f *Forwarder) Refuse() {
+func (f *Forwarder) StopForwarding() {
 	if d := f.drainState.Load(); d != nil {
 		d.closing.Store(true)
 	}
--- a/forwarder/forwarder_test.go
+++ b/forwarder/forwarder_test.go
@@ -75,7 +75,7 @@
 func TestDrainIsCheckedAfterReadingBody(t *testing.T) {
 	for name, refuse := range map[string]func(f *fixture){
 		"the time for long requests is over": func(f *fixture) { f.clock.advance(4 * time.Second) },
-		"connections are being closed":       func(f *fixture) { f.router.Refuse() },
+		"connections are being closed":       func(f *fixture) { f.router.StopForwarding() },
 	} {
 		t.Run(name, func(t *testing.T) {
 			f := newFixture(t, 1)
@@ -202,7 +202,7 @@
 
 func (noSuspects) Release(masticway.RequestDigest) {}
 
-func (b *fakeBudgets) Owns(string) bool { return !b.othersOwn }
+func (b *fakeBudgets) OwnsKey(string) bool { return !b.othersOwn }
 
 func (b *fakeBudgets) settledAmounts() []int64 {
 	b.mu.Lock()
@@ -213,11 +213,11 @@
 // fixture is a router in front of opaque servers.
 type fixture struct {
 	t        *testing.T
-	ledger   *emulator.OpaqueLedger
+	ledger   *emulator.OpaqueRunLog
 	servers  []*emulator.OpaqueServer
 	budgets  *fakeBudgets
 	clock    *offsetClock
-	snapshot follower.Beliefs
+	snapshot follower.Snapshot
 	router   *forwarder.Forwarder
 	// rotation is the router's rotation.
 	rotation fakeRotation
@@ -229,7 +229,7 @@
 // routerAddress is the address of the only router.
 const routerAddress = "router"
 
-func (b *fakeBudgets) Ranked(string, int) []string { return []string{routerAddress} }
+func (b *fakeBudgets) RankedAddresses(string, int) []string { return []string{routerAddress} }
 
 const (
 	promptTokens    = 100
@@ -249,7 +249,7 @@
 }
 
 func newFixtureWithExaminer(t *testing.T, e masticway.Examiner, servers int, settings forwarder.Settings) *fixture {
-	f := &fixture{t: t, ledger: &emulator.OpaqueLedger{}, budgets: &fakeBudgets{verdict: treasurer.VerdictHeld}, clock: &offsetClock{}}
+	f := &fixture{t: t, ledger: &emulator.OpaqueRunLog{}, budgets: &fakeBudgets{verdict: treasurer.VerdictHeld}, clock: &offsetClock{}}
 	d := masticway.Deployment{
 		Version: 1,
 		Pools:   map[string]masticway.Pool{"p": {Name: "p", MaxConnections: 100}, "llm": {Name: "llm", IsEngine: true, TokensPerEvent: 3, MaxConnections: 100}},
@@ -274,7 +274,7 @@
 		r.Host, r.Shares = "h.example", []masticway.TrafficShare{{Pool: "llm", Weight: 1}}
 		d.Routes = append(d.Routes, r)
 	}
-	f.snapshot = follower.Beliefs{Known: true, Listed: true, Deployment: d.WithIndex(), Servers: map[string][]masticway.Server{}}
+	f.snapshot = follower.Snapshot{ConfigurationLoaded: true, ServersLoaded: true, Deployment: d.WithIndex(), Servers: map[string][]masticway.Server{}}
 	for i := range servers {
 		s, err := emulator.StartOpaqueServer(fmt.Sprintf("i-%d", i), f.ledger)
 		qt.Assert(t, err, qt.IsNil)
@@ -292,12 +292,12 @@
 			}
 		}
 	})
-	f.throttler = throttler.New(throttler.Parts{
+	f.throttler = throttler.New(throttler.Dependencies{
 		Members: f.budgets, Peers: func() []string { return nil }, Clock: f.clock, Log: log.WithField("", ""), Metrics: measurer.New(), Address: routerAddress,
 	})
-	f.router = forwarder.New(settings, forwarder.Parts{
-		Examiner: e, Rotation: &f.rotation, Throttler: f.throttler, Leaves: func(masticway.Server) {}, Clock: f.clock, Log: log.WithField("", ""), Metrics: measurer.New(), Dialect: platform.Dialect{},
-		Bank: f.budgets, Beliefs: func() follower.Beliefs { return f.snapshot }, Dial: (&net.Dialer{}).DialContext,
+	f.router = forwarder.New(settings, forwarder.Dependencies{
+		Examiner: e, Rotation: &f.rotation, Throttler: f.throttler, OnLeaving: func(masticway.Server) {}, Clock: f.clock, Log: log.WithField("", ""), Metrics: measurer.New(), Codec: platform.HeaderCodec{},
+		Budgets: f.budgets, Snapshot: func() follower.Snapshot { return f.snapshot }, Dial: (&net.Dialer{}).DialContext,
 	})
 	f.frontend = httptest.NewServer(f.router)
 	t.Cleanup(f.frontend.Close)
@@ -346,9 +346,9 @@
 
 func TestAnswersAndRuns(t *testing.T) {
 	const (
-		good, full, other, failing = emulator.OpaqueGood, emulator.OpaqueFull, emulator.OpaqueOther, emulator.OpaqueError
-		reset, cut, forged         = emulator.OpaqueReset, emulator.OpaqueCut, emulator.OpaqueForged
-		foreign, extra             = emulator.OpaqueForeign, emulator.OpaqueExtra
+		good, full, other, failing = emulator.OpaqueNoFault, emulator.OpaqueOverloaded, emulator.OpaqueWrongServer, emulator.OpaqueError
+		reset, cut, forged         = emulator.OpaqueReset, emulator.OpaqueTruncated, emulator.OpaqueUnsigned
+		foreign, extra             = emulator.OpaqueWrongRequest, emulator.OpaqueStrayAnswer
 	)
 	cases := map[string]struct {
 		path string
@@ -437,8 +437,8 @@
 // setFaults sets a fault for the server that is asked first, and one for the other.
 func (f *fixture) setFaults(first, second emulator.OpaqueFault) {
 	// The chooser alternates between servers of equal cost, starting with the second.
-	f.servers[1].Fail(first)
-	f.servers[0].Fail(second)
+	f.servers[1].InjectFaults(first)
+	f.servers[0].InjectFaults(second)
 }
 
 func TestServerRequest(t *testing.T) {
@@ -448,7 +448,7 @@
 	runs := f.ledger.Runs()
 	qt.Assert(t, runs, qt.HasLen, 1)
 	qt.Assert(t, runs[0].Workspace, qt.Equals, "w")
-	qt.Assert(t, runs[0].Key, qt.IsFalse, qt.Commentf("the caller's key was sent to a server"))
+	qt.Assert(t, runs[0].HasKey, qt.IsFalse, qt.Commentf("the caller's key was sent to a server"))
 	qt.Assert(t, runs[0].Path, qt.Equals, "/never/x?q=1")
 	qt.Assert(t, runs[0].Body, qt.Equals, "body")
 	qt.Assert(t, runs[0].TimeLeft <= time.Second && runs[0].TimeLeft > 800*time.Millisecond, qt.IsTrue)
@@ -476,7 +476,7 @@
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
 			f := newFixture(t, 1)
-			f.snapshot.Known = tc.ready
+			f.snapshot.ConfigurationLoaded = tc.ready
 			f.budgets.verdict = tc.verdict
 			got := f.do(t.Context(), "POST", tc.path, tc.extra...)
 			qt.Assert(t, got.err, qt.IsNil)
@@ -523,12 +523,12 @@
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
 			f := newFixture(t, 1)
-			f.servers[0].Fail(emulator.OpaqueHang)
+			f.servers[0].InjectFaults(emulator.OpaqueHang)
 			began := time.Now()
 			got := f.do(t.Context(), "POST", tc.path, "X-Deadline-Ms", tc.deadlineMS)
 			qt.Assert(t, got.status, qt.Equals, http.StatusGatewayTimeout)
 			qt.Assert(t, time.Since(began) < tc.within, qt.IsTrue)
-			f.eventually("the server still works", func() bool { return f.ledger.Runs()[0].Left })
+			f.eventually("the server still works", func() bool { return f.ledger.Runs()[0].CallerDisconnected })
 		})
 	}
 }
@@ -547,10 +547,10 @@
 	for _, path := range []string{"/freely/x", "/resume/x"} {
 		t.Run(path, func(t *testing.T) {
 			f := newFixture(t, 2)
-			f.setFaults(emulator.OpaqueHang, emulator.OpaqueGood)
+			f.setFaults(emulator.OpaqueHang, emulator.OpaqueNoFault)
 			got := f.do(t.Context(), "POST", path)
 			qt.Assert(t, got.status, qt.Equals, 200)
-			f.eventually("the first server still works", func() bool { return f.ledger.Runs()[0].Left })
+			f.eventually("the first server still works", func() bool { return f.ledger.Runs()[0].CallerDisconnected })
 		})
 	}
 }
@@ -561,7 +561,7 @@
 func TestNoHandoverWithoutAllowance(t *testing.T) {
 	f := newFixtureWithRetries(t, 2, forwarder.RetriesSettings{WindowSeconds: 10})
 	for _, s := range f.servers {
-		s.Stream(3, 400*time.Millisecond)
+		s.SetStream(3, 400*time.Millisecond)
 	}
 	got := f.do(t.Context(), "POST", "/resume/x")
 	qt.Assert(t, got.err, qt.IsNil)
@@ -569,7 +569,7 @@
 	qt.Assert(t, got.body, qt.Equals, eventStream(1, 3))
 	runs := f.ledger.Runs()
 	qt.Assert(t, runs, qt.HasLen, 1)
-	qt.Assert(t, runs[0].Left, qt.IsFalse)
+	qt.Assert(t, runs[0].CallerDisconnected, qt.IsFalse)
 }
 
 // TestNoHandoverWhileDraining guards against breaking off a stream of a draining router whose server pauses for longer than the
@@ -578,9 +578,9 @@
 	for name, after := range map[string]time.Duration{"from the start on": 0, "in the middle": 550 * time.Millisecond} {
 		t.Run(name, func(t *testing.T) {
 			f := newFixture(t, 2)
-			f.setFaults(emulator.OpaqueGood, emulator.OpaqueFull)
+			f.setFaults(emulator.OpaqueNoFault, emulator.OpaqueOverloaded)
 			for _, s := range f.servers {
-				s.Stream(3, 400*time.Millisecond)
+				s.SetStream(3, 400*time.Millisecond)
 			}
 			end := time.AfterFunc(after, func() { f.router.Drain(f.clock.Now().Add(time.Minute)) })
 			defer end.Stop()
@@ -594,11 +594,11 @@
 
 func TestCallerLeavingEndsAttempt(t *testing.T) {
 	f := newFixture(t, 1)
-	f.servers[0].Stream(1000, 10*time.Millisecond)
+	f.servers[0].SetStream(1000, 10*time.Millisecond)
 	ctx, leave := context.WithTimeout(t.Context(), 150*time.Millisecond)
 	defer leave()
 	f.do(ctx, "POST", "/stream/x")
-	f.eventually("the server still works", func() bool { return f.ledger.Runs()[0].Left })
+	f.eventually("the server still works", func() bool { return f.ledger.Runs()[0].CallerDisconnected })
 	f.eventually("the money is still held", func() bool { return len(f.budgets.settledAmounts()) == 1 })
 	qt.Assert(t, f.budgets.settledAmounts()[0] >= promptTokens, qt.IsTrue)
 }
@@ -639,7 +639,7 @@
 	f := newFixture(t, 1)
 	f.router.Drain(f.clock.Now().Add(time.Minute))
 	qt.Assert(t, f.do(t.Context(), "POST", "/never/x").status, qt.Equals, 200)
-	f.router.Refuse()
+	f.router.StopForwarding()
 	got := f.do(t.Context(), "POST", "/never/x")
 	qt.Assert(t, got.status, qt.Equals, 503)
 	qt.Assert(t, got.header.Get("Retry-After") != "", qt.IsTrue)
@@ -665,9 +665,9 @@
 // If the other server is full, the caller would get 502 although the first server would have answered.
 func TestNoHandoverToFullServer(t *testing.T) {
 	f := newFixture(t, 2)
-	f.setFaults(emulator.OpaqueGood, emulator.OpaqueFull)
+	f.setFaults(emulator.OpaqueNoFault, emulator.OpaqueOverloaded)
 	for _, s := range f.servers {
-		s.Stream(3, 400*time.Millisecond)
+		s.SetStream(3, 400*time.Millisecond)
 	}
 	got := f.do(t.Context(), "POST", "/resume/x")
 	qt.Assert(t, got.err, qt.IsNil)
@@ -679,15 +679,15 @@
 func TestHandoverIsAbortedWhenServerContinues(t *testing.T) {
 	const pause = 350 * time.Millisecond
 	f := newFixture(t, 2)
-	f.setFaults(emulator.OpaqueGood, emulator.OpaqueHang)
+	f.setFaults(emulator.OpaqueNoFault, emulator.OpaqueHang)
 	for _, s := range f.servers {
-		s.Stream(3, pause)
+		s.SetStream(3, pause)
 	}
 	got := f.do(t.Context(), "POST", "/resume/x")
 	qt.Assert(t, got.err, qt.IsNil)
 	qt.Assert(t, got.body, qt.Equals, eventStream(1, 3))
 	runs := f.ledger.Runs()
 	qt.Assert(t, len(runs) > 1, qt.IsTrue, qt.Commentf("no other server was asked"))
-	qt.Assert(t, runs[0].Left, qt.IsFalse)
-	f.eventually("the server that was asked still works", func() bool { return f.ledger.Runs()[1].Left })
+	qt.Assert(t, runs[0].CallerDisconnected, qt.IsFalse)
+	f.eventually("the server that was asked still works", func() bool { return f.ledger.Runs()[1].CallerDisconnected })
 }
--- a/forwarder/handover.go
+++ b/forwarder/handover.go
@@ -115,7 +115,7 @@
 	next.sendResults = make(chan sendResult, 1)
 	if !a.beginHandover(generation, next.cancel) {
 		next.cancel(nil)
-		next.recordResult(chooser.VerdictNone)
+		next.recordResult(chooser.ResultNeutral)
 		x.f.throttler.ReturnPermit(server.Incarnation())
 		return false
 	}
@@ -142,7 +142,7 @@
 	// The candidate may have started to run the request.
 	x.otherRuns.Add(1)
 	next.discard()
-	a.abortHandover(next, outcome{result: chooser.VerdictNone, reason: "the current server made progress"})
+	a.abortHandover(next, outcome{result: chooser.ResultNeutral, reason: "the current server made progress"})
 	return false
 }
 
@@ -224,7 +224,7 @@
 func (x *exchange) discardNext() {
 	if a := x.next.Swap(nil); a != nil {
 		a.discard()
-		a.recordResult(chooser.VerdictNone)
+		a.recordResult(chooser.ResultNeutral)
 	}
 }
 
--- a/forwarder/limits_test.go
+++ b/forwarder/limits_test.go
@@ -23,16 +23,16 @@
 	}{
 		"a good answer":        {path: "/freely/x"},
 		"a stream":             {path: "/stream/x"},
-		"a stream that breaks": {path: "/stream/x", fault: emulator.OpaqueCut},
+		"a stream that breaks": {path: "/stream/x", fault: emulator.OpaqueTruncated},
 		"a failure":            {path: "/never/x", fault: emulator.OpaqueError},
-		"a refused request":    {path: "/never/x", fault: emulator.OpaqueFull},
-		"no signature":         {path: "/never/x", fault: emulator.OpaqueForged},
+		"a refused request":    {path: "/never/x", fault: emulator.OpaqueOverloaded},
+		"no signature":         {path: "/never/x", fault: emulator.OpaqueUnsigned},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
 			f := newFixture(t, 1)
-			f.servers[0].Limit("0.2")
-			f.servers[0].Fail(tc.fault)
+			f.servers[0].SetRateLimit("0.2")
+			f.servers[0].InjectFaults(tc.fault)
 			f.do(t.Context(), "POST", tc.path)
 			for range 20 {
 				f.do(t.Context(), "POST", "/never/x")
@@ -46,8 +46,8 @@
 // another one.
 func TestMisdirectedAnswerSetsNoRateLimit(t *testing.T) {
 	f := newFixture(t, 1)
-	f.servers[0].Limit("0.2")
-	f.servers[0].Fail(emulator.OpaqueOther)
+	f.servers[0].SetRateLimit("0.2")
+	f.servers[0].InjectFaults(emulator.OpaqueWrongServer)
 	f.do(t.Context(), "POST", "/never/x")
 	qt.Assert(t, f.do(t.Context(), "POST", "/never/x").status, qt.Equals, 200)
 }
@@ -56,11 +56,11 @@
 // did not sign.
 func TestUnsignedAnswerRemovesNoRateLimit(t *testing.T) {
 	f := newFixture(t, 1)
-	f.servers[0].Limit("4")
+	f.servers[0].SetRateLimit("4")
 	f.do(t.Context(), "POST", "/never/x")
 	time.Sleep(300 * time.Millisecond)
-	f.servers[0].Limit("")
-	f.servers[0].Fail(emulator.OpaqueForged)
+	f.servers[0].SetRateLimit("")
+	f.servers[0].InjectFaults(emulator.OpaqueUnsigned)
 	qt.Assert(t, f.do(t.Context(), "POST", "/never/x").status, qt.Equals, 502)
 	for range 10 {
 		f.do(t.Context(), "POST", "/never/x")
@@ -73,7 +73,7 @@
 func TestRequestsGoToServersWithoutRateLimit(t *testing.T) {
 	f := newFixture(t, 8)
 	for _, s := range f.servers[:7] {
-		s.Limit("0.2")
+		s.SetRateLimit("0.2")
 	}
 	for range 100 {
 		qt.Assert(t, f.do(t.Context(), "POST", "/freely/x").status, qt.Equals, 200)
@@ -89,10 +89,10 @@
 		path  string
 		fault emulator.OpaqueFault
 	}{
-		"the first server refuses requests":     {path: "/freely/x", fault: emulator.OpaqueFull},
+		"the first server refuses requests":     {path: "/freely/x", fault: emulator.OpaqueOverloaded},
 		"the first server is silent":            {path: "/freely/x", fault: emulator.OpaqueHang},
 		"the first server breaks off":           {path: "/freely/x", fault: emulator.OpaqueReset},
-		"the first server breaks off a stream":  {path: "/resume/x", fault: emulator.OpaqueCut},
+		"the first server breaks off a stream":  {path: "/resume/x", fault: emulator.OpaqueTruncated},
 		"the first server is silent in streams": {path: "/resume/x", fault: emulator.OpaqueHang},
 	}
 	for name, tc := range cases {
@@ -102,11 +102,11 @@
 			for i := range faults {
 				faults[i] = tc.fault
 			}
-			f.servers[1].Limit("1")
+			f.servers[1].SetRateLimit("1")
 			for len(f.servers[1].Arrivals()) == 0 {
 				f.do(t.Context(), "POST", "/freely/x")
 			}
-			f.servers[0].Fail(faults...)
+			f.servers[0].InjectFaults(faults...)
 			began := time.Now()
 			for range 10 {
 				f.do(t.Context(), "POST", tc.path, "X-Deadline-Ms", "500")
@@ -149,7 +149,7 @@
 	}{"claim granted": {claims: true, sent: 1}, "claim denied": {}} {
 		t.Run(name, func(t *testing.T) {
 			f := newFixtureWithExaminer(t, quarantining{claimable: tc.claims}, 1, forwarder.Settings{Retries: forwarder.RetriesSettings{Ratio: 0.2, Slack: 50, WindowSeconds: 10}})
-			f.servers[0].Limit("0.5")
+			f.servers[0].SetRateLimit("0.5")
 			incarnation := masticway.ServerIncarnation(f.servers[0].ID)
 			f.throttler.Observe(incarnation, masticway.ServerAnswer{Signed: true, Limit: masticway.RateLimit{IsSet: true, Rate: 0.5}})
 			f.clock.advance(2010 * time.Millisecond)
@@ -166,7 +166,7 @@
 // has no room for the caller.
 func TestRateLimitRefusalRetryAfter(t *testing.T) {
 	f := newFixture(t, 1)
-	f.servers[0].Limit("2")
+	f.servers[0].SetRateLimit("2")
 	f.do(t.Context(), "POST", "/never/x")
 	var last float64
 	for i := range 4 {
@@ -184,7 +184,7 @@
 	}
 	time.Sleep(600 * time.Millisecond)
 	qt.Assert(t, f.do(t.Context(), "POST", "/never/x").status, qt.Equals, 200, qt.Commentf("the retry time of the first refusal has passed"))
-	f.servers[0].Limit("")
+	f.servers[0].SetRateLimit("")
 	time.Sleep(600 * time.Millisecond)
 	for i := range 20 {
 		qt.Assert(t, f.do(t.Context(), "POST", "/never/x").status, qt.Equals, 200, qt.Commentf(fmt.Sprint("after the limit was removed, request ", i)))
--- a/forwarder/relay.go
+++ b/forwarder/relay.go
@@ -31,7 +31,7 @@
 				return a.streamFailure(errSilent, len(pending))
 			}
 			if fault := a.writeEvents(answer, pending[:complete]); fault != nil {
-				return outcome{fate: masticway.FateRan, result: chooser.VerdictNone, reason: fault.Error()}
+				return outcome{fate: masticway.FateRan, result: chooser.ResultNeutral, reason: fault.Error()}
 			}
 			pending = append(pending[:0], pending[complete:]...)
 			a.clearSuspect()
@@ -39,7 +39,7 @@
 		}
 		if errors.Is(err, io.EOF) && len(bytes.TrimSpace(pending)) == 0 && x.headWritten {
 			x.fate = masticway.FateRan
-			return outcome{done: true, fate: masticway.FateRan, result: chooser.VerdictGood}
+			return outcome{done: true, fate: masticway.FateRan, result: chooser.ResultSuccess}
 		}
 		if err != nil || len(pending) > maxEventBytes {
 			return a.streamFailure(err, len(pending))
--- a/forwarder/report.go
+++ b/forwarder/report.go
@@ -35,8 +35,8 @@
 	_, _ = w.Write(body)
 	fields := logrus.Fields{"status": refused.Status, "run": refused.Fate, "cause": x.cause}
 	if refused.Code == codeExhausted || refused.Code == codeUnreachable {
-		fields["prepaid"], fields["left"], fields["free"], fields["own"] = x.holdReply.Prepaid, x.holdReply.Left, x.holdReply.Free, x.holdReply.Own
-		fields["row_age_ms"], fields["others_asked"] = x.holdReply.RowAge.Milliseconds(), x.holdReply.Asked
+		fields["prepaid"], fields["left"], fields["free"], fields["own"] = x.holdReply.Prepaid, x.holdReply.Ungranted, x.holdReply.Free, x.holdReply.Available
+		fields["row_age_ms"], fields["others_asked"] = x.holdReply.RowAge.Milliseconds(), x.holdReply.AskedPeers
 	}
 	x.logEntry(refused.Code).WithFields(fields).Info("request refused")
 }
--- a/forwarder/rest_test.go
+++ b/forwarder/rest_test.go
@@ -13,12 +13,12 @@
 
 // refuseWithBackoff makes a server refuse its next requests and ask for a backoff.
 func refuseWithBackoff(s *emulator.OpaqueServer, seconds string, requests int) {
-	s.Rest(seconds)
+	s.SetRetryAfter(seconds)
 	faults := make([]emulator.OpaqueFault, requests)
 	for i := range faults {
-		faults[i] = emulator.OpaqueFull
+		faults[i] = emulator.OpaqueOverloaded
 	}
-	s.Fail(faults...)
+	s.InjectFaults(faults...)
 }
 
 // TestServerBackoffIsHonored guards against sending to a server that has refused a request and asked for a backoff.
--- a/forwarder/settings.go
+++ b/forwarder/settings.go
@@ -72,6 +72,6 @@
 func (s Settings) serverPolicy() chooser.ServerPolicy {
 	return chooser.ServerPolicy{
 		RankShare: s.Policy.RankShare, ZoneTokenCost: s.Policy.ZoneTokenCost,
-		Cold: chooser.ColdBound{Overshoot: s.Cold.Overshoot, Slack: s.Cold.Slack},
+		Cold: chooser.ColdRateLimit{Overshoot: s.Cold.Overshoot, Slack: s.Cold.Slack},
 	}
 }
--- a/forwarder/suspects.go
+++ b/forwarder/suspects.go
@@ -47,7 +47,7 @@
 // newProvenOutcome returns the outcome of a request that is proven to crash servers.
 func newProvenOutcome(s masticway.SuspectStatus) outcome {
 	reason := fmt.Sprintf("%d servers ended under this request, the last one %s", len(s.Crashes), s.Crashes[len(s.Crashes)-1].Server)
-	return outcome{fate: masticway.FateNotRun, result: chooser.VerdictNone, reason: reason, suspect: s}
+	return outcome{fate: masticway.FateNotRun, result: chooser.ResultNeutral, reason: reason, suspect: s}
 }
 
 // choice is the server of an attempt. The request is quarantined if no other suspect runs there.
@@ -82,7 +82,7 @@
 		}
 		if ctx.Err() != nil || !x.f.clock.Now().Before(deadline) {
 			reason := fmt.Sprintf("%d servers ended under this request, and it waits for its turn to run alone", len(s.Crashes))
-			return choice{}, outcome{fate: masticway.FateNotRun, result: chooser.VerdictNone, reason: reason, suspect: s}, false
+			return choice{}, outcome{fate: masticway.FateNotRun, result: chooser.ResultNeutral, reason: reason, suspect: s}, false
 		}
 		x.waitFor(ctx, changed, quarantinePollInterval)
 	}
--- a/keeper/account.go
+++ b/keeper/account.go
@@ -67,7 +67,7 @@
 // recordDemand adds a request to the measured demand.
 func (a *account) recordDemand(now time.Time, r HoldRequest) {
 	a.decayRate(now)
-	a.demandRate += float64(r.Most) / rateWindow.Seconds()
+	a.demandRate += float64(r.MaxAmount) / rateWindow.Seconds()
 	a.lastHoldAt = now
 	a.horizon = r.Horizon
 	if a.horizon == 0 {
--- a/keeper/bench_test.go
+++ b/keeper/bench_test.go
@@ -14,14 +14,14 @@
 func BenchmarkHoldAndSettle(b *testing.B) {
 	for _, n := range []int{1, 1000, 300_000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			k := keeper.New(keeper.Settings{Incarnation: "r~1", IdleAfter: time.Hour}, start)
+			k := keeper.New(keeper.Settings{Incarnation: "r~1", IdleTimeout: time.Hour}, start)
 			budgets := make([]string, n)
 			for i := range budgets {
 				budgets[i] = "budget-" + strconv.Itoa(i)
-				effects := k.Hold(start, keeper.HoldRequest{ID: masticway.HoldID(budgets[i]), Budget: budgets[i], Most: 100, Least: 100, Horizon: time.Minute, Wait: time.Second})
+				effects := k.Hold(start, keeper.HoldRequest{ID: masticway.HoldID(budgets[i]), Budget: budgets[i], MaxAmount: 100, MinAmount: 100, Horizon: time.Minute, MaxWait: time.Second})
 				for _, e := range effects {
 					if m, ok := e.(keeper.Move); ok {
-						k.Moved(start, keeper.MoveResult{Move: m, Drawn: 1 << 50, Left: 1 << 50})
+						k.ApplyMoveResult(start, keeper.MoveResult{Move: m, Drawn: 1 << 50, Remaining: 1 << 50})
 					}
 				}
 				k.Settle(start, masticway.HoldID(budgets[i]), nil)
@@ -32,7 +32,7 @@
 			for b.Loop() {
 				i++
 				id := masticway.HoldID(strconv.Itoa(i))
-				k.Hold(start, keeper.HoldRequest{ID: id, Budget: budgets[i%n], Most: 100, Least: 100, Horizon: time.Minute, Wait: time.Second})
+				k.Hold(start, keeper.HoldRequest{ID: id, Budget: budgets[i%n], MaxAmount: 100, MinAmount: 100, Horizon: time.Minute, MaxWait: time.Second})
 				k.Settle(start, id, charges)
 			}
 		})
@@ -43,19 +43,19 @@
 func BenchmarkTidy(b *testing.B) {
 	for _, n := range []int{10, 100, 1000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			k := keeper.New(keeper.Settings{Incarnation: "r~1", IdleAfter: time.Hour}, start)
+			k := keeper.New(keeper.Settings{Incarnation: "r~1", IdleTimeout: time.Hour}, start)
 			for i := range n {
 				id := strconv.Itoa(i)
-				for _, e := range k.Hold(start, keeper.HoldRequest{ID: masticway.HoldID(id), Budget: id, Most: 100, Least: 100, Horizon: time.Minute, Wait: time.Second}) {
+				for _, e := range k.Hold(start, keeper.HoldRequest{ID: masticway.HoldID(id), Budget: id, MaxAmount: 100, MinAmount: 100, Horizon: time.Minute, MaxWait: time.Second}) {
 					if m, ok := e.(keeper.Move); ok {
-						k.Moved(start, keeper.MoveResult{Move: m, Drawn: 1000, Left: 1 << 50})
+						k.ApplyMoveResult(start, keeper.MoveResult{Move: m, Drawn: 1000, Remaining: 1 << 50})
 					}
 				}
 				k.Settle(start, masticway.HoldID(id), nil)
 			}
 			b.ReportAllocs()
 			for b.Loop() {
-				k.Tidy(start)
+				k.ReleaseIdle(start)
 			}
 		})
 	}
--- a/keeper/chart.go
+++ b/keeper/chart.go
@@ -53,8 +53,8 @@
 	}
 }
 
-// Fault returns a charter.StepError for the first transition that a statechart does not allow, or nil.
-func (k *Keeper) Fault() error { return k.chartError }
+// ChartError returns a charter.StepError for the first transition that a statechart does not allow, or nil.
+func (k *Keeper) ChartError() error { return k.chartError }
 
 // eventOf returns the event of the grant's statechart that a move's result causes.
 func eventOf(r MoveResult) charter.Event {
--- a/keeper/draw.go
+++ b/keeper/draw.go
@@ -21,8 +21,8 @@
 	}
 	var need, want masticway.Amount
 	for _, w := range a.waiters {
-		need += w.request.Least
-		want += w.request.Most
+		need += w.request.MinAmount
+		want += w.request.MaxAmount
 	}
 	forecast := a.forecast()
 	isShort := len(a.waiters) > 0
@@ -66,8 +66,8 @@
 	return m
 }
 
-// Moved applies the result of a move and answers requests that waited for it.
-func (k *Keeper) Moved(now time.Time, r MoveResult) []Effect {
+// ApplyMoveResult applies the result of a move and answers requests that waited for it.
+func (k *Keeper) ApplyMoveResult(now time.Time, r MoveResult) []Effect {
 	a, ok := k.accounts[r.Move.Grant.Budget]
 	if !ok || a.grant != r.Move.Grant {
 		return nil
@@ -81,8 +81,8 @@
 	a.tableRead = true
 	a.readAt = a.moveStartedAt
 	a.drawn += r.Drawn
-	a.remaining = r.Left
-	a.othersOpen = r.Elsewhere
+	a.remaining = r.Remaining
+	a.othersOpen = r.OthersOpen
 	a.otherPayers = r.OtherPayers
 	if k.settings.Policy == PolicySlice {
 		a.remaining = 0
--- a/keeper/effects.go
+++ b/keeper/effects.go
@@ -11,13 +11,13 @@
 
 // Reply answers a hold request.
 type Reply struct {
-	ID      masticway.HoldID
-	Verdict Verdict
-	Grant   masticway.GrantKey
-	Amount  masticway.Amount
-	Sender  masticway.Incarnation
-	// Open is set on a duplicate if the first request is still in progress.
-	Open bool
+	ID     masticway.HoldID
+	Result HoldResult
+	Grant  masticway.GrantKey
+	Amount masticway.Amount
+	Sender masticway.Incarnation
+	// InProgress is set on a duplicate if the first request is still in progress.
+	InProgress bool
 	// Waited is how long the request waited for money.
 	Waited time.Duration
 }
@@ -59,14 +59,14 @@
 	Move Move
 	// Drawn is the amount moved to the grant.
 	Drawn masticway.Amount
-	// Left is what the budget can still grant.
-	Left masticway.Amount
-	// Elsewhere is the sum of other payers' open grants.
-	Elsewhere masticway.Amount
+	// Remaining is what the budget can still grant.
+	Remaining masticway.Amount
+	// OthersOpen is the sum of other payers' open grants.
+	OthersOpen masticway.Amount
 	// OtherPayers lists the payers of those open grants.
 	OtherPayers []masticway.Incarnation
 	// Failed is set if nothing was moved because the table could not be reached.
 	Failed bool
-	// Missing is set if the budget does not exist.
-	Missing bool
+	// BudgetMissing is set if the budget does not exist.
+	BudgetMissing bool
 }
--- a/keeper/keeper.go
+++ b/keeper/keeper.go
@@ -27,8 +27,8 @@
 	Policy      Policy
 	// Slices is the number of routers that share a budget under PolicySlice.
 	Slices int
-	// IdleAfter is the time without hold requests after which a budget's money is returned and its state dropped.
-	IdleAfter time.Duration
+	// IdleTimeout is the time without hold requests after which a budget's money is returned and its state dropped.
+	IdleTimeout time.Duration
 }
 
 // HoldRequest asks for a hold for one attempt.
@@ -39,30 +39,30 @@
 	Budget   string
 	Identity masticway.Identity
 	Sender   masticway.Incarnation
-	// Most is the maximum cost.
-	Most masticway.Amount `cbor:"Most"`
-	// Least is the smallest useful hold.
-	Least masticway.Amount `cbor:"Least"`
+	// MaxAmount is the maximum cost.
+	MaxAmount masticway.Amount `cbor:"Most"`
+	// MinAmount is the smallest useful hold.
+	MinAmount masticway.Amount `cbor:"Least"`
 	// Tracked is set if the keeper must recognize a later request with the same identity as a duplicate.
 	Tracked bool
-	// Again is set if the first request's run ended early, so that it has no complete answer to share.
-	Again   bool `cbor:"Again"`
-	Horizon time.Duration
-	Wait    time.Duration `cbor:"Wait"`
+	// FirstIncomplete is set if the first request's run ended early, so that it has no complete answer to share.
+	FirstIncomplete bool `cbor:"Again"`
+	Horizon         time.Duration
+	MaxWait         time.Duration `cbor:"Wait"`
 }
 
-// Verdict is the result of a hold request.
-type Verdict string
+// HoldResult is the result of a hold request.
+type HoldResult string
 
-// The results of a hold request. VerdictExhausted means that the budget has too little money left, and VerdictUnreachable
+// The results of a hold request. ResultExhausted means that the budget has too little money left, and ResultUnreachable
 // that there may be enough but that it could not be obtained in time.
 const (
-	VerdictHeld        Verdict = "held"
-	VerdictDuplicate   Verdict = "duplicate"
-	VerdictExhausted   Verdict = "exhausted"
-	VerdictUnreachable Verdict = "unreachable"
-	// VerdictElsewhere is the answer of a router that is draining or sealed and no longer keeps budgets.
-	VerdictElsewhere Verdict = "elsewhere"
+	ResultHeld        HoldResult = "held"
+	ResultDuplicate   HoldResult = "duplicate"
+	ResultExhausted   HoldResult = "exhausted"
+	ResultUnreachable HoldResult = "unreachable"
+	// ResultNotKeeper is the answer of a router that is draining or sealed and no longer keeps budgets.
+	ResultNotKeeper HoldResult = "elsewhere"
 )
 
 // Charge is the cost of what one sidecar ran for a hold.
@@ -108,21 +108,21 @@
 // request whose identity is in use is answered as a duplicate; a request that already has a hold is answered with that hold.
 func (k *Keeper) Hold(now time.Time, r HoldRequest) []Effect {
 	if held, ok := k.holds[r.ID]; ok {
-		return []Effect{Reply{ID: r.ID, Verdict: VerdictHeld, Grant: held.account.grant, Amount: held.amount}}
+		return []Effect{Reply{ID: r.ID, Result: ResultHeld, Grant: held.account.grant, Amount: held.amount}}
 	}
 	if r.Tracked {
 		first, ok := k.tracked[r.Identity]
 		_, open := k.holds[first]
 		_, waits := k.waitingAccounts[first]
-		if ok && first != r.ID && (open || waits || !r.Again) {
-			return []Effect{Reply{ID: r.ID, Verdict: VerdictDuplicate, Sender: k.senders[first], Open: open || waits}}
+		if ok && first != r.ID && (open || waits || !r.FirstIncomplete) {
+			return []Effect{Reply{ID: r.ID, Result: ResultDuplicate, Sender: k.senders[first], InProgress: open || waits}}
 		}
 		k.track(r)
 	}
 	a := k.account(r.Budget)
 	k.waitingAccounts[r.ID] = a
 	a.recordDemand(now, r)
-	a.waiters = append(a.waiters, waiter{request: r, since: now, deadline: now.Add(r.Wait)})
+	a.waiters = append(a.waiters, waiter{request: r, since: now, deadline: now.Add(r.MaxWait)})
 	return k.serveWaiters(now, a)
 }
 
@@ -198,7 +198,7 @@
 	}
 	a.spent += cost
 	// The demand rate counted the maximum cost; correct it to the true cost.
-	a.demandRate = max(0, a.demandRate-float64(h.request.Most-cost)/rateWindow.Seconds())
+	a.demandRate = max(0, a.demandRate-float64(h.request.MaxAmount-cost)/rateWindow.Seconds())
 	if cost == 0 || answerLost {
 		// Nothing ran, or the answer was lost with its sidecar, so the same identity may run again.
 		k.untrack(h.request)
@@ -239,30 +239,30 @@
 
 // decide answers a waiting request and reports whether it can be answered now.
 //
-// VerdictExhausted requires a read of the table that began after the request
+// ResultExhausted requires a read of the table that began after the request
 // arrived, so that a recent top-up is never missed.
 func (k *Keeper) decide(now time.Time, a *account, w waiter) (Reply, bool) {
 	free := a.free()
 	r := w.request
-	if free >= r.Most {
-		return k.takeHold(now, a, w, r.Most), true
+	if free >= r.MaxAmount {
+		return k.takeHold(now, a, w, r.MaxAmount), true
 	}
 	isFresh := a.tableRead && !a.isMoving() && !a.lastMoveFailed && !a.readAt.Before(w.since)
-	if isFresh && free >= r.Least {
+	if isFresh && free >= r.MinAmount {
 		share := free / masticway.Amount(len(a.waiters)+1)
-		return k.takeHold(now, a, w, min(r.Most, max(r.Least, share))), true
+		return k.takeHold(now, a, w, min(r.MaxAmount, max(r.MinAmount, share))), true
 	}
-	if isFresh && free+a.held+a.remaining+a.othersOpen < r.Least {
-		return k.refuse(now, w, VerdictExhausted), true
+	if isFresh && free+a.held+a.remaining+a.othersOpen < r.MinAmount {
+		return k.refuse(now, w, ResultExhausted), true
 	}
 	if now.Before(w.deadline) {
 		return Reply{}, false
 	}
 	// Money in other routers' grants is not exhausted: it can be returned, also by the recovery of a router that crashed.
-	if !isFresh || free+a.remaining+a.othersOpen >= r.Least {
-		return k.refuse(now, w, VerdictUnreachable), true
+	if !isFresh || free+a.remaining+a.othersOpen >= r.MinAmount {
+		return k.refuse(now, w, ResultUnreachable), true
 	}
-	return k.refuse(now, w, VerdictExhausted), true
+	return k.refuse(now, w, ResultExhausted), true
 }
 
 func (k *Keeper) takeHold(now time.Time, a *account, w waiter, amount masticway.Amount) Reply {
@@ -272,12 +272,12 @@
 	h := &hold{request: r, amount: amount, account: a, opened: now, state: holdChart.Initial()}
 	k.stepHold(h, eventTaken)
 	k.holds[r.ID] = h
-	return Reply{ID: r.ID, Verdict: VerdictHeld, Grant: a.grant, Amount: amount, Waited: now.Sub(w.since)}
+	return Reply{ID: r.ID, Result: ResultHeld, Grant: a.grant, Amount: amount, Waited: now.Sub(w.since)}
 }
 
-func (k *Keeper) refuse(now time.Time, w waiter, v Verdict) Reply {
+func (k *Keeper) refuse(now time.Time, w waiter, v HoldResult) Reply {
 	k.untrack(w.request)
-	return Reply{ID: w.request.ID, Verdict: v, Waited: now.Sub(w.since)}
+	return Reply{ID: w.request.ID, Result: v, Waited: now.Sub(w.since)}
 }
 
 // Tick refuses requests whose deadline has passed and starts draws for the others that wait. It visits only budgets for
--- a/keeper/keeper_test.go
+++ b/keeper/keeper_test.go
@@ -23,7 +23,7 @@
 
 func newHarness(policy keeper.Policy) *harness {
 	return &harness{
-		k:   keeper.New(keeper.Settings{Incarnation: "r~1", Policy: policy, Slices: 4, IdleAfter: time.Second}, start),
+		k:   keeper.New(keeper.Settings{Incarnation: "r~1", Policy: policy, Slices: 4, IdleTimeout: time.Second}, start),
 		now: start, replies: map[masticway.HoldID]keeper.Reply{},
 	}
 }
@@ -43,8 +43,8 @@
 
 func (b *harness) hold(id string, most, least masticway.Amount) {
 	b.apply(b.k.Hold(b.now, keeper.HoldRequest{
-		ID: masticway.HoldID(id), Identity: masticway.Identity("w/" + id), Budget: "b", Sender: "r~1", Most: most, Least: least,
-		Tracked: true, Horizon: time.Second, Wait: 200 * time.Millisecond,
+		ID: masticway.HoldID(id), Identity: masticway.Identity("w/" + id), Budget: "b", Sender: "r~1", MaxAmount: most, MinAmount: least,
+		Tracked: true, Horizon: time.Second, MaxWait: 200 * time.Millisecond,
 	}))
 }
 
@@ -52,13 +52,13 @@
 func (b *harness) answerMove(drawn, left, elsewhere masticway.Amount, failed bool) {
 	m := b.moves[0]
 	b.moves = b.moves[1:]
-	b.apply(b.k.Moved(b.now, keeper.MoveResult{Move: m, Drawn: drawn, Left: left, Elsewhere: elsewhere, Failed: failed, OtherPayers: []masticway.Incarnation{"o~1"}}))
+	b.apply(b.k.ApplyMoveResult(b.now, keeper.MoveResult{Move: m, Drawn: drawn, Remaining: left, OthersOpen: elsewhere, Failed: failed, OtherPayers: []masticway.Incarnation{"o~1"}}))
 }
 
 func (b *harness) tick(d time.Duration) {
 	b.now = b.now.Add(d)
 	b.apply(b.k.Tick(b.now))
-	b.apply(b.k.Tidy(b.now))
+	b.apply(b.k.ReleaseIdle(b.now))
 }
 
 func TestHoldVerdicts(t *testing.T) {
@@ -67,16 +67,16 @@
 		drawn, left   masticway.Amount
 		elsewhere     masticway.Amount
 		failed, waits bool
-		verdict       keeper.Verdict
+		verdict       keeper.HoldResult
 		amount        masticway.Amount
 		asksPeers     bool
 	}{
-		"enough money":          {most: 100, least: 100, drawn: 500, left: 500, verdict: keeper.VerdictHeld, amount: 100},
-		"maximum is reduced":    {most: 100, least: 10, drawn: 40, verdict: keeper.VerdictHeld, amount: 20},
-		"minimum is kept":       {most: 100, least: 30, drawn: 40, verdict: keeper.VerdictHeld, amount: 30},
-		"too little everywhere": {most: 100, least: 100, drawn: 40, verdict: keeper.VerdictExhausted},
-		"peers return nothing":  {most: 100, least: 100, drawn: 40, elsewhere: 90, waits: true, verdict: keeper.VerdictUnreachable, asksPeers: true},
-		"table is unreachable":  {most: 100, least: 100, failed: true, waits: true, verdict: keeper.VerdictUnreachable},
+		"enough money":          {most: 100, least: 100, drawn: 500, left: 500, verdict: keeper.ResultHeld, amount: 100},
+		"maximum is reduced":    {most: 100, least: 10, drawn: 40, verdict: keeper.ResultHeld, amount: 20},
+		"minimum is kept":       {most: 100, least: 30, drawn: 40, verdict: keeper.ResultHeld, amount: 30},
+		"too little everywhere": {most: 100, least: 100, drawn: 40, verdict: keeper.ResultExhausted},
+		"peers return nothing":  {most: 100, least: 100, drawn: 40, elsewhere: 90, waits: true, verdict: keeper.ResultUnreachable, asksPeers: true},
+		"table is unreachable":  {most: 100, least: 100, failed: true, waits: true, verdict: keeper.ResultUnreachable},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -91,7 +91,7 @@
 					b.answerMove(0, tc.left, tc.elsewhere, tc.failed)
 				}
 			}
-			qt.Assert(t, b.replies["h"].Verdict, qt.Equals, tc.verdict)
+			qt.Assert(t, b.replies["h"].Result, qt.Equals, tc.verdict)
 			qt.Assert(t, b.replies["h"].Amount, qt.Equals, tc.amount)
 			qt.Assert(t, b.peerAsks > 0, qt.Equals, tc.asksPeers)
 		})
@@ -102,12 +102,12 @@
 	b := newHarness(keeper.PolicyForecast)
 	b.hold("first", 100, 100)
 	b.answerMove(0, 0, 0, false)
-	qt.Assert(t, b.replies["first"].Verdict, qt.Equals, keeper.VerdictExhausted)
+	qt.Assert(t, b.replies["first"].Result, qt.Equals, keeper.ResultExhausted)
 	// After a top-up the next request must read the table again and not rely on the earlier result.
 	b.now = b.now.Add(time.Second)
 	b.hold("second", 100, 100)
 	b.answerMove(100, 50, 0, false)
-	qt.Assert(t, b.replies["second"].Verdict, qt.Equals, keeper.VerdictHeld)
+	qt.Assert(t, b.replies["second"].Result, qt.Equals, keeper.ResultHeld)
 }
 
 func TestWaitingRequestGetsReleasedMoney(t *testing.T) {
@@ -121,7 +121,7 @@
 	_, answered := b.replies["second"]
 	qt.Assert(t, answered, qt.IsFalse)
 	b.apply(b.k.Settle(b.now, "first", []keeper.Charge{{Sidecar: "s~1", Amount: 15}}))
-	qt.Assert(t, b.replies["second"].Verdict, qt.Equals, keeper.VerdictHeld)
+	qt.Assert(t, b.replies["second"].Result, qt.Equals, keeper.ResultHeld)
 }
 
 func TestRepeatedSettlementCountsOnce(t *testing.T) {
@@ -141,23 +141,23 @@
 	b := newHarness(keeper.PolicyForecast)
 	b.hold("h", 100, 100)
 	b.answerMove(300, 0, 0, false)
-	again := keeper.HoldRequest{ID: "other", Identity: "w/h", Budget: "b", Sender: "r~2", Most: 100, Least: 100, Tracked: true, Wait: time.Second}
+	again := keeper.HoldRequest{ID: "other", Identity: "w/h", Budget: "b", Sender: "r~2", MaxAmount: 100, MinAmount: 100, Tracked: true, MaxWait: time.Second}
 	b.apply(b.k.Hold(b.now, again))
-	qt.Assert(t, b.replies["other"].Verdict, qt.Equals, keeper.VerdictDuplicate)
+	qt.Assert(t, b.replies["other"].Result, qt.Equals, keeper.ResultDuplicate)
 	qt.Assert(t, b.replies["other"].Sender, qt.Equals, masticway.Incarnation("r~1"))
-	qt.Assert(t, b.replies["other"].Open, qt.IsTrue)
+	qt.Assert(t, b.replies["other"].InProgress, qt.IsTrue)
 	// The duplicate of a run that has ended does not wait.
 	b.hold("paid", 100, 100)
 	b.apply(b.k.Settle(b.now, "paid", []keeper.Charge{{Sidecar: "s~1", Amount: 5}}))
-	late := keeper.HoldRequest{ID: "late", Identity: "w/paid", Budget: "b", Sender: "r~2", Most: 100, Least: 100, Tracked: true, Wait: time.Second}
+	late := keeper.HoldRequest{ID: "late", Identity: "w/paid", Budget: "b", Sender: "r~2", MaxAmount: 100, MinAmount: 100, Tracked: true, MaxWait: time.Second}
 	b.apply(b.k.Hold(b.now, late))
-	qt.Assert(t, b.replies["late"].Verdict, qt.Equals, keeper.VerdictDuplicate)
-	qt.Assert(t, b.replies["late"].Open, qt.IsFalse)
+	qt.Assert(t, b.replies["late"].Result, qt.Equals, keeper.ResultDuplicate)
+	qt.Assert(t, b.replies["late"].InProgress, qt.IsFalse)
 	// A hold that was settled at no cost did not run, so the identity can be used again.
 	b.apply(b.k.Settle(b.now, "h", nil))
 	again.ID = "third"
 	b.apply(b.k.Hold(b.now, again))
-	qt.Assert(t, b.replies["third"].Verdict, qt.Equals, keeper.VerdictHeld)
+	qt.Assert(t, b.replies["third"].Result, qt.Equals, keeper.ResultHeld)
 }
 
 func TestCancelledRequestHoldsNoMoney(t *testing.T) {
@@ -188,7 +188,7 @@
 	b.answerMove(0, 240, 0, false)
 	qt.Assert(t, b.moves[0].Grant.Number, qt.Equals, int64(2))
 	b.answerMove(200, 40, 0, false)
-	qt.Assert(t, b.replies["late"].Verdict, qt.Equals, keeper.VerdictHeld)
+	qt.Assert(t, b.replies["late"].Result, qt.Equals, keeper.ResultHeld)
 }
 
 func TestSteadyDemandDrawsSeldom(t *testing.T) {
@@ -197,7 +197,7 @@
 	for range 600 {
 		b.now = b.now.Add(100 * time.Millisecond)
 		b.apply(b.k.Hold(b.now, keeper.HoldRequest{
-			ID: masticway.HoldID(b.now.String()), Budget: "b", Sender: "r~1", Most: 100, Least: 100, Horizon: time.Minute, Wait: time.Second,
+			ID: masticway.HoldID(b.now.String()), Budget: "b", Sender: "r~1", MaxAmount: 100, MinAmount: 100, Horizon: time.Minute, MaxWait: time.Second,
 		}))
 		for len(b.moves) > 0 {
 			draws++
--- a/keeper/memory_test.go
+++ b/keeper/memory_test.go
@@ -19,12 +19,12 @@
 			for b.Loop() {
 				runtime.GC()
 				runtime.ReadMemStats(&before)
-				k := keeper.New(keeper.Settings{Incarnation: "r~1", IdleAfter: time.Hour}, start)
+				k := keeper.New(keeper.Settings{Incarnation: "r~1", IdleTimeout: time.Hour}, start)
 				for i := range n {
 					id := strconv.Itoa(i)
-					for _, e := range k.Hold(start, keeper.HoldRequest{ID: masticway.HoldID(id), Budget: id, Most: 100, Least: 100, Wait: time.Second}) {
+					for _, e := range k.Hold(start, keeper.HoldRequest{ID: masticway.HoldID(id), Budget: id, MaxAmount: 100, MinAmount: 100, MaxWait: time.Second}) {
 						if m, ok := e.(keeper.Move); ok {
-							k.Moved(start, keeper.MoveResult{Move: m, Drawn: 1000, Left: 1 << 50})
+							k.ApplyMoveResult(start, keeper.MoveResult{Move: m, Drawn: 1000, Remaining: 1 << 50})
 						}
 					}
 					k.Settle(start, masticway.HoldID(id), []keeper.Charge{{Sidecar: "s~1", Amount: 5}})
--- a/keeper/return.go
+++ b/keeper/return.go
@@ -12,8 +12,8 @@
 	handOverDelay = 2 * time.Second
 )
 
-// Tidy returns idle money and drops idle budgets. It visits every budget, so it should be called rarely.
-func (k *Keeper) Tidy(now time.Time) []Effect {
+// ReleaseIdle returns idle money and drops idle budgets. It visits every budget, so it should be called rarely.
+func (k *Keeper) ReleaseIdle(now time.Time) []Effect {
 	var effects []Effect
 	for _, budget := range k.sortedBudgets() {
 		a := k.accounts[budget]
@@ -33,7 +33,7 @@
 		delete(k.accounts, a.budget)
 		return nil
 	}
-	idle := now.Sub(a.lastHoldAt) >= k.settings.IdleAfter
+	idle := now.Sub(a.lastHoldAt) >= k.settings.IdleTimeout
 	if idle && a.holdCount == 0 {
 		return []Effect{k.startMove(now, a, Move{Return: max(0, a.free()), Close: true})}
 	}
@@ -47,9 +47,9 @@
 	return nil
 }
 
-// GiveBack returns free money that a peer has asked for: all of it if the budget is idle or now kept by another router
+// ReturnFree returns free money that a peer has asked for: all of it if the budget is idle or now kept by another router
 // (elsewhere), and half of it if it is in use.
-func (k *Keeper) GiveBack(now time.Time, budget string, elsewhere bool) []Effect {
+func (k *Keeper) ReturnFree(now time.Time, budget string, elsewhere bool) []Effect {
 	a, ok := k.accounts[budget]
 	if !ok || a.isMoving() || a.grant.Number == 0 || len(a.waiters) > 0 || k.settings.Policy == PolicySlice {
 		return nil
@@ -64,9 +64,9 @@
 	return []Effect{k.startMove(now, a, Move{Return: free})}
 }
 
-// Yield hands a budget over that another router now keeps: it returns the free money, and closes the grant once no hold is
+// HandOver hands a budget over that another router now keeps: it returns the free money, and closes the grant once no hold is
 // open.
-func (k *Keeper) Yield(now time.Time, budget string) []Effect {
+func (k *Keeper) HandOver(now time.Time, budget string) []Effect {
 	a, ok := k.accounts[budget]
 	if !ok || a.isMoving() || a.grant.Number == 0 || len(a.waiters) > 0 || now.Sub(a.lastHoldAt) < handOverDelay {
 		return nil
@@ -103,5 +103,5 @@
 	return effects
 }
 
-// Empty reports whether the keeper has no accounts left.
-func (k *Keeper) Empty() bool { return len(k.accounts) == 0 }
+// IsEmpty reports whether the keeper has no accounts left.
+func (k *Keeper) IsEmpty() bool { return len(k.accounts) == 0 }
--- a/keeper/state.go
+++ b/keeper/state.go
@@ -8,8 +8,8 @@
 	"github.com/masticway/masticway"
 )
 
-// HeldFor describes an open hold of a sender.
-type HeldFor struct {
+// OpenHold describes an open hold of a sender.
+type OpenHold struct {
 	ID       masticway.HoldID
 	Identity masticway.Identity
 	Grant    masticway.GrantKey
@@ -17,14 +17,14 @@
 }
 
 // HoldsOf returns the open holds that a sender requested, sorted by id.
-func (k *Keeper) HoldsOf(sender masticway.Incarnation) []HeldFor {
-	var held []HeldFor
+func (k *Keeper) HoldsOf(sender masticway.Incarnation) []OpenHold {
+	var held []OpenHold
 	for id, h := range k.holds {
 		if h.request.Sender == sender {
-			held = append(held, HeldFor{ID: id, Identity: h.request.Identity, Grant: h.account.grant, Amount: h.amount})
+			held = append(held, OpenHold{ID: id, Identity: h.request.Identity, Grant: h.account.grant, Amount: h.amount})
 		}
 	}
-	slices.SortFunc(held, func(a, b HeldFor) int { return strings.Compare(string(a.ID), string(b.ID)) })
+	slices.SortFunc(held, func(a, b OpenHold) int { return strings.Compare(string(a.ID), string(b.ID)) })
 	return held
 }
 
--- a/keeper/world_test.go
+++ b/keeper/world_test.go
@@ -36,7 +36,7 @@
 type world struct {
 	now      time.Time
 	table    *emulator.Table
-	ledger   *bookkeeper.Book
+	ledger   *bookkeeper.Ledger
 	routers  []*worldRouter
 	sidecars []*worldSidecar
 	runs     []*worldRun
@@ -77,7 +77,7 @@
 	counted  bool
 	prompt   int
 	tokens   int
-	result   *sealer.Final
+	result   *sealer.RunResult
 	settled  bool
 }
 
@@ -95,7 +95,7 @@
 	for i := range sidecars {
 		self := masticway.NewIncarnation(fmt.Sprintf("s%d", i), "1")
 		w.sidecars = append(w.sidecars, &worldSidecar{self: self, core: sealer.New(sealer.Settings{
-			Self: self, KeepFor: time.Hour, KeepBytes: 1 << 20, OrphanAfter: time.Hour, MaxRuns: 1000,
+			Self: self, AnswerTTL: time.Hour, MaxAnswerBytes: 1 << 20, OrphanTimeout: time.Hour, MaxRuns: 1000,
 		})})
 	}
 	for range routers {
@@ -110,7 +110,7 @@
 func (w *world) addRouter(policy keeper.Policy) {
 	self := masticway.NewIncarnation(fmt.Sprintf("r%d", len(w.routers)), "1")
 	r := &worldRouter{self: self, links: bookkeeper.Links{Incarnation: self, State: bookkeeper.LinksOpen}}
-	r.keeper = keeper.New(keeper.Settings{Incarnation: self, Policy: policy, Slices: 4, IdleAfter: 2 * time.Second}, w.now)
+	r.keeper = keeper.New(keeper.Settings{Incarnation: self, Policy: policy, Slices: 4, IdleTimeout: 2 * time.Second}, w.now)
 	version, err := w.ledger.OpenLinks(context.Background(), self)
 	if err != nil {
 		return
@@ -133,7 +133,7 @@
 		case keeper.Move:
 			r.moves = append(r.moves, pendingMove{move: e})
 		case keeper.Reply:
-			if e.Verdict == keeper.VerdictHeld {
+			if e.Result == keeper.ResultHeld {
 				w.runs = append(w.runs, &worldRun{payer: r, hold: e})
 			}
 		}
@@ -151,7 +151,7 @@
 	least := masticway.Amount(rapid.IntRange(5, int(most)).Draw(t, "least"))
 	w.apply(r, r.keeper.Hold(w.now, keeper.HoldRequest{
 		ID: masticway.HoldID(fmt.Sprint(w.lastID)), Budget: worldBudget, Identity: masticway.Identity(fmt.Sprint("w/", w.lastID)),
-		Sender: r.self, Most: most, Least: least, Horizon: 2 * time.Second, Wait: 300 * time.Millisecond,
+		Sender: r.self, MaxAmount: most, MinAmount: least, Horizon: 2 * time.Second, MaxWait: 300 * time.Millisecond,
 	}))
 }
 
@@ -166,7 +166,7 @@
 	case 0:
 		w.table.SetFaults(emulator.TableFaults{Down: true})
 	case 1:
-		w.table.SetFaults(emulator.TableFaults{LoseAnswers: 1})
+		w.table.SetFaults(emulator.TableFaults{DropAnswers: 1})
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	if rapid.Bool().Draw(t, "read_back_fails") {
@@ -174,11 +174,11 @@
 		cancel()
 	}
 	defer cancel()
-	result, err := w.ledger.Move(ctx, p.move, r.version)
+	result, err := w.ledger.ApplyMove(ctx, p.move, r.version)
 	w.table.SetFaults(emulator.TableFaults{})
 	if err == nil {
 		r.moves = r.moves[1:]
-		w.apply(r, r.keeper.Moved(w.now, result))
+		w.apply(r, r.keeper.ApplyMoveResult(w.now, result))
 		return
 	}
 	if _, ok := errors.AsType[*masticway.SealedError](err); ok {
@@ -188,7 +188,7 @@
 	if _, ok := errors.AsType[*masticway.UnavailableError](err); ok && !p.unknown {
 		move := p.move
 		r.moves = r.moves[1:]
-		w.apply(r, r.keeper.Moved(w.now, keeper.MoveResult{Move: move, Failed: true}))
+		w.apply(r, r.keeper.ApplyMoveResult(w.now, keeper.MoveResult{Move: move, Failed: true}))
 		return
 	}
 	p.unknown = true
@@ -230,31 +230,31 @@
 	for _, e := range effects {
 		switch e := e.(type) {
 		case sealer.Verify:
-			w.applySealer(run, run.sidecar.core.Verified(w.now, e.Incarnation, w.incarnationStatus(run.sidecar, e.Incarnation)))
+			w.applySealer(run, run.sidecar.core.ApplyVerification(w.now, e.Incarnation, w.incarnationStatus(run.sidecar, e.Incarnation)))
 		case sealer.Start:
 			run.accepted = true
 		case sealer.Send:
 			switch m := e.Message.(type) {
 			case sealer.Refused:
 				run.refused = true
-			case sealer.Final:
+			case sealer.RunResult:
 				run.result = &m
 			}
 		}
 	}
 }
 
-func (w *world) incarnationStatus(s *worldSidecar, inc masticway.Incarnation) sealer.Standing {
+func (w *world) incarnationStatus(s *worldSidecar, inc masticway.Incarnation) sealer.IncarnationStatus {
 	links, version, err := w.ledger.Links(context.Background(), inc)
 	switch {
 	case err != nil:
-		return sealer.StandingUnknown
+		return sealer.StatusUnknown
 	case version == 0 || links.State == bookkeeper.LinksSealed:
-		return sealer.StandingSealed
+		return sealer.StatusSealed
 	case !links.Has(s.self):
-		return sealer.StandingUnlinked
+		return sealer.StatusUnlinked
 	}
-	return sealer.StandingOpen
+	return sealer.StatusOpen
 }
 
 // work advances a run at an upstream by one step.
@@ -267,13 +267,13 @@
 	if !run.counted {
 		run.counted = true
 		run.prompt = rapid.IntRange(1, max(1, int(run.hold.Amount)/2)).Draw(t, "prompt")
-		w.applySealer(run, core.Counted(run.key, run.prompt, 0))
+		w.applySealer(run, core.RecordPromptCount(run.key, run.prompt, 0))
 		return
 	}
 	for range rapid.IntRange(1, 20).Draw(t, "tokens") {
-		effects := core.Chunk(run.key, masticway.Chunk{Text: "x", Tokens: 1})
+		effects := core.RecordChunk(run.key, masticway.Chunk{Text: "x", Tokens: 1})
 		if slices.ContainsFunc(effects, func(e sealer.Effect) bool { _, stop := e.(sealer.Stop); return stop }) {
-			w.applySealer(run, core.Finished(w.now, run.key, masticway.Outcome{}, nil))
+			w.applySealer(run, core.RecordEnd(w.now, run.key, masticway.Outcome{}, nil))
 			return
 		}
 		run.tokens++
@@ -283,7 +283,7 @@
 		if rapid.IntRange(0, 3).Draw(t, "fails") == 0 {
 			failure = &masticway.UpstreamError{Reason: "lost", Started: true}
 		}
-		w.applySealer(run, core.Finished(w.now, run.key, masticway.Outcome{}, failure))
+		w.applySealer(run, core.RecordEnd(w.now, run.key, masticway.Outcome{}, failure))
 	}
 }
 
@@ -312,7 +312,7 @@
 	for _, r := range w.routers {
 		if !r.dead {
 			w.apply(r, r.keeper.Tick(w.now))
-			w.apply(r, r.keeper.Tidy(w.now))
+			w.apply(r, r.keeper.ReleaseIdle(w.now))
 		}
 	}
 }
@@ -320,14 +320,14 @@
 func (w *world) returnFree(t *rapid.T) {
 	r := w.routers[rapid.IntRange(0, len(w.routers)-1).Draw(t, "router")]
 	if !r.dead {
-		w.apply(r, r.keeper.GiveBack(w.now, worldBudget, rapid.Bool().Draw(t, "elsewhere")))
+		w.apply(r, r.keeper.ReturnFree(w.now, worldBudget, rapid.Bool().Draw(t, "elsewhere")))
 	}
 }
 
 func (w *world) handOver(t *rapid.T) {
 	r := w.routers[rapid.IntRange(0, len(w.routers)-1).Draw(t, "router")]
 	if !r.dead {
-		w.apply(r, r.keeper.Yield(w.now, worldBudget))
+		w.apply(r, r.keeper.HandOver(w.now, worldBudget))
 	}
 }
 
@@ -351,7 +351,7 @@
 	}
 	self := masticway.NewIncarnation(fmt.Sprintf("s%d", len(w.sidecars)), "1")
 	w.sidecars = append(w.sidecars, &worldSidecar{self: self, core: sealer.New(sealer.Settings{
-		Self: self, KeepFor: time.Hour, KeepBytes: 1 << 20, OrphanAfter: time.Hour, MaxRuns: 1000,
+		Self: self, AnswerTTL: time.Hour, MaxAnswerBytes: 1 << 20, OrphanTimeout: time.Hour, MaxRuns: 1000,
 	})})
 }
 
@@ -367,7 +367,7 @@
 		return
 	}
 	if rapid.Bool().Draw(t, "graceful") && s.core.Running() == 0 {
-		s.core.Leave()
+		s.core.Drain()
 		_ = w.ledger.PutReport(context.Background(), bookkeeper.Report{Sidecar: s.self, Totals: s.core.Totals("")})
 	}
 	s.gone = true
@@ -378,7 +378,7 @@
 	var open []*recoverer.Recovery
 	for _, r := range w.routers {
 		for _, rec := range r.recoveries {
-			if !rec.Done() {
+			if !rec.IsDone() {
 				open = append(open, rec)
 			}
 		}
@@ -390,12 +390,12 @@
 	w.now = w.now.Add(300 * time.Millisecond)
 	for _, e := range rec.Tick(w.now) {
 		switch e := e.(type) {
-		case recoverer.Mark:
+		case recoverer.SealInTable:
 			w.sealInTable(rec)
-		case recoverer.Ask:
+		case recoverer.SealAtSidecar:
 			w.sealAtSidecar(rec, e.Sidecar)
-		case recoverer.Return:
-			w.closeGrants(t, rec, e.Closings)
+		case recoverer.CloseGrants:
+			w.closeGrants(t, rec, e.Closures)
 		}
 	}
 }
@@ -403,11 +403,11 @@
 func (w *world) sealInTable(rec *recoverer.Recovery) {
 	links, err := w.ledger.Seal(context.Background(), rec.Incarnation())
 	if err != nil {
-		rec.Marked(links, nil, false)
+		rec.RecordSealed(links, nil, false)
 		return
 	}
 	grants, err := w.ledger.GrantsOf(context.Background(), rec.Incarnation())
-	rec.Marked(links, grants, err == nil)
+	rec.RecordSealed(links, grants, err == nil)
 }
 
 func (w *world) sealAtSidecar(rec *recoverer.Recovery, sidecar masticway.Incarnation) {
@@ -417,28 +417,28 @@
 		}
 		if !s.gone {
 			report, _ := s.core.Seal(w.now, rec.Incarnation())
-			rec.Witnessed(report)
+			rec.RecordReport(report)
 			return
 		}
 		left, found, err := w.ledger.Report(context.Background(), sidecar)
 		if err == nil {
-			rec.Vanished(sidecar, left, found)
+			rec.RecordLost(sidecar, left, found)
 		}
 	}
 }
 
-func (w *world) closeGrants(t *rapid.T, rec *recoverer.Recovery, closings []bookkeeper.Closing) {
+func (w *world) closeGrants(t *rapid.T, rec *recoverer.Recovery, closings []bookkeeper.GrantClosure) {
 	if rapid.IntRange(0, 4).Draw(t, "answer_lost") == 0 {
-		w.table.SetFaults(emulator.TableFaults{LoseAnswers: 1})
+		w.table.SetFaults(emulator.TableFaults{DropAnswers: 1})
 	}
 	defer w.table.SetFaults(emulator.TableFaults{})
 	for _, c := range closings {
 		if _, err := w.ledger.Recover(context.Background(), c); err != nil {
-			rec.Returned(false)
+			rec.RecordClosed(false)
 			return
 		}
 	}
-	rec.Returned(true)
+	rec.RecordClosed(true)
 }
 
 func (w *world) topUp(t *rapid.T) {
@@ -456,7 +456,7 @@
 // check verifies the invariants of money against the true cost of what upstreams ran.
 func (w *world) check(t *rapid.T) {
 	for _, r := range w.routers {
-		if err := r.keeper.Fault(); err != nil {
+		if err := r.keeper.ChartError(); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -477,8 +477,8 @@
 	if ran > w.prepaid {
 		t.Fatalf("upstreams ran %d of %d prepaid", ran, w.prepaid)
 	}
-	if row.Settled+row.Open() < ran {
-		t.Fatalf("settled %d and open %d do not cover the %d that ran", row.Settled, row.Open(), ran)
+	if row.Settled+row.OpenAmount() < ran {
+		t.Fatalf("settled %d and open %d do not cover the %d that ran", row.Settled, row.OpenAmount(), ran)
 	}
 }
 
--- a/lender/lender.go
+++ b/lender/lender.go
@@ -47,7 +47,7 @@
 func NewClient(m *messenger.Client) *Client { return &Client{messages: m} }
 
 // Borrow requests a loan of a workspace's money from the router at an address. The amount lent is never above the need.
-func (c *Client) Borrow(ctx context.Context, address string, request treasurer.LoanAsk) (treasurer.Loan, error) {
+func (c *Client) Borrow(ctx context.Context, address string, request treasurer.LoanRequest) (treasurer.Loan, error) {
 	answer, err := messenger.Call[borrowResponse](ctx, c.messages, address, pathBorrow, request)
 	return treasurer.Loan{Lender: answer.Lender, Amount: min(request.Need, max(0, answer.Amount))}, err
 }
@@ -58,15 +58,15 @@
 	return err
 }
 
-// Testify sends a report to a witness and reports whether the witness accepted it.
-func (c *Client) Testify(ctx context.Context, address string, s treasurer.Statement) (bool, error) {
+// SendReport sends a report to a witness and reports whether the witness accepted it.
+func (c *Client) SendReport(ctx context.Context, address string, s treasurer.SpendReport) (bool, error) {
 	answer, err := messenger.Call[reportResponse](ctx, c.messages, address, pathReport, s)
 	return answer.Accepted, err
 }
 
-// Recall requests from a witness what an ended incarnation reported to it.
-func (c *Client) Recall(ctx context.Context, address string, witness, ended masticway.Incarnation) (treasurer.Recollection, error) {
-	return messenger.Call[treasurer.Recollection](ctx, c.messages, address, pathFinalReports, finalReportsRequest{Witness: witness, Ended: ended})
+// FinalReports requests from a witness what an ended incarnation reported to it.
+func (c *Client) FinalReports(ctx context.Context, address string, witness, ended masticway.Incarnation) (treasurer.WitnessRecord, error) {
+	return messenger.Call[treasurer.WitnessRecord](ctx, c.messages, address, pathFinalReports, finalReportsRequest{Witness: witness, Ended: ended})
 }
 
 // PeerServer answers the calls of other routers.
@@ -74,28 +74,28 @@
 	// Self returns the incarnation that lends.
 	Self() masticway.Incarnation
 	// Lend lends money to another router and returns the amount.
-	Lend(ctx context.Context, request treasurer.LoanAsk) int64
-	// Repaid accepts returned money.
-	Repaid(r treasurer.Repayment)
-	// Testified accepts another router's report unless that router has ended, and reports whether it did.
-	Testified(s treasurer.Statement) bool
-	// Recall returns what an ended incarnation reported to a witness; later reports of that incarnation are refused.
-	Recall(witness, ended masticway.Incarnation) treasurer.Recollection
+	Lend(ctx context.Context, request treasurer.LoanRequest) int64
+	// AcceptRepayment accepts returned money.
+	AcceptRepayment(r treasurer.Repayment)
+	// AcceptReport accepts another router's report unless that router has ended, and reports whether it did.
+	AcceptReport(s treasurer.SpendReport) bool
+	// FinalReports returns what an ended incarnation reported to a witness; later reports of that incarnation are refused.
+	FinalReports(witness, ended masticway.Incarnation) treasurer.WitnessRecord
 }
 
 // Serve registers handlers on mux that pass the calls of other routers to p.
 func Serve(mux *http.ServeMux, p PeerServer) {
-	messenger.Handle(mux, pathBorrow, func(ctx context.Context, request treasurer.LoanAsk) borrowResponse {
+	messenger.Handle(mux, pathBorrow, func(ctx context.Context, request treasurer.LoanRequest) borrowResponse {
 		return borrowResponse{Amount: p.Lend(ctx, request), Lender: p.Self()}
 	})
 	messenger.Handle(mux, pathRepay, func(_ context.Context, r treasurer.Repayment) ack {
-		p.Repaid(r)
+		p.AcceptRepayment(r)
 		return ack{}
 	})
-	messenger.Handle(mux, pathReport, func(_ context.Context, s treasurer.Statement) reportResponse {
-		return reportResponse{Accepted: p.Testified(s)}
+	messenger.Handle(mux, pathReport, func(_ context.Context, s treasurer.SpendReport) reportResponse {
+		return reportResponse{Accepted: p.AcceptReport(s)}
 	})
-	messenger.Handle(mux, pathFinalReports, func(_ context.Context, r finalReportsRequest) treasurer.Recollection {
-		return p.Recall(r.Witness, r.Ended)
+	messenger.Handle(mux, pathFinalReports, func(_ context.Context, r finalReportsRequest) treasurer.WitnessRecord {
+		return p.FinalReports(r.Witness, r.Ended)
 	})
 }
