--- a/lender/lender_test.go
+++ b/lender/lender_test.go
@@ -21,21 +21,21 @@
 	mu      sync.Mutex
 	balance int64
 	repaid  []treasurer.Repayment
-	reports []treasurer.Statement
+	reports []treasurer.SpendReport
 }
 
-func (p *peerServer) Testified(s treasurer.Statement) bool {
+func (p *peerServer) AcceptReport(s treasurer.SpendReport) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.reports = append(p.reports, s)
-	return s.Issuer != "gone~1"
+	return s.Sender != "gone~1"
 }
 
-func (p *peerServer) Recall(witness, ended masticway.Incarnation) treasurer.Recollection {
+func (p *peerServer) FinalReports(witness, ended masticway.Incarnation) treasurer.WitnessRecord {
 	if witness != "b~2" || ended != "a~1" {
-		return treasurer.Recollection{}
+		return treasurer.WitnessRecord{}
 	}
-	return treasurer.Recollection{Same: true, Stated: map[string]treasurer.Stated{"w": {Taken: 9, Book: 4}}}
+	return treasurer.WitnessRecord{IsNamedWitness: true, Reported: map[string]treasurer.ReportedSpend{"w": {Taken: 9, Checkpoint: 4}}}
 }
 
 // serve starts an HTTP server for p and returns a client and the server's address.
@@ -47,7 +47,7 @@
 	return lender.NewClient(messenger.NewClient()), strings.TrimPrefix(server.URL, "http://")
 }
 
-func (p *peerServer) Lend(_ context.Context, request treasurer.LoanAsk) int64 {
+func (p *peerServer) Lend(_ context.Context, request treasurer.LoanRequest) int64 {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if request.Workspace != "w" {
@@ -60,7 +60,7 @@
 
 func (p *peerServer) Self() masticway.Incarnation { return "b~2" }
 
-func (p *peerServer) Repaid(r treasurer.Repayment) {
+func (p *peerServer) AcceptRepayment(r treasurer.Repayment) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.repaid = append(p.repaid, r)
@@ -74,7 +74,7 @@
 		need, want int64
 	}{{"w", 60, 60}, {"w", 60, 40}, {"w", 60, 0}, {"other", 1, 0}}
 	for _, tc := range cases {
-		loan, err := client.Borrow(t.Context(), address, treasurer.LoanAsk{Number: 1, Borrower: "a~1", Workspace: tc.workspace, Need: tc.need})
+		loan, err := client.Borrow(t.Context(), address, treasurer.LoanRequest{Number: 1, Borrower: "a~1", Workspace: tc.workspace, Need: tc.need})
 		qt.Assert(t, err, qt.IsNil)
 		qt.Assert(t, loan, qt.Equals, treasurer.Loan{Lender: "b~2", Amount: tc.want})
 	}
@@ -86,20 +86,20 @@
 func TestReportsAreAcceptedAndReturned(t *testing.T) {
 	p := &peerServer{}
 	client, address := serve(t, p)
-	s := treasurer.Statement{Issuer: "a~1", Witness: "b~2", Oldest: 3, Newest: 4, Taken: map[string]int64{"w": 9}}
-	accepted, err := client.Testify(t.Context(), address, s)
+	s := treasurer.SpendReport{Sender: "a~1", Witness: "b~2", OldestCheckpoint: 3, NewestCheckpoint: 4, Taken: map[string]int64{"w": 9}}
+	accepted, err := client.SendReport(t.Context(), address, s)
 	qt.Assert(t, err, qt.IsNil)
 	qt.Assert(t, accepted, qt.IsTrue)
-	qt.Assert(t, p.reports, qt.DeepEquals, []treasurer.Statement{s})
-	accepted, err = client.Testify(t.Context(), address, treasurer.Statement{Issuer: "gone~1"})
+	qt.Assert(t, p.reports, qt.DeepEquals, []treasurer.SpendReport{s})
+	accepted, err = client.SendReport(t.Context(), address, treasurer.SpendReport{Sender: "gone~1"})
 	qt.Assert(t, err, qt.IsNil)
 	qt.Assert(t, accepted, qt.IsFalse)
-	r, err := client.Recall(t.Context(), address, "b~2", "a~1")
+	r, err := client.FinalReports(t.Context(), address, "b~2", "a~1")
 	qt.Assert(t, err, qt.IsNil)
-	qt.Assert(t, r, qt.DeepEquals, treasurer.Recollection{Same: true, Stated: map[string]treasurer.Stated{"w": {Taken: 9, Book: 4}}})
-	r, err = client.Recall(t.Context(), address, "b~1", "a~1")
+	qt.Assert(t, r, qt.DeepEquals, treasurer.WitnessRecord{IsNamedWitness: true, Reported: map[string]treasurer.ReportedSpend{"w": {Taken: 9, Checkpoint: 4}}})
+	r, err = client.FinalReports(t.Context(), address, "b~1", "a~1")
 	qt.Assert(t, err, qt.IsNil)
-	qt.Assert(t, r.Same, qt.IsFalse)
+	qt.Assert(t, r.IsNamedWitness, qt.IsFalse)
 }
 
 func TestUnreachableRouterIsAnError(t *testing.T) {
@@ -107,13 +107,13 @@
 	address := strings.TrimPrefix(server.URL, "http://")
 	server.Close()
 	client := lender.NewClient(messenger.NewClient())
-	_, err := client.Borrow(t.Context(), address, treasurer.LoanAsk{Workspace: "w", Need: 1})
+	_, err := client.Borrow(t.Context(), address, treasurer.LoanRequest{Workspace: "w", Need: 1})
 	qt.Assert(t, err, qt.IsNotNil)
 	qt.Assert(t, client.Repay(t.Context(), address, treasurer.Repayment{}), qt.IsNotNil)
-	accepted, err := client.Testify(t.Context(), address, treasurer.Statement{})
+	accepted, err := client.SendReport(t.Context(), address, treasurer.SpendReport{})
 	qt.Assert(t, err, qt.IsNotNil)
 	qt.Assert(t, accepted, qt.IsFalse)
-	_, err = client.Recall(t.Context(), address, "b~1", "a~1")
+	_, err = client.FinalReports(t.Context(), address, "b~1", "a~1")
 	qt.Assert(t, err, qt.IsNotNil)
 }
 
--- a/limiter/bench_test.go
+++ b/limiter/bench_test.go
@@ -12,7 +12,7 @@
 func BenchmarkQueue(b *testing.B) {
 	for _, n := range []int{0, 100, 1000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			q := limiter.NewQueue(limiter.QueueSettings{PerClass: 1 << 20, PerWorkspace: 1 << 20, InteractiveBurst: 4})
+			q := limiter.NewQueue(limiter.QueueSettings{MaxPerClass: 1 << 20, MaxPerWorkspace: 1 << 20, InteractiveBurst: 4})
 			for i := range n {
 				q.Push(entry(fmt.Sprint(i), fmt.Sprint("w", i%10), masticway.ClassInteractive, 3))
 			}
--- a/limiter/contract.go
+++ b/limiter/contract.go
@@ -26,16 +26,18 @@
 	inFlight   int
 }
 
-// Contracts enforces the rate and concurrency limits of workspaces. It is not safe for concurrent use.
-type Contracts struct {
+// ContractLimiter enforces the rate and concurrency limits of workspaces. It is not safe for concurrent use.
+type ContractLimiter struct {
 	usage map[string]*workspaceUsage
 }
 
-// NewContracts returns a Contracts without any requests.
-func NewContracts() *Contracts { return &Contracts{usage: map[string]*workspaceUsage{}} }
+// NewContractLimiter returns a Contracts without any requests.
+func NewContractLimiter() *ContractLimiter {
+	return &ContractLimiter{usage: map[string]*workspaceUsage{}}
+}
 
 // Admit counts a request as in flight, or returns the limit that it exceeds and when to retry.
-func (l *Contracts) Admit(now time.Time, c masticway.Contract) (Limit, time.Duration) {
+func (l *ContractLimiter) Admit(now time.Time, c masticway.Contract) (Limit, time.Duration) {
 	u, ok := l.usage[c.Workspace]
 	if !ok {
 		u = &workspaceUsage{tokens: burst(c), refilledAt: now}
@@ -61,15 +63,15 @@
 }
 
 // Done records the end of an admitted request.
-func (l *Contracts) Done(workspace string) {
+func (l *ContractLimiter) Done(workspace string) {
 	if u, ok := l.usage[workspace]; ok {
 		u.inFlight = max(0, u.inFlight-1)
 	}
 }
 
-// Tick removes workspaces that have nothing in flight and have not used their token bucket for a minute, so that memory does not
+// EvictIdle removes workspaces that have nothing in flight and have not used their token bucket for a minute, so that memory does not
 // grow without bound.
-func (l *Contracts) Tick(now time.Time) {
+func (l *ContractLimiter) EvictIdle(now time.Time) {
 	for w, u := range l.usage {
 		if u.inFlight == 0 && now.Sub(u.refilledAt) > time.Minute {
 			delete(l.usage, w)
--- a/limiter/limiter_test.go
+++ b/limiter/limiter_test.go
@@ -19,7 +19,7 @@
 }
 
 func newQueue() *limiter.Queue {
-	return limiter.NewQueue(limiter.QueueSettings{PerClass: 100, PerWorkspace: 50, InteractiveBurst: 3})
+	return limiter.NewQueue(limiter.QueueSettings{MaxPerClass: 100, MaxPerWorkspace: 50, InteractiveBurst: 3})
 }
 
 func popAll(q *limiter.Queue) []string {
@@ -86,7 +86,7 @@
 // twice.
 func TestQueueKeepsEveryEntry(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		q := limiter.NewQueue(limiter.QueueSettings{PerClass: 20, PerWorkspace: 8, InteractiveBurst: 2})
+		q := limiter.NewQueue(limiter.QueueSettings{MaxPerClass: 20, MaxPerWorkspace: 8, InteractiveBurst: 2})
 		inside := map[string]limiter.Entry{}
 		serial := 0
 		now := start
@@ -140,7 +140,7 @@
 }
 
 func TestContractLimits(t *testing.T) {
-	l := limiter.NewContracts()
+	l := limiter.NewContractLimiter()
 	c := masticway.Contract{Workspace: "w", RequestsPerSecond: 2, Burst: 3, Concurrency: 2}
 	limit, _ := l.Admit(start, c)
 	qt.Assert(t, limit, qt.Equals, limiter.LimitNone)
--- a/limiter/queue.go
+++ b/limiter/queue.go
@@ -20,10 +20,10 @@
 
 // QueueSettings configures a Queue.
 type QueueSettings struct {
-	// PerClass is the maximum number of entries of one class in a pool.
-	PerClass int
-	// PerWorkspace is the maximum number of entries of one workspace in a pool and class.
-	PerWorkspace int
+	// MaxPerClass is the maximum number of entries of one class in a pool.
+	MaxPerClass int
+	// MaxPerWorkspace is the maximum number of entries of one workspace in a pool and class.
+	MaxPerWorkspace int
 	// InteractiveBurst is how many interactive entries may be popped in a row before a waiting batch entry.
 	InteractiveBurst int
 }
@@ -63,7 +63,7 @@
 func (q *Queue) Push(e Entry) bool {
 	l := q.classQueue(e.Pool, e.Class)
 	waiting := l.entries[e.Workspace]
-	if l.size >= q.settings.PerClass || len(waiting) >= q.settings.PerWorkspace {
+	if l.size >= q.settings.MaxPerClass || len(waiting) >= q.settings.MaxPerWorkspace {
 		return false
 	}
 	if len(waiting) == 0 {
--- a/linker/linker_test.go
+++ b/linker/linker_test.go
@@ -34,7 +34,7 @@
 		defer mu.Unlock()
 		if m.Find != nil {
 			identities = append(identities, string(m.Find.Identity))
-			_ = c.Answer(m, linker.Message{Status: &sealer.Status{Known: true}})
+			_ = c.Answer(m, linker.Message{Status: &sealer.RunStatus{Found: true}})
 		}
 	}
 	l = linker.NewListener(identity("server", key), handle, func(*linker.Conn) {}, func(*linker.Conn) {})
@@ -68,7 +68,7 @@
 	for _, id := range []string{"a", "b", "c"} {
 		a, err := c.Ask(ctx, linker.Message{Find: &sealer.Find{Identity: masticway.Identity(id)}})
 		qt.Assert(t, err, qt.IsNil)
-		qt.Assert(t, a.Status.Known, qt.IsTrue)
+		qt.Assert(t, a.Status.Found, qt.IsTrue)
 	}
 	qt.Assert(t, received(), qt.DeepEquals, []string{"a", "b", "c"})
 	qt.Assert(t, c.Peer().Incarnation, qt.Equals, masticway.Incarnation("server~1"))
--- a/linker/message.go
+++ b/linker/message.go
@@ -19,39 +19,39 @@
 	// Reply is the number of the request that this message replies to.
 	Reply uint64 `cbor:"2,keyasint,omitempty"`
 
-	Beat     *Beat            `cbor:"10,keyasint,omitempty"`
-	Dispatch *sealer.Dispatch `cbor:"11,keyasint,omitempty"`
-	Accepted *sealer.Accepted `cbor:"12,keyasint,omitempty"`
-	Refused  *sealer.Refused  `cbor:"13,keyasint,omitempty"`
-	Counted  *sealer.Counted  `cbor:"14,keyasint,omitempty"`
-	Frame    *sealer.Frame    `cbor:"15,keyasint,omitempty"`
-	Final    *sealer.Final    `cbor:"16,keyasint,omitempty"`
-	Attach   *sealer.Attach   `cbor:"17,keyasint,omitempty"`
-	Query    *sealer.Query    `cbor:"18,keyasint,omitempty"`
-	Find     *sealer.Find     `cbor:"19,keyasint,omitempty"`
-	Status   *sealer.Status   `cbor:"20,keyasint,omitempty"`
-	Cancel   *sealer.Cancel   `cbor:"21,keyasint,omitempty"`
-	Seal     *sealer.Seal     `cbor:"22,keyasint,omitempty"`
-	Sealed   *sealer.Sealed   `cbor:"23,keyasint,omitempty"`
-	Count    *Count           `cbor:"24,keyasint,omitempty"`
-	CountIs  *CountIs         `cbor:"25,keyasint,omitempty"`
-	Order    *masticway.Order `cbor:"26,keyasint,omitempty"`
-	OrderIs  *OrderIs         `cbor:"27,keyasint,omitempty"`
-	Changes  *Changes         `cbor:"28,keyasint,omitempty"`
-	Want     *Want            `cbor:"29,keyasint,omitempty"`
-
-	Hold       *keeper.HoldRequest `cbor:"40,keyasint,omitempty"`
-	HoldIs     *HoldIs             `cbor:"41,keyasint,omitempty"`
-	Resize     *Resize             `cbor:"42,keyasint,omitempty"`
-	Settle     *Settle             `cbor:"43,keyasint,omitempty"`
-	Settled    *Settled            `cbor:"44,keyasint,omitempty"`
-	GiveBack   *GiveBack           `cbor:"45,keyasint,omitempty"`
-	Reach      *Reach              `cbor:"46,keyasint,omitempty"`
-	Reached    *Reached            `cbor:"47,keyasint,omitempty"`
-	WantConfig *WantConfig         `cbor:"48,keyasint,omitempty"`
-	Config     *configurer.Full    `cbor:"49,keyasint,omitempty"`
-	Explain    *Explain            `cbor:"50,keyasint,omitempty"`
-	Explained  *Explained          `cbor:"51,keyasint,omitempty"`
+	Beat     *Beat               `cbor:"10,keyasint,omitempty"`
+	Dispatch *sealer.Dispatch    `cbor:"11,keyasint,omitempty"`
+	Accepted *sealer.Accepted    `cbor:"12,keyasint,omitempty"`
+	Refused  *sealer.Refused     `cbor:"13,keyasint,omitempty"`
+	Counted  *sealer.PromptCount `cbor:"14,keyasint,omitempty"`
+	Frame    *sealer.Frame       `cbor:"15,keyasint,omitempty"`
+	Final    *sealer.RunResult   `cbor:"16,keyasint,omitempty"`
+	Attach   *sealer.Attach      `cbor:"17,keyasint,omitempty"`
+	Query    *sealer.Query       `cbor:"18,keyasint,omitempty"`
+	Find     *sealer.Find        `cbor:"19,keyasint,omitempty"`
+	Status   *sealer.RunStatus   `cbor:"20,keyasint,omitempty"`
+	Cancel   *sealer.Cancel      `cbor:"21,keyasint,omitempty"`
+	Seal     *sealer.Seal        `cbor:"22,keyasint,omitempty"`
+	Sealed   *sealer.SealReport  `cbor:"23,keyasint,omitempty"`
+	Count    *Count              `cbor:"24,keyasint,omitempty"`
+	CountIs  *CountIs            `cbor:"25,keyasint,omitempty"`
+	Order    *masticway.Order    `cbor:"26,keyasint,omitempty"`
+	OrderIs  *OrderIs            `cbor:"27,keyasint,omitempty"`
+	Changes  *Changes            `cbor:"28,keyasint,omitempty"`
+	Want     *Want               `cbor:"29,keyasint,omitempty"`
+
+	Hold       *keeper.HoldRequest       `cbor:"40,keyasint,omitempty"`
+	HoldIs     *HoldIs                   `cbor:"41,keyasint,omitempty"`
+	Resize     *Resize                   `cbor:"42,keyasint,omitempty"`
+	Settle     *Settle                   `cbor:"43,keyasint,omitempty"`
+	Settled    *Settled                  `cbor:"44,keyasint,omitempty"`
+	GiveBack   *GiveBack                 `cbor:"45,keyasint,omitempty"`
+	Reach      *Reach                    `cbor:"46,keyasint,omitempty"`
+	Reached    *Reached                  `cbor:"47,keyasint,omitempty"`
+	WantConfig *WantConfig               `cbor:"48,keyasint,omitempty"`
+	Config     *configurer.Configuration `cbor:"49,keyasint,omitempty"`
+	Explain    *Explain                  `cbor:"50,keyasint,omitempty"`
+	Explained  *Explained                `cbor:"51,keyasint,omitempty"`
 }
 
 // Beat is sent periodically by each end, as a heartbeat with state that the other end needs.
@@ -98,7 +98,7 @@
 
 // HoldIs answers a hold request.
 type HoldIs struct {
-	Verdict keeper.Verdict     `cbor:"1,keyasint"`
+	Verdict keeper.HoldResult  `cbor:"1,keyasint"`
 	Grant   masticway.GrantKey `cbor:"2,keyasint"`
 	Amount  masticway.Amount   `cbor:"3,keyasint"`
 	// Sure is set if the keeper has run long enough to recognize every earlier request with the same identity.
--- a/linker/slow_test.go
+++ b/linker/slow_test.go
@@ -72,8 +72,8 @@
 	}
 	l := linker.NewListener(identity("server", "0123456789abcdef"), handle, func(*linker.Conn) {}, func(*linker.Conn) {})
 	server := httptest.NewServer(l)
-	link := emulator.NewLink(rate)
-	address, err := link.To(server.Listener.Addr().String())
+	link := emulator.NewBandwidthProxy(rate)
+	address, err := link.AddTarget(server.Listener.Addr().String())
 	qt.Assert(t, err, qt.IsNil)
 	c, stop := connect(t, address)
 	t.Cleanup(func() {
--- a/loader/client.go
+++ b/loader/client.go
@@ -131,7 +131,7 @@
 func (c *client) routers() []*starter.FleetRouter {
 	var list []*starter.FleetRouter
 	for _, r := range c.fleet.Routers() {
-		if r.Region == c.region && r.Daemon.Ready() {
+		if r.Region == c.region && r.Daemon.IsReady() {
 			list = append(list, r)
 		}
 	}
--- a/loader/driver.go
+++ b/loader/driver.go
@@ -163,7 +163,7 @@
 // offer sends requests at random times that never wait for answers.
 func (d Drive) offer(ctx context.Context, began time.Time) DriveReport {
 	random := rand.New(rand.NewPCG(uint64(d.Seed), 1))
-	client := connector.NewHTTP(nil)
+	client := connector.NewHTTPClient(nil)
 	var mu sync.Mutex
 	var wg sync.WaitGroup
 	var report DriveReport
--- a/loader/faults.go
+++ b/loader/faults.go
@@ -86,10 +86,10 @@
 		table.SetFaults(emulator.TableFaults{Down: true})
 		return calm, nil
 	case FaultTableSlow:
-		table.SetFaults(emulator.TableFaults{Slow: int(fault.Value)})
+		table.SetFaults(emulator.TableFaults{DelayMillis: int(fault.Value)})
 		return calm, nil
 	case FaultTableLosesAnswers:
-		table.SetFaults(emulator.TableFaults{LoseAnswers: int(fault.Value)})
+		table.SetFaults(emulator.TableFaults{DropAnswers: int(fault.Value)})
 		return calm, nil
 	case FaultObjectsDown:
 		f.fleet.Platform.Objects.SetDown(true)
@@ -145,7 +145,7 @@
 
 func (f *faulter) everywhere(revision int64) bool {
 	for _, r := range f.fleet.Routers() {
-		if r.Daemon.Ready() && r.Metrics.Count("config_revision") < revision {
+		if r.Daemon.IsReady() && r.Metrics.Count("config_revision") < revision {
 			return false
 		}
 	}
@@ -175,7 +175,7 @@
 			}
 		}
 	}
-	each(f.fleet.Network.Cut)
+	each(f.fleet.Network.Partition)
 	return func() { each(f.fleet.Network.Heal) }
 }
 
@@ -216,7 +216,7 @@
 	}
 	switch fault.Kind {
 	case FaultRouterCut:
-		f.fleet.Network.Cut(r.Name, "*")
+		f.fleet.Network.Partition(r.Name, "*")
 		return func() { f.fleet.Network.Heal(r.Name, "*") }, nil
 	case FaultRouterDrained:
 		if !f.fleet.DrainRouter(r.Name) {
@@ -255,7 +255,7 @@
 	}
 	switch fault.Kind {
 	case FaultSidecarCut:
-		f.fleet.Network.Cut(s.Name, "*")
+		f.fleet.Network.Partition(s.Name, "*")
 		return func() { f.fleet.Network.Heal(s.Name, "*") }, nil
 	case FaultSidecarKilled:
 		f.fleet.KillSidecar(s.Name, false)
--- a/loader/oracle.go
+++ b/loader/oracle.go
@@ -127,8 +127,8 @@
 		m.Ran += asTokens(ran[budget])
 		m.Settled += asTokens(row.Settled)
 		m.Presumed += asTokens(row.Presumed)
-		m.GivenBack += asTokens(row.GivenBack)
-		m.StrandedAt += asTokens(row.Open())
+		m.GivenBack += asTokens(row.Refunded)
+		m.StrandedAt += asTokens(row.OpenAmount())
 	}
 	return m, nil
 }
--- a/loader/plan.go
+++ b/loader/plan.go
@@ -60,7 +60,7 @@
 	p := planned{at: at, traffic: t, key: key, region: random.IntN(len(s.Regions))}
 	if t.Service != "" {
 		service, _ := catalog.Service(t.Service)
-		p.body = fmt.Sprintf("%s%s %s", emulator.OwnerMark, t.Workspace, key)
+		p.body = fmt.Sprintf("%s%s %s", emulator.OwnerPrefix, t.Workspace, key)
 		p.cost = service.Price
 		return p
 	}
@@ -68,7 +68,7 @@
 	// Answers are from half to one and a half times the named length.
 	natural := max(1, t.OutputTokens/2+random.IntN(t.OutputTokens+1))
 	group := random.IntN(t.Groups)
-	shared := fmt.Sprintf("%s%s group %s %d ", emulator.OwnerMark, t.Workspace, t.Name, group)
+	shared := fmt.Sprintf("%s%s group %s %d ", emulator.OwnerPrefix, t.Workspace, t.Name, group)
 	shared += text(t.SharedBytes-len(shared), uint64(group))
 	own := fmt.Sprintf("%s %s [tokens=%d]", key, text(t.PromptBytes-t.SharedBytes, random.Uint64()), natural)
 	p.messages = []emulator.Message{{Role: "system", Content: shared}, {Role: "user", Content: own}}
--- a/loader/runner.go
+++ b/loader/runner.go
@@ -253,7 +253,7 @@
 	for _, region := range s.Regions {
 		dial := e.fleet.Dialer(clientProcess+"-"+region.Name, clientProcess+"/"+region.Name)
 		e.clients = append(e.clients, &client{
-			fleet: e.fleet, region: region.Name, keys: e.keys, http: connector.NewHTTP(connector.DialFunc(dial)),
+			fleet: e.fleet, region: region.Name, keys: e.keys, http: connector.NewHTTPClient(connector.DialFunc(dial)),
 		})
 	}
 	reads := e.fleet.Platform.Table.Reads()
--- a/messenger/messenger.go
+++ b/messenger/messenger.go
@@ -57,8 +57,8 @@
 // NewClient returns a client without open connections.
 func NewClient() *Client { return newClient(dialTimeout) }
 
-// NewPatientClient returns a client that also reaches routers over a congested link.
-func NewPatientClient() *Client { return newClient(slowLinkDialTimeout) }
+// NewSlowLinkClient returns a client that also reaches routers over a congested link.
+func NewSlowLinkClient() *Client { return newClient(slowLinkDialTimeout) }
 
 func newClient(dialTimeout time.Duration) *Client {
 	dialer := &net.Dialer{Timeout: dialTimeout, KeepAlive: -1}
@@ -67,9 +67,9 @@
 	}}}
 }
 
-// Measure sets a function that is called after each Call that was answered or timed out, with its duration and whether it
+// ObserveCalls sets a function that is called after each Call that was answered or timed out, with its duration and whether it
 // was answered. It must be called before the first call.
-func (c *Client) Measure(observe func(took time.Duration, answered bool)) { c.observe = observe }
+func (c *Client) ObserveCalls(observe func(took time.Duration, answered bool)) { c.observe = observe }
 
 // Call sends a message to the router at an address and decodes its answer. It fails with StatusError if the router does not
 // accept the message, and with the errors of the transport.
--- a/recoverer/recoverer.go
+++ b/recoverer/recoverer.go
@@ -32,22 +32,22 @@
 // Effect is an action that the caller must carry out. It is one of the types below.
 type Effect interface{ effect() }
 
-// Mark fences the incarnation in the table. The caller passes the sealed row and the incarnation's grants back.
-type Mark struct{}
+// SealInTable fences the incarnation in the table. The caller passes the sealed row and the incarnation's grants back.
+type SealInTable struct{}
 
-// Ask seals the incarnation at a sidecar. The caller passes the sidecar's report back, or that the sidecar is gone.
-type Ask struct{ Sidecar masticway.Incarnation }
+// SealAtSidecar seals the incarnation at a sidecar. The caller passes the sidecar's report back, or that the sidecar is gone.
+type SealAtSidecar struct{ Sidecar masticway.Incarnation }
 
-// Return closes grants in the table. The caller reports back whether this succeeded.
-type Return struct{ Closings []bookkeeper.Closing }
+// CloseGrants closes grants in the table. The caller reports back whether this succeeded.
+type CloseGrants struct{ Closures []bookkeeper.GrantClosure }
 
-func (Mark) effect()   {}
-func (Ask) effect()    {}
-func (Return) effect() {}
+func (SealInTable) effect()   {}
+func (SealAtSidecar) effect() {}
+func (CloseGrants) effect()   {}
 
 // sidecarReport is what is known of one sidecar. It is lost if the sidecar is gone without a final report.
 type sidecarReport struct {
-	report   sealer.Sealed
+	report   sealer.SealReport
 	received bool
 	lost     bool
 	askedAt  time.Time
@@ -78,8 +78,8 @@
 // Started returns when the recovery began.
 func (r *Recovery) Started() time.Time { return r.started }
 
-// Done reports whether the recovery is complete.
-func (r *Recovery) Done() bool { return r.chart.Final(r.state) }
+// IsDone reports whether the recovery is complete.
+func (r *Recovery) IsDone() bool { return r.chart.Final(r.state) }
 
 // step makes a transition of the statechart; an event that the state does not allow is ignored.
 func (r *Recovery) step(e charter.Event) {
@@ -89,8 +89,8 @@
 	}
 }
 
-// Marked records the sealed links row and the failed incarnation's grants. ok is false if the table did not answer.
-func (r *Recovery) Marked(links bookkeeper.Links, grants []masticway.GrantKey, ok bool) {
+// RecordSealed records the sealed links row and the failed incarnation's grants. ok is false if the table did not answer.
+func (r *Recovery) RecordSealed(links bookkeeper.Links, grants []masticway.GrantKey, ok bool) {
 	r.sealing = false
 	if !ok {
 		return
@@ -103,8 +103,8 @@
 	r.step(eventMarked)
 }
 
-// Witnessed records a sidecar's report, which replaces an earlier one.
-func (r *Recovery) Witnessed(report sealer.Sealed) {
+// RecordReport records a sidecar's report, which replaces an earlier one.
+func (r *Recovery) RecordReport(report sealer.SealReport) {
 	w, ok := r.reports[report.Sidecar]
 	if !ok || w.lost {
 		return
@@ -113,9 +113,9 @@
 	w.received = true
 }
 
-// Vanished records that a sidecar is known to be gone. If it left a report in the table (found), that counts; otherwise
+// RecordLost records that a sidecar is known to be gone. If it left a report in the table (found), that counts; otherwise
 // the sidecar is lost, unless it has already reported that nothing runs any more.
-func (r *Recovery) Vanished(sidecar masticway.Incarnation, final bookkeeper.Report, found bool) {
+func (r *Recovery) RecordLost(sidecar masticway.Incarnation, final bookkeeper.Report, found bool) {
 	w, ok := r.reports[sidecar]
 	if !ok {
 		return
@@ -126,7 +126,7 @@
 	}
 	if found {
 		w.received = true
-		w.report = sealer.Sealed{Incarnation: r.incarnation, Sidecar: sidecar, Totals: totalsOf(final, r.incarnation)}
+		w.report = sealer.SealReport{Incarnation: r.incarnation, Sidecar: sidecar, Totals: totalsOf(final, r.incarnation)}
 		return
 	}
 	w.lost = true
@@ -144,13 +144,13 @@
 }
 
 // running reports whether a report names runs in progress.
-func running(s sealer.Sealed) bool {
+func running(s sealer.SealReport) bool {
 	return slices.ContainsFunc(s.Totals, func(t bookkeeper.Total) bool { return t.Running > 0 }) ||
 		slices.ContainsFunc(s.Holds, func(h sealer.HoldReport) bool { return h.Running })
 }
 
-// Returned records whether the grants have been closed. If runs are in progress, their sidecars are asked again.
-func (r *Recovery) Returned(ok bool) {
+// RecordClosed records whether the grants have been closed. If runs are in progress, their sidecars are asked again.
+func (r *Recovery) RecordClosed(ok bool) {
 	r.closing = false
 	if !ok {
 		return
@@ -185,7 +185,7 @@
 			return nil
 		}
 		r.sealing = true
-		return []Effect{Mark{}}
+		return []Effect{SealInTable{}}
 	case stateSealing:
 		return r.askSidecars(now)
 	case stateReturning:
@@ -193,7 +193,7 @@
 			return nil
 		}
 		r.closing = true
-		return []Effect{Return{Closings: r.closures()}}
+		return []Effect{CloseGrants{Closures: r.closures()}}
 	}
 	return nil
 }
@@ -207,7 +207,7 @@
 			continue
 		}
 		w.askedAt = now
-		effects = append(effects, Ask{Sidecar: s})
+		effects = append(effects, SealAtSidecar{Sidecar: s})
 	}
 	if len(r.Missing()) == 0 {
 		r.step(eventWitnessed)
@@ -232,12 +232,12 @@
 }
 
 // closures adds up the reports for each grant.
-func (r *Recovery) closures() []bookkeeper.Closing {
-	closings := make([]bookkeeper.Closing, 0, len(r.grants))
+func (r *Recovery) closures() []bookkeeper.GrantClosure {
+	closings := make([]bookkeeper.GrantClosure, 0, len(r.grants))
 	for _, g := range r.grants {
-		c := bookkeeper.Closing{Grant: g, Spent: r.links.Absorbed[g.Number]}
+		c := bookkeeper.GrantClosure{Grant: g, Spent: r.links.SpentByRemoved[g.Number]}
 		for _, w := range r.reports {
-			c.Vanished = c.Vanished || w.lost
+			c.SidecarLost = c.SidecarLost || w.lost
 			for _, t := range w.report.Totals {
 				if t.Grant != g {
 					continue
@@ -250,23 +250,23 @@
 		}
 		closings = append(closings, c)
 	}
-	slices.SortFunc(closings, func(a, b bookkeeper.Closing) int { return strings.Compare(a.Grant.Budget, b.Grant.Budget) })
+	slices.SortFunc(closings, func(a, b bookkeeper.GrantClosure) int { return strings.Compare(a.Grant.Budget, b.Grant.Budget) })
 	return closings
 }
 
-// HoldFates returns the reports on holds that the failed incarnation dispatched, and a lost sidecar if there is one. It must
+// HoldReports returns the reports on holds that the failed incarnation dispatched, and a lost sidecar if there is one. It must
 // be called when all sidecars have reported or are lost.
 //
 // A hold without a report did not run, unless a sidecar is lost: then its outcome is unknown. A sidecar that left its report
 // in the table names no holds.
-func (r *Recovery) HoldFates() (reports []SidecarHold, lost masticway.Incarnation) {
+func (r *Recovery) HoldReports() (reports []SidecarHold, lost masticway.Incarnation) {
 	for _, s := range r.sidecars() {
 		w := r.reports[s]
 		if w.lost {
 			lost = s
 		}
 		for _, h := range w.report.Holds {
-			reports = append(reports, SidecarHold{Sidecar: s, Fate: h})
+			reports = append(reports, SidecarHold{Sidecar: s, Report: h})
 		}
 	}
 	return reports, lost
@@ -275,5 +275,5 @@
 // SidecarHold is one sidecar's report on a hold.
 type SidecarHold struct {
 	Sidecar masticway.Incarnation
-	Fate    sealer.HoldReport
+	Report  sealer.HoldReport
 }
--- a/recoverer/watch.go
+++ b/recoverer/watch.go
@@ -12,38 +12,38 @@
 // rankDelay is the delay for each rank, so that routers do not all start the same recovery.
 const rankDelay = 3 * time.Second
 
-// WatchSettings configure the detection of failures.
-type WatchSettings struct {
+// DetectorSettings configure the detection of failures.
+type DetectorSettings struct {
 	Self   masticway.Incarnation
 	Region string
-	// Lease is the time within which a failure is detected: half of it passes before a suspicion, and half is given to
+	// DetectionTime is the time within which a failure is detected: half of it passes before a suspicion, and half is given to
 	// the suspected router to answer a challenge.
-	Lease time.Duration
-	// Heartbeat is the time between two writes of a lease row.
-	Heartbeat time.Duration
+	DetectionTime time.Duration
+	// HeartbeatInterval is the time between two writes of a lease row.
+	HeartbeatInterval time.Duration
 }
 
-// Signs is what this router observes of another router apart from its lease row.
-type Signs struct {
-	// Heard is set if a message from the other router has arrived recently on a link.
-	Heard bool
-	// Ended is set if the platform reports that the other router's instance has ended.
-	Ended bool
-	// Leaving is set if this router itself is draining.
-	Leaving bool
+// Observation is what this router observes of another router apart from its lease row.
+type Observation struct {
+	// IsAlive is set if a message from the other router has arrived recently on a link.
+	IsAlive bool
+	// InstanceEnded is set if the platform reports that the other router's instance has ended.
+	InstanceEnded bool
+	// SelfDraining is set if this router itself is draining.
+	SelfDraining bool
 }
 
-// Stake determines how soon this router recovers another one. It is not computed for a router that sends messages and
+// Responsibility determines how soon this router recovers another one. It is not computed for a router that sends messages and
 // is not suspected.
-type Stake struct {
-	// Concerned is set if this router has open holds that the other router requested.
-	Concerned bool
+type Responsibility struct {
+	// HoldsMoney is set if this router has open holds that the other router requested.
+	HoldsMoney bool
 	// Rank is this router's position in the order in which routers would recover the other one.
 	Rank int
 }
 
-// WatchEffect is an action that the caller must carry out. It is one of the types below.
-type WatchEffect interface{ detectorEffect() }
+// DetectorEffect is an action that the caller must carry out. It is one of the types below.
+type DetectorEffect interface{ detectorEffect() }
 
 // ReadRow reads one lease row. The caller passes the row back.
 type ReadRow struct{ Incarnation masticway.Incarnation }
@@ -75,31 +75,31 @@
 
 // routerState is what is known of one other router.
 type routerState struct {
-	row          bookkeeper.Daemon
+	row          bookkeeper.RouterLease
 	lastSeenAt   time.Time
 	challengedAt time.Time
 	phase        phase
 }
 
-// Watch detects failures of other routers. It is not safe for concurrent use.
+// FailureDetector detects failures of other routers. It is not safe for concurrent use.
 //
 // Lease rows are written rarely, so the first sign of a failure is a link that
 // stays down or silent. The row is then read and its owner challenged through
 // the table. A live router that has only lost its links renews its lease; a
 // router that does not is recovered. If the platform reports that the instance
 // has ended, no challenge is needed.
-type Watch struct {
-	settings WatchSettings
+type FailureDetector struct {
+	settings DetectorSettings
 	routers  map[masticway.Incarnation]*routerState
 }
 
-// NewWatch returns a detector that knows no routers.
-func NewWatch(s WatchSettings) *Watch {
-	return &Watch{settings: s, routers: map[masticway.Incarnation]*routerState{}}
+// NewFailureDetector returns a detector that knows no routers.
+func NewFailureDetector(s DetectorSettings) *FailureDetector {
+	return &FailureDetector{settings: s, routers: map[masticway.Incarnation]*routerState{}}
 }
 
-// Rows applies a reading of all lease rows and returns the known incarnations whose rows are gone.
-func (w *Watch) Rows(now time.Time, rows []bookkeeper.Daemon) (gone []masticway.Incarnation) {
+// ApplyRows applies a reading of all lease rows and returns the known incarnations whose rows are gone.
+func (w *FailureDetector) ApplyRows(now time.Time, rows []bookkeeper.RouterLease) (gone []masticway.Incarnation) {
 	present := map[masticway.Incarnation]bool{}
 	for _, d := range rows {
 		present[d.Incarnation] = true
@@ -114,15 +114,15 @@
 	return gone
 }
 
-// Note adds a router to which there is a link, before its row has been read.
-func (w *Watch) Note(now time.Time, d bookkeeper.Daemon) {
+// AddRouter adds a router to which there is a link, before its row has been read.
+func (w *FailureDetector) AddRouter(now time.Time, d bookkeeper.RouterLease) {
 	if _, ok := w.routers[d.Incarnation]; !ok && d.Incarnation != w.settings.Self {
 		w.routers[d.Incarnation] = &routerState{row: d, lastSeenAt: now}
 	}
 }
 
 // updateRow applies a lease row; a recovery that has begun goes on.
-func (w *Watch) updateRow(now time.Time, d bookkeeper.Daemon) {
+func (w *FailureDetector) updateRow(now time.Time, d bookkeeper.RouterLease) {
 	if d.Incarnation == w.settings.Self {
 		return
 	}
@@ -130,14 +130,14 @@
 	if ok && s.phase == phaseRecovering {
 		return
 	}
-	if !ok || !s.row.Lease.Equal(d.Lease) {
+	if !ok || !s.row.ExpiresAt.Equal(d.ExpiresAt) {
 		// A renewed lease ends the suspicion.
 		w.routers[d.Incarnation] = &routerState{row: d, lastSeenAt: now}
 	}
 }
 
-// Row applies the result of ReadRow and reports whether the row is gone. failed is set if the table did not answer.
-func (w *Watch) Row(now time.Time, inc masticway.Incarnation, d bookkeeper.Daemon, found, failed bool) (gone bool) {
+// ApplyRow applies the result of ReadRow and reports whether the row is gone. failed is set if the table did not answer.
+func (w *FailureDetector) ApplyRow(now time.Time, inc masticway.Incarnation, d bookkeeper.RouterLease, found, failed bool) (gone bool) {
 	s, ok := w.routers[inc]
 	if !ok {
 		return false
@@ -152,13 +152,13 @@
 		delete(w.routers, inc)
 		return true
 	}
-	if s.row.Lease.IsZero() {
+	if s.row.ExpiresAt.IsZero() {
 		// This is the first reading of the row, so there is no earlier lease to compare with.
 		s.row = d
 	}
-	lease := s.row.Lease
+	lease := s.row.ExpiresAt
 	w.updateRow(now, d)
-	if !lease.Equal(d.Lease) {
+	if !lease.Equal(d.ExpiresAt) {
 		return false
 	}
 	switch s.phase {
@@ -170,8 +170,8 @@
 	return false
 }
 
-// Challenged records whether a challenge has been written.
-func (w *Watch) Challenged(now time.Time, inc masticway.Incarnation, ok bool) {
+// RecordChallenge records whether a challenge has been written.
+func (w *FailureDetector) RecordChallenge(now time.Time, inc masticway.Incarnation, ok bool) {
 	s, known := w.routers[inc]
 	if !known || s.phase != phaseChallenging {
 		return
@@ -184,13 +184,13 @@
 	s.challengedAt = now
 }
 
-// Look checks all known routers and returns the next effects.
-func (w *Watch) Look(now time.Time, observe func(bookkeeper.Daemon) Signs, responsibilityFor func(bookkeeper.Daemon) Stake) []WatchEffect {
-	var effects []WatchEffect
+// Check checks all known routers and returns the next effects.
+func (w *FailureDetector) Check(now time.Time, observe func(bookkeeper.RouterLease) Observation, responsibilityFor func(bookkeeper.RouterLease) Responsibility) []DetectorEffect {
+	var effects []DetectorEffect
 	for _, inc := range w.incarnations() {
 		s := w.routers[inc]
 		o := observe(s.row)
-		if o.Heard && s.phase == phaseWatching {
+		if o.IsAlive && s.phase == phaseWatching {
 			s.lastSeenAt = now
 			continue
 		}
@@ -202,7 +202,7 @@
 }
 
 // incarnations returns the known routers in a fixed order, so that the same events give the same effects.
-func (w *Watch) incarnations() []masticway.Incarnation {
+func (w *FailureDetector) incarnations() []masticway.Incarnation {
 	list := make([]masticway.Incarnation, 0, len(w.routers))
 	for inc := range w.routers {
 		list = append(list, inc)
@@ -212,21 +212,21 @@
 }
 
 // checkRouter returns the next effect for one router, or nil.
-func (w *Watch) checkRouter(now time.Time, s *routerState, o Signs, responsibilityFor func(bookkeeper.Daemon) Stake) WatchEffect {
+func (w *FailureDetector) checkRouter(now time.Time, s *routerState, o Observation, responsibilityFor func(bookkeeper.RouterLease) Responsibility) DetectorEffect {
 	inc := s.row.Incarnation
-	if o.Heard {
+	if o.IsAlive {
 		s.lastSeenAt = now
 		s.challengedAt = time.Time{}
 		if s.phase != phaseRecovering {
 			s.phase = phaseWatching
 		}
 	}
-	if o.Leaving && !responsibilityFor(s.row).Concerned {
+	if o.SelfDraining && !responsibilityFor(s.row).HoldsMoney {
 		return nil
 	}
 	switch s.phase {
 	case phaseWatching:
-		if o.Ended && now.Sub(s.lastSeenAt) >= recoveryDelay(responsibilityFor(s.row)) {
+		if o.InstanceEnded && now.Sub(s.lastSeenAt) >= recoveryDelay(responsibilityFor(s.row)) {
 			s.phase = phaseRecovering
 			return Recover{Incarnation: inc}
 		}
@@ -238,7 +238,7 @@
 		s.phase = phaseChallenging
 		return Challenge{Incarnation: inc}
 	case phaseChallenged:
-		if now.Sub(s.challengedAt) >= w.settings.Lease/2 {
+		if now.Sub(s.challengedAt) >= w.settings.DetectionTime/2 {
 			s.phase = phaseReadingAgain
 			return ReadRow{Incarnation: inc}
 		}
@@ -250,21 +250,21 @@
 }
 
 // suspicionTimeout returns the time without a sign of life after which a router is suspected.
-func (w *Watch) suspicionTimeout(s *routerState) time.Duration {
+func (w *FailureDetector) suspicionTimeout(s *routerState) time.Duration {
 	if s.row.Region != w.settings.Region {
 		// There are no links between regions, so only an overdue lease is a sign of failure.
-		return 2 * w.settings.Heartbeat
+		return 2 * w.settings.HeartbeatInterval
 	}
-	return w.settings.Lease / 2
+	return w.settings.DetectionTime / 2
 }
 
 // recoveryDelay returns the delay by which this router starts later than routers with a higher priority for the same recovery.
-func recoveryDelay(r Stake) time.Duration {
-	if r.Concerned {
+func recoveryDelay(r Responsibility) time.Duration {
+	if r.HoldsMoney {
 		return 0
 	}
 	return time.Duration(r.Rank) * rankDelay
 }
 
-// Forget removes an incarnation that has been recovered.
-func (w *Watch) Forget(inc masticway.Incarnation) { delete(w.routers, inc) }
+// Remove removes an incarnation that has been recovered.
+func (w *FailureDetector) Remove(inc masticway.Incarnation) { delete(w.routers, inc) }
--- a/recoverer/watch_test.go
+++ b/recoverer/watch_test.go
@@ -14,52 +14,52 @@
 var start = time.Unix(1_800_000_000, 0)
 
 func TestFailureDetector(t *testing.T) {
-	row := bookkeeper.Daemon{Incarnation: "r~2", Region: "here", Lease: start}
-	renewed := bookkeeper.Daemon{Incarnation: "r~2", Region: "here", Lease: start.Add(time.Minute)}
+	row := bookkeeper.RouterLease{Incarnation: "r~2", Region: "here", ExpiresAt: start}
+	renewed := bookkeeper.RouterLease{Incarnation: "r~2", Region: "here", ExpiresAt: start.Add(time.Minute)}
 	cases := map[string]struct {
-		row bookkeeper.Daemon
+		row bookkeeper.RouterLease
 		// signs are the observations of each second; the last of them is repeated.
-		signs []recoverer.Signs
-		stake recoverer.Stake
+		signs []recoverer.Observation
+		stake recoverer.Responsibility
 		// rows are the answers to ReadRow; the last of them is repeated. An empty row means that the row is gone.
-		rows      []bookkeeper.Daemon
+		rows      []bookkeeper.RouterLease
 		tableDown bool
 		steps     string
 	}{
-		"alive":                        {row: row, signs: []recoverer.Signs{{Heard: true}}, steps: ""},
-		"failed":                       {row: row, signs: []recoverer.Signs{{}}, rows: []bookkeeper.Daemon{row}, steps: "read challenge read recover "},
-		"platform reports its end":     {row: row, signs: []recoverer.Signs{{Ended: true}}, steps: "recover "},
-		"answers the challenge":        {row: row, signs: []recoverer.Signs{{}, {}, {}, {}, {Heard: true}}, rows: []bookkeeper.Daemon{row, renewed}, steps: "read challenge "},
-		"renewed before the challenge": {row: row, signs: []recoverer.Signs{{}, {}, {}, {Heard: true}}, rows: []bookkeeper.Daemon{renewed}, steps: "read "},
-		"its row is gone":              {row: row, signs: []recoverer.Signs{{}}, rows: []bookkeeper.Daemon{{}}, steps: "read "},
-		"lower rank waits":             {row: row, signs: []recoverer.Signs{{}}, stake: recoverer.Stake{Rank: 3}, rows: []bookkeeper.Daemon{row}, steps: ""},
-		"lower rank holding money":     {row: row, signs: []recoverer.Signs{{}}, stake: recoverer.Stake{Rank: 3, Concerned: true}, rows: []bookkeeper.Daemon{row}, steps: "read challenge read recover "},
-		"draining router stays out":    {row: row, signs: []recoverer.Signs{{Leaving: true, Ended: true}}, steps: ""},
-		"table unavailable":            {row: row, signs: []recoverer.Signs{{}}, tableDown: true, steps: "read read read "},
-		"other region, lease valid":    {row: bookkeeper.Daemon{Incarnation: "r~2", Region: "there", Lease: start}, signs: []recoverer.Signs{{}}, steps: ""},
+		"alive":                        {row: row, signs: []recoverer.Observation{{IsAlive: true}}, steps: ""},
+		"failed":                       {row: row, signs: []recoverer.Observation{{}}, rows: []bookkeeper.RouterLease{row}, steps: "read challenge read recover "},
+		"platform reports its end":     {row: row, signs: []recoverer.Observation{{InstanceEnded: true}}, steps: "recover "},
+		"answers the challenge":        {row: row, signs: []recoverer.Observation{{}, {}, {}, {}, {IsAlive: true}}, rows: []bookkeeper.RouterLease{row, renewed}, steps: "read challenge "},
+		"renewed before the challenge": {row: row, signs: []recoverer.Observation{{}, {}, {}, {IsAlive: true}}, rows: []bookkeeper.RouterLease{renewed}, steps: "read "},
+		"its row is gone":              {row: row, signs: []recoverer.Observation{{}}, rows: []bookkeeper.RouterLease{{}}, steps: "read "},
+		"lower rank waits":             {row: row, signs: []recoverer.Observation{{}}, stake: recoverer.Responsibility{Rank: 3}, rows: []bookkeeper.RouterLease{row}, steps: ""},
+		"lower rank holding money":     {row: row, signs: []recoverer.Observation{{}}, stake: recoverer.Responsibility{Rank: 3, HoldsMoney: true}, rows: []bookkeeper.RouterLease{row}, steps: "read challenge read recover "},
+		"draining router stays out":    {row: row, signs: []recoverer.Observation{{SelfDraining: true, InstanceEnded: true}}, steps: ""},
+		"table unavailable":            {row: row, signs: []recoverer.Observation{{}}, tableDown: true, steps: "read read read "},
+		"other region, lease valid":    {row: bookkeeper.RouterLease{Incarnation: "r~2", Region: "there", ExpiresAt: start}, signs: []recoverer.Observation{{}}, steps: ""},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
-			w := recoverer.NewWatch(recoverer.WatchSettings{Self: "r~1", Region: "here", Lease: 4 * time.Second, Heartbeat: 15 * time.Second})
-			w.Rows(start, []bookkeeper.Daemon{tc.row, {Incarnation: "r~1", Region: "here"}})
+			w := recoverer.NewFailureDetector(recoverer.DetectorSettings{Self: "r~1", Region: "here", DetectionTime: 4 * time.Second, HeartbeatInterval: 15 * time.Second})
+			w.ApplyRows(start, []bookkeeper.RouterLease{tc.row, {Incarnation: "r~1", Region: "here"}})
 			steps, reads, recovering := "", 0, false
 			for second := range 8 {
 				now := start.Add(time.Duration(second) * time.Second)
 				sign := tc.signs[min(second, len(tc.signs)-1)]
-				for _, e := range w.Look(now, func(bookkeeper.Daemon) recoverer.Signs { return sign }, func(bookkeeper.Daemon) recoverer.Stake { return tc.stake }) {
+				for _, e := range w.Check(now, func(bookkeeper.RouterLease) recoverer.Observation { return sign }, func(bookkeeper.RouterLease) recoverer.Responsibility { return tc.stake }) {
 					switch e := e.(type) {
 					case recoverer.ReadRow:
 						steps += "read "
 						if tc.tableDown {
-							w.Row(now, e.Incarnation, bookkeeper.Daemon{}, false, true)
+							w.ApplyRow(now, e.Incarnation, bookkeeper.RouterLease{}, false, true)
 							continue
 						}
 						answer := tc.rows[min(reads, len(tc.rows)-1)]
 						reads++
-						w.Row(now, e.Incarnation, answer, answer.Incarnation != "", false)
+						w.ApplyRow(now, e.Incarnation, answer, answer.Incarnation != "", false)
 					case recoverer.Challenge:
 						steps += "challenge "
-						w.Challenged(now, e.Incarnation, true)
+						w.RecordChallenge(now, e.Incarnation, true)
 					case recoverer.Recover:
 						if !recovering {
 							steps += "recover "
--- a/relayer/large_test.go
+++ b/relayer/large_test.go
@@ -58,16 +58,16 @@
 			f.rows.Put(masticway.RowKey{Table: "op", Key: "large"}, []byte(strings.Repeat("x", size)))
 			server := httptest.NewServer(prerenderedHandler(f.rows.Handler(), "/-/rows-get?part=&table=op", "/-/rows-feed?since_rev=0&table=op&wait_ms=100"))
 			t.Cleanup(server.Close)
-			link := emulator.NewLink(rate)
+			link := emulator.NewBandwidthProxy(rate)
 			t.Cleanup(link.Close)
-			address, err := link.To(strings.TrimPrefix(server.URL, "http://"))
+			address, err := link.AddTarget(strings.TrimPrefix(server.URL, "http://"))
 			qt.Assert(t, err, qt.IsNil)
 			store := f.newRouter(t, platform.NewStore(address, begin))
 			if tc.directDown {
 				f.ownPath.mode.Store(pathUnavailable)
 				f.takeDirectDown(t)
 				store = f.store
-				f.address, err = link.To(f.address)
+				f.address, err = link.AddTarget(f.address)
 				qt.Assert(t, err, qt.IsNil)
 			}
 			asked := f.otherPath.calls.Load()
@@ -158,9 +158,9 @@
 	f.rows.Put(masticway.RowKey{Table: "op", Key: "large"}, []byte(strings.Repeat("x", size)))
 	server := httptest.NewServer(prerenderedHandler(f.rows.Handler(), "/-/rows-get?part=&table=op"))
 	t.Cleanup(server.Close)
-	link := emulator.NewLink(rate)
+	link := emulator.NewBandwidthProxy(rate)
 	t.Cleanup(link.Close)
-	address, err := link.To(strings.TrimPrefix(server.URL, "http://"))
+	address, err := link.AddTarget(strings.TrimPrefix(server.URL, "http://"))
 	qt.Assert(t, err, qt.IsNil)
 	f.ownPath.mode.Store(pathUnavailable)
 	f.takeDirectDown(t)
@@ -172,9 +172,9 @@
 	_, err = f.store.Read(t.Context(), "op", "")
 	qt.Assert(t, err, qt.IsNotNil)
 	time.Sleep(200 * time.Millisecond)
-	before := link.Carried()
+	before := link.ReceivedBytes()
 	time.Sleep(time.Second)
-	qt.Check(t, link.Carried()-before < rate/10, qt.IsTrue, qt.Commentf("%d bytes after the peer had left", link.Carried()-before))
+	qt.Check(t, link.ReceivedBytes()-before < rate/10, qt.IsTrue, qt.Commentf("%d bytes after the peer had left", link.ReceivedBytes()-before))
 }
 
 // TestLargeReadDoesNotRaiseHedgeDelay has a store that falls silent after a read that took a second. It guards against including
@@ -193,9 +193,9 @@
 		inner.ServeHTTP(w, r)
 	}))
 	t.Cleanup(server.CloseClientConnections)
-	link := emulator.NewLink(rate)
+	link := emulator.NewBandwidthProxy(rate)
 	t.Cleanup(link.Close)
-	address, err := link.To(strings.TrimPrefix(server.URL, "http://"))
+	address, err := link.AddTarget(strings.TrimPrefix(server.URL, "http://"))
 	qt.Assert(t, err, qt.IsNil)
 	s := f.newRouter(t, platform.NewStore(address, 600*time.Millisecond))
 	for range 10 {
--- a/relayer/relayer.go
+++ b/relayer/relayer.go
@@ -107,23 +107,23 @@
 	s.calls.Wait()
 }
 
-// Ask sets the function that returns the addresses of other routers.
-func (s *Store) Ask(peers func() []string) {
+// SetPeers sets the function that returns the addresses of other routers.
+func (s *Store) SetPeers(peers func() []string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.peers = peers
 }
 
-// WhenBack sets a function that is called whenever direct calls work again.
-func (s *Store) WhenBack(f func()) {
+// OnRestored sets a function that is called whenever direct calls work again.
+func (s *Store) OnRestored(f func()) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.onRestored = f
 }
 
-// Measure sets a function that is called with the duration of direct calls, and whether the store answered. A call that failed
+// OnDirectCall sets a function that is called with the duration of direct calls, and whether the store answered. A call that failed
 // within minHedgeDelay counts as answered. Watches, large answers and rate-limited calls are not measured.
-func (s *Store) Measure(observe func(took time.Duration, answered bool)) {
+func (s *Store) OnDirectCall(observe func(took time.Duration, answered bool)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.observeLatency = observe
--- a/relayer/relayer_test.go
+++ b/relayer/relayer_test.go
@@ -42,7 +42,7 @@
 
 // storePath is a router's path to the store.
 type storePath struct {
-	rows  *emulator.Rows
+	rows  *emulator.RowStore
 	mode  atomic.Int32
 	calls atomic.Int32
 	// requestedParts are the names of the parts that were read.
@@ -96,7 +96,7 @@
 
 // routerPair is two routers with one store.
 type routerPair struct {
-	rows      *emulator.Rows
+	rows      *emulator.RowStore
 	ownPath   *storePath
 	otherPath *storePath
 	store     *relayer.Store
@@ -113,7 +113,7 @@
 }
 
 func newRouterPair(t *testing.T) *routerPair {
-	f := &routerPair{rows: emulator.NewRows(time.Now), logs: map[*relayer.Store]*test.Hook{}}
+	f := &routerPair{rows: emulator.NewRowStore(time.Now), logs: map[*relayer.Store]*test.Hook{}}
 	f.ownPath, f.otherPath = &storePath{rows: f.rows}, &storePath{rows: f.rows}
 	f.store, f.helper = f.newRouter(t, f.ownPath), f.newRouter(t, f.otherPath)
 	mux := http.NewServeMux()
@@ -130,7 +130,7 @@
 	s := relayer.New(path, messenger.NewClient(), masticway.SystemClock{}, logrus.NewEntry(log), measurer.New())
 	t.Cleanup(s.Close)
 	f.logs[s] = hook
-	s.Ask(func() []string { return []string{f.address} })
+	s.SetPeers(func() []string { return []string{f.address} })
 	return s
 }
 
@@ -299,7 +299,7 @@
 func TestDirectPathIsRestored(t *testing.T) {
 	f := newRouterPair(t)
 	var restored atomic.Int32
-	f.store.WhenBack(func() { restored.Add(1) })
+	f.store.OnRestored(func() { restored.Add(1) })
 	f.ownPath.mode.Store(pathUnavailable)
 	f.takeDirectDown(t)
 	qt.Assert(t, restored.Load(), qt.Equals, int32(0))
--- a/retrier/retrier.go
+++ b/retrier/retrier.go
@@ -24,7 +24,7 @@
 // Action is what to do after a failed attempt.
 type Action string
 
-// The possible actions. Only a counted retry counts against Settings.CountedLimit.
+// The possible actions. Only a counted retry counts against Settings.MaxCountedRetries.
 const (
 	ActionRetryFree    Action = "retry_free"
 	ActionRetryCounted Action = "retry_counted"
@@ -39,8 +39,8 @@
 	NonRepeatable bool
 	// Resumable is set if the partial answer can be continued at another upstream.
 	Resumable bool
-	// Ended is set if the upstream's process ended while it ran the request.
-	Ended bool
+	// UpstreamEnded is set if the upstream's process ended while it ran the request.
+	UpstreamEnded bool
 	// Progress is set if the failed attempt delivered part of the answer.
 	Progress bool
 }
@@ -107,8 +107,8 @@
 // Settings configures a Retrier.
 type Settings struct {
 	Policy Policy
-	// CountedLimit is the maximum number of counted retries of one request.
-	CountedLimit int
+	// MaxCountedRetries is the maximum number of counted retries of one request.
+	MaxCountedRetries int
 }
 
 // Retrier decides about retries and holds the router's retry budget. It is not safe for concurrent use.
@@ -128,8 +128,8 @@
 	return &Retrier{settings: s, rules: rules, budget: baseBudget}
 }
 
-// Request adds to the budget what one more request and the time since the last one allow.
-func (r *Retrier) Request(now time.Time) {
+// RecordRequest adds to the budget what one more request and the time since the last one allow.
+func (r *Retrier) RecordRequest(now time.Time) {
 	if passed := now.Sub(r.refilledAt); passed > 0 {
 		r.budget += baseBudget * min(1, passed.Seconds()/budgetRefillTime.Seconds())
 		r.refilledAt = now
@@ -145,7 +145,7 @@
 	}
 	switch action {
 	case ActionRetryFree:
-		fruitless := f.Ended && f.Fate != masticway.FateNotRun && !f.Progress
+		fruitless := f.UpstreamEnded && f.Fate != masticway.FateNotRun && !f.Progress
 		if h.Free >= maxFreeRetries || fruitless && h.Fruitless >= maxFruitlessRetries {
 			return ActionFail, h, 0
 		}
@@ -155,7 +155,7 @@
 		h.Free++
 		return action, h, backoff(h.Free)
 	case ActionRetryCounted:
-		if h.Counted >= r.settings.CountedLimit || r.budget < 1 {
+		if h.Counted >= r.settings.MaxCountedRetries || r.budget < 1 {
 			return ActionFail, h, 0
 		}
 		r.budget--
--- a/retrier/retrier_test.go
+++ b/retrier/retrier_test.go
@@ -51,7 +51,7 @@
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
-			r := retrier.New(retrier.Settings{Policy: tc.policy, CountedLimit: 3})
+			r := retrier.New(retrier.Settings{Policy: tc.policy, MaxCountedRetries: 3})
 			action, _, _ := r.Decide(tc.failure, tc.history)
 			qt.Assert(t, action, qt.Equals, tc.action)
 		})
@@ -66,13 +66,13 @@
 		failure retrier.Failure
 		sent    int
 	}{
-		"no answer":                  {failure: retrier.Failure{Cause: retrier.CauseDisrupted, Fate: masticway.FateUnknown, Resumable: true, Ended: true}, sent: 3},
+		"no answer":                  {failure: retrier.Failure{Cause: retrier.CauseDisrupted, Fate: masticway.FateUnknown, Resumable: true, UpstreamEnded: true}, sent: 3},
 		"the upstream stayed up":     {failure: retrier.Failure{Cause: retrier.CauseDisrupted, Fate: masticway.FateRan, Resumable: true}, sent: 17},
-		"a partial answer each time": {failure: retrier.Failure{Cause: retrier.CauseDisrupted, Fate: masticway.FateRan, Resumable: true, Ended: true, Progress: true}, sent: 17},
-		"the request did not run":    {failure: retrier.Failure{Cause: retrier.CauseDisrupted, Fate: masticway.FateNotRun, Resumable: true, Ended: true}, sent: 17},
+		"a partial answer each time": {failure: retrier.Failure{Cause: retrier.CauseDisrupted, Fate: masticway.FateRan, Resumable: true, UpstreamEnded: true, Progress: true}, sent: 17},
+		"the request did not run":    {failure: retrier.Failure{Cause: retrier.CauseDisrupted, Fate: masticway.FateNotRun, Resumable: true, UpstreamEnded: true}, sent: 17},
 	} {
 		t.Run(name, func(t *testing.T) {
-			r := retrier.New(retrier.Settings{CountedLimit: 3})
+			r := retrier.New(retrier.Settings{MaxCountedRetries: 3})
 			sent, history := 0, retrier.History{}
 			for action := retrier.ActionRetryFree; action != retrier.ActionFail; sent++ {
 				action, history, _ = r.Decide(tc.failure, history)
@@ -83,11 +83,11 @@
 }
 
 func TestRetryBudgetBoundsRetries(t *testing.T) {
-	r := retrier.New(retrier.Settings{CountedLimit: 1000})
+	r := retrier.New(retrier.Settings{MaxCountedRetries: 1000})
 	now := time.Unix(1_800_000_000, 0)
 	retried := 0
 	for range 1000 {
-		r.Request(now)
+		r.RecordRequest(now)
 		action, _, _ := r.Decide(retrier.Failure{Cause: retrier.CauseFailed, Fate: masticway.FateRan, Resumable: true}, retrier.History{})
 		if action == retrier.ActionRetryCounted {
 			retried++
--- a/rotator/rotator.go
+++ b/rotator/rotator.go
@@ -53,8 +53,8 @@
 	Resume() bool
 }
 
-// Parts holds the dependencies of a rotator.
-type Parts struct {
+// Dependencies holds the dependencies of a rotator.
+type Dependencies struct {
 	Listener Listener
 	// Voters must also work over a saturated link.
 	Voters  Voters
@@ -68,7 +68,7 @@
 // Rotator controls the load of a router: it admits requests, and takes the router out of rotation.
 type Rotator struct {
 	settings Settings
-	parts    Parts
+	parts    Dependencies
 	out      atomic.Bool
 	wg       sync.WaitGroup
 
@@ -85,7 +85,7 @@
 }
 
 // New returns a rotator for a router that is in rotation.
-func New(s Settings, p Parts) *Rotator {
+func New(s Settings, p Dependencies) *Rotator {
 	return &Rotator{settings: s, parts: p, load: NewLoad(), admission: admission{maxHeldBytes: int64(bodyMemoryShare * float64(s.Memory))}}
 }
 
@@ -114,20 +114,20 @@
 	r.admission.release(bytes)
 }
 
-// Note records the duration of one of the router's own calls, and whether it was answered.
-func (r *Rotator) Note(k Kind, took time.Duration, answered bool) {
+// RecordCall records the duration of one of the router's own calls, and whether it was answered.
+func (r *Rotator) RecordCall(k Kind, took time.Duration, answered bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.load.Record(r.parts.Clock.Now(), k, took, answered)
 }
 
-// Dial wraps a dial function so that the durations of its calls are recorded.
-func (r *Rotator) Dial(dial func(ctx context.Context, network, address string) (net.Conn, error)) func(ctx context.Context, network, address string) (net.Conn, error) {
+// MeasureDial wraps a dial function so that the durations of its calls are recorded.
+func (r *Rotator) MeasureDial(dial func(ctx context.Context, network, address string) (net.Conn, error)) func(ctx context.Context, network, address string) (net.Conn, error) {
 	return func(ctx context.Context, network, address string) (net.Conn, error) {
 		began := r.parts.Clock.Now()
 		conn, err := dial(ctx, network, address)
 		if err == nil || errors.Is(ctx.Err(), context.DeadlineExceeded) {
-			r.Note(KindServer, r.parts.Clock.Now().Sub(began), err == nil)
+			r.RecordCall(KindServer, r.parts.Clock.Now().Sub(began), err == nil)
 		}
 		return conn, err
 	}
--- a/rotator/rotator_test.go
+++ b/rotator/rotator_test.go
@@ -122,8 +122,8 @@
 	for i := range routers {
 		m := &simRouter{zone: z, name: fmt.Sprintf("edge-%d", i), capacity: routerCapacity}
 		z.routers = append(z.routers, m)
-		m.rotator = rotator.New(rotator.Settings{Instance: m.name, Zone: "zone"}, rotator.Parts{
-			Listener: m, Voters: z, Clock: emulator.SteadyClock{}, Log: log.WithField("", ""), Metrics: measurer.New(),
+		m.rotator = rotator.New(rotator.Settings{Instance: m.name, Zone: "zone"}, rotator.Dependencies{
+			Listener: m, Voters: z, Clock: emulator.MonotonicClock{}, Log: log.WithField("", ""), Metrics: measurer.New(),
 			Neighbours: func() []rotator.Neighbour { return z.neighbours(m.name) },
 		})
 	}
@@ -224,7 +224,7 @@
 		if m.zone.callTime != nil {
 			took, answered = m.zone.callTime(k, n, m.delay())
 		}
-		m.rotator.Note(k, took, answered)
+		m.rotator.RecordCall(k, took, answered)
 	}
 }
 
@@ -417,7 +417,7 @@
 // must use at most a fourth of the memory, and are admitted again when others end.
 func TestHeldBytesAreBounded(t *testing.T) {
 	const memory, body = 160 << 20, 1 << 20
-	r := rotator.New(rotator.Settings{Memory: memory}, rotator.Parts{Clock: emulator.SteadyClock{}})
+	r := rotator.New(rotator.Settings{Memory: memory}, rotator.Dependencies{Clock: emulator.MonotonicClock{}})
 	n := 0
 	for r.Admit(0, body) {
 		r.MarkAnswered()
--- a/router/attempt.go
+++ b/router/attempt.go
@@ -51,7 +51,7 @@
 }
 
 // runAttempt makes one attempt at an upstream and waits until its fate is final or counts as unknown.
-func (x *exchange) runAttempt(ctx context.Context, p slot, work chooser.Work) attemptResult {
+func (x *exchange) runAttempt(ctx context.Context, p slot, work chooser.Request) attemptResult {
 	x.attempt++
 	began := x.r.clock.Now()
 	instance := p.upstream.Instance.ID
@@ -115,7 +115,7 @@
 }
 
 // relayRun relays a run's answer until its fate is final, or unknown because its sidecar cannot be reached.
-func (x *exchange) relayRun(ctx context.Context, f *feed, accepted bool, work chooser.Work) attemptResult {
+func (x *exchange) relayRun(ctx context.Context, f *feed, accepted bool, work chooser.Request) attemptResult {
 	accept := time.NewTimer(x.r.settings.AcceptTimeout.Std())
 	defer accept.Stop()
 	gone := x.callerDone
@@ -153,7 +153,7 @@
 }
 
 // handleEvent handles one event of a run. It reports in done whether the attempt has ended.
-func (x *exchange) handleEvent(ctx context.Context, f *feed, e runEvent, work chooser.Work) (end attemptResult, done bool) {
+func (x *exchange) handleEvent(ctx context.Context, f *feed, e runEvent, work chooser.Request) (end attemptResult, done bool) {
 	switch {
 	case e.chunk != nil:
 		x.handleChunk(f, *e.chunk, work)
@@ -173,7 +173,7 @@
 }
 
 // handleChunk relays the next chunk. It drops a duplicate, and fetches the missing chunks if there is a gap.
-func (x *exchange) handleChunk(f *feed, c masticway.Chunk, work chooser.Work) {
+func (x *exchange) handleChunk(f *feed, c masticway.Chunk, work chooser.Request) {
 	index := f.firstIndex + c.Index
 	if index < x.nextChunk {
 		return
@@ -214,7 +214,7 @@
 }
 
 // handleCounted records the prompt's true token count and shrinks the hold to the bound that follows from it.
-func (x *exchange) handleCounted(c sealer.Counted) {
+func (x *exchange) handleCounted(c sealer.PromptCount) {
 	x.promptTokens = c.Prompt
 	if x.hold == nil || x.found != nil {
 		return
@@ -229,7 +229,7 @@
 func (x *exchange) handleRefused(f *feed, m sealer.Refused) attemptResult {
 	e := attemptResult{fate: masticway.FateNotRun, cause: retrier.CauseRefused, reason: string(m.Reason)}
 	switch m.Reason {
-	case sealer.ReasonLeaving:
+	case sealer.ReasonDraining:
 		e.cause = retrier.CauseLeaving
 		x.r.upstreams.markDraining(f.instance)
 	case sealer.ReasonStale:
@@ -260,14 +260,14 @@
 }
 
 // handleFinal ends the attempt once every chunk before the end has been relayed.
-func (x *exchange) handleFinal(f *feed, m *sealer.Final) (attemptResult, bool) {
+func (x *exchange) handleFinal(f *feed, m *sealer.RunResult) (attemptResult, bool) {
 	if x.nextChunk < f.firstIndex+m.Chunks {
 		x.fetchMissing(f)
 		return attemptResult{}, false
 	}
 	e := attemptResult{fate: m.Fate, final: m, cause: retrier.CauseFailed, reason: m.Outcome.Reason}
 	if m.Disrupted {
-		e.cause, e.upstreamEnded = retrier.CauseDisrupted, m.Ended
+		e.cause, e.upstreamEnded = retrier.CauseDisrupted, m.UpstreamEnded
 		x.excluded = map[string]bool{f.instance: true}
 	}
 	return e, true
@@ -296,7 +296,7 @@
 		case sidecarGone:
 			x.excluded[f.instance] = true
 			return attemptResult{fate: x.fateIfSidecarGone(), cause: retrier.CauseDisrupted, sidecarGone: true, upstreamEnded: true, reason: "sidecar is gone"}, true
-		case answered && !status.Known:
+		case answered && !status.Found:
 			return attemptResult{fate: masticway.FateNotRun, cause: retrier.CauseLinkLost, reason: "never taken"}, true
 		case answered:
 			x.fetchMissing(f)
@@ -317,7 +317,7 @@
 }
 
 // queryRun asks a sidecar for the status of a run. If there is no answer, sidecarGone reports whether its process has ended.
-func (r *Router) queryRun(ctx context.Context, run masticway.RunKey, instance string, sidecar masticway.Incarnation) (status sealer.Status, answered, sidecarGone bool) {
+func (r *Router) queryRun(ctx context.Context, run masticway.RunKey, instance string, sidecar masticway.Incarnation) (status sealer.RunStatus, answered, sidecarGone bool) {
 	if r.upstreams.isGone(instance, sidecar) {
 		return status, false, true
 	}
@@ -349,17 +349,17 @@
 			h.presumed += bound
 			r.settleHold(q, h, biller.KindPart, masticway.Usage{})
 			return
-		case answered && !status.Known:
+		case answered && !status.Found:
 			if q.nonRepeatable {
 				// The run can no longer start, so a retry with the same key may run.
 				r.updateClaim(claimPrefix+string(q.identity), q.id, recordTimeout, nil)
 			}
 			r.settleHold(q, h, kind, masticway.Usage{})
 			return
-		case answered && status.Final != nil:
-			h.charges = append(h.charges, keeper.Charge{Sidecar: sidecar, Amount: status.Final.Cost})
-			r.settleHold(q, h, kind, status.Final.Outcome.Usage)
-			r.log.WithFields(logrus.Fields{"event": "late_fate", "request": q.id, "fate": status.Final.Fate}).Info("fate of a lost attempt found")
+		case answered && status.Result != nil:
+			h.charges = append(h.charges, keeper.Charge{Sidecar: sidecar, Amount: status.Result.Cost})
+			r.settleHold(q, h, kind, status.Result.Outcome.Usage)
+			r.log.WithFields(logrus.Fields{"event": "late_fate", "request": q.id, "fate": status.Result.Fate}).Info("fate of a lost attempt found")
 			return
 		case answered && !q.nonRepeatable:
 			if c := r.upstreams.conn(instance); c != nil {
--- a/router/bank.go
+++ b/router/bank.go
@@ -34,7 +34,7 @@
 	self    masticway.Incarnation
 	clock   masticway.Clock
 	log     *logrus.Entry
-	book    *bookkeeper.Book
+	book    *bookkeeper.Ledger
 	metrics *measurer.Set
 	// onSealed is called when the table shows that this incarnation is sealed.
 	onSealed func()
@@ -48,7 +48,7 @@
 
 	mu      sync.Mutex
 	keeper  *keeper.Keeper
-	limits  *limiter.Contracts
+	limits  *limiter.ContractLimiter
 	waiting map[masticway.HoldID]func(keeper.Reply)
 	// holdWorkspaces maps the holds that count as open in the contract limits to their workspaces.
 	holdWorkspaces map[masticway.HoldID]string
@@ -66,13 +66,13 @@
 	wg  *sync.WaitGroup
 }
 
-func newBudgetManager(ctx context.Context, wg *sync.WaitGroup, self masticway.Incarnation, s Money, clock masticway.Clock, log *logrus.Entry, book *bookkeeper.Book, metrics *measurer.Set) *budgetManager {
+func newBudgetManager(ctx context.Context, wg *sync.WaitGroup, self masticway.Incarnation, s Money, clock masticway.Clock, log *logrus.Entry, book *bookkeeper.Ledger, metrics *measurer.Set) *budgetManager {
 	return &budgetManager{
 		self: self, clock: clock, log: log, book: book, metrics: metrics,
 		keeper: keeper.New(keeper.Settings{
-			Incarnation: self, Policy: s.Policy, Slices: s.Slices, IdleAfter: s.IdleAfter.Std(),
+			Incarnation: self, Policy: s.Policy, Slices: s.Slices, IdleTimeout: s.IdleAfter.Std(),
 		}, clock.Now()),
-		limits:         limiter.NewContracts(),
+		limits:         limiter.NewContractLimiter(),
 		waiting:        map[masticway.HoldID]func(keeper.Reply){},
 		holdWorkspaces: map[masticway.HoldID]string{},
 		links:          bookkeeper.Links{Incarnation: self, State: bookkeeper.LinksOpen},
@@ -101,7 +101,7 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.sealed {
-		reply(linker.HoldIs{Verdict: keeper.VerdictElsewhere})
+		reply(linker.HoldIs{Verdict: keeper.ResultNotKeeper})
 		return
 	}
 	limit, retry := b.limits.Admit(now, c)
@@ -112,10 +112,10 @@
 	sure := now.Sub(b.keeper.Started()) > memoryCompleteAfter
 	b.holdWorkspaces[r.ID] = c.Workspace
 	b.waiting[r.ID] = func(a keeper.Reply) {
-		if a.Verdict != keeper.VerdictHeld {
+		if a.Result != keeper.ResultHeld {
 			b.releaseLimit(r.ID)
 		}
-		reply(linker.HoldIs{Verdict: a.Verdict, Grant: a.Grant, Amount: a.Amount, Waited: a.Waited, Open: a.Open, Sure: sure})
+		reply(linker.HoldIs{Verdict: a.Result, Grant: a.Grant, Amount: a.Amount, Waited: a.Waited, Open: a.InProgress, Sure: sure})
 	}
 	b.apply(b.keeper.Hold(now, r))
 }
@@ -127,7 +127,7 @@
 	b.sealed = true
 	for id, reply := range b.waiting {
 		delete(b.waiting, id)
-		reply(keeper.Reply{ID: id, Verdict: keeper.VerdictElsewhere})
+		reply(keeper.Reply{ID: id, Result: keeper.ResultNotKeeper})
 		b.apply(b.keeper.Settle(b.clock.Now(), id, nil))
 	}
 }
@@ -157,7 +157,7 @@
 func (b *budgetManager) returnFree(budget string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.apply(b.keeper.GiveBack(b.clock.Now(), budget, !b.isKeeper(budget)))
+	b.apply(b.keeper.ReturnFree(b.clock.Now(), budget, !b.isKeeper(budget)))
 }
 
 // apply executes the keeper's effects. The caller must hold the lock.
@@ -214,13 +214,13 @@
 	b.linksMu.Lock()
 	version := b.linksVersion
 	b.linksMu.Unlock()
-	return b.book.Move(ctx, m, version)
+	return b.book.ApplyMove(ctx, m, version)
 }
 
 func (b *budgetManager) completeMove(r keeper.MoveResult) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.apply(b.keeper.Moved(b.clock.Now(), r))
+	b.apply(b.keeper.ApplyMoveResult(b.clock.Now(), r))
 }
 
 func (b *budgetManager) sleep(d time.Duration) {
@@ -330,10 +330,10 @@
 		}
 		next := b.links
 		next.Sidecars = slices.DeleteFunc(slices.Clone(next.Sidecars), func(s masticway.Incarnation) bool { return s == sidecar })
-		next.Absorbed = map[int64]masticway.Amount{}
+		next.SpentByRemoved = map[int64]masticway.Amount{}
 		for _, number := range open {
-			if sum := b.links.Absorbed[number] + spent[number]; sum > 0 {
-				next.Absorbed[number] = sum
+			if sum := b.links.SpentByRemoved[number] + spent[number]; sum > 0 {
+				next.SpentByRemoved[number] = sum
 			}
 		}
 		if b.putLinks(next) {
@@ -346,10 +346,10 @@
 func (b *budgetManager) returnIdle() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.apply(b.keeper.Tidy(b.clock.Now()))
+	b.apply(b.keeper.ReleaseIdle(b.clock.Now()))
 	for _, budget := range b.keeper.Budgets() {
 		if !b.isKeeper(budget) {
-			b.apply(b.keeper.Yield(b.clock.Now(), budget))
+			b.apply(b.keeper.HandOver(b.clock.Now(), budget))
 		}
 	}
 }
@@ -358,12 +358,12 @@
 	now := b.clock.Now()
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.limits.Tick(now)
+	b.limits.EvictIdle(now)
 	b.apply(b.keeper.Tick(now))
 	budgets, holds := b.keeper.Size()
 	b.metrics.Gauge(metricBudgets, int64(budgets))
 	b.metrics.Gauge(metricHolds, int64(holds))
-	if err := b.keeper.Fault(); err != nil && !b.faultLogged {
+	if err := b.keeper.ChartError(); err != nil && !b.faultLogged {
 		b.faultLogged = true
 		b.log.WithFields(logrus.Fields{"event": "chart_fault", "error": err}).Error("event not allowed by the state chart")
 	}
@@ -374,7 +374,7 @@
 	for {
 		b.mu.Lock()
 		b.apply(b.keeper.Drain(b.clock.Now()))
-		empty := b.keeper.Empty()
+		empty := b.keeper.IsEmpty()
 		b.mu.Unlock()
 		if empty {
 			return true
@@ -387,7 +387,7 @@
 	}
 }
 
-func (b *budgetManager) holdsOf(sender masticway.Incarnation) []keeper.HeldFor {
+func (b *budgetManager) holdsOf(sender masticway.Incarnation) []keeper.OpenHold {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.keeper.HoldsOf(sender)
--- a/router/bank_test.go
+++ b/router/bank_test.go
@@ -54,11 +54,11 @@
 	for _, name := range []string{"waits when the seal is found", "comes after the seal was found"} {
 		t.Run(name, func(t *testing.T) {
 			answered := make(chan linker.HoldIs, 1)
-			request := keeper.HoldRequest{ID: masticway.HoldID(name), Budget: "b", Most: 2, Least: 1, Wait: time.Hour}
+			request := keeper.HoldRequest{ID: masticway.HoldID(name), Budget: "b", MaxAmount: 2, MinAmount: 1, MaxWait: time.Hour}
 			r.budgets.hold(request, masticway.Contract{Workspace: "w"}, func(h linker.HoldIs) { answered <- h })
 			select {
 			case h := <-answered:
-				qt.Assert(t, h.Verdict, qt.Equals, keeper.VerdictElsewhere)
+				qt.Assert(t, h.Verdict, qt.Equals, keeper.ResultNotKeeper)
 			case <-time.After(answerTimeout):
 				t.Fatal("the request was not answered")
 			}
--- a/router/budgets.go
+++ b/router/budgets.go
@@ -18,7 +18,7 @@
 	// Stranded is set if the payer's lease has expired or is missing; Why explains it, or names what the recovery
 	// waits for.
 	Stranded bool   `json:"stranded,omitempty"`
-	Why      string `json:"why,omitempty"`
+	Reason   string `json:"why,omitempty"`
 }
 
 // BudgetStatus describes a budget and its grants.
@@ -32,8 +32,8 @@
 	Left      masticway.Amount `json:"left"`
 	Stranded  masticway.Amount `json:"stranded"`
 	Grants    []GrantStatus    `json:"grants"`
-	// Here is the position of the answering router.
-	Here *keeper.Position `json:"here,omitempty"`
+	// Local is the position of the answering router.
+	Local *keeper.Position `json:"here,omitempty"`
 }
 
 func (r *Router) showBudget(ctx context.Context, o operatorRequest) (any, error) {
@@ -41,13 +41,13 @@
 	if err != nil {
 		return nil, err
 	}
-	daemons, err := r.book.Daemons(ctx)
+	daemons, err := r.book.Leases(ctx)
 	if err != nil {
 		return nil, err
 	}
 	status := BudgetStatus{
-		Budget: b.ID, Prepaid: b.Prepaid, Settled: b.Settled, Presumed: b.Presumed, GivenBack: b.GivenBack,
-		Granted: b.Open(), Left: b.Left(), Grants: []GrantStatus{},
+		Budget: b.ID, Prepaid: b.Prepaid, Settled: b.Settled, Presumed: b.Presumed, GivenBack: b.Refunded,
+		Granted: b.OpenAmount(), Left: b.Remaining(), Grants: []GrantStatus{},
 	}
 	for _, g := range b.Grants {
 		s := r.grantStatus(g, daemons)
@@ -57,29 +57,29 @@
 		status.Grants = append(status.Grants, s)
 	}
 	if p, ok := r.budgets.position(b.ID); ok {
-		status.Here = &p
+		status.Local = &p
 	}
 	return status, nil
 }
 
-func (r *Router) grantStatus(g bookkeeper.Grant, daemons []bookkeeper.Daemon) GrantStatus {
-	s := GrantStatus{Payer: g.Payer, Open: g.Open(), Stranded: true, Why: "no lease row"}
+func (r *Router) grantStatus(g bookkeeper.Grant, daemons []bookkeeper.RouterLease) GrantStatus {
+	s := GrantStatus{Payer: g.Payer, Open: g.OpenAmount(), Stranded: true, Reason: "no lease row"}
 	now := r.clock.Now()
 	for _, d := range daemons {
-		if d.Incarnation == g.Payer && d.Lease.After(now) {
-			s.Stranded, s.Why = false, ""
+		if d.Incarnation == g.Payer && d.ExpiresAt.After(now) {
+			s.Stranded, s.Reason = false, ""
 		}
-		if d.Incarnation == g.Payer && !d.Lease.After(now) {
-			s.Why = "lease ran out"
+		if d.Incarnation == g.Payer && !d.ExpiresAt.After(now) {
+			s.Reason = "lease ran out"
 		}
 	}
 	if !s.Stranded {
 		return s
 	}
 	for _, d := range daemons {
-		for part := range strings.SplitSeq(d.Stranded, "; ") {
+		for part := range strings.SplitSeq(d.BlockedRecoveries, "; ") {
 			if strings.HasPrefix(part, string(g.Payer)+" ") {
-				s.Why = part
+				s.Reason = part
 			}
 		}
 	}
--- a/router/callers.go
+++ b/router/callers.go
@@ -104,7 +104,7 @@
 	}
 	config := *r.snapshot.Load()
 	key := authenticator.Bearer(request.Request)
-	contract, ok := config.ByKeyHash(authenticator.Hash(key))
+	contract, ok := config.ContractByKeyHash(authenticator.Hash(key))
 	if key == "" || !ok {
 		return refusal(http.StatusUnauthorized, "bad_key", "the key is missing or unknown", 0)
 	}
--- a/router/configuration.go
+++ b/router/configuration.go
@@ -16,7 +16,7 @@
 // loadConfig reads the whole configuration from the table, or from a peer if the table is unavailable.
 func (r *Router) loadConfig(ctx context.Context) error {
 	readAt := r.clock.Now()
-	full, err := r.store.Full(ctx)
+	full, err := r.store.Configuration(ctx)
 	if err == nil {
 		r.confirm(readAt)
 	} else {
@@ -99,7 +99,7 @@
 // sendChanges sends a peer the changes that it lacks, as far as they are still kept here.
 func (r *Router) sendChanges(c *linker.Conn, after masticway.Revision) {
 	r.configMu.Lock()
-	changes := r.config.After(after)
+	changes := r.config.ChangesAfter(after)
 	upto := r.config.Snapshot().Revision()
 	r.configMu.Unlock()
 	_ = c.Send(linker.Message{Changes: &linker.Changes{List: changes, Upto: upto}})
--- a/router/configuration_test.go
+++ b/router/configuration_test.go
@@ -28,7 +28,7 @@
 	platform := emulator.NewPlatform(0)
 	server := httptest.NewServer(platform.Handler())
 	defer server.Close()
-	client := connector.NewHTTP(nil)
+	client := connector.NewHTTPClient(nil)
 	defer client.CloseIdleConnections()
 	table := connector.NewPlatform(server.URL, client, 2*time.Second)
 	r := New(Settings{}, Secrets{}, masticway.SystemClock{}, logger.Discard(), Platform{Table: table}, nil, measurer.New())
@@ -44,7 +44,7 @@
 	for n := range changes {
 		putChange(n + 1)
 	}
-	platform.Table.SetFaults(emulator.TableFaults{Slow: delayMillis})
+	platform.Table.SetFaults(emulator.TableFaults{DelayMillis: delayMillis})
 	for range polls {
 		r.pollConfig()
 	}
--- a/router/exchange.go
+++ b/router/exchange.go
@@ -174,7 +174,7 @@
 func (x *exchange) run(ctx context.Context) (result, error) {
 	x.r.metrics.Add(metricRequests, 1)
 	x.r.retryMu.Lock()
-	x.r.retrier.Request(x.r.clock.Now())
+	x.r.retrier.RecordRequest(x.r.clock.Now())
 	x.r.retryMu.Unlock()
 	x.step(eventAdmitted)
 	out, err := x.serve(ctx)
@@ -242,7 +242,7 @@
 type attemptResult struct {
 	fate  masticway.Fate
 	cause retrier.Cause
-	final *sealer.Final
+	final *sealer.RunResult
 	// existing is the run that already has the identity.
 	existing *masticway.RunKey
 	// needsNewHold is set if an incarnation that the dispatch names is sealed, so that another hold is needed.
@@ -293,7 +293,7 @@
 }
 
 // usage returns the usage of the whole answer over all attempts.
-func (x *exchange) usage(f *sealer.Final) masticway.Usage {
+func (x *exchange) usage(f *sealer.RunResult) masticway.Usage {
 	u := f.Outcome.Usage
 	if x.promptTokens > 0 {
 		u.Prompt = x.promptTokens
@@ -315,7 +315,7 @@
 	resumable := (x.q.call.Service == "" || x.nextChunk == 0) && (e.final == nil || e.final.Disrupted)
 	x.r.retryMu.Lock()
 	action, history, wait := x.r.retrier.Decide(retrier.Failure{
-		Cause: e.cause, Fate: e.fate, NonRepeatable: x.q.nonRepeatable, Resumable: resumable, Ended: e.upstreamEnded, Progress: x.nextChunk > x.attemptStart,
+		Cause: e.cause, Fate: e.fate, NonRepeatable: x.q.nonRepeatable, Resumable: resumable, UpstreamEnded: e.upstreamEnded, Progress: x.nextChunk > x.attemptStart,
 	}, x.history)
 	x.r.retryMu.Unlock()
 	x.history = history
@@ -363,9 +363,9 @@
 }
 
 // acquireSlot gets a slot at an upstream that the payer's links row contains.
-func (x *exchange) acquireSlot(_ context.Context) (slot, chooser.Work, error) {
+func (x *exchange) acquireSlot(_ context.Context) (slot, chooser.Request, error) {
 	q := x.q
-	work := chooser.Work{PromptBytes: len(q.call.Prompt), Zone: x.r.settings.Zone}
+	work := chooser.Request{PromptBytes: len(q.call.Prompt), Zone: x.r.settings.Zone}
 	if q.call.Service == "" {
 		work.Prefixes = chooser.Prefixes(q.call.Prompt)
 	}
--- a/router/follow.go
+++ b/router/follow.go
@@ -14,9 +14,9 @@
 type runEvent struct {
 	accepted bool
 	refused  *sealer.Refused
-	counted  *sealer.Counted
+	counted  *sealer.PromptCount
 	chunk    *masticway.Chunk
-	final    *sealer.Final
+	final    *sealer.RunResult
 	missing  bool
 	// linkDown is also set if the run was not accepted in time.
 	linkDown bool
--- a/router/join.go
+++ b/router/join.go
@@ -12,7 +12,7 @@
 // foundRun is a run of the same identity and the link to its sidecar.
 type foundRun struct {
 	conn   *linker.Conn
-	status sealer.Status
+	status sealer.RunStatus
 }
 
 // findRun looks for a run of the same identity at the sidecars, and reports whether there is one to join.
@@ -22,7 +22,7 @@
 	if conn == nil {
 		return false
 	}
-	if status.Final != nil && !status.Final.Complete && !x.q.nonRepeatable {
+	if status.Result != nil && !status.Result.Complete && !x.q.nonRepeatable {
 		x.endedEarly = true
 		x.attempt = status.Run.Attempt
 		return false
@@ -44,7 +44,7 @@
 	f := x.newFeed(x.found.conn.Peer())
 	defer x.r.upstreams.feeds.remove(f)
 	_ = x.found.conn.Send(linker.Message{Attach: &sealer.Attach{Run: f.run, From: 0}})
-	e := x.relayRun(ctx, f, true, chooser.Work{})
+	e := x.relayRun(ctx, f, true, chooser.Request{})
 	if e.final != nil && e.final.Complete {
 		x.step(eventFinished)
 		return result{outcome: e.final.Outcome, usage: x.usage(e.final)}, nil
--- a/router/money.go
+++ b/router/money.go
@@ -60,13 +60,13 @@
 			return refusal(http.StatusTooManyRequests, "limit_"+h.Limit, "the contract's "+h.Limit+" limit is reached", h.Retry)
 		}
 		switch h.Verdict {
-		case keeper.VerdictHeld:
+		case keeper.ResultHeld:
 			x.setHold(h, id)
 			if x.q.hasCallerKey && !h.Sure && x.nextChunk == 0 && x.findRun(ctx) {
 				x.settle()
 			}
 			return nil
-		case keeper.VerdictDuplicate:
+		case keeper.ResultDuplicate:
 			if x.findRun(ctx) || x.findRecorded(ctx) {
 				return nil
 			}
@@ -78,7 +78,7 @@
 				}
 			}
 			x.r.budgets.sleep(duplicateInterval)
-		case keeper.VerdictExhausted:
+		case keeper.ResultExhausted:
 			if x.promptCounted || !x.countPrompt(ctx) {
 				return refusal(http.StatusPaymentRequired, "budget_exhausted", "the prepaid budget does not cover the request", 0)
 			}
@@ -101,8 +101,8 @@
 	}
 	return x.r.peers.hold(ctx, keeper.HoldRequest{
 		ID: masticway.HoldID(uuid.NewString()), Budget: x.q.contract.Budget, Identity: x.q.identity, Sender: x.r.self,
-		Most: maxCost, Least: minCost, Tracked: x.q.hasCallerKey && x.nextChunk == 0, Again: x.endedEarly,
-		Horizon: x.q.contract.Horizon.Std(), Wait: wait,
+		MaxAmount: maxCost, MinAmount: minCost, Tracked: x.q.hasCallerKey && x.nextChunk == 0, FirstIncomplete: x.endedEarly,
+		Horizon: x.q.contract.Horizon.Std(), MaxWait: wait,
 	}, x.q.contract)
 }
 
--- a/router/operators.go
+++ b/router/operators.go
@@ -147,7 +147,7 @@
 			Message string         `json:"message"`
 			Run     masticway.Fate `json:"run"`
 		}{"revision_conflict", e.Error(), masticway.FateNotRun},
-		State: configurer.Standing(e, false), Revision: e.Current, Contract: e.Contract,
+		State: configurer.ChangeState(e, false), Revision: e.Current, Contract: e.Contract,
 	})
 }
 
@@ -244,7 +244,7 @@
 		return nil, err
 	}
 	r.wg.Go(r.pollConfig)
-	return ChangeAnswer{Revision: accepted.Revision, ID: accepted.ID, State: configurer.Standing(nil, false)}, nil
+	return ChangeAnswer{Revision: accepted.Revision, ID: accepted.ID, State: configurer.ChangeState(nil, false)}, nil
 }
 
 func (r *Router) configHistory(ctx context.Context, _ operatorRequest) (any, error) {
@@ -263,9 +263,9 @@
 	Head    masticway.Revision `json:"head"`
 	InForce bool               `json:"in_force"`
 	// State is the newest change's state in the change chart.
-	State   charter.State       `json:"state"`
-	Daemons []bookkeeper.Daemon `json:"daemons"`
-	Behind  []string            `json:"behind,omitempty"`
+	State   charter.State            `json:"state"`
+	Daemons []bookkeeper.RouterLease `json:"daemons"`
+	Behind  []string                 `json:"behind,omitempty"`
 }
 
 func (r *Router) configStatus(ctx context.Context, _ operatorRequest) (any, error) {
@@ -273,18 +273,18 @@
 	if err != nil {
 		return nil, err
 	}
-	daemons, err := r.book.Daemons(ctx)
+	daemons, err := r.book.Leases(ctx)
 	if err != nil {
 		return nil, err
 	}
 	status := ConfigStatus{Head: head, Daemons: daemons}
 	for _, d := range daemons {
-		if d.Applied < head {
+		if d.AppliedRevision < head {
 			status.Behind = append(status.Behind, string(d.Incarnation))
 		}
 	}
 	status.InForce = len(status.Behind) == 0
-	status.State = configurer.Standing(nil, status.InForce)
+	status.State = configurer.ChangeState(nil, status.InForce)
 	return status, nil
 }
 
@@ -324,7 +324,7 @@
 	if conn == nil {
 		return nil, refusal(http.StatusServiceUnavailable, "no_upstream", "the upstream's sidecar cannot be reached", time.Second)
 	}
-	numberedOrder, err := r.book.NextFence(ctx, instance, o.changeID(), order)
+	numberedOrder, err := r.book.AssignFence(ctx, instance, o.changeID(), order)
 	if err != nil {
 		return nil, err
 	}
--- a/router/peer_money.go
+++ b/router/peer_money.go
@@ -25,12 +25,12 @@
 func (p *peers) hold(ctx context.Context, request keeper.HoldRequest, c masticway.Contract) (linker.HoldIs, masticway.HoldID) {
 	target := p.keeperFor(request.Budget)
 	if conn := p.conn(target); conn != nil {
-		callCtx, cancel := context.WithTimeout(ctx, request.Wait+holdGrace)
+		callCtx, cancel := context.WithTimeout(ctx, request.MaxWait+holdGrace)
 		defer cancel()
 		// The link may still encode this copy after the call has timed out.
 		sent := request
 		answer, err := conn.Ask(callCtx, linker.Message{Hold: &sent})
-		if err == nil && answer.HoldIs != nil && answer.HoldIs.Verdict != keeper.VerdictElsewhere {
+		if err == nil && answer.HoldIs != nil && answer.HoldIs.Verdict != keeper.ResultNotKeeper {
 			return *answer.HoldIs, request.ID
 		}
 		if err != nil {
@@ -48,7 +48,7 @@
 	select {
 	case h = <-reply:
 	case <-p.router.ctx.Done():
-		return linker.HoldIs{Verdict: keeper.VerdictUnreachable}, request.ID
+		return linker.HoldIs{Verdict: keeper.ResultUnreachable}, request.ID
 	}
 	h.Sure = h.Sure && target == p.router.self
 	return h, request.ID
@@ -133,7 +133,7 @@
 func (p *peers) requestReturnByDialing(payer masticway.Incarnation, m linker.Message) {
 	ctx, cancel := context.WithTimeout(p.router.ctx, platformTimeout)
 	defer cancel()
-	row, err := p.router.book.Daemon(ctx, payer)
+	row, err := p.router.book.Lease(ctx, payer)
 	if err != nil {
 		return
 	}
@@ -153,7 +153,7 @@
 		contract = masticway.Contract{Workspace: m.Hold.Identity.Workspace()}
 	}
 	if p.router.draining.Load() || p.router.isSealed() {
-		_ = c.Answer(m, linker.Message{HoldIs: &linker.HoldIs{Verdict: keeper.VerdictElsewhere}})
+		_ = c.Answer(m, linker.Message{HoldIs: &linker.HoldIs{Verdict: keeper.ResultNotKeeper}})
 		return
 	}
 	p.router.budgets.hold(*m.Hold, contract, func(h linker.HoldIs) {
--- a/router/peers.go
+++ b/router/peers.go
@@ -239,22 +239,22 @@
 }
 
 // fetchConfig asks peers for their configuration. A peer that is starting has none yet.
-func (p *peers) fetchConfig(ctx context.Context) (configurer.Full, bool) {
+func (p *peers) fetchConfig(ctx context.Context) (configurer.Configuration, bool) {
 	for _, c := range p.allConns() {
 		if full, ok := p.requestConfig(ctx, c); ok {
 			return full, true
 		}
 	}
-	return configurer.Full{}, false
+	return configurer.Configuration{}, false
 }
 
-func (p *peers) requestConfig(ctx context.Context, c *linker.Conn) (configurer.Full, bool) {
+func (p *peers) requestConfig(ctx context.Context, c *linker.Conn) (configurer.Configuration, bool) {
 	callCtx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	p.router.wg.Go(func() { p.keepAlive(callCtx, c) })
 	a, err := c.AskLarge(callCtx, linker.Message{WantConfig: &linker.WantConfig{}}, configIdleTimeout)
 	if err != nil || a.Config == nil || a.Config.Revision == 0 {
-		return configurer.Full{}, false
+		return configurer.Configuration{}, false
 	}
 	return *a.Config, true
 }
@@ -302,7 +302,7 @@
 	case m.Beat != nil:
 		p.handleHeartbeat(c, *m.Beat)
 	case m.WantConfig != nil:
-		full := r.snapshot.Load().Full()
+		full := r.snapshot.Load().Configuration()
 		_ = c.Answer(m, linker.Message{Config: &full})
 	case m.Explain != nil:
 		p.answerExplain(c, m)
--- a/router/peers_test.go
+++ b/router/peers_test.go
@@ -41,7 +41,7 @@
 
 // linkedPeer returns a slow link from a router to a peer that sends heartbeats, and answers a request for its configuration if
 // full is not nil.
-func linkedPeer(t *testing.T, instance string, full *configurer.Full) *linker.Conn {
+func linkedPeer(t *testing.T, instance string, full *configurer.Configuration) *linker.Conn {
 	answer := func(c *linker.Conn, m linker.Message) {
 		if m.WantConfig != nil && full != nil {
 			_ = c.Answer(m, linker.Message{Config: full})
@@ -51,8 +51,8 @@
 	startHeartbeats := func(c *linker.Conn) { wg.Go(func() { sendHeartbeats(c) }) }
 	l := linker.NewListener(peerIdentity(instance), answer, startHeartbeats, func(*linker.Conn) {})
 	server := httptest.NewServer(l)
-	link := emulator.NewLink(slowLink)
-	address, err := link.To(server.Listener.Addr().String())
+	link := emulator.NewBandwidthProxy(slowLink)
+	address, err := link.AddTarget(server.Listener.Addr().String())
 	qt.Assert(t, err, qt.IsNil)
 	d := linker.Dialer{
 		Identity: peerIdentity("asking"), Dial: (&net.Dialer{}).DialContext,
@@ -89,14 +89,14 @@
 // TestFetchConfigOverSlowLink guards against a limit on the whole transfer, which would cut off a large configuration on a slow
 // link each time it is fetched, and against waiting without end for a peer that does not answer.
 func TestFetchConfigOverSlowLink(t *testing.T) {
-	large := &configurer.Full{Revision: 7, Contracts: []masticway.Contract{{Workspace: strings.Repeat("w", largeConfigBytes)}}}
+	large := &configurer.Configuration{Revision: 7, Contracts: []masticway.Contract{{Workspace: strings.Repeat("w", largeConfigBytes)}}}
 	cases := map[string]struct {
-		full *configurer.Full
+		full *configurer.Configuration
 		want bool
 	}{
 		"large":      {full: large, want: true},
 		"no answer":  {},
-		"none there": {full: &configurer.Full{}},
+		"none there": {full: &configurer.Configuration{}},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
--- a/router/place.go
+++ b/router/place.go
@@ -13,7 +13,7 @@
 
 type slotRequest struct {
 	entry   limiter.Entry
-	work    chooser.Work
+	work    chooser.Request
 	allowed func(tracker.Upstream) bool
 	granted chan slot
 }
@@ -77,7 +77,7 @@
 	if !u.queue.Remove(w.entry) {
 		// A slot was granted at the same moment.
 		if p, ok := <-w.granted; ok {
-			u.chooser.Done(u.router.clock.Now(), p.upstream.Instance.ID, 0, false, w.work)
+			u.chooser.RecordDone(u.router.clock.Now(), p.upstream.Instance.ID, 0, false, w.work)
 		}
 	}
 	delete(u.waiting, w.entry.ID)
@@ -93,7 +93,7 @@
 	if len(usable) == 0 {
 		return 0
 	}
-	return u.chooser.Wait(ahead, candidates(usable))
+	return u.chooser.EstimateWait(ahead, candidates(usable))
 }
 
 func candidates(list []tracker.Upstream) []chooser.Candidate {
@@ -118,7 +118,7 @@
 	if best < 0 {
 		return slot{}, false
 	}
-	expected := u.chooser.Sent(now, open[best].Instance.ID, w.work)
+	expected := u.chooser.RecordSent(now, open[best].Instance.ID, w.work)
 	return slot{upstream: open[best], scores: scores, expectedCached: expected}, true
 }
 
@@ -154,21 +154,21 @@
 }
 
 // releaseSlot frees a slot.
-func (u *upstreams) releaseSlot(instance string, took time.Duration, firstTokenSeen bool, w chooser.Work) {
+func (u *upstreams) releaseSlot(instance string, took time.Duration, firstTokenSeen bool, w chooser.Request) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	u.chooser.Done(u.router.clock.Now(), instance, took, firstTokenSeen, w)
+	u.chooser.RecordDone(u.router.clock.Now(), instance, took, firstTokenSeen, w)
 	u.serveWaiting()
 }
 
 func (u *upstreams) recordCacheHit(instance string, expected, cached int) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	u.chooser.Counted(instance, expected, cached)
+	u.chooser.RecordCacheHit(instance, expected, cached)
 }
 
-func (u *upstreams) recordFirstToken(instance string, w chooser.Work) {
+func (u *upstreams) recordFirstToken(instance string, w chooser.Request) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	u.chooser.FirstToken(instance, w)
+	u.chooser.RecordFirstToken(instance, w)
 }
--- a/router/recovery.go
+++ b/router/recovery.go
@@ -37,7 +37,7 @@
 	router *Router
 
 	mu        sync.Mutex
-	watch     *recoverer.Watch
+	watch     *recoverer.FailureDetector
 	active    map[masticway.Incarnation]*recoverer.Recovery
 	recovered map[masticway.Incarnation]time.Time
 	instances map[string]masticway.Instance
@@ -48,8 +48,8 @@
 
 func newRecovery(r *Router) *recovery {
 	return &recovery{
-		router: r, watch: recoverer.NewWatch(recoverer.WatchSettings{
-			Self: r.self, Region: r.settings.Region, Lease: r.settings.Lease.Std(), Heartbeat: r.settings.Heartbeat.Std(),
+		router: r, watch: recoverer.NewFailureDetector(recoverer.DetectorSettings{
+			Self: r.self, Region: r.settings.Region, DetectionTime: r.settings.Lease.Std(), HeartbeatInterval: r.settings.Heartbeat.Std(),
 		}), active: map[masticway.Incarnation]*recoverer.Recovery{},
 		recovered: map[masticway.Incarnation]time.Time{}, instances: map[string]masticway.Instance{},
 	}
@@ -95,7 +95,7 @@
 	}
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	for _, e := range v.watch.Look(now, v.signs, v.stake) {
+	for _, e := range v.watch.Check(now, v.signs, v.stake) {
 		v.applyWatch(now, e)
 	}
 	for victim, rec := range v.active {
@@ -128,7 +128,7 @@
 	r := v.router
 	ctx, cancel := r.platformContext()
 	defer cancel()
-	rows, err := r.book.Daemons(ctx)
+	rows, err := r.book.Leases(ctx)
 	if err != nil {
 		return
 	}
@@ -136,7 +136,7 @@
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	v.rowCount = len(rows)
-	for _, inc := range v.watch.Rows(now, rows) {
+	for _, inc := range v.watch.ApplyRows(now, rows) {
 		v.markRecovered(now, inc)
 	}
 }
@@ -145,7 +145,7 @@
 func (v *recovery) watchPeer(p masticway.Peer) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	v.watch.Note(v.router.clock.Now(), bookkeeper.Daemon{
+	v.watch.AddRouter(v.router.clock.Now(), bookkeeper.RouterLease{
 		Incarnation: p.Incarnation, Instance: p.Instance, Region: v.router.settings.Region,
 	})
 }
@@ -158,25 +158,25 @@
 }
 
 // signs returns the signs of life of another router that this one has observed.
-func (v *recovery) signs(d bookkeeper.Daemon) recoverer.Signs {
+func (v *recovery) signs(d bookkeeper.RouterLease) recoverer.Observation {
 	r := v.router
-	return recoverer.Signs{
-		Heard:   r.peers.isResponsive(d.Incarnation),
-		Ended:   v.instances[d.Instance].State == masticway.InstanceEnded,
-		Leaving: r.draining.Load(),
+	return recoverer.Observation{
+		IsAlive:       r.peers.isResponsive(d.Incarnation),
+		InstanceEnded: v.instances[d.Instance].State == masticway.InstanceEnded,
+		SelfDraining:  r.draining.Load(),
 	}
 }
 
 // stake returns what this router has to do with the recovery of another one.
-func (v *recovery) stake(d bookkeeper.Daemon) recoverer.Stake {
-	return recoverer.Stake{
-		Concerned: len(v.router.budgets.holdsOf(d.Incarnation)) > 0,
-		Rank:      v.router.peers.rank(string(d.Incarnation)),
+func (v *recovery) stake(d bookkeeper.RouterLease) recoverer.Responsibility {
+	return recoverer.Responsibility{
+		HoldsMoney: len(v.router.budgets.holdsOf(d.Incarnation)) > 0,
+		Rank:       v.router.peers.rank(string(d.Incarnation)),
 	}
 }
 
 // applyWatch executes one effect of the watch. The caller must hold the lock.
-func (v *recovery) applyWatch(now time.Time, e recoverer.WatchEffect) {
+func (v *recovery) applyWatch(now time.Time, e recoverer.DetectorEffect) {
 	switch e := e.(type) {
 	case recoverer.ReadRow:
 		v.router.wg.Go(func() { v.readRow(e.Incarnation) })
@@ -193,12 +193,12 @@
 func (v *recovery) readRow(inc masticway.Incarnation) {
 	ctx, cancel := v.router.platformContext()
 	defer cancel()
-	d, err := v.router.book.Daemon(ctx, inc)
+	d, err := v.router.book.Lease(ctx, inc)
 	_, missing := errors.AsType[*masticway.NotFoundError](err)
 	now := v.router.clock.Now()
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	if v.watch.Row(now, inc, d, err == nil, err != nil && !missing) {
+	if v.watch.ApplyRow(now, inc, d, err == nil, err != nil && !missing) {
 		v.markRecovered(now, inc)
 	}
 }
@@ -209,7 +209,7 @@
 	err := v.router.book.Challenge(ctx, inc, v.router.self)
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	v.watch.Challenged(v.router.clock.Now(), inc, err == nil)
+	v.watch.RecordChallenge(v.router.clock.Now(), inc, err == nil)
 }
 
 // watchChallenges checks for challenges to this router until it ends.
@@ -221,7 +221,7 @@
 func (r *Router) answerChallenge() {
 	ctx, cancel := r.platformContext()
 	defer cancel()
-	version, err := r.book.Challenged(ctx, r.self)
+	version, err := r.book.ChallengeVersion(ctx, r.self)
 	if err != nil || version == r.answeredChallenge.Load() {
 		return
 	}
@@ -234,12 +234,12 @@
 func (v *recovery) apply(victim masticway.Incarnation, rec *recoverer.Recovery, effects []recoverer.Effect) {
 	for _, e := range effects {
 		switch e := e.(type) {
-		case recoverer.Mark:
+		case recoverer.SealInTable:
 			v.router.wg.Go(func() { v.sealInTable(victim, rec) })
-		case recoverer.Ask:
+		case recoverer.SealAtSidecar:
 			v.router.wg.Go(func() { v.collectReport(rec, victim, e.Sidecar) })
-		case recoverer.Return:
-			v.router.wg.Go(func() { v.returnMoney(rec, victim, e.Closings) })
+		case recoverer.CloseGrants:
+			v.router.wg.Go(func() { v.returnMoney(rec, victim, e.Closures) })
 		}
 	}
 }
@@ -257,7 +257,7 @@
 	}
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	rec.Marked(links, grants, err == nil)
+	rec.RecordSealed(links, grants, err == nil)
 }
 
 // collectReport seals the victim at one sidecar and takes its report. If the sidecar has ended, it takes the report that the
@@ -267,7 +267,7 @@
 	if err == nil && !sidecarGone {
 		v.mu.Lock()
 		defer v.mu.Unlock()
-		rec.Witnessed(report)
+		rec.RecordReport(report)
 		return
 	}
 	if !sidecarGone {
@@ -281,10 +281,10 @@
 	}
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	rec.Vanished(sidecar, lastReport, found)
+	rec.RecordLost(sidecar, lastReport, found)
 }
 
-func (v *recovery) sealAt(victim, sidecar masticway.Incarnation) (report sealer.Sealed, sidecarGone bool, err error) {
+func (v *recovery) sealAt(victim, sidecar masticway.Incarnation) (report sealer.SealReport, sidecarGone bool, err error) {
 	instance := sidecar.Instance()
 	v.mu.Lock()
 	listed := v.instances[instance]
@@ -312,7 +312,7 @@
 	return *a.Sealed, false, nil
 }
 
-func (v *recovery) returnMoney(rec *recoverer.Recovery, victim masticway.Incarnation, closings []bookkeeper.Closing) {
+func (v *recovery) returnMoney(rec *recoverer.Recovery, victim masticway.Incarnation, closings []bookkeeper.GrantClosure) {
 	ctx, cancel := v.router.platformContext()
 	defer cancel()
 	ok := true
@@ -330,8 +330,8 @@
 	}
 	v.mu.Lock()
 	v.settleHolds(rec, victim)
-	rec.Returned(ok)
-	finished := rec.Done()
+	rec.RecordClosed(ok)
+	finished := rec.IsDone()
 	v.mu.Unlock()
 	if finished {
 		v.finish(rec, victim)
@@ -340,10 +340,10 @@
 
 // settleHolds settles the holds that this router granted to the victim, as far as their fates are final.
 func (v *recovery) settleHolds(rec *recoverer.Recovery, victim masticway.Incarnation) {
-	fates, goneSidecar := rec.HoldFates()
+	fates, goneSidecar := rec.HoldReports()
 	byHold := map[masticway.HoldID][]recoverer.SidecarHold{}
 	for _, f := range fates {
-		byHold[f.Fate.Hold] = append(byHold[f.Fate.Hold], f)
+		byHold[f.Report.Hold] = append(byHold[f.Report.Hold], f)
 	}
 	for _, h := range v.router.budgets.holdsOf(victim) {
 		charges, running := chargesOf(byHold[h.ID])
@@ -361,15 +361,15 @@
 
 func chargesOf(fates []recoverer.SidecarHold) (charges []keeper.Charge, running bool) {
 	for _, f := range fates {
-		if f.Fate.Running {
+		if f.Report.Running {
 			return nil, true
 		}
-		charges = append(charges, keeper.Charge{Sidecar: f.Sidecar, Amount: f.Fate.Cost})
+		charges = append(charges, keeper.Charge{Sidecar: f.Sidecar, Amount: f.Report.Cost})
 	}
 	return charges, false
 }
 
-func (v *recovery) bill(h keeper.HeldFor, charges []keeper.Charge) {
+func (v *recovery) bill(h keeper.OpenHold, charges []keeper.Charge) {
 	var cost, presumed masticway.Amount
 	for _, c := range charges {
 		cost += c.Amount
@@ -393,7 +393,7 @@
 func (v *recovery) finish(rec *recoverer.Recovery, victim masticway.Incarnation) {
 	ctx, cancel := v.router.platformContext()
 	defer cancel()
-	if err := v.router.book.Forget(ctx, victim); err != nil {
+	if err := v.router.book.DeleteIncarnation(ctx, victim); err != nil {
 		v.router.log.WithFields(logrus.Fields{"event": "forget_failed", "victim": victim, "error": err}).Warn("rows of a recovered router could not be removed")
 	}
 	took := v.router.clock.Now().Sub(rec.Started())
@@ -403,6 +403,6 @@
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	delete(v.active, victim)
-	v.watch.Forget(victim)
+	v.watch.Remove(victim)
 	v.recovered[victim] = v.router.clock.Now()
 }
--- a/router/recovery_test.go
+++ b/router/recovery_test.go
@@ -63,14 +63,14 @@
 			defer r.Close()
 			ctx := context.Background()
 			qt.Assert(t, r.renewLease(ctx), qt.IsNil)
-			before, err := book.Daemon(ctx, r.self)
+			before, err := book.Lease(ctx, r.self)
 			qt.Assert(t, err, qt.IsNil)
 			qt.Assert(t, book.Challenge(ctx, r.self, "r~2"), qt.IsNil)
 			r.wg.Go(r.watchChallenges)
 			c.runUntil(c.now.Add(lease / 4))
-			after, err := book.Daemon(ctx, r.self)
+			after, err := book.Lease(ctx, r.self)
 			qt.Assert(t, err, qt.IsNil)
-			qt.Assert(t, after.Lease.After(before.Lease), qt.IsTrue)
+			qt.Assert(t, after.ExpiresAt.After(before.ExpiresAt), qt.IsTrue)
 		})
 	}
 }
--- a/router/router.go
+++ b/router/router.go
@@ -64,7 +64,7 @@
 	dial     linker.DialFunc
 	metrics  *measurer.Set
 
-	book      *bookkeeper.Book
+	book      *bookkeeper.Ledger
 	store     *configurer.Store
 	budgets   *budgetManager
 	upstreams *upstreams
@@ -122,7 +122,7 @@
 		journal:       biller.NewJournal(self),
 		auditor:       biller.NewAuditor(),
 		configApplied: make(chan struct{}, 1),
-		retrier:       retrier.New(retrier.Settings{Policy: s.Retry.Policy, CountedLimit: s.Retry.Limit}),
+		retrier:       retrier.New(retrier.Settings{Policy: s.Retry.Policy, MaxCountedRetries: s.Retry.Limit}),
 		sealed:        make(chan struct{}),
 		ctx:           ctx, stop: stop,
 	}
@@ -262,7 +262,7 @@
 		r.log.WithField("event", "drain_money_left").Warn("money is left for recovery")
 		return
 	}
-	if err := r.book.Forget(ctx, r.self); err != nil {
+	if err := r.book.DeleteIncarnation(ctx, r.self); err != nil {
 		r.log.WithFields(logrus.Fields{"event": "forget_failed", "error": err}).Warn("rows are left for recovery")
 	}
 }
@@ -326,11 +326,11 @@
 	if r.draining.Load() {
 		state = "draining"
 	}
-	return r.book.PutDaemon(ctx, bookkeeper.Daemon{
+	return r.book.PutLease(ctx, bookkeeper.RouterLease{
 		Incarnation: r.self, Instance: r.settings.Instance, Address: r.settings.LinkAddress,
 		Region: r.settings.Region, Zone: r.settings.Zone, State: state,
-		Lease: r.clock.Now().Add(2 * r.settings.Heartbeat.Std()), Applied: r.snapshot.Load().Revision(),
-		Stranded: r.recovery.summary(),
+		ExpiresAt: r.clock.Now().Add(2 * r.settings.Heartbeat.Std()), AppliedRevision: r.snapshot.Load().Revision(),
+		BlockedRecoveries: r.recovery.summary(),
 	})
 }
 
@@ -406,11 +406,11 @@
 	}
 	ctx, cancel := r.platformContext()
 	defer cancel()
-	bills, err := r.auditor.ReadNew(ctx, r.platform.Objects, r.clock.Now())
+	bills, err := r.auditor.ReadNewBills(ctx, r.platform.Objects, r.clock.Now())
 	if err != nil {
 		return
 	}
-	for _, f := range r.auditor.Take(r.clock.Now(), bills) {
+	for _, f := range r.auditor.FindRefunds(r.clock.Now(), bills) {
 		r.refund(ctx, f)
 	}
 }
@@ -418,7 +418,7 @@
 func (r *Router) refund(ctx context.Context, f biller.Refund) {
 	err := r.book.Refund(ctx, f.Budget, f.Hold, f.Amount)
 	if err != nil {
-		r.auditor.Retry(f)
+		r.auditor.RetryRefund(f)
 		return
 	}
 	r.metrics.Add(metricRefunds, 1)
--- a/router/upstreams.go
+++ b/router/upstreams.go
@@ -38,10 +38,10 @@
 	return &upstreams{
 		router:  r,
 		feeds:   newFeeds(),
-		tracker: tracker.New(tracker.Settings{SuspectAfter: s.SuspectAfter.Std()}),
+		tracker: tracker.New(tracker.Settings{SilenceTimeout: s.SuspectAfter.Std()}),
 		chooser: chooser.New(s.Routing.Policy),
 		queue: limiter.NewQueue(limiter.QueueSettings{
-			PerClass: s.Queue.PerClass, PerWorkspace: s.Queue.PerWorkspace, InteractiveBurst: s.Queue.InteractiveBurst,
+			MaxPerClass: s.Queue.PerClass, MaxPerWorkspace: s.Queue.PerWorkspace, InteractiveBurst: s.Queue.InteractiveBurst,
 		}),
 		conns:     map[string]*linker.Conn{},
 		cancels:   map[string]context.CancelFunc{},
@@ -57,7 +57,7 @@
 	regional := slices.DeleteFunc(slices.Clone(instances), func(i masticway.Instance) bool { return i.Region != settings.Region })
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	u.tracker.List(regional)
+	u.tracker.UpdateInstances(regional)
 	wanted := tracker.Subset(regional, settings.Instance, settings.Zone, settings.LinksPerPool)
 	for id, i := range wanted {
 		if _, linked := u.cancels[id]; !linked {
@@ -74,7 +74,7 @@
 // dropUnneeded closes the link to a sidecar that has ended, or that is idle and no longer in this router's subset.
 func (u *upstreams) dropUnneeded(t tracker.Upstream, wanted map[string]masticway.Instance) {
 	id := t.Instance.ID
-	ended := u.tracker.Ended(id)
+	ended := u.tracker.HasEnded(id)
 	if ended && t.Incarnation != "" {
 		u.router.budgets.markGone(t.Incarnation)
 	}
@@ -179,7 +179,7 @@
 func (u *upstreams) handle(c *linker.Conn, m linker.Message) {
 	sidecar := c.Peer().Incarnation
 	u.mu.Lock()
-	u.tracker.Heard(u.router.clock.Now(), c.Peer().Instance)
+	u.tracker.ObserveMessage(u.router.clock.Now(), c.Peer().Instance)
 	u.mu.Unlock()
 	switch {
 	case m.Frame != nil:
@@ -207,10 +207,10 @@
 	instance := c.Peer().Instance
 	u.mu.Lock()
 	if b.Leaving {
-		u.tracker.Leaving(instance)
+		u.tracker.MarkLeaving(instance)
 	}
 	if b.Load != nil {
-		u.chooser.Report(u.router.clock.Now(), instance, *b.Load)
+		u.chooser.RecordReport(u.router.clock.Now(), instance, *b.Load)
 	}
 	u.serveWaiting()
 	u.mu.Unlock()
@@ -233,14 +233,14 @@
 func (u *upstreams) markDraining(instance string) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	u.tracker.Leaving(instance)
+	u.tracker.MarkLeaving(instance)
 }
 
 // isGone reports whether a sidecar's process has certainly ended.
 func (u *upstreams) isGone(instance string, sidecar masticway.Incarnation) bool {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	if u.tracker.Ended(instance) {
+	if u.tracker.HasEnded(instance) {
 		return true
 	}
 	c, ok := u.conns[instance]
@@ -267,10 +267,10 @@
 // It waits up to two thirds of SuspectAfter, the silence after which a sidecar gets no new work, because a slow sidecar may have
 // the run. It must not wait longer: a request that is then dispatched to a sidecar that has been cut off must still learn that
 // its fate is unknown.
-func (u *upstreams) findRun(ctx context.Context, identity masticway.Identity) (status sealer.Status, conn *linker.Conn, complete bool) {
+func (u *upstreams) findRun(ctx context.Context, identity masticway.Identity) (status sealer.RunStatus, conn *linker.Conn, complete bool) {
 	conns := u.allConns()
 	type finding struct {
-		status sealer.Status
+		status sealer.RunStatus
 		conn   *linker.Conn
 	}
 	found := make(chan finding, len(conns))
@@ -291,7 +291,7 @@
 	for range conns {
 		f := <-found
 		complete = complete && f.conn != nil
-		if f.status.Known && (best.conn == nil || f.status.Run.Attempt > best.status.Run.Attempt) {
+		if f.status.Found && (best.conn == nil || f.status.Run.Attempt > best.status.Run.Attempt) {
 			best = f
 		}
 	}
@@ -318,9 +318,9 @@
 	return -1
 }
 
-// Linked reports whether at least n sidecars may get work from this router under money of any linked router, and whether this
+// HasUpstreams reports whether at least n sidecars may get work from this router under money of any linked router, and whether this
 // router and the others of the region count each other among the keepers.
-func (r *Router) Linked(n int) bool {
+func (r *Router) HasUpstreams(n int) bool {
 	u := r.upstreams
 	u.mu.Lock()
 	usable := u.tracker.Usable(r.clock.Now())
--- a/sealer/answer.go
+++ b/sealer/answer.go
@@ -12,13 +12,13 @@
 func (s *Sealer) Attach(k masticway.RunKey, from int, to masticway.Incarnation) []Effect {
 	r, ok := s.runs[k]
 	if !ok {
-		return []Effect{Send{To: to, Message: Status{Run: k}}}
+		return []Effect{Send{To: to, Message: RunStatus{Run: k}}}
 	}
 	r.readers[to] = true
 	r.orphanedAt = time.Time{}
 	effects := []Effect{Send{To: to, Message: Accepted{Run: k}}}
 	if r.prompt > 0 {
-		effects = append(effects, Send{To: to, Message: Counted{Run: k, Prompt: r.prompt, Bound: r.bound}})
+		effects = append(effects, Send{To: to, Message: PromptCount{Run: k, Prompt: r.prompt, Bound: r.bound}})
 	}
 	for i := max(0, from); i < len(r.chunks); i++ {
 		effects = append(effects, Send{To: to, Message: Frame{Run: k, Chunk: r.chunks[i]}})
@@ -30,19 +30,19 @@
 }
 
 // Query returns the status of a run. A run that has not been accepted is refused from now on.
-func (s *Sealer) Query(now time.Time, k masticway.RunKey) Status {
+func (s *Sealer) Query(now time.Time, k masticway.RunKey) RunStatus {
 	r, ok := s.runs[k]
 	if !ok {
 		s.refused[k] = now
 		s.dropWaiting(k)
-		return Status{Run: k}
+		return RunStatus{Run: k}
 	}
 	return r.status(k)
 }
 
-func (r *run) status(k masticway.RunKey) Status {
+func (r *run) status(k masticway.RunKey) RunStatus {
 	c := r.dispatch.Call
-	return Status{Run: k, Known: true, Final: r.final, Resumed: c.Resumed, ResumedText: c.ResumedText}
+	return RunStatus{Run: k, Found: true, Result: r.final, Resumed: c.Resumed, ResumedText: c.ResumedText}
 }
 
 // dropWaiting drops dispatches of a run that wait for a verification.
@@ -53,10 +53,10 @@
 }
 
 // Find returns the status of the newest run of an identity at this sidecar.
-func (s *Sealer) Find(identity masticway.Identity) Status {
+func (s *Sealer) Find(identity masticway.Identity) RunStatus {
 	k, ok := s.byID[identity]
 	if !ok {
-		return Status{Run: masticway.RunKey{Identity: identity}}
+		return RunStatus{Run: masticway.RunKey{Identity: identity}}
 	}
 	return s.runs[k].status(k)
 }
@@ -77,8 +77,8 @@
 	return []Effect{Stop{Run: k}}
 }
 
-// LinkDown removes a router from the readers of all runs. The runs go on, so that other routers can attach to them.
-func (s *Sealer) LinkDown(now time.Time, router masticway.Incarnation) {
+// Detach removes a router from the readers of all runs. The runs go on, so that other routers can attach to them.
+func (s *Sealer) Detach(now time.Time, router masticway.Incarnation) {
 	for _, r := range s.runs {
 		if !r.readers[router] {
 			continue
@@ -97,13 +97,13 @@
 		if r.final != nil || r.orphanedAt.IsZero() || r.dispatch.NonRepeatable || r.cancelled {
 			continue
 		}
-		if now.Sub(r.orphanedAt) >= s.settings.OrphanAfter {
+		if now.Sub(r.orphanedAt) >= s.settings.OrphanTimeout {
 			r.cancelled = true
 			effects = append(effects, Stop{Run: k})
 		}
 	}
 	for k, at := range s.refused {
-		if now.Sub(at) > s.settings.KeepFor {
+		if now.Sub(at) > s.settings.AnswerTTL {
 			delete(s.refused, k)
 		}
 	}
@@ -116,7 +116,7 @@
 	for len(s.ended) > 0 {
 		k := s.ended[0]
 		r := s.runs[k]
-		if s.keptBytes <= s.settings.KeepBytes && now.Sub(r.endedAt) < s.settings.KeepFor {
+		if s.keptBytes <= s.settings.MaxAnswerBytes && now.Sub(r.endedAt) < s.settings.AnswerTTL {
 			return
 		}
 		s.ended = s.ended[1:]
--- a/sealer/bench_test.go
+++ b/sealer/bench_test.go
@@ -11,8 +11,8 @@
 
 // BenchmarkRun measures a sidecar's decisions for one request whose answer has 50 tokens.
 func BenchmarkRun(b *testing.B) {
-	s := sealer.New(sealer.Settings{Self: "s~1", KeepFor: time.Minute, KeepBytes: 1 << 20, OrphanAfter: time.Minute, MaxRuns: 10})
-	s.Verified(start, router, sealer.StandingOpen)
+	s := sealer.New(sealer.Settings{Self: "s~1", AnswerTTL: time.Minute, MaxAnswerBytes: 1 << 20, OrphanTimeout: time.Minute, MaxRuns: 10})
+	s.ApplyVerification(start, router, sealer.StatusOpen)
 	b.ReportAllocs()
 	i := 0
 	for b.Loop() {
@@ -20,10 +20,10 @@
 		d := dispatch(strconv.Itoa(i), 1)
 		d.Bound = 1 << 40
 		s.Dispatch(start, d, router)
-		s.Counted(d.Run, 10, 0)
+		s.RecordPromptCount(d.Run, 10, 0)
 		for range 50 {
-			s.Chunk(d.Run, masticway.Chunk{Text: "lapel ", Tokens: 1})
+			s.RecordChunk(d.Run, masticway.Chunk{Text: "lapel ", Tokens: 1})
 		}
-		s.Finished(start, d.Run, masticway.Outcome{}, nil)
+		s.RecordEnd(start, d.Run, masticway.Outcome{}, nil)
 	}
 }
--- a/sealer/message.go
+++ b/sealer/message.go
@@ -42,7 +42,7 @@
 	ReasonSealed     Reason = "sealed"
 	ReasonUnverified Reason = "unverified"
 	ReasonUnlinked   Reason = "unlinked"
-	ReasonLeaving    Reason = "leaving"
+	ReasonDraining   Reason = "leaving"
 	ReasonStale      Reason = "stale_revision"
 	ReasonDuplicate  Reason = "duplicate"
 	ReasonCancelled  Reason = "cancelled"
@@ -66,8 +66,8 @@
 	Fenced masticway.Incarnation `cbor:"5,keyasint,omitempty"`
 }
 
-// Counted is sent to a run's readers with the prompt's true token count and the maximum cost that follows from it.
-type Counted struct {
+// PromptCount is sent to a run's readers with the prompt's true token count and the maximum cost that follows from it.
+type PromptCount struct {
 	Run    masticway.RunKey `cbor:"1,keyasint"`
 	Prompt int              `cbor:"2,keyasint"`
 	Bound  masticway.Amount `cbor:"3,keyasint"`
@@ -81,8 +81,8 @@
 	Chunk masticway.Chunk  `cbor:"2,keyasint"`
 }
 
-// Final is a run's result.
-type Final struct {
+// RunResult is a run's result.
+type RunResult struct {
 	Run  masticway.RunKey `cbor:"1,keyasint"`
 	Fate masticway.Fate   `cbor:"2,keyasint"`
 	// Complete is set if the answer is complete.
@@ -93,8 +93,8 @@
 	Chunks   int               `cbor:"7,keyasint"`
 	// Disrupted is set if the upstream or its environment failed, and not the request.
 	Disrupted bool `cbor:"8,keyasint,omitempty"`
-	// Ended is set if the upstream's process no longer listens.
-	Ended bool `cbor:"9,keyasint,omitempty"`
+	// UpstreamEnded is set if the upstream's process no longer listens.
+	UpstreamEnded bool `cbor:"9,keyasint,omitempty"`
 }
 
 // Attach requests a run's answer from the chunk with index From on.
@@ -113,11 +113,11 @@
 	Identity masticway.Identity `cbor:"1,keyasint"`
 }
 
-// Status is the answer to Query and Find.
-type Status struct {
-	Run   masticway.RunKey `cbor:"1,keyasint"`
-	Known bool             `cbor:"2,keyasint"`
-	Final *Final           `cbor:"3,keyasint,omitempty"`
+// RunStatus is the answer to Query and Find.
+type RunStatus struct {
+	Run    masticway.RunKey `cbor:"1,keyasint"`
+	Found  bool             `cbor:"2,keyasint"`
+	Result *RunResult       `cbor:"3,keyasint,omitempty"`
 	// Resumed and ResumedText are the tokens and the text that earlier attempts had produced when this run began.
 	Resumed     int    `cbor:"4,keyasint,omitempty"`
 	ResumedText string `cbor:"5,keyasint,omitempty"`
@@ -140,8 +140,8 @@
 	Running bool             `cbor:"3,keyasint,omitempty"`
 }
 
-// Sealed reports what this sidecar ran for a sealed incarnation: the totals of its grants, and the holds it dispatched.
-type Sealed struct {
+// SealReport reports what this sidecar ran for a sealed incarnation: the totals of its grants, and the holds it dispatched.
+type SealReport struct {
 	Incarnation masticway.Incarnation `cbor:"1,keyasint"`
 	// Sidecar is the incarnation of the reporting sidecar.
 	Sidecar masticway.Incarnation `cbor:"2,keyasint"`
--- a/sealer/seal.go
+++ b/sealer/seal.go
@@ -10,8 +10,8 @@
 )
 
 // Seal fences an incarnation and reports what was run for it: the totals of its grants, and the holds it dispatched.
-func (s *Sealer) Seal(now time.Time, inc masticway.Incarnation) (Sealed, []Effect) {
-	s.statuses[inc] = StandingSealed
+func (s *Sealer) Seal(now time.Time, inc masticway.Incarnation) (SealReport, []Effect) {
+	s.statuses[inc] = StatusSealed
 	waiting := s.waiting[inc]
 	delete(s.waiting, inc)
 	var effects []Effect
@@ -19,7 +19,7 @@
 		s.refused[p.dispatch.Run] = now
 		effects = append(effects, Send{To: p.from, Message: Refused{Run: p.dispatch.Run, Reason: ReasonSealed, Fenced: inc}})
 	}
-	report := Sealed{Incarnation: inc, Sidecar: s.settings.Self, Totals: s.Totals(inc)}
+	report := SealReport{Incarnation: inc, Sidecar: s.settings.Self, Totals: s.Totals(inc)}
 	for _, r := range s.runs {
 		if r.dispatch.Sender == inc {
 			report.Holds = append(report.Holds, holdReport(r))
@@ -69,10 +69,10 @@
 	return int(a.Grant.Number - b.Grant.Number)
 }
 
-// Closed drops the totals of a payer's grants that have been closed, which are those not in open.
+// DropClosedGrants drops the totals of a payer's grants that have been closed, which are those not in open.
 //
 // Grants with numbers above maxNumber are kept, because they were opened after the payer compiled the list.
-func (s *Sealer) Closed(payer masticway.Incarnation, open []int64, maxNumber int64) {
+func (s *Sealer) DropClosedGrants(payer masticway.Incarnation, open []int64, maxNumber int64) {
 	for k := range s.totals {
 		if k.Payer == payer && k.Number <= maxNumber && !slices.Contains(open, k.Number) {
 			delete(s.totals, k)
--- a/sealer/sealer.go
+++ b/sealer/sealer.go
@@ -10,12 +10,12 @@
 // Settings configure a sealer.
 type Settings struct {
 	Self masticway.Incarnation
-	// KeepFor is the time for which a finished answer is kept, so that routers can attach to it, and a refusal too.
-	KeepFor time.Duration
-	// KeepBytes limits the size of the finished answers that are kept.
-	KeepBytes int
-	// OrphanAfter is the time after which a repeatable run without readers is stopped.
-	OrphanAfter time.Duration
+	// AnswerTTL is the time for which a finished answer is kept, so that routers can attach to it, and a refusal too.
+	AnswerTTL time.Duration
+	// MaxAnswerBytes limits the size of the finished answers that are kept.
+	MaxAnswerBytes int
+	// OrphanTimeout is the time after which a repeatable run without readers is stopped.
+	OrphanTimeout time.Duration
 	// MaxRuns limits the runs in progress.
 	MaxRuns int
 }
@@ -54,16 +54,16 @@
 func (Stop) effect()   {}
 func (Verify) effect() {}
 
-// Standing is the status of an incarnation according to its links row in the table.
-type Standing string
+// IncarnationStatus is the status of an incarnation according to its links row in the table.
+type IncarnationStatus string
 
-// The statuses of an incarnation. StandingUnlinked means that the row does not contain this sidecar, and
-// StandingUnknown that the row could not be read.
+// The statuses of an incarnation. StatusUnlinked means that the row does not contain this sidecar, and
+// StatusUnknown that the row could not be read.
 const (
-	StandingOpen     Standing = "open"
-	StandingSealed   Standing = "sealed"
-	StandingUnlinked Standing = "unlinked"
-	StandingUnknown  Standing = "unknown"
+	StatusOpen     IncarnationStatus = "open"
+	StatusSealed   IncarnationStatus = "sealed"
+	StatusUnlinked IncarnationStatus = "unlinked"
+	StatusUnknown  IncarnationStatus = "unknown"
 )
 
 // run is a run that this sidecar has accepted.
@@ -74,7 +74,7 @@
 	bytes        int
 	bound        masticway.Amount
 	chunks       []masticway.Chunk
-	final        *Final
+	final        *RunResult
 	endedAt      time.Time
 	orphanedAt   time.Time
 	readers      map[masticway.Incarnation]bool
@@ -95,7 +95,7 @@
 	byID     map[masticway.Identity]masticway.RunKey
 	// refused holds runs that must never start because they have been reported as not run, and since when.
 	refused  map[masticway.RunKey]time.Time
-	statuses map[masticway.Incarnation]Standing
+	statuses map[masticway.Incarnation]IncarnationStatus
 	// verifiedAheadAt is when a linked router was last verified ahead of its first dispatch.
 	verifiedAheadAt map[masticway.Incarnation]time.Time
 	waiting         map[masticway.Incarnation][]pending
@@ -115,7 +115,7 @@
 		runs:            map[masticway.RunKey]*run{},
 		byID:            map[masticway.Identity]masticway.RunKey{},
 		refused:         map[masticway.RunKey]time.Time{},
-		statuses:        map[masticway.Incarnation]Standing{},
+		statuses:        map[masticway.Incarnation]IncarnationStatus{},
 		verifiedAheadAt: map[masticway.Incarnation]time.Time{},
 		waiting:         map[masticway.Incarnation][]pending{},
 		totals:          map[masticway.GrantKey]masticway.Amount{},
@@ -138,8 +138,8 @@
 	}
 	for _, inc := range []masticway.Incarnation{d.Grant.Payer, d.Sender} {
 		switch s.statuses[inc] {
-		case StandingOpen:
-		case StandingSealed:
+		case StatusOpen:
+		case StatusSealed:
 			s.refused[d.Run] = now
 			return []Effect{Send{To: from, Message: Refused{Run: d.Run, Reason: ReasonSealed, Fenced: inc}}}
 		default:
@@ -159,7 +159,7 @@
 		return Refused{Run: d.Run, Reason: ReasonCancelled}, true
 	}
 	if s.draining {
-		return Refused{Run: d.Run, Reason: ReasonLeaving}, true
+		return Refused{Run: d.Run, Reason: ReasonDraining}, true
 	}
 	if d.Revision < s.revision {
 		return Refused{Run: d.Run, Reason: ReasonStale, Changes: s.ChangesAfter(d.Revision)}, true
@@ -189,35 +189,35 @@
 	return []Effect{Send{To: from, Message: Accepted{Run: d.Run}}, Start{Run: d.Run, Call: d.Call}}
 }
 
-// Introduce verifies a linked router before its first dispatch, so that a later outage of the table does not block it.
-func (s *Sealer) Introduce(now time.Time, inc masticway.Incarnation) []Effect {
+// VerifyAhead verifies a linked router before its first dispatch, so that a later outage of the table does not block it.
+func (s *Sealer) VerifyAhead(now time.Time, inc masticway.Incarnation) []Effect {
 	st := s.statuses[inc]
-	if st == StandingOpen || st == StandingSealed || now.Sub(s.verifiedAheadAt[inc]) < verifyAheadInterval || len(s.waiting[inc]) > 0 {
+	if st == StatusOpen || st == StatusSealed || now.Sub(s.verifiedAheadAt[inc]) < verifyAheadInterval || len(s.waiting[inc]) > 0 {
 		return nil
 	}
 	s.verifiedAheadAt[inc] = now
 	return []Effect{Verify{Incarnation: inc}}
 }
 
-// Verified applies the status read from the table, and decides on the dispatches that waited for it.
-func (s *Sealer) Verified(now time.Time, inc masticway.Incarnation, st Standing) []Effect {
+// ApplyVerification applies the status read from the table, and decides on the dispatches that waited for it.
+func (s *Sealer) ApplyVerification(now time.Time, inc masticway.Incarnation, st IncarnationStatus) []Effect {
 	waiting := s.waiting[inc]
 	delete(s.waiting, inc)
-	if s.statuses[inc] == StandingSealed {
-		st = StandingSealed
+	if s.statuses[inc] == StatusSealed {
+		st = StatusSealed
 	}
-	if st == StandingOpen || st == StandingSealed {
+	if st == StatusOpen || st == StatusSealed {
 		s.statuses[inc] = st
 		delete(s.verifiedAheadAt, inc)
 	}
 	var effects []Effect
 	for _, p := range waiting {
-		if st == StandingOpen || st == StandingSealed {
+		if st == StatusOpen || st == StatusSealed {
 			effects = append(effects, s.Dispatch(now, p.dispatch, p.from)...)
 			continue
 		}
 		reason := ReasonUnverified
-		if st == StandingUnlinked {
+		if st == StatusUnlinked {
 			reason = ReasonUnlinked
 		}
 		s.refused[p.dispatch.Run] = now
@@ -226,8 +226,8 @@
 	return effects
 }
 
-// Counted records the prompt's true token count, and sends it and the number of cached tokens to the run's readers.
-func (s *Sealer) Counted(k masticway.RunKey, prompt, cached int) []Effect {
+// RecordPromptCount records the prompt's true token count, and sends it and the number of cached tokens to the run's readers.
+func (s *Sealer) RecordPromptCount(k masticway.RunKey, prompt, cached int) []Effect {
 	r, ok := s.runs[k]
 	if !ok || r.final != nil {
 		return nil
@@ -236,12 +236,12 @@
 	d := r.dispatch
 	maxCost := d.cost(masticway.Usage{Prompt: prompt, Completion: d.Call.MaxOutput - d.Call.Resumed})
 	r.bound = min(r.bound, maxCost)
-	return s.sendToReaders(r, Counted{Run: k, Prompt: prompt, Bound: r.bound, Cached: cached})
+	return s.sendToReaders(r, PromptCount{Run: k, Prompt: prompt, Bound: r.bound, Cached: cached})
 }
 
-// Chunk records the next chunk of an answer. If the chunk would exceed the run's maximum cost, it is dropped and the
+// RecordChunk records the next chunk of an answer. If the chunk would exceed the run's maximum cost, it is dropped and the
 // run is stopped.
-func (s *Sealer) Chunk(k masticway.RunKey, c masticway.Chunk) []Effect {
+func (s *Sealer) RecordChunk(k masticway.RunKey, c masticway.Chunk) []Effect {
 	r, ok := s.runs[k]
 	if !ok || r.final != nil || r.boundReached {
 		return nil
@@ -258,15 +258,15 @@
 	return s.sendToReaders(r, Frame{Run: k, Chunk: c})
 }
 
-// Finished ends a run with the upstream's outcome or failure, and adds its true cost to the grant's total.
-func (s *Sealer) Finished(now time.Time, k masticway.RunKey, o masticway.Outcome, failure *masticway.UpstreamError) []Effect {
+// RecordEnd ends a run with the upstream's outcome or failure, and adds its true cost to the grant's total.
+func (s *Sealer) RecordEnd(now time.Time, k masticway.RunKey, o masticway.Outcome, failure *masticway.UpstreamError) []Effect {
 	r, ok := s.runs[k]
 	if !ok || r.final != nil {
 		return nil
 	}
 	d := r.dispatch
 	usage := masticway.Usage{Prompt: r.prompt, Completion: r.tokens}
-	f := &Final{Run: k, Hold: d.Hold, Chunks: len(r.chunks), Fate: masticway.FateRan, Outcome: o}
+	f := &RunResult{Run: k, Hold: d.Hold, Chunks: len(r.chunks), Fate: masticway.FateRan, Outcome: o}
 	f.Outcome.Usage = usage
 	switch {
 	case failure == nil || r.boundReached:
@@ -281,7 +281,7 @@
 		f.Outcome.Reason = failure.Reason
 	default:
 		f.Disrupted = !r.cancelled
-		f.Ended = failure.NotListening
+		f.UpstreamEnded = failure.NotListening
 		f.Outcome.Reason = failure.Reason
 		f.Cost = d.cost(usage)
 		if d.Call.Service != "" {
@@ -324,17 +324,17 @@
 	return list
 }
 
-// Leave makes the sealer refuse new runs from now on. Runs in progress continue.
-func (s *Sealer) Leave() { s.draining = true }
+// Drain makes the sealer refuse new runs from now on. Runs in progress continue.
+func (s *Sealer) Drain() { s.draining = true }
 
-// Leaving reports whether new runs are refused.
-func (s *Sealer) Leaving() bool { return s.draining }
+// IsDraining reports whether new runs are refused.
+func (s *Sealer) IsDraining() bool { return s.draining }
 
 // Running returns the number of runs in progress.
 func (s *Sealer) Running() int { return s.running }
 
-// Learn applies configuration changes, which must be in order. Changes up to the current revision are ignored.
-func (s *Sealer) Learn(changes []masticway.Change) {
+// ApplyChanges applies configuration changes, which must be in order. Changes up to the current revision are ignored.
+func (s *Sealer) ApplyChanges(changes []masticway.Change) {
 	for _, c := range changes {
 		if c.Revision <= s.revision {
 			continue
@@ -347,9 +347,9 @@
 	}
 }
 
-// Know advances to a newer revision whose changes are not available. Routers with an older revision are refused
+// AdvanceRevision advances to a newer revision whose changes are not available. Routers with an older revision are refused
 // without getting the changes.
-func (s *Sealer) Know(r masticway.Revision) {
+func (s *Sealer) AdvanceRevision(r masticway.Revision) {
 	if r <= s.revision {
 		return
 	}
--- a/sealer/sealer_test.go
+++ b/sealer/sealer_test.go
@@ -25,7 +25,7 @@
 func newHarness() *harness {
 	return &harness{
 		s: sealer.New(sealer.Settings{
-			Self: "s~1", KeepFor: time.Minute, KeepBytes: 64, OrphanAfter: 10 * time.Second, MaxRuns: 4,
+			Self: "s~1", AnswerTTL: time.Minute, MaxAnswerBytes: 64, OrphanTimeout: 10 * time.Second, MaxRuns: 4,
 		}),
 		sent: map[masticway.Incarnation][]any{},
 	}
@@ -35,7 +35,7 @@
 	for _, e := range effects {
 		switch e := e.(type) {
 		case sealer.Verify:
-			b.apply(b.s.Verified(start, e.Incarnation, sealer.StandingOpen))
+			b.apply(b.s.ApplyVerification(start, e.Incarnation, sealer.StatusOpen))
 		case sealer.Start:
 			b.started = append(b.started, e.Run)
 		case sealer.Stop:
@@ -72,9 +72,9 @@
 		reason   sealer.Reason
 	}{
 		"sealed sender":       {func(b *harness) { b.s.Seal(start, router) }, dispatch("a", 1), sealer.ReasonSealed},
-		"leaving":             {func(b *harness) { b.s.Leave() }, dispatch("a", 1), sealer.ReasonLeaving},
+		"leaving":             {func(b *harness) { b.s.Drain() }, dispatch("a", 1), sealer.ReasonDraining},
 		"queried before":      {func(b *harness) { b.s.Query(start, key("a", 1)) }, dispatch("a", 1), sealer.ReasonCancelled},
-		"stale revision":      {func(b *harness) { b.s.Learn([]masticway.Change{{Revision: 7}}) }, dispatch("a", 1), sealer.ReasonStale},
+		"stale revision":      {func(b *harness) { b.s.ApplyChanges([]masticway.Change{{Revision: 7}}) }, dispatch("a", 1), sealer.ReasonStale},
 		"identity is running": {func(b *harness) { b.run(dispatch("a", 1)) }, dispatch("a", 2), sealer.ReasonDuplicate},
 		"same attempt, another hold": {func(b *harness) {
 			other := dispatch("a", 1)
@@ -103,21 +103,21 @@
 
 func TestIncarnationStatusDecidesPendingDispatches(t *testing.T) {
 	cases := map[string]struct {
-		standing sealer.Standing
+		standing sealer.IncarnationStatus
 		starts   int
 		reason   sealer.Reason
 	}{
-		"open":          {standing: sealer.StandingOpen, starts: 1},
-		"sealed":        {standing: sealer.StandingSealed, reason: sealer.ReasonSealed},
-		"not linked":    {standing: sealer.StandingUnlinked, reason: sealer.ReasonUnlinked},
-		"table is down": {standing: sealer.StandingUnknown, reason: sealer.ReasonUnverified},
+		"open":          {standing: sealer.StatusOpen, starts: 1},
+		"sealed":        {standing: sealer.StatusSealed, reason: sealer.ReasonSealed},
+		"not linked":    {standing: sealer.StatusUnlinked, reason: sealer.ReasonUnlinked},
+		"table is down": {standing: sealer.StatusUnknown, reason: sealer.ReasonUnverified},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
 			b := newHarness()
 			effects := b.s.Dispatch(start, dispatch("a", 1), router)
 			qt.Assert(t, effects, qt.DeepEquals, []sealer.Effect{sealer.Verify{Incarnation: router}})
-			b.apply(b.s.Verified(start, router, tc.standing))
+			b.apply(b.s.ApplyVerification(start, router, tc.standing))
 			qt.Assert(t, b.started, qt.HasLen, tc.starts)
 			if tc.starts == 0 {
 				qt.Assert(t, b.last().(sealer.Refused).Reason, qt.Equals, tc.reason)
@@ -131,7 +131,7 @@
 	_ = b.s.Dispatch(start, dispatch("a", 1), router)
 	_, effects := b.s.Seal(start, router)
 	b.apply(effects)
-	b.apply(b.s.Verified(start, router, sealer.StandingOpen))
+	b.apply(b.s.ApplyVerification(start, router, sealer.StatusOpen))
 	b.run(dispatch("b", 1))
 	qt.Assert(t, b.started, qt.HasLen, 0)
 }
@@ -161,17 +161,17 @@
 			}
 			b.run(d)
 			if tc.fate != masticway.FateNotRun && !tc.service {
-				b.apply(b.s.Counted(d.Run, 10, 0))
-				b.apply(b.s.Chunk(d.Run, masticway.Chunk{Text: "x", Tokens: 1}))
-				b.apply(b.s.Chunk(d.Run, masticway.Chunk{Text: "y", Tokens: 1}))
+				b.apply(b.s.RecordPromptCount(d.Run, 10, 0))
+				b.apply(b.s.RecordChunk(d.Run, masticway.Chunk{Text: "x", Tokens: 1}))
+				b.apply(b.s.RecordChunk(d.Run, masticway.Chunk{Text: "y", Tokens: 1}))
 			}
-			b.apply(b.s.Finished(start, d.Run, masticway.Outcome{}, tc.failure))
-			f := b.last().(sealer.Final)
+			b.apply(b.s.RecordEnd(start, d.Run, masticway.Outcome{}, tc.failure))
+			f := b.last().(sealer.RunResult)
 			qt.Assert(t, f.Fate, qt.Equals, tc.fate)
 			qt.Assert(t, f.Complete, qt.Equals, tc.complete)
 			qt.Assert(t, f.Cost, qt.Equals, tc.cost)
 			// A late or repeated report changes nothing.
-			qt.Assert(t, b.s.Finished(start, d.Run, masticway.Outcome{}, nil), qt.HasLen, 0)
+			qt.Assert(t, b.s.RecordEnd(start, d.Run, masticway.Outcome{}, nil), qt.HasLen, 0)
 			report, _ := b.s.Seal(start, router)
 			qt.Assert(t, report.Totals[0].Spent, qt.Equals, tc.cost)
 		})
@@ -182,14 +182,14 @@
 	b := newHarness()
 	d := dispatch("a", 1)
 	b.run(d)
-	b.apply(b.s.Counted(d.Run, 10, 0))
+	b.apply(b.s.RecordPromptCount(d.Run, 10, 0))
 	for range 3 {
-		b.apply(b.s.Chunk(d.Run, masticway.Chunk{Text: "x", Tokens: 1}))
+		b.apply(b.s.RecordChunk(d.Run, masticway.Chunk{Text: "x", Tokens: 1}))
 	}
-	b.s.LinkDown(start, router)
+	b.s.Detach(start, router)
 	b.apply(b.s.Attach(d.Run, 0, "r~2"))
-	b.apply(b.s.Chunk(d.Run, masticway.Chunk{Text: "y", Tokens: 1}))
-	b.apply(b.s.Finished(start, d.Run, masticway.Outcome{}, nil))
+	b.apply(b.s.RecordChunk(d.Run, masticway.Chunk{Text: "y", Tokens: 1}))
+	b.apply(b.s.RecordEnd(start, d.Run, masticway.Outcome{}, nil))
 	var indexes []int
 	for _, m := range b.sent["r~2"] {
 		if f, ok := m.(sealer.Frame); ok {
@@ -197,7 +197,7 @@
 		}
 	}
 	qt.Assert(t, indexes, qt.DeepEquals, []int{0, 1, 2, 3})
-	qt.Assert(t, b.s.Find("w/a").Final.Complete, qt.IsTrue)
+	qt.Assert(t, b.s.Find("w/a").Result.Complete, qt.IsTrue)
 }
 
 func TestRunIsStoppedAtItsBound(t *testing.T) {
@@ -205,13 +205,13 @@
 	d := dispatch("a", 1)
 	d.Bound = 16
 	b.run(d)
-	b.apply(b.s.Counted(d.Run, 10, 0))
+	b.apply(b.s.RecordPromptCount(d.Run, 10, 0))
 	for range 4 {
-		b.apply(b.s.Chunk(d.Run, masticway.Chunk{Text: "x", Tokens: 1}))
+		b.apply(b.s.RecordChunk(d.Run, masticway.Chunk{Text: "x", Tokens: 1}))
 	}
 	qt.Assert(t, b.stopped, qt.HasLen, 1)
-	b.apply(b.s.Finished(start, d.Run, masticway.Outcome{}, &masticway.UpstreamError{Started: true}))
-	f := b.last().(sealer.Final)
+	b.apply(b.s.RecordEnd(start, d.Run, masticway.Outcome{}, &masticway.UpstreamError{Started: true}))
+	f := b.last().(sealer.RunResult)
 	qt.Assert(t, f.Cost, qt.Equals, masticway.Amount(16))
 	qt.Assert(t, f.Outcome.Reason, qt.Equals, "length")
 }
@@ -223,7 +223,7 @@
 			d := dispatch("a", 1)
 			d.NonRepeatable = nonRepeatable
 			b.run(d)
-			b.s.LinkDown(start, router)
+			b.s.Detach(start, router)
 			b.apply(b.s.Tick(start.Add(time.Second)))
 			qt.Assert(t, b.stopped, qt.HasLen, 0)
 			b.apply(b.s.Tick(start.Add(time.Minute)))
@@ -237,12 +237,12 @@
 	for _, id := range []string{"a", "b", "c", "d", "e", "f"} {
 		d := dispatch(id, 1)
 		b.run(d)
-		b.apply(b.s.Counted(d.Run, 1, 0))
-		b.apply(b.s.Chunk(d.Run, masticway.Chunk{Text: "0123456789012345678901234567890123456789", Tokens: 1}))
-		b.apply(b.s.Finished(start, d.Run, masticway.Outcome{}, nil))
+		b.apply(b.s.RecordPromptCount(d.Run, 1, 0))
+		b.apply(b.s.RecordChunk(d.Run, masticway.Chunk{Text: "0123456789012345678901234567890123456789", Tokens: 1}))
+		b.apply(b.s.RecordEnd(start, d.Run, masticway.Outcome{}, nil))
 	}
-	qt.Assert(t, b.s.Find("w/a").Known, qt.IsFalse)
-	qt.Assert(t, b.s.Find("w/f").Known, qt.IsTrue)
+	qt.Assert(t, b.s.Find("w/a").Found, qt.IsFalse)
+	qt.Assert(t, b.s.Find("w/f").Found, qt.IsTrue)
 	// The cost still counts after the answers have been dropped.
 	report, _ := b.s.Seal(start, router)
 	qt.Assert(t, report.Totals[0].Spent, qt.Equals, masticway.Amount(6*4))
@@ -254,10 +254,10 @@
 		d := dispatch(id, 1)
 		d.Grant.Number = int64(i + 1)
 		b.run(d)
-		b.apply(b.s.Counted(d.Run, 5, 0))
-		b.apply(b.s.Finished(start, d.Run, masticway.Outcome{}, nil))
+		b.apply(b.s.RecordPromptCount(d.Run, 5, 0))
+		b.apply(b.s.RecordEnd(start, d.Run, masticway.Outcome{}, nil))
 	}
-	b.s.Closed(router, []int64{2}, 2)
+	b.s.DropClosedGrants(router, []int64{2}, 2)
 	var numbers []int64
 	for _, total := range b.s.Totals(router) {
 		numbers = append(numbers, total.Grant.Number)
@@ -267,8 +267,8 @@
 
 func TestStaleRouterGetsMissingChanges(t *testing.T) {
 	b := newHarness()
-	b.s.Learn([]masticway.Change{{Revision: 5}, {Revision: 6}, {Revision: 7}})
-	b.s.Learn([]masticway.Change{{Revision: 6}})
+	b.s.ApplyChanges([]masticway.Change{{Revision: 5}, {Revision: 6}, {Revision: 7}})
+	b.s.ApplyChanges([]masticway.Change{{Revision: 6}})
 	qt.Assert(t, b.s.Revision(), qt.Equals, masticway.Revision(7))
 	d := dispatch("a", 1)
 	d.Revision = 5
--- a/sharer/sharer_test.go
+++ b/sharer/sharer_test.go
@@ -36,18 +36,18 @@
 
 // countingStore is a row store that counts its calls and the bytes read.
 type countingStore struct {
-	*emulator.Rows
+	*emulator.RowStore
 	bytes, calls atomic.Int64
 	// isDown is set if the store fails all calls.
 	isDown atomic.Bool
 }
 
 func (c *countingStore) Read(ctx context.Context, name, part string) (masticway.RowReading, error) {
-	return c.count(c.Rows.Read(ctx, name, part))
+	return c.count(c.RowStore.Read(ctx, name, part))
 }
 
 func (c *countingStore) Watch(ctx context.Context, req masticway.WatchRequest) (masticway.RowReading, error) {
-	return c.count(c.Rows.Watch(ctx, req))
+	return c.count(c.RowStore.Watch(ctx, req))
 }
 
 func (c *countingStore) count(reading masticway.RowReading, err error) (masticway.RowReading, error) {
@@ -102,15 +102,15 @@
 }
 
 func newFleet(ctx context.Context, routers, servers int) *fleet {
-	rows := emulator.NewRows(time.Now)
-	f := &fleet{store: &countingStore{Rows: rows}}
+	rows := emulator.NewRowStore(time.Now)
+	f := &fleet{store: &countingStore{RowStore: rows}}
 	log, _ := test.NewNullLogger()
 	for i := range routers {
-		r := &simRouter{fleet: f, name: fmt.Sprintf("edge-%d", i), number: i, own: &countingStore{Rows: rows}}
-		r.store = sharer.New(sharer.Parts{
-			Store: r.own, Readers: f, Clock: emulator.SteadyClock{}, Log: logrus.NewEntry(log), Metrics: measurer.New(),
+		r := &simRouter{fleet: f, name: fmt.Sprintf("edge-%d", i), number: i, own: &countingStore{RowStore: rows}}
+		r.store = sharer.New(sharer.Dependencies{
+			Store: r.own, Readers: f, Clock: emulator.MonotonicClock{}, Log: logrus.NewEntry(log), Metrics: measurer.New(),
 			Choose: func() ([]string, bool) { return []string{"edge-0", "edge-1"}, r.number < readerCount },
-		}, sharer.Table{Name: table, Substance: rowState})
+		}, sharer.Table{Name: table, Projection: rowState})
 		f.routers = append(f.routers, r)
 	}
 	for i := range servers {
--- a/sharer/store.go
+++ b/sharer/store.go
@@ -38,11 +38,11 @@
 // Table is one part of a table that is shared.
 type Table struct {
 	Name, Part string
-	Substance  Substance
+	Projection Projection
 }
 
-// Parts holds the dependencies of a store.
-type Parts struct {
+// Dependencies holds the dependencies of a store.
+type Dependencies struct {
 	Store   masticway.RowStore
 	Readers Readers
 	// Choose returns the addresses of the zone's readers, best first, and whether this router is one of them. There are no
@@ -57,7 +57,7 @@
 // through this one.
 type Store struct {
 	masticway.RowStore
-	parts  Parts
+	parts  Dependencies
 	tables map[string]*sharedTable
 }
 
@@ -76,10 +76,10 @@
 var _ masticway.RowStore = (*Store)(nil)
 
 // New returns a store that shares the given tables.
-func New(p Parts, tables ...Table) *Store {
+func New(p Dependencies, tables ...Table) *Store {
 	s := &Store{RowStore: p.Store, parts: p, tables: map[string]*sharedTable{}}
 	for _, t := range tables {
-		s.tables[t.Name] = &sharedTable{Table: t, view: newView(t.Substance), retryAt: map[string]time.Time{}}
+		s.tables[t.Name] = &sharedTable{Table: t, view: newView(t.Projection), retryAt: map[string]time.Time{}}
 	}
 	return s
 }
--- a/sharer/view.go
+++ b/sharer/view.go
@@ -11,13 +11,13 @@
 // maxDeleted is the maximum number of deleted rows that a view stores.
 const maxDeleted = 2000
 
-// Substance computes the part of a row's value that is relevant to other routers. A change of the row is relevant only if the
+// Projection computes the part of a row's value that is relevant to other routers. A change of the row is relevant only if the
 // result changes.
-type Substance func(key string, value []byte) any
+type Projection func(key string, value []byte) any
 
 // view is a router's copy of one part of a table, with the versions of the last relevant change of each row.
 type view struct {
-	project Substance
+	project Projection
 	rows    map[masticway.RowKey]viewRow
 	// deleted are the deleted rows, oldest first. Changes since a version below floor are unknown, so all rows must be read
 	// again.
@@ -36,7 +36,7 @@
 	projection any
 }
 
-func newView(s Substance) *view {
+func newView(s Projection) *view {
 	return &view{project: s, rows: map[masticway.RowKey]viewRow{}, changed: make(chan struct{})}
 }
 
--- a/sidecar/beats.go
+++ b/sidecar/beats.go
@@ -47,7 +47,7 @@
 func (c *Sidecar) heartbeatMessage() linker.Message {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return linker.Message{Beat: &linker.Beat{Revision: c.core.Revision(), Leaving: c.core.Leaving(), Load: c.load}}
+	return linker.Message{Beat: &linker.Beat{Revision: c.core.Revision(), Leaving: c.core.IsDraining(), Load: c.load}}
 }
 
 func (c *Sidecar) pollLoad() {
--- a/sidecar/drain.go
+++ b/sidecar/drain.go
@@ -17,7 +17,7 @@
 // It returns false if ctx is done before all runs have finished.
 func (c *Sidecar) Drain(ctx context.Context) bool {
 	c.mu.Lock()
-	c.core.Leave()
+	c.core.Drain()
 	c.mu.Unlock()
 	c.sendHeartbeats()
 	finished := c.awaitRuns(ctx)
--- a/sidecar/orders.go
+++ b/sidecar/orders.go
@@ -30,7 +30,7 @@
 }
 
 func (c *Sidecar) executeOrder(o masticway.Order) error {
-	newest, err := bookkeeper.Fence(c.ctx, c.table, c.settings.Instance)
+	newest, err := bookkeeper.LatestFence(c.ctx, c.table, c.settings.Instance)
 	if err != nil {
 		return fmt.Errorf("reading the fence: %w", err)
 	}
--- a/sidecar/runs.go
+++ b/sidecar/runs.go
@@ -39,13 +39,13 @@
 	case sealer.Refused:
 		c.metrics.Add(metricRefused+"_"+string(body.Reason), 1)
 		m.Refused = &body
-	case sealer.Counted:
+	case sealer.PromptCount:
 		m.Counted = &body
 	case sealer.Frame:
 		m.Frame = &body
-	case sealer.Final:
+	case sealer.RunResult:
 		m.Final = &body
-	case sealer.Status:
+	case sealer.RunStatus:
 		m.Status = &body
 	}
 	_ = conn.Send(m)
@@ -77,7 +77,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	delete(c.cancels, e.Run)
-	c.apply(c.core.Finished(now, e.Run, outcome, failure))
+	c.apply(c.core.RecordEnd(now, e.Run, outcome, failure))
 }
 
 // sink passes the parts of an upstream's answer to the sealer.
@@ -90,7 +90,7 @@
 func (s sink) PromptCounted(prompt, cached int) {
 	s.sidecar.mu.Lock()
 	defer s.sidecar.mu.Unlock()
-	s.sidecar.apply(s.sidecar.core.Counted(s.run, prompt, cached))
+	s.sidecar.apply(s.sidecar.core.RecordPromptCount(s.run, prompt, cached))
 }
 
 // Chunk passes on one part of the answer.
@@ -98,5 +98,5 @@
 	s.sidecar.metrics.Add(metricTokens, int64(c.Tokens))
 	s.sidecar.mu.Lock()
 	defer s.sidecar.mu.Unlock()
-	s.sidecar.apply(s.sidecar.core.Chunk(s.run, c))
+	s.sidecar.apply(s.sidecar.core.RecordChunk(s.run, c))
 }
--- a/sidecar/sidecar.go
+++ b/sidecar/sidecar.go
@@ -47,7 +47,7 @@
 	self     masticway.Incarnation
 	clock    masticway.Clock
 	log      *logrus.Entry
-	book     *bookkeeper.Book
+	book     *bookkeeper.Ledger
 	table    masticway.Table
 	upstream masticway.Upstream
 	listener *linker.Listener
@@ -76,8 +76,8 @@
 		settings: s, self: self, clock: clock, log: log, book: bookkeeper.New(table), table: table,
 		upstream: upstream, metrics: metrics,
 		core: sealer.New(sealer.Settings{
-			Self: self, KeepFor: s.AnswerTTL.Std(), KeepBytes: s.MaxAnswerBytes,
-			OrphanAfter: s.OrphanTimeout.Std(), MaxRuns: s.MaxRuns,
+			Self: self, AnswerTTL: s.AnswerTTL.Std(), MaxAnswerBytes: s.MaxAnswerBytes,
+			OrphanTimeout: s.OrphanTimeout.Std(), MaxRuns: s.MaxRuns,
 		}),
 		cancels: map[masticway.RunKey]context.CancelFunc{},
 		ctx:     ctx, stop: stop,
@@ -104,7 +104,7 @@
 func (c *Sidecar) Leaving() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.core.Leaving()
+	return c.core.IsDraining()
 }
 
 // Start starts the goroutines that send heartbeats, remove old runs and poll the upstream's load.
@@ -132,7 +132,7 @@
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.core.LinkDown(c.clock.Now(), inc)
+	c.core.Detach(c.clock.Now(), inc)
 }
 
 // handle handles one message from a router.
@@ -159,8 +159,8 @@
 	case m.Beat != nil:
 		c.handleHeartbeat(conn, *m.Beat)
 	case m.Changes != nil:
-		c.core.Learn(m.Changes.List)
-		c.core.Know(m.Changes.Upto)
+		c.core.ApplyChanges(m.Changes.List)
+		c.core.AdvanceRevision(m.Changes.Upto)
 	case m.Want != nil:
 		_ = conn.Send(linker.Message{Changes: &linker.Changes{List: c.core.ChangesAfter(m.Want.After)}})
 	case m.Count != nil:
@@ -178,9 +178,9 @@
 }
 
 func (c *Sidecar) handleHeartbeat(conn *linker.Conn, b linker.Beat) {
-	c.apply(c.core.Introduce(c.clock.Now(), conn.Peer().Incarnation))
+	c.apply(c.core.VerifyAhead(c.clock.Now(), conn.Peer().Incarnation))
 	if b.Upto > 0 {
-		c.core.Closed(conn.Peer().Incarnation, b.Open, b.Upto)
+		c.core.DropClosedGrants(conn.Peer().Incarnation, b.Open, b.Upto)
 	}
 	now := c.clock.Now()
 	if b.Revision > c.core.Revision() && now.Sub(c.changesRequestedAt) > changesRequestInterval {
@@ -191,21 +191,21 @@
 
 // verify reads the state of an incarnation from the table.
 func (c *Sidecar) verify(inc masticway.Incarnation) {
-	state := sealer.StandingUnknown
+	state := sealer.StatusUnknown
 	links, version, err := c.book.Links(c.ctx, inc)
 	switch {
 	case err != nil:
 		c.log.WithFields(logrus.Fields{"event": "verify_failed", "incarnation": inc, "error": err}).Warn("cannot verify incarnation")
 	case version == 0 || links.State == bookkeeper.LinksSealed:
-		state = sealer.StandingSealed
+		state = sealer.StatusSealed
 	case !links.Has(c.self):
-		state = sealer.StandingUnlinked
+		state = sealer.StatusUnlinked
 	default:
-		state = sealer.StandingOpen
+		state = sealer.StatusOpen
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.apply(c.core.Verified(c.clock.Now(), inc, state))
+	c.apply(c.core.ApplyVerification(c.clock.Now(), inc, state))
 }
 
 func (c *Sidecar) handleCount(conn *linker.Conn, m linker.Message) {
--- a/soaker/caller.go
+++ b/soaker/caller.go
@@ -185,7 +185,7 @@
 	out.Body = io.NopCloser(strings.NewReader(q.body))
 	call := emulator.OpaqueCall{ID: q.id, TimeLeft: q.limit, Metered: q.metered, Prompt: q.prompt, MaxOutput: q.declared, LastEvent: q.after}
 	if q.workspace != "" {
-		call.Key = emulator.DeploymentKey + q.workspace
+		call.Key = emulator.DeploymentKeyPrefix + q.workspace
 	}
 	out.Header = call.Header()
 	in, err := c.transport.RoundTrip(out.WithContext(ctx))
--- a/soaker/checks.go
+++ b/soaker/checks.go
@@ -152,14 +152,14 @@
 
 // judgeRun checks one run by itself.
 func (s *run) judgeRun(r emulator.OpaqueRun, q *request) {
-	if r.Path != q.path || r.Body != q.body || r.Workspace != q.workspace || r.Key || r.TimeLeft > q.limit+busySlack || poolOf(r.Server) != q.pool {
-		s.violate(promiseUnchanged, "%s ran %s for %q with %s left, %d bytes, key %t: %s", r.Server, r.Path, r.Workspace, r.TimeLeft, len(r.Body), r.Key, q)
+	if r.Path != q.path || r.Body != q.body || r.Workspace != q.workspace || r.HasKey || r.TimeLeft > q.limit+busySlack || poolOf(r.Server) != q.pool {
+		s.violate(promiseUnchanged, "%s ran %s for %q with %s left, %d bytes, key %t: %s", r.Server, r.Path, r.Workspace, r.TimeLeft, len(r.Body), r.HasKey, q)
 	}
 	s.judgeSaid(r, q)
 	// An acceptance binds routers that are in touch from then on.
 	left := s.leftAt[r.Server]
-	if !left.IsZero() && r.At.Sub(left) > drainBound+busySlack && s.calm(left.Add(-stable), r.At, inTouch(q.router)...) {
-		s.violate(promiseDrained, "%s got a request %s after its leaving was accepted: %s", r.Server, r.At.Sub(left).Round(time.Millisecond), q)
+	if !left.IsZero() && r.StartedAt.Sub(left) > drainBound+busySlack && s.calm(left.Add(-stable), r.StartedAt, inTouch(q.router)...) {
+		s.violate(promiseDrained, "%s got a request %s after its leaving was accepted: %s", r.Server, r.StartedAt.Sub(left).Round(time.Millisecond), q)
 	}
 }
 
@@ -196,7 +196,7 @@
 	took := q.endedAt.Sub(q.sentAt)
 	// A server that failed, left or crashed may be why there is no answer, and so may the end of the request's time.
 	sound := len(runs) > 0 && took < min(q.limit, emulator.DeploymentTimeout) && !slices.ContainsFunc(runs, func(r emulator.OpaqueRun) bool {
-		return r.Fault != emulator.OpaqueGood || !s.calm(from, q.endedAt, r.Server)
+		return r.Fault != emulator.OpaqueNoFault || !s.calm(from, q.endedAt, r.Server)
 	})
 	switch {
 	case q.outcome == outcomeSilent && q.patience > q.limit:
--- a/soaker/deadly.go
+++ b/soaker/deadly.go
@@ -68,10 +68,10 @@
 		if len(all) < deadlyEnds {
 			continue
 		}
-		slices.SortFunc(all, func(x, y emulator.OpaqueRun) int { return x.At.Compare(y.At) })
-		known := all[deadlyEnds-1].At.Add(stable)
+		slices.SortFunc(all, func(x, y emulator.OpaqueRun) int { return x.StartedAt.Compare(y.StartedAt) })
+		known := all[deadlyEnds-1].StartedAt.Add(stable)
 		late := slices.DeleteFunc(slices.Clone(all), func(r emulator.OpaqueRun) bool {
-			return !r.At.After(known) || !s.calm(r.At.Add(-stable), r.At, inTouch(s.requests[r.ID].router)...)
+			return !r.StartedAt.After(known) || !s.calm(r.StartedAt.Add(-stable), r.StartedAt, inTouch(s.requests[r.ID].router)...)
 		})
 		s.note("%s ended %d servers, sent %d times later", name, len(all), len(late))
 		if len(late) > deadlySends {
--- a/soaker/deployment.go
+++ b/soaker/deployment.go
@@ -87,8 +87,8 @@
 	if err != nil {
 		panic(err)
 	}
-	server.Stream(s.events, s.pause)
-	server.Echo(s.work)
+	server.SetStream(s.events, s.pause)
+	server.EnableEcho(s.work)
 	server.CrashOn(deadlyMark, s.crashedBy(slot))
 	s.servers[slot] = server
 	s.all = append(s.all, server)
--- a/soaker/faults.go
+++ b/soaker/faults.go
@@ -51,11 +51,11 @@
 	"store_cut":         {3, 6 * time.Second, linkFault(toStore, cut)},
 	"store_link_slow":   {3, 5 * time.Second, linkFault(toStore, slow)},
 	"store_link_reset":  {2, 0, linkFault(toStore, reset)},
-	"store_busy":        {2, 5 * time.Second, storeFault(emulator.RowFaults{Busy: true})},
-	"store_silent":      {2, 5 * time.Second, storeFault(emulator.RowFaults{Silent: true})},
-	"store_slow":        {2, 5 * time.Second, storeFault(emulator.RowFaults{Slow: 250 * time.Millisecond})},
-	"answers_lost":      {2, 3 * time.Second, storeFault(emulator.RowFaults{LoseAnswers: 20})},
-	"writes_late":       {2, 3 * time.Second, storeFault(emulator.RowFaults{LateWrites: 20, LateBy: 1500 * time.Millisecond})},
+	"store_busy":        {2, 5 * time.Second, storeFault(emulator.RowFaults{Unavailable: true})},
+	"store_silent":      {2, 5 * time.Second, storeFault(emulator.RowFaults{Unresponsive: true})},
+	"store_slow":        {2, 5 * time.Second, storeFault(emulator.RowFaults{Delay: 250 * time.Millisecond})},
+	"answers_lost":      {2, 3 * time.Second, storeFault(emulator.RowFaults{DropAnswers: 20})},
+	"writes_late":       {2, 3 * time.Second, storeFault(emulator.RowFaults{LateWrites: 20, LateWriteDelay: 1500 * time.Millisecond})},
 	"history_forgotten": {2, 0, func(s *run, _ event) { s.rows.Compact() }},
 	"server_drains":     {4, 0, (*run).drain},
 	"server_crashes":    {3, 0, (*run).crash},
@@ -175,12 +175,12 @@
 
 // failures are the ways in which a server fails.
 var failures = []emulator.OpaqueFault{
-	emulator.OpaqueReset, emulator.OpaqueFull, emulator.OpaqueCut, emulator.OpaqueOther, emulator.OpaqueError, emulator.OpaqueGood,
-	emulator.OpaqueHang, emulator.OpaqueForged, emulator.OpaqueForeign, emulator.OpaqueExtra,
+	emulator.OpaqueReset, emulator.OpaqueOverloaded, emulator.OpaqueTruncated, emulator.OpaqueWrongServer, emulator.OpaqueError, emulator.OpaqueNoFault,
+	emulator.OpaqueHang, emulator.OpaqueUnsigned, emulator.OpaqueWrongRequest, emulator.OpaqueStrayAnswer,
 }
 
 // failServer makes a server fail its next requests, each in another way.
 func (s *run) failServer(e event) {
 	server, _ := s.serverOf(e)
-	server.Fail(slices.Repeat(failures, 1+failuresMost/len(failures)+1)[e.target%len(failures):][:e.part(failuresMost-1)]...)
+	server.InjectFaults(slices.Repeat(failures, 1+failuresMost/len(failures)+1)[e.target%len(failures):][:e.part(failuresMost-1)]...)
 }
--- a/soaker/limits.go
+++ b/soaker/limits.go
@@ -26,11 +26,11 @@
 func (s *run) limitServer(e event) {
 	server, _ := s.serverOf(e)
 	rate := limitOfMost * e.size
-	server.Limit(strconv.FormatFloat(rate, 'f', 2, 64))
+	server.SetRateLimit(strconv.FormatFloat(rate, 'f', 2, 64))
 	from := time.Now()
 	s.note("%s names a limit of %.2f a second", server.ID, rate)
 	time.Sleep(limitedMost/2 + e.length)
-	server.Limit("")
+	server.SetRateLimit("")
 	s.note("%s names no limit any more", server.ID)
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -50,7 +50,7 @@
 		var sent []time.Time
 		for _, r := range s.ledger.Runs() {
 			if r.Server == l.server && s.bound(r, l) {
-				sent = append(sent, r.At)
+				sent = append(sent, r.StartedAt)
 			}
 		}
 		most, allowed := mostWithin(sent, limitWindow), int(limitOvershoot*l.rate*limitWindow.Seconds()+limitSlack)
@@ -64,12 +64,12 @@
 // bound tells that a run counts for a limit: its router had been told, and was not disturbed.
 func (s *run) bound(r emulator.OpaqueRun, l limitSpan) bool {
 	q := s.requests[r.ID]
-	if q == nil || r.At.Before(l.from.Add(stable)) || r.At.After(l.to) || !s.calm(r.At.Add(-limitWindow-stable), r.At, inTouch(q.router)...) {
+	if q == nil || r.StartedAt.Before(l.from.Add(stable)) || r.StartedAt.After(l.to) || !s.calm(r.StartedAt.Add(-limitWindow-stable), r.StartedAt, inTouch(q.router)...) {
 		return false
 	}
 	return slices.ContainsFunc(s.ledger.Runs(), func(o emulator.OpaqueRun) bool {
 		other := s.requests[o.ID]
-		return o.Server == l.server && other != nil && other.router == q.router && o.At.After(l.from) && o.At.Add(s.work+limitHeard).Before(r.At)
+		return o.Server == l.server && other != nil && other.router == q.router && o.StartedAt.After(l.from) && o.StartedAt.Add(s.work+limitHeard).Before(r.StartedAt)
 	})
 }
 
--- a/soaker/soak.go
+++ b/soaker/soak.go
@@ -49,9 +49,9 @@
 	Soak
 	random             *rand.Rand
 	log                io.Writer
-	rows               *emulator.Rows
+	rows               *emulator.RowStore
 	store              *http.Server
-	ledger             *emulator.OpaqueLedger
+	ledger             *emulator.OpaqueRunLog
 	processes          []*process
 	routers            map[string]int // the processes by the addresses that callers connect to
 	faults             sync.WaitGroup
@@ -87,9 +87,9 @@
 		return Report{}, err
 	}
 	defer log.Close()
-	random, rows := rand.New(rand.NewPCG(o.Seed, 0)), emulator.NewRows(time.Now)
+	random, rows := rand.New(rand.NewPCG(o.Seed, 0)), emulator.NewRowStore(time.Now)
 	s := &run{
-		Soak: o, random: random, log: log, rows: rows, store: &http.Server{Handler: rows.Handler()}, ledger: &emulator.OpaqueLedger{},
+		Soak: o, random: random, log: log, rows: rows, store: &http.Server{Handler: rows.Handler()}, ledger: &emulator.OpaqueRunLog{},
 		events: 2 + random.IntN(eventsMost-1), pause: below(random, pauseMost), work: below(random, workMost), grace: graceLeast + time.Duration(random.IntN(2))*graceMore,
 		servers: make([]*emulator.OpaqueServer, len(pools)), leftAt: map[string]time.Time{}, saidAt: map[string]time.Time{}, delivered: map[string]int64{},
 		prepaid: map[string]int64{"thin": 4_000, "middle": 40_000, "wide": 50_000_000}, requests: map[string]*request{}, routers: map[string]int{}, spans: map[string][]span{}, held: map[int][]heldUp{},
--- a/soaker/words.go
+++ b/soaker/words.go
@@ -18,7 +18,7 @@
 func (s *run) leaveByAnswers(e event) {
 	old, slot := s.serverOf(e)
 	s.startServer(slot)
-	old.Leave()
+	old.StartDraining()
 	s.note("%s says in its answers that it leaves", old.ID)
 	s.mu.Lock()
 	s.saidAt[old.ID] = time.Now()
@@ -33,8 +33,8 @@
 func (s *run) restServer(e event) {
 	server, _ := s.serverOf(e)
 	rest := strconv.FormatFloat(e.length.Seconds(), 'f', 2, 64)
-	server.Rest(rest)
-	server.Fail(slices.Repeat([]emulator.OpaqueFault{emulator.OpaqueFull}, turnedAway)...)
+	server.SetRetryAfter(rest)
+	server.InjectFaults(slices.Repeat([]emulator.OpaqueFault{emulator.OpaqueOverloaded}, turnedAway)...)
 	s.note("%s turns requests away and wants %s s of rest", server.ID, rest)
 }
 
@@ -48,19 +48,19 @@
 	arrivals := server.Arrivals()
 	for _, asked := range arrivals {
 		q := s.requests[asked.ID]
-		seconds, err := strconv.ParseFloat(asked.Rest, 64)
+		seconds, err := strconv.ParseFloat(asked.RetryAfter, 64)
 		if q == nil || err != nil {
 			continue
 		}
-		until := asked.At.Add(time.Duration(seconds * float64(time.Second)))
+		until := asked.ReceivedAt.Add(time.Duration(seconds * float64(time.Second)))
 		sent := 0
 		for _, a := range arrivals {
-			if other := s.requests[a.ID]; other != nil && other.router == q.router && a.At.After(asked.At.Add(restHeard)) && a.At.Before(until) {
+			if other := s.requests[a.ID]; other != nil && other.router == q.router && a.ReceivedAt.After(asked.ReceivedAt.Add(restHeard)) && a.ReceivedAt.Before(until) {
 				sent++
 			}
 		}
-		if sent > restSent && s.undisturbed(q.router, asked.At.Add(-stable), until) {
-			s.violate(promiseRested, "%s had asked router-%d for %.2f s of rest at %s and got %d requests from it", server.ID, q.router, seconds, asked.At.UTC().Format(clockFormat), sent)
+		if sent > restSent && s.undisturbed(q.router, asked.ReceivedAt.Add(-stable), until) {
+			s.violate(promiseRested, "%s had asked router-%d for %.2f s of rest at %s and got %d requests from it", server.ID, q.router, seconds, asked.ReceivedAt.UTC().Format(clockFormat), sent)
 		}
 	}
 }
@@ -68,17 +68,17 @@
 // judgeSaid checks that a run is none of a router to which the server had said that it leaves, in touch with its store or not.
 func (s *run) judgeSaid(r emulator.OpaqueRun, q *request) {
 	said, ok := s.saidAt[r.Server]
-	if !ok || r.At.Sub(said) <= drainBound+busySlack {
+	if !ok || r.StartedAt.Sub(said) <= drainBound+busySlack {
 		return
 	}
 	for _, o := range s.ledger.Runs() {
 		other := s.requests[o.ID]
-		if o.Server != r.Server || other == nil || other.router != q.router || other.signedBy != r.Server || o.At.Before(said) {
+		if o.Server != r.Server || other == nil || other.router != q.router || other.signedBy != r.Server || o.StartedAt.Before(said) {
 			continue
 		}
 		// It has passed the answer on by its end.
-		if q.sentAt.Sub(other.endedAt) > drainBound && s.undisturbed(q.router, other.endedAt.Add(-stable), r.At) {
-			s.violate(promiseDrained, "%s got a request %s after an answer had said that it leaves: %s", r.Server, r.At.Sub(other.endedAt).Round(time.Millisecond), q)
+		if q.sentAt.Sub(other.endedAt) > drainBound && s.undisturbed(q.router, other.endedAt.Add(-stable), r.StartedAt) {
+			s.violate(promiseDrained, "%s got a request %s after an answer had said that it leaves: %s", r.Server, r.StartedAt.Sub(other.endedAt).Round(time.Millisecond), q)
 			return
 		}
 	}
--- a/starter/configuration_test.go
+++ b/starter/configuration_test.go
@@ -45,20 +45,20 @@
 }
 
 // gatewayBehind starts a gateway whose connections to the store go through a link.
-func (p *testPlatform) gatewayBehind(link *emulator.Link, instance string) (*starter.GatewayDaemon, forwarder.Settings) {
+func (p *testPlatform) gatewayBehind(link *emulator.BandwidthProxy, instance string) (*starter.GatewayDaemon, forwarder.Settings) {
 	s := p.settings(instance)
 	var err error
-	s.StoreAddress, err = link.To(p.store)
+	s.StoreAddress, err = link.AddTarget(p.store)
 	qt.Assert(p.t, err, qt.IsNil)
 	return p.start(s), s
 }
 
 // peerBehind starts a gateway that other routers reach through a link. Its connections to the store are direct.
-func (p *testPlatform) peerBehind(link *emulator.Link, instance string) *starter.GatewayDaemon {
+func (p *testPlatform) peerBehind(link *emulator.BandwidthProxy, instance string) *starter.GatewayDaemon {
 	s := p.settings(instance)
 	l, err := starter.ListenGateway(s)
 	qt.Assert(p.t, err, qt.IsNil)
-	s.PeerAddress, err = link.To(s.PeerAddress)
+	s.PeerAddress, err = link.AddTarget(s.PeerAddress)
 	qt.Assert(p.t, err, qt.IsNil)
 	d, err := starter.NewPlatformGateway(s, l, p.log)
 	qt.Assert(p.t, err, qt.IsNil)
@@ -98,8 +98,8 @@
 // timePlainReading reads the configuration once over a separate slow link and sends the time that this took.
 func (p *testPlatform) timePlainReading() <-chan time.Duration {
 	took := make(chan time.Duration, 1)
-	link := emulator.NewLink(slowLink)
-	address, err := link.To(p.store)
+	link := emulator.NewBandwidthProxy(slowLink)
+	address, err := link.AddTarget(p.store)
 	qt.Assert(p.t, err, qt.IsNil)
 	go func() {
 		defer link.Close()
@@ -137,7 +137,7 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			p := newTestPlatform(t, 100000)
-			link := emulator.NewLink(slowLink)
+			link := emulator.NewBandwidthProxy(slowLink)
 			t.Cleanup(link.Close)
 			p.configureRoutes(2, tc.before)
 			if tc.peer {
@@ -156,9 +156,9 @@
 			}
 			// While nothing changes, the link must be free for callers.
 			const idle = 4 * time.Second
-			before := link.Carried()
+			before := link.ReceivedBytes()
 			time.Sleep(idle)
-			carried := link.Carried() - before
+			carried := link.ReceivedBytes() - before
 			qt.Check(t, carried < slowLink*int64(idle/time.Second)/10, qt.IsTrue, qt.Commentf("%d bytes in %v without a change:\n%s", carried, idle, p.log))
 		})
 	}
@@ -174,7 +174,7 @@
 		gap     = 150 * time.Millisecond
 	)
 	p := newTestPlatform(t, 100000)
-	link := emulator.NewLink(slowLink)
+	link := emulator.NewBandwidthProxy(slowLink)
 	t.Cleanup(link.Close)
 	p.configureRoutes(2, largeRouteCount)
 	d, s := p.gatewayBehind(link, "edge-1")
--- a/starter/crashing_test.go
+++ b/starter/crashing_test.go
@@ -81,7 +81,7 @@
 		return
 	}
 	c.t.Cleanup(s.Close)
-	s.Stream(40, 10*time.Millisecond)
+	s.SetStream(40, 10*time.Millisecond)
 	s.CrashOn(crashBody, c.onCrash)
 	s.Register(c.rows, "llm", "z", false)
 	c.servers = append(c.servers, s)
@@ -92,7 +92,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, s := range c.servers {
-		s.Fail(faults...)
+		s.InjectFaults(faults...)
 	}
 }
 
@@ -133,7 +133,7 @@
 func (c *crashPlatform) crashingRuns(after time.Time) int {
 	n := 0
 	for _, run := range c.ledger.Runs() {
-		if strings.Contains(run.Body, crashBody) && run.At.After(after) {
+		if strings.Contains(run.Body, crashBody) && run.StartedAt.After(after) {
 			n++
 		}
 	}
@@ -298,7 +298,7 @@
 	first, second := c.gateway("edge-1"), c.gateway("edge-2")
 	// By then each router counts the other as a member.
 	time.Sleep(3500 * time.Millisecond)
-	c.rows.SetFaults(emulator.RowFaults{Silent: true})
+	c.rows.SetFaults(emulator.RowFaults{Unresponsive: true})
 	qt.Assert(t, c.waitForRefusal(first, "/look/x", 4*time.Second), qt.IsTrue, qt.Commentf("%s", c.log))
 	qt.Assert(t, len(c.crashes()) <= maxCrashes+maxLaterSends, qt.IsTrue, qt.Commentf("%d servers crashed", len(c.crashes())))
 	time.Sleep(maxPropagation / 2)
@@ -325,7 +325,7 @@
 	d := c.gateway("edge-1")
 	defer d.Kill()
 	for i := range 12 {
-		c.failAll(emulator.OpaqueReset, emulator.OpaqueCut)
+		c.failAll(emulator.OpaqueReset, emulator.OpaqueTruncated)
 		c.send(d, fmt.Sprintf("%016x", i+1), "/look/x", "", "body")
 	}
 	c.failAll()
@@ -341,7 +341,7 @@
 	c := newCrashPlatform(t, 1)
 	d := c.gateway("edge-1")
 	defer d.Kill()
-	c.failAll(emulator.OpaqueForged)
+	c.failAll(emulator.OpaqueUnsigned)
 	first := c.send(d, "0000000000000001", "/look/x", "", "body")
 	qt.Assert(t, first.status, qt.Equals, 502, qt.Commentf("%s", first.body))
 	c.servers[0].Close()
--- a/starter/evacuation_test.go
+++ b/starter/evacuation_test.go
@@ -123,7 +123,7 @@
 // TestEvacuationKeepsRunningStreams evacuates a zone while a stream runs there. The stream must run to its end.
 func TestEvacuationKeepsRunningStreams(t *testing.T) {
 	p := newTestPlatform(t, 100000)
-	p.engine.Stream(20, 50*time.Millisecond)
+	p.engine.SetStream(20, 50*time.Millisecond)
 	p.addServer("i-far", "llm", "y")
 	p.rows.Put(evacuationKey("y"), []byte("{}"))
 	d := p.gateway("edge-1")
--- a/starter/failure_test.go
+++ b/starter/failure_test.go
@@ -100,7 +100,7 @@
 			}, allowsPresumed: true,
 		},
 		"link is interrupted briefly": {injectFault: func(b *testbed, s *starter.FleetSidecar) {
-			b.Network.Cut(b.Routers()[0].Name, s.Name)
+			b.Network.Partition(b.Routers()[0].Name, s.Name)
 			time.Sleep(300 * time.Millisecond)
 			b.Network.Heal(b.Routers()[0].Name, s.Name)
 		}},
@@ -135,7 +135,7 @@
 	content := strings.Repeat("measurement ", 40) + "[tokens=30]"
 	for _, s := range b.Sidecars() {
 		if s.Engine != nil {
-			s.Engine.SetFaults(emulator.EngineFaults{BreakAfterCount: 2})
+			s.Engine.SetFaults(emulator.EngineFaults{BreakBeforeFirstToken: 2})
 		}
 	}
 	body := fmt.Sprintf(`{"model":"m","max_tokens":32,"messages":[{"role":"user","content":%q}]}`, content)
@@ -146,7 +146,7 @@
 	// The journal has the bills of the lost prompts as superseded, so that the request is charged once.
 	superseded := b.supersededCost()
 	qt.Assert(t, superseded > 0, qt.IsTrue)
-	qt.Assert(t, row.Settled+row.GivenBack-superseded, qt.Equals, answerCost(content))
+	qt.Assert(t, row.Settled+row.Refunded-superseded, qt.Equals, answerCost(content))
 }
 
 // supersededCost returns the total of the superseded bills in the journal: those for work whose result no caller got.
@@ -155,7 +155,7 @@
 	qt.Assert(b.t, err, qt.IsNil)
 	var sum masticway.Amount
 	for _, n := range names {
-		batch, err := batcher.Read[biller.Bill](context.Background(), b.Platform.Objects, n)
+		batch, err := batcher.ReadBatch[biller.Bill](context.Background(), b.Platform.Objects, n)
 		qt.Assert(b.t, err, qt.IsNil)
 		for _, bill := range batch {
 			if bill.Kind == biller.KindSuperseded {
@@ -216,7 +216,7 @@
 	qt.Assert(t, warm.done, qt.IsTrue, qt.Commentf("%d %s", warm.status, warm.body))
 	paused := b.Routers()[0]
 	before := paused.Daemon.Incarnation()
-	b.Network.Cut(paused.Name, "*")
+	b.Network.Partition(paused.Name, "*")
 	book := bookkeeper.New(b.Platform.Table)
 	b.eventually("the others have fenced it", func() bool {
 		links, version, err := book.Links(context.Background(), before)
@@ -262,7 +262,7 @@
 		}
 	}
 	// The network holds back everything sent to the sidecar and delivers it later, after the caller has got its reply.
-	b.Network.Cut(b.Routers()[0].Name, service.Name)
+	b.Network.Partition(b.Routers()[0].Name, service.Name)
 	r := b.call(0, "POST", "/v1/services/stock/reservations", "bolt", "cloth")
 	qt.Assert(t, r.fate, qt.Equals, masticway.FateUnknown, qt.Commentf("%s", r.body))
 	b.Network.Heal(b.Routers()[0].Name, service.Name)
@@ -362,10 +362,10 @@
 	}
 	west := b.Routers()[1]
 	for _, other := range []string{b.Routers()[0].Name, starter.PlatformProcess} {
-		b.Network.Cut(west.Name, other)
+		b.Network.Partition(west.Name, other)
 		for _, s := range b.Sidecars() {
 			if s.Region == "west" {
-				b.Network.Cut(s.Name, other)
+				b.Network.Partition(s.Name, other)
 			}
 		}
 	}
@@ -436,8 +436,8 @@
 	t.Parallel()
 	b := newTestbed(t)
 	stale := b.Routers()[1]
-	b.Network.Cut(stale.Name, starter.PlatformProcess)
-	b.Network.Cut(stale.Name, b.Routers()[0].Name)
+	b.Network.Partition(stale.Name, starter.PlatformProcess)
+	b.Network.Partition(stale.Name, b.Routers()[0].Name)
 	store := configurer.NewStore(b.Platform.Table)
 	c, _, err := store.Contract(context.Background(), "w")
 	qt.Assert(t, err, qt.IsNil)
@@ -457,11 +457,11 @@
 	})
 	b.assertServed(1, "x [tokens=2]")
 	alone := b.Routers()[1]
-	b.Network.Cut(alone.Name, starter.PlatformProcess)
+	b.Network.Partition(alone.Name, starter.PlatformProcess)
 	// Its peer still reads the table and reports that.
 	time.Sleep(time.Second)
 	b.assertServed(1, "x [tokens=2]")
-	b.Network.Cut(alone.Name, b.Routers()[0].Name)
+	b.Network.Partition(alone.Name, b.Routers()[0].Name)
 	b.eventually("it refuses as not run", func() bool {
 		r := b.chat(1, "", "x [tokens=2]", false)
 		return r.status == 503 && r.fate == masticway.FateNotRun
@@ -493,9 +493,9 @@
 			qt.Assert(t, status, qt.Equals, 200, qt.Commentf("%s", body))
 			qt.Assert(t, s.Engine.Counts().Orders, qt.Equals, orders+1)
 			book := bookkeeper.New(b.Platform.Table)
-			_, err := book.NextFence(context.Background(), s.Name, "newer", masticway.Order{Action: "load_version"})
+			_, err := book.AssignFence(context.Background(), s.Name, "newer", masticway.Order{Action: "load_version"})
 			qt.Assert(t, err, qt.IsNil)
-			_, err = book.NextFence(context.Background(), s.Name, "newest", masticway.Order{Action: "load_version"})
+			_, err = book.AssignFence(context.Background(), s.Name, "newest", masticway.Order{Action: "load_version"})
 			qt.Assert(t, err, qt.IsNil)
 			qt.Assert(t, s.Engine.Counts().Orders, qt.Equals, orders+1)
 		})
--- a/starter/fleet.go
+++ b/starter/fleet.go
@@ -171,7 +171,7 @@
 	if err != nil {
 		return nil, err
 	}
-	f.Network.Place(l.Addr().String(), process)
+	f.Network.RegisterAddress(l.Addr().String(), process)
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.zones[process] = zone
@@ -343,7 +343,7 @@
 // AwaitReady waits until all routers are ready and each can use all upstreams of its region.
 func (f *Fleet) AwaitReady(ctx context.Context) error {
 	for _, r := range f.Routers() {
-		for !r.Daemon.Ready() || !r.Daemon.current.Load().router.Linked(f.sidecarCount(r.Region)) {
+		for !r.Daemon.IsReady() || !r.Daemon.current.Load().router.HasUpstreams(f.sidecarCount(r.Region)) {
 			select {
 			case <-ctx.Done():
 				return &NotReadyError{Router: r.Name}
--- a/starter/fleet_test.go
+++ b/starter/fleet_test.go
@@ -419,9 +419,9 @@
 		runs    int64
 	}{
 		"table down, so no claim":      {table: emulator.TableFaults{Down: true}, run: masticway.FateNotRun},
-		"claim's answer lost":          {table: emulator.TableFaults{LoseAnswers: 1}, runs: 1},
-		"several answers lost":         {table: emulator.TableFaults{LoseAnswers: 4}, runs: 1},
-		"table slow":                   {table: emulator.TableFaults{Slow: 100}, runs: 1},
+		"claim's answer lost":          {table: emulator.TableFaults{DropAnswers: 1}, runs: 1},
+		"several answers lost":         {table: emulator.TableFaults{DropAnswers: 4}, runs: 1},
+		"table slow":                   {table: emulator.TableFaults{DelayMillis: 100}, runs: 1},
 		"service ran, answer was lost": {service: emulator.ServiceFaults{DropAnswers: 9}, run: masticway.FateUnknown, runs: 1},
 	}
 	for name, tc := range cases {
--- a/starter/gateway.go
+++ b/starter/gateway.go
@@ -133,32 +133,32 @@
 		Address: s.PeerAddress, Parts: s.Money.Parts, Reserve: s.Money.Reserve.Std(), BurstShare: s.Policy.BurstShare,
 		Zone: s.Zone, Holders: s.Policy.Holders, Processors: s.Processors,
 	})
-	d.store.Ask(d.peers)
-	d.store.WhenBack(d.treasurer.StoreIsBack)
-	d.examiner = examiner.New(examiner.Parts{
+	d.store.SetPeers(d.peers)
+	d.store.OnRestored(d.treasurer.NotifyStoreRecovered)
+	d.examiner = examiner.New(examiner.Dependencies{
 		Store: d.store, Messages: peerClient, Peers: d.peers, Members: d.treasurer, Clock: clock, Log: entry, Metrics: metrics, Self: d.treasurer.Self(),
 	})
-	d.sharedStore = sharer.New(sharer.Parts{
+	d.sharedStore = sharer.New(sharer.Dependencies{
 		Store: d.store, Readers: sharer.NewClient(peerClient), Clock: clock, Log: entry, Metrics: metrics,
-		Choose: func() ([]string, bool) { return d.treasurer.Readers(decoder.ServerTable(), maxReadersPerZone) },
-	}, sharer.Table{Name: decoder.ServerTable(), Substance: serverContent(decoder)})
+		Choose: func() ([]string, bool) { return d.treasurer.ZoneReaders(decoder.ServerTable(), maxReadersPerZone) },
+	}, sharer.Table{Name: decoder.ServerTable(), Projection: serverContent(decoder)})
 	d.follower = follower.New(d.sharedStore, slowLinkStore, decoder, clock, entry, metrics, d.applySnapshot)
-	d.follower.Also(follower.Table{
-		Name: examiner.Table, Part: examiner.Part, Wait: suspectsMaxWait, Relist: suspectsRelistInterval, Take: d.examiner.Take,
+	d.follower.AddTable(follower.Table{
+		Name: examiner.Table, Part: examiner.Part, MaxWait: suspectsMaxWait, RelistInterval: suspectsRelistInterval, Apply: d.examiner.ApplyReading,
 	})
 	d.pausable = newPausableListener(l.Caller, log)
-	d.rotator = rotator.New(rotator.Settings{Instance: s.Instance, Zone: s.Zone, Memory: s.MemoryMB << 20}, rotator.Parts{
-		Listener: d.pausable, Voters: rotator.NewClient(messenger.NewPatientClient()), Clock: clock, Log: entry, Metrics: metrics, Neighbours: d.zonePeers,
+	d.rotator = rotator.New(rotator.Settings{Instance: s.Instance, Zone: s.Zone, Memory: s.MemoryMB << 20}, rotator.Dependencies{
+		Listener: d.pausable, Voters: rotator.NewClient(messenger.NewSlowLinkClient()), Clock: clock, Log: entry, Metrics: metrics, Neighbours: d.zonePeers,
 	})
-	d.store.Measure(func(took time.Duration, answered bool) { d.rotator.Note(rotator.KindStore, took, answered) })
-	peerClient.Measure(func(took time.Duration, answered bool) { d.rotator.Note(rotator.KindRouter, took, answered) })
-	d.throttler = throttler.New(throttler.Parts{
+	d.store.OnDirectCall(func(took time.Duration, answered bool) { d.rotator.RecordCall(rotator.KindStore, took, answered) })
+	peerClient.ObserveCalls(func(took time.Duration, answered bool) { d.rotator.RecordCall(rotator.KindRouter, took, answered) })
+	d.throttler = throttler.New(throttler.Dependencies{
 		Routers: throttler.NewClient(peerClient), Members: d.treasurer, Peers: d.peers, Clock: clock, Log: entry, Metrics: metrics, Address: s.PeerAddress,
 	})
 	dialer := &net.Dialer{KeepAlive: -1}
-	d.forwarder = forwarder.New(s, forwarder.Parts{
-		Clock: clock, Log: entry, Metrics: metrics, Dialect: codec, Bank: d.treasurer, Beliefs: d.follower.Beliefs, Examiner: d.examiner,
-		Rotation: d.rotator, Throttler: d.throttler, Leaves: d.follower.Leaves, Dial: d.rotator.Dial(dialer.DialContext),
+	d.forwarder = forwarder.New(s, forwarder.Dependencies{
+		Clock: clock, Log: entry, Metrics: metrics, Codec: codec, Budgets: d.treasurer, Snapshot: d.follower.Snapshot, Examiner: d.examiner,
+		Rotation: d.rotator, Throttler: d.throttler, OnLeaving: d.follower.MarkDraining, Dial: d.rotator.MeasureDial(dialer.DialContext),
 	})
 	d.callerListener = newCallerListener(d.pausable)
 	d.callerServer = &http.Server{
@@ -179,13 +179,13 @@
 
 // NewPlatformGateway returns a gateway for the users' platform that serves on sockets which are open already.
 func NewPlatformGateway(s forwarder.Settings, l GatewayListeners, out io.Writer) (*GatewayDaemon, error) {
-	return NewGateway(s, l, platform.NewStore(s.StoreAddress, storeTimeout), platform.NewStore(s.StoreAddress, slowLinkTimeout), platform.Decoder{}, platform.Dialect{}, masticway.SystemClock{}, out)
+	return NewGateway(s, l, platform.NewStore(s.StoreAddress, storeTimeout), platform.NewStore(s.StoreAddress, slowLinkTimeout), platform.Decoder{}, platform.HeaderCodec{}, masticway.SystemClock{}, out)
 }
 
 // serverContent returns a function that decodes a server's row to a value for comparison. A row that is only written again
 // compares equal to the one before, so that it isn't passed on to other routers. The value of a row that can't be decoded is its
 // text.
-func serverContent(decoder masticway.DeploymentDecoder) sharer.Substance {
+func serverContent(decoder masticway.DeploymentDecoder) sharer.Projection {
 	return func(key string, value []byte) any {
 		s, err := decoder.Server(key, value)
 		if err != nil {
@@ -196,10 +196,10 @@
 }
 
 // applySnapshot passes a new snapshot of the configuration and the servers on to the parts of the gateway.
-func (d *GatewayDaemon) applySnapshot(s follower.Beliefs) {
+func (d *GatewayDaemon) applySnapshot(s follower.Snapshot) {
 	d.treasurer.Configure(s.Deployment)
-	d.throttler.Keep(s.Lives())
-	d.forwarder.Changed(s)
+	d.throttler.Prune(s.Incarnations())
+	d.forwarder.Update(s)
 }
 
 // Start starts the gateway's background work and its servers and returns.
@@ -247,7 +247,7 @@
 
 // peers returns the addresses of the other routers: those of the current members, or the configured seeds until there are any.
 func (d *GatewayDaemon) peers() []string {
-	known := d.treasurer.Peers()
+	known := d.treasurer.PeerAddresses()
 	if len(known) > 0 {
 		return known
 	}
@@ -257,7 +257,7 @@
 // zonePeers returns the other routers of this router's availability zone.
 func (d *GatewayDaemon) zonePeers() []rotator.Neighbour {
 	var all []rotator.Neighbour
-	for _, p := range d.treasurer.Neighbours() {
+	for _, p := range d.treasurer.ZonePeers() {
 		all = append(all, rotator.Neighbour{Instance: p.Incarnation.Instance(), Address: p.Address})
 	}
 	return all
@@ -308,7 +308,7 @@
 	d.log.WithFields(logrus.Fields{"event": "stopping", "open": d.callerListener.OpenRequests(), "grace": grace}).Info("gateway stopping")
 	d.wait(began.Add(minUnreadyTime), began.Add(minUnreadyTime), d.isIdle)
 	// Later requests on connections that are idle now would be cut off by the shutdown. Their callers connect to another router.
-	d.forwarder.Refuse()
+	d.forwarder.StopForwarding()
 	d.callerListener.closeIdle()
 	d.wait(began, began.Add(grace-closeBudgetsBefore), d.isIdle)
 	ctx, cancel := context.WithTimeout(context.Background(), closeBudgetsBefore-exitBefore)
--- a/starter/gateway_test.go
+++ b/starter/gateway_test.go
@@ -46,15 +46,15 @@
 // testPlatform is an emulation of the users' platform on loopback: the row store over HTTP, one engine and one plain server.
 type testPlatform struct {
 	t      *testing.T
-	rows   *emulator.Rows
+	rows   *emulator.RowStore
 	store  string
-	ledger *emulator.OpaqueLedger
+	ledger *emulator.OpaqueRunLog
 	engine *emulator.OpaqueServer
 	log    *lockedBuffer
 }
 
 func newTestPlatform(t *testing.T, prepaid int64) *testPlatform {
-	p := &testPlatform{t: t, rows: emulator.NewRows(time.Now), ledger: &emulator.OpaqueLedger{}, log: &lockedBuffer{}}
+	p := &testPlatform{t: t, rows: emulator.NewRowStore(time.Now), ledger: &emulator.OpaqueRunLog{}, log: &lockedBuffer{}}
 	store := httptest.NewServer(p.rows.Handler())
 	t.Cleanup(store.Close)
 	p.store = strings.TrimPrefix(store.URL, "http://")
@@ -253,7 +253,7 @@
 	time.Sleep(3500 * time.Millisecond)
 	status, _ := p.ask(first, "b", "/draft/x", "100,40")
 	qt.Assert(t, status, qt.Equals, 200)
-	p.rows.SetFaults(emulator.RowFaults{Busy: true})
+	p.rows.SetFaults(emulator.RowFaults{Unavailable: true})
 	// No money is promised in advance here, so gateways may lend once the store hasn't answered for 3 s.
 	time.Sleep(3100 * time.Millisecond)
 	served := 0
--- a/starter/leaving_test.go
+++ b/starter/leaving_test.go
@@ -48,7 +48,7 @@
 // arrivalsAfter returns the number of requests that a server received after a time.
 func arrivalsAfter(s *emulator.OpaqueServer, at time.Time) (n int) {
 	for _, arrived := range s.Arrivals() {
-		if arrived.At.After(at) {
+		if arrived.ReceivedAt.After(at) {
 			n++
 		}
 	}
@@ -63,7 +63,7 @@
 		storeDown bool
 	}{
 		"success, the store is down":   {storeDown: true},
-		"rejection, the store is down": {storeDown: true, fault: emulator.OpaqueFull},
+		"rejection, the store is down": {storeDown: true, fault: emulator.OpaqueOverloaded},
 		"failure, the store is down":   {storeDown: true, fault: emulator.OpaqueError},
 		"the row is not updated yet":   {},
 	}
@@ -72,10 +72,10 @@
 			t.Parallel()
 			p, other, all := twoEngines(t, 2)
 			if tc.storeDown {
-				p.rows.SetFaults(emulator.RowFaults{Silent: true})
+				p.rows.SetFaults(emulator.RowFaults{Unresponsive: true})
 			}
-			p.engine.Leave()
-			p.engine.Fail(tc.fault, tc.fault)
+			p.engine.StartDraining()
+			p.engine.InjectFaults(tc.fault, tc.fault)
 			began := time.Now()
 			for _, d := range all {
 				p.askSteadily(d, "/essay/x", "10,10", 20*time.Millisecond, time.Now().Add(time.Second))
@@ -108,7 +108,7 @@
 		return len(p.engine.Arrivals()) > before
 	}
 	register("1000")
-	p.engine.Leave()
+	p.engine.StartDraining()
 	qt.Assert(t, serves(), qt.IsTrue, qt.Commentf("the server got no request, so it announced nothing"))
 	qt.Check(t, serves(), qt.IsFalse)
 	register("1000")
@@ -117,7 +117,7 @@
 	time.Sleep(time.Second)
 	register("1000")
 	qt.Check(t, serves(), qt.IsFalse, qt.Commentf("its row had lapsed"))
-	p.engine.Stay()
+	p.engine.StopDraining()
 	register("2000")
 	qt.Check(t, serves(), qt.IsTrue, qt.Commentf("it has restarted"))
 }
@@ -128,8 +128,8 @@
 	limited, other := p.gateway("edge-1"), p.gateway("edge-2")
 	t.Cleanup(limited.Kill)
 	t.Cleanup(other.Kill)
-	p.engine.Rest("10")
-	p.engine.Fail(emulator.OpaqueFull)
+	p.engine.SetRetryAfter("10")
+	p.engine.InjectFaults(emulator.OpaqueOverloaded)
 	for range 5 {
 		p.send(limited, "told", "/essay/x", "10,10", "body")
 	}
--- a/starter/limits_test.go
+++ b/starter/limits_test.go
@@ -31,12 +31,12 @@
 // maxInWindow returns the largest number of arrivals in any window that begins with an arrival at since or later.
 func maxInWindow(arrivals []emulator.OpaqueArrival, since time.Time) (maxCount int) {
 	for i, first := range arrivals {
-		if first.At.Before(since) {
+		if first.ReceivedAt.Before(since) {
 			continue
 		}
 		n := 0
 		for _, a := range arrivals[i:] {
-			if a.At.Sub(first.At) < limitWindow {
+			if a.ReceivedAt.Sub(first.ReceivedAt) < limitWindow {
 				n++
 			}
 		}
@@ -85,7 +85,7 @@
 			}
 			// By then each router counts the others as members.
 			time.Sleep(4 * time.Second)
-			p.engine.Limit(tc.limit)
+			p.engine.SetRateLimit(tc.limit)
 			limitSetAt := time.Now()
 			until := limitSetAt.Add(10 * time.Second)
 			var wg sync.WaitGroup
@@ -99,7 +99,7 @@
 			qt.Check(t, maxCount <= limitAllowed(tc.rate), qt.IsTrue, qt.Commentf("%d requests in %v, only %d are allowed", maxCount, limitWindow, limitAllowed(tc.rate)))
 			got := 0
 			for _, a := range arrivals {
-				if a.At.After(limitSetAt.Add(limitPropagation)) {
+				if a.ReceivedAt.After(limitSetAt.Add(limitPropagation)) {
 					got++
 				}
 			}
@@ -111,7 +111,7 @@
 					qt.Check(t, a.status == 200 || a.took < 500*time.Millisecond, qt.IsTrue, qt.Commentf("refused after %v", a.took))
 				}
 			}
-			p.engine.Limit("")
+			p.engine.SetRateLimit("")
 			time.Sleep(5 * time.Second)
 			for i, d := range all {
 				for range 3 {
--- a/starter/meeting_test.go
+++ b/starter/meeting_test.go
@@ -37,20 +37,20 @@
 			})
 			// The fleet numbers its processes, so the name of the next one is known.
 			second := fmt.Sprintf("router-local-%d", len(b.Sidecars())+len(b.Routers())+1)
-			b.Network.Cut(b.Routers()[0].Name, second)
+			b.Network.Partition(b.Routers()[0].Name, second)
 			r, err := b.AddRouter("local", "b")
 			qt.Assert(t, err, qt.IsNil)
 			qt.Assert(t, r.Name, qt.Equals, second)
 			if tc.isReachable {
 				book := bookkeeper.New(b.Platform.Table)
 				b.eventually("it has its configuration", func() bool {
-					row, err := book.Daemon(context.Background(), r.Daemon.Incarnation())
-					return err == nil && row.Applied > 0
+					row, err := book.Lease(context.Background(), r.Daemon.Incarnation())
+					return err == nil && row.AppliedRevision > 0
 				})
-				qt.Assert(t, r.Daemon.Ready(), qt.IsFalse)
+				qt.Assert(t, r.Daemon.IsReady(), qt.IsFalse)
 				b.Network.Heal(b.Routers()[0].Name, second)
 			}
-			b.eventually("it serves", r.Daemon.Ready)
+			b.eventually("it serves", r.Daemon.IsReady)
 			if !tc.isReachable {
 				return
 			}
--- a/starter/resumption_test.go
+++ b/starter/resumption_test.go
@@ -44,7 +44,7 @@
 	)
 	// Enough for the maximum in flight and the maximum of the rest of each answer, but not for the prompts a second time.
 	p := newTestPlatform(t, callers*(promptTokens+2*maxCompletion))
-	p.engine.Stream(eventsEach, 40*time.Millisecond)
+	p.engine.SetStream(eventsEach, 40*time.Millisecond)
 	settings := p.settings("edge-1")
 	first := p.start(settings)
 	midway, ended := make(chan bool, callers), make(chan string, callers)
--- a/starter/router.go
+++ b/starter/router.go
@@ -111,8 +111,8 @@
 	}
 }
 
-// Ready reports whether requests are served.
-func (d *RouterDaemon) Ready() bool { return d.current.Load().router.Ready() }
+// IsReady reports whether requests are served.
+func (d *RouterDaemon) IsReady() bool { return d.current.Load().router.Ready() }
 
 // Incarnation returns the incarnation that serves now.
 func (d *RouterDaemon) Incarnation() masticway.Incarnation { return d.current.Load().router.Self() }
@@ -164,6 +164,6 @@
 
 // NewRouterPlatform returns a client of the platform for a router.
 func NewRouterPlatform(s router.Settings, dial Dial) router.Platform {
-	p := connector.NewPlatform(s.PlatformURL, connector.NewHTTP(connector.DialFunc(dial)), s.PlatformTimeout.Std())
+	p := connector.NewPlatform(s.PlatformURL, connector.NewHTTPClient(connector.DialFunc(dial)), s.PlatformTimeout.Std())
 	return router.Platform{Table: p, Objects: p.Objects(), Instances: p}
 }
--- a/starter/shutdown_test.go
+++ b/starter/shutdown_test.go
@@ -198,7 +198,7 @@
 	stall.Listener = l.Caller
 	l.Caller = stall
 	store := platform.NewStore(p.store, time.Second)
-	d, err := starter.NewGateway(s, l, store, store, platform.Decoder{}, platform.Dialect{}, masticway.SystemClock{}, p.log)
+	d, err := starter.NewGateway(s, l, store, store, platform.Decoder{}, platform.HeaderCodec{}, masticway.SystemClock{}, p.log)
 	qt.Assert(p.t, err, qt.IsNil)
 	qt.Assert(p.t, d.Start(), qt.IsNil)
 	p.waitReady(s)
--- a/starter/sidecar.go
+++ b/starter/sidecar.go
@@ -83,7 +83,7 @@
 
 // NewSidecarTable returns a client of the platform's table for a sidecar.
 func NewSidecarTable(s sidecar.Settings, dial Dial) masticway.Table {
-	return connector.NewPlatform(s.PlatformURL, connector.NewHTTP(connector.DialFunc(dial)), s.PlatformTimeout.Std())
+	return connector.NewPlatform(s.PlatformURL, connector.NewHTTPClient(connector.DialFunc(dial)), s.PlatformTimeout.Std())
 }
 
 // NewSidecarUpstream returns a client of the sidecar's upstream.
--- a/throttler/tell.go
+++ b/throttler/tell.go
@@ -82,7 +82,7 @@
 	t.pendingNotify = map[masticway.ServerIncarnation]bool{}
 	t.mu.Unlock()
 	for server := range pending {
-		targets := t.Members.Ranked(string(server), maxOwners)
+		targets := t.Members.RankedAddresses(string(server), maxOwners)
 		if t.isOwner(server) {
 			targets = t.Peers()
 		}
--- a/throttler/throttler.go
+++ b/throttler/throttler.go
@@ -46,12 +46,12 @@
 type Members interface {
 	// Members returns the number of known routers, or zero if it is unknown.
 	Members() int
-	// Ranked returns the addresses of the first max routers by their rank for a key. This router may be among them.
-	Ranked(key string, max int) []string
+	// RankedAddresses returns the addresses of the first max routers by their rank for a key. This router may be among them.
+	RankedAddresses(key string, max int) []string
 }
 
-// Parts holds the dependencies of a throttler.
-type Parts struct {
+// Dependencies holds the dependencies of a throttler.
+type Dependencies struct {
 	Routers Routers
 	Members Members
 	// Peers returns the addresses of the other routers. It includes some routers that are not yet counted as members.
@@ -65,7 +65,7 @@
 
 // Throttler applies the decisions of Limits and Backoffs, and exchanges permits and observations with other routers.
 type Throttler struct {
-	Parts
+	Dependencies
 	startedAt time.Time
 	// constrained is the number of servers that have a limit or have asked for backoff. It is read by every request.
 	constrained atomic.Int64
@@ -83,9 +83,9 @@
 var _ masticway.Throttler = (*Throttler)(nil)
 
 // New returns a throttler without any limit.
-func New(p Parts) *Throttler {
+func New(p Dependencies) *Throttler {
 	return &Throttler{
-		Parts: p, startedAt: p.Clock.Now(), wake: make(chan struct{}, 1), limits: NewLimits(), backoffs: NewBackoffs(), unresponsiveUntil: map[string]time.Time{},
+		Dependencies: p, startedAt: p.Clock.Now(), wake: make(chan struct{}, 1), limits: NewLimits(), backoffs: NewBackoffs(), unresponsiveUntil: map[string]time.Time{},
 		pendingNotify: map[masticway.ServerIncarnation]bool{},
 	}
 }
@@ -152,7 +152,7 @@
 
 // isOwner reports whether this router owns a server's limit.
 func (t *Throttler) isOwner(server masticway.ServerIncarnation) bool {
-	ranked := t.Members.Ranked(string(server), 1)
+	ranked := t.Members.RankedAddresses(string(server), 1)
 	return len(ranked) > 0 && ranked[0] == t.Address
 }
 
@@ -247,7 +247,7 @@
 // askOwners sends a permit request to the owner and the backup in turn. It returns the first reply and the address that it came
 // from, or nil if there is none.
 func (t *Throttler) askOwners(ctx context.Context, req PermitRequest) (*PermitReply, string) {
-	for _, address := range t.Members.Ranked(string(req.Server), maxOwners) {
+	for _, address := range t.Members.RankedAddresses(string(req.Server), maxOwners) {
 		reply, err := t.askRouter(ctx, address, askTimeout, req)
 		if err == nil && !reply.NotOwner {
 			return &reply, address
@@ -305,7 +305,7 @@
 	if req.Wanted <= 0 {
 		return PermitReply{Observed: t.observation(req.Server)}
 	}
-	ranked := t.Members.Ranked(string(req.Server), maxOwners)
+	ranked := t.Members.RankedAddresses(string(req.Server), maxOwners)
 	owner := len(ranked) > 0 && ranked[0] == t.Address
 	backup := len(ranked) > 1 && ranked[1] == t.Address
 	switch {
@@ -378,8 +378,8 @@
 	return t.limits.RetryAfter(now, server, t.Members.Members())
 }
 
-// Keep removes expired entries, and the limits of servers that are not in the given set.
-func (t *Throttler) Keep(known map[masticway.ServerIncarnation]bool) {
+// Prune removes expired entries, and the limits of servers that are not in the given set.
+func (t *Throttler) Prune(known map[masticway.ServerIncarnation]bool) {
 	if t.constrained.Load() == 0 {
 		return
 	}
--- a/throttler/world_test.go
+++ b/throttler/world_test.go
@@ -93,7 +93,7 @@
 	return nil, false
 }
 
-func (n *simRouter) Ranked(key string, max int) []string {
+func (n *simRouter) RankedAddresses(key string, max int) []string {
 	if !slices.Equal(n.members, n.rankedMembers) {
 		n.rankedMembers, n.ranked = n.members, nil
 		ranked := slices.Clone(n.members)
@@ -136,7 +136,7 @@
 func (w *world) addRouter() *simRouter {
 	n := &simRouter{w: w, address: fmt.Sprintf("router-%d", len(w.routers))}
 	log, _ := test.NewNullLogger()
-	n.throttle = throttler.New(throttler.Parts{Routers: n, Members: n, Peers: n.peers, Clock: n, Log: log.WithField("", ""), Metrics: measurer.New(), Address: n.address})
+	n.throttle = throttler.New(throttler.Dependencies{Routers: n, Members: n, Peers: n.peers, Clock: n, Log: log.WithField("", ""), Metrics: measurer.New(), Address: n.address})
 	n.throttle.FetchObservations(context.Background())
 	w.routers = append(w.routers, n)
 	return n
@@ -278,7 +278,7 @@
 	// owner returns the router that owns the limit.
 	owner := func(w *world) *simRouter {
 		for _, n := range w.routers {
-			if n.address == n.Ranked(string(limitedServer), 1)[0] {
+			if n.address == n.RankedAddresses(string(limitedServer), 1)[0] {
 				return n
 			}
 		}
--- a/tracker/tracker.go
+++ b/tracker/tracker.go
@@ -38,16 +38,16 @@
 
 // Settings configures a tracker.
 type Settings struct {
-	// SuspectAfter is how long a link may be silent before its upstream gets no new work.
-	SuspectAfter time.Duration
+	// SilenceTimeout is how long a link may be silent before its upstream gets no new work.
+	SilenceTimeout time.Duration
 }
 
 // Upstream is a copy of the tracker's view of one upstream.
 type Upstream struct {
-	Instance    masticway.Instance
-	Incarnation masticway.Incarnation
-	State       charter.State
-	Heard       time.Time
+	Instance      masticway.Instance
+	Incarnation   masticway.Incarnation
+	State         charter.State
+	LastMessageAt time.Time
 }
 
 type entry struct {
@@ -68,8 +68,8 @@
 	return &Tracker{settings: s, chart: charter.MustLoad(charter.Upstream), entries: map[string]*entry{}}
 }
 
-// List applies a read of the instance list and returns the instances that were added.
-func (t *Tracker) List(list []masticway.Instance) []masticway.Instance {
+// UpdateInstances applies a read of the instance list and returns the instances that were added.
+func (t *Tracker) UpdateInstances(list []masticway.Instance) []masticway.Instance {
 	var added []masticway.Instance
 	for _, i := range list {
 		if i.Role != masticway.RoleSidecar {
@@ -113,7 +113,7 @@
 		e.view.State = t.chart.Initial()
 	}
 	e.view.Incarnation = inc
-	e.view.Heard = now
+	e.view.LastMessageAt = now
 	t.step(e, eventLinkUp)
 }
 
@@ -132,18 +132,18 @@
 	return e.penalty * math.Exp2(-now.Sub(e.penaltyAt).Seconds()/flapHalfLife.Seconds())
 }
 
-// Heard records a message from the upstream's sidecar.
-func (t *Tracker) Heard(now time.Time, instance string) {
+// ObserveMessage records a message from the upstream's sidecar.
+func (t *Tracker) ObserveMessage(now time.Time, instance string) {
 	e, ok := t.entries[instance]
 	if !ok {
 		return
 	}
-	e.view.Heard = now
+	e.view.LastMessageAt = now
 	t.step(e, eventMessage)
 }
 
-// Leaving records that the sidecar announced that it is shutting down.
-func (t *Tracker) Leaving(instance string) {
+// MarkLeaving records that the sidecar announced that it is shutting down.
+func (t *Tracker) MarkLeaving(instance string) {
 	if e, ok := t.entries[instance]; ok {
 		t.step(e, eventLeaving)
 	}
@@ -152,10 +152,10 @@
 // Tick marks silent upstreams, and forgets ended ones a minute after their last message.
 func (t *Tracker) Tick(now time.Time) {
 	for id, e := range t.entries {
-		if now.Sub(e.view.Heard) > t.settings.SuspectAfter {
+		if now.Sub(e.view.LastMessageAt) > t.settings.SilenceTimeout {
 			t.step(e, eventSilent)
 		}
-		if e.view.State == stateGone && now.Sub(e.view.Heard) > time.Minute {
+		if e.view.State == stateGone && now.Sub(e.view.LastMessageAt) > time.Minute {
 			delete(t.entries, id)
 		}
 	}
@@ -185,8 +185,8 @@
 
 func compareByInstance(a, b Upstream) int { return strings.Compare(a.Instance.ID, b.Instance.ID) }
 
-// Ended reports whether the platform has declared an instance ended.
-func (t *Tracker) Ended(instance string) bool {
+// HasEnded reports whether the platform has declared an instance ended.
+func (t *Tracker) HasEnded(instance string) bool {
 	e, ok := t.entries[instance]
 	return ok && e.view.State == stateGone
 }
--- a/tracker/tracker_test.go
+++ b/tracker/tracker_test.go
@@ -21,20 +21,23 @@
 		events func(tr *tracker.Tracker)
 		usable bool
 	}{
-		"linked":                               {func(*tracker.Tracker) {}, true},
-		"list reports leaving":                 {func(tr *tracker.Tracker) { tr.List(instanceList(masticway.InstanceLeaving)) }, false},
-		"list reports ended":                   {func(tr *tracker.Tracker) { tr.List(instanceList(masticway.InstanceEnded)) }, false},
-		"sidecar announces leaving":            {func(tr *tracker.Tracker) { tr.Leaving("s") }, false},
-		"sidecar announces leaving, list lags": {func(tr *tracker.Tracker) { tr.Leaving("s"); tr.List(instanceList(masticway.InstanceLive)) }, false},
-		"silence":                              {func(tr *tracker.Tracker) { tr.Tick(start.Add(3 * time.Second)) }, false},
+		"linked":                    {func(*tracker.Tracker) {}, true},
+		"list reports leaving":      {func(tr *tracker.Tracker) { tr.UpdateInstances(instanceList(masticway.InstanceLeaving)) }, false},
+		"list reports ended":        {func(tr *tracker.Tracker) { tr.UpdateInstances(instanceList(masticway.InstanceEnded)) }, false},
+		"sidecar announces leaving": {func(tr *tracker.Tracker) { tr.MarkLeaving("s") }, false},
+		"sidecar announces leaving, list lags": {func(tr *tracker.Tracker) {
+			tr.MarkLeaving("s")
+			tr.UpdateInstances(instanceList(masticway.InstanceLive))
+		}, false},
+		"silence": {func(tr *tracker.Tracker) { tr.Tick(start.Add(3 * time.Second)) }, false},
 		"silence, then a message": {func(tr *tracker.Tracker) {
 			tr.Tick(start.Add(3 * time.Second))
-			tr.Heard(start.Add(3*time.Second), "s")
+			tr.ObserveMessage(start.Add(3*time.Second), "s")
 		}, true},
 		"link lost":                    {func(tr *tracker.Tracker) { tr.LinkDown(start, "s") }, false},
 		"link re-established":          {func(tr *tracker.Tracker) { tr.LinkDown(start, "s"); tr.LinkUp(start, "s", "s~1") }, true},
-		"leaving, link re-established": {func(tr *tracker.Tracker) { tr.Leaving("s"); tr.LinkDown(start, "s"); tr.LinkUp(start, "s", "s~1") }, false},
-		"restarted on its instance":    {func(tr *tracker.Tracker) { tr.Leaving("s"); tr.LinkUp(start, "s", "s~2") }, true},
+		"leaving, link re-established": {func(tr *tracker.Tracker) { tr.MarkLeaving("s"); tr.LinkDown(start, "s"); tr.LinkUp(start, "s", "s~1") }, false},
+		"restarted on its instance":    {func(tr *tracker.Tracker) { tr.MarkLeaving("s"); tr.LinkUp(start, "s", "s~2") }, true},
 		"flapping is suppressed": {func(tr *tracker.Tracker) {
 			for range 3 {
 				tr.LinkDown(start, "s")
@@ -44,8 +47,8 @@
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
-			tr := tracker.New(tracker.Settings{SuspectAfter: 2 * time.Second})
-			qt.Assert(t, tr.List(instanceList(masticway.InstanceLive)), qt.HasLen, 1)
+			tr := tracker.New(tracker.Settings{SilenceTimeout: 2 * time.Second})
+			qt.Assert(t, tr.UpdateInstances(instanceList(masticway.InstanceLive)), qt.HasLen, 1)
 			tr.LinkUp(start, "s", "s~1")
 			tc.events(tr)
 			qt.Assert(t, len(tr.Usable(start)) == 1, qt.Equals, tc.usable)
@@ -54,8 +57,8 @@
 }
 
 func TestFlappingUpstreamReturns(t *testing.T) {
-	tr := tracker.New(tracker.Settings{SuspectAfter: time.Hour})
-	tr.List(instanceList(masticway.InstanceLive))
+	tr := tracker.New(tracker.Settings{SilenceTimeout: time.Hour})
+	tr.UpdateInstances(instanceList(masticway.InstanceLive))
 	for range 4 {
 		tr.LinkUp(start, "s", "s~1")
 		tr.LinkDown(start, "s")
--- a/treasurer/death_test.go
+++ b/treasurer/death_test.go
@@ -79,7 +79,7 @@
 			b.start("edge~2", 1_000_000)
 			ended := b.planner.Predecessors()
 			qt.Assert(t, ended, qt.HasLen, 1)
-			var records []treasurer.Recollection
+			var records []treasurer.WitnessRecord
 			for i, w := range ended[0].Witnesses {
 				p := witnesses[w.Incarnation.Instance()]
 				if i >= tc.witnesses {
@@ -161,7 +161,7 @@
 				if e.Incarnation != "edge~2" {
 					continue
 				}
-				var records []treasurer.Recollection
+				var records []treasurer.WitnessRecord
 				for _, w := range e.Witnesses {
 					records = append(records, witnesses[w.Incarnation].FinalReports(w.Incarnation, e.Incarnation))
 				}
--- a/treasurer/holds.go
+++ b/treasurer/holds.go
@@ -114,8 +114,8 @@
 		}
 		a.waiting = a.waiting[1:]
 		replies = append(replies, Reply{
-			ID: w.id, Verdict: verdict, Waited: now.Sub(w.since), Prepaid: a.prepaid, Left: a.ungranted(), Free: a.free(),
-			Own: p.available(now, a) + a.loanBalance(), RowAge: now.Sub(a.rowSeenAt), Asked: !a.borrowedAt.Before(w.since),
+			ID: w.id, Verdict: verdict, Waited: now.Sub(w.since), Prepaid: a.prepaid, Ungranted: a.ungranted(), Free: a.free(),
+			Available: p.available(now, a) + a.loanBalance(), RowAge: now.Sub(a.rowSeenAt), AskedPeers: !a.borrowedAt.Before(w.since),
 		})
 	}
 	return replies
--- a/treasurer/lending.go
+++ b/treasurer/lending.go
@@ -17,7 +17,7 @@
 		}
 		asked++
 		callCtx, cancel := context.WithTimeout(ctx, lendTimeout)
-		loan, err := t.peerClient.Borrow(callCtx, l.Address, LoanAsk{Number: r.Number, Borrower: t.self, Workspace: r.Workspace, Need: need})
+		loan, err := t.peerClient.Borrow(callCtx, l.Address, LoanRequest{Number: r.Number, Borrower: t.self, Workspace: r.Workspace, Need: need})
 		cancel()
 		if err != nil {
 			unanswered++
@@ -69,7 +69,7 @@
 }
 
 // Lend takes tokens out of this router's grant for another router. It waits until they are cleared, or the context is done.
-func (t *Treasurer) Lend(ctx context.Context, ask LoanAsk) int64 {
+func (t *Treasurer) Lend(ctx context.Context, ask LoanRequest) int64 {
 	t.mu.Lock()
 	id, amount := t.planner.Lend(t.clock.Now(), ask)
 	t.mu.Unlock()
@@ -95,8 +95,8 @@
 	return amount
 }
 
-// Repaid takes back what another router has not used of a loan.
-func (t *Treasurer) Repaid(r Repayment) {
+// AcceptRepayment takes back what another router has not used of a loan.
+func (t *Treasurer) AcceptRepayment(r Repayment) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.deliver(t.planner.AcceptRepayment(t.clock.Now(), r))
