--- a/treasurer/loans.go
+++ b/treasurer/loans.go
@@ -44,8 +44,8 @@
 	Lenders []Witness
 }
 
-// LoanAsk is a request to one router of a round; the borrower and the number identify it.
-type LoanAsk struct {
+// LoanRequest is a request to one router of a round; the borrower and the number identify it.
+type LoanRequest struct {
 	Number    int64                 `cbor:"1,keyasint"`
 	Borrower  masticway.Incarnation `cbor:"2,keyasint"`
 	Workspace string                `cbor:"3,keyasint"`
@@ -61,7 +61,7 @@
 	Amount    int64                 `cbor:"5,keyasint"`
 	// This is the number of a request whose response did not arrive, zero if there is none: the lender takes back whatever
 	// it has lent for the request, and lends nothing more for it.
-	Ask int64 `cbor:"6,keyasint,omitempty"`
+	CanceledRequest int64 `cbor:"6,keyasint,omitempty"`
 	// Address is where the lender is reached; it is not sent.
 	Address string `cbor:"-"`
 }
@@ -165,13 +165,13 @@
 	p.lastMessage++
 	return Repayment{
 		Number: p.lastMessage, Borrower: p.settings.Incarnation, Lender: lender.Incarnation, Address: lender.Address, Workspace: r.Workspace,
-		Ask: r.Number,
+		CanceledRequest: r.Number,
 	}
 }
 
 // Lend takes tokens for another router out of what may be taken. Its hold must be cleared before the tokens are handed
 // over, and is ended by CompleteLoan; there is none if nothing can be lent.
-func (p *Planner) Lend(now time.Time, ask LoanAsk) (HoldID, int64) {
+func (p *Planner) Lend(now time.Time, ask LoanRequest) (HoldID, int64) {
 	a, ok := p.accounts[ask.Workspace]
 	if !ok || p.closing {
 		return 0, 0
@@ -197,7 +197,7 @@
 
 // CompleteLoan ends a cleared hold because its tokens are handed to another router. It returns false if the hold is not
 // cleared or the borrower has canceled the request meanwhile; the caller must then settle the hold.
-func (p *Planner) CompleteLoan(id HoldID, ask LoanAsk) bool {
+func (p *Planner) CompleteLoan(id HoldID, ask LoanRequest) bool {
 	h, ok := p.holds[id]
 	if !ok || !h.cleared {
 		return false
@@ -215,12 +215,12 @@
 // AcceptRepayment takes back what another router did not use of a loan, once for each number.
 func (p *Planner) AcceptRepayment(now time.Time, r Repayment) []Reply {
 	a, ok := p.accounts[r.Workspace]
-	if !ok || r.Lender != p.settings.Incarnation && r.Ask == 0 || !p.borrower(r.Borrower).repayments.add(r.Number) {
+	if !ok || r.Lender != p.settings.Incarnation && r.CanceledRequest == 0 || !p.borrower(r.Borrower).repayments.add(r.Number) {
 		return nil
 	}
 	amount := r.Amount
-	if r.Ask != 0 {
-		amount += p.borrower(r.Borrower).cancel(now, r.Ask)
+	if r.CanceledRequest != 0 {
+		amount += p.borrower(r.Borrower).cancel(now, r.CanceledRequest)
 	}
 	returned := min(amount, a.lent)
 	a.lent -= returned
--- a/treasurer/model_test.go
+++ b/treasurer/model_test.go
@@ -20,7 +20,7 @@
 // model is the planners of a fleet and the rows, in one goroutine. It counts itself what callers received.
 type model struct {
 	now     time.Time
-	rows    *emulator.Rows
+	rows    *emulator.RowStore
 	routers []*modelRouter
 	version int64
 	prepaid map[string]int64
@@ -45,8 +45,8 @@
 	steps          []treasurer.Step
 	holds          []*modelHold
 	ended          []treasurer.EndedIncarnation
-	delayedReports []treasurer.Statement
-	strayReports   []treasurer.Statement
+	delayedReports []treasurer.SpendReport
+	strayReports   []treasurer.SpendReport
 	partitioned    bool
 	// startedAt is when the process began to listen.
 	startedAt time.Time
@@ -66,7 +66,7 @@
 	}
 	w.burstShare = rapid.SampledFrom([]float64{0, 0.04, 0.5}).Draw(t, "burst")
 	w.holders = rapid.IntRange(0, 3).Draw(t, "holders")
-	w.rows = emulator.NewRows(func() time.Time { return w.now })
+	w.rows = emulator.NewRowStore(func() time.Time { return w.now })
 	for _, workspace := range workspaces {
 		w.prepaid[workspace] = rapid.Int64Range(300, 4000).Draw(t, "prepaid")
 	}
@@ -190,8 +190,8 @@
 }
 
 // queryWitnesses asks the witnesses of an ended incarnation, some of which cannot be reached.
-func (w *model) queryWitnesses(t *rapid.T, e treasurer.EndedIncarnation) []treasurer.Recollection {
-	var records []treasurer.Recollection
+func (w *model) queryWitnesses(t *rapid.T, e treasurer.EndedIncarnation) []treasurer.WitnessRecord {
+	var records []treasurer.WitnessRecord
 	for _, named := range e.Witnesses {
 		for _, o := range w.routers {
 			if o.self.Instance() == named.Incarnation.Instance() && rapid.IntRange(0, 5).Draw(t, "reached") > 0 {
@@ -226,7 +226,7 @@
 }
 
 // acceptReport passes a report to its witness and reports whether it was accepted.
-func (w *model) acceptReport(s treasurer.Statement) bool {
+func (w *model) acceptReport(s treasurer.SpendReport) bool {
 	for _, o := range w.routers {
 		if o.self.Instance() == s.Witness.Instance() {
 			return o.planner.AcceptReport(s)
@@ -337,7 +337,7 @@
 	var cancellations []treasurer.Repayment
 	for _, r := range borrower.planner.DueBorrowRounds(w.now) {
 		var loans []treasurer.Loan
-		ask := treasurer.LoanAsk{Number: r.Number, Borrower: borrower.self, Workspace: r.Workspace, Need: r.Need}
+		ask := treasurer.LoanRequest{Number: r.Number, Borrower: borrower.self, Workspace: r.Workspace, Need: r.Need}
 		if lender != borrower {
 			id, amount := lender.planner.Lend(w.now, ask)
 			cleared := false
--- a/treasurer/planner.go
+++ b/treasurer/planner.go
@@ -110,12 +110,12 @@
 	// The next four fields describe what was known of the workspace: the tokens prepaid, those not granted to any router,
 	// those free in this router's grant, and those that its spend limits and loans allowed to be taken. RowAge is the age
 	// of the row that they came from. The last field reports whether other routers were asked for a loan.
-	Prepaid int64
-	Left    int64
-	Free    int64
-	Own     int64
-	RowAge  time.Duration
-	Asked   bool
+	Prepaid    int64
+	Ungranted  int64
+	Free       int64
+	Available  int64
+	RowAge     time.Duration
+	AskedPeers bool
 }
 
 // Settings configures a planner and its treasurer.
--- a/treasurer/planner_test.go
+++ b/treasurer/planner_test.go
@@ -17,7 +17,7 @@
 type harness struct {
 	t       *testing.T
 	now     time.Time
-	rows    *emulator.Rows
+	rows    *emulator.RowStore
 	planner *treasurer.Planner
 	self    masticway.Incarnation
 	// verdicts lists what each hold was answered.
@@ -28,7 +28,7 @@
 
 func newHarness(t *testing.T, prepaid int64) *harness {
 	b := &harness{t: t, now: epoch, verdicts: map[treasurer.HoldID][]treasurer.Verdict{}}
-	b.rows = emulator.NewRows(func() time.Time { return b.now })
+	b.rows = emulator.NewRowStore(func() time.Time { return b.now })
 	b.start("edge~1", prepaid)
 	return b
 }
@@ -202,7 +202,7 @@
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
 			b := &harness{t: t, now: epoch, verdicts: map[treasurer.HoldID][]treasurer.Verdict{}, burstShare: tc.share}
-			b.rows = emulator.NewRows(func() time.Time { return b.now })
+			b.rows = emulator.NewRowStore(func() time.Time { return b.now })
 			b.start("edge~1", 100000)
 			for range 10 {
 				id := b.hold(400)
@@ -227,7 +227,7 @@
 }
 
 // lend lends all that is asked for.
-func (b *harness) lend(ask treasurer.LoanAsk) {
+func (b *harness) lend(ask treasurer.LoanRequest) {
 	loan, amount := b.planner.Lend(b.now, ask)
 	qt.Assert(b.t, amount, qt.Equals, ask.Need)
 	b.record(b.planner.Clear(b.now, loan))
@@ -240,7 +240,7 @@
 	b := newHarness(t, 100000)
 	b.hold(1000)
 	b.run(300 * time.Millisecond)
-	b.lend(treasurer.LoanAsk{Number: 1, Borrower: "other~1", Workspace: "w", Need: 500})
+	b.lend(treasurer.LoanRequest{Number: 1, Borrower: "other~1", Workspace: "w", Need: 500})
 	before := b.planner.Positions()[0].Taken
 	repayment := treasurer.Repayment{Number: 1, Borrower: "other~1", Lender: b.self, Workspace: "w", Amount: 200}
 	b.planner.AcceptRepayment(b.now, repayment)
@@ -268,8 +268,8 @@
 			b.hold(1000)
 			b.run(300 * time.Millisecond)
 			before := b.planner.Positions()[0].Taken
-			ask := treasurer.LoanAsk{Number: 7, Borrower: "other~1", Workspace: "w", Need: asked}
-			cancellation := treasurer.Repayment{Number: 8, Borrower: "other~1", Lender: b.self, Workspace: "w", Ask: ask.Number}
+			ask := treasurer.LoanRequest{Number: 7, Borrower: "other~1", Workspace: "w", Need: asked}
+			cancellation := treasurer.Repayment{Number: 8, Borrower: "other~1", Lender: b.self, Workspace: "w", CanceledRequest: ask.Number}
 			if tc.arrival == "early" {
 				b.planner.AcceptRepayment(b.now, cancellation)
 			}
@@ -311,7 +311,7 @@
 	b := newHarness(t, 100000)
 	b.hold(1000)
 	b.run(300 * time.Millisecond)
-	b.lend(treasurer.LoanAsk{Number: 1, Borrower: "other~1", Workspace: "w", Need: 500})
+	b.lend(treasurer.LoanRequest{Number: 1, Borrower: "other~1", Workspace: "w", Need: 500})
 	before := b.planner.Positions()[0].Taken
 	for _, number := range []int64{4, 2, 3, 2, 4} {
 		b.planner.AcceptRepayment(b.now, treasurer.Repayment{Number: number, Borrower: "other~1", Lender: b.self, Workspace: "w", Amount: 100})
@@ -411,7 +411,7 @@
 		want   treasurer.Verdict
 	}{
 		"more than is left": {need: 2000, want: treasurer.VerdictExhausted},
-		"store unavailable": {need: 500, faults: emulator.RowFaults{Busy: true}, want: treasurer.VerdictUnreachable},
+		"store unavailable": {need: 500, faults: emulator.RowFaults{Unavailable: true}, want: treasurer.VerdictUnreachable},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -421,7 +421,7 @@
 			id := b.hold(tc.need)
 			for range 60 {
 				for _, s := range b.plan(30 * time.Millisecond) {
-					if tc.faults.Busy {
+					if tc.faults.Unavailable {
 						replies, _ := b.planner.CompleteStep(b.now, s, masticway.RowReading{}, &masticway.UnavailableError{Service: "rows"})
 						b.record(replies)
 						continue
--- a/treasurer/presence_test.go
+++ b/treasurer/presence_test.go
@@ -43,7 +43,7 @@
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
 			clock := &manualClock{now: time.Date(2026, 12, 2, 9, 0, 0, 0, time.UTC)}
-			rows := emulator.NewRows(clock.Now)
+			rows := emulator.NewRowStore(clock.Now)
 			log := logrus.New()
 			log.SetOutput(io.Discard)
 			var all []*Treasurer
@@ -70,14 +70,14 @@
 			}
 			clock.now = clock.now.Add(tc.outage)
 			qt.Assert(t, count(all[:1]), qt.Equals, tc.want)
-			qt.Assert(t, all[0].Peers(), qt.HasLen, tc.want-1)
+			qt.Assert(t, all[0].PeerAddresses(), qt.HasLen, tc.want-1)
 		})
 	}
 }
 
 // rateLimitedStore is a row store that accepts a limited number of writes a second.
 type rateLimitedStore struct {
-	*emulator.Rows
+	*emulator.RowStore
 	perSecond int
 
 	mu sync.Mutex
@@ -92,14 +92,14 @@
 	if !p.admit() {
 		return masticway.RowReading{}, &masticway.UnavailableError{Service: "rows", Reason: "over its rate", RateLimited: true}
 	}
-	return p.Rows.Write(ctx, w)
+	return p.RowStore.Write(ctx, w)
 }
 
 func (p *rateLimitedStore) Read(ctx context.Context, table, part string) (masticway.RowReading, error) {
 	p.mu.Lock()
 	p.reads++
 	p.mu.Unlock()
-	return p.Rows.Read(ctx, table, part)
+	return p.RowStore.Read(ctx, table, part)
 }
 
 func (p *rateLimitedStore) admit() bool {
@@ -124,14 +124,14 @@
 	for _, routers := range []int{100, 400} {
 		t.Run(fmt.Sprint(routers), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				store := &rateLimitedStore{Rows: emulator.NewRows(time.Now), perSecond: 200}
+				store := &rateLimitedStore{RowStore: emulator.NewRowStore(time.Now), perSecond: 200}
 				ctx, stop := context.WithCancel(t.Context())
 				log := logrus.New()
 				log.SetOutput(io.Discard)
 				var all []*Treasurer
 				var wg sync.WaitGroup
 				for i := range routers {
-					r := New(store, nil, emulator.SteadyClock{}, logrus.NewEntry(log), measurer.New(), fmt.Sprintf("edge-%d", i), Settings{Address: fmt.Sprint(i), Parts: 1})
+					r := New(store, nil, emulator.MonotonicClock{}, logrus.NewEntry(log), measurer.New(), fmt.Sprintf("edge-%d", i), Settings{Address: fmt.Sprint(i), Parts: 1})
 					all = append(all, r)
 					wg.Go(func() {
 						r.tryCount(ctx)
--- a/treasurer/reports.go
+++ b/treasurer/reports.go
@@ -20,10 +20,10 @@
 )
 
 // sendReport sends one report to one witness.
-func (t *Treasurer) sendReport(ctx context.Context, s Statement) {
+func (t *Treasurer) sendReport(ctx context.Context, s SpendReport) {
 	callCtx, cancel := context.WithTimeout(ctx, reportTimeout)
 	defer cancel()
-	accepted, err := t.peerClient.Testify(callCtx, s.Address, s)
+	accepted, err := t.peerClient.SendReport(callCtx, s.Address, s)
 	if err != nil {
 		t.log.WithFields(logrus.Fields{"event": "statement_failed", "witness": s.Witness, "error": err}).Debug("witness not reached")
 	}
@@ -33,21 +33,21 @@
 	t.deliver(t.planner.CompleteReport(t.clock.Now(), s, accepted))
 }
 
-// Testified accepts another router's report, unless its sender has ended, the report is for another incarnation, or this
+// AcceptReport accepts another router's report, unless its sender has ended, the report is for another incarnation, or this
 // router is sealed.
-func (t *Treasurer) Testified(s Statement) bool {
+func (t *Treasurer) AcceptReport(s SpendReport) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return !t.sealed && t.planner.AcceptReport(s)
 }
 
-// Recall returns what an ended incarnation has reported to this router.
-func (t *Treasurer) Recall(witness, ended masticway.Incarnation) Recollection {
+// FinalReports returns what an ended incarnation has reported to this router.
+func (t *Treasurer) FinalReports(witness, ended masticway.Incarnation) WitnessRecord {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if t.sealed {
 		// The record went with the planner.
-		return Recollection{}
+		return WitnessRecord{}
 	}
 	return t.planner.FinalReports(witness, ended)
 }
@@ -72,11 +72,11 @@
 
 // queryWitnesses asks the witnesses of an ended incarnation concurrently, until enough of them have answered or all were
 // tried.
-func (t *Treasurer) queryWitnesses(ctx context.Context, e EndedIncarnation) []Recollection {
+func (t *Treasurer) queryWitnesses(ctx context.Context, e EndedIncarnation) []WitnessRecord {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	// A witness that does not answer contributes no record.
-	answers := make(chan []Recollection, len(e.Witnesses))
+	answers := make(chan []WitnessRecord, len(e.Witnesses))
 	for _, w := range e.Witnesses {
 		t.tasks.Go(func() {
 			r, ok := t.queryWitness(ctx, w, e.Incarnation)
@@ -84,10 +84,10 @@
 				answers <- nil
 				return
 			}
-			answers <- []Recollection{r}
+			answers <- []WitnessRecord{r}
 		})
 	}
-	var records []Recollection
+	var records []WitnessRecord
 	for range e.Witnesses {
 		records = append(records, <-answers...)
 		if e.HasQuorum(records) {
@@ -98,10 +98,10 @@
 }
 
 // queryWitness asks one witness, up to maxWitnessAttempts times.
-func (t *Treasurer) queryWitness(ctx context.Context, w Witness, ended masticway.Incarnation) (Recollection, bool) {
+func (t *Treasurer) queryWitness(ctx context.Context, w Witness, ended masticway.Incarnation) (WitnessRecord, bool) {
 	for range maxWitnessAttempts {
 		callCtx, cancel := context.WithTimeout(ctx, witnessTimeout)
-		r, err := t.peerClient.Recall(callCtx, w.Address, w.Incarnation, ended)
+		r, err := t.peerClient.FinalReports(callCtx, w.Address, w.Incarnation, ended)
 		cancel()
 		if err == nil {
 			return r, true
@@ -112,5 +112,5 @@
 			break
 		}
 	}
-	return Recollection{}, false
+	return WitnessRecord{}, false
 }
--- a/treasurer/simulation_test.go
+++ b/treasurer/simulation_test.go
@@ -80,7 +80,7 @@
 	trafficStart time.Time
 	events       fleetEvents
 	lastEvent    int
-	rows         *emulator.Rows
+	rows         *emulator.RowStore
 	routers      []*fleetRouter
 	names        []string
 	prepaid      map[string]int64
@@ -138,7 +138,7 @@
 		load: load, random: rand.New(rand.NewPCG(7, 11)), now: epoch, trafficStart: epoch, prepaid: map[string]int64{}, workspaceShare: map[string]float64{},
 		delivered: map[string]int64{}, stepsByKind: map[string]int{}, asked: map[string]int{}, unreachable: map[string]int{},
 	}
-	f.rows = emulator.NewRows(func() time.Time { return f.now })
+	f.rows = emulator.NewRowStore(func() time.Time { return f.now })
 	var sum float64
 	for i := range load.workspaces {
 		name := fmt.Sprintf("w%d", i)
@@ -298,8 +298,8 @@
 	return written, nil
 }
 
-func (f *fleet) queryWitnesses(e treasurer.EndedIncarnation) []treasurer.Recollection {
-	var all []treasurer.Recollection
+func (f *fleet) queryWitnesses(e treasurer.EndedIncarnation) []treasurer.WitnessRecord {
+	var all []treasurer.WitnessRecord
 	for _, w := range e.Witnesses {
 		if o := f.router(w.Incarnation); o.alive && !o.partitioned {
 			all = append(all, o.planner.FinalReports(w.Incarnation, e.Incarnation))
@@ -463,7 +463,7 @@
 		return
 	}
 	l, o := lenders[0], f.router(lenders[0].Incarnation)
-	sent := treasurer.LoanAsk{Number: ask.Number, Borrower: r.self, Workspace: ask.Workspace, Need: need}
+	sent := treasurer.LoanRequest{Number: ask.Number, Borrower: r.self, Workspace: ask.Workspace, Need: need}
 	f.schedule(fleetNetworkLatency, func() {
 		if !o.alive || o.partitioned != r.partitioned || 2*(r.extraLatency+o.extraLatency) >= fleetLendTimeout {
 			f.schedule(fleetLendTimeout, alive(func() {
@@ -482,7 +482,7 @@
 }
 
 // lend lends tokens, which may have to wait for the lender's checkpoint.
-func (f *fleet) lend(o *fleetRouter, ask treasurer.LoanAsk, answer func(int64)) {
+func (f *fleet) lend(o *fleetRouter, ask treasurer.LoanRequest, answer func(int64)) {
 	id, amount := o.planner.Lend(f.now, ask)
 	if amount == 0 {
 		answer(0)
--- a/treasurer/treasurer.go
+++ b/treasurer/treasurer.go
@@ -98,27 +98,27 @@
 	// peers lists the other routers that can be reached, sorted by incarnation.
 	peers []Peer
 
-	peerClient Lender
+	peerClient PeerClient
 	wake       chan struct{}
 	tasks      sync.WaitGroup
 }
 
-// Lender calls other routers: to borrow and repay tokens, and to use them as witnesses of what is taken while the store
+// PeerClient calls other routers: to borrow and repay tokens, and to use them as witnesses of what is taken while the store
 // cannot be reached.
-type Lender interface {
+type PeerClient interface {
 	// Borrow returns what the router at the address lends, which may be nothing, and the incarnation that lent it.
-	Borrow(ctx context.Context, address string, ask LoanAsk) (Loan, error)
+	Borrow(ctx context.Context, address string, ask LoanRequest) (Loan, error)
 	// Repay fails if the lender may not have received the repayment; a repayment may be sent again.
 	Repay(ctx context.Context, address string, r Repayment) error
-	// Testify sends a report to a witness and reports whether the witness accepted it.
-	Testify(ctx context.Context, address string, s Statement) (bool, error)
-	// Recall asks a witness what an ended incarnation has reported to it.
-	Recall(ctx context.Context, address string, witness, ended masticway.Incarnation) (Recollection, error)
+	// SendReport sends a report to a witness and reports whether the witness accepted it.
+	SendReport(ctx context.Context, address string, s SpendReport) (bool, error)
+	// FinalReports asks a witness what an ended incarnation has reported to it.
+	FinalReports(ctx context.Context, address string, witness, ended masticway.Incarnation) (WitnessRecord, error)
 }
 
 // New returns a treasurer for a new incarnation on an instance. The process must already listen at the settings' address,
 // where others reach it.
-func New(store masticway.RowStore, lender Lender, clock masticway.Clock, log *logrus.Entry, metrics *measurer.Set, instance string, s Settings) *Treasurer {
+func New(store masticway.RowStore, lender PeerClient, clock masticway.Clock, log *logrus.Entry, metrics *measurer.Set, instance string, s Settings) *Treasurer {
 	s.Incarnation = masticway.NewIncarnation(instance, uuid.NewString()[:8])
 	return &Treasurer{
 		store: store, peerClient: lender, clock: clock, log: log, metrics: metrics, self: s.Incarnation, parts: s.Parts, address: s.Address, zone: s.Zone, processors: s.Processors, listeningAt: clock.Now(),
@@ -130,8 +130,8 @@
 // Self returns the router's incarnation.
 func (t *Treasurer) Self() masticway.Incarnation { return t.self }
 
-// Peers returns the addresses of the other routers that can be reached, sorted.
-func (t *Treasurer) Peers() []string {
+// PeerAddresses returns the addresses of the other routers that can be reached, sorted.
+func (t *Treasurer) PeerAddresses() []string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	var all []string
@@ -149,18 +149,18 @@
 	return t.members
 }
 
-// Neighbours returns the other routers in this one's availability zone that can be reached.
-func (t *Treasurer) Neighbours() []Peer {
+// ZonePeers returns the other routers in this one's availability zone that can be reached.
+func (t *Treasurer) ZonePeers() []Peer {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return slices.DeleteFunc(slices.Clone(t.peers), func(o Peer) bool { return o.Zone != t.zone })
 }
 
-// Readers returns the addresses of the routers in this one's availability zone that read the given key for their zone, best
+// ZoneReaders returns the addresses of the routers in this one's availability zone that read the given key for their zone, best
 // first, by rendezvous hash and processors. If this router is one of them, it returns true and no addresses. There are none
 // until the routers were counted.
-func (t *Treasurer) Readers(key string, limit int) (addresses []string, isReader bool) {
-	zone := t.Neighbours()
+func (t *Treasurer) ZoneReaders(key string, limit int) (addresses []string, isReader bool) {
+	zone := t.ZonePeers()
 	if len(zone) == 0 {
 		return nil, false
 	}
@@ -173,9 +173,9 @@
 	return addresses, false
 }
 
-// Ranked returns the addresses of the first routers for a key by rendezvous hash and processors, this router's own
+// RankedAddresses returns the addresses of the first routers for a key by rendezvous hash and processors, this router's own
 // included. There are none until the routers were counted.
-func (t *Treasurer) Ranked(key string, limit int) (addresses []string) {
+func (t *Treasurer) RankedAddresses(key string, limit int) (addresses []string) {
 	t.mu.Lock()
 	counted, peers := t.members > 0, slices.Clone(t.peers)
 	t.mu.Unlock()
@@ -200,9 +200,9 @@
 	return all[:min(limit, len(all))]
 }
 
-// Owns reports whether this router is the one to which a key is assigned by rendezvous hash; no router owns a key until the
+// OwnsKey reports whether this router is the one to which a key is assigned by rendezvous hash; no router owns a key until the
 // routers were counted.
-func (t *Treasurer) Owns(key string) bool {
+func (t *Treasurer) OwnsKey(key string) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if t.members == 0 {
@@ -289,8 +289,8 @@
 	}
 }
 
-// StoreIsBack tells the treasurer that the store answers again.
-func (t *Treasurer) StoreIsBack() {
+// NotifyStoreRecovered tells the treasurer that the store answers again.
+func (t *Treasurer) NotifyStoreRecovered() {
 	t.mu.Lock()
 	t.planner.RetryCheckpoint()
 	t.mu.Unlock()
--- a/treasurer/watch_test.go
+++ b/treasurer/watch_test.go
@@ -19,16 +19,16 @@
 
 // countingStore is a row store that counts the bytes read.
 type countingStore struct {
-	*emulator.Rows
+	*emulator.RowStore
 	bytes atomic.Int64
 }
 
 func (c *countingStore) Read(ctx context.Context, table, part string) (masticway.RowReading, error) {
-	return c.count(c.Rows.Read(ctx, table, part))
+	return c.count(c.RowStore.Read(ctx, table, part))
 }
 
 func (c *countingStore) Watch(ctx context.Context, f masticway.WatchRequest) (masticway.RowReading, error) {
-	return c.count(c.Rows.Watch(ctx, f))
+	return c.count(c.RowStore.Watch(ctx, f))
 }
 
 func (c *countingStore) count(reading masticway.RowReading, err error) (masticway.RowReading, error) {
@@ -44,9 +44,9 @@
 		synctest.Test(t, func(t *testing.T) {
 			log := logrus.New()
 			log.SetOutput(io.Discard)
-			store := &countingStore{Rows: emulator.NewRows(time.Now)}
+			store := &countingStore{RowStore: emulator.NewRowStore(time.Now)}
 			ctx, stop := context.WithCancel(t.Context())
-			r := New(store, nil, emulator.SteadyClock{}, logrus.NewEntry(log), measurer.New(), "edge-0", Settings{Address: "0", Parts: 64, Holders: 6, Zone: "z"})
+			r := New(store, nil, emulator.MonotonicClock{}, logrus.NewEntry(log), measurer.New(), "edge-0", Settings{Address: "0", Parts: 64, Holders: 6, Zone: "z"})
 			accounts := map[string]masticway.Account{}
 			for i := range routers {
 				name := fmt.Sprintf("w%d", i)
--- a/treasurer/witness.go
+++ b/treasurer/witness.go
@@ -26,70 +26,70 @@
 	Address     string                `json:"address"`
 }
 
-// Statement reports the most that its sender has taken, by workspace, where that exceeds what its checkpoint covers.
-type Statement struct {
-	Issuer masticway.Incarnation `cbor:"1,keyasint"`
+// SpendReport reports the most that its sender has taken, by workspace, where that exceeds what its checkpoint covers.
+type SpendReport struct {
+	Sender masticway.Incarnation `cbor:"1,keyasint"`
 	// Witness is the recipient. Another incarnation on its instance lacks the earlier reports and must refuse this one.
 	Witness masticway.Incarnation `cbor:"2,keyasint"`
 	// These are the sequence numbers of the oldest and the newest checkpoint that may be the sender's last if it crashes
 	// now.
-	Oldest int64            `cbor:"3,keyasint"`
-	Newest int64            `cbor:"4,keyasint"`
-	Taken  map[string]int64 `cbor:"5,keyasint"`
+	OldestCheckpoint int64            `cbor:"3,keyasint"`
+	NewestCheckpoint int64            `cbor:"4,keyasint"`
+	Taken            map[string]int64 `cbor:"5,keyasint"`
 	// Address is where the witness is reached; it is not sent.
 	Address string `cbor:"-"`
 }
 
-// Stated is a report about one workspace, with the newest checkpoint when it was made: a later checkpoint covers the same
+// ReportedSpend is a report about one workspace, with the newest checkpoint when it was made: a later checkpoint covers the same
 // amount.
-type Stated struct {
-	Taken int64 `cbor:"1,keyasint"`
-	Book  int64 `cbor:"2,keyasint"`
+type ReportedSpend struct {
+	Taken      int64 `cbor:"1,keyasint"`
+	Checkpoint int64 `cbor:"2,keyasint"`
 }
 
-// Recollection is a witness's record of what an ended incarnation has reported to it. Its first field is set if the
+// WitnessRecord is a witness's record of what an ended incarnation has reported to it. Its first field is set if the
 // incarnation that answers is the one named as the witness.
-type Recollection struct {
-	Same   bool              `cbor:"1,keyasint"`
-	Stated map[string]Stated `cbor:"2,keyasint"`
+type WitnessRecord struct {
+	IsNamedWitness bool                     `cbor:"1,keyasint"`
+	Reported       map[string]ReportedSpend `cbor:"2,keyasint"`
 }
 
 // senderReports is a witness's record of one sender.
 type senderReports struct {
-	reported map[string]Stated
+	reported map[string]ReportedSpend
 	// ended is set once a successor has asked for the record; further reports of the sender are refused.
 	ended bool
 }
 
 // AcceptReport accepts another router's report. It returns false if the sender has ended or the report is for another
 // incarnation.
-func (p *Planner) AcceptReport(s Statement) bool {
-	record := p.peerReports[s.Issuer]
+func (p *Planner) AcceptReport(s SpendReport) bool {
+	record := p.peerReports[s.Sender]
 	if s.Witness != p.settings.Incarnation || record.ended {
 		return false
 	}
 	if record.reported == nil {
-		record.reported = map[string]Stated{}
+		record.reported = map[string]ReportedSpend{}
 	}
-	maps.DeleteFunc(record.reported, func(_ string, old Stated) bool { return old.Book < s.Oldest })
+	maps.DeleteFunc(record.reported, func(_ string, old ReportedSpend) bool { return old.Checkpoint < s.OldestCheckpoint })
 	for workspace, taken := range s.Taken {
 		// Reports may arrive out of order: an older one must not lower the amount or the checkpoint of a newer one.
 		old := record.reported[workspace]
-		record.reported[workspace] = Stated{Taken: max(taken, old.Taken), Book: max(s.Newest, old.Book)}
+		record.reported[workspace] = ReportedSpend{Taken: max(taken, old.Taken), Checkpoint: max(s.NewestCheckpoint, old.Checkpoint)}
 	}
-	p.peerReports[s.Issuer] = record
+	p.peerReports[s.Sender] = record
 	return true
 }
 
 // FinalReports returns what an ended incarnation has reported to a witness, and refuses further reports of it.
-func (p *Planner) FinalReports(witness, ended masticway.Incarnation) Recollection {
+func (p *Planner) FinalReports(witness, ended masticway.Incarnation) WitnessRecord {
 	if witness != p.settings.Incarnation {
-		return Recollection{}
+		return WitnessRecord{}
 	}
 	record := p.peerReports[ended]
 	record.ended = true
 	p.peerReports[ended] = record
-	return Recollection{Same: true, Stated: maps.Clone(record.reported)}
+	return WitnessRecord{IsNamedWitness: true, Reported: maps.Clone(record.reported)}
 }
 
 // chooseWitnesses returns the routers that follow this one in the circular order of incarnations, which spreads the load
@@ -134,7 +134,7 @@
 }
 
 // DueReports returns the reports to send now, for holds that wait for a spend limit while the store is late.
-func (p *Planner) DueReports(now time.Time) []Statement {
+func (p *Planner) DueReports(now time.Time) []SpendReport {
 	var taken map[string]int64
 	if p.isCheckpointLate(now) {
 		taken = p.unclearedTaken(now)
@@ -146,15 +146,15 @@
 	if p.unackedSince.IsZero() {
 		p.unackedSince = now
 	}
-	var due []Statement
+	var due []SpendReport
 	for _, w := range p.currentWitnesses() {
 		if p.reportsInFlight[w.Incarnation] {
 			continue
 		}
 		p.reportsInFlight[w.Incarnation] = true
-		due = append(due, Statement{
-			Issuer: p.settings.Incarnation, Witness: w.Incarnation, Address: w.Address,
-			Oldest: p.limitsInForce[0].sequence, Newest: p.checkpoint.Sequence, Taken: taken,
+		due = append(due, SpendReport{
+			Sender: p.settings.Incarnation, Witness: w.Incarnation, Address: w.Address,
+			OldestCheckpoint: p.limitsInForce[0].sequence, NewestCheckpoint: p.checkpoint.Sequence, Taken: taken,
 		})
 	}
 	return due
@@ -174,14 +174,14 @@
 }
 
 // CompleteReport records whether a witness has accepted a report, and returns the replies that result.
-func (p *Planner) CompleteReport(now time.Time, s Statement, accepted bool) []Reply {
+func (p *Planner) CompleteReport(now time.Time, s SpendReport, accepted bool) []Reply {
 	delete(p.reportsInFlight, s.Witness)
 	if !accepted {
 		return nil
 	}
 	for _, f := range p.limitsInForce {
 		// The report says nothing about checkpoints that were sent after it was made.
-		if f.sequence <= s.Newest {
+		if f.sequence <= s.NewestCheckpoint {
 			f.recordAck(s)
 		}
 	}
@@ -192,7 +192,7 @@
 }
 
 // recordAck records what a witness of the checkpoint has acknowledged.
-func (f checkpointLimits) recordAck(s Statement) {
+func (f checkpointLimits) recordAck(s SpendReport) {
 	if !slices.ContainsFunc(f.witnesses, func(w Witness) bool { return w.Incarnation == s.Witness }) {
 		return
 	}
@@ -224,7 +224,7 @@
 func quorum(witnesses int) int { return witnesses/2 + 1 }
 
 // isAcked reports whether a quorum of witnesses has acknowledged all of a report.
-func (p *Planner) isAcked(now time.Time, s Statement) bool {
+func (p *Planner) isAcked(now time.Time, s SpendReport) bool {
 	for workspace, amount := range s.Taken {
 		if a, ok := p.accounts[workspace]; ok && p.currentLimit(now, a) < amount {
 			return false
@@ -240,10 +240,10 @@
 
 // HasQuorum reports whether so many of the named witnesses have answered that at least one of them has acknowledged
 // whatever was cleared.
-func (e EndedIncarnation) HasQuorum(records []Recollection) bool {
+func (e EndedIncarnation) HasQuorum(records []WitnessRecord) bool {
 	answered := 0
 	for _, r := range records {
-		if r.Same {
+		if r.IsNamedWitness {
 			answered++
 		}
 	}
@@ -253,14 +253,14 @@
 // PresumedSpent returns the most that an ended incarnation can have spent, by workspace: what its last checkpoint allows
 // without witnesses and what these remember, if enough of them have answered, else all that its limits allow. What they
 // remember of earlier checkpoints is covered by the last one.
-func (e EndedIncarnation) PresumedSpent(records []Recollection) map[string]int64 {
+func (e EndedIncarnation) PresumedSpent(records []WitnessRecord) map[string]int64 {
 	if len(e.Witnesses) == 0 || !e.HasQuorum(records) {
 		return e.MaxSpent
 	}
 	presumed := maps.Clone(e.MaxUnwitnessed)
 	for _, r := range records {
-		for workspace, s := range r.Stated {
-			if r.Same && s.Book >= e.Sequence {
+		for workspace, s := range r.Reported {
+			if r.IsNamedWitness && s.Checkpoint >= e.Sequence {
 				presumed[workspace] = max(presumed[workspace], s.Taken)
 			}
 		}
--- a/treasurer/witness_test.go
+++ b/treasurer/witness_test.go
@@ -138,7 +138,7 @@
 			b.start("edge~2", 1_000_000)
 			ended := b.planner.Predecessors()
 			qt.Assert(t, ended, qt.HasLen, 1)
-			var records []treasurer.Recollection
+			var records []treasurer.WitnessRecord
 			for _, w := range ended[0].Witnesses {
 				instance := w.Incarnation.Instance()
 				if slices.Contains(tc.unreachable, instance) {
@@ -163,26 +163,26 @@
 
 func TestWitnessRefusesReportsAfterFinalReports(t *testing.T) {
 	w := treasurer.NewPlanner(treasurer.Settings{Incarnation: "one~1", Parts: 1})
-	s := treasurer.Statement{Issuer: "edge~1", Witness: "one~1", Newest: 3, Taken: map[string]int64{"w": 5}}
+	s := treasurer.SpendReport{Sender: "edge~1", Witness: "one~1", NewestCheckpoint: 3, Taken: map[string]int64{"w": 5}}
 	qt.Assert(t, w.AcceptReport(s), qt.IsTrue)
-	qt.Assert(t, w.FinalReports("one~1", "edge~1"), qt.DeepEquals, treasurer.Recollection{Same: true, Stated: map[string]treasurer.Stated{"w": {Taken: 5, Book: 3}}})
+	qt.Assert(t, w.FinalReports("one~1", "edge~1"), qt.DeepEquals, treasurer.WitnessRecord{IsNamedWitness: true, Reported: map[string]treasurer.ReportedSpend{"w": {Taken: 5, Checkpoint: 3}}})
 	qt.Assert(t, w.AcceptReport(s), qt.IsFalse)
-	s.Issuer, s.Witness = "edge~2", "one~0"
+	s.Sender, s.Witness = "edge~2", "one~0"
 	qt.Assert(t, w.AcceptReport(s), qt.IsFalse, qt.Commentf("the report is for an earlier incarnation"))
-	qt.Assert(t, w.FinalReports("one~0", "edge~2").Same, qt.IsFalse)
+	qt.Assert(t, w.FinalReports("one~0", "edge~2").IsNamedWitness, qt.IsFalse)
 }
 
 func TestLateReportLowersNothing(t *testing.T) {
 	w := treasurer.NewPlanner(treasurer.Settings{Incarnation: "one~1", Parts: 1})
-	late := treasurer.Statement{Issuer: "edge~1", Witness: "one~1", Oldest: 7, Newest: 8, Taken: map[string]int64{"w": 50}}
-	newer := treasurer.Statement{Issuer: "edge~1", Witness: "one~1", Oldest: 9, Newest: 10, Taken: map[string]int64{"w": 90}}
+	late := treasurer.SpendReport{Sender: "edge~1", Witness: "one~1", OldestCheckpoint: 7, NewestCheckpoint: 8, Taken: map[string]int64{"w": 50}}
+	newer := treasurer.SpendReport{Sender: "edge~1", Witness: "one~1", OldestCheckpoint: 9, NewestCheckpoint: 10, Taken: map[string]int64{"w": 90}}
 	qt.Assert(t, w.AcceptReport(newer), qt.IsTrue)
 	qt.Assert(t, w.AcceptReport(late), qt.IsTrue)
 	ended := treasurer.EndedIncarnation{
 		MaxSpent: map[string]int64{"w": 500}, MaxUnwitnessed: map[string]int64{"w": 40}, Sequence: 10,
 		Witnesses: []treasurer.Witness{{Incarnation: "one~1"}},
 	}
-	qt.Assert(t, ended.PresumedSpent([]treasurer.Recollection{w.FinalReports("one~1", "edge~1")}), qt.DeepEquals, map[string]int64{"w": 90})
+	qt.Assert(t, ended.PresumedSpent([]treasurer.WitnessRecord{w.FinalReports("one~1", "edge~1")}), qt.DeepEquals, map[string]int64{"w": 90})
 }
 
 func TestReportDoesNotCountForLaterCheckpoint(t *testing.T) {
@@ -203,22 +203,22 @@
 
 func TestReportsOfReplacedCheckpointsAreDropped(t *testing.T) {
 	w := treasurer.NewPlanner(treasurer.Settings{Incarnation: "one~1", Parts: 1})
-	first := treasurer.Statement{Issuer: "edge~1", Witness: "one~1", Oldest: 2, Newest: 3, Taken: map[string]int64{"v": 50, "w": 70}}
-	other := treasurer.Statement{Issuer: "edge~1", Witness: "one~1", Oldest: 2, Newest: 3, Taken: map[string]int64{"v": 60}}
-	second := treasurer.Statement{Issuer: "edge~1", Witness: "one~1", Oldest: 4, Newest: 4, Taken: map[string]int64{"w": 20}}
+	first := treasurer.SpendReport{Sender: "edge~1", Witness: "one~1", OldestCheckpoint: 2, NewestCheckpoint: 3, Taken: map[string]int64{"v": 50, "w": 70}}
+	other := treasurer.SpendReport{Sender: "edge~1", Witness: "one~1", OldestCheckpoint: 2, NewestCheckpoint: 3, Taken: map[string]int64{"v": 60}}
+	second := treasurer.SpendReport{Sender: "edge~1", Witness: "one~1", OldestCheckpoint: 4, NewestCheckpoint: 4, Taken: map[string]int64{"w": 20}}
 	qt.Assert(t, w.AcceptReport(first), qt.IsTrue)
 	qt.Assert(t, w.AcceptReport(other), qt.IsTrue)
-	qt.Assert(t, w.FinalReports("one~1", "edge~1").Stated["w"], qt.Equals, treasurer.Stated{Taken: 70, Book: 3})
+	qt.Assert(t, w.FinalReports("one~1", "edge~1").Reported["w"], qt.Equals, treasurer.ReportedSpend{Taken: 70, Checkpoint: 3})
 	w = treasurer.NewPlanner(treasurer.Settings{Incarnation: "one~1", Parts: 1})
 	qt.Assert(t, w.AcceptReport(first), qt.IsTrue)
 	qt.Assert(t, w.AcceptReport(second), qt.IsTrue)
 	r := w.FinalReports("one~1", "edge~1")
-	qt.Assert(t, r.Stated, qt.DeepEquals, map[string]treasurer.Stated{"w": {Taken: 20, Book: 4}})
+	qt.Assert(t, r.Reported, qt.DeepEquals, map[string]treasurer.ReportedSpend{"w": {Taken: 20, Checkpoint: 4}})
 	ended := treasurer.EndedIncarnation{
 		MaxSpent: map[string]int64{"w": 100}, MaxUnwitnessed: map[string]int64{"w": 15}, Sequence: 5,
 		Witnesses: []treasurer.Witness{{Incarnation: "one~1"}},
 	}
-	qt.Assert(t, ended.PresumedSpent([]treasurer.Recollection{r}), qt.DeepEquals, map[string]int64{"w": 15})
+	qt.Assert(t, ended.PresumedSpent([]treasurer.WitnessRecord{r}), qt.DeepEquals, map[string]int64{"w": 15})
 	ended.Sequence = 4
-	qt.Assert(t, ended.PresumedSpent([]treasurer.Recollection{r}), qt.DeepEquals, map[string]int64{"w": 20})
+	qt.Assert(t, ended.PresumedSpent([]treasurer.WitnessRecord{r}), qt.DeepEquals, map[string]int64{"w": 20})
 }
