--- a/authenticator/authenticator.go
+++ b/authenticator/authenticator.go
@@ -26,8 +26,8 @@
 	return keyPrefix + hex.EncodeToString(b)
 }
 
-// Hash returns the hash under which a key is stored.
-func Hash(key string) string {
+// HashKey returns the hash under which a key is stored.
+func HashKey(key string) string {
 	sum := sha256.Sum256([]byte(key))
 	return hex.EncodeToString(sum[:])
 }
@@ -39,8 +39,8 @@
 	return subtle.ConstantTimeCompare(x[:], y[:]) == 1
 }
 
-// Bearer returns the bearer token of the Authorization header, or "" if there is none.
-func Bearer(r *http.Request) string {
+// BearerToken returns the bearer token of the Authorization header, or "" if there is none.
+func BearerToken(r *http.Request) string {
 	token, ok := strings.CutPrefix(r.Header.Get("Authorization"), "Bearer ")
 	if !ok {
 		return ""
--- a/charter/charter.go
+++ b/charter/charter.go
@@ -52,15 +52,15 @@
 // Error returns a text that names the chart and the fault.
 func (e *FaultError) Error() string { return fmt.Sprintf("chart %s: %s", e.Chart, e.Fault) }
 
-// StepError reports an event for which a state has no transition.
-type StepError struct {
+// TransitionError reports an event for which a state has no transition.
+type TransitionError struct {
 	Chart string
 	State State
 	Event Event
 }
 
 // Error returns a text that names the chart, the state and the event.
-func (e *StepError) Error() string {
+func (e *TransitionError) Error() string {
 	return fmt.Sprintf("chart %s: no step from %s on %s", e.Chart, e.State, e.Event)
 }
 
@@ -153,14 +153,14 @@
 // Initial returns the initial state.
 func (c Chart) Initial() State { return c.initial }
 
-// Next returns the state after an event. If the state has no transition for it, Next returns the same state and a StepError.
+// Next returns the state after an event. If the state has no transition for it, Next returns the same state and a TransitionError.
 func (c Chart) Next(s State, e Event) (State, error) {
 	next, ok := c.states[s][e]
 	if !ok {
-		return s, &StepError{Chart: c.name, State: s, Event: e}
+		return s, &TransitionError{Chart: c.name, State: s, Event: e}
 	}
 	return next, nil
 }
 
-// Final reports whether a state has no outgoing transitions.
-func (c Chart) Final(s State) bool { return len(c.states[s]) == 0 }
+// IsFinal reports whether a state has no outgoing transitions.
+func (c Chart) IsFinal(s State) bool { return len(c.states[s]) == 0 }
--- a/linker/conn.go
+++ b/linker/conn.go
@@ -149,19 +149,19 @@
 	return nil
 }
 
-// Ask sends a request and waits for its reply.
+// Call sends a request and waits for its reply.
 //
 // If it fails after sending, the peer may have acted on the request.
-func (c *Conn) Ask(ctx context.Context, m Message) (Message, error) {
+func (c *Conn) Call(ctx context.Context, m Message) (Message, error) {
 	return c.call(ctx, m, pendingCall{})
 }
 
-// AskLarge sends a request whose reply may have any size, and waits for the reply. It fails with IdleTimeoutError if neither
+// CallLarge sends a request whose reply may have any size, and waits for the reply. It fails with IdleTimeoutError if neither
 // the reply nor a whole piece of any message arrives for idleTimeout.
 //
 // A fixed timeout would not do: the time that a large reply takes grows with its size, and it also has to wait for large
 // messages that precede it on the link.
-func (c *Conn) AskLarge(ctx context.Context, m Message, idleTimeout time.Duration) (Message, error) {
+func (c *Conn) CallLarge(ctx context.Context, m Message, idleTimeout time.Duration) (Message, error) {
 	callCtx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
 	timer := time.AfterFunc(idleTimeout, func() { cancel(&IdleTimeoutError{Peer: c.peer.Instance, Timeout: idleTimeout}) })
@@ -170,14 +170,14 @@
 }
 
 func (c *Conn) call(ctx context.Context, m Message, p pendingCall) (Message, error) {
-	m.Call = c.lastCall.Add(1)
+	m.CallID = c.lastCall.Add(1)
 	p.reply = make(chan Message, 1)
 	c.mu.Lock()
-	c.pending[m.Call] = p
+	c.pending[m.CallID] = p
 	c.mu.Unlock()
 	defer func() {
 		c.mu.Lock()
-		delete(c.pending, m.Call)
+		delete(c.pending, m.CallID)
 		c.mu.Unlock()
 	}()
 	if err := c.Send(m); err != nil {
@@ -204,9 +204,9 @@
 	}
 }
 
-// Answer sends the reply to a request.
-func (c *Conn) Answer(request, reply Message) error {
-	reply.Reply = request.Call
+// Reply sends the reply to a request.
+func (c *Conn) Reply(request, reply Message) error {
+	reply.ReplyTo = request.CallID
 	return c.Send(reply)
 }
 
@@ -256,12 +256,12 @@
 func (c *Conn) extendReadDeadline() { _ = c.socket.SetReadDeadline(time.Now().Add(readTimeout)) }
 
 func (c *Conn) deliver(m Message, h Handler) {
-	if m.Reply == 0 {
+	if m.ReplyTo == 0 {
 		h(c, m)
 		return
 	}
 	c.mu.Lock()
-	p, ok := c.pending[m.Reply]
+	p, ok := c.pending[m.ReplyTo]
 	c.mu.Unlock()
 	if ok {
 		p.reply <- m
--- a/linker/handshake.go
+++ b/linker/handshake.go
@@ -236,14 +236,14 @@
 	Identity Identity
 	Dial     DialFunc
 	Handler  Handler
-	// Up is called after a link is established.
-	Up func(*Conn)
-	// Down is called after a link is closed.
-	Down func(*Conn)
+	// OnUp is called after a link is established.
+	OnUp func(*Conn)
+	// OnDown is called after a link is closed.
+	OnDown func(*Conn)
 }
 
-// Once opens a link and authenticates both ends. The caller must pass the link to Serve.
-func (d Dialer) Once(ctx context.Context, address string) (*Conn, error) {
+// Connect opens a link and authenticates both ends. The caller must pass the link to Serve.
+func (d Dialer) Connect(ctx context.Context, address string) (*Conn, error) {
 	w := websocket.Dialer{
 		NetDialContext: d.Dial, HandshakeTimeout: handshakeTimeout,
 		ReadBufferSize: bufferBytes, WriteBufferSize: bufferBytes, WriteBufferPool: &writeBuffers,
@@ -279,11 +279,11 @@
 	return w.Peer, writeHandshake(socket, proof{MAC: mac})
 }
 
-// Keep maintains a link to an address until ctx is done. It reconnects with jittered exponential backoff.
-func (d Dialer) Keep(ctx context.Context, address string) {
+// KeepConnected maintains a link to an address until ctx is done. It reconnects with jittered exponential backoff.
+func (d Dialer) KeepConnected(ctx context.Context, address string) {
 	wait := minBackoff
 	for ctx.Err() == nil {
-		c, err := d.Once(ctx, address)
+		c, err := d.Connect(ctx, address)
 		if err != nil {
 			if !sleep(ctx, time.Duration(rand.Int64N(int64(wait)))+wait/2) {
 				return
@@ -300,9 +300,9 @@
 func (d Dialer) Serve(ctx context.Context, c *Conn) {
 	stop := context.AfterFunc(ctx, c.Close)
 	defer stop()
-	d.Up(c)
+	d.OnUp(c)
 	c.run(d.Handler)
-	d.Down(c)
+	d.OnDown(c)
 }
 
 func sleep(ctx context.Context, d time.Duration) bool {
--- a/linker/message.go
+++ b/linker/message.go
@@ -14,57 +14,57 @@
 
 // Message is one message on a link. Exactly one of its bodies is set.
 type Message struct {
-	// Call is the number of a request that expects a reply.
-	Call uint64 `cbor:"1,keyasint,omitempty"`
-	// Reply is the number of the request that this message replies to.
-	Reply uint64 `cbor:"2,keyasint,omitempty"`
-
-	Beat     *Beat               `cbor:"10,keyasint,omitempty"`
-	Dispatch *sealer.Dispatch    `cbor:"11,keyasint,omitempty"`
-	Accepted *sealer.Accepted    `cbor:"12,keyasint,omitempty"`
-	Refused  *sealer.Refused     `cbor:"13,keyasint,omitempty"`
-	Counted  *sealer.PromptCount `cbor:"14,keyasint,omitempty"`
-	Frame    *sealer.Frame       `cbor:"15,keyasint,omitempty"`
-	Final    *sealer.RunResult   `cbor:"16,keyasint,omitempty"`
-	Attach   *sealer.Attach      `cbor:"17,keyasint,omitempty"`
-	Query    *sealer.Query       `cbor:"18,keyasint,omitempty"`
-	Find     *sealer.Find        `cbor:"19,keyasint,omitempty"`
-	Status   *sealer.RunStatus   `cbor:"20,keyasint,omitempty"`
-	Cancel   *sealer.Cancel      `cbor:"21,keyasint,omitempty"`
-	Seal     *sealer.Seal        `cbor:"22,keyasint,omitempty"`
-	Sealed   *sealer.SealReport  `cbor:"23,keyasint,omitempty"`
-	Count    *Count              `cbor:"24,keyasint,omitempty"`
-	CountIs  *CountIs            `cbor:"25,keyasint,omitempty"`
-	Order    *masticway.Order    `cbor:"26,keyasint,omitempty"`
-	OrderIs  *OrderIs            `cbor:"27,keyasint,omitempty"`
-	Changes  *Changes            `cbor:"28,keyasint,omitempty"`
-	Want     *Want               `cbor:"29,keyasint,omitempty"`
-
-	Hold       *keeper.HoldRequest       `cbor:"40,keyasint,omitempty"`
-	HoldIs     *HoldIs                   `cbor:"41,keyasint,omitempty"`
-	Resize     *Resize                   `cbor:"42,keyasint,omitempty"`
-	Settle     *Settle                   `cbor:"43,keyasint,omitempty"`
-	Settled    *Settled                  `cbor:"44,keyasint,omitempty"`
-	GiveBack   *GiveBack                 `cbor:"45,keyasint,omitempty"`
-	Reach      *Reach                    `cbor:"46,keyasint,omitempty"`
-	Reached    *Reached                  `cbor:"47,keyasint,omitempty"`
-	WantConfig *WantConfig               `cbor:"48,keyasint,omitempty"`
-	Config     *configurer.Configuration `cbor:"49,keyasint,omitempty"`
-	Explain    *Explain                  `cbor:"50,keyasint,omitempty"`
-	Explained  *Explained                `cbor:"51,keyasint,omitempty"`
-}
-
-// Beat is sent periodically by each end, as a heartbeat with state that the other end needs.
-type Beat struct {
+	// CallID is the number of a request that expects a reply.
+	CallID uint64 `cbor:"1,keyasint,omitempty"`
+	// ReplyTo is the number of the request that this message replies to.
+	ReplyTo uint64 `cbor:"2,keyasint,omitempty"`
+
+	Heartbeat      *Heartbeat          `cbor:"10,keyasint,omitempty"`
+	Dispatch       *sealer.Dispatch    `cbor:"11,keyasint,omitempty"`
+	Accepted       *sealer.Accepted    `cbor:"12,keyasint,omitempty"`
+	Refused        *sealer.Refused     `cbor:"13,keyasint,omitempty"`
+	Counted        *sealer.PromptCount `cbor:"14,keyasint,omitempty"`
+	Frame          *sealer.Frame       `cbor:"15,keyasint,omitempty"`
+	Final          *sealer.RunResult   `cbor:"16,keyasint,omitempty"`
+	Attach         *sealer.Attach      `cbor:"17,keyasint,omitempty"`
+	Query          *sealer.Query       `cbor:"18,keyasint,omitempty"`
+	Find           *sealer.Find        `cbor:"19,keyasint,omitempty"`
+	Status         *sealer.RunStatus   `cbor:"20,keyasint,omitempty"`
+	Cancel         *sealer.Cancel      `cbor:"21,keyasint,omitempty"`
+	Seal           *sealer.Seal        `cbor:"22,keyasint,omitempty"`
+	Sealed         *sealer.SealReport  `cbor:"23,keyasint,omitempty"`
+	Count          *Count              `cbor:"24,keyasint,omitempty"`
+	CountReply     *CountReply         `cbor:"25,keyasint,omitempty"`
+	Order          *masticway.Order    `cbor:"26,keyasint,omitempty"`
+	OrderReply     *OrderReply         `cbor:"27,keyasint,omitempty"`
+	Changes        *Changes            `cbor:"28,keyasint,omitempty"`
+	ChangesRequest *ChangesRequest     `cbor:"29,keyasint,omitempty"`
+
+	Hold             *keeper.HoldRequest       `cbor:"40,keyasint,omitempty"`
+	HoldReply        *HoldReply                `cbor:"41,keyasint,omitempty"`
+	Resize           *Resize                   `cbor:"42,keyasint,omitempty"`
+	Settle           *Settle                   `cbor:"43,keyasint,omitempty"`
+	Settled          *Settled                  `cbor:"44,keyasint,omitempty"`
+	ReturnIdle       *ReturnIdle               `cbor:"45,keyasint,omitempty"`
+	RecordSidecars   *RecordSidecars           `cbor:"46,keyasint,omitempty"`
+	SidecarsRecorded *SidecarsRecorded         `cbor:"47,keyasint,omitempty"`
+	ConfigRequest    *ConfigRequest            `cbor:"48,keyasint,omitempty"`
+	Config           *configurer.Configuration `cbor:"49,keyasint,omitempty"`
+	Explain          *Explain                  `cbor:"50,keyasint,omitempty"`
+	Explained        *Explained                `cbor:"51,keyasint,omitempty"`
+}
+
+// Heartbeat is sent periodically by each end, as a heartbeat with state that the other end needs.
+type Heartbeat struct {
 	Revision masticway.Revision `cbor:"1,keyasint"`
 	Leaving  bool               `cbor:"2,keyasint,omitempty"`
-	// Unseen is how long ago the sender's revision was confirmed to be the newest.
-	Unseen time.Duration         `cbor:"6,keyasint,omitempty"`
-	Load   *masticway.LoadReport `cbor:"3,keyasint,omitempty"`
-	// Open lists the sending router's open grants. A sidecar drops the totals of the others.
-	Open []int64 `cbor:"4,keyasint,omitempty"`
-	// Upto is the highest grant number that this list covers. Grants with higher numbers may be open.
-	Upto int64 `cbor:"5,keyasint,omitempty"`
+	// Staleness is how long ago the sender's revision was confirmed to be the newest.
+	Staleness time.Duration         `cbor:"6,keyasint,omitempty"`
+	Load      *masticway.LoadReport `cbor:"3,keyasint,omitempty"`
+	// OpenGrants lists the sending router's open grants. A sidecar drops the totals of the others.
+	OpenGrants []int64 `cbor:"4,keyasint,omitempty"`
+	// GrantsUpTo is the highest grant number that this list covers. Grants with higher numbers may be open.
+	GrantsUpTo int64 `cbor:"5,keyasint,omitempty"`
 }
 
 // Count asks a sidecar for the exact token count of a prompt.
@@ -72,13 +72,13 @@
 	Prompt []byte `cbor:"1,keyasint"`
 }
 
-// CountIs answers Count. Tokens is negative if the upstream did not return a count.
-type CountIs struct {
+// CountReply answers Count. Tokens is negative if the upstream did not return a count.
+type CountReply struct {
 	Tokens int `cbor:"1,keyasint"`
 }
 
-// OrderIs answers an order to an upstream.
-type OrderIs struct {
+// OrderReply answers an order to an upstream.
+type OrderReply struct {
 	Done   bool   `cbor:"1,keyasint"`
 	Reason string `cbor:"2,keyasint,omitempty"`
 }
@@ -86,30 +86,30 @@
 // Changes distributes configuration changes.
 type Changes struct {
 	List []masticway.Change `cbor:"1,keyasint"`
-	// Upto is the sender's revision. The list may lack older changes that the sender no longer keeps.
-	Upto masticway.Revision `cbor:"2,keyasint,omitempty"`
+	// Revision is the sender's revision. The list may lack older changes that the sender no longer keeps.
+	Revision masticway.Revision `cbor:"2,keyasint,omitempty"`
 }
 
-// Want asks a peer for the configuration changes after a revision. It is sent when the peer's heartbeat has a newer
+// ChangesRequest asks a peer for the configuration changes after a revision. It is sent when the peer's heartbeat has a newer
 // revision.
-type Want struct {
+type ChangesRequest struct {
 	After masticway.Revision `cbor:"1,keyasint"`
 }
 
-// HoldIs answers a hold request.
-type HoldIs struct {
+// HoldReply answers a hold request.
+type HoldReply struct {
 	Verdict keeper.HoldResult  `cbor:"1,keyasint"`
 	Grant   masticway.GrantKey `cbor:"2,keyasint"`
 	Amount  masticway.Amount   `cbor:"3,keyasint"`
-	// Sure is set if the keeper has run long enough to recognize every earlier request with the same identity.
-	Sure   bool          `cbor:"4,keyasint"`
-	Waited time.Duration `cbor:"5,keyasint"`
-	// Open is set on a duplicate whose first request is still in progress.
-	Open bool `cbor:"8,keyasint,omitempty"`
+	// DetectsDuplicates is set if the keeper has run long enough to recognize every earlier request with the same identity.
+	DetectsDuplicates bool          `cbor:"4,keyasint"`
+	Waited            time.Duration `cbor:"5,keyasint"`
+	// FirstInProgress is set on a duplicate whose first request is still in progress.
+	FirstInProgress bool `cbor:"8,keyasint,omitempty"`
 	// Limit is the contract limit that refuses the request, if one does.
 	Limit string `cbor:"6,keyasint,omitempty"`
-	// Retry is the time after which the request may be retried.
-	Retry time.Duration `cbor:"7,keyasint,omitempty"`
+	// RetryAfter is the time after which the request may be retried.
+	RetryAfter time.Duration `cbor:"7,keyasint,omitempty"`
 }
 
 // Resize reduces a hold.
@@ -127,21 +127,21 @@
 // Settled acknowledges a settlement.
 type Settled struct{}
 
-// GiveBack asks a peer to return a budget's idle money.
-type GiveBack struct {
+// ReturnIdle asks a peer to return a budget's idle money.
+type ReturnIdle struct {
 	Budget string `cbor:"1,keyasint"`
 }
 
-// Reach asks a peer to record the sidecars at which its money may be used.
-type Reach struct {
+// RecordSidecars asks a peer to record the sidecars at which its money may be used.
+type RecordSidecars struct {
 	Sidecars []masticway.Incarnation `cbor:"1,keyasint"`
 }
 
-// Reached confirms that the peer has stored the sidecars durably.
-type Reached struct{}
+// SidecarsRecorded confirms that the peer has stored the sidecars durably.
+type SidecarsRecorded struct{}
 
-// WantConfig asks a peer for its whole configuration.
-type WantConfig struct{}
+// ConfigRequest asks a peer for its whole configuration.
+type ConfigRequest struct{}
 
 // Explain asks a peer for the trace of a request.
 type Explain struct {
--- a/linker/slow_test.go
+++ b/linker/slow_test.go
@@ -31,7 +31,7 @@
 func connect(t *testing.T, address string) (c *linker.Conn, stop func()) {
 	d := dialer("0123456789abcdef")
 	ctx, cancel := context.WithCancel(context.Background())
-	c, err := d.Once(ctx, address)
+	c, err := d.Connect(ctx, address)
 	if err != nil {
 		cancel()
 		t.Fatal(err)
@@ -55,7 +55,7 @@
 			return
 		case <-tick.C:
 			// Sending fails once the link is down, which the next iteration detects.
-			_ = c.Send(linker.Message{Beat: &linker.Beat{}})
+			_ = c.Send(linker.Message{Heartbeat: &linker.Heartbeat{}})
 		}
 	}
 }
@@ -68,7 +68,7 @@
 		if m.Explain == nil {
 			return
 		}
-		_ = c.Answer(m, linker.Message{Explained: &linker.Explained{Trace: trace}})
+		_ = c.Reply(m, linker.Message{Explained: &linker.Explained{Trace: trace}})
 	}
 	l := linker.NewListener(identity("server", "0123456789abcdef"), handle, func(*linker.Conn) {}, func(*linker.Conn) {})
 	server := httptest.NewServer(l)
@@ -104,7 +104,7 @@
 			var wg sync.WaitGroup
 			for range tc.calls {
 				wg.Go(func() {
-					a, err := c.Ask(ctx, linker.Message{Explain: &linker.Explain{}})
+					a, err := c.Call(ctx, linker.Message{Explain: &linker.Explain{}})
 					if qt.Check(t, err, qt.IsNil) {
 						qt.Check(t, a.Explained.Trace, qt.HasLen, tc.bytes)
 					}
@@ -185,7 +185,7 @@
 		if m.Explain == nil {
 			return
 		}
-		_ = c.Answer(m, linker.Message{Explained: &linker.Explained{Trace: make([]byte, 10*faultAfter)}})
+		_ = c.Reply(m, linker.Message{Explained: &linker.Explained{Trace: make([]byte, 10*faultAfter)}})
 	}
 	l := linker.NewListener(identity("server", "0123456789abcdef"), handle, func(*linker.Conn) {}, func(*linker.Conn) {})
 	server := httptest.NewUnstartedServer(l)
@@ -216,7 +216,7 @@
 			c := connectOverLink(t, slowLinkRate, 2<<20)
 			ctx, cancel := context.WithTimeout(t.Context(), slowReplyTimeout)
 			defer cancel()
-			a, err := c.AskLarge(ctx, tc.request, idleTimeout)
+			a, err := c.CallLarge(ctx, tc.request, idleTimeout)
 			if tc.timesOut {
 				var timeoutErr *linker.IdleTimeoutError
 				qt.Assert(t, err, qt.ErrorAs, &timeoutErr)
--- a/loader/runner.go
+++ b/loader/runner.go
@@ -229,7 +229,7 @@
 	withKeys := make([]masticway.Contract, 0, len(contracts))
 	for _, c := range contracts {
 		keys[c.Workspace] = authenticator.NewKey()
-		withKeys = append(withKeys, c.WithKeyHashes(authenticator.Hash(keys[c.Workspace])))
+		withKeys = append(withKeys, c.WithKeyHashes(authenticator.HashKey(keys[c.Workspace])))
 	}
 	var budgets []starter.Prepaid
 	for _, b := range s.Budgets {
--- a/receiver/receiver.go
+++ b/receiver/receiver.go
@@ -14,9 +14,9 @@
 // buffer before Read returns, so that a pause is noticed only between two pieces.
 const pieceBytes = 16 << 10
 
-// PauseLimit is the idle timeout for responses between the machines of a deployment. It is 2 s because a packet may be queued
+// DefaultIdleTimeout is the idle timeout for responses between the machines of a deployment. It is 2 s because a packet may be queued
 // for up to half a second in each direction on a saturated network path, and one packet may be lost.
-const PauseLimit = 2 * time.Second
+const DefaultIdleTimeout = 2 * time.Second
 
 // minRate is the lowest average rate, in bytes per second, at which a response may arrive: an eightieth of the rate of a
 // router's slowest network path. A slower response is treated like one that does not arrive.
@@ -27,12 +27,12 @@
 
 // Limits bounds the receiving of one response.
 type Limits struct {
-	// Begin is the longest time until the response's header has arrived.
-	Begin time.Duration
-	// Pause is the longest time without data once the header has arrived.
-	Pause time.Duration
-	// Bytes is the largest size of the body.
-	Bytes int64
+	// HeaderTimeout is the longest time until the response's header has arrived.
+	HeaderTimeout time.Duration
+	// IdleTimeout is the longest time without data once the header has arrived.
+	IdleTimeout time.Duration
+	// MaxBytes is the largest size of the body.
+	MaxBytes int64
 }
 
 // Response is a response that has been received completely.
@@ -79,15 +79,15 @@
 	start := time.Now()
 	ctx, cancel := context.WithCancelCause(request.Context())
 	defer cancel(nil)
-	timer := time.AfterFunc(l.Begin, func() { cancel(errTimeout) })
+	timer := time.AfterFunc(l.HeaderTimeout, func() { cancel(errTimeout) })
 	defer timer.Stop()
 	response, err := client.Do(request.WithContext(ctx))
 	if err != nil {
 		return Response{}, &Error{Took: time.Since(start), Err: cause(ctx, err)}
 	}
 	defer response.Body.Close()
-	if response.ContentLength > l.Bytes {
-		return Response{}, &Error{Took: time.Since(start), Err: &TooLargeError{Limit: l.Bytes}}
+	if response.ContentLength > l.MaxBytes {
+		return Response{}, &Error{Took: time.Since(start), Err: &TooLargeError{Limit: l.MaxBytes}}
 	}
 	body, err := readAll(ctx, response, l, timer)
 	if err != nil {
@@ -96,9 +96,9 @@
 	return Response{Status: response.StatusCode, Body: body}, nil
 }
 
-// Progress calls the function passed to WithProgress, if ctx has one. Callers use it for a response that arrives under another
+// ReportProgress calls the function passed to WithProgress, if ctx has one. Callers use it for a response that arrives under another
 // context.
-func Progress(ctx context.Context) {
+func ReportProgress(ctx context.Context) {
 	if progress, ok := ctx.Value(progressKey{}).(func()); ok {
 		progress()
 	}
@@ -110,17 +110,17 @@
 	body := make([]byte, 0, max(pieceBytes, response.ContentLength))
 	for {
 		if response.StatusCode == http.StatusOK && max(int64(len(body)), response.ContentLength) > pieceBytes {
-			Progress(ctx)
+			ReportProgress(ctx)
 		}
 		// slack is how far the body is ahead of minRate. It is negative if the body arrives more slowly, and shortens the
 		// timeout then; the call is canceled once the body is a whole idle timeout behind.
 		slack := time.Duration(len(body))*time.Second/minRate - time.Since(start)
-		timer.Reset(min(l.Pause, l.Pause+slack))
+		timer.Reset(min(l.IdleTimeout, l.IdleTimeout+slack))
 		body = slices.Grow(body, pieceBytes)
 		n, err := response.Body.Read(body[len(body) : len(body)+pieceBytes])
 		body = body[:len(body)+n]
-		if int64(len(body)) > l.Bytes {
-			return body, &TooLargeError{Limit: l.Bytes}
+		if int64(len(body)) > l.MaxBytes {
+			return body, &TooLargeError{Limit: l.MaxBytes}
 		}
 		if errors.Is(err, io.EOF) {
 			return body, nil
--- a/receiver/receiver_test.go
+++ b/receiver/receiver_test.go
@@ -124,7 +124,7 @@
 			request := newRequest(t, tc.status, tc.length, tc.oneChunk, tc.pieces)
 			progress := false
 			ctx := receiver.WithProgress(request.Context(), func() { progress = true })
-			answer, err := receiver.Do(http.DefaultClient, request.WithContext(ctx), receiver.Limits{Begin: headerTimeout, Pause: idleTimeout, Bytes: maxBytes})
+			answer, err := receiver.Do(http.DefaultClient, request.WithContext(ctx), receiver.Limits{HeaderTimeout: headerTimeout, IdleTimeout: idleTimeout, MaxBytes: maxBytes})
 			qt.Check(t, progress, qt.Equals, tc.progress)
 			if tc.want > 0 {
 				qt.Assert(t, err, qt.IsNil)
@@ -147,6 +147,6 @@
 	request := newRequest(t, 200, 0, false, []piece{{bytes: 5}, {delay: idleTimeout / 2, bytes: 5}, {delay: idleTimeout / 2, bytes: 5}})
 	ctx, cancel := context.WithTimeout(request.Context(), idleTimeout*3/4)
 	defer cancel()
-	_, err := receiver.Do(http.DefaultClient, request.WithContext(ctx), receiver.Limits{Begin: headerTimeout, Pause: idleTimeout, Bytes: maxBytes})
+	_, err := receiver.Do(http.DefaultClient, request.WithContext(ctx), receiver.Limits{HeaderTimeout: headerTimeout, IdleTimeout: idleTimeout, MaxBytes: maxBytes})
 	qt.Assert(t, err, qt.ErrorIs, context.DeadlineExceeded)
 }
--- a/router/attempt.go
+++ b/router/attempt.go
@@ -327,7 +327,7 @@
 	}
 	callCtx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	a, err := c.Ask(callCtx, linker.Message{Query: &sealer.Query{Run: run}})
+	a, err := c.Call(callCtx, linker.Message{Query: &sealer.Query{Run: run}})
 	if err != nil || a.Status == nil {
 		return status, false, false
 	}
--- a/sidecar/beats.go
+++ b/sidecar/beats.go
@@ -27,10 +27,10 @@
 func (c *Sidecar) sendHeartbeats() {
 	m := c.heartbeatMessage()
 	c.mu.Lock()
-	if c.reportedLoad != nil && m.Beat.Load != nil && equalLoad(*c.reportedLoad, *m.Beat.Load) {
-		m.Beat.Load = nil
+	if c.reportedLoad != nil && m.Heartbeat.Load != nil && equalLoad(*c.reportedLoad, *m.Heartbeat.Load) {
+		m.Heartbeat.Load = nil
 	} else {
-		c.reportedLoad = m.Beat.Load
+		c.reportedLoad = m.Heartbeat.Load
 	}
 	c.mu.Unlock()
 	for _, conn := range c.listener.All() {
@@ -47,7 +47,7 @@
 func (c *Sidecar) heartbeatMessage() linker.Message {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return linker.Message{Beat: &linker.Beat{Revision: c.core.Revision(), Leaving: c.core.IsDraining(), Load: c.load}}
+	return linker.Message{Heartbeat: &linker.Heartbeat{Revision: c.core.Revision(), Leaving: c.core.IsDraining(), Load: c.load}}
 }
 
 func (c *Sidecar) pollLoad() {
--- a/sidecar/orders.go
+++ b/sidecar/orders.go
@@ -11,11 +11,11 @@
 // handleOrder passes an order to the upstream unless its fencing number is older than the newest one known.
 func (c *Sidecar) handleOrder(conn *linker.Conn, m linker.Message) {
 	err := c.executeOrder(*m.Order)
-	answer := linker.OrderIs{Done: err == nil}
+	answer := linker.OrderReply{Done: err == nil}
 	if err != nil {
 		answer.Reason = err.Error()
 	}
-	_ = conn.Answer(m, linker.Message{OrderIs: &answer})
+	_ = conn.Reply(m, linker.Message{OrderReply: &answer})
 }
 
 // StaleFenceError reports an order with an old fencing number.
