--- a/forwarder/abandoned.go
+++ b/forwarder/abandoned.go
@@ -8,7 +8,7 @@
 	"github.com/masticway/masticway"
 )
 
-// maxAbandonedRuns bounds the runs that are remembered. The oldest is dropped first.
+// maxAbandonedRuns is the maximum number of abandoned runs that a router remembers. The oldest is dropped first.
 const maxAbandonedRuns = 256
 
 // serverRun is a run of a request at a server, with what is needed to report a crash of the server.
@@ -16,19 +16,20 @@
 	request string
 	digest  masticway.RequestDigest
 	path    string
-	end     masticway.ServerCrash
-	// abandonedAt is when this router gave up the run; zero if the connection broke.
+	crash   masticway.ServerCrash
+	// abandonedAt is when this router gave up the run; it is zero if the connection broke instead.
 	abandonedAt time.Time
 }
 
-// abandonedRuns are runs that this router gave up early in the answer, because the caller left or another server took the
-// request. There is no connection left that would break if the server crashes, although the request may still crash it.
+// abandonedRuns holds runs that this router gave up before their answers had lasted for innocentAfter, because the caller left,
+// the deadline passed, or another server took the request. The router has closed their connections, so no connection breaks if
+// the server crashes. The request may still crash it.
 type abandonedRuns struct {
 	mu   sync.Mutex
 	runs []serverRun
 }
 
-// add remembers a run and drops those that are too old to be at fault.
+// add adds a run. It drops the runs that can no longer be at fault for a crash, and the oldest ones above maxAbandonedRuns.
 func (a *abandonedRuns) add(r serverRun) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -36,19 +37,19 @@
 	a.runs = a.runs[max(0, len(a.runs)-maxAbandonedRuns):]
 }
 
-// hasRecent reports whether a server has runs that were abandoned recently.
+// hasRecent reports whether runs at a server were abandoned less than innocentAfter ago.
 func (a *abandonedRuns) hasRecent(now time.Time, server masticway.ServerIncarnation) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return slices.ContainsFunc(a.runs, func(r serverRun) bool { return r.end.Server == server && mayCauseCrash(r, now) })
+	return slices.ContainsFunc(a.runs, func(r serverRun) bool { return r.crash.Server == server && mayCauseCrash(r, now) })
 }
 
-// takeRecent removes all runs at a server and returns those that were abandoned recently.
+// takeRecent removes all runs at a server and returns those that were abandoned less than innocentAfter ago.
 func (a *abandonedRuns) takeRecent(now time.Time, server masticway.ServerIncarnation) (taken []serverRun) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.runs = slices.DeleteFunc(a.runs, func(r serverRun) bool {
-		if r.end.Server != server {
+		if r.crash.Server != server {
 			return false
 		}
 		if mayCauseCrash(r, now) {
@@ -59,7 +60,7 @@
 	return taken
 }
 
-// remove removes a run and reports whether it was present. It is absent if its request has been reported since.
+// remove removes a run and reports whether it was present. It is absent if it has been taken for a report or dropped by add.
 func (a *abandonedRuns) remove(r serverRun) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -68,5 +69,5 @@
 	return len(a.runs) < before
 }
 
-// mayCauseCrash reports whether an abandoned run may still be at fault if its server ends now.
+// mayCauseCrash reports whether an abandoned run may be at fault if its server crashes now.
 func mayCauseCrash(r serverRun, now time.Time) bool { return now.Sub(r.abandonedAt) < innocentAfter }
--- a/forwarder/admit.go
+++ b/forwarder/admit.go
@@ -16,12 +16,12 @@
 )
 
 const (
-	// retryAfterReconnect is the retry hint of a router that is draining or overloaded. The caller's next connection reaches
-	// another router.
+	// retryAfterReconnect is the retry hint of a router that is draining or overloaded. The caller can retry soon, because its
+	// next connection should reach another router.
 	retryAfterReconnect = 50 * time.Millisecond
-	// defaultMaxBodyBytes bounds a body if the configuration does not.
+	// defaultMaxBodyBytes is the maximum size of a request body if the configuration sets none.
 	defaultMaxBodyBytes = 4 << 20
-	// defaultTimeout bounds a request if neither the caller nor the route does.
+	// defaultTimeout is the timeout of a request if neither the caller nor the route sets one.
 	defaultTimeout = 30 * time.Second
 	// maxRank is the least urgent rank that servers support.
 	maxRank = 9
@@ -52,27 +52,28 @@
 	codeOverloaded            = "router_overloaded"
 )
 
-// request is a caller's request. It does not change once it is admitted.
+// request is a caller's request. It does not change after its admission.
 type request struct {
 	masticway.OpaqueRequest
-	route    masticway.Route
-	pool     masticway.Pool
-	account  masticway.Account
-	revision int64
-	method   string
-	target   string
-	host     string
-	header   http.Header
-	body     []byte
-	prompt   chooser.Prompt
-	received time.Time
-	deadline time.Time
+	route                masticway.Route
+	pool                 masticway.Pool
+	account              masticway.Account
+	configurationVersion int64
+	method               string
+	target               string
+	host                 string
+	header               http.Header
+	body                 []byte
+	prompt               chooser.Prompt
+	received             time.Time
+	deadline             time.Time
 }
 
-// hasBudget reports whether the request consumes a prepaid budget.
+// hasBudget reports whether the request consumes a prepaid budget: it declares its tokens, and its workspace has a budget.
 func (q request) hasBudget() bool { return q.Metered && q.account.HasLimit }
 
-// rank returns the request's urgency, 0 being the most urgent. The workspace's priority takes precedence over the route's.
+// rank returns the request's urgency from 0, the most urgent, to maxRank. A priority of the workspace takes precedence over that
+// of the route.
 func (q request) rank() int {
 	if q.account.HasPriority {
 		return min(maxRank, max(0, q.account.Priority))
@@ -86,12 +87,13 @@
 	return path
 }
 
-// refusal returns the answer to a request that did not run.
+// refusal returns a refusal of a request that did not run. The caller may retry after the wait; zero means no retry hint.
 func refusal(status int, code, message string, wait time.Duration) *masticway.RefusalError {
 	return &masticway.RefusalError{Status: status, Code: code, Message: message, Fate: masticway.FateNotRun, RetryAfter: wait}
 }
 
-// admit checks a request and reads its body. It returns the exchange even if the request is refused, for the log.
+// admit checks a request, reserves capacity of the router for it and reads its body, or returns a refusal. It always returns the
+// exchange, which the log needs; the caller must call release on it.
 func (f *Forwarder) admit(w http.ResponseWriter, r *http.Request) (*exchange, *masticway.RefusalError) {
 	now := f.clock.Now()
 	x := &exchange{f: f, w: w, state: deliveryChart.Initial(), fate: masticway.FateNotRun, tried: map[string]bool{}}
@@ -123,7 +125,7 @@
 	return x, x.checkDrain()
 }
 
-// checkDrain refuses a request that may last longer than this router.
+// checkDrain refuses a request that the shutdown of this router is likely to cut off.
 func (x *exchange) checkDrain() *masticway.RefusalError {
 	if !x.f.drainState.Load().wouldCutOff(x.f.clock.Now(), x.q.deadline) {
 		return nil
@@ -131,7 +133,8 @@
 	return refusal(http.StatusServiceUnavailable, codeShuttingDown, "this router ends before the answer would", retryAfterReconnect)
 }
 
-// admitLoad reserves capacity for the request before its body is read, because the link to the callers may be saturated.
+// admitLoad reserves capacity of the router for the request, or refuses it. It is called before the body is read, because the
+// link to the callers may be saturated.
 func (x *exchange) admitLoad(r *http.Request, limits masticway.CallerLimits) *masticway.RefusalError {
 	bytes := r.ContentLength
 	if bytes < 0 {
@@ -153,7 +156,7 @@
 	}
 }
 
-// release releases the capacity that the request holds.
+// release marks the request as answered and releases the capacity that admitLoad reserved, if any.
 func (x *exchange) release() {
 	x.markAnswered()
 	if x.admitted {
@@ -169,10 +172,11 @@
 	return limits.MaxBodyBytes
 }
 
-// resolveRoute looks up the route, the workspace and the pool of the request.
+// resolveRoute sets the route, the workspace, the pool and the deadline of the request. It refuses a request without a route, and
+// one without a valid key unless the route allows anonymous callers.
 func (x *exchange) resolveRoute(snapshot follower.Snapshot, r *http.Request) *masticway.RefusalError {
 	d := snapshot.Deployment
-	x.q.revision = d.Version
+	x.q.configurationVersion = d.Version
 	host := r.Host
 	if name, _, err := net.SplitHostPort(host); err == nil {
 		host = name
@@ -193,7 +197,8 @@
 	return nil
 }
 
-// pickPool chooses a pool by weight. The choice depends on the request's id only.
+// pickPool chooses a pool in proportion to the weights. For the same request ID and shares it always returns the same pool. It
+// returns an empty name if no pool has any weight.
 func pickPool(shares []masticway.TrafficShare, id string) string {
 	total := 0
 	for _, s := range shares {
@@ -212,7 +217,8 @@
 	return ""
 }
 
-// setDeadline applies the caller's time limit or the route's timeout, whichever is shorter.
+// setDeadline applies the caller's time limit or the route's timeout, whichever is shorter. If neither is set, the deadline stays
+// as it is.
 func (x *exchange) setDeadline() {
 	left := x.q.TimeLeft
 	if t := x.q.route.Timeout; t > 0 && (left <= 0 || t < left) {
@@ -223,7 +229,7 @@
 	}
 }
 
-// readBody reads the whole body, so that it can be sent again.
+// readBody reads the whole body, so that it can be sent more than once. It refuses a body that is too large or ends early.
 func (x *exchange) readBody(w http.ResponseWriter, r *http.Request, limits masticway.CallerLimits) *masticway.RefusalError {
 	limit := maxBodyBytes(limits)
 	if r.ContentLength == 0 {
--- a/forwarder/attempt.go
+++ b/forwarder/attempt.go
@@ -17,33 +17,37 @@
 )
 
 const (
-	// maxAnswerBytes bounds an answer that is buffered before it is relayed.
+	// maxAnswerBytes is the maximum number of bytes of a buffered answer that are relayed. The rest of a longer answer is
+	// dropped.
 	maxAnswerBytes = 8 << 20
-	// maxForeignAnswers bounds the answers to other requests that are skipped on one connection.
+	// maxForeignAnswers is the number of answers to other requests, on one connection, after which an attempt fails.
 	maxForeignAnswers = 2
 )
 
 // attempt is an attempt to serve the request at one server.
 type attempt struct {
-	x         *exchange
-	server    masticway.Server
+	x      *exchange
+	server masticway.Server
+	// placement is the chooser's record of the attempt.
 	placement *chooser.Placement
 	// parent is the exchange's context.
 	parent context.Context
 	ctx    context.Context
 	cancel context.CancelCauseFunc
-	// sendResults delivers the result of an attempt that was sent as a handover candidate. It is nil for other attempts.
+	// sendResults delivers the result of sending the request if the attempt began as a handover candidate (see handoverState). It
+	// is nil for other attempts.
 	sendResults chan sendResult
-	// excluded are the servers that had been tried before the attempt.
+	// excluded holds the IDs of the servers that had been tried before the attempt began.
 	excluded map[string]bool
 	handover handoverState
-	// quarantined is set if the request runs as a suspect and this router has to report the result to the examiner.
+	// quarantined is set if the request runs as a suspect and this router still has to report the result to the examiner.
 	quarantined bool
-	// firstAt is when the first part of this server's answer arrived.
+	// firstAt is when the first events of a stream, or the whole of another answer, arrived from this server. It is zero until
+	// then.
 	firstAt time.Time
 }
 
-// runAttempt sends the request to one server and relays its answer.
+// runAttempt runs an attempt to its end and records its result in the load and health of its server.
 func (x *exchange) runAttempt(ctx context.Context, a *attempt) outcome {
 	defer a.cancel(nil)
 	x.server = a.server.ID
@@ -55,8 +59,8 @@
 	return out
 }
 
-// nextAttempt returns the attempt to which the previous one was handed over, if any, and else a new attempt at the best server
-// that has not been tried. If there is none, the outcome has the reason.
+// nextAttempt returns the attempt to which the previous one was handed over, if any. Otherwise it returns a new attempt at a
+// server that has not been tried. If there is none, it returns nil and an outcome with the reason. It may block, see choose.
 func (x *exchange) nextAttempt(ctx context.Context) (*attempt, outcome) {
 	a := x.next.Swap(nil)
 	if a == nil {
@@ -71,7 +75,8 @@
 	return a, outcome{}
 }
 
-// newAttempt records that the request goes to a server.
+// newAttempt returns a new attempt and records the request as sent to the server. The caller must call recordResult when the
+// attempt has ended.
 func (x *exchange) newAttempt(ctx context.Context, server masticway.Server) *attempt {
 	x.f.metrics.Add(metricAttempts, 1)
 	a := &attempt{x: x, server: server, parent: ctx}
@@ -108,7 +113,8 @@
 	return a.handleAnswer(answer, head)
 }
 
-// awaitAnswer returns the head of the answer. It sends the request unless that was done as a handover candidate.
+// awaitAnswer returns the head of the answer. It sends the request unless that was done when the attempt was a handover
+// candidate.
 func (a *attempt) awaitAnswer() (*sender.Answer, error) {
 	if a.sendResults != nil {
 		r := <-a.sendResults
@@ -117,7 +123,8 @@
 	return a.send(a.x.lastEvent)
 }
 
-// send sends the request to the attempt's server and returns the head of the answer. A stream resumes after lastEvent.
+// send sends the request to the attempt's server, waits for the head of the answer and records what it says about the server. A
+// stream resumes after lastEvent.
 func (a *attempt) send(lastEvent string) (*sender.Answer, error) {
 	answer, err := a.x.f.sender.Send(a.ctx, a.server.Address, a.x.maxConnections(), a.x.serverRequest(a.server, lastEvent))
 	if err == nil {
@@ -126,7 +133,7 @@
 	return answer, err
 }
 
-// observeServer records what the head of an answer says about the server itself.
+// observeServer records the rate limit, the backoff and the drain that the head of an answer reports.
 func (a *attempt) observeServer(answer *sender.Answer) {
 	if answer.Status == http.StatusMisdirectedRequest {
 		// The answer comes from another server at this address, so it does not describe the expected one.
@@ -135,12 +142,12 @@
 	head := a.x.f.codec.ParseAnswer(answer.Status, answer.Header)
 	a.x.f.throttler.Observe(a.server.Incarnation(), head)
 	if head.Draining {
-		a.x.f.onLeaving(a.server)
+		a.x.f.onDraining(a.server)
 	}
 }
 
-// firstAnswerTimeout returns how long to wait for the first bytes of an answer before another server is asked. Zero means no
-// limit.
+// firstAnswerTimeout returns how long to wait for the first event of a stream, or for the whole of another answer, before the
+// request is handed over. Zero means that it is not handed over.
 func (x *exchange) firstAnswerTimeout() time.Duration {
 	if x.possibleRuns()+1 >= x.q.route.MaxServers {
 		return 0
@@ -154,7 +161,8 @@
 	return 0
 }
 
-// eventGapTimeout returns how long to wait for the next event before another server is asked. Zero means no limit.
+// eventGapTimeout returns how long to wait for the next event before the request is handed over. Zero means that it is not handed
+// over.
 func (x *exchange) eventGapTimeout() time.Duration {
 	if x.possibleRuns()+1 >= x.q.route.MaxServers || x.q.route.RetryPolicy != masticway.RetryByResuming {
 		return 0
@@ -162,7 +170,8 @@
 	return time.Duration(gapHandoverFactor * float64(x.q.route.MaxEventGap))
 }
 
-// sendFailure returns the outcome of an attempt that got no answer.
+// sendFailure returns the outcome of an attempt that got no answer. If the server refused the connection, it may also start a
+// check of the server.
 func (a *attempt) sendFailure(err error) outcome {
 	if _, ok := errors.AsType[*sender.ConnectionLimitError](err); ok {
 		return outcome{fate: masticway.FateNotRun, result: chooser.ResultNeutral, reason: err.Error(), isFull: true}
@@ -176,7 +185,8 @@
 	return a.connectionFailure(err)
 }
 
-// failure returns the outcome of an attempt that may have run and got no usable answer.
+// failure returns the outcome of an attempt that may have run and got no usable answer. The attempt counts as abandoned if its
+// context has ended.
 func (a *attempt) failure(err error) outcome {
 	cause := context.Cause(a.ctx)
 	if cause != nil {
@@ -185,16 +195,16 @@
 	return outcome{fate: masticway.FateUnknown, result: chooser.ResultFailure, reason: err.Error(), abandoned: cause != nil}
 }
 
-// connectionFailure is failure for a connection that ended before the answer did. The connection counts as broken unless this
-// router closed it.
+// connectionFailure is like failure, but for a connection that ended before the answer did. The connection counts as broken
+// unless the attempt was abandoned.
 func (a *attempt) connectionFailure(err error) outcome {
 	out := a.failure(err)
 	out.connectionBroken = !out.abandoned
 	return out
 }
 
-// skipForeignAnswers returns the answer to this request. It skips answers to other requests, which a faulty server may send
-// twice.
+// skipForeignAnswers returns the first answer that belongs to this request or names none. It skips answers to other requests: a
+// faulty server may send such an answer twice. It fails after maxForeignAnswers of them.
 func (a *attempt) skipForeignAnswers(answer *sender.Answer) (masticway.ServerAnswer, *sender.Answer, error) {
 	for range maxForeignAnswers {
 		head := a.x.f.codec.ParseAnswer(answer.Status, answer.Header)
@@ -210,7 +220,8 @@
 	return masticway.ServerAnswer{}, answer, errors.New("the answers belong to other requests")
 }
 
-// handleAnswer validates an answer and relays it.
+// handleAnswer relays an answer to the caller, unless the server did not run the request, or the answer lacks the request's ID or
+// a signature.
 func (a *attempt) handleAnswer(answer *sender.Answer, head masticway.ServerAnswer) outcome {
 	if head.NotRun {
 		_, _ = io.Copy(io.Discard, answer)
@@ -226,6 +237,7 @@
 	return a.relayWhole(answer)
 }
 
+// notRunOutcome returns the outcome for an answer with which the server reports that it did not run the request.
 func (a *attempt) notRunOutcome(status int) outcome {
 	out := outcome{fate: masticway.FateNotRun, result: chooser.ResultNeutral, reason: "status " + strconv.Itoa(status) + ", not run"}
 	if status == http.StatusServiceUnavailable || status == http.StatusTooManyRequests {
@@ -238,7 +250,10 @@
 	return out
 }
 
-// relayWhole reads the whole answer and then writes it to the caller.
+// relayWhole reads the whole answer, waits until its hold is cleared and writes it to the caller. Bytes after the first
+// maxAnswerBytes are dropped. It writes nothing in three cases: if the server is an outlier that answered with a status of 500 or
+// above and the request may run at another server, if a part of a stream has already been written, or if the hold is not cleared
+// in time.
 func (a *attempt) relayWhole(answer *sender.Answer) outcome {
 	x := a.x
 	body, err := io.ReadAll(io.LimitReader(answer, maxAnswerBytes))
@@ -246,8 +261,8 @@
 		return a.connectionFailure(fmt.Errorf("reading the answer: %w", err))
 	}
 	a.recordFirstPart()
-	bad := answer.Status >= http.StatusInternalServerError
-	if bad && x.q.route.RetryPolicy == masticway.RetryUnlimited && x.possibleRuns()+1 < x.q.route.MaxServers && x.isOutlier(a.server) {
+	isServerError := answer.Status >= http.StatusInternalServerError
+	if isServerError && x.q.route.RetryPolicy == masticway.RetryUnlimited && x.possibleRuns()+1 < x.q.route.MaxServers && x.isOutlier(a.server) {
 		return outcome{fate: masticway.FateRan, result: chooser.ResultFailure, reason: "status " + strconv.Itoa(answer.Status) + " of a suspect server"}
 	}
 	x.fate = masticway.FateRan
@@ -263,13 +278,14 @@
 	x.w.WriteHeader(answer.Status)
 	_, _ = x.w.Write(body)
 	result := chooser.ResultSuccess
-	if bad {
+	if isServerError {
 		result = chooser.ResultFailure
 	}
 	return outcome{done: true, fate: masticway.FateRan, result: result}
 }
 
-// beginAnswer copies the headers of an answer to the caller's. Once they are written, no other server can answer.
+// beginAnswer prepares the headers of the caller's answer, which must be written next. From then on the answer of another server
+// can only continue this one as a resumed stream.
 func (x *exchange) beginAnswer(answer *sender.Answer) {
 	x.headWritten = true
 	x.chargeable = answer.Status < http.StatusMultipleChoices
@@ -286,7 +302,7 @@
 	}
 }
 
-// recordFirstPart records the arrival of a part of the answer; only the first one counts.
+// recordFirstPart records that a part of the answer has arrived. Only the first call for an attempt has an effect.
 func (a *attempt) recordFirstPart() {
 	now := a.x.f.clock.Now()
 	a.x.markAnswered()
@@ -301,6 +317,7 @@
 	a.x.f.mu.Unlock()
 }
 
+// isOutlier reports whether a server fails clearly more often than the other servers of the pool.
 func (x *exchange) isOutlier(s masticway.Server) bool {
 	x.f.mu.Lock()
 	defer x.f.mu.Unlock()
--- a/forwarder/candidates.go
+++ b/forwarder/candidates.go
@@ -9,7 +9,7 @@
 	"github.com/masticway/masticway/chooser"
 )
 
-// candidates returns the servers at which the request may run, except the excluded ones.
+// candidates returns the known servers of the request's pool in whose regions it may run, except those whose IDs are excluded.
 func (x *exchange) candidates(excluded map[string]bool) []masticway.Server {
 	known := x.f.snapshot().Servers[x.q.pool.Name]
 	servers := make([]masticway.Server, 0, len(known))
@@ -21,8 +21,8 @@
 	return servers
 }
 
-// isAllowedAt reports whether both the route and the workspace allow the request to run in the server's region. A server in a
-// zone with an unknown region is in none of the allowed regions.
+// isAllowedAt reports whether both the route and the workspace allow the request to run in the server's region. If they restrict
+// the regions, a server in a zone whose region is unknown is not allowed.
 func (x *exchange) isAllowedAt(s masticway.Server) bool {
 	region := x.f.settings.Regions[s.Zone]
 	for _, regions := range [][]string{x.q.route.Regions, x.q.account.Regions} {
@@ -33,11 +33,13 @@
 	return true
 }
 
-// maxAdmissionTries bounds the rate-limited servers that are tried for one choice, because each may need a call to another
-// router.
+// maxAdmissionTries is the maximum number of servers for which selectServer requests a permit, because each may need a call to
+// another router.
 const maxAdmissionTries = 3
 
-// selectServer chooses one of the servers to which the throttler admits a request. It returns false if there is none.
+// selectServer chooses a server and takes a permit for one request to it, which the caller must return if it does not send the
+// request. It may block while the throttler asks other routers for a permit. After maxAdmissionTries servers without a permit, it
+// considers only servers without a rate limit. It returns false if it finds no server.
 func (x *exchange) selectServer(ctx context.Context, servers []masticway.Server) (masticway.Server, bool) {
 	servers = x.f.throttler.Available(servers)
 	for range maxAdmissionTries {
@@ -50,8 +52,8 @@
 	return x.cheapestServer(x.f.throttler.Unlimited(servers))
 }
 
-// cheapestServer returns the server with the least expected cost, a cold one only if no warm one is left. It returns false if
-// there is none.
+// cheapestServer returns the warm server with the least expected cost or, if there is no warm one, the cheapest cold server to
+// which this router may send. It returns false if there is none.
 func (x *exchange) cheapestServer(servers []masticway.Server) (masticway.Server, bool) {
 	x.f.mu.Lock()
 	defer x.f.mu.Unlock()
@@ -66,7 +68,8 @@
 	return masticway.Server{}, false
 }
 
-// noServerOutcome returns the outcome of a request that no server can take now.
+// noServerOutcome returns the outcome of a request that no server can take now. If a server is known to take requests later, the
+// outcome has the time until then.
 func (x *exchange) noServerOutcome() outcome {
 	out := outcome{fate: masticway.FateNotRun, result: chooser.ResultNeutral, reason: "no server is known or left to ask"}
 	if throttled, ok := x.throttledOutcome(); ok {
@@ -85,8 +88,9 @@
 	return out
 }
 
-// throttledOutcome returns the outcome of a request all of whose candidates are rate limited or asked for backoff. It returns
-// false if any candidate is not.
+// throttledOutcome returns the outcome of a request if all its servers, including those already tried, are at their rate limits
+// or have asked for backoff. It returns false otherwise. It may reserve a time at which this caller should retry, see
+// masticway.Throttler.RetryAfter.
 func (x *exchange) throttledOutcome() (out outcome, ok bool) {
 	var soonest masticway.Server
 	var shortest masticway.Throttling
--- a/forwarder/candidates_test.go
+++ b/forwarder/candidates_test.go
@@ -65,17 +65,18 @@
 	}
 }
 
-// TestColdServersGetNothingWhileWarmOnesServe first has a cold server beside a warm one. Then both are cold and another router is
-// the one that sends to them: requests must be refused at once, with the time at which a server is warm as the retry hint.
+// TestColdServersGetNothingWhileWarmOnesServe first makes one of two servers cold; the other one must get all requests. Then it
+// makes both cold while another router owns them. Requests must be refused at once, with the time until a server is warm as the
+// retry hint.
 func TestColdServersGetNothingWhileWarmOnesServe(t *testing.T) {
-	const coldFor = 2 * time.Second
+	const coldDuration = 2 * time.Second
 	f := newFixture(t, 2)
-	chill := func(i int) {
+	makeCold := func(i int) {
 		for _, s := range [][]masticway.Server{f.snapshot.Servers["p"], f.snapshot.Servers["llm"]} {
-			s[i].ColdUntil = f.clock.Now().Add(coldFor)
+			s[i].ColdUntil = f.clock.Now().Add(coldDuration)
 		}
 	}
-	chill(0)
+	makeCold(0)
 	for i := range 10 {
 		got := f.do(t.Context(), "POST", "/freely/x", "X-Attempt-Id", fmt.Sprint(i))
 		qt.Assert(t, got.status, qt.Equals, 200)
@@ -83,13 +84,13 @@
 	for _, run := range f.ledger.Runs() {
 		qt.Assert(t, run.Server, qt.Equals, "i-1")
 	}
-	chill(1)
+	makeCold(1)
 	f.budgets.othersOwn = true
 	began := time.Now()
 	got := f.do(t.Context(), "POST", "/freely/x")
 	qt.Assert(t, got.status, qt.Equals, 503)
 	qt.Assert(t, time.Since(began) < time.Second/4, qt.IsTrue)
 	qt.Assert(t, got.header.Get("Retry-After") > "1.5", qt.IsTrue, qt.Commentf("%s", got.header.Get("Retry-After")))
-	f.clock.advance(coldFor)
+	f.clock.advance(coldDuration)
 	qt.Assert(t, f.do(t.Context(), "POST", "/freely/x").status, qt.Equals, 200)
 }
--- a/forwarder/ends.go
+++ b/forwarder/ends.go
@@ -15,46 +15,48 @@
 )
 
 const (
-	// checkTimeout bounds the connection attempt of a check; it is many times the round trip between availability zones.
+	// checkTimeout is the timeout of the connection attempt of a check; it is many times the round trip between availability
+	// zones.
 	checkTimeout = 100 * time.Millisecond
-	// checkTTL is how long the result of a check applies to other connections that broke at the same time.
+	// checkTTL is how long the result of a check is reused, for example for other connections that broke at the same time.
 	checkTTL = 250 * time.Millisecond
 )
 
-// condition is the state of a server as found by a connection attempt after another connection broke.
+// condition is the state of a server as found by a connection attempt.
 type condition string
 
 // The conditions of a server.
 const (
-	// conditionAnswers means that the server accepts connections, so only the one connection ended.
+	// conditionAnswers means that the server accepts connections, so it has not ended.
 	conditionAnswers condition = "answers"
-	// conditionEnded means that the connection was refused: nothing listens at the address any more.
+	// conditionEnded means that the connection was refused: nothing listens at the server's address any more.
 	conditionEnded condition = "ended"
 	// conditionUnreachable means that the state is unknown: the machine may be down, or the network partitioned.
 	conditionUnreachable condition = "unreachable"
 )
 
-// check is one check of one incarnation of a server.
+// check is a connection attempt that determines whether one incarnation of a server has ended. The result is valid after done has
+// been closed.
 type check struct {
 	done       chan struct{}
 	result     condition
 	finishedAt time.Time
 }
 
-// checks distinguishes servers that have ended from connections that have broken. All connections to a server break when it ends,
-// so they share one check.
+// checks holds the latest check of each server. A check shows whether a server has ended or only a connection to it has broken.
+// All connections to a server break when it ends, so they share one check.
 type checks struct {
 	dial  func(ctx context.Context, network, address string) (net.Conn, error)
 	clock masticway.Clock
 	log   *logrus.Entry
-	// onEnded is called for each server that is found to have ended.
+	// onEnded is called after each check that finds that a server has ended.
 	onEnded func(server masticway.ServerIncarnation)
 
 	mu       sync.Mutex
 	byServer map[masticway.ServerIncarnation]*check
 }
 
-// start returns the current check of a server, or starts a new one.
+// start returns the check of a server that is in progress or recent, or starts a new one. It does not block.
 func (c *checks) start(s masticway.Server) *check {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -68,7 +70,7 @@
 	return k
 }
 
-// isCurrent reports whether the check is in progress or its result is still fresh.
+// isCurrent reports whether the check is in progress or its result is not older than checkTTL.
 func (k *check) isCurrent(now time.Time) bool {
 	select {
 	case <-k.done:
--- a/forwarder/exchange.go
+++ b/forwarder/exchange.go
@@ -19,33 +19,38 @@
 )
 
 const (
-	// retryAfterDefault is the retry hint for most refusals. A router, a server or budget is usually available by then.
+	// retryAfterDefault is the retry hint of most refusals. Usually a router, a server or the configuration is available by then.
 	retryAfterDefault = 250 * time.Millisecond
-	// retryAfterBudget is the retry hint if the budget cannot be reached: a partition lasts for seconds, and the amount that may
-	// be held grows meanwhile.
+	// retryAfterBudget is the retry hint if the budget cannot be reached. A network partition lasts for seconds, and the amount
+	// that this router may hold grows meanwhile.
 	retryAfterBudget = 3000 * time.Millisecond
-	// holdWaitFraction is the part of the route's latency objective for which a request may wait for its hold. A refusal after a
-	// quarter of it is late.
+	// holdWaitFraction is the part of the route's latency objective, from the arrival of a request, until which the request may
+	// wait for its hold. A refusal after a quarter of the objective counts as late.
 	holdWaitFraction = 0.22
-	// minHoldWait is the wait for a hold on routes with a tight latency objective; it allows for a few calls to the store.
+	// minHoldWait is the minimum time for which a request may wait for its hold, even if the objective is tight or reading the
+	// body took long. It allows for a few calls to the store.
 	minHoldWait = 60 * time.Millisecond
-	// connectTimeout bounds the time to connect to a server; it is a few times the round trip between availability zones.
+	// connectTimeout is the timeout for connecting to a server; it is a few times the round trip between availability zones.
 	connectTimeout = 250 * time.Millisecond
 	// maxIdleNonRepeatable is the longest idle time of a connection that is reused for a non-repeatable request. If the server
 	// has just closed the connection, the outcome of the request is unknown.
 	maxIdleNonRepeatable = 400 * time.Millisecond
-	// ackTimeout is how long a server's kernel may take to acknowledge a repeatable request. It allows for three retransmissions,
-	// so that a link that loses 3% of its packets breaks 3 requests in 100,000. Without it, a machine without power would be
-	// detected only after most of the caller's time limit.
+	// ackTimeout is how long a server's kernel may take to acknowledge a repeatable request before the connection counts as
+	// broken. It allows for three retransmissions, so that a link that loses 3% of its packets breaks 3 requests in 100,000.
+	// Without it, a machine without power would be detected only after most of the caller's time limit.
 	ackTimeout = 700 * time.Millisecond
-	// maxTries bounds the servers that are asked for one request, including those that did not run it.
+	// maxTries is the maximum number of attempts for one request, including those that did not run it. Handover candidates that
+	// did not become the next attempt are not counted.
 	maxTries = 5
-	// handoverFraction is the part of the latency objective after which a repeatable request without an answer is handed over.
+	// handoverFraction is the part of the latency objective after which a request that may run again is handed over if its answer
+	// is not complete, or if its stream has no event yet.
 	handoverFraction = 0.7
-	// streamHandoverFactor and gapHandoverFactor are the multiples of the latency objective and of the allowed event gap after
-	// which a resumable stream is handed over.
+	// streamHandoverFactor is the multiple of the latency objective after which a resumable stream without any event is handed
+	// over.
 	streamHandoverFactor = 2.0
-	gapHandoverFactor    = 3.0
+	// gapHandoverFactor is the multiple of the allowed event gap after which a resumable stream is handed over between two
+	// events.
+	gapHandoverFactor = 3.0
 )
 
 var deliveryChart = charter.MustLoad(charter.Delivery)
@@ -63,49 +68,57 @@
 	eventLeft     charter.Event = "left"
 )
 
-// exchange carries one request from admission to the end of its answer.
+// exchange carries one request from its admission to the end of its answer.
 type exchange struct {
-	f     *Forwarder
-	w     http.ResponseWriter
-	q     request
+	f *Forwarder
+	w http.ResponseWriter
+	q request
+	// state is the request's current state in the delivery chart.
 	state charter.State
-	// fate is the strongest statement that holds for all attempts: once one may have run, it is never "not run" again.
+	// fate combines the fates of all attempts: "ran" if any attempt ran, otherwise "unknown" if any may have run, otherwise "not
+	// run".
 	fate masticway.Fate
-	// holdReply is the reply to the request for a hold. holdOpen is set until the hold is settled.
+	// holdReply is the reply to the request for a hold. holdOpen is set from the hold until its settlement. cleared is set once
+	// the answer that the hold pays for may go to the caller.
 	holdReply treasurer.Reply
 	holdOpen  bool
 	cleared   bool
-	// retryReserved is set if a retry has been taken from the allowance for a handover.
+	// retryReserved is set while a retry taken from the allowance is reserved for a handover.
 	retryReserved atomic.Bool
-	// next is the attempt to which the current one was handed over.
+	// next is the attempt to which the current one was handed over. tries counts the attempts that have failed, and attemptRuns
+	// those of them that may have run the request.
 	next        atomic.Pointer[attempt]
 	tries       int
 	attemptRuns int
-	// otherRuns counts the servers that may have run the request in parallel with the current attempt and were given up.
+	// otherRuns counts the handover candidates that may have run the request and were given up.
 	otherRuns atomic.Int32
-	tried     map[string]bool
-	cause     string
+	// tried holds the IDs of the servers of failed attempts, and cause the reason of the last failure.
+	tried map[string]bool
+	cause string
 	// awaitingAnswer is set while the rotation counts the request as waiting for its answer.
 	awaitingAnswer atomic.Bool
 	// admitted is set if the rotation admitted the request with admittedBytes.
 	admitted      bool
 	admittedBytes int64
-	// headWritten is set once the head of an answer has been written to the caller.
+	// headWritten is set when the head of an answer is about to be written to the caller.
 	headWritten bool
-	// chargeable is set once the caller got at least part of a good answer.
+	// chargeable is set when an answer with a status below 300 begins to be written.
 	chargeable bool
-	events     int
-	lastEvent  string
-	firstAt    time.Time
-	server     string
+	// events counts the events that were written to the caller, and lastEvent is the ID of the last one that has an ID. firstAt
+	// is when the first part of an answer arrived from any server. server is the ID of the server of the last attempt.
+	events    int
+	lastEvent string
+	firstAt   time.Time
+	server    string
 	// digestOnce guards the computation of the digest, which few requests need.
 	digestOnce  sync.Once
 	digestValue masticway.RequestDigest
-	// suspected is set if the request was a suspect when it was last sent.
+	// suspected is set once the examiner has reported the request as a suspect, until a run of it is cleared.
 	suspected bool
 }
 
-// step advances the state by an event of the delivery chart. It logs an event that the chart does not allow, which is a bug.
+// step changes the state according to an event of the delivery chart. An event that the chart does not allow is a bug: it is
+// logged and leaves the state unchanged.
 func (x *exchange) step(e charter.Event) {
 	next, err := deliveryChart.Next(x.state, e)
 	if err != nil {
@@ -125,7 +138,8 @@
 	return x.digestValue
 }
 
-// run serves the request.
+// run serves an admitted request: it holds budget, runs attempts and settles the hold. If the request gets no answer, it is
+// refused, see finish. Like finish, run may panic with http.ErrAbortHandler.
 func (x *exchange) run(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, x.q.deadline.Sub(x.f.clock.Now()))
 	defer cancel()
@@ -149,7 +163,8 @@
 	x.finish(ctx, refused)
 }
 
-// holdBudget reserves budget for the most that the request may consume.
+// holdBudget holds budget for the most that the request may consume, or returns a refusal. It waits for the hold. It does nothing
+// for a request that consumes no budget.
 func (x *exchange) holdBudget(ctx context.Context) *masticway.RefusalError {
 	if !x.q.hasBudget() {
 		return nil
@@ -166,8 +181,7 @@
 	return refusal(http.StatusServiceUnavailable, codeUnreachable, "the prepaid budget cannot be reached now", retryAfterBudget)
 }
 
-// settle ends the hold and charges what was used: nothing if the caller got nothing, else the prompt and the delivered events.
-// Work whose answer was lost is not charged to the workspace.
+// settle ends the hold, if one is open, and charges the used tokens. Work whose answer was lost is not charged to the workspace.
 func (x *exchange) settle() {
 	if !x.holdOpen {
 		return
@@ -176,13 +190,13 @@
 	x.f.budgets.Settle(x.holdReply.ID, x.usedTokens())
 }
 
-// maxTokens returns the most that the request may consume.
+// maxTokens returns the maximum number of tokens that the request may consume.
 func (x *exchange) maxTokens() int64 { return int64(x.unchargedPrompt() + x.q.MaxOutput) }
 
-// unchargedPrompt returns the part of the prompt that the workspace has not been charged for. A caller that resumes an answer was
-// charged for the whole prompt with the earlier events; if the router that relayed them died, its successor has charged the most
-// that they can have cost. Charging the prompt again exhausted budgets after power losses: over 25 days with failures of five
-// routers, 8.5% of the requests were refused instead of 5.9%.
+// unchargedPrompt returns the tokens of the prompt, or zero if the workspace has already been charged for them. A caller that
+// resumes an answer was charged for the whole prompt with the earlier events. If the router that relayed these events crashed,
+// the router that closed its grants has charged the most that they can have cost. Charging the prompt again exhausted budgets
+// after power losses: over 25 days with failures of five routers, 8.5% of the requests were refused instead of 5.9%.
 func (x *exchange) unchargedPrompt() int {
 	if x.q.LastEvent != "" && x.q.route.RetryPolicy == masticway.RetryByResuming {
 		return 0
@@ -190,6 +204,8 @@
 	return x.q.Prompt
 }
 
+// usedTokens returns the tokens to charge: none if no successful answer was begun, otherwise the uncharged prompt and, for each
+// written event, the maximum number of tokens in one event.
 func (x *exchange) usedTokens() int64 {
 	if !x.chargeable {
 		return 0
@@ -197,26 +213,30 @@
 	return int64(x.unchargedPrompt() + min(x.q.MaxOutput, x.events*max(1, x.q.pool.TokensPerEvent)))
 }
 
-// outcome is the result of an attempt.
+// outcome is the result of an attempt, or of a request for which no attempt could be started.
 type outcome struct {
-	fate   masticway.Fate
+	fate masticway.Fate
+	// result is what the attempt shows about the health of the server.
 	result chooser.Result
-	// done is set if the caller has the whole answer.
+	// done is set if the whole answer has been written to the caller.
 	done   bool
 	reason string
-	// isFull is set if the server has no capacity now, as opposed to being faulty.
+	// isFull is set if the server has no capacity now, or if all connections that this router may have to it are in use. Then the
+	// server is not faulty.
 	isFull bool
-	// connectionBroken is set if the connection ended before the answer did, abandoned if this router ended it.
+	// connectionBroken is set if the connection ended before the answer did and this router did not close it. abandoned is set if
+	// this router gave up the attempt.
 	connectionBroken, abandoned bool
-	// retryAfter is how long it takes until a server that takes no requests now may take this one, and code the refusal code for
-	// it. It is zero if that is unknown.
+	// retryAfter is how long no server will take the request, and code is the refusal code for this case. retryAfter is zero if
+	// that time is unknown.
 	retryAfter time.Duration
 	code       string
-	// suspect is set if the request may not run now because it is a suspect.
+	// suspect is the examiner's status of the request if the request may not run now because it is a suspect.
 	suspect masticway.SuspectStatus
 }
 
-// runAttempts tries servers until one answers or no further attempt is allowed.
+// runAttempts makes attempts until one writes the whole answer or no further attempt is allowed. In the second case it returns a
+// refusal.
 func (x *exchange) runAttempts(ctx context.Context) *masticway.RefusalError {
 	defer x.discardNext()
 	for {
@@ -248,7 +268,7 @@
 	}
 }
 
-// recordOutcome updates the fate of the request with the outcome of an attempt.
+// recordOutcome updates the fate of the request with the outcome of a failed attempt.
 func (x *exchange) recordOutcome(out outcome) {
 	x.cause = out.reason
 	if out.fate != masticway.FateNotRun {
@@ -259,10 +279,11 @@
 	}
 }
 
-// possibleRuns returns the number of servers on which the request may have run.
+// possibleRuns returns the number of servers on which the request may have run, without that of the current attempt.
 func (x *exchange) possibleRuns() int { return x.attemptRuns + int(x.otherRuns.Load()) }
 
-// canRetry reports whether another server may be tried, and takes a retry from the allowance if one is needed.
+// canRetry counts a failed attempt and reports whether another one may be made. It uses the retry reserved for a handover, or
+// takes one from the allowance, unless the failed attempt could not reach its server.
 func (x *exchange) canRetry(ctx context.Context, out outcome) bool {
 	x.tries++
 	if ctx.Err() != nil || x.tries >= maxTries {
@@ -287,8 +308,8 @@
 	return true
 }
 
-// reserveRetry takes a retry from the allowance before the current attempt is handed over. It is called concurrently with the
-// exchange.
+// reserveRetry takes a retry from the allowance before the current attempt is handed over, and returns false if there is none. It
+// is called concurrently with the exchange.
 func (x *exchange) reserveRetry() bool {
 	if !x.takeRetry() {
 		return false
@@ -297,7 +318,7 @@
 	return true
 }
 
-// takeRetry takes a retry from this router's allowance for the pool.
+// takeRetry takes a retry from this router's allowance for the pool. It returns false if there is none.
 func (x *exchange) takeRetry() bool {
 	x.f.mu.Lock()
 	defer x.f.mu.Unlock()
@@ -308,7 +329,8 @@
 	return false
 }
 
-// isRepeatable reports whether a request that may have run may run again or resume.
+// isRepeatable reports whether a request that may have run may run again, or its answer may be resumed, given what has been
+// written to the caller.
 func (x *exchange) isRepeatable() bool {
 	switch x.q.route.RetryPolicy {
 	case masticway.RetryUnlimited:
@@ -319,11 +341,12 @@
 	return false
 }
 
-// refusalFor returns the caller's answer after the last attempt failed.
+// refusalFor returns the refusal of a request after the outcome of its last attempt, or the outcome for which no attempt could be
+// started. If the answer has begun, the caller does not get the refusal.
 func (x *exchange) refusalFor(ctx context.Context, out outcome) *masticway.RefusalError {
 	expired := errors.Is(ctx.Err(), context.DeadlineExceeded) || x.isExpired()
 	if out.isFull {
-		// The server that turned the request away may have said for how long.
+		// The server that refused the request may have announced a rate limit or a backoff.
 		if throttled, ok := x.throttledOutcome(); ok {
 			out = throttled
 		}
@@ -353,7 +376,8 @@
 // machine is suspended.
 func (x *exchange) isExpired() bool { return !x.f.clock.Now().Before(x.q.deadline) }
 
-// finish records the end of the exchange. It refuses a request that got no answer and aborts an answer that cannot be completed.
+// finish records the end of the exchange. If no answer was begun, it writes the refusal, unless the caller has left. If an answer
+// was begun that cannot be completed, it aborts the connection with a panic.
 func (x *exchange) finish(ctx context.Context, refused *masticway.RefusalError) {
 	if refused == nil {
 		x.f.recordServed(x)
@@ -379,8 +403,8 @@
 	panic(http.ErrAbortHandler)
 }
 
-// serverRequest returns the request for a server. A stream resumes after lastEvent, or after the event that the caller named if
-// that is empty.
+// serverRequest returns the request for a server. A stream resumes after lastEvent. If lastEvent is empty, the stream resumes
+// after the event that the caller named, if any.
 func (x *exchange) serverRequest(server masticway.Server, lastEvent string) sender.Request {
 	q := x.q
 	if lastEvent == "" {
@@ -401,7 +425,8 @@
 	return r
 }
 
-// maxConnections returns this router's share of a server's connections; zero means no limit.
+// maxConnections returns how many connections this router may have to a server: its share of the pool's limit, at most half of
+// it, but at least two. Zero means no limit.
 func (x *exchange) maxConnections() int {
 	if x.q.pool.MaxConnections == 0 {
 		return 0
--- a/forwarder/forwarder.go
+++ b/forwarder/forwarder.go
@@ -19,9 +19,10 @@
 	"github.com/masticway/masticway/treasurer"
 )
 
-// Budgets holds prepaid tokens for requests.
+// Budgets holds and charges prepaid tokens of workspaces for requests.
 type Budgets interface {
-	// Hold reserves tokens for a request. It waits for them no longer than the given time.
+	// Hold reserves tokens for a request. It waits for them no longer than the given time. The reply's verdict says whether they
+	// were reserved.
 	Hold(ctx context.Context, workspace string, need int64, wait time.Duration) treasurer.Reply
 	// Clear waits until the answer that a hold pays for may go to the caller. It returns false if the context ends first.
 	Clear(ctx context.Context, id treasurer.HoldID) bool
@@ -29,12 +30,13 @@
 	Settle(id treasurer.HoldID, used int64)
 	// Members returns the estimated number of routers, or zero if it is unknown.
 	Members() int
-	// OwnsKey reports whether this router is the single owner of a key. No router owns any key until the number of routers is known.
+	// OwnsKey reports whether this router is the single owner of a key, such as a server's ID. While the number of routers is
+	// unknown, no router owns any key.
 	OwnsKey(key string) bool
 }
 
-// drainNotice is how long a draining router still accepts any request. The load balancer needs two failed checks, a second apart,
-// to send new connections elsewhere.
+// drainNotice is how long a draining router still accepts any request, unless StopForwarding is called earlier. The load balancer
+// needs two failed checks, a second apart, to send new connections elsewhere.
 const drainNotice = 2500 * time.Millisecond
 
 // Forwarder serves the requests of callers.
@@ -52,17 +54,19 @@
 	rotation masticway.Rotation
 	// throttler enforces the rate limits and backoff that servers announce.
 	throttler masticway.Throttler
-	// onLeaving is called for servers that announce that they drain.
-	onLeaving func(masticway.Server)
-	// abandoned are runs without a connection that would break if their server crashed.
+	// onDraining is called for each answer with which a server announces that it drains.
+	onDraining func(masticway.Server)
+	// abandoned holds the runs that this router gave up, so that no connection breaks if their server crashes.
 	abandoned abandonedRuns
 
-	mu         sync.Mutex
-	servers    *chooser.Servers
+	mu      sync.Mutex
+	servers *chooser.Servers
+	// allowances holds the retry allowance of each pool.
 	allowances map[string]*retrier.Allowance
 
 	// drainState is nil until the router is asked to drain.
-	drainState  atomic.Pointer[drain]
+	drainState atomic.Pointer[drain]
+	// servedCount counts the served requests, to log one of every Settings.LogEvery.
 	servedCount atomic.Int64
 }
 
@@ -76,29 +80,31 @@
 	Snapshot func() follower.Snapshot
 	// Examiner identifies the requests under which servers crash.
 	Examiner masticway.Examiner
-	// Rotation reports whether the router is in the load balancer's rotation, and admits load.
+	// Rotation admits requests as long as this router is not overloaded, and reports whether this router is in the load
+	// balancer's rotation.
 	Rotation masticway.Rotation
 	// Throttler enforces the rate limits and backoff that servers announce.
 	Throttler masticway.Throttler
-	// OnLeaving is called for servers that announce that they drain.
+	// OnLeaving is called for each answer with which a server announces that it drains. It is called from several goroutines.
 	OnLeaving func(masticway.Server)
-	// Dial connects to servers.
+	// Dial connects to a server.
 	Dial func(ctx context.Context, network, address string) (net.Conn, error)
 }
 
 // New returns a Forwarder.
-func New(s Settings, p Dependencies) *Forwarder {
+func New(s Settings, d Dependencies) *Forwarder {
 	f := &Forwarder{
-		settings: s, clock: p.Clock, log: p.Log, metrics: p.Metrics, codec: p.Codec, budgets: p.Budgets, snapshot: p.Snapshot,
-		examiner: p.Examiner, rotation: p.Rotation, throttler: p.Throttler, onLeaving: p.OnLeaving,
-		checks: &checks{dial: p.Dial, clock: p.Clock, log: p.Log, byServer: map[masticway.ServerIncarnation]*check{}},
-		sender: sender.New(p.Dial, p.Clock.Now), servers: chooser.NewServers(s.serverPolicy()), allowances: map[string]*retrier.Allowance{},
+		settings: s, clock: d.Clock, log: d.Log, metrics: d.Metrics, codec: d.Codec, budgets: d.Budgets, snapshot: d.Snapshot,
+		examiner: d.Examiner, rotation: d.Rotation, throttler: d.Throttler, onDraining: d.OnLeaving,
+		checks: &checks{dial: d.Dial, clock: d.Clock, log: d.Log, byServer: map[masticway.ServerIncarnation]*check{}},
+		sender: sender.New(d.Dial, d.Clock.Now), servers: chooser.NewServers(s.serverPolicy()), allowances: map[string]*retrier.Allowance{},
 	}
 	f.checks.onEnded = f.reportAbandoned
 	return f
 }
 
-// Update applies a new snapshot of the configuration and the servers. It drops the state of servers that are gone or restarted.
+// Update applies a new snapshot of the configuration and the servers. It drops what was known about restarted servers and about
+// removed ones without requests in flight, and closes idle connections to all of these.
 func (f *Forwarder) Update(snapshot follower.Snapshot) {
 	startedAt, addresses := map[string]time.Time{}, map[string]bool{}
 	addressOf := map[string]string{}
@@ -121,39 +127,43 @@
 	f.checks.retain(snapshot)
 }
 
-// Ready reports whether the router accepts new connections.
+// Ready reports whether the load balancer should send new connections to this router: it knows its configuration and the servers,
+// does not drain and is not out of rotation. A router that is not ready may still serve the requests that reach it.
 func (f *Forwarder) Ready() bool {
 	return f.drainState.Load() == nil && f.snapshot().IsReady() && !f.rotation.IsOut()
 }
 
-// drain is the state of a router that shuts down.
+// drain is the state of a router that shuts down: when the drain began, and when the shutdown ends.
 type drain struct {
 	since time.Time
 	until time.Time
-	// closing is set once connections are being closed.
+	// closing is set once connections are being closed. From then on all new requests are refused.
 	closing atomic.Bool
 }
 
-// wouldCutOff reports whether the request is likely to be cut off by the shutdown: connections are being closed, or the request
-// may last longer than the router and its caller had time to go elsewhere.
+// wouldCutOff reports whether a request is likely to be cut off by the shutdown. It is if connections are being closed, or if
+// drainNotice has passed and the request's deadline is after the end of the shutdown. A nil drain cuts off nothing.
 func (d *drain) wouldCutOff(now, deadline time.Time) bool {
 	return d != nil && (d.closing.Load() || now.Sub(d.since) > drainNotice && deadline.After(d.until))
 }
 
-// Drain starts a shutdown that ends at the given time. From now on every answer closes its connection and Ready returns false.
+// Drain starts a shutdown that ends at the given time. From then on Ready returns false, and each answer whose head has not been
+// written yet closes its connection.
 func (f *Forwarder) Drain(until time.Time) {
 	f.drainState.Store(&drain{since: f.clock.Now(), until: until})
 }
 
-// StopForwarding stops the forwarding of requests. It must be called before idle connections are closed: a connection on which a request
-// has just arrived looks idle until it is read, so the request would be forwarded and its answer lost.
+// StopForwarding makes a draining router refuse all new requests; it has no effect before Drain. Requests in progress continue.
+// It must be called before idle connections are closed: a connection on which a request has just arrived looks idle until it is
+// read, so the request would be forwarded and its answer lost.
 func (f *Forwarder) StopForwarding() {
 	if d := f.drainState.Load(); d != nil {
 		d.closing.Store(true)
 	}
 }
 
-// ServeHTTP serves a request.
+// ServeHTTP forwards a request to a server, or refuses it. It panics with http.ErrAbortHandler if an answer that has begun cannot
+// be completed.
 func (f *Forwarder) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	f.metrics.Add(metricRequests, 1)
 	x, refused := f.admit(w, r)
@@ -165,15 +175,16 @@
 	x.run(r.Context())
 }
 
-// setConnectionHeader makes the caller reconnect, and so reach another router, if this one is draining or out of rotation. It
-// must be called when the head of the answer is written, because the drain may start after the request arrived.
+// setConnectionHeader makes the answer close the caller's connection if this router is draining or out of rotation. The caller's
+// next connection then reaches another router. It must be called when the head of the answer is written, because the drain may
+// start after the request arrived.
 func (f *Forwarder) setConnectionHeader(h http.Header) {
 	if f.drainState.Load() != nil || f.rotation.IsOut() {
 		h.Set("Connection", "close")
 	}
 }
 
-// allowance returns the retry allowance of a pool. The caller must hold f.mu.
+// allowance returns the retry allowance of a pool and creates it if necessary. The caller must hold f.mu.
 func (f *Forwarder) allowance(pool string) *retrier.Allowance {
 	a, ok := f.allowances[pool]
 	if !ok {
--- a/forwarder/forwarder_test.go
+++ b/forwarder/forwarder_test.go
@@ -528,19 +528,20 @@
 			got := f.do(t.Context(), "POST", tc.path, "X-Deadline-Ms", tc.deadlineMS)
 			qt.Assert(t, got.status, qt.Equals, http.StatusGatewayTimeout)
 			qt.Assert(t, time.Since(began) < tc.within, qt.IsTrue)
-			f.eventually("the server still works", func() bool { return f.ledger.Runs()[0].Left })
+			f.failUnless("the server still works", func() bool { return f.ledger.Runs()[0].Left })
 		})
 	}
 }
 
-func (f *fixture) eventually(what string, holds func() bool) {
+// failUnless fails the test with the message unless the condition holds within 3 s.
+func (f *fixture) failUnless(failure string, holds func() bool) {
 	f.t.Helper()
 	for deadline := time.Now().Add(3 * time.Second); time.Now().Before(deadline); time.Sleep(5 * time.Millisecond) {
 		if holds() {
 			return
 		}
 	}
-	f.t.Fatal(what)
+	f.t.Fatal(failure)
 }
 
 func TestHandoverFromHungServer(t *testing.T) {
@@ -550,7 +551,7 @@
 			f.setFaults(emulator.OpaqueHang, emulator.OpaqueGood)
 			got := f.do(t.Context(), "POST", path)
 			qt.Assert(t, got.status, qt.Equals, 200)
-			f.eventually("the first server still works", func() bool { return f.ledger.Runs()[0].Left })
+			f.failUnless("the first server still works", func() bool { return f.ledger.Runs()[0].Left })
 		})
 	}
 }
@@ -598,8 +599,8 @@
 	ctx, leave := context.WithTimeout(t.Context(), 150*time.Millisecond)
 	defer leave()
 	f.do(ctx, "POST", "/stream/x")
-	f.eventually("the server still works", func() bool { return f.ledger.Runs()[0].Left })
-	f.eventually("the money is still held", func() bool { return len(f.budgets.settledAmounts()) == 1 })
+	f.failUnless("the server still works", func() bool { return f.ledger.Runs()[0].Left })
+	f.failUnless("the money is still held", func() bool { return len(f.budgets.settledAmounts()) == 1 })
 	qt.Assert(t, f.budgets.settledAmounts()[0] >= promptTokens, qt.IsTrue)
 }
 
@@ -689,5 +690,5 @@
 	runs := f.ledger.Runs()
 	qt.Assert(t, len(runs) > 1, qt.IsTrue, qt.Commentf("no other server was asked"))
 	qt.Assert(t, runs[0].Left, qt.IsFalse)
-	f.eventually("the server that was asked still works", func() bool { return f.ledger.Runs()[1].Left })
+	f.failUnless("the server that was asked still works", func() bool { return f.ledger.Runs()[1].Left })
 }
--- a/forwarder/handover.go
+++ b/forwarder/handover.go
@@ -18,34 +18,38 @@
 // without capacity refuses within a few ms. The timeout is a quarter of the time for which two servers may work on one request.
 const handoverTimeout = 100 * time.Millisecond
 
-// maxHandovers bounds the candidates of one attempt, because each takes a retry from the allowance.
+// maxHandovers is the number of dropped candidates of an attempt from which the silence timeout is not started again until the
+// server makes progress, because each candidate takes a retry from the allowance.
 const maxHandovers = 2
 
-// errSilent is the cause of ending an attempt whose server was silent for too long and whose request was handed over.
+// errSilent is the cancellation cause of an attempt that was handed over because its server was silent for too long.
 var errSilent = errors.New("nothing came for too long")
 
-// sendResult is the result of sending the request to a candidate.
+// sendResult is the result of sending the request to a candidate: the head of its answer, or an error.
 type sendResult struct {
 	answer *sender.Answer
 	err    error
 }
 
-// handoverState detects that a server is silent and hands the request over to another one. The silent server is given up only
-// once the candidate has not refused the request.
+// handoverState hands the request of an attempt over to another server, the candidate, if the attempt's server is silent for too
+// long. The silent server is given up when the candidate has taken the request, or has not refused it within handoverTimeout.
+// Until then, progress of the silent server aborts the handover.
 type handoverState struct {
 	mu    sync.Mutex
 	timer *time.Timer
-	// generation changes whenever the server makes progress. A handover that began in an earlier generation is aborted.
+	// generation changes when the server makes progress and when the silence timeout is set. A handover that began in an earlier
+	// generation is aborted.
 	generation int
 	// cancelCandidate cancels the candidate that is being asked; it is nil if there is none.
 	cancelCandidate context.CancelFunc
-	// refusedBy are the candidates that did not take the request. handedOver is set once one has.
-	refusedBy  []string
+	// droppedCandidates holds the IDs of the candidates that refused the request, failed or were given up.
+	droppedCandidates []string
+	// handedOver is set once the request has been handed over.
 	handedOver bool
 }
 
-// setSilenceTimeout starts a handover once the server has been silent for the timeout. It ends the previous timeout and any
-// handover in progress. Zero means no timeout.
+// setSilenceTimeout replaces the silence timeout: if the server makes no progress within the timeout, the request is handed over
+// if possible. It aborts a handover in progress. Zero means no timeout. A quarantined attempt gets none either.
 func (a *attempt) setSilenceTimeout(timeout time.Duration) {
 	h := &a.handover
 	h.mu.Lock()
@@ -65,7 +69,7 @@
 	}
 	generation, headWritten, lastEvent := h.generation, a.x.headWritten, a.x.lastEvent
 	h.timer = time.AfterFunc(timeout, func() {
-		// A draining router keeps the streams that it has. They end at the request's own deadline.
+		// A draining router does not hand over a stream that has begun. The request's deadline still ends the stream.
 		if headWritten && a.x.f.drainState.Load() != nil {
 			return
 		}
@@ -75,17 +79,19 @@
 	})
 }
 
-// rearmSilenceTimeout starts the same timeout again, unless the server has made progress in the meantime.
+// rearmSilenceTimeout starts the same timeout again, unless the server has made progress in the meantime or maxHandovers
+// candidates have been dropped.
 func (a *attempt) rearmSilenceTimeout(generation int, timeout time.Duration) {
 	h := &a.handover
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if h.generation == generation && h.timer != nil && len(h.refusedBy) < maxHandovers {
+	if h.generation == generation && h.timer != nil && len(h.droppedCandidates) < maxHandovers {
 		h.timer.Reset(timeout)
 	}
 }
 
-// recordProgress records that the server delivered something. It returns false if the request was handed over before.
+// recordProgress records that the server delivered something, which aborts a handover in progress. It returns false if the
+// request was already handed over.
 func (a *attempt) recordProgress() bool {
 	h := &a.handover
 	h.mu.Lock()
@@ -94,9 +100,9 @@
 	return !h.handedOver
 }
 
-// tryHandover asks another server and hands the request over to it, unless it refuses within handoverTimeout. Giving up the
-// silent server earlier could lose an answer in progress to a candidate without capacity. It returns false if the current server
-// is kept.
+// tryHandover sends the request to a candidate and hands it over, unless the candidate refuses it or fails within handoverTimeout
+// or the current server makes progress. Giving up the silent server earlier could lose an answer in progress to a candidate
+// without capacity. It returns false if the current server is kept, also if there is no candidate or no retry left.
 func (a *attempt) tryHandover(generation int, lastEvent string) bool {
 	x := a.x
 	if x.suspectStatus().Suspicion != masticway.SuspicionNone {
@@ -173,14 +179,15 @@
 	return true
 }
 
-// abortHandover gives up a candidate and keeps the current server.
+// abortHandover drops a candidate and keeps the current server. The retry that the candidate took is not returned to the
+// allowance.
 func (a *attempt) abortHandover(next *attempt, out outcome) {
 	x := a.x
 	next.cancel(nil)
 	x.retryReserved.Store(false)
 	h := &a.handover
 	h.mu.Lock()
-	h.refusedBy = append(h.refusedBy, next.server.ID)
+	h.droppedCandidates = append(h.droppedCandidates, next.server.ID)
 	h.mu.Unlock()
 	next.recordResult(out.result)
 	x.f.log.WithFields(logrus.Fields{
@@ -188,14 +195,14 @@
 	}).Info("handover aborted")
 }
 
-// askedServers returns the servers that must not be candidates of this attempt.
+// askedServers returns the IDs of the servers that must not be candidates of this attempt.
 func (a *attempt) askedServers() map[string]bool {
 	h := &a.handover
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	asked := map[string]bool{a.server.ID: true}
 	maps.Copy(asked, a.excluded)
-	for _, id := range h.refusedBy {
+	for _, id := range h.droppedCandidates {
 		asked[id] = true
 	}
 	return asked
@@ -207,7 +214,7 @@
 	a.sendResults <- sendResult{answer: answer, err: err}
 }
 
-// discard ends a candidate that is not used. It does not wait for the candidate's answer.
+// discard gives up an attempt that was started as a candidate. It does not wait for the answer.
 func (a *attempt) discard() {
 	if a.mayBeAtFault() {
 		a.abandon()
@@ -220,7 +227,7 @@
 	}()
 }
 
-// discardNext discards the attempt that was to be next, if the exchange ends before it.
+// discardNext discards the next attempt if the exchange ends before running it.
 func (x *exchange) discardNext() {
 	if a := x.next.Swap(nil); a != nil {
 		a.discard()
@@ -228,7 +235,8 @@
 	}
 }
 
-// refusalOutcome returns the outcome of a candidate that did not take the request. It returns false if the candidate took it.
+// refusalOutcome returns the outcome of a candidate that refused the request or failed. It returns false if the candidate took
+// the request.
 func (a *attempt) refusalOutcome(r sendResult) (outcome, bool) {
 	if r.err != nil {
 		return a.sendFailure(r.err), true
--- a/forwarder/relay.go
+++ b/forwarder/relay.go
@@ -13,10 +13,10 @@
 	"github.com/masticway/masticway/sender"
 )
 
-// maxEventBytes bounds the size of one event.
+// maxEventBytes is the maximum size of one event in bytes. A stream with a larger event is broken off.
 const maxEventBytes = 1 << 20
 
-// relayStream relays an event stream as it arrives, in whole events.
+// relayStream relays an event stream as it arrives, in whole events, until the stream ends, fails or is handed over.
 func (a *attempt) relayStream(answer *sender.Answer) outcome {
 	x := a.x
 	var pending []byte
@@ -27,7 +27,7 @@
 		complete := lastEventEnd(pending)
 		if complete > 0 {
 			if !a.recordProgress() {
-				// The next server was asked to resume after the last event before this one.
+				// The next server was asked to resume before these events, so it sends them.
 				return a.streamFailure(errSilent, len(pending))
 			}
 			if fault := a.writeEvents(answer, pending[:complete]); fault != nil {
@@ -47,14 +47,14 @@
 	}
 }
 
-// streamFailure returns the outcome of a stream that ended early.
+// streamFailure returns the outcome of a stream that broke off. The pending bytes belong to an incomplete event.
 func (a *attempt) streamFailure(err error, pending int) outcome {
 	out := a.connectionFailure(fmt.Errorf("stream broke off after %d events, %d bytes of the next: %w", a.x.events, pending, err))
 	out.fate = masticway.FateRan
 	return out
 }
 
-// writeEvents writes whole events to the caller.
+// writeEvents waits until the hold is cleared and writes whole events to the caller, without those that the caller already has.
 func (a *attempt) writeEvents(answer *sender.Answer, events []byte) error {
 	x := a.x
 	a.recordFirstPart()
@@ -72,7 +72,7 @@
 		events = events[end:]
 		id, ok := eventID(event)
 		if ok && x.lastEvent != "" && !isLaterID(id, x.lastEvent) {
-			// The server resumed before the point that was requested.
+			// The server resumed earlier in the stream than it was asked to.
 			continue
 		}
 		if _, err := x.w.Write(event); err != nil {
@@ -89,11 +89,12 @@
 	return nil
 }
 
-// errHoldNotCleared ends an answer whose hold the store did not confirm before the deadline.
+// errHoldNotCleared ends an answer whose hold was not cleared before the attempt's context ended.
 var errHoldNotCleared = errors.New("the store did not take the promise for this answer's money in time")
 
-// awaitClearance waits until the answer may go out. Until then the tokens would be unaccounted for if this router died. The
-// silence timeout is off meanwhile: the server has answered, and the answer of another one would wait for the same clearance.
+// awaitClearance waits until the answer that the hold pays for may go to the caller (see Budgets). Before that, the tokens would
+// be unaccounted for if this router crashed. It returns false if the attempt's context ends first. It turns the silence timeout
+// off: the server has answered, and the answer of another server would wait for the same clearance.
 func (a *attempt) awaitClearance() bool {
 	a.setSilenceTimeout(0)
 	x := a.x
@@ -104,7 +105,8 @@
 	return x.cleared
 }
 
-// isLaterID reports whether an event id follows another. Ids that are not numbers always do.
+// isLaterID reports whether the event with the first ID follows the one with the second. It returns true if either ID is not a
+// number.
 func isLaterID(id, last string) bool {
 	a, err := strconv.ParseInt(id, 10, 64)
 	if err != nil {
@@ -117,7 +119,7 @@
 // eventDelimiters are the blank lines that end an event.
 var eventDelimiters = [][]byte{[]byte("\n\n"), []byte("\r\n\r\n")}
 
-// firstEventEnd returns the length of the first whole event, or of all of b if there is none.
+// firstEventEnd returns the length of the first whole event in b, or the length of b if there is none.
 func firstEventEnd(b []byte) int {
 	first := len(b)
 	for _, end := range eventDelimiters {
@@ -128,7 +130,7 @@
 	return first
 }
 
-// lastEventEnd returns the length of all whole events.
+// lastEventEnd returns the length of the whole events at the start of b.
 func lastEventEnd(b []byte) int {
 	last := 0
 	for _, end := range eventDelimiters {
@@ -139,7 +141,7 @@
 	return last
 }
 
-// eventID returns the id of an event, if it has one.
+// eventID returns the ID of an event, if it has one.
 func eventID(event []byte) (string, bool) {
 	for line := range bytes.SplitSeq(event, []byte("\n")) {
 		if value, ok := bytes.CutPrefix(line, []byte("id:")); ok {
--- a/forwarder/report.go
+++ b/forwarder/report.go
@@ -9,7 +9,7 @@
 	"github.com/masticway/masticway"
 )
 
-// writeRefusal answers a request that is not served.
+// writeRefusal writes a refusal to the caller, counts it and logs it.
 func (f *Forwarder) writeRefusal(w http.ResponseWriter, x *exchange, refused *masticway.RefusalError) {
 	f.metrics.Add(metricRefused+"_"+refused.Code, 1)
 	f.codec.SetRefusal(w.Header(), x.q.ID, refused.RetryAfter)
@@ -41,18 +41,18 @@
 	x.logEntry(refused.Code).WithFields(fields).Info("request refused")
 }
 
-// logEntry returns the log entry for the end of a request. Each request has at most one.
+// logEntry returns the log entry for the end of a request. At most one is logged for each request.
 func (x *exchange) logEntry(outcome string) *logrus.Entry {
 	now := x.f.clock.Now()
 	return x.f.log.WithFields(logrus.Fields{
 		"event": "request", "request": x.q.ID, "outcome": outcome, "workspace": x.q.account.Workspace, "route": x.q.route.Name,
-		"pool": x.q.pool.Name, "server": x.server, "tries": x.tries, "events": x.events, "configuration": x.q.revision,
+		"pool": x.q.pool.Name, "server": x.server, "tries": x.tries, "events": x.events, "configuration": x.q.configurationVersion,
 		"hold": x.maxTokens(), "used": x.usedTokens(), "money_ms": x.holdReply.Waited.Milliseconds(), "ms": now.Sub(x.q.received).Milliseconds(),
 		"left_ms": x.q.deadline.Sub(now).Milliseconds(), "state": x.state, "resumes_after": x.q.LastEvent,
 	})
 }
 
-// recordServed counts a served request and logs every LogEvery-th one.
+// recordServed counts a served request, records its latency and logs one of every Settings.LogEvery served requests.
 func (f *Forwarder) recordServed(x *exchange) {
 	f.metrics.Add(metricServed, 1)
 	now := f.clock.Now()
--- a/forwarder/rotation_test.go
+++ b/forwarder/rotation_test.go
@@ -7,8 +7,8 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// TestOutOfRotationClosesConnections takes a router out of rotation. It must not be ready and still serve requests, but close
-// each connection after its answer, so that callers reach another router.
+// TestOutOfRotationClosesConnections takes a router out of rotation. The router must not be ready. It must still serve requests,
+// but close each connection after its answer, so that callers reach another router.
 func TestOutOfRotationClosesConnections(t *testing.T) {
 	for name, out := range map[string]bool{"in rotation": false, "out of rotation": true} {
 		t.Run(name, func(t *testing.T) {
--- a/forwarder/settings.go
+++ b/forwarder/settings.go
@@ -10,14 +10,15 @@
 	Instance string `json:"instance"`
 	Zone     string `json:"zone"`
 	LogLevel string `json:"log_level"`
-	// LogEvery logs one in so many served requests. Requests that are not served are always logged.
+	// LogEvery is n if one of every n served requests is logged; zero logs none of them. Requests that are not served are always
+	// logged.
 	LogEvery         int    `json:"log_every"`
 	CallerAddress    string `json:"caller_address"`
 	ReadinessAddress string `json:"readiness_address"`
 	MetricsAddress   string `json:"metrics_address"`
 	// PeerAddress is the address at which other routers reach this one.
 	PeerAddress string `json:"peer_address"`
-	// PeerSeeds are addresses of routers that a new router asks for the others. They may be stale.
+	// PeerSeeds are addresses of routers that a new router asks for the addresses of the others. They may be outdated.
 	PeerSeeds []string `json:"peer_seeds,omitempty"`
 	// StoreAddress is the address of the platform's row store.
 	StoreAddress string `json:"store_address"`
@@ -25,7 +26,7 @@
 	Processors float64 `json:"processors,omitempty"`
 	// MemoryMB is the memory of the router's machine in megabytes; zero means unknown.
 	MemoryMB int64 `json:"memory_mb,omitempty"`
-	// GraceSeconds is how long the process runs after it is asked to shut down.
+	// GraceSeconds is how long the process may take to shut down.
 	GraceSeconds float64         `json:"grace_seconds"`
 	Money        MoneySettings   `json:"money"`
 	Retries      RetriesSettings `json:"retries"`
@@ -37,35 +38,42 @@
 
 // PolicySettings configures optional policies; zero disables a policy.
 type PolicySettings struct {
-	// BurstShare is the part of a budget's available tokens that a router may take in advance.
+	// BurstShare is the fraction of a workspace's reserve that may be taken before the next checkpoint (see treasurer.Settings).
 	BurstShare float64 `json:"burst_share"`
-	// Holders is how many routers hold tokens of a workspace whose budget is not nearly exhausted; zero means all.
+	// Holders is how many routers hold granted tokens of a workspace whose budget is not low; zero means all routers.
 	Holders int `json:"holders"`
-	// RankShare is the cost of each rank of a server, as a part of the time to read a prompt's shared parts.
+	// RankShare is the cost of each step in a prompt's ranking of the servers, as a fraction of the time to prefill the prompt's
+	// shared parts (see chooser.ServerPolicy).
 	RankShare float64 `json:"rank_share"`
 	// ZoneTokenCost is the cost in milliseconds of each token of an answer from another zone.
 	ZoneTokenCost float64 `json:"zone_token_cost"`
 }
 
-// MoneySettings configures how prepaid budgets are kept.
+// MoneySettings configures how prepaid budgets are stored and held.
 type MoneySettings struct {
-	// Parts is the number of parts of the store over which budgets are spread.
-	Parts   int                `json:"parts"`
+	// Parts is the number of partitions of the store's tables over which budgets are spread. It must be the same for all routers.
+	Parts int `json:"parts"`
+	// Reserve is the demand, as a duration, for which a router keeps tokens in reserve to serve requests while the store cannot
+	// be reached.
 	Reserve masticway.Duration `json:"reserve"`
 }
 
-// RetriesSettings bounds the retries at a pool over all routers.
+// RetriesSettings limits the retries of requests to a pool that all routers together make within any time window of the given
+// length.
 type RetriesSettings struct {
-	Ratio         float64 `json:"ratio"`
+	// Ratio is the number of retries that are allowed for each request.
+	Ratio float64 `json:"ratio"`
+	// Slack is the number of retries that are allowed in addition, also without requests.
 	Slack         float64 `json:"slack"`
 	WindowSeconds float64 `json:"window_seconds"`
 }
 
-// ColdSettings bounds the requests that a cold server gets in any second, over all routers: the pool's configured rate times
-// Overshoot, plus Slack.
+// ColdSettings limits the requests per second that a cold server gets from all routers together.
 type ColdSettings struct {
+	// Overshoot is the factor by which the pool's configured rate for cold servers is multiplied.
 	Overshoot float64 `json:"overshoot"`
-	Slack     float64 `json:"slack"`
+	// Slack is the number of requests per second that are allowed in addition.
+	Slack float64 `json:"slack"`
 }
 
 // serverPolicy returns the settings for the choice of servers.
--- a/forwarder/suspects.go
+++ b/forwarder/suspects.go
@@ -12,22 +12,22 @@
 )
 
 const (
-	// innocentAfter is how long an answer must last until its request is no longer taken for the cause of a crash. A request that
-	// crashes servers does so early.
+	// innocentAfter is how long an answer must last, or how long ago a run must have been abandoned, until its request is no
+	// longer considered the cause of a crash. A request that crashes servers does so early.
 	innocentAfter = time.Second
-	// crashCheckTimeout is how long a repeatable request waits for the check whether its server has ended, a few round trips
-	// between availability zones. A later result counts for the next request.
+	// crashCheckTimeout is how long a request waits for the check whether its server has ended, a few round trips between
+	// availability zones. A result that comes later takes effect on later requests.
 	crashCheckTimeout = 50 * time.Millisecond
-	// maxAbandonedChecks is how often the server of an abandoned quarantined run is checked. Together the checks cover the time
-	// in which a crash counts.
+	// maxAbandonedChecks is how often the server of an abandoned quarantined run is checked. The checks are checkTTL apart, and
+	// all begin before innocentAfter has passed unless checks take long.
 	maxAbandonedChecks = int(innocentAfter/checkTTL) - 1
-	// quarantineTimeout bounds the wait of a suspect for its turn to run. quarantinePollInterval is how often it tries again if
-	// the examiner reports no change.
-	quarantineTimeout      = 2 * time.Second
+	// quarantineTimeout is how long a suspect may wait for its turn to run.
+	quarantineTimeout = 2 * time.Second
+	// quarantinePollInterval is how often a waiting suspect tries again if the examiner reports no change.
 	quarantinePollInterval = 200 * time.Millisecond
 )
 
-// suspectStatus returns what the examiner believes about the request. It computes no digest while there are no suspects.
+// suspectStatus returns the examiner's status of the request. It computes no digest if there are no suspects.
 func (x *exchange) suspectStatus() masticway.SuspectStatus {
 	if x.f.examiner.HasNoSuspects() {
 		return masticway.SuspectStatus{Suspicion: masticway.SuspicionNone}
@@ -35,7 +35,8 @@
 	return x.f.examiner.Status(x.digest())
 }
 
-// provenOutcome returns the outcome of a request that must not be sent to any server. It returns false for other requests.
+// provenOutcome returns the outcome of a request that is proven to crash servers and must not be sent. It returns false for other
+// requests.
 func (x *exchange) provenOutcome() (outcome, bool) {
 	s := x.suspectStatus()
 	if s.Suspicion != masticway.SuspicionProven {
@@ -50,13 +51,15 @@
 	return outcome{fate: masticway.FateNotRun, result: chooser.ResultNeutral, reason: reason, suspect: s}
 }
 
-// choice is the server of an attempt. The request is quarantined if no other suspect runs there.
+// choice is the server of an attempt. quarantined is set if the examiner has granted this router a run of the request in
+// quarantine there.
 type choice struct {
 	server      masticway.Server
 	quarantined bool
 }
 
-// choose returns the server for the next attempt. If there is none, the outcome has the reason.
+// choose returns the server for the next attempt and takes a permit for it. It waits up to quarantineTimeout if the request is a
+// suspect that may not run yet. If there is no server, it returns an outcome with the reason.
 func (x *exchange) choose(ctx context.Context) (c choice, none outcome, ok bool) {
 	if x.f.examiner.HasNoSuspects() {
 		return x.chooseRegular(ctx)
@@ -88,8 +91,9 @@
 	}
 }
 
-// chooseForSuspect chooses a server at which no other suspect runs. found reports whether there is any server, ok whether the
-// request may run there now. If suspects run at all servers, a request under which only one server crashed runs like any other.
+// chooseForSuspect chooses a server at which no other suspect runs and claims the run in quarantine. If suspects run at all
+// servers, a request under which only one server has ended runs like any other. found reports whether there is any server, and ok
+// whether the request may run there now. If ok is set, the server's permit has been taken.
 func (x *exchange) chooseForSuspect(ctx context.Context, s masticway.SuspectStatus) (c choice, found, ok bool) {
 	servers := x.candidates(x.tried)
 	occupied, _ := x.f.examiner.QuarantineServers()
@@ -106,10 +110,11 @@
 	return choice{server: server, quarantined: unoccupied}, unoccupied || found, ok
 }
 
-// isSerious reports whether more than one server has crashed under a request.
+// isSerious reports whether more than one server has ended under a request.
 func isSerious(s masticway.SuspectStatus) bool { return len(s.Crashes) > 1 }
 
-// chooseRegular chooses a server at which no serious suspect runs, or any server if there is no such one.
+// chooseRegular chooses a server and takes a permit for it. It avoids the servers at which a serious suspect runs, unless no
+// others are left.
 func (x *exchange) chooseRegular(ctx context.Context) (c choice, none outcome, ok bool) {
 	servers := x.candidates(x.tried)
 	if !x.f.examiner.HasNoSuspects() {
@@ -138,7 +143,8 @@
 	return remaining
 }
 
-// resolveUnreported checks a server whose quarantined run was not reported on. The router that ran it may have died.
+// resolveUnreported checks the server of a quarantined run that was not reported on, and reports a crash if the server has ended.
+// The router that ran the request may have crashed.
 func (x *exchange) resolveUnreported(ctx context.Context, s masticway.SuspectStatus) {
 	if s.UnreportedServer == "" {
 		return
@@ -150,7 +156,8 @@
 	}
 }
 
-// hasEnded reports whether a server is known to have ended within crashCheckTimeout.
+// hasEnded checks a server and reports whether it has ended. It returns false if the check does not finish within
+// crashCheckTimeout.
 func (x *exchange) hasEnded(ctx context.Context, s masticway.Server) bool {
 	k := x.f.checks.start(s)
 	x.waitFor(ctx, k.done, crashCheckTimeout)
@@ -162,8 +169,8 @@
 	}
 }
 
-// reportToExaminer reports the end of an attempt to the examiner. A repeatable request waits for the result, so that its next
-// attempt runs as a suspect if the server crashed.
+// reportToExaminer reports the end of an attempt to the examiner. If the connection broke, a repeatable request waits up to
+// crashCheckTimeout for the report, so that its next attempt runs as a suspect if the server has ended.
 func (a *attempt) reportToExaminer(ctx context.Context, out outcome) {
 	x := a.x
 	switch {
@@ -182,7 +189,7 @@
 	a.quarantined = false
 }
 
-// waitFor waits until the channel is closed, but not longer than the given time.
+// waitFor waits until the channel is closed, the timeout has passed or the context ends.
 func (x *exchange) waitFor(ctx context.Context, closed <-chan struct{}, timeout time.Duration) {
 	select {
 	case <-closed:
@@ -191,8 +198,8 @@
 	}
 }
 
-// mayBeAtFault reports whether the request may be the cause if the server ends: the server was in service, and its answer had not
-// lasted for innocentAfter.
+// mayBeAtFault reports whether the request may be the cause if the server ends now. It may be if the answer has not lasted for
+// innocentAfter and the server is still in the snapshot.
 func (a *attempt) mayBeAtFault() bool {
 	x := a.x
 	if !a.firstAt.IsZero() && x.f.clock.Now().Sub(a.firstAt) >= innocentAfter {
@@ -203,18 +210,18 @@
 			return true
 		}
 	}
-	// The server was leaving.
+	// The server drains or was replaced, so its end is expected.
 	return false
 }
 
 // serverRun returns the run of the attempt for a report to the examiner.
 func (a *attempt) serverRun() serverRun {
-	end := masticway.ServerCrash{Server: a.server.Incarnation(), Quarantined: a.quarantined, Answered: !a.firstAt.IsZero()}
-	return serverRun{request: a.x.q.ID, digest: a.x.digest(), path: a.x.q.path(), end: end}
+	crash := masticway.ServerCrash{Server: a.server.Incarnation(), Quarantined: a.quarantined, Answered: !a.firstAt.IsZero()}
+	return serverRun{request: a.x.q.ID, digest: a.x.digest(), path: a.x.q.path(), crash: crash}
 }
 
-// reportIfEnded checks the attempt's server and reports a crash if it has ended. The returned channel is closed when that is
-// done.
+// reportIfEnded checks the attempt's server and reports a crash if it has ended. Otherwise it releases a quarantined run. It does
+// not block: the returned channel is closed when that is done.
 func (a *attempt) reportIfEnded() <-chan struct{} {
 	f, r := a.x.f, a.serverRun()
 	k := f.checks.start(a.server)
@@ -225,7 +232,7 @@
 		switch {
 		case k.result == conditionEnded:
 			f.reportCrash(r)
-		case r.end.Quarantined:
+		case r.crash.Quarantined:
 			f.examiner.Release(r.digest)
 		}
 	}()
@@ -233,7 +240,7 @@
 }
 
 // abandon remembers an attempt that this router gives up, so that it is reported if its server ends soon. A quarantined run stays
-// claimed until that is known.
+// claimed until the server has ended or survived.
 func (a *attempt) abandon() {
 	f, r := a.x.f, a.serverRun()
 	r.abandonedAt = f.clock.Now()
@@ -243,7 +250,8 @@
 	}
 }
 
-// watchServer checks the server of an abandoned quarantined run, and ends the quarantine once the server has ended or survived.
+// watchServer checks the server of an abandoned quarantined run several times. It ends the quarantine when the server has ended,
+// or has survived all checks.
 func (f *Forwarder) watchServer(s masticway.Server, r serverRun) {
 	for range maxAbandonedChecks {
 		<-f.clock.After(checkTTL)
@@ -266,19 +274,20 @@
 	}
 }
 
-// reportAbandoned reports a crash for each request that was abandoned at the server shortly before it ended.
+// reportAbandoned reports a crash for each request that was abandoned at a server less than innocentAfter before the server
+// ended.
 func (f *Forwarder) reportAbandoned(server masticway.ServerIncarnation) {
 	for _, r := range f.abandoned.takeRecent(f.clock.Now(), server) {
 		f.reportCrash(r)
 	}
 }
 
-// reportCrash reports to the examiner that a server ended under a request.
+// reportCrash reports to the examiner that a server ended under a request, and logs it.
 func (f *Forwarder) reportCrash(r serverRun) {
-	f.examiner.ReportCrash(r.digest, r.path, r.end)
+	f.examiner.ReportCrash(r.digest, r.path, r.crash)
 	fields := logrus.Fields{
-		"event": "server_ended_under_request", "request": r.request, "digest": r.digest, "path": r.path, "server": r.end.Server, "apart": r.end.Quarantined,
-		"answered": r.end.Answered, "ends": len(f.examiner.Status(r.digest).Crashes),
+		"event": "server_ended_under_request", "request": r.request, "digest": r.digest, "path": r.path, "server": r.crash.Server, "apart": r.crash.Quarantined,
+		"answered": r.crash.Answered, "ends": len(f.examiner.Status(r.digest).Crashes),
 	}
 	if !r.abandonedAt.IsZero() {
 		fields["abandoned_ms"] = f.clock.Now().Sub(r.abandonedAt).Milliseconds()
@@ -286,7 +295,7 @@
 	f.log.WithFields(fields).Warn("a server ended while it ran a request")
 }
 
-// clearSuspect reports a quarantined request as innocent once its answer has lasted long enough.
+// clearSuspect reports a quarantined request as innocent once its answer has lasted for innocentAfter.
 func (a *attempt) clearSuspect() {
 	if !a.quarantined || a.x.f.clock.Now().Sub(a.firstAt) < innocentAfter {
 		return
