--- a/retrier/allowance.go
+++ b/retrier/allowance.go
@@ -10,56 +10,59 @@
 	usableFraction = 0.8
 )
 
-// Allowance is a retry budget: it bounds the retries that a router sends to one pool within a sliding window. The bound is a
-// ratio of the pool's requests, plus this router's share of a slack that all routers have together. It is not safe for concurrent
-// use.
+// Allowance is a retry budget: it bounds the retries that a router makes to one pool within a sliding window. The bound is a
+// ratio of the requests that this router got for the pool within the window, plus this router's share of a fixed number of
+// retries for all routers together. It is not safe for concurrent use.
 type Allowance struct {
-	ratio    float64
-	slack    float64
-	window   time.Duration
+	ratio        float64
+	fixedRetries float64
+	window       time.Duration
+	// requests and retries are rings of the counts of each bucket of time. They cover two windows, so that a bucket is cleared
+	// before it is counted again.
 	requests [2 * bucketCount]int
 	retries  [2 * bucketCount]int
-	slot     int64
+	// bucket is the number of the current bucket since the Unix epoch.
+	bucket int64
 }
 
-// NewAllowance returns an allowance over a window. The slack is shared by all routers.
-func NewAllowance(ratio, slack float64, window time.Duration) *Allowance {
-	return &Allowance{ratio: ratio, slack: slack, window: window}
+// NewAllowance returns an allowance over a window. The fixed retries are shared by all routers.
+func NewAllowance(ratio, fixedRetries float64, window time.Duration) *Allowance {
+	return &Allowance{ratio: ratio, fixedRetries: fixedRetries, window: window}
 }
 
-// advance clears the buckets that have become current since the last call and returns the index of the current one.
+// advance clears the buckets that have begun since the last call and returns the index of the current one.
 func (a *Allowance) advance(now time.Time) int {
-	slot := now.UnixNano() / int64(a.window/bucketCount)
-	for ; a.slot < slot; a.slot++ {
-		if slot-a.slot > 2*bucketCount {
-			a.slot = slot - 2*bucketCount
+	bucket := now.UnixNano() / int64(a.window/bucketCount)
+	for ; a.bucket < bucket; a.bucket++ {
+		if bucket-a.bucket > 2*bucketCount {
+			a.bucket = bucket - 2*bucketCount
 		}
-		a.requests[int((a.slot+1)%(2*bucketCount))] = 0
-		a.retries[int((a.slot+1)%(2*bucketCount))] = 0
+		a.requests[int((a.bucket+1)%(2*bucketCount))] = 0
+		a.retries[int((a.bucket+1)%(2*bucketCount))] = 0
 	}
-	return int(slot % (2 * bucketCount))
+	return int(bucket % (2 * bucketCount))
 }
 
-// RecordRequest counts a request for the pool.
+// RecordRequest counts a request for the pool, which raises the bound on retries.
 func (a *Allowance) RecordRequest(now time.Time) { a.requests[a.advance(now)]++ }
 
-// TryTake counts one more retry and returns true if the window allows it. The slack is divided by the number of routers; zero
-// means that their number is unknown, and then there is no slack.
+// TryTake counts one more retry and returns true, or returns false if the window does not allow it. The fixed retries are divided
+// by the number of routers. Zero means that this number is unknown; then there are no fixed retries.
 func (a *Allowance) TryTake(now time.Time, routers int) bool {
-	slot := a.advance(now)
+	current := a.advance(now)
 	requests, retries := 0, 0
 	for i := range bucketCount {
-		k := (slot - i + 2*bucketCount) % (2 * bucketCount)
+		k := (current - i + 2*bucketCount) % (2 * bucketCount)
 		requests += a.requests[k]
 		retries += a.retries[k]
 	}
 	limit := a.ratio * float64(requests)
 	if routers > 0 {
-		limit += a.slack / float64(routers)
+		limit += a.fixedRetries / float64(routers)
 	}
 	if float64(retries+1) > limit*usableFraction {
 		return false
 	}
-	a.retries[slot]++
+	a.retries[current]++
 	return true
 }
--- a/retrier/retrier.go
+++ b/retrier/retrier.go
@@ -11,14 +11,23 @@
 
 // The causes of a failed attempt.
 const (
-	CauseRefused   Cause = "refused"
-	CauseLeaving   Cause = "leaving"
-	CauseStale     Cause = "stale"
-	CauseFenced    Cause = "fenced"
-	CauseFull      Cause = "full"
+	// CauseRefused is a refusal for a reason that has no cause of its own.
+	CauseRefused Cause = "refused"
+	// CauseLeaving is a refusal because the upstream drains.
+	CauseLeaving Cause = "leaving"
+	// CauseStale is a refusal because the router's configuration is outdated.
+	CauseStale Cause = "stale"
+	// CauseFenced is a refusal because the sidecar has sealed (fenced off) the incarnation of the router or of the payer of the
+	// hold, or cannot verify that it is not sealed.
+	CauseFenced Cause = "fenced"
+	// CauseFull is a refusal because the upstream has no capacity.
+	CauseFull Cause = "full"
+	// CauseDisrupted is a run that was ended by its environment, such as the end of the upstream or its sidecar.
 	CauseDisrupted Cause = "disrupted"
-	CauseFailed    Cause = "failed"
-	CauseLinkLost  Cause = "link_lost"
+	// CauseFailed is a run that ended by itself and failed.
+	CauseFailed Cause = "failed"
+	// CauseLinkLost is an attempt whose result was lost with the link to the sidecar, or that did not reach the sidecar.
+	CauseLinkLost Cause = "link_lost"
 )
 
 // Action is what to do after a failed attempt.
@@ -31,13 +40,14 @@
 	ActionFail         Action = "fail"
 )
 
-// Failure is a classified failed attempt for which it is final whether the request ran.
+// Failure is a failed attempt whose fate is final: not run, ran, or unknown for good.
 type Failure struct {
 	Cause Cause
 	Fate  masticway.Fate
-	// NonRepeatable requests are retried only if they did not run.
+	// NonRepeatable is set if the request may be retried only if it did not run.
 	NonRepeatable bool
-	// Resumable is set if the partial answer can be continued at another upstream.
+	// Resumable is set if another upstream can run the request again or continue its partial answer. Otherwise the request may be
+	// retried only if it did not run.
 	Resumable bool
 	// UpstreamEnded is set if the upstream's process ended while it ran the request.
 	UpstreamEnded bool
@@ -45,14 +55,15 @@
 	Progress bool
 }
 
-// Rule maps matching failures to an action. Empty fields match anything.
+// Rule maps the failures with a cause and a fate to an action. An empty Cause or Fate matches any.
 type Rule struct {
 	Cause  Cause
 	Fate   masticway.Fate
 	Action Action
 }
 
-// disruptionRules retry disruptions for free. The first matching rule decides.
+// disruptionRules grant free retries after disruptions, which the environment caused. Other failures use a counted retry or are
+// final. The first matching rule decides.
 var disruptionRules = []Rule{
 	{Cause: CauseStale, Fate: masticway.FateNotRun, Action: ActionRetryFree},
 	{Cause: CauseFenced, Fate: masticway.FateNotRun, Action: ActionRetryFree},
@@ -66,12 +77,12 @@
 	{Action: ActionFail},
 }
 
-// plainRules are the baseline: every failure counts.
+// plainRules are the baseline: each retry counts.
 var plainRules = []Rule{
 	{Action: ActionRetryCounted},
 }
 
-// Policy selects the rules.
+// Policy selects the rules: plainRules for PolicyPlain, disruptionRules otherwise.
 type Policy string
 
 // The retry policies.
@@ -81,19 +92,21 @@
 )
 
 const (
-	// maxFreeRetries bounds the free retries of a request, so that it does not circulate forever.
+	// maxFreeRetries is the maximum number of free retries of one request, so that it does not circulate forever.
 	maxFreeRetries = 16
-	// maxFruitlessRetries bounds the retries of a request whose upstreams end before they deliver any part of the answer, because
-	// the request may be the cause. An upstream that delivered a part was more likely ended by something else.
+	// maxFruitlessRetries is the maximum number of retries of one request after upstreams that ended before they delivered any
+	// part of the answer, because the request may be the cause. If an upstream delivered a part, the cause of its end was more
+	// likely another one.
 	maxFruitlessRetries = 2
-	// baseBudget is the initial retry budget, and what it gains per budgetRefillTime. A longer gap between requests gains no more.
-	// Each request adds budgetPerRequest. The budget is capped at ten times baseBudget.
-	baseBudget       = 10.0
+	// baseBudget is the initial retry budget, in counted retries. The maximum is ten times as much.
+	baseBudget = 10.0
+	// budgetPerRequest is what each request adds to the retry budget.
 	budgetPerRequest = 0.2
-	// budgetRefillTime is the time in which the retry budget gains baseBudget.
+	// budgetRefillTime is the time in which the retry budget gains baseBudget. A longer gap between two requests gains no more.
 	budgetRefillTime = 10 * time.Second
-	minBackoff       = 10 * time.Millisecond
-	maxBackoff       = 500 * time.Millisecond
+	// minBackoff and maxBackoff bound the delay before a retry, unless there is none.
+	minBackoff = 10 * time.Millisecond
+	maxBackoff = 500 * time.Millisecond
 )
 
 // History counts the retries that a request has used.
@@ -111,7 +124,8 @@
 	MaxCountedRetries int
 }
 
-// Retrier decides about retries and holds the router's retry budget. It is not safe for concurrent use.
+// Retrier decides about retries and holds the router's retry budget, which limits the counted retries of all requests. It is not
+// safe for concurrent use.
 type Retrier struct {
 	settings   Settings
 	rules      []Rule
@@ -128,7 +142,8 @@
 	return &Retrier{settings: s, rules: rules, budget: baseBudget}
 }
 
-// RecordRequest adds to the budget what one more request and the time since the last one allow.
+// RecordRequest records the arrival of a request, which adds to the retry budget. The time since the last request adds to it as
+// well.
 func (r *Retrier) RecordRequest(now time.Time) {
 	if passed := now.Sub(r.refilledAt); passed > 0 {
 		r.budget += baseBudget * min(1, passed.Seconds()/budgetRefillTime.Seconds())
@@ -137,7 +152,8 @@
 	r.budget = min(r.budget+budgetPerRequest, 10*baseBudget)
 }
 
-// Decide returns the action for a failure, the updated history, and the delay before the next attempt.
+// Decide returns the action for a failure, the updated history, and the delay before the next attempt. A counted retry is taken
+// from the retry budget.
 func (r *Retrier) Decide(f Failure, h History) (Action, History, time.Duration) {
 	action := r.match(f)
 	if f.Fate != masticway.FateNotRun && (f.NonRepeatable || !f.Resumable) {
@@ -165,6 +181,7 @@
 	return ActionFail, h, 0
 }
 
+// match returns the action of the first rule that matches the failure.
 func (r *Retrier) match(f Failure) Action {
 	for _, rule := range r.rules {
 		if (rule.Cause == "" || rule.Cause == f.Cause) && (rule.Fate == "" || rule.Fate == f.Fate) {
@@ -174,11 +191,11 @@
 	return ActionFail
 }
 
-// backoff returns the delay before a try: none before the first one, then doubling from minBackoff to maxBackoff. Counted retries
-// start with the second try.
-func backoff(try int) time.Duration {
-	if try <= 1 {
+// backoff returns the delay before the n-th retry: none for the first, minBackoff for the second, then twice the previous delay
+// up to maxBackoff. The first counted retry passes n = 2, so that it is delayed.
+func backoff(n int) time.Duration {
+	if n <= 1 {
 		return 0
 	}
-	return min(maxBackoff, minBackoff<<min(try-2, 10))
+	return min(maxBackoff, minBackoff<<min(n-2, 10))
 }
