--- a/limiter/contract.go
+++ b/limiter/contract.go
@@ -6,7 +6,7 @@
 	"github.com/masticway/masticway"
 )
 
-// Limit names the contract limit that a request exceeds.
+// Limit names the contract limit that a request exceeds. It is LimitNone if there is none.
 type Limit string
 
 // The limits of a contract.
@@ -19,24 +19,26 @@
 // concurrencyRetryAfter is the retry hint for a workspace with too many requests in flight.
 const concurrencyRetryAfter = 250 * time.Millisecond
 
-// workspaceUsage holds the token bucket and the open requests of a workspace.
+// workspaceUsage holds the token bucket of a workspace and the number of its requests in flight. refilledAt is when the bucket
+// was last refilled; without a rate limit, it is when the workspace was first seen.
 type workspaceUsage struct {
 	tokens     float64
 	refilledAt time.Time
 	inFlight   int
 }
 
-// ContractLimiter enforces the rate and concurrency limits of workspaces. It is not safe for concurrent use.
+// ContractLimiter enforces the rate and concurrency limits of the workspaces' contracts. It is not safe for concurrent use.
 type ContractLimiter struct {
 	usage map[string]*workspaceUsage
 }
 
-// NewContractLimiter returns a Contracts without any requests.
+// NewContractLimiter returns a ContractLimiter without any requests in flight.
 func NewContractLimiter() *ContractLimiter {
 	return &ContractLimiter{usage: map[string]*workspaceUsage{}}
 }
 
-// Admit counts a request as in flight, or returns the limit that it exceeds and when to retry.
+// Admit counts a request as in flight and takes a token from the rate limit's bucket, or returns the limit that the request
+// exceeds and how long to wait before a retry. The caller must call Done for an admitted request.
 func (l *ContractLimiter) Admit(now time.Time, c masticway.Contract) (Limit, time.Duration) {
 	u, ok := l.usage[c.Workspace]
 	if !ok {
@@ -58,6 +60,7 @@
 	return LimitNone, 0
 }
 
+// burst returns the size of a workspace's token bucket: at least one token, and at least the tokens of one second.
 func burst(c masticway.Contract) float64 {
 	return max(1, float64(c.Burst), c.RequestsPerSecond)
 }
@@ -69,8 +72,8 @@
 	}
 }
 
-// EvictIdle removes workspaces that have nothing in flight and have not used their token bucket for a minute, so that memory does not
-// grow without bound.
+// EvictIdle removes the workspaces that have nothing in flight and whose token bucket was last refilled more than a minute ago,
+// so that memory does not grow without bound. It must be called periodically.
 func (l *ContractLimiter) EvictIdle(now time.Time) {
 	for w, u := range l.usage {
 		if u.inFlight == 0 && now.Sub(u.refilledAt) > time.Minute {
--- a/limiter/queue.go
+++ b/limiter/queue.go
@@ -12,8 +12,9 @@
 	ID        string
 	Workspace string
 	Class     masticway.Class
-	Priority  int
-	// Pool names the model or service that the request waits for.
+	// Priority orders the entries of a workspace and class; higher ones are popped first.
+	Priority int
+	// Pool names the pool of upstreams, by model or service, that the request waits for.
 	Pool     string
 	Deadline time.Time
 }
@@ -24,11 +25,13 @@
 	MaxPerClass int
 	// MaxPerWorkspace is the maximum number of entries of one workspace in a pool and class.
 	MaxPerWorkspace int
-	// InteractiveBurst is how many interactive entries may be popped in a row before a waiting batch entry.
+	// InteractiveBurst is the number of interactive entries of a pool, popped in a row, after which a waiting batch entry is
+	// popped.
 	InteractiveBurst int
 }
 
-// classQueue holds the entries of one pool and class, by workspace and in the order in which the workspaces take turns.
+// classQueue holds the entries of one pool and class by workspace. workspaces lists those with entries in the order of their
+// turns.
 type classQueue struct {
 	workspaces []string
 	entries    map[string][]Entry
@@ -37,8 +40,9 @@
 
 // Queue holds a bounded, fair queue for each pool and class. It is not safe for concurrent use.
 type Queue struct {
-	settings          QueueSettings
-	classQueues       map[string]map[masticway.Class]*classQueue
+	settings    QueueSettings
+	classQueues map[string]map[masticway.Class]*classQueue
+	// interactiveStreak counts the interactive entries of each pool that were popped since the last batch entry.
 	interactiveStreak map[string]int
 }
 
@@ -59,7 +63,8 @@
 	return l
 }
 
-// Push adds an entry. It returns false if its class or workspace is at its limit.
+// Push adds an entry behind those of its workspace with the same or a higher priority. It returns false if the class or the
+// workspace has as many entries as allowed.
 func (q *Queue) Push(e Entry) bool {
 	l := q.classQueue(e.Pool, e.Class)
 	waiting := l.entries[e.Workspace]
@@ -80,7 +85,8 @@
 	return true
 }
 
-// Pop removes and returns the next entry of a pool. Interactive entries precede batch entries, and workspaces take turns.
+// Pop removes and returns the next entry of a pool. Interactive entries precede batch entries, except that a batch entry follows
+// InteractiveBurst interactive ones. Within a class, workspaces take turns. Pop returns false if there is no entry.
 func (q *Queue) Pop(pool string) (Entry, bool) {
 	interactive := q.classQueue(pool, masticway.ClassInteractive)
 	batch := q.classQueue(pool, masticway.ClassBatch)
@@ -123,7 +129,8 @@
 	return e, true
 }
 
-// PutBack returns a popped entry for which there was no capacity to its former position.
+// PutBack puts a popped entry for which there was no capacity in front of all entries of its pool and class. It does not undo the
+// count of interactive entries in a row.
 func (q *Queue) PutBack(e Entry) {
 	l := q.classQueue(e.Pool, e.Class)
 	l.workspaces = slices.DeleteFunc(l.workspaces, func(w string) bool { return w == e.Workspace })
@@ -132,7 +139,7 @@
 	l.size++
 }
 
-// Remove removes an entry whose caller has left. It returns false if the entry is not queued.
+// Remove removes an entry, for example if its caller has left. It returns false if no entry with its ID is queued.
 func (q *Queue) Remove(e Entry) bool {
 	l := q.classQueue(e.Pool, e.Class)
 	waiting := l.entries[e.Workspace]
@@ -179,5 +186,5 @@
 	return expired
 }
 
-// Len returns the number of entries of a pool and class.
+// Len returns the number of queued entries of a pool and class.
 func (q *Queue) Len(pool string, c masticway.Class) int { return q.classQueue(pool, c).size }
