--- a/relayer/large_test.go
+++ b/relayer/large_test.go
@@ -36,7 +36,7 @@
 	})
 }
 
-// TestNoOtherRouterIsAskedForWhatArrives reads a row that takes a slow link many times as long as the hedge delay. A call may be
+// TestNoOtherRouterIsAskedForWhatArrives reads a row whose transfer takes many times as long as the hedge delay. A call may be
 // hedged if its answer does not begin, but not while the answer is arriving.
 func TestNoOtherRouterIsAskedForWhatArrives(t *testing.T) {
 	const rate, size, begin = 1 << 20, 512 << 10, 300 * time.Millisecond
@@ -150,7 +150,7 @@
 	}
 }
 
-// TestRelayStopsWhenPeerLeaves relays a large read through a router whose own link is too slow for it. It guards against
+// TestRelayStopsWhenPeerLeaves relays a large read through a router that reaches the store over a slow link. It guards against
 // transferring the answer after the asking router has given up.
 func TestRelayStopsWhenPeerLeaves(t *testing.T) {
 	const rate, size = 1 << 20, 4 << 20
--- a/relayer/relay.go
+++ b/relayer/relay.go
@@ -12,7 +12,8 @@
 
 const pathStore = "/peer/store"
 
-// storeCall is a call to the row store: a write, a watch, or else a read of one part.
+// storeCall is a call to the row store: a write if Write is set, a watch if Watch is set, otherwise a read of one part
+// (partition) of a table.
 type storeCall struct {
 	Table    string              `cbor:"1,keyasint,omitempty"`
 	Part     string              `cbor:"2,keyasint,omitempty"`
@@ -23,6 +24,7 @@
 	MaxBytes int64               `cbor:"7,keyasint,omitempty"`
 }
 
+// run makes the call.
 func (c storeCall) run(ctx context.Context, store masticway.RowStore) result {
 	var r result
 	switch {
@@ -36,26 +38,33 @@
 	return r
 }
 
-// relayStatus reports how a call for another router ended.
+// relayStatus reports how a relayed call ended.
 type relayStatus string
 
 // The statuses of a relayed call.
 const (
-	statusDone        relayStatus = "done"
-	statusConflict    relayStatus = "conflict"
+	// statusDone means that the call succeeded.
+	statusDone relayStatus = "done"
+	// statusConflict means that a write expected another version of a row.
+	statusConflict relayStatus = "conflict"
+	// statusHistoryLost means that the store no longer has the changes that a watch asked for.
 	statusHistoryLost relayStatus = "history_lost"
+	// statusUnavailable means that the call was certainly not made.
 	statusUnavailable relayStatus = "unavailable"
+	// statusRateLimited means that the store rejected the call because its rate limit was exceeded.
 	statusRateLimited relayStatus = "busy"
-	statusUnknown     relayStatus = "unknown"
+	// statusUnknown means that the call may have been made.
+	statusUnknown relayStatus = "unknown"
 )
 
-// relayReply is the reply to a router that asked for a call.
+// relayReply is the reply to a router that relayed a call.
 type relayReply struct {
 	Status  relayStatus          `cbor:"1,keyasint"`
 	Reading masticway.RowReading `cbor:"2,keyasint"`
 	Reason  string               `cbor:"3,keyasint,omitempty"`
 }
 
+// result converts the reply to the result of the relayed call.
 func (reply relayReply) result(call storeCall) result {
 	switch reply.Status {
 	case statusDone:
@@ -70,7 +79,8 @@
 	return result{err: &masticway.OutcomeUnknownError{Service: serviceName, Reason: reply.Reason}}
 }
 
-// relay asks other routers, one after the other, until one gets a definite result.
+// relay asks up to maxPeersAsked other routers to make a call, one after the other, until one gets a definite result (see
+// isDefinite). If none does, it returns the worst result.
 func (s *Store) relay(ctx context.Context, call storeCall) result {
 	worst := result{err: &masticway.UnavailableError{Service: serviceName, Reason: "no other router is known"}}
 	for _, address := range s.peersToAsk() {
@@ -97,7 +107,8 @@
 	return worst
 }
 
-// peersToAsk returns the routers to ask. It starts with the same one as the last time, unless none of those could help.
+// peersToAsk returns the addresses of the routers to ask. They are the same as the last time, unless none of those could help or
+// the known routers have changed.
 func (s *Store) peersToAsk() []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -109,7 +120,8 @@
 	return chosen
 }
 
-// Serve makes calls to the store for other routers. It makes them directly only, so that a call is relayed at most once.
+// Serve registers the handler that makes calls to the store for other routers. The handler makes only direct calls, so that a
+// call is relayed at most once, and refuses them while the direct path is down.
 func (s *Store) Serve(mux *http.ServeMux) {
 	messenger.Handle(mux, pathStore, func(peerCtx context.Context, call storeCall) relayReply {
 		if s.isDirectDown() {
@@ -118,7 +130,7 @@
 		s.metrics.Add(metricServedForPeers, 1)
 		ctx, stop := s.ctx, func() bool { return true }
 		if call.Write == nil {
-			// A large answer must not occupy this router's link for a peer that has given up. Writes are finished in any case.
+			// A large answer must not occupy this router's link for a peer that has given up. A write continues without its peer.
 			var cancel context.CancelFunc
 			ctx, cancel = context.WithCancel(peerCtx)
 			defer cancel()
--- a/relayer/relayer.go
+++ b/relayer/relayer.go
@@ -18,32 +18,33 @@
 	serviceName = "row store"
 
 	// minHedgeDelay and maxHedgeDelay bound how long the store may take before another router is asked as well. They are many
-	// times its typical 4 ms and a fraction of what a caller waits for its budget. Between them the delay is hedgeLatencyFactor
-	// times the current latency of direct calls: if the store is slow for all routers, hedging only makes it slower.
+	// times the store's typical latency of 4 ms and a fraction of the time that a request waits for its budget. Between these
+	// bounds the delay is hedgeLatencyFactor times the mean latency of direct calls: if the store is slow for all routers,
+	// hedging makes it even slower.
 	minHedgeDelay      = 60 * time.Millisecond
 	maxHedgeDelay      = 400 * time.Millisecond
 	hedgeLatencyFactor = 3
-	// watchHedgeDelay is the hedge delay of a watch, in addition to its maximum wait.
+	// watchHedgeDelay is added to the maximum wait of a watch to get its hedge delay.
 	watchHedgeDelay = 250 * time.Millisecond
-	// directDownAfter is how long all direct calls must have failed, other than by rate limiting, before calls are relayed at
-	// once. A single failure does not predict the result of the next call.
+	// directDownAfter is how long all direct calls must have failed, other than by rate limiting, before the direct path counts
+	// as down and calls are relayed at once. A single failure does not predict the result of the next call.
 	directDownAfter = 100 * time.Millisecond
-	// rateLimitedAfter and rateLimitedCalls are for how long, and in how many calls, the store must have rejected every call for
-	// its rate before the direct path counts as down. A store that rejects every second call rejects that many in a row once in
-	// 250 times. Relaying the calls to a store that is over its rate doubles its load.
+	// The direct path also counts as down if the store has rejected all of at least rateLimitedCalls calls over at least
+	// rateLimitedAfter because its rate limit was exceeded. A store that rejects every second call rejects that many in a row
+	// once in 250 times. Relaying the calls to a store that is over its rate doubles its load.
 	rateLimitedAfter = 400 * time.Millisecond
 	rateLimitedCalls = 8
-	// probeInterval is the time between two direct calls while the direct path is down, and maxProbes the number of them in
-	// progress. More than one is needed because a call that is lost in a partition must not keep the next one from finding that
-	// the store is reachable again.
+	// probeInterval is the minimum time between two direct calls while the direct path is down. None is made while maxProbes
+	// direct calls are in progress. More than one may be, because a call that is lost in a partition must not keep the next one
+	// from finding that the store is reachable again.
 	probeInterval = 120 * time.Millisecond
 	maxProbes     = 4
-	// relayTimeout is how long the answer to a relayed call may take to begin: the store's answer and two round trips between
-	// availability zones.
+	// relayTimeout is how long the answer of each router that is asked may take to begin, in addition to the maximum wait of a
+	// watch. It allows for the store's answer and two round trips between availability zones.
 	relayTimeout = 400 * time.Millisecond
 	// directGrace is how long a direct call may still take after no other router could help.
 	directGrace = 200 * time.Millisecond
-	// maxPeersAsked bounds the routers that are asked for one call.
+	// maxPeersAsked is the maximum number of routers that are asked each time a call is relayed.
 	maxPeersAsked = 2
 )
 
@@ -63,7 +64,7 @@
 	log     *logrus.Entry
 	metrics *measurer.Set
 
-	// calls are the direct calls in progress. They end with ctx.
+	// calls counts this router's own direct calls in progress. ctx ends them, and the writes for other routers.
 	calls  sync.WaitGroup
 	ctx    context.Context
 	cancel context.CancelFunc
@@ -72,36 +73,39 @@
 	// peers returns the addresses of other routers. onRestored is called when direct calls work again.
 	peers      func() []string
 	onRestored func()
-	// observeLatency is called with the duration of direct calls.
+	// observeLatency is called with the duration of direct calls, see OnDirectCall.
 	observeLatency func(took time.Duration, answered bool)
-	// lastSuccess is when a direct call last got a definite result. failingSince is when the first of the direct calls that
-	// failed since then was sent; it is zero if none failed.
+	// lastSuccess is when a direct call last got a definite result. failingSince is when the first direct call that failed after
+	// that was sent, but not before lastSuccess. It is zero if none failed.
 	lastSuccess  time.Time
 	failingSince time.Time
-	// rateLimitedSince and rateLimitedCount are the time of the first and the number of rate-limited calls since the last
-	// definite result.
+	// rateLimitedCount is the number of rate-limited direct calls since the last definite result. rateLimitedSince is when the
+	// first of them was sent.
 	rateLimitedSince time.Time
 	rateLimitedCount int
-	// meanLatency is the moving average of the latency of direct calls with a definite result.
+	// meanLatency is the moving average of the latency of direct calls with a definite result, without watches and large answers.
 	meanLatency time.Duration
-	// directDown is set if direct calls have failed for a while. directInFlight counts the direct calls in progress.
+	// directDown is set while the direct path counts as down. directInFlight is the number of direct calls in progress, including
+	// those for other routers. lastProbe is when plan last allowed a direct call.
 	directDown     bool
 	directInFlight int
 	lastProbe      time.Time
-	// firstPeer is the index of the first peer to ask. It advances if none of the peers that were asked could help.
+	// firstPeer is the index, modulo the number of peers, of the first peer to ask. It advances if none of the peers that were
+	// asked could help.
 	firstPeer int
 }
 
 var _ masticway.RowStore = (*Store)(nil)
 
-// New returns a Store that calls a direct one. It knows no peers until Ask is called.
+// New returns a Store that makes direct calls to the given one. It relays no calls until SetPeers is called.
 func New(direct masticway.RowStore, m *messenger.Client, clock masticway.Clock, log *logrus.Entry, metrics *measurer.Set) *Store {
 	s := &Store{direct: direct, client: m, clock: clock, log: log, metrics: metrics, peers: func() []string { return nil }, onRestored: func() {}, observeLatency: func(time.Duration, bool) {}}
 	s.ctx, s.cancel = context.WithCancel(context.Background())
 	return s
 }
 
-// Close cancels the direct calls in progress and waits for them.
+// Close cancels this router's direct calls in progress and waits for them. It also cancels the calls for other routers, but does
+// not wait for these.
 func (s *Store) Close() {
 	s.cancel()
 	s.calls.Wait()
@@ -121,8 +125,9 @@
 	s.onRestored = f
 }
 
-// OnDirectCall sets a function that is called with the duration of direct calls, and whether the store answered. A call that failed
-// within minHedgeDelay counts as answered. Watches, large answers and rate-limited calls are not measured.
+// OnDirectCall sets a function that is called with the duration of direct calls and whether the store answered. A call that
+// failed within minHedgeDelay counts as answered. Watches, rate-limited calls, canceled calls and large answers that arrived are
+// not reported.
 func (s *Store) OnDirectCall(observe func(took time.Duration, answered bool)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -134,17 +139,18 @@
 	return readOutcome(s.call(ctx, storeCall{Table: table, Part: part}))
 }
 
-// Write commits a write. The write must expect a version of a row that it puts; otherwise it could be made twice.
+// Write commits a write. The write must expect the version of a row that it puts; otherwise it could be made twice.
 func (s *Store) Write(ctx context.Context, w masticway.RowWrite) (masticway.RowReading, error) {
 	return s.call(ctx, storeCall{Write: &w})
 }
 
-// Watch returns the changes of a table.
+// Watch returns the changes of a table. It waits for changes up to the request's maximum wait.
 func (s *Store) Watch(ctx context.Context, f masticway.WatchRequest) (masticway.RowReading, error) {
 	return readOutcome(s.call(ctx, storeCall{Table: f.Table, Watch: true, Since: f.Since, MaxWait: f.MaxWait, MaxBytes: f.MaxBytes}))
 }
 
-// readOutcome replaces an unknown outcome by an unavailable store, because a read has no effect.
+// readOutcome replaces an error that reports an unknown outcome by one that reports an unavailable store, because a read has no
+// effect.
 func readOutcome(reading masticway.RowReading, err error) (masticway.RowReading, error) {
 	if unknown, ok := errors.AsType[*masticway.OutcomeUnknownError](err); ok {
 		return reading, &masticway.UnavailableError{Service: serviceName, Reason: unknown.Reason}
@@ -152,13 +158,14 @@
 	return reading, err
 }
 
-// result is the result of one attempt.
+// result is the result of a direct or a relayed attempt to make a call.
 type result struct {
 	reading masticway.RowReading
 	err     error
 }
 
-// isDefinite reports whether no other attempt can get a better result.
+// isDefinite reports whether the store has answered the call: with success, a conflict or lost history. No other attempt can get
+// a better result.
 func (r result) isDefinite() bool {
 	if r.err == nil {
 		return true
@@ -170,20 +177,22 @@
 	return ok
 }
 
-// isRateLimited reports whether the store rejected the call for its rate.
+// isRateLimited reports whether the store rejected the call because its rate limit was exceeded.
 func (r result) isRateLimited() bool {
 	refused, ok := errors.AsType[*masticway.UnavailableError](r.err)
 	return ok && refused.RateLimited
 }
 
-// call makes a call directly and, if that fails or takes long, through another router.
+// call makes a call directly and, if it takes long, through another router as well. While the direct path is down, the call is
+// relayed at once. A call that fails directly while the path is not down is not relayed.
 func (s *Store) call(ctx context.Context, c storeCall) (masticway.RowReading, error) {
 	p := startCall(ctx, s, c)
 	defer p.cancelRelay()
 	return p.wait()
 }
 
-// worseOf returns an unknown outcome if there is one, since the other attempt's failure does not make it certain.
+// worseOf returns the result whose outcome is unknown, if there is one, because the failure of the other attempt does not make
+// that outcome certain. Otherwise it returns b.
 func worseOf(a, b result) result {
 	if _, ok := errors.AsType[*masticway.OutcomeUnknownError](a.err); ok {
 		return a
@@ -191,8 +200,8 @@
 	return b
 }
 
-// plan reports whether to make a call directly and whether to relay it at once. While the direct path is down, a direct call is
-// only a probe.
+// plan decides whether to make a call directly and whether to relay it at once, and records the time of the direct call. While
+// the direct path is down, calls are relayed at once and a direct call is made only as a probe.
 func (s *Store) plan(call storeCall) (direct, relayNow bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -204,8 +213,9 @@
 	return true, s.directDown
 }
 
-// callDirect makes a direct call. It may outlast its caller: if another router is faster, the result still shows whether the
-// store serves this router. It ends early only if ctx does. It calls progress whenever more of a large answer arrives.
+// callDirect makes a direct call and records its result for the state of the direct path. The call may continue after its caller
+// has got a result from another router, because it still shows whether the store serves this router. It ends early only if ctx
+// does. It calls progress whenever more of a large answer arrives.
 func (s *Store) callDirect(ctx context.Context, call storeCall, progress func()) result {
 	sentAt := s.clock.Now()
 	s.addInFlight(1)
@@ -233,7 +243,7 @@
 	return r
 }
 
-// recordLatency records the latency of a direct call with a definite result.
+// recordLatency records and reports the latency of a direct call with a definite result, unless it is a watch.
 func (s *Store) recordLatency(call storeCall, sentAt time.Time) {
 	if call.Watch {
 		return
@@ -245,7 +255,7 @@
 	measured(took, true)
 }
 
-// recordFailedLatency reports the duration of a direct call that failed, other than by rate limiting.
+// recordFailedLatency reports the duration of a direct call that failed, other than by rate limiting, unless it is a watch.
 func (s *Store) recordFailedLatency(call storeCall, sentAt time.Time) {
 	if call.Watch {
 		return
@@ -266,7 +276,8 @@
 	return min(maxHedgeDelay, max(minHedgeDelay, hedgeLatencyFactor*s.meanLatency))
 }
 
-// recordRateLimited records a call that the store rejected for its rate.
+// recordRateLimited records a direct call that the store rejected because its rate limit was exceeded. Enough of them in a row
+// count as failures.
 func (s *Store) recordRateLimited(sentAt time.Time, cause error) {
 	s.metrics.Add(metricRateLimited, 1)
 	s.mu.Lock()
@@ -294,7 +305,8 @@
 	return s.directDown
 }
 
-// recordFailure records the failure of a direct call that was sent at sentAt.
+// recordFailure records the failure of a direct call. It marks the direct path as down if all direct calls have failed for
+// directDownAfter.
 func (s *Store) recordFailure(sentAt time.Time, cause error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -312,6 +324,7 @@
 	s.log.WithFields(logrus.Fields{"event": "store_turned_away", "error": cause, "routers": len(s.peers())}).Warn("direct path to the store is down; calls are relayed")
 }
 
+// recordSuccess records a direct call with a definite result and marks the direct path as up.
 func (s *Store) recordSuccess() {
 	s.mu.Lock()
 	wasDown, onRestored := s.directDown, s.onRestored
--- a/relayer/relayer_test.go
+++ b/relayer/relayer_test.go
@@ -27,8 +27,11 @@
 // Modes of a path to the store.
 const (
 	pathWorks int32 = iota
+	// pathUnavailable fails at once and makes no call.
 	pathUnavailable
+	// pathSilent fails with an unknown outcome after 700 ms and makes no call.
 	pathSilent
+	// pathLosesAnswers makes a write and then reports an unknown outcome.
 	pathLosesAnswers
 	// pathRateLimited rejects every call for the store's rate, pathMostlyRateLimited six calls of seven.
 	pathRateLimited
@@ -94,7 +97,7 @@
 	return p.rows.Watch(ctx, f)
 }
 
-// routerPair is two routers with one store.
+// routerPair is two routers with one store. The router of interest is store, the other one is helper.
 type routerPair struct {
 	rows      *emulator.Rows
 	ownPath   *storePath
@@ -269,13 +272,13 @@
 			f.otherPath.mode.Store(tc.other)
 			_, err := f.store.Write(t.Context(), newPut(0, "a"))
 			_, unknown := errors.AsType[*masticway.OutcomeUnknownError](err)
-			_, nothing := errors.AsType[*masticway.UnavailableError](err)
+			_, unavailable := errors.AsType[*masticway.UnavailableError](err)
 			qt.Assert(t, unknown, qt.Equals, tc.unknown, qt.Commentf("%v", err))
-			qt.Assert(t, nothing, qt.Equals, !tc.unknown)
+			qt.Assert(t, unavailable, qt.Equals, !tc.unknown)
 			_, err = f.store.Read(t.Context(), "t", "0")
-			_, nothing = errors.AsType[*masticway.UnavailableError](err)
+			_, unavailable = errors.AsType[*masticway.UnavailableError](err)
 			if tc.own != pathLosesAnswers {
-				qt.Assert(t, nothing, qt.IsTrue, qt.Commentf("%v", err))
+				qt.Assert(t, unavailable, qt.IsTrue, qt.Commentf("%v", err))
 			}
 		})
 	}
--- a/relayer/ways.go
+++ b/relayer/ways.go
@@ -8,27 +8,28 @@
 	"github.com/masticway/masticway/receiver"
 )
 
-// progressTimeout is how long a large answer may pause before the call is hedged, several times the round trip between
+// progressTimeout is how long a large answer may pause before the call is hedged. It is several times the round trip between
 // availability zones. A hedge during the transfer would only halve the capacity of a slow link.
 const progressTimeout = 300 * time.Millisecond
 
-// callPaths tracks the direct and the relayed attempt of one call. It is used by a single goroutine.
+// callPaths tracks the direct and the relayed attempt of one call. Except for signalProgress, it is used by a single goroutine.
 type callPaths struct {
 	ctx   context.Context
 	store *Store
 	call  storeCall
 
-	// direct and relayed deliver the results of the attempts; each is nil if that attempt is not in progress. progress signals
-	// that more of a large direct answer has arrived.
+	// direct and relayed deliver the results of the attempts; each is nil while that attempt is not in progress. progress signals
+	// that more of a large answer of the direct attempt has arrived.
 	direct, relayed chan result
 	progress        chan struct{}
 	stopRelay       context.CancelFunc
-	// hedgeTimer fires when the call is to be relayed as well, graceTimer when it is to be given up.
+	// hedgeTimer fires when the call is to be relayed as well, and graceTimer when the direct attempt is to be given up after the
+	// relayed one failed. worst is the worst result so far that is not definite.
 	hedgeTimer, graceTimer <-chan time.Time
 	worst                  result
 }
 
-// startCall starts the direct attempt, the relayed one, or both.
+// startCall starts the direct attempt, the relayed one or both, as decided by Store.plan.
 func startCall(ctx context.Context, s *Store, call storeCall) *callPaths {
 	p := &callPaths{ctx: ctx, store: s, call: call, progress: make(chan struct{}, 1), stopRelay: func() {}}
 	direct, relayNow := s.plan(call)
@@ -57,7 +58,7 @@
 	}
 }
 
-// startRelay starts to ask other routers.
+// startRelay starts the relayed attempt and stops the hedge timer.
 func (p *callPaths) startRelay() {
 	ctx, stop := context.WithCancel(p.ctx)
 	done := make(chan result, 1)
@@ -65,13 +66,14 @@
 	go func() { done <- p.store.relay(ctx, p.call) }()
 }
 
-// cancelRelay stops asking other routers.
+// cancelRelay cancels the relayed attempt, if there is one, and ignores its result.
 func (p *callPaths) cancelRelay() {
 	p.stopRelay()
 	p.relayed = nil
 }
 
-// wait returns the first definite result.
+// wait returns the first definite result (see isDefinite). It returns the worst result if no attempt is left. It returns an
+// unknown outcome if the direct attempt gets no result within directGrace after the relayed one failed, or if the context ends.
 func (p *callPaths) wait() (masticway.RowReading, error) {
 	for p.direct != nil || p.relayed != nil {
 		select {
