--- a/sender/sender.go
+++ b/sender/sender.go
@@ -17,16 +17,17 @@
 )
 
 const (
-	// readBufferSize fits the head and body of a typical answer.
+	// readBufferSize is the size in bytes of a connection's read buffer. It fits the head and body of a typical answer.
 	readBufferSize = 4 << 10
-	// maxInlineBody is the largest body that is written before the answer is read. Larger bodies are written concurrently,
-	// because the links' windows are small.
+	// maxInlineBody is the maximum size in bytes of a body that is written before the answer is read. A larger body is written
+	// concurrently, because the links' windows are small.
 	maxInlineBody = 2 << 10
 	// defaultIdleTimeout is how long an idle connection is kept if its server does not announce a timeout.
 	defaultIdleTimeout = 4 * time.Second
 	// idleFraction is the part of a server's idle timeout after which a connection is no longer reused.
 	idleFraction = 0.7
-	// sweepThreshold is the number of idle connections above which acquireIdle looks for expired ones.
+	// sweepThreshold is the number of idle connections above which acquireIdle also checks whether the one that has been idle for
+	// longest has expired.
 	sweepThreshold = 4
 )
 
@@ -40,14 +41,14 @@
 	Body   []byte
 	// MaxIdle is the longest time that a reused connection may have been idle; zero means no limit.
 	MaxIdle time.Duration
-	// ConnectTimeout bounds the time to establish a connection.
+	// ConnectTimeout is the timeout for establishing a connection.
 	ConnectTimeout time.Duration
 	// AckTimeout is how long sent bytes may stay unacknowledged by the server's kernel before the connection is considered
 	// broken. Zero selects the system's default, which is minutes.
 	AckTimeout time.Duration
 }
 
-// Error reports a request that got no answer.
+// Error reports that a request got no answer, or no further one.
 type Error struct {
 	// Sent is set if the server may have received the request.
 	Sent bool
@@ -56,7 +57,7 @@
 	Cause  error
 }
 
-// Error reports whether connecting or sending failed, and why.
+// Error describes whether connecting failed, or sending the request or reading the answer, and why.
 func (e *Error) Error() string {
 	if !e.Sent {
 		return fmt.Sprintf("connecting: %v", e.Cause)
@@ -73,12 +74,12 @@
 	Open    int
 }
 
-// Error names the server.
+// Error describes the limit and the server's address.
 func (e *ConnectionLimitError) Error() string {
 	return fmt.Sprintf("%d connections to %s are in use", e.Open, e.Address)
 }
 
-// Answer is a server's answer. Close must be called.
+// Answer is a server's answer. The caller must call Close.
 type Answer struct {
 	Status int
 	Header http.Header
@@ -90,7 +91,8 @@
 	closed   bool
 }
 
-// Read reads the body. It returns io.EOF only at the end of a complete body.
+// Read reads the body. It returns io.EOF only at the end of a complete body, or at the end of the connection if the body is not
+// framed.
 func (a *Answer) Read(b []byte) (int, error) {
 	n, err := a.body.Read(b)
 	if errors.Is(err, io.EOF) {
@@ -99,11 +101,11 @@
 	return n, err
 }
 
-// SetIdleTimeout sets how long the server keeps the connection open while it is idle.
+// SetIdleTimeout sets how long the server keeps the connection open while it is idle. Zero selects defaultIdleTimeout.
 func (a *Answer) SetIdleTimeout(d time.Duration) { a.conn.idleTimeout = d }
 
 // Close ends the answer. The connection is kept for reuse only if the whole answer was read and nothing unexpected happened on
-// it.
+// it. Further calls have no effect.
 func (a *Answer) Close() {
 	if a.closed {
 		return
@@ -112,8 +114,9 @@
 	a.conn.release(a.complete && a.Framed)
 }
 
-// Next discards the answer and reads the next one on the same connection. A faulty server may send the answer to another request
-// twice, so that the copy precedes the expected answer.
+// Next discards the answer and reads the next one on the same connection, which is not reused afterwards. A faulty server may
+// send the answer to another request twice, so that the copy precedes the expected answer. If Next succeeds, Close must be called
+// on the new answer only.
 func (a *Answer) Next() (*Answer, error) {
 	a.conn.tainted = true
 	if _, err := io.Copy(io.Discard, a); err != nil || !a.Framed {
@@ -126,6 +129,7 @@
 	return next, nil
 }
 
+// errOr returns err, or other if err is nil.
 func errOr(err, other error) error {
 	if err != nil {
 		return err
@@ -143,7 +147,8 @@
 	dials int64
 }
 
-// connPool holds the connections to one server.
+// connPool holds the idle connections to one server. open is the number of all its connections, including those in use and those
+// being established.
 type connPool struct {
 	idle []*conn
 	open int
@@ -151,21 +156,26 @@
 
 // conn is a connection; it serves one request at a time.
 type conn struct {
-	sender      *Sender
-	address     string
-	net         net.Conn
-	reader      *bufio.Reader
+	sender  *Sender
+	address string
+	net     net.Conn
+	reader  *bufio.Reader
+	// writeDone delivers the result of writing a large body concurrently; it is nil if there is none. requests is the number of
+	// requests sent on the connection.
 	writeDone   chan error
 	requests    int
 	idleSince   time.Time
 	idleTimeout time.Duration
 	// ackTimeout is the acknowledgement timeout that is set on the socket.
 	ackTimeout time.Duration
-	stop       func() bool
-	method     string
-	// willClose is set if the server announced that it closes the connection, tainted if anything unexpected happened on it.
+	// stop keeps the end of the current request's context from closing the connection. method is the method of the current
+	// request.
+	stop   func() bool
+	method string
+	// willClose is set if the server announced that it closes the connection.
 	willClose bool
-	tainted   bool
+	// tainted is set if anything unexpected happened on the connection.
+	tainted bool
 }
 
 // New returns a Sender that connects with dial and reads the time from now.
@@ -180,9 +190,9 @@
 	return s.dials
 }
 
-// Send sends a request and returns the head of the answer. It opens a new connection only while fewer than limit connections to
-// the server are open; zero means no limit. It fails with Error or ConnectionLimitError. If the context ends, the connection is
-// closed.
+// Send sends a request and returns the head of the answer, which the caller must close. It opens a new connection only while
+// fewer than limit connections to the server are open; zero means no limit. It fails with Error or ConnectionLimitError. If the
+// context ends before the answer is closed, the connection is closed.
 func (s *Sender) Send(ctx context.Context, address string, limit int, r Request) (*Answer, error) {
 	c, err := s.acquire(ctx, address, limit, r)
 	if err != nil {
@@ -204,7 +214,8 @@
 	return a, nil
 }
 
-// acquire returns a usable idle connection, or a new one.
+// acquire returns a usable idle connection or a new one. It fails with ConnectionLimitError if a new one is needed and limit
+// connections are open.
 func (s *Sender) acquire(ctx context.Context, address string, limit int, r Request) (*conn, error) {
 	for {
 		c, open := s.acquireIdle(address, r.MaxIdle)
@@ -221,6 +232,8 @@
 	}
 }
 
+// acquireIdle removes and returns the connection that was used last, if it has not expired and has been idle no longer than
+// maxIdle. Otherwise it returns nil. It also returns the number of open connections.
 func (s *Sender) acquireIdle(address string, maxIdle time.Duration) (*conn, int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -281,7 +294,7 @@
 	return &conn{sender: s, address: address, net: n, reader: bufio.NewReaderSize(n, readBufferSize)}, nil
 }
 
-// Retain closes the idle connections to all servers except those at the given addresses.
+// Retain closes the idle connections to all servers except those at the given addresses. Connections in use stay open.
 func (s *Sender) Retain(keep map[string]bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -297,6 +310,7 @@
 	}
 }
 
+// maxIdle returns how long the connection may be idle before it is no longer reused.
 func (c *conn) maxIdle() time.Duration {
 	keep := c.idleTimeout
 	if keep == 0 {
@@ -305,7 +319,8 @@
 	return time.Duration(float64(keep) * idleFraction)
 }
 
-// hasNoInput reports whether nothing has arrived on an idle connection: neither EOF nor bytes that belong to no request.
+// hasNoInput reports whether nothing has arrived on an idle connection: neither EOF nor bytes that belong to no request. It
+// cannot check a connection other than TCP and then returns true.
 func (c *conn) hasNoInput() bool {
 	if c.reader.Buffered() > 0 {
 		return false
@@ -328,7 +343,7 @@
 	return err == nil && noInput
 }
 
-// setAckTimeout sets how long sent bytes may stay unacknowledged. A kernel acknowledges them however busy its server process is,
+// setAckTimeout sets how long sent bytes may stay unacknowledged. A kernel acknowledges them even if its server process is busy,
 // so the timeout detects a machine without power or a silent connection, but not a slow server.
 func (c *conn) setAckTimeout(timeout time.Duration) {
 	tcp, ok := c.net.(*net.TCPConn)
@@ -346,7 +361,8 @@
 	})
 }
 
-// write sends the request. A body above maxInlineBody is written in a goroutine while the answer is read.
+// write sends the request. If the body is larger than maxInlineBody, the whole request is written in a goroutine, so that the
+// answer can be read meanwhile.
 func (c *conn) write(r Request) error {
 	head := make([]byte, 0, 1024)
 	head = append(head, r.Method...)
@@ -422,6 +438,7 @@
 	p.idle = append(p.idle, c)
 }
 
+// discard closes a connection that is not in the pool's idle list.
 func (c *conn) discard() {
 	_ = c.net.Close()
 	c.sender.mu.Lock()
--- a/sender/sender_test.go
+++ b/sender/sender_test.go
@@ -212,7 +212,8 @@
 }
 
 // TestAckTimeoutFollowsTheRequest sends two requests with different timeouts on one connection and reads the socket option after
-// each. Only a request that may be retried has a timeout; one that must not be retried may not inherit it.
+// each. It guards against a request without a timeout, which must not be retried, that inherits the timeout of the previous
+// request.
 func TestAckTimeoutFollowsTheRequest(t *testing.T) {
 	_, address := startServer(t, &scriptedServer{answers: []string{okAnswer, okAnswer}})
 	var conn *net.TCPConn
