--- a/forwarder/forwarder.go
+++ b/forwarder/forwarder.go
@@ -85,8 +85,8 @@
 	Rotation masticway.Rotation
 	// Throttler enforces the rate limits and backoff that servers announce.
 	Throttler masticway.Throttler
-	// OnLeaving is called for each answer with which a server announces that it drains. It is called from several goroutines.
-	OnLeaving func(masticway.Server)
+	// OnDraining is called for each answer with which a server announces that it drains. It is called from several goroutines.
+	OnDraining func(masticway.Server)
 	// Dial connects to a server.
 	Dial func(ctx context.Context, network, address string) (net.Conn, error)
 }
@@ -95,7 +95,7 @@
 func New(s Settings, d Dependencies) *Forwarder {
 	f := &Forwarder{
 		settings: s, clock: d.Clock, log: d.Log, metrics: d.Metrics, codec: d.Codec, budgets: d.Budgets, snapshot: d.Snapshot,
-		examiner: d.Examiner, rotation: d.Rotation, throttler: d.Throttler, onDraining: d.OnLeaving,
+		examiner: d.Examiner, rotation: d.Rotation, throttler: d.Throttler, onDraining: d.OnDraining,
 		checks: &checks{dial: d.Dial, clock: d.Clock, log: d.Log, byServer: map[masticway.ServerIncarnation]*check{}},
 		sender: sender.New(d.Dial, d.Clock.Now), servers: chooser.NewServers(s.serverPolicy()), allowances: map[string]*retrier.Allowance{},
 	}
@@ -189,7 +189,7 @@
 	a, ok := f.allowances[pool]
 	if !ok {
 		s := f.settings.Retries
-		a = retrier.NewAllowance(s.Ratio, s.Slack, time.Duration(s.WindowSeconds*float64(time.Second)))
+		a = retrier.NewAllowance(s.Ratio, s.FixedRetries, time.Duration(s.WindowSeconds*float64(time.Second)))
 		f.allowances[pool] = a
 	}
 	return a
--- a/forwarder/settings.go
+++ b/forwarder/settings.go
@@ -28,7 +28,7 @@
 	MemoryMB int64 `json:"memory_mb,omitempty"`
 	// GraceSeconds is how long the process may take to shut down.
 	GraceSeconds float64         `json:"grace_seconds"`
-	Money        MoneySettings   `json:"money"`
+	Budgets      BudgetSettings  `json:"money"`
 	Retries      RetriesSettings `json:"retries"`
 	Cold         ColdSettings    `json:"cold"`
 	// Regions maps the deployment's availability zones to their regions.
@@ -49,8 +49,8 @@
 	ZoneTokenCost float64 `json:"zone_token_cost"`
 }
 
-// MoneySettings configures how prepaid budgets are stored and held.
-type MoneySettings struct {
+// BudgetSettings configures how prepaid budgets are stored and held.
+type BudgetSettings struct {
 	// Parts is the number of partitions of the store's tables over which budgets are spread. It must be the same for all routers.
 	Parts int `json:"parts"`
 	// Reserve is the demand, as a duration, for which a router keeps tokens in reserve to serve requests while the store cannot
@@ -63,8 +63,8 @@
 type RetriesSettings struct {
 	// Ratio is the number of retries that are allowed for each request.
 	Ratio float64 `json:"ratio"`
-	// Slack is the number of retries that are allowed in addition, also without requests.
-	Slack         float64 `json:"slack"`
+	// FixedRetries is the number of retries that are allowed in addition, also without requests.
+	FixedRetries  float64 `json:"slack"`
 	WindowSeconds float64 `json:"window_seconds"`
 }
 
@@ -72,14 +72,14 @@
 type ColdSettings struct {
 	// Overshoot is the factor by which the pool's configured rate for cold servers is multiplied.
 	Overshoot float64 `json:"overshoot"`
-	// Slack is the number of requests per second that are allowed in addition.
-	Slack float64 `json:"slack"`
+	// ExtraRequests is the number of requests per second that are allowed in addition.
+	ExtraRequests float64 `json:"slack"`
 }
 
 // serverPolicy returns the settings for the choice of servers.
 func (s Settings) serverPolicy() chooser.ServerPolicy {
 	return chooser.ServerPolicy{
 		RankShare: s.Policy.RankShare, ZoneTokenCost: s.Policy.ZoneTokenCost,
-		Cold: chooser.ColdRateLimit{Overshoot: s.Cold.Overshoot, Slack: s.Cold.Slack},
+		Cold: chooser.ColdRateLimit{Overshoot: s.Cold.Overshoot, Slack: s.Cold.ExtraRequests},
 	}
 }
--- a/retrier/retrier.go
+++ b/retrier/retrier.go
@@ -13,8 +13,8 @@
 const (
 	// CauseRefused is a refusal for a reason that has no cause of its own.
 	CauseRefused Cause = "refused"
-	// CauseLeaving is a refusal because the upstream drains.
-	CauseLeaving Cause = "leaving"
+	// CauseDraining is a refusal because the upstream drains.
+	CauseDraining Cause = "leaving"
 	// CauseStale is a refusal because the router's configuration is outdated.
 	CauseStale Cause = "stale"
 	// CauseFenced is a refusal because the sidecar has sealed (fenced off) the incarnation of the router or of the payer of the
@@ -67,7 +67,7 @@
 var disruptionRules = []Rule{
 	{Cause: CauseStale, Fate: masticway.FateNotRun, Action: ActionRetryFree},
 	{Cause: CauseFenced, Fate: masticway.FateNotRun, Action: ActionRetryFree},
-	{Cause: CauseLeaving, Fate: masticway.FateNotRun, Action: ActionRetryFree},
+	{Cause: CauseDraining, Fate: masticway.FateNotRun, Action: ActionRetryFree},
 	{Cause: CauseFull, Fate: masticway.FateNotRun, Action: ActionRetryFree},
 	{Cause: CauseLinkLost, Fate: masticway.FateNotRun, Action: ActionRetryFree},
 	{Cause: CauseDisrupted, Action: ActionRetryFree},
--- a/router/attempt.go
+++ b/router/attempt.go
@@ -230,7 +230,7 @@
 	e := attemptResult{fate: masticway.FateNotRun, cause: retrier.CauseRefused, reason: string(m.Reason)}
 	switch m.Reason {
 	case sealer.ReasonDraining:
-		e.cause = retrier.CauseLeaving
+		e.cause = retrier.CauseDraining
 		x.r.upstreams.markDraining(f.instance)
 	case sealer.ReasonStale:
 		e.cause = retrier.CauseStale
