--- a/chooser/chooser.go
+++ b/chooser/chooser.go
@@ -20,31 +20,32 @@
 )
 
 const (
-	// blockBytes is the number of prompt bytes that each prefix hash adds.
+	// blockBytes is the size of a prompt block in bytes. Each prefix hash covers one block more than the hash before it.
 	blockBytes = 256
-	// prefixTTL is how long a prefix is assumed to stay in an upstream's cache.
+	// prefixTTL is how long a prefix is assumed to stay in an upstream's cache after its last use.
 	prefixTTL = 60 * time.Second
-	// maxUpstreamPrefixes is the maximum number of prefixes stored per upstream, and maxSentPrefixes that of the prefixes that
-	// this router has sent to any upstream.
+	// maxUpstreamPrefixes is the number of prefix hashes stored per upstream above which old ones are evicted. maxSentPrefixes is
+	// the same for the prefixes that this router has sent to any upstream.
 	maxUpstreamPrefixes = 4096
 	maxSentPrefixes     = 32768
-	// bytesPerToken estimates the number of tokens in a prompt before the engine has counted them.
+	// bytesPerToken is the assumed number of bytes per prompt token.
 	bytesPerToken = 4
 	// defaultPrefillTime is the prefill time per prompt token, in seconds, until the upstream has reported it.
 	defaultPrefillTime = 0.0002
-	// defaultCapacity is the number of concurrent runs until the upstream has reported it.
+	// defaultCapacity is the assumed number of concurrent runs of an upstream until the upstream has reported it.
 	defaultCapacity = 8
 	// defaultServiceTime is the time in seconds that one run occupies a slot, until some runs have finished.
 	defaultServiceTime = 1.0
-	// initialHitRate is the assumed accuracy of cache hints before any has been checked, and minHitRate is its lower bound.
+	// initialHitRate is the assumed hit rate of an upstream's cache hints until some have been checked. minHitRate is the lower
+	// bound of the hit rate.
 	initialHitRate = 0.5
 	minHitRate     = 0.02
-	// hitRateWeight is the weight of the newest check in the average.
+	// hitRateWeight is the weight of the newest check in the average hit rate.
 	hitRateWeight = 0.2
 	// otherLoadWeight is the weight of the newest report in the average load from other routers.
 	otherLoadWeight = 0.5
-	// maxReportAge is the maximum delay of a load report.
-	maxReportAge = 3 * time.Second
+	// inFlightHistorySpan is how long the numbers of requests in flight are stored for the correction of delayed load reports.
+	inFlightHistorySpan = 3 * time.Second
 	// maxUtilization limits the utilization in the queueing formula, whose result goes to infinity as the batch fills up.
 	maxUtilization = 0.85
 	// serviceTimeWeight is the weight of the newest sample in the average service time.
@@ -56,7 +57,8 @@
 // Request describes a request for which an upstream must be chosen.
 type Request struct {
 	PromptBytes int
-	Prefixes    []uint64
+	// Prefixes are the hashes of the prompt's leading blocks, as returned by the function Prefixes.
+	Prefixes []uint64
 	// Zone is the router's availability zone.
 	Zone string
 }
@@ -69,12 +71,16 @@
 	Zone     string
 }
 
-// Score is a candidate's expected time to the first token, and its components.
+// Score is the assessment of a candidate. The candidate with the lowest Seconds is chosen.
 type Score struct {
-	Instance string  `json:"instance"`
-	Seconds  float64 `json:"seconds"`
-	Queue    float64 `json:"queue"`
-	Prefill  float64 `json:"prefill"`
+	Instance string `json:"instance"`
+	// Seconds is the expected time to the first token: the sum of Queue, Prefill and the penalty for another availability zone. For
+	// policies other than PolicyForecast, it is the value that the policy compares.
+	Seconds float64 `json:"seconds"`
+	// Queue is the expected time in the upstream's queue, and Prefill that of the prefill, including the pending prefill of other
+	// requests. Both are in seconds.
+	Queue   float64 `json:"queue"`
+	Prefill float64 `json:"prefill"`
 	// Cached is the number of prompt tokens that are expected in the prefix cache.
 	Cached   int `json:"cached"`
 	InFlight int `json:"in_flight"`
@@ -82,17 +88,18 @@
 
 type upstream struct {
 	inFlight int
-	// pendingPrefill is the number of uncached prompt tokens in requests that have not yet produced a first token.
+	// pendingPrefill estimates the number of uncached prompt tokens in requests that have not yet produced a first token. It may be
+	// too low, because the first token of a request subtracts cached tokens too.
 	pendingPrefill float64
 	report         masticway.LoadReport
-	// otherLoad is the average load from other routers: the reported load minus this router's requests in flight at the time of
-	// the report.
+	// otherLoad is the average load from other routers, in requests: the reported load minus this router's requests in flight at the
+	// time of the report.
 	otherLoad float64
-	// inFlightHistory holds the number of this router's requests in flight over the last seconds, to compare delayed reports
-	// with.
+	// inFlightHistory holds the numbers of this router's requests in flight over the last inFlightHistorySpan, oldest first.
 	inFlightHistory []inFlightSample
-	serviceTime     float64
-	prefixes        prefixSet
+	// serviceTime is the average time in seconds that a run occupies a slot.
+	serviceTime float64
+	prefixes    prefixSet
 	// hitRate is the recent share of predicted prompt tokens that were actually in the cache.
 	hitRate float64
 }
@@ -120,7 +127,8 @@
 	return u
 }
 
-// Choose returns the index of the best candidate, or -1 if there are none, and the scores of all candidates.
+// Choose returns the index of the candidate with the lowest score, or -1 if there are no candidates, and the scores of all
+// candidates.
 func (c *Chooser) Choose(now time.Time, req Request, candidates []Candidate) (int, []Score) {
 	scores := make([]Score, 0, len(candidates))
 	best := -1
@@ -151,10 +159,11 @@
 // ties do not always go to the same upstream.
 func (c *Chooser) winsTie(i int) bool { return (c.choices+i)%2 == 0 }
 
-// homeIndex returns the index of the candidate to which all routers send requests that share a prefix, or -1 if the prompt has no
-// prefix.
+// homeIndex returns the index of the prompt's home, or -1 if the prompt is shorter than one block. The home is the candidate with
+// the highest rendezvous weight for the prompt's first block. All routers with the same candidates compute the same home, and
+// prefer it if its load permits.
 //
-// Without a common home, each router would send requests with one prefix to a different engine, and the engines' caches would
+// Without a common home, each router might send requests with one prefix to a different engine, and the engines' caches would
 // hold many copies of the prefix.
 func homeIndex(req Request, candidates []Candidate) int {
 	if len(req.Prefixes) == 0 {
@@ -207,7 +216,7 @@
 	return u.otherLoad + float64(u.inFlight)
 }
 
-// queueTime estimates the wait for a slot in the upstream's batch.
+// queueTime estimates the wait for a slot in the upstream's batch, in seconds.
 //
 // The load is known only with a delay, so the estimate must grow before the batch is full. Otherwise all routers would fill the
 // best upstream completely at the same time. The soft part is Sakasegawa's approximation for a queue with several servers.
@@ -233,8 +242,8 @@
 	return max(homeDepth, u.prefixes.depth(now, req.Prefixes)) * blockBytes / bytesPerToken
 }
 
-// RecordCacheHit updates an upstream's hit rate from the number of prompt tokens that were expected in its cache and the number that
-// were there.
+// RecordCacheHit updates an upstream's hit rate from the number of prompt tokens that were expected in its cache, as returned by
+// RecordSent, and the number that were cached. It does nothing if none were expected.
 //
 // Cache reports are delayed and incomplete, and an engine may have evicted prefixes that a router sent. The hit rate prevents
 // such hints from attracting requests to a busy upstream.
@@ -249,7 +258,7 @@
 
 // RecordSent records a request sent to an upstream, whose prompt is now likely to be cached there.
 //
-// It returns the number of prompt tokens expected in the cache, to be compared later with the number that was there.
+// It returns the number of prompt tokens that the cache hints predicted before this request, for a later call of RecordCacheHit.
 func (c *Chooser) RecordSent(now time.Time, instance string, req Request) (expected int) {
 	u := c.upstream(instance)
 	expected = u.predictedTokens(now, req, 0)
@@ -269,7 +278,7 @@
 	}
 }
 
-// RecordDone records the end of a run and how long it occupied a slot of the upstream.
+// RecordDone records the end of a run and how long it occupied a slot of the upstream. If took is zero, it is not averaged.
 func (c *Chooser) RecordDone(now time.Time, instance string, took time.Duration, firstTokenSeen bool, req Request) {
 	u := c.upstream(instance)
 	u.setInFlight(now, max(0, u.inFlight-1))
@@ -284,7 +293,8 @@
 	}
 }
 
-// RecordReport records an upstream's report on its load and its cache, which arrives with a delay.
+// RecordReport records an upstream's report on its load and its cache, which arrives with a delay. If the report is recorded
+// again, its load is not averaged again.
 func (c *Chooser) RecordReport(now time.Time, instance string, r masticway.LoadReport) {
 	u := c.upstream(instance)
 	fresh := !r.ReportedAt.Equal(u.report.ReportedAt)
@@ -305,12 +315,13 @@
 func (u *upstream) setInFlight(now time.Time, n int) {
 	u.inFlight = n
 	u.inFlightHistory = append(u.inFlightHistory, inFlightSample{at: now, inFlight: n})
-	for len(u.inFlightHistory) > 1 && now.Sub(u.inFlightHistory[1].at) > maxReportAge {
+	for len(u.inFlightHistory) > 1 && now.Sub(u.inFlightHistory[1].at) > inFlightHistorySpan {
 		u.inFlightHistory = u.inFlightHistory[1:]
 	}
 }
 
-// inFlightAt returns the number of this router's requests that were in flight at an earlier time.
+// inFlightAt returns the number of this router's requests that were in flight at an earlier time. It returns zero if the history
+// does not reach back so far.
 func (u *upstream) inFlightAt(at time.Time) int {
 	for i := len(u.inFlightHistory) - 1; i >= 0; i-- {
 		if !u.inFlightHistory[i].at.After(at) {
@@ -323,7 +334,8 @@
 // Forget removes an upstream that no longer exists.
 func (c *Chooser) Forget(instance string) { delete(c.upstreams, instance) }
 
-// InFlight returns the number of this router's requests in flight at an upstream, and the upstream's capacity.
+// InFlight returns the number of this router's requests in flight at an upstream, and the upstream's capacity, which is
+// defaultCapacity until the upstream has reported it.
 func (c *Chooser) InFlight(instance string) (own, capacity int) {
 	u := c.upstream(instance)
 	if u.report.Capacity == 0 {
@@ -332,7 +344,8 @@
 	return u.inFlight, u.report.Capacity
 }
 
-// EstimateWait estimates how long the given upstreams take to drain a queue of this length.
+// EstimateWait estimates how long a new request waits behind the given number of queued requests if all slots of the candidates
+// are occupied. It returns one second if there are no candidates.
 func (c *Chooser) EstimateWait(queued int, candidates []Candidate) time.Duration {
 	rate := 0.0
 	for _, k := range candidates {
--- a/chooser/cost.go
+++ b/chooser/cost.go
@@ -7,13 +7,14 @@
 )
 
 const (
-	// tokensPerMillisecond is the assumed prefill speed of an engine; deviations are observed in the times of first events.
+	// tokensPerMillisecond is the assumed prefill speed of an engine. Deviations from it show in serverLoad.delay.
 	tokensPerMillisecond = 35.0
-	// runningCost is the time in milliseconds that each further running request adds to the steps of an engine.
+	// runningCost is the cost, in milliseconds, of each request in flight at an engine, because it slows down the engine's steps.
 	runningCost = 1.5
 	// zoneCost is the fixed cost, in milliseconds, of an answer from another availability zone.
 	zoneCost = 3.0
-	// failureCost is the cost, in milliseconds, of a server that always fails.
+	// failureCost is the cost, in milliseconds, of a server that always fails. An unreachable server costs ten times as much in
+	// addition.
 	failureCost = 600.0
 	// plainCost is the cost, in milliseconds, of each request in flight at a plain service.
 	plainCost = 15.0
@@ -21,19 +22,20 @@
 
 // ServerPolicy configures the costs of a server that do not come from its load, and the limit for cold servers.
 type ServerPolicy struct {
-	// RankShare is the part of the prefill time of a prompt's shared parts that is added to the cost of a server for each rank.
-	// Without ranks, each router would choose a different server when the home is overloaded, and the parts would be prefilled
-	// again at each of these servers. With five routers and 18 engines, a share of 0.8 reduced the number of tokens that were
-	// prefilled again by a third.
+	// RankShare is the share of the prefill time of a prompt's shared parts that is added to the cost of a server for each rank. A
+	// server's rank is its position by rendezvous weight for the prompt; the home has rank zero. Without ranks, each router would
+	// choose a different server when the home is overloaded, and the parts would be prefilled again at each of these servers. With
+	// five routers and 18 engines, a share of 0.8 reduced the number of tokens that were prefilled again by a third.
 	RankShare float64
-	// ZoneTokenCost is the cost, in milliseconds, of each token of an answer from another availability zone. A long answer to a
-	// prompt with few shared tokens should come from the same zone. A prompt that is cached by an engine in another zone should
-	// go there. With 0.04, a sixth less traffic crosses zones.
+	// ZoneTokenCost is the cost, in milliseconds, of each token that an answer from another availability zone may have. A long
+	// answer to a prompt with few shared tokens should come from the same zone. A prompt that is cached by an engine in another zone
+	// should go there. With 0.04, a sixth less traffic crosses zones.
 	ZoneTokenCost float64
 	// Cold limits the requests to cold servers.
 	Cold ColdRateLimit
 }
 
+// cost returns the cost of a server for a prompt, in milliseconds, without the cost of its rank.
 func (s *Servers) cost(now time.Time, isEngine bool, p Prompt, server masticway.Server, isHome bool) float64 {
 	l := s.load(server.ID)
 	cost := l.failureRate * failureCost
@@ -50,13 +52,13 @@
 	return cost + (uncached+l.pendingPrefill)/tokensPerMillisecond + float64(l.inFlight)*runningCost + l.currentDelay(now)
 }
 
-// rankCost returns the cost of each rank of a server for a prompt, in milliseconds. The more tokens can be shared, the more
-// important it is that all routers fall back from the home to the same servers.
+// rankCost returns the cost that each rank adds to a server for a prompt, in milliseconds. The more tokens can be shared, the
+// more important it is that all routers fall back from the home to the same servers.
 func (s *Servers) rankCost(p Prompt) float64 {
 	return s.policy.RankShare * float64(p.sharedTokens()) / tokensPerMillisecond
 }
 
-// sharedTokens returns the number of the prompt's tokens that other requests may share.
+// sharedTokens returns the number of the prompt's tokens that other requests may share: those of all parts but the last.
 func (p Prompt) sharedTokens() int {
 	tokens := 0
 	for _, part := range p.Parts[:max(0, len(p.Parts)-1)] {
--- a/chooser/observations.go
+++ b/chooser/observations.go
@@ -12,29 +12,33 @@
 	partTTL = 8 * time.Second
 	// delayDecay is the time constant by which an observed delay decays.
 	delayDecay = 1500 * time.Millisecond
-	// failureWeight is the weight of the newest answer in a server's failure rate.
+	// failureWeight is the weight of the newest result in a server's failure rate.
 	failureWeight = 0.15
 	// minAvoidTime and maxAvoidTime bound the backoff during which an unreachable server is avoided.
 	minAvoidTime = 300 * time.Millisecond
 	maxAvoidTime = 2 * time.Second
-	// maxParts is the number of prompt parts stored for one server above which expired ones are removed.
-	maxParts = 2048
+	// partsCleanupSize is the number of prompt parts stored for one server above which expired ones are removed. More are stored if
+	// none has expired.
+	partsCleanupSize = 2048
 )
 
 // serverLoad is a router's information about one server.
 type serverLoad struct {
-	// startedAt is the start time of the server's current incarnation, if the server has reported it.
+	// startedAt is the start time of the server's current incarnation. It is zero if the server has not reported it.
 	startedAt time.Time
 	inFlight  int
 	// pendingPrefill is the number of uncached prompt tokens in requests that have not yet produced a first event.
 	pendingPrefill float64
-	parts          map[string]time.Time
+	// parts holds the last use of each prompt part at the server, by part ID.
+	parts map[string]time.Time
 	// delay is how much later than expected recent first events were, in milliseconds, as of delayAt.
-	delay       float64
-	delayAt     time.Time
+	delay   float64
+	delayAt time.Time
+	// failureRate is the average share of recent requests that failed, from 0 to 1.
 	failureRate float64
 	// avoidUntil is the time until which the server is avoided because a connection to it failed.
-	avoidUntil      time.Time
+	avoidUntil time.Time
+	// connectFailures is the number of failed connections since the last successful request.
 	connectFailures int
 	// sendTimes are the times of recently sent requests, oldest first.
 	sendTimes []time.Time
@@ -70,8 +74,9 @@
 // Placement is one request at one server. It is passed back to Servers as the request progresses.
 type Placement struct {
 	// load is the information about the incarnation of the server that the request was sent to.
-	load           *serverLoad
-	sentAt         time.Time
+	load   *serverLoad
+	sentAt time.Time
+	// uncached is the estimated number of prompt tokens that were not cached.
 	uncached       float64
 	firstEventSeen bool
 	ended          bool
@@ -84,7 +89,7 @@
 	l.inFlight++
 	l.sendTimes = append(l.recentlySent(now), now)
 	l.pendingPrefill += uncached
-	if len(l.parts) > maxParts {
+	if len(l.parts) > partsCleanupSize {
 		l.dropExpiredParts(now)
 	}
 	for _, part := range p.Parts {
@@ -101,7 +106,7 @@
 	}
 }
 
-// RecordFirstEvent records the first event of an answer.
+// RecordFirstEvent records the first event of an answer. Further calls have no effect.
 func (s *Servers) RecordFirstEvent(now time.Time, p *Placement) {
 	if p.firstEventSeen {
 		return
@@ -131,7 +136,7 @@
 	ResultUnreachable
 )
 
-// RecordEnd records the end of a request.
+// RecordEnd records the end of a request. Further calls have no effect.
 func (s *Servers) RecordEnd(now time.Time, p *Placement, v Result) {
 	if p.ended {
 		return
@@ -158,7 +163,8 @@
 	}
 }
 
-// IsOutlier reports whether a server's failure rate is clearly above the average of the other servers of its pool.
+// IsOutlier reports whether a server's failure rate exceeds the average of the other given servers, which are those of its pool,
+// by more than outlierMargin. It returns false for the only server of a pool.
 func (s *Servers) IsOutlier(id string, servers []masticway.Server) bool {
 	if len(servers) < 2 {
 		return false
@@ -172,13 +178,13 @@
 	return s.load(id).failureRate > outlierMargin+others/float64(len(servers)-1)
 }
 
-// outlierMargin is the amount by which the failure rate of a failing server exceeds that of the other servers. Failures that are
-// caused by requests, not by a server, stay within it.
+// outlierMargin is the difference above which a failure rate is attributed to the server. Failures that are caused by requests
+// affect all servers, and the differences stay below it.
 const outlierMargin = 0.2
 
-// SyncIncarnations removes the servers that are not in the given map and have no requests in flight, and the information about earlier
-// incarnations, because a restarted server has an empty cache and no load. The map holds the start time of each server's current
-// incarnation. It returns the IDs of the servers that have restarted.
+// SyncIncarnations updates the start times of the servers' current incarnations. It removes the servers that are not in the given
+// map and have no requests in flight. It also removes the information about earlier incarnations, because a restarted server has
+// an empty cache and no load. It returns the IDs of the servers with information about another incarnation.
 func (s *Servers) SyncIncarnations(startTimes map[string]time.Time) (restarted []string) {
 	s.startTimes = startTimes
 	for id, l := range s.loads {
--- a/chooser/prefixes.go
+++ b/chooser/prefixes.go
@@ -6,7 +6,8 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Prefixes returns the hashes of a prompt's leading blocks. Each hash covers its block and all blocks before it.
+// Prefixes returns the hashes of a prompt's leading blocks. Each hash covers its block and all blocks before it. An incomplete
+// last block has no hash.
 func Prefixes(prompt []byte) []uint64 {
 	hashes := make([]uint64, 0, len(prompt)/blockBytes)
 	d := xxhash.New()
@@ -17,7 +18,8 @@
 	return hashes
 }
 
-// prefixSet is a bounded set of prefix hashes that expire.
+// prefixSet is a set of prefix hashes that expire. If it grows beyond limit, old hashes are evicted; a single prompt may exceed
+// it.
 type prefixSet struct {
 	limit    int
 	lastSeen map[uint64]time.Time
@@ -27,7 +29,8 @@
 	return prefixSet{limit: limit, lastSeen: map[uint64]time.Time{}}
 }
 
-// depth returns the number of leading blocks that are in the set. A hash in the set covers all blocks before it.
+// depth returns the number of leading blocks that are in the set and have not expired. A hash in the set covers all blocks before
+// it.
 func (p prefixSet) depth(now time.Time, hashes []uint64) int {
 	for i := len(hashes) - 1; i >= 0; i-- {
 		if at, ok := p.lastSeen[hashes[i]]; ok && now.Sub(at) <= prefixTTL {
@@ -37,7 +40,8 @@
 	return 0
 }
 
-// add adds hashes to the set. If there is no room, it first evicts those older than half the TTL, and all if too many are left.
+// add adds hashes to the set. If they do not fit, it first evicts the hashes older than half of prefixTTL, and then all others if
+// more than half of the limit is still in use.
 func (p prefixSet) add(now time.Time, hashes []uint64) {
 	if len(p.lastSeen)+len(hashes) > p.limit {
 		p.evict(now)
--- a/chooser/servers.go
+++ b/chooser/servers.go
@@ -18,13 +18,15 @@
 	Tokens int
 	// Output is the maximum number of tokens in the answer.
 	Output int
-	Parts  []masticway.PromptPart
+	// Parts are the parts of the prompt in order, as far as they are known.
+	Parts []masticway.PromptPart
 	// Zone is the router's availability zone.
 	Zone string
 }
 
-// homePart returns the part by which all routers choose the same engine, the home of the prompt: the last part that other
-// requests may share.
+// homePart returns the ID of the part that determines the home of the prompt, the engine that all routers prefer for it. It is
+// the last part that other requests may share: the one before the last, or the only part. It returns false if the prompt has no
+// parts.
 func (p Prompt) homePart() (string, bool) {
 	switch len(p.Parts) {
 	case 0:
@@ -74,7 +76,7 @@
 }
 
 // rankServers returns the ranks of servers by their rendezvous weights for a prompt part. All routers thus agree without
-// communication on the part's home, rank zero, and on the servers to use if the home is overloaded.
+// communication on the part's home, rank zero, and on the order in which other servers are used if the home is overloaded.
 func rankServers(part string, servers []masticway.Server) []int {
 	hash := xxhash.Sum64String(part)
 	weights := make([]uint64, len(servers))
--- a/chooser/servers_test.go
+++ b/chooser/servers_test.go
@@ -140,11 +140,11 @@
 			s, servers := chooser.NewServers(chooser.ServerPolicy{}), pool(3)
 			for range 10 {
 				for i, server := range servers {
-					verdict := chooser.ResultSuccess
+					result := chooser.ResultSuccess
 					if tc.fails[i] {
-						verdict = chooser.ResultFailure
+						result = chooser.ResultFailure
 					}
-					s.RecordEnd(testTime, s.RecordSent(testTime, chooser.Prompt{}, server.ID), verdict)
+					s.RecordEnd(testTime, s.RecordSent(testTime, chooser.Prompt{}, server.ID), result)
 				}
 			}
 			qt.Assert(t, s.IsOutlier(servers[0].ID, servers), qt.Equals, tc.want)
