--- a/throttler/limits.go
+++ b/throttler/limits.go
@@ -10,29 +10,30 @@
 const (
 	// permitTTL is how long a permit may be used.
 	permitTTL = 400 * time.Millisecond
-	// bucketPeriod is the time for which the owner accumulates unused permits; minBucketSize is the minimum size of the bucket.
+	// bucketPeriod is the time for which the owner accumulates unused permits. minBucketSize is the minimum size of the bucket, in
+	// permits.
 	bucketPeriod  = 250 * time.Millisecond
 	minBucketSize = 2
 	// minRate is the minimum rate of requests to a server, in requests per second, whatever its limit: only its answers show that
 	// the limit has ended.
 	minRate = 0.1
-	// minAskInterval is the minimum mean interval between the permit requests of all routers together for one server after a
-	// refusal.
+	// minAskInterval times the number of routers is the minimum time from a refusal to the router's next permit request for the
+	// server. All refused routers together then ask at most once per minAskInterval on average.
 	minAskInterval = 10 * time.Millisecond
-	// maxAskInterval is the maximum time for which a router acts on the wait time in a refusal.
+	// maxAskInterval bounds the wait time that a router accepts from a refusal.
 	maxAskInterval = 2 * time.Second
-	// unansweredBackoff is how long a server gets no requests after a permit request that no router answered.
+	// unansweredBackoff is how long a router sends a server no requests after no router has replied to a permit request for it.
 	unansweredBackoff = 250 * time.Millisecond
 	// unregisteredTTL is how long the limit of a server is kept after its registration has disappeared.
 	unregisteredTTL = time.Minute
-	// maxRetryAfter is the maximum time after which a refused caller is told to retry.
+	// maxRetryAfter is the maximum time after which a caller that is refused because of a limit is told to retry.
 	maxRetryAfter = 10 * time.Second
 )
 
-// Observation is the newest known report of a server on its limit.
+// Observation is a server's report of its limit, or of having none, and its age.
 type Observation struct {
 	Limit masticway.RateLimit `cbor:"1,keyasint"`
-	// Age is the time since the server reported it.
+	// Age is the time since the server's report.
 	Age time.Duration `cbor:"2,keyasint"`
 }
 
@@ -55,10 +56,10 @@
 	NotOwner bool `cbor:"4,keyasint,omitempty"`
 }
 
-// Change is the change of a limit that an observation causes.
+// Change is how an observation changes the recorded limit of a server.
 type Change string
 
-// The kinds of changes.
+// The kinds of changes. ChangeRate is for a limit that remains, with other values.
 const (
 	ChangeNone  Change = ""
 	ChangeBegun Change = "begun"
@@ -70,17 +71,17 @@
 type limitState struct {
 	limit      masticway.RateLimit
 	observedAt time.Time
-	// permits may be used until permitsUntil. No more are requested until refusedUntil.
+	// permits is the number of permits that this router may use until permitsUntil. It requests no more until refusedUntil.
 	permits      int
 	permitsUntil time.Time
 	refusedUntil time.Time
-	// askDone is closed when the current permit request is answered. waiters is the number of requests that wait for it, not
-	// counting the one that asks.
+	// askDone is closed when the current permit request has been answered or has failed. It is nil if there is none. waiters is the
+	// number of requests that wait for it, not counting the one that asks.
 	askDone chan struct{}
 	waiters int
 	// lastRetryAt is the latest time at which a caller was told to retry.
 	lastRetryAt time.Time
-	// tokens is the number of permits that the owner may grant, as of tokensAt.
+	// tokens is the number of permits that this router may grant to others and itself, as of tokensAt.
 	tokens   float64
 	tokensAt time.Time
 	// unregisteredSince is the time since which the server has not been registered. It is zero if the server is registered.
@@ -90,8 +91,8 @@
 // rate returns the rate of requests that the server gets, in requests per second.
 func (l *limitState) rate() float64 { return max(minRate, l.limit.Rate) }
 
-// Limits holds one router's observations of limits, its permits, and the token buckets that it owns. It is not safe for
-// concurrent use.
+// Limits holds one router's observations of limits, its permits, and the token buckets from which it grants permits. It is not
+// safe for concurrent use.
 type Limits struct {
 	servers map[masticway.ServerIncarnation]*limitState
 	// limitedCount is the number of servers that currently have a limit.
@@ -104,7 +105,9 @@
 // LimitedCount returns the number of servers that currently have a limit.
 func (s *Limits) LimitedCount() int { return s.limitedCount }
 
-// Observe records an observation unless a newer one is known, and returns what has changed.
+// Observe records an observation and returns what has changed. It ignores an observation that is older than the recorded one, and
+// one with the recorded limit from another router. When a limit begins, earlier permits are dropped and the token bucket is
+// empty.
 func (s *Limits) Observe(now time.Time, server masticway.ServerIncarnation, o Observation) Change {
 	l, ok := s.servers[server]
 	if !ok {
@@ -145,7 +148,7 @@
 	return Observation{Limit: l.limit, Age: now.Sub(l.observedAt)}
 }
 
-// Observations returns the observations of all servers that currently have a limit.
+// Observations returns the newest observation for each server that has a limit.
 func (s *Limits) Observations(now time.Time) Observations {
 	observations := Observations{}
 	for server, l := range s.servers {
@@ -169,8 +172,9 @@
 	DecisionWait Decision = "asked"
 )
 
-// Acquire decides on one request, and uses a permit if it admits it. For DecisionWait, answered is closed when the current permit
-// request ends.
+// Acquire decides on one request. It uses a permit if it admits a request to a server with a limit. For DecisionAsk, it registers
+// the caller's permit request as the current one. For DecisionWait, it registers the caller as waiting, and answered is closed
+// when the current permit request ends.
 func (s *Limits) Acquire(now time.Time, server masticway.ServerIncarnation) (d Decision, answered <-chan struct{}) {
 	l, ok := s.servers[server]
 	switch {
@@ -189,7 +193,8 @@
 	return DecisionAsk, nil
 }
 
-// PermitsWanted returns the number of permits that the current requests need.
+// PermitsWanted returns the number of permits that the requests waiting for the current permit request need, including the one
+// that asks.
 func (s *Limits) PermitsWanted(server masticway.ServerIncarnation) int {
 	if l, ok := s.servers[server]; ok {
 		return l.waiters + 1
@@ -197,14 +202,15 @@
 	return 1
 }
 
-// IsRefused reports whether a server must get no requests now, as far as this is known without asking the owner.
+// IsRefused reports whether this router must not send requests to a server now, as far as it knows without asking the owner.
 func (s *Limits) IsRefused(now time.Time, server masticway.ServerIncarnation) bool {
 	l, ok := s.servers[server]
 	return ok && l.limit.IsSet && now.Before(l.refusedUntil) && (l.permits == 0 || !now.Before(l.permitsUntil))
 }
 
-// HandleReply records the reply to the current permit request, which is nil if no router replied. members is the number of
-// routers.
+// HandleReply ends the current permit request and wakes the requests that wait for it. It records the permits, or the refusal,
+// and the observation in the reply r, and returns the change that the observation causes. r is nil if no router replied. members
+// is the number of routers.
 func (s *Limits) HandleReply(now time.Time, server masticway.ServerIncarnation, r *PermitReply, members int) Change {
 	l, ok := s.servers[server]
 	if !ok {
@@ -227,7 +233,8 @@
 	return change
 }
 
-// ReturnPermit returns an unused permit.
+// ReturnPermit returns an unused permit to this router's permits, and restarts the time during which they may be used. It does
+// nothing if the server has no limit.
 func (s *Limits) ReturnPermit(now time.Time, server masticway.ServerIncarnation) {
 	l, ok := s.servers[server]
 	if !ok || !l.limit.IsSet {
@@ -240,7 +247,8 @@
 	l.permitsUntil = now.Add(permitTTL)
 }
 
-// Grant answers a permit request from the token bucket, which is filled at the given share of the limit.
+// Grant answers a permit request. It takes the granted permits, at most the number wanted, out of the token bucket, which is
+// filled at the given share of the limit.
 func (s *Limits) Grant(now time.Time, req PermitRequest, share float64) (r PermitReply) {
 	r.Observed = s.Observation(now, req.Server)
 	l, ok := s.servers[req.Server]
@@ -259,7 +267,8 @@
 	return r
 }
 
-// WaitTime returns how much longer a server gets no requests from this router.
+// WaitTime returns how much longer a server gets no requests from this router because permits were refused. It returns zero if a
+// request may be sent or a permit may be requested.
 func (s *Limits) WaitTime(now time.Time, server masticway.ServerIncarnation) time.Duration {
 	if !s.IsRefused(now, server) {
 		return 0
@@ -267,7 +276,7 @@
 	return s.servers[server].refusedUntil.Sub(now)
 }
 
-// Limit returns a server's current limit.
+// Limit returns the newest known limit of a server. It is not set if the server has none.
 func (s *Limits) Limit(server masticway.ServerIncarnation) masticway.RateLimit {
 	if l, ok := s.servers[server]; ok {
 		return l.limit
@@ -275,8 +284,8 @@
 	return masticway.RateLimit{}
 }
 
-// RetryAfter returns the time after which the next refused caller should retry. Retries are spaced by this router's part of the
-// limit.
+// RetryAfter returns the time after which one refused caller should retry, and records it. The retries of successive callers are
+// spaced by this router's part of the limit, but none is later than maxRetryAfter. members is the number of routers.
 func (s *Limits) RetryAfter(now time.Time, server masticway.ServerIncarnation, members int) time.Duration {
 	wait := s.WaitTime(now, server)
 	l, ok := s.servers[server]
@@ -295,8 +304,8 @@
 	return due.Sub(now)
 }
 
-// Prune removes the servers that have not been registered for a while. It does not remove them at once because an expired
-// registration may be renewed.
+// Prune removes the servers that have not been registered, that is, not been in the given set, for unregisteredTTL. It does not
+// remove them at once because an expired registration may be renewed.
 func (s *Limits) Prune(now time.Time, known map[masticway.ServerIncarnation]bool) {
 	for server, l := range s.servers {
 		if known[server] {
--- a/throttler/messages.go
+++ b/throttler/messages.go
@@ -14,14 +14,14 @@
 	pathLimits = "/peer/limits"
 )
 
-// Observations holds the newest observations of limits by server.
+// Observations holds a router's newest observation for each server that has a limit.
 type Observations map[masticway.ServerIncarnation]Observation
 
 // Routers sends requests to other routers.
 type Routers interface {
 	// Ask sends a permit request to the router at an address.
 	Ask(ctx context.Context, address string, req PermitRequest) (PermitReply, error)
-	// Observations returns the observations of all limits that the router at an address knows.
+	// Observations fetches the observations of the router at an address.
 	Observations(ctx context.Context, address string) (Observations, error)
 }
 
@@ -38,7 +38,7 @@
 	return messenger.Call[PermitReply](ctx, c.messages, address, pathLimit, req)
 }
 
-// Observations returns the observations of all limits that the router at an address knows.
+// Observations fetches the observations of the router at an address.
 func (c *Client) Observations(ctx context.Context, address string) (Observations, error) {
 	return messenger.Call[Observations](ctx, c.messages, address, pathLimits, struct{}{})
 }
--- a/throttler/rests.go
+++ b/throttler/rests.go
@@ -7,11 +7,12 @@
 	"github.com/masticway/masticway"
 )
 
-// maxBackoff is the maximum time for which a server's request to back off is followed. A server that asks for days has mistaken
-// the unit, or will have restarted by then.
+// maxBackoff is the maximum backoff time that a router accepts from a server. A server that asks for days has probably confused
+// the unit.
 const maxBackoff = 5 * time.Minute
 
-// Backoffs holds the servers that have asked this router to back off. It is not safe for concurrent use.
+// Backoffs holds the servers that have asked this router to back off, and until when it sends them no requests. It is not safe
+// for concurrent use.
 type Backoffs struct {
 	until map[masticway.ServerIncarnation]time.Time
 }
--- a/throttler/tell.go
+++ b/throttler/tell.go
@@ -12,10 +12,9 @@
 )
 
 const (
-	// maxConcurrentNotify is the maximum number of routers that are notified concurrently.
+	// maxConcurrentNotify is the maximum number of routers that are notified of one limit concurrently.
 	maxConcurrentNotify = 16
-	// notifyInterval is the minimum time between two rounds of notifications, so that a limit that changes with every answer
-	// costs little.
+	// notifyInterval is the pause after each round of notifications, so that a limit that changes with every answer costs little.
 	notifyInterval = 200 * time.Millisecond
 	// fetchRetryInterval is the time between two attempts of a starting router to fetch the known limits, and fetchPeers is the
 	// number of routers that each attempt asks.
@@ -23,7 +22,8 @@
 	fetchPeers         = 2
 )
 
-// Run fetches the limits that other routers know, and then notifies other routers of changed limits, until the context ends.
+// Run first fetches the limits that other routers know, until a router replies or forwardPeriod has passed. It then notifies
+// other routers of changed limits until the context ends.
 func (t *Throttler) Run(ctx context.Context) {
 	for ctx.Err() == nil && !t.FetchObservations(ctx) && t.Clock.Now().Sub(t.startedAt) < forwardPeriod {
 		select {
@@ -45,7 +45,8 @@
 	}
 }
 
-// FetchObservations asks some other routers for the limits that they know, and reports whether one of them replied.
+// FetchObservations asks up to fetchPeers random other routers in turn for the limits that they know, and records the first
+// reply. It reports whether there was one.
 func (t *Throttler) FetchObservations(ctx context.Context) bool {
 	others := t.Peers()
 	rand.Shuffle(len(others), func(i, j int) { others[i], others[j] = others[j], others[i] })
@@ -67,15 +68,15 @@
 	return false
 }
 
-// Observations returns the observations of all servers that currently have a limit.
+// Observations returns the newest observation for each server that has a limit.
 func (t *Throttler) Observations() Observations {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.limits.Observations(t.Clock.Now())
 }
 
-// NotifyPeers notifies other routers of changed limits: the owner notifies all routers, any other router notifies the owner and
-// the backup.
+// NotifyPeers notifies other routers of the limits whose changes they must know and have not been notified of: all other routers
+// if this router owns the limit, or else the owner and the backup.
 func (t *Throttler) NotifyPeers(ctx context.Context) {
 	t.mu.Lock()
 	pending := t.pendingNotify
@@ -90,6 +91,7 @@
 	}
 }
 
+// notifyAll notifies the routers at the given addresses of a server's limit, and waits until this has succeeded or failed.
 func (t *Throttler) notifyAll(ctx context.Context, server masticway.ServerIncarnation, targets []string) {
 	var wg sync.WaitGroup
 	sem := make(chan struct{}, maxConcurrentNotify)
--- a/throttler/throttler.go
+++ b/throttler/throttler.go
@@ -19,15 +19,15 @@
 	askTimeout = 120 * time.Millisecond
 	// forwardTimeout is the timeout of a forwarded permit request, short enough that the router that sent it still gets a reply.
 	forwardTimeout = 50 * time.Millisecond
-	// unresponsiveTime is how long a router is not asked after it left a request unanswered.
+	// unresponsiveTime is how long a router is not asked after a request to it has failed.
 	unresponsiveTime = time.Second
 	// maxOwners is the number of routers that may grant permits for one limit: the owner, and the backup if the owner does not
 	// reply.
 	maxOwners = 2
-	// backupShare is the part of a limit that the backup grants. Together with the permits of the owner, and those not yet used,
-	// it stays within 1.5 times the limit in any 4 s.
+	// backupShare is the part of a limit that the backup grants. It keeps the requests admitted by the permits of the owner and the
+	// backup, some of them used late, within 1.5 times the limit in any 4 s.
 	backupShare = 0.2
-	// forwardPeriod is how long a router that has started forwards permit requests, until all other routers know it.
+	// forwardPeriod is how long after its start an owner forwards permit requests to the backup. By then all other routers know it.
 	forwardPeriod = 20 * time.Second
 )
 
@@ -46,7 +46,8 @@
 type Members interface {
 	// Members returns the number of known routers, or zero if it is unknown.
 	Members() int
-	// RankedAddresses returns the addresses of the first max routers by their rank for a key. This router may be among them.
+	// RankedAddresses returns the addresses of up to max routers, those with the highest rendezvous weights for a key, highest
+	// first. This router may be among them.
 	RankedAddresses(key string, max int) []string
 }
 
@@ -67,14 +68,16 @@
 type Throttler struct {
 	Dependencies
 	startedAt time.Time
-	// constrained is the number of servers that have a limit or have asked for backoff. It is read by every request.
+	// constrained is the number of limits plus the number of backoffs, including those that have ended since the last Prune. Every
+	// request reads it, and needs no lock if it is zero.
 	constrained atomic.Int64
-	wake        chan struct{}
+	// wake signals Run that pendingNotify is not empty.
+	wake chan struct{}
 
 	mu       sync.Mutex
 	limits   *Limits
 	backoffs *Backoffs
-	// unresponsiveUntil holds the routers that left a request unanswered, and the times until which they are not asked.
+	// unresponsiveUntil holds the routers to which a request has failed, and the times until which they are not asked.
 	unresponsiveUntil map[string]time.Time
 	// pendingNotify holds the servers of whose limits other routers must be notified.
 	pendingNotify map[masticway.ServerIncarnation]bool
@@ -90,7 +93,8 @@
 	}
 }
 
-// Observe records what the headers of a server's answer say about the server.
+// Observe records the rate limit and the requested backoff in the headers of a server's answer. An answer without a limit ends
+// the recorded one if the server signed it or reported that it did not run the request.
 func (t *Throttler) Observe(server masticway.ServerIncarnation, a masticway.ServerAnswer) {
 	if a.Backoff > 0 {
 		t.startBackoff(server, a.Backoff)
@@ -100,7 +104,7 @@
 		return
 	}
 	if !a.Limit.IsSet && !a.Signed && !a.NotRun {
-		// An answer of a faulty server does not end a limit.
+		// The answer may come from a faulty server, so it does not end a limit.
 		return
 	}
 	t.mu.Lock()
@@ -108,7 +112,7 @@
 	t.recordObservation(server, Observation{Limit: a.Limit}, "answer")
 }
 
-// startBackoff records that a server wants no requests from this router for a time.
+// startBackoff records that a server has asked this router to send it no requests for a time.
 func (t *Throttler) startBackoff(server masticway.ServerIncarnation, requested time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -119,7 +123,7 @@
 	}).Info("a server asked this router to back off")
 }
 
-// updateCounts updates the number of servers that not all requests may go to. The caller must hold the lock.
+// updateCounts updates constrained and the metrics of limits and backoffs. The caller must hold the lock.
 func (t *Throttler) updateCounts() {
 	t.constrained.Store(int64(t.limits.LimitedCount() + t.backoffs.Len()))
 	t.Metrics.Gauge(metricLimited, int64(t.limits.LimitedCount()))
@@ -131,8 +135,8 @@
 	t.handleChange(server, t.limits.Observe(t.Clock.Now(), server, o), o.Age, source)
 }
 
-// handleChange logs a change. It notifies other routers if this router observed the change in a server's answer, or if it owns
-// the limit and the limit has begun or ended. The caller must hold the lock.
+// handleChange logs a change. It schedules the notification of other routers if this router observed the change in a server's
+// answer, or if it owns the limit and the limit has begun or ended. The caller must hold the lock.
 func (t *Throttler) handleChange(server masticway.ServerIncarnation, change Change, age time.Duration, source string) {
 	if change == ChangeNone {
 		return
@@ -156,7 +160,8 @@
 	return len(ranked) > 0 && ranked[0] == t.Address
 }
 
-// Available returns the servers that may get a request now, as far as this router knows.
+// Available returns the servers that may get a request now, as far as this router knows without asking others. A request to them
+// must still be admitted by Admit.
 func (t *Throttler) Available(servers []masticway.Server) []masticway.Server {
 	now := t.Clock.Now()
 	return t.exclude(servers, func(s masticway.ServerIncarnation) bool {
@@ -188,7 +193,9 @@
 	return kept
 }
 
-// Admit reports whether this router may send one more request to a server now.
+// Admit takes a permit for one request to a server. It returns true without one if the server has no limit, and false if no
+// permit is available, the server has asked for backoff, or the context ends while another request asks for permits. It may block
+// until another router has replied to a permit request. If the request is not sent, the caller must call ReturnPermit.
 func (t *Throttler) Admit(ctx context.Context, server masticway.ServerIncarnation) bool {
 	if t.constrained.Load() == 0 {
 		return true
@@ -213,7 +220,7 @@
 	}
 }
 
-// acquire decides on one request.
+// acquire decides on one request. Unless the server has asked for backoff, it has the effects of Limits.Acquire.
 func (t *Throttler) acquire(server masticway.ServerIncarnation) (d Decision, answered <-chan struct{}) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -224,7 +231,8 @@
 	return t.limits.Acquire(now, server)
 }
 
-// requestPermits asks the owner of a server's limit for permits, or the backup if the owner does not reply.
+// requestPermits asks the owner of a server's limit for permits, or the backup if the owner does not reply, and records the
+// result.
 func (t *Throttler) requestPermits(ctx context.Context, server masticway.ServerIncarnation) {
 	t.Metrics.Add(metricAsks, 1)
 	t.mu.Lock()
@@ -244,8 +252,8 @@
 	}
 }
 
-// askOwners sends a permit request to the owner and the backup in turn. It returns the first reply and the address that it came
-// from, or nil if there is none.
+// askOwners sends a permit request to the owner and the backup in turn. It returns the first reply of a router that grants
+// permits for the limit and the router's address, or nil if there is none.
 func (t *Throttler) askOwners(ctx context.Context, req PermitRequest) (*PermitReply, string) {
 	for _, address := range t.Members.RankedAddresses(string(req.Server), maxOwners) {
 		reply, err := t.askRouter(ctx, address, askTimeout, req)
@@ -256,7 +264,8 @@
 	return nil, ""
 }
 
-// askRouter sends a permit request to one router, which may be this one. It does not ask a router that was recently unresponsive.
+// askRouter sends a permit request to one router, which may be this one. It returns an UnresponsiveError without asking if a
+// request to the router has recently failed.
 func (t *Throttler) askRouter(ctx context.Context, address string, timeout time.Duration, req PermitRequest) (PermitReply, error) {
 	if address == t.Address {
 		return t.Answer(ctx, req), nil
@@ -276,7 +285,7 @@
 	return reply, err
 }
 
-// UnresponsiveError reports a router that is not asked because it recently left a request unanswered.
+// UnresponsiveError reports a router that is not asked because a request to it has recently failed.
 type UnresponsiveError struct {
 	Address   string
 	Remaining time.Duration
@@ -287,6 +296,7 @@
 	return fmt.Sprintf("router at %s was unresponsive and is not asked for %v", e.Address, e.Remaining)
 }
 
+// checkResponsive returns an UnresponsiveError if a router must not be asked now.
 func (t *Throttler) checkResponsive(address string) error {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -299,7 +309,9 @@
 	return nil
 }
 
-// Answer answers a permit request of another router or of this one.
+// Answer answers a permit request of another router or of this one. It records the observation in the request. If this router
+// owns the limit or is its backup, it grants permits from its token bucket; an owner that has just started first forwards the
+// request to the backup.
 func (t *Throttler) Answer(ctx context.Context, req PermitRequest) PermitReply {
 	t.recordPeerObservation(req)
 	if req.Wanted <= 0 {
@@ -333,12 +345,14 @@
 	t.recordObservation(req.Server, req.Observed, "router")
 }
 
+// observation returns the newest observation of a server's limit.
 func (t *Throttler) observation(server masticway.ServerIncarnation) Observation {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.limits.Observation(t.Clock.Now(), server)
 }
 
+// grant answers a permit request from this router's token bucket.
 func (t *Throttler) grant(req PermitRequest, share float64) PermitReply {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -354,8 +368,8 @@
 	t.limits.ReturnPermit(t.Clock.Now(), server)
 }
 
-// Throttling returns why and for how long a server must get no requests from this router. It returns false if the server may get
-// one.
+// Throttling returns why and for how long this router must not send requests to a server. It returns false if nothing is known
+// that prevents a request; Admit may still refuse it.
 func (t *Throttler) Throttling(server masticway.ServerIncarnation) (masticway.Throttling, bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -367,7 +381,8 @@
 	return masticway.Throttling{Remaining: wait, Reason: fmt.Sprintf("%s takes %v requests a second", server, t.limits.Limit(server).Rate)}, wait > 0
 }
 
-// RetryAfter returns how long a caller that is refused because of a server's limit should wait before it retries.
+// RetryAfter returns how long one caller that is refused because of a server's limit or backoff should wait before it retries.
+// For a limit, it spaces the retries of successive callers, up to maxRetryAfter.
 func (t *Throttler) RetryAfter(server masticway.ServerIncarnation) time.Duration {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -378,7 +393,8 @@
 	return t.limits.RetryAfter(now, server, t.Members.Members())
 }
 
-// Prune removes expired entries, and the limits of servers that are not in the given set.
+// Prune removes backoffs that have ended, and the limits of servers that have not been in the given set of registered servers for
+// unregisteredTTL.
 func (t *Throttler) Prune(known map[masticway.ServerIncarnation]bool) {
 	if t.constrained.Load() == 0 {
 		return
--- a/throttler/world_test.go
+++ b/throttler/world_test.go
@@ -20,7 +20,7 @@
 )
 
 const (
-	// step is the time by which the simulation advances at once.
+	// step is the time by which the simulation advances in each step.
 	step = 20 * time.Millisecond
 	// window, overshoot and slack define the allowed number of requests: in any window, a server may get overshoot times what its
 	// limit allows, plus slack.
@@ -83,7 +83,7 @@
 	return all
 }
 
-// reach returns another router, unless it is dead or cut off.
+// reach returns another router, unless it is down or cut off.
 func (n *simRouter) reach(address string) (*simRouter, bool) {
 	for _, o := range n.w.routers {
 		if o.address == address && !o.isDead && (n.w.isCut == nil || !n.w.isCut(n, o)) {
@@ -142,7 +142,7 @@
 	return n
 }
 
-// updateMembership makes the live routers the members of all routers.
+// updateMembership makes the routers that are not down the members of all routers.
 func (w *world) updateMembership() {
 	alive := slices.DeleteFunc(slices.Clone(w.routers), func(n *simRouter) bool { return n.isDead })
 	for _, n := range w.routers {
@@ -272,8 +272,8 @@
 	}
 }
 
-// TestLimitHoldsWhileMembershipChanges guards against two routers that both grant the full limit while a router dies, starts or
-// is cut off.
+// TestLimitHoldsWhileMembershipChanges guards against two routers that both grant the full limit while a router crashes, starts
+// or is cut off.
 func TestLimitHoldsWhileMembershipChanges(t *testing.T) {
 	// owner returns the router that owns the limit.
 	owner := func(w *world) *simRouter {
