--- a/examiner/digest.go
+++ b/examiner/digest.go
@@ -9,10 +9,11 @@
 	"github.com/masticway/masticway"
 )
 
-// digestBytes is the length of a digest. It is long enough that nobody can construct a request with the digest of another one.
+// digestBytes is the length of a digest in bytes. It is long enough that finding a request with the digest of a given other one
+// is infeasible.
 const digestBytes = 16
 
-// Source holds the parts of a request that its digest is computed from.
+// Source holds the content of a request from which its digest is computed.
 type Source struct {
 	// Workspace is the caller's workspace. It is empty on routes that need no key.
 	Workspace string
@@ -23,8 +24,8 @@
 	Body   []byte
 }
 
-// Digest returns the request's digest. It is the same for all of a caller's attempts at the same request, whatever their IDs,
-// keys and time limits.
+// Digest returns the request's digest. It does not depend on the request's ID, keys and time limit, so all attempts at the same
+// request have the same digest.
 func Digest(s Source) masticway.RequestDigest {
 	sum := sha256.New()
 	for _, field := range []string{s.Workspace, s.Method, s.Host, s.Target} {
--- a/examiner/examiner.go
+++ b/examiner/examiner.go
@@ -16,14 +16,14 @@
 )
 
 const (
-	// claimTimeout is the maximum time that a suspect waits for the store to reserve a quarantined run. A slower store is
-	// considered unavailable, and the router acts on its own information.
+	// claimTimeout is the timeout of the store's reservation of a quarantined run. A slower store is considered unavailable, and the
+	// router acts on its own information.
 	claimTimeout = 250 * time.Millisecond
 	// writeTimeout is the timeout of one write of evidence, and maxWriteRows the maximum number of rows in it.
 	writeTimeout = 600 * time.Millisecond
 	maxWriteRows = 50
-	// writeInterval is the minimum time between two attempts to write the same evidence. idleInterval is the time between two
-	// checks for expired suspects.
+	// writeInterval is the pause after a failed write, and the maximum pause while evidence may be left to write. idleInterval is
+	// the maximum time between two checks for other work, such as expired suspects.
 	writeInterval = 100 * time.Millisecond
 	idleInterval  = time.Second
 )
@@ -44,7 +44,7 @@
 
 // Members provides the membership of the routers.
 type Members interface {
-	// OwnsKey reports whether this router owns a key.
+	// OwnsKey reports whether this router owns a key. Routers that know the same routers agree on the owner.
 	OwnsKey(key string) bool
 }
 
@@ -64,14 +64,14 @@
 // Examiner applies the decisions of Registry, and exchanges evidence with the store and other routers.
 type Examiner struct {
 	Dependencies
-	// suspectCount is the number of requests in the registry. It is read by every request.
+	// suspectCount is the number of requests in the registry. Every request reads it, and needs no lock if it is zero.
 	suspectCount atomic.Int64
 	wake         chan struct{}
 
 	mu       sync.Mutex
 	registry *Registry
 	changed  chan struct{}
-	// provenSince holds the requests that were reported as proven, and when.
+	// provenSince holds the requests that were logged as proven, and when.
 	provenSince map[masticway.RequestDigest]time.Time
 	// tableRead is set once the store's table has been read. nextPeer is the index of the peer to which evidence is sent next.
 	tableRead bool
@@ -88,7 +88,7 @@
 	}
 }
 
-// HasNoSuspects reports whether there are no suspects.
+// HasNoSuspects reports whether the registry is empty: this router knows of no server crash during any request.
 func (e *Examiner) HasNoSuspects() bool { return e.suspectCount.Load() == 0 }
 
 // Status returns the current status of a request.
@@ -98,28 +98,29 @@
 	return e.registry.Status(e.Clock.Now(), d)
 }
 
-// Changed returns a channel that is closed when the status of any request changes.
+// Changed returns a channel that is closed at the next change of the registry. The status of a request may also change because
+// time passes; the channel does not signal this.
 func (e *Examiner) Changed() <-chan struct{} {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.changed
 }
 
-// QuarantineServers returns the servers on which suspects run in quarantine. The set serious contains those whose suspect has
-// crashed more than one server.
+// QuarantineServers returns the servers on which suspects run in quarantine. The set serious contains those whose suspect has had
+// more than one server crash.
 func (e *Examiner) QuarantineServers() (all, serious map[masticway.ServerIncarnation]bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.registry.QuarantineServers(e.Clock.Now())
 }
 
-// update changes the registry, logs the requests that become proven or cease to be, and wakes the goroutines that wait for a
-// change.
+// update changes the registry, logs the requests that become proven or cease to be, and wakes Run and the goroutines that wait
+// for a change.
 func (e *Examiner) update(change func(now time.Time)) {
 	e.mu.Lock()
 	now := e.Clock.Now()
 	change(now)
-	e.reportProven(now)
+	e.logProven(now)
 	e.suspectCount.Store(int64(e.registry.Len()))
 	e.Metrics.Gauge(metricSuspects, int64(e.registry.Len()))
 	close(e.changed)
@@ -131,8 +132,9 @@
 	}
 }
 
-// reportProven logs the requests that are no longer sent to servers from now on, and those that may be sent again.
-func (e *Examiner) reportProven(now time.Time) {
+// logProven logs the requests that have become proven since its last call, and those that are no longer proven. The caller must
+// hold the lock.
+func (e *Examiner) logProven(now time.Time) {
 	for d, state := range e.registry.suspects {
 		if _, reported := e.provenSince[d]; reported || len(state.stored.Crashes)+len(state.pending) < minCrashesToProve {
 			continue
@@ -166,18 +168,20 @@
 	e.update(func(now time.Time) { e.registry.RecordCrash(now, d, path, crash) })
 }
 
-// Clear records that a server has served a suspect without crashing.
+// Clear records that a server has served a suspect without crashing. The suspect's row is deleted later, by Run.
 func (e *Examiner) Clear(d masticway.RequestDigest) {
 	e.Metrics.Add(metricCleared, 1)
 	e.update(func(time.Time) { e.registry.Clear(d) })
 }
 
-// Release ends a run in quarantine that gave no evidence.
+// Release ends this router's run in quarantine of a suspect if the run gave no evidence.
 func (e *Examiner) Release(d masticway.RequestDigest) {
 	e.update(func(time.Time) { e.registry.Release(d) })
 }
 
-// Claim reserves a run in quarantine for this router. If the store does not reply, the router acts on its own information.
+// Claim reserves a run in quarantine for this router. It writes the reservation to the store, and may block up to claimTimeout.
+// If the store fails or does not reply in time, the router acts on its own information. Claim returns false if the request must
+// not run in quarantine now, or if another router has changed its row.
 func (e *Examiner) Claim(ctx context.Context, d masticway.RequestDigest, server masticway.ServerIncarnation) bool {
 	var c change
 	var ok bool
@@ -260,8 +264,8 @@
 	}
 }
 
-// Run writes evidence to the store, sends other routers what the store does not accept, and removes expired suspects, until the
-// context ends.
+// Run fetches the evidence of another router. It then writes evidence to the store, sends other routers what the store has not
+// accepted in time, and removes expired suspects, until the context ends.
 func (e *Examiner) Run(ctx context.Context) {
 	e.fetchFromPeers(ctx)
 	for ctx.Err() == nil {
@@ -277,13 +281,13 @@
 	}
 }
 
-// runOnce performs the work that is due and reports whether some is left.
+// runOnce performs the work that is due. It reports whether a write has failed or there may be more to write.
 func (e *Examiner) runOnce(ctx context.Context) bool {
 	if e.HasNoSuspects() {
 		return false
 	}
 	var due, expired []change
-	var unshared []Entry
+	var unshared []Evidence
 	e.mu.Lock()
 	now := e.Clock.Now()
 	due = e.registry.DueChanges(now, maxWriteRows)
--- a/examiner/record.go
+++ b/examiner/record.go
@@ -8,7 +8,7 @@
 	"github.com/masticway/masticway"
 )
 
-// The table of suspects. It has a single part, so that several rows can change in one transaction.
+// The table of suspects. It has a single part, that is, partition, so that several rows can change in one transaction.
 const (
 	// Table is the name of the table.
 	Table = "masticway_suspects"
@@ -17,15 +17,15 @@
 )
 
 const (
-	// minCrashesToProve is the minimum number of servers that must have crashed during a request to prove the suspicion.
-	// minWeightToProve is the minimum total weight of the crashes during which it was the only suspect on the server. Two crashes
-	// before the answer suffice; one does not, since a server may also crash by chance or because of a request that is not a
-	// suspect yet. Crashes during the answer weigh less, so more of them are needed.
+	// minCrashesToProve is the minimum number of servers that must have crashed during a request to prove the suspicion. Those
+	// during which it was the only suspect on the server must have a total weight of at least minWeightToProve. A crash before the
+	// answer has weightUnanswered, one during the answer weightAnswered. Two crashes before the answer have enough weight. One has
+	// not, because a server may also crash by chance or because of a request that is not a suspect yet.
 	minCrashesToProve = 3
 	minWeightToProve  = 4
 	weightAnswered    = 1
 	weightUnanswered  = 2
-	// maxCrashes is the maximum number of crashes that are kept for one request.
+	// maxCrashes is the maximum number of crashes that are kept for one request. Older ones are dropped.
 	maxCrashes = 12
 )
 
@@ -35,7 +35,7 @@
 	Server masticway.ServerIncarnation `json:"server"`
 }
 
-// Record is the stored evidence on one suspect. It is immutable.
+// Record is the evidence on one request, as stored in the store if the request is a suspect. It is immutable.
 type Record struct {
 	// Path is the request's path, for diagnostics only.
 	Path    string                  `json:"path,omitempty"`
@@ -64,7 +64,8 @@
 	return data
 }
 
-// WithCrashes returns the record with additional crashes. Two reports on the same server are merged.
+// WithCrashes returns the record with additional crashes, reduced to the last maxCrashes. Two reports on the same server are
+// merged.
 func (r Record) WithCrashes(crashes ...masticway.ServerCrash) Record {
 	merged := slices.Clone(r.Crashes)
 	for _, crash := range crashes {
@@ -104,8 +105,8 @@
 	return r.hasRepeatedCrashes() || slices.ContainsFunc(r.Crashes, func(c masticway.ServerCrash) bool { return !c.Answered })
 }
 
-// crashWeight returns how much the crash of a server counts against the only suspect on it. Requests that crash servers usually
-// do so as soon as they begin.
+// crashWeight returns the weight of the crash of a server as evidence against the only suspect on it. A crash before the answer
+// has more, because requests that crash servers usually do so as soon as they begin.
 func crashWeight(crash masticway.ServerCrash) int {
 	if crash.Answered {
 		return weightAnswered
--- a/examiner/register.go
+++ b/examiner/register.go
@@ -8,24 +8,28 @@
 )
 
 const (
-	// firstBlockTime is how long a proven request is blocked, that is, not sent to servers, for the first time. It is short
-	// because servers that crash whatever they run make every request look like the cause, and the requests must be served soon
-	// after the servers are repaired. Then the request runs in quarantine once more. If a server crashes again, the request is
+	// firstBlockTime is how long a proven request is blocked, that is, not sent to servers, for the first time. It is short because
+	// servers that crash whatever they run make every request look like the cause, and the requests must be served soon after the
+	// servers are repaired. When the block ends, the request runs in quarantine once more. If a server crashes again, the request is
 	// blocked for repeatBlockTime, and for twice as long each further time, up to maxBlockTime.
 	firstBlockTime  = 30 * time.Second
 	repeatBlockTime = 10 * time.Minute
 	maxBlockTime    = 6 * time.Hour
-	// maxDoublings is the maximum number of times that the block time doubles.
+	// maxDoublings bounds the number of times that the block time is doubled before it is limited to maxBlockTime, so that it does
+	// not overflow.
 	maxDoublings = 10
-	// suspectTTL is how long a request remains a suspect after the last change of its evidence.
+	// suspectTTL is how long the evidence on a request is kept after its last change. Evidence that proves the suspicion is kept for
+	// longer, see ExpiredChanges.
 	suspectTTL = 2 * time.Minute
-	// runLease is how long a quarantined run blocks others if nothing is reported about it. A server that crashes because of a
-	// request does so soon after the start, and the router may have died together with it.
+	// runLease is how long a quarantined run prevents other runs of the request if nothing is reported about it. A server that
+	// crashes because of a request does so soon after the start of the run, and the router may have crashed too.
 	runLease = 1500 * time.Millisecond
-	// maxEvidenceDelay is the maximum time until the evidence of other routers arrives that another suspect ran on the same
-	// server, which both routers considered free. It is a few times the propagation time of a change in the store.
+	// maxEvidenceDelay is how long after a crash a router waits for evidence that another suspect ran on the same server. This
+	// happens if two routers choose the server at the same time, because both consider it free. The time is a few times the
+	// propagation time of a change in the store.
 	maxEvidenceDelay = 300 * time.Millisecond
-	// maxSuspects is the maximum number of requests in the registry. Above it, the weakest suspects are evicted first.
+	// maxSuspects is the maximum number of requests in the registry. A further one replaces one with at most one crash, or is not
+	// recorded if there is none.
 	maxSuspects = 1000
 	// minWriteDelay is the minimum time for which evidence from another router is left to that router to write. writeDelaySpread
 	// is the range of the random time added to it.
@@ -35,13 +39,14 @@
 
 // suspectState is a router's information about one request.
 type suspectState struct {
-	// stored is the record in the store, at a version. It is zero if there is none.
+	// stored is the record in the store, and version the version of its row. If there is no row, version is zero and only the path
+	// of stored is set.
 	stored  Record
 	version int64
 	// changedAt is when this router learned of the latest change. Expiration counts from it.
 	changedAt time.Time
-	// pending are the crashes that the store may not have, as of pendingSince. From writeAt on, this router writes them. sharedAt
-	// is when they were last sent to other routers.
+	// pending are the crashes that the store may not have. pendingSince is when the first of them was added. From writeAt on, this
+	// router writes them to the store. sharedAt is when they were last sent to other routers.
 	pending      []masticway.ServerCrash
 	pendingSince time.Time
 	writeAt      time.Time
@@ -49,9 +54,9 @@
 	// retried is the number of times that the request has run in quarantine again after it had been blocked, as far as this
 	// router knows without the store.
 	retried int
-	// run is this router's current quarantined run.
+	// run is this router's current quarantined run. It is nil if there is none.
 	run *Run
-	// cleared is set if the row must be deleted.
+	// cleared is set if a server has served the request without crashing, so that the row must be deleted.
 	cleared bool
 }
 
@@ -62,8 +67,8 @@
 	return record
 }
 
-// runStatus reports whether the request is running in quarantine. If such a run has not been reported on for too long, unreported
-// is its server.
+// runStatus reports whether the request is running in quarantine. If another router has not reported the result of such a run
+// within runLease, the request no longer counts as running, and unreported is the run's server.
 func (s *suspectState) runStatus(now time.Time) (running bool, unreported masticway.ServerIncarnation) {
 	if s.run != nil {
 		return true, ""
@@ -77,11 +82,12 @@
 	return false, s.stored.Run.Server
 }
 
-// Registry holds the state of all suspects and decides on them. It is not safe for concurrent use.
+// Registry holds the evidence on all requests during which servers crashed, and decides on them. It is not safe for concurrent
+// use.
 type Registry struct {
 	self     masticway.Incarnation
 	suspects map[masticway.RequestDigest]*suspectState
-	// random returns a random number from 0 to 1. It prevents all routers from writing the same evidence at the same time.
+	// random returns a random number from 0 to 1. It spreads the times at which routers write the same evidence.
 	random func() float64
 }
 
@@ -155,8 +161,8 @@
 	return false
 }
 
-// QuarantineServers returns the servers on which suspects run in quarantine. The set serious contains those whose suspect has
-// crashed more than one server.
+// QuarantineServers returns the servers on which suspects run in quarantine. The set serious contains those whose suspect has had
+// more than one server crash.
 func (r *Registry) QuarantineServers(now time.Time) (all, serious map[masticway.ServerIncarnation]bool) {
 	all, serious = map[masticway.ServerIncarnation]bool{}, map[masticway.ServerIncarnation]bool{}
 	for _, state := range r.suspects {
@@ -175,7 +181,8 @@
 	return all, serious
 }
 
-// RecordCrash records a server crash during a request of this router. It ends a quarantined run on that server.
+// RecordCrash records a server crash during a request of this router. It ends the request's quarantined run on that server. If
+// the registry is full, the crash may not be recorded.
 func (r *Registry) RecordCrash(now time.Time, d masticway.RequestDigest, path string, crash masticway.ServerCrash) {
 	state := r.getOrAdd(now, d)
 	if state == nil {
@@ -189,11 +196,11 @@
 	state.addCrashes(now, now, crash)
 }
 
-// Merge adds the evidence from another router. It reports whether any of it was new.
-func (r *Registry) Merge(now time.Time, entry Entry) bool {
+// Merge adds evidence from another router. It reports whether any of it was new and was recorded.
+func (r *Registry) Merge(now time.Time, evidence Evidence) bool {
 	var missing []masticway.ServerCrash
-	state, ok := r.suspects[entry.Digest]
-	for _, crash := range entry.Crashes {
+	state, ok := r.suspects[evidence.Digest]
+	for _, crash := range evidence.Crashes {
 		if !ok || !state.record().hasCrash(crash) {
 			missing = append(missing, crash)
 		}
@@ -201,19 +208,19 @@
 	if len(missing) == 0 {
 		return false
 	}
-	if state = r.getOrAdd(now, entry.Digest); state == nil {
+	if state = r.getOrAdd(now, evidence.Digest); state == nil {
 		return false
 	}
 	if state.stored.Path == "" {
-		state.stored.Path = entry.Path
+		state.stored.Path = evidence.Path
 	}
-	state.retried = max(state.retried, entry.Retried)
+	state.retried = max(state.retried, evidence.Retried)
 	writeAt := now.Add(minWriteDelay + time.Duration(r.random()*float64(writeDelaySpread)))
 	state.addCrashes(now, writeAt, missing...)
 	return true
 }
 
-// addCrashes adds crashes that the store may not have.
+// addCrashes adds crashes that the store may not have. This router writes them from writeAt on.
 func (s *suspectState) addCrashes(now, writeAt time.Time, crashes ...masticway.ServerCrash) {
 	for _, crash := range crashes {
 		if s.record().hasCrash(crash) {
@@ -279,14 +286,15 @@
 	return record, state.version, true
 }
 
-// Release ends this router's quarantined run without evidence.
+// Release ends this router's quarantined run of a request without evidence.
 func (r *Registry) Release(d masticway.RequestDigest) {
 	if state, ok := r.suspects[d]; ok {
 		state.run = nil
 	}
 }
 
-// Clear records that a request was served without a crash.
+// Clear records that a request was served without a crash. If the request has a row in the store, it remains in the registry
+// until the row is deleted.
 func (r *Registry) Clear(d masticway.RequestDigest) {
 	state, ok := r.suspects[d]
 	if !ok {
@@ -299,7 +307,7 @@
 	state.run, state.pending, state.cleared = nil, nil, true
 }
 
-// ApplyRow applies a row of the store, which may be deleted.
+// ApplyRow applies a row of the store, which may be deleted, unless a newer version is known.
 func (r *Registry) ApplyRow(now time.Time, row masticway.StoredRow) error {
 	d := masticway.RequestDigest(row.Key)
 	state, known := r.suspects[d]
--- a/examiner/tell.go
+++ b/examiner/tell.go
@@ -17,8 +17,8 @@
 const (
 	// sendTimeout is the timeout of one message to another router.
 	sendTimeout = 400 * time.Millisecond
-	// maxSharePeers is the maximum number of routers to which evidence is sent at a time. Each of them sends it on to as many
-	// others.
+	// maxSharePeers is the maximum number of routers to which evidence is sent at a time. Each of them sends it on to as many others
+	// if the store has not accepted it by then.
 	maxSharePeers = 16
 	// maxFetchPeers is the number of routers that a starting router asks in each round, and fetchRetryInterval the time between
 	// two rounds.
@@ -28,21 +28,21 @@
 
 // message is a message from one router to another.
 type message struct {
-	Entries []Entry `cbor:"1,keyasint,omitempty"`
+	Evidence []Evidence `cbor:"1,keyasint,omitempty"`
 	// FetchAll is set if the sender has just started and asks for all evidence.
 	FetchAll bool `cbor:"2,keyasint,omitempty"`
 }
 
-// share sends evidence to other routers concurrently.
-func (e *Examiner) share(ctx context.Context, entries []Entry) {
+// share sends evidence to up to maxSharePeers other routers concurrently, and waits until this has succeeded or failed.
+func (e *Examiner) share(ctx context.Context, evidence []Evidence) {
 	var wg sync.WaitGroup
 	for _, address := range e.pickPeers(maxSharePeers) {
 		wg.Go(func() {
-			if _, err := e.send(ctx, address, message{Entries: entries}); err != nil {
+			if _, err := e.send(ctx, address, message{Evidence: evidence}); err != nil {
 				e.Log.WithFields(logrus.Fields{"event": "suspects_not_told", "address": address, "error": err}).Debug("cannot send suspects to a router")
 				return
 			}
-			e.Metrics.Add(metricShared, int64(len(entries)))
+			e.Metrics.Add(metricShared, int64(len(evidence)))
 		})
 	}
 	wg.Wait()
@@ -54,7 +54,7 @@
 	return messenger.Call[message](ctx, e.Messages, address, pathSuspects, msg)
 }
 
-// pickPeers returns up to max of the other routers. Successive calls return different ones in turn.
+// pickPeers returns the addresses of up to max other routers. Successive calls return different ones in turn.
 func (e *Examiner) pickPeers(max int) []string {
 	all := e.Peers()
 	e.mu.Lock()
@@ -67,15 +67,15 @@
 	return peers
 }
 
-// mergeEntries adds the evidence from another router.
-func (e *Examiner) mergeEntries(entries []Entry) {
-	if len(entries) == 0 {
+// mergeEvidence adds the evidence from another router.
+func (e *Examiner) mergeEvidence(evidence []Evidence) {
+	if len(evidence) == 0 {
 		return
 	}
 	merged := int64(0)
 	e.update(func(now time.Time) {
-		for _, entry := range entries {
-			if e.registry.Merge(now, entry) {
+		for _, one := range evidence {
+			if e.registry.Merge(now, one) {
 				merged++
 			}
 		}
@@ -89,7 +89,7 @@
 		for _, address := range e.pickPeers(maxFetchPeers) {
 			reply, err := e.send(ctx, address, message{FetchAll: true})
 			if err == nil {
-				e.mergeEntries(reply.Entries)
+				e.mergeEvidence(reply.Evidence)
 				return
 			}
 		}
@@ -109,12 +109,12 @@
 // Serve registers the handler for the messages of other routers.
 func (e *Examiner) Serve(mux *http.ServeMux) {
 	messenger.Handle(mux, pathSuspects, func(_ context.Context, msg message) message {
-		e.mergeEntries(msg.Entries)
+		e.mergeEvidence(msg.Evidence)
 		if !msg.FetchAll {
 			return message{}
 		}
 		e.mu.Lock()
 		defer e.mu.Unlock()
-		return message{Entries: e.registry.Entries()}
+		return message{Evidence: e.registry.AllEvidence()}
 	})
 }
--- a/examiner/world_test.go
+++ b/examiner/world_test.go
@@ -179,10 +179,10 @@
 			qt.Assert(w.t, r.ApplyRow(w.now, r.pendingChanges[0].row), qt.IsNil)
 			r.pendingChanges = r.pendingChanges[1:]
 		}
-		for _, entry := range r.Unshared(w.now) {
+		for _, evidence := range r.Unshared(w.now) {
 			for _, other := range w.routers {
 				if other != r {
-					other.Merge(w.now, entry)
+					other.Merge(w.now, evidence)
 				}
 			}
 		}
--- a/examiner/writes.go
+++ b/examiner/writes.go
@@ -6,7 +6,8 @@
 	"github.com/masticway/masticway"
 )
 
-// change is a change of one row: a write of the record, or a deletion.
+// change is a change of one row: a write of the record, or a deletion. It applies only if the row still has the given version;
+// zero is no row.
 type change struct {
 	digest  masticway.RequestDigest
 	record  Record
@@ -35,8 +36,8 @@
 	return due
 }
 
-// remainingRun returns the quarantined run to keep in a row that is written: that of another router, or this router's current
-// one.
+// remainingRun returns the quarantined run to keep in a row that is written: that of another router unless its server has
+// crashed, or else this router's current one. It returns nil if there is none.
 func (r *Registry) remainingRun(state *suspectState) *Run {
 	if state.stored.Run != nil && state.stored.Run.Router != r.self && !state.record().hasCrashOf(state.stored.Run.Server) {
 		return state.stored.Run
@@ -44,7 +45,7 @@
 	return state.run
 }
 
-// ApplyWrite records that a change has been written.
+// ApplyWrite records that the store has accepted a change. version is the row's new version.
 func (r *Registry) ApplyWrite(now time.Time, c change, version int64) {
 	state, ok := r.suspects[c.digest]
 	if !ok {
@@ -78,7 +79,7 @@
 }
 
 // ExpiredChanges returns the deletions of the rows of expired suspects that this router owns. It removes expired suspects from
-// the registry if they have no row, or if the row's owner has not deleted it for long.
+// the registry if they have no row, or if the owner has not deleted the row for twice the time after which it should.
 func (r *Registry) ExpiredChanges(now time.Time, owns func(key string) bool) []change {
 	var expired []change
 	for d, state := range r.suspects {
@@ -103,8 +104,8 @@
 	return expired
 }
 
-// Entry is the evidence on one request that a router sends to another.
-type Entry struct {
+// Evidence is the evidence on one request, as sent from one router to another.
+type Evidence struct {
 	Digest  masticway.RequestDigest `cbor:"1,keyasint"`
 	Path    string                  `cbor:"2,keyasint,omitempty"`
 	Crashes []masticway.ServerCrash `cbor:"3,keyasint"`
@@ -112,21 +113,21 @@
 	Retried int `cbor:"4,keyasint,omitempty"`
 }
 
-// newEntry returns the entry for a request with a record.
-func newEntry(d masticway.RequestDigest, r Record) Entry {
-	return Entry{Digest: d, Path: r.Path, Crashes: r.Crashes, Retried: r.Retried}
+// newEvidence returns the evidence in the record of a request.
+func newEvidence(d masticway.RequestDigest, r Record) Evidence {
+	return Evidence{Digest: d, Path: r.Path, Crashes: r.Crashes, Retried: r.Retried}
 }
 
 const (
-	// shareDelay is how long the store may take to accept evidence before it is sent to other routers directly, a multiple of the
-	// usual time. reshareInterval is the time until it is sent again.
+	// shareDelay is how long the store may take to accept evidence. It is a multiple of the usual time. Evidence that the store has
+	// not accepted by then is sent to other routers directly, and again after each reshareInterval.
 	shareDelay      = 100 * time.Millisecond
 	reshareInterval = time.Second
 )
 
-// Unshared returns the evidence that the store should have accepted by now, to be sent to other routers.
-func (r *Registry) Unshared(now time.Time) []Entry {
-	var entries []Entry
+// Unshared returns the evidence that the store should have accepted by now, and records that it is sent to other routers now.
+func (r *Registry) Unshared(now time.Time) []Evidence {
+	var evidence []Evidence
 	for d, state := range r.suspects {
 		if len(state.pending) == 0 || now.Sub(state.pendingSince) < shareDelay || now.Sub(state.sharedAt) < reshareInterval {
 			continue
@@ -136,18 +137,18 @@
 			continue
 		}
 		state.sharedAt = now
-		entries = append(entries, newEntry(d, record))
+		evidence = append(evidence, newEvidence(d, record))
 	}
-	return entries
+	return evidence
 }
 
-// Entries returns all evidence, for a router that has just started.
-func (r *Registry) Entries() []Entry {
-	var entries []Entry
+// AllEvidence returns the evidence on all suspects, for a router that has just started.
+func (r *Registry) AllEvidence() []Evidence {
+	var evidence []Evidence
 	for d, state := range r.suspects {
 		if record := state.record(); !state.cleared && record.isSuspect() {
-			entries = append(entries, newEntry(d, record))
+			evidence = append(evidence, newEvidence(d, record))
 		}
 	}
-	return entries
+	return evidence
 }
