--- a/rotator/absence.go
+++ b/rotator/absence.go
@@ -6,12 +6,12 @@
 type absence struct {
 	out   bool
 	until time.Time
-	// span is the duration of the last absence, and endedAt is when it ended.
+	// span is the planned duration of the current or last absence, and endedAt is when the last one ended.
 	span    time.Duration
 	endedAt time.Time
 	// pending delivers the result of the current election. It is nil if there is none.
 	pending chan election
-	// retryAt is when the next election may start after a lost one.
+	// retryAt is the earliest time of the next election after a lost one.
 	retryAt time.Time
 }
 
--- a/rotator/admission.go
+++ b/rotator/admission.go
@@ -3,37 +3,38 @@
 import "math"
 
 const (
-	// shrinkFactor is applied to the limit on unanswered requests at each check that finds the router's own calls delayed,
-	// growFactor at each other check. The limit halves within 0.7 s and doubles within 1.5 s.
+	// While the router is overloaded, each check multiplies the limit on unanswered requests by shrinkFactor if it finds the
+	// router's own calls delayed, or else by growFactor. The limit halves within 0.7 s and doubles within 1.5 s.
 	shrinkFactor = 0.9
 	growFactor   = 1.05
-	// minLimit is the minimum limit. Some requests must be admitted to find out how much the router can handle.
+	// minLimit is the minimum limit on unanswered requests. Some requests must be admitted to find out how much the router can
+	// handle.
 	minLimit = 4
-	// rankShare is the part of the limit that is withheld from requests for each rank below the most urgent. largeShare is the
-	// part that is withheld from requests that are larger than the average. Most requests are served if the urgent and small ones
-	// go first.
+	// rankShare is the share of the limit that is withheld from a request for each rank below the most urgent. largeShare is the
+	// share that is withheld from requests that are larger than the average. Withholding it from large requests lets more requests
+	// be served.
 	rankShare  = 0.03
 	largeShare = 0.3
-	// bodyMemoryShare is the part of the router's memory that request bodies may use. The rest is for answers, connections,
+	// bodyMemoryShare is the share of the router's memory that request bodies may use. The rest is for answers, connections,
 	// information about servers and budgets, and the program.
 	bodyMemoryShare = 0.25
-	// sizeSamples is the number of requests over which the size is averaged.
+	// sizeSamples is the number of requests over which the size is averaged. The newest has a weight of 1/sizeSamples.
 	sizeSamples = 64
 )
 
-// admission limits the number of unanswered requests, for which no part of the answer has arrived yet, while the router is
-// overloaded. It always limits the bytes held for all requests, however slowly their callers read.
+// admission limits the number of unanswered requests while the router is overloaded. A request is unanswered until the first part
+// of its answer has arrived. Whether overloaded or not, admission also limits the total size of all requests that have not ended.
 type admission struct {
 	unanswered int
 	// limit is the maximum number of unanswered requests; zero is no limit.
 	limit float64
 	// averageSize is the average size of a request in bytes.
 	averageSize float64
-	// heldBytes is the total size of the requests that have not ended. maxHeldBytes is its maximum; zero is no maximum.
+	// heldBytes is the total size of the admitted requests that have not ended. maxHeldBytes is its maximum; zero is no maximum.
 	heldBytes, maxHeldBytes int64
 }
 
-// admit admits a request. It returns false if the request must be refused.
+// admit admits and counts a request, or returns false if the request must be refused. The most urgent requests have rank zero.
 func (a *admission) admit(rank int, bytes int64) bool {
 	bytes = max(0, bytes)
 	if a.maxHeldBytes > 0 && a.heldBytes+bytes > a.maxHeldBytes {
@@ -60,7 +61,7 @@
 func (a *admission) markAnswered()       { a.unanswered-- }
 func (a *admission) release(bytes int64) { a.heldBytes -= max(0, bytes) }
 
-// adjust updates the limit.
+// adjust updates the limit at a check. It removes the limit if the router is not overloaded.
 func (a *admission) adjust(overloaded, delayed bool) {
 	switch {
 	case !overloaded:
--- a/rotator/ballot.go
+++ b/rotator/ballot.go
@@ -12,10 +12,10 @@
 // pathLease is the path of the requests for leases.
 const pathLease = "/peer/lease"
 
-// LeaseRequest asks a voter for a lease, or returns one.
+// LeaseRequest asks a voter for a lease for an instance, or returns the instance's lease.
 type LeaseRequest struct {
 	Instance string `cbor:"1,keyasint"`
-	// Duration is the requested duration of the lease; zero returns the lease.
+	// Duration is the requested duration of the lease. If it is zero, the lease is returned.
 	Duration time.Duration `cbor:"2,keyasint"`
 }
 
@@ -25,7 +25,7 @@
 
 // Voters sends lease requests to the other routers that vote on leases.
 type Voters interface {
-	// Ask sends a request to the voter at an address, and returns whether it was granted.
+	// Ask sends a request to the voter at an address. It reports whether the voter granted the lease or took it back.
 	Ask(ctx context.Context, address string, req LeaseRequest) (bool, error)
 }
 
@@ -50,8 +50,8 @@
 	})
 }
 
-// Vote grants a lease to this or another router, or takes it back. It returns false if all leases are taken, or if the request is
-// from another router and this router is overloaded itself, because the other router's callers would come to it.
+// Vote grants a lease to this or another router, or takes it back. It returns false if other routers hold all leases, or if the
+// request is from another router and this router is overloaded itself, because the other router's callers would come to it.
 func (r *Rotator) Vote(req LeaseRequest) bool {
 	all := r.zoneRouters()
 	r.mu.Lock()
@@ -63,15 +63,15 @@
 	if r.load.overloaded && req.Instance != r.settings.Instance {
 		return false
 	}
-	return r.granted.grant(r.parts.Clock.Now(), req.Instance, req.Duration, leasesPerVoter(len(all), min(maxVoters, len(all))))
+	return r.granted.grant(r.deps.Clock.Now(), req.Instance, req.Duration, leasesPerVoter(len(all), min(maxVoters, len(all))))
 }
 
 // zoneRouters returns the routers of the availability zone, including this one.
 func (r *Rotator) zoneRouters() []Neighbour {
-	return append(r.parts.Neighbours(), Neighbour{Instance: r.settings.Instance})
+	return append(r.deps.Neighbours(), Neighbour{Instance: r.settings.Instance})
 }
 
-// election is the result of asking the voters for a lease.
+// election is the result of asking the voters for a lease: the numbers of routers in the zone, of voters and of granted votes.
 type election struct {
 	began time.Time
 	// span is the duration of the lease.
@@ -82,7 +82,7 @@
 // isWon reports whether a majority of the voters granted the lease.
 func (e election) isWon() bool { return e.votes > e.voters/2 }
 
-// elect asks the voters for a lease.
+// elect asks the voters for a lease. It may block up to leaseTimeout.
 func (r *Rotator) elect(ctx context.Context, began time.Time, span time.Duration) election {
 	all := r.zoneRouters()
 	zoneVoters := selectVoters(r.settings.Zone, all)
@@ -91,8 +91,8 @@
 	return election{began: began, span: span, routers: len(all), voters: len(zoneVoters), votes: votes}
 }
 
-// collectVotes sends a request to the voters and returns how many granted it. For a lease, it returns as soon as a majority has;
-// otherwise when all voters have replied or leaseTimeout has passed.
+// collectVotes sends a request to the voters and returns how many granted it. If it asks for a lease, it returns as soon as a
+// majority has granted it. Otherwise it returns when all voters have replied, leaseTimeout has passed or the context has ended.
 func (r *Rotator) collectVotes(ctx context.Context, voters []Neighbour, req LeaseRequest) int {
 	ctx, cancel := context.WithTimeout(ctx, leaseTimeout)
 	defer cancel()
@@ -121,6 +121,6 @@
 	if voter.Instance == r.settings.Instance {
 		return r.Vote(req)
 	}
-	granted, err := r.parts.Voters.Ask(ctx, voter.Address, req)
+	granted, err := r.deps.Voters.Ask(ctx, voter.Address, req)
 	return err == nil && granted
 }
--- a/rotator/delays.go
+++ b/rotator/delays.go
@@ -3,10 +3,10 @@
 import "time"
 
 const (
-	// bucketSpan is the duration of a bucket, and buckets the number of buckets. Earlier calls do not count.
+	// bucketSpan is the duration of a bucket, and buckets the number of buckets. Calls that ended earlier do not count.
 	bucketSpan = 100 * time.Millisecond
 	buckets    = 6
-	// minCalls is the minimum number of calls in all buckets that is needed to compute the excess.
+	// minCalls is the minimum number of recent calls that is needed to compute their excess over the baseline.
 	minCalls = 3
 	// baselineGrowth is how much the baseline may grow per second, so that it adapts to a network path that has become longer
 	// permanently.
@@ -20,7 +20,7 @@
 	recent     [buckets]bucket
 }
 
-// bucket summarizes the calls that ended within one bucketSpan.
+// bucket summarizes the calls that ended within one bucketSpan. index is the number of the bucketSpan since the Unix epoch.
 type bucket struct {
 	index int64
 	count int
@@ -43,7 +43,8 @@
 	b.min = min(b.min, took)
 }
 
-// currentBaseline returns the baseline, which is a low duration observed in the past, plus its growth since then.
+// currentBaseline returns the baseline plus its growth. The baseline is the duration of the last call that was faster than the
+// baseline had grown to by then.
 func (d *callTimes) currentBaseline(now time.Time) time.Duration {
 	return d.baseline + time.Duration(now.Sub(d.baselineAt).Seconds()*float64(baselineGrowth))
 }
--- a/rotator/doc.go
+++ b/rotator/doc.go
@@ -1,15 +1,15 @@
 // Package rotator takes a router out of the load balancer's rotation while more
 // traffic arrives over its network link than it can handle, and puts it back.
 //
-// A load balancer that selects routers by a hash of the caller may send most of an
-// availability zone's traffic to one router while the others are idle. The calls
-// that the router itself makes, for budgets, registrations and connections to
-// servers, share the link with the requests of its callers, so a saturated link
-// delays all of these calls. Load measures this delay: the minimum duration of
-// each kind of call within a short period, compared to its baseline. A slow store,
-// an unavailable server or a lossy link delays one kind of call, or some calls of
-// each kind. Only a saturated link or a router without CPU time delays every call
-// of every kind.
+// A load balancer that selects routers by a hash of the caller may send most of
+// an availability zone's traffic to one router while the others are idle. The
+// calls that the router itself makes, for budgets, registrations and
+// connections to servers, share the link with the requests of its callers, so a
+// saturated link delays all of these calls. Load measures this delay: by how
+// much the shortest recent call of each kind exceeds the kind's baseline. A
+// slow store, an unavailable server or a lossy link delays one kind of call, or
+// some calls of each kind. Only a saturated link or a router without CPU time
+// delays every call of several kinds.
 //
 // An overloaded router asks some routers of its availability zone, the voters, for
 // a lease. Each voter grants a limited number of leases for a limited time. A
@@ -22,6 +22,8 @@
 // again. A router that becomes overloaded again soon after its return stays out
 // for longer the next time.
 //
-// Load, grantedLeases and absence make the decisions and use neither a clock nor
-// the network. Rotator provides both.
+// While a router is overloaded, Rotator also limits the number of requests
+// without an answer, and pauses the listener for a time. Load, grantedLeases,
+// admission and absence make the decisions and use neither a clock nor the
+// network. Rotator provides both.
 package rotator
--- a/rotator/load.go
+++ b/rotator/load.go
@@ -3,14 +3,14 @@
 import "time"
 
 const (
-	// overloadDelay is the delay at which a kind of call counts as delayed. With such a delay, the reply to a request
-	// to another router arrives too late for the caller's request that waits for it. recoveryDelay is the delay below which the
-	// kind no longer counts as delayed.
+	// overloadDelay is the delay at which a kind of call counts as delayed. With a longer delay, another router's reply arrives too
+	// late for the request of the caller that waits for it. recoveryDelay is the delay below which the kind no longer counts as
+	// delayed.
 	overloadDelay = 60 * time.Millisecond
 	recoveryDelay = 30 * time.Millisecond
 	// minUnansweredTime is the minimum duration recorded for a call that got no reply, however soon it was canceled.
 	minUnansweredTime = 250 * time.Millisecond
-	// minDelayedKinds is the number of kinds of calls that must be delayed. One kind alone may be slow at the remote end.
+	// minDelayedKinds is the minimum number of kinds of calls that must be delayed. One kind alone may be slow at the remote end.
 	minDelayedKinds = 2
 	// overloadAfter and recoveryAfter are how long the delay must persist, or be gone, before the state changes.
 	overloadAfter = 200 * time.Millisecond
@@ -40,7 +40,7 @@
 	return &Load{kinds: map[Kind]*callTimes{KindStore: {}, KindRouter: {}, KindServer: {}}}
 }
 
-// Record adds a call that ended now, with a reply or by its timeout.
+// Record adds a call that ended now. answered is set if there was a reply.
 func (l *Load) Record(now time.Time, k Kind, took time.Duration, answered bool) {
 	if !answered {
 		took = max(took, minUnansweredTime)
@@ -48,7 +48,7 @@
 	l.kinds[k].record(now, took)
 }
 
-// Delays returns the current delays of the kinds with enough observations.
+// Delays returns by how much recent calls exceed the baseline, for each kind with enough of them.
 func (l *Load) Delays(now time.Time) map[Kind]time.Duration {
 	all := map[Kind]time.Duration{}
 	for k, d := range l.kinds {
@@ -78,7 +78,7 @@
 	return l.overloaded
 }
 
-// IsDelayed reports whether the router's own calls are currently delayed.
+// IsDelayed reports whether at least minDelayedKinds kinds of the router's own calls are currently delayed.
 func (l *Load) IsDelayed(now time.Time) bool { return l.isDelayedBy(now, overloadDelay) }
 
 func (l *Load) isDelayedBy(now time.Time, threshold time.Duration) bool {
--- a/rotator/rotator.go
+++ b/rotator/rotator.go
@@ -18,15 +18,16 @@
 const (
 	// checkInterval is the interval at which the load is checked.
 	checkInterval = 100 * time.Millisecond
-	// minOutTime is how long a router stays out of rotation the first time, and maxOutTime the maximum. The time doubles whenever
-	// the router is overloaded again within as long after its return, because the same callers come back to it.
+	// minOutTime is how long a router stays out of rotation the first time, and maxOutTime the maximum. The time doubles if the
+	// router leaves the rotation again before it has been back for as long as it was out, because the same callers have returned to
+	// it.
 	minOutTime = 20 * time.Second
 	maxOutTime = 160 * time.Second
-	// leaseTimeout is the timeout of an election, over a saturated link.
+	// leaseTimeout is the timeout of an election. It is long enough for a saturated link.
 	leaseTimeout = 3 * time.Second
-	// leaseRetryInterval is the minimum time between two elections.
+	// leaseRetryInterval is the minimum time from a lost election to the next. A random time of up to the same length is added.
 	leaseRetryInterval = 500 * time.Millisecond
-	// maxPauseWithoutLease is the maximum time for which the listener is paused without a lease.
+	// maxPauseWithoutLease is how long after the begin of an overload the listener may be paused without a lease.
 	maxPauseWithoutLease = 1500 * time.Millisecond
 )
 
@@ -41,7 +42,8 @@
 	Instance string
 	// Zone is the availability zone whose routers share the leases.
 	Zone string
-	// Memory is the router's memory in bytes, of which requests may use a part. It is zero if unknown.
+	// Memory is the router's memory in bytes, of which request bodies may use bodyMemoryShare. It is zero if unknown, and then they
+	// are not limited.
 	Memory int64
 }
 
@@ -65,10 +67,10 @@
 	Neighbours func() []Neighbour
 }
 
-// Rotator controls the load of a router: it admits requests, and takes the router out of rotation.
+// Rotator controls the load of a router: it admits requests, pauses the listener, and takes the router out of rotation.
 type Rotator struct {
 	settings Settings
-	parts    Dependencies
+	deps     Dependencies
 	out      atomic.Bool
 	wg       sync.WaitGroup
 
@@ -77,23 +79,24 @@
 	granted   grantedLeases
 	admission admission
 
-	// absence, paused and overloadedAt belong to the goroutine of Run. overloadedAt is when the current state, overloaded or not,
-	// began.
-	absence      absence
-	paused       bool
-	overloadedAt time.Time
+	// absence, paused and stateSince belong to the goroutine of Run. stateSince is when the router became, or ceased to be,
+	// overloaded.
+	absence    absence
+	paused     bool
+	stateSince time.Time
 }
 
 // New returns a rotator for a router that is in rotation.
 func New(s Settings, p Dependencies) *Rotator {
-	return &Rotator{settings: s, parts: p, load: NewLoad(), admission: admission{maxHeldBytes: int64(bodyMemoryShare * float64(s.Memory))}}
+	return &Rotator{settings: s, deps: p, load: NewLoad(), admission: admission{maxHeldBytes: int64(bodyMemoryShare * float64(s.Memory))}}
 }
 
 // IsOut reports whether the router is out of rotation.
 func (r *Rotator) IsOut() bool { return r.out.Load() }
 
-// Admit admits a request. It returns false if the request must be refused because the router is overloaded or the request does
-// not fit into memory.
+// Admit admits a request and counts it, or returns false if the request must be refused because the router is overloaded or the
+// request does not fit into memory. The caller must call MarkAnswered and Release once for each admitted request. The most urgent
+// requests have rank zero.
 func (r *Rotator) Admit(rank int, bytes int64) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -118,28 +121,29 @@
 func (r *Rotator) RecordCall(k Kind, took time.Duration, answered bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.load.Record(r.parts.Clock.Now(), k, took, answered)
+	r.load.Record(r.deps.Clock.Now(), k, took, answered)
 }
 
-// MeasureDial wraps a dial function so that the durations of its calls are recorded.
+// MeasureDial wraps a dial function so that the durations of its calls are recorded, unless they fail before the context's
+// deadline.
 func (r *Rotator) MeasureDial(dial func(ctx context.Context, network, address string) (net.Conn, error)) func(ctx context.Context, network, address string) (net.Conn, error) {
 	return func(ctx context.Context, network, address string) (net.Conn, error) {
-		began := r.parts.Clock.Now()
+		began := r.deps.Clock.Now()
 		conn, err := dial(ctx, network, address)
 		if err == nil || errors.Is(ctx.Err(), context.DeadlineExceeded) {
-			r.RecordCall(KindServer, r.parts.Clock.Now().Sub(began), err == nil)
+			r.RecordCall(KindServer, r.deps.Clock.Now().Sub(began), err == nil)
 		}
 		return conn, err
 	}
 }
 
-// Run controls the rotation until the context ends.
+// Run controls the rotation, the listener and the limit on unanswered requests until the context ends.
 func (r *Rotator) Run(ctx context.Context) {
 	wasOverloaded := false
 	for ctx.Err() == nil {
 		overloaded, delayed := r.measure()
 		if overloaded != wasOverloaded {
-			r.overloadedAt = r.parts.Clock.Now()
+			r.stateSince = r.deps.Clock.Now()
 			r.logOverload(overloaded)
 			wasOverloaded = overloaded
 		}
@@ -147,55 +151,56 @@
 		r.updateRotation(ctx, overloaded)
 		select {
 		case <-ctx.Done():
-		case <-r.parts.Clock.After(checkInterval):
+		case <-r.deps.Clock.After(checkInterval):
 		}
 	}
 	r.wg.Wait()
 }
 
 // updateListener pauses the listener while more traffic arrives than the router can handle. Without a lease, it resumes the
-// listener after a short time. Otherwise callers that no router of the zone accepts would not even receive a refusal with a time
-// to retry.
+// listener after maxPauseWithoutLease. If all routers of the zone remained paused, callers would not even receive a refusal with
+// a time to retry.
 func (r *Rotator) updateListener(overloaded bool) {
-	pause := overloaded && (r.absence.out || r.parts.Clock.Now().Sub(r.overloadedAt) < maxPauseWithoutLease)
+	pause := overloaded && (r.absence.out || r.deps.Clock.Now().Sub(r.stateSince) < maxPauseWithoutLease)
 	switch {
 	case pause && !r.paused:
-		r.parts.Listener.Pause()
+		r.deps.Listener.Pause()
 		r.paused = true
 	case !pause && r.paused:
-		r.paused = !r.parts.Listener.Resume()
+		r.paused = !r.deps.Listener.Resume()
 	}
 }
 
-// measure reports whether the router is overloaded, and whether its own calls are currently delayed.
+// measure updates the load and the limit on unanswered requests. It reports whether the router is overloaded, and whether its own
+// calls are currently delayed.
 func (r *Rotator) measure() (overloaded, delayed bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	now := r.parts.Clock.Now()
+	now := r.deps.Clock.Now()
 	overloaded, delayed = r.load.Update(now), r.load.IsDelayed(now)
 	r.admission.adjust(overloaded, delayed)
 	return overloaded, delayed
 }
 
-// logOverload logs the begin or the end of an overload.
+// logOverload logs the begin or the end of an overload, and sets the metric.
 func (r *Rotator) logOverload(overloaded bool) {
 	fields := logrus.Fields{"event": "overload", "overloaded": overloaded}
 	gauge := int64(0)
 	if overloaded {
 		gauge = 1
 	}
-	r.parts.Metrics.Gauge(metricOverloaded, gauge)
+	r.deps.Metrics.Gauge(metricOverloaded, gauge)
 	r.mu.Lock()
-	for k, d := range r.load.Delays(r.parts.Clock.Now()) {
+	for k, d := range r.load.Delays(r.deps.Clock.Now()) {
 		fields["delay_ms_"+string(k)] = d.Milliseconds()
 	}
 	r.mu.Unlock()
-	r.parts.Log.WithFields(fields).Warn("the overload of this router has begun or ended")
+	r.deps.Log.WithFields(fields).Warn("the overload of this router has begun or ended")
 }
 
 // updateRotation starts or finishes an election, or ends the absence, as required.
 func (r *Rotator) updateRotation(ctx context.Context, overloaded bool) {
-	now := r.parts.Clock.Now()
+	now := r.deps.Clock.Now()
 	switch {
 	case r.absence.pending != nil:
 		r.checkElection(ctx)
@@ -206,16 +211,17 @@
 	}
 }
 
-// requestLease starts an election in a goroutine.
+// requestLease starts an election in a goroutine, whose result checkElection receives.
 func (r *Rotator) requestLease(ctx context.Context) {
 	pending := make(chan election, 1)
 	r.absence.pending = pending
-	now := r.parts.Clock.Now()
+	now := r.deps.Clock.Now()
 	span := r.absence.nextSpan(now)
 	r.wg.Go(func() { pending <- r.elect(ctx, now, span) })
 }
 
-// checkElection leaves the rotation if the current election has ended and is won.
+// checkElection returns if the current election has not ended. It leaves the rotation if the election is won. Otherwise it
+// returns the granted leases and sets the time of the next election.
 func (r *Rotator) checkElection(ctx context.Context) {
 	var e election
 	select {
@@ -224,8 +230,8 @@
 		return
 	}
 	r.absence.pending = nil
-	now := r.parts.Clock.Now()
-	line := r.parts.Log.WithFields(logrus.Fields{
+	now := r.deps.Clock.Now()
+	line := r.deps.Log.WithFields(logrus.Fields{
 		"event": "rotation", "routers": e.routers, "voters": e.voters, "votes": e.votes, "for_ms": e.span.Milliseconds(),
 		"took_ms": now.Sub(e.began).Milliseconds(),
 	})
@@ -238,20 +244,20 @@
 	}
 	r.absence.start(e.began, e.span)
 	r.out.Store(true)
-	r.parts.Metrics.Gauge(metricOut, 1)
+	r.deps.Metrics.Gauge(metricOut, 1)
 	line.Warn("leaving the rotation")
 }
 
 // rejoin returns to the rotation and returns the lease. Voters that do not receive the request let the lease expire.
 func (r *Rotator) rejoin(ctx context.Context) {
-	r.absence.end(r.parts.Clock.Now())
+	r.absence.end(r.deps.Clock.Now())
 	r.out.Store(false)
-	r.parts.Metrics.Gauge(metricOut, 0)
-	r.parts.Log.WithFields(logrus.Fields{"event": "rotation"}).Warn("back in rotation")
+	r.deps.Metrics.Gauge(metricOut, 0)
+	r.deps.Log.WithFields(logrus.Fields{"event": "rotation"}).Warn("back in rotation")
 	r.returnLease(ctx)
 }
 
-// returnLease returns this router's lease to the voters.
+// returnLease starts a goroutine that returns this router's lease to the voters.
 func (r *Rotator) returnLease(ctx context.Context) {
 	r.wg.Go(func() {
 		r.collectVotes(ctx, selectVoters(r.settings.Zone, r.zoneRouters()), LeaseRequest{Instance: r.settings.Instance})
--- a/rotator/votes.go
+++ b/rotator/votes.go
@@ -19,8 +19,8 @@
 	Address string
 }
 
-// selectVoters returns the routers of a zone that vote on leases: the first by rendezvous hash, so that all routers with the same
-// membership choose the same voters.
+// selectVoters returns the routers of a zone that vote on leases: those with the highest rendezvous weights, so that all routers
+// with the same membership choose the same voters.
 func selectVoters(zone string, all []Neighbour) []Neighbour {
 	weight := func(o Neighbour) uint64 { return xxhash.Sum64String(zone + "\x00" + o.Instance) }
 	sorted := slices.SortedFunc(slices.Values(all), func(x, y Neighbour) int { return cmp.Compare(weight(y), weight(x)) })
@@ -28,8 +28,9 @@
 }
 
 // leasesPerVoter returns how many leases each voter may grant in a zone with the given number of routers. A router that is out of
-// rotation has votes from a majority, so the maximum number of routers that are out is the total number of leases divided by the
-// majority. At least half of the routers must stay in rotation, because with fewer the load balancer would use all of them.
+// rotation has leases from a majority of the voters, so the maximum number of routers that are out is the number of leases of all
+// voters divided by the majority. At least half of the routers must stay in rotation, because with fewer the load balancer would
+// use all of them.
 func leasesPerVoter(routers, voters int) int {
 	majority := voters/2 + 1
 	maxOut := (routers - 1) / 2
--- a/sharer/ask.go
+++ b/sharer/ask.go
@@ -16,7 +16,8 @@
 type Request struct {
 	Table string `cbor:"1,keyasint"`
 	Part  string `cbor:"2,keyasint,omitempty"`
-	// Whole requests all rows. Otherwise the request is for the changes since a version, for which the reader waits up to Wait.
+	// Whole requests all rows. Otherwise the request is for the changes since the version Since. If there are none yet, the reader
+	// waits for one up to Wait, but not longer than maxRequestWait.
 	Whole bool          `cbor:"3,keyasint,omitempty"`
 	Since int64         `cbor:"4,keyasint,omitempty"`
 	Wait  time.Duration `cbor:"5,keyasint,omitempty"`
@@ -28,7 +29,7 @@
 	Reading masticway.RowReading `cbor:"2,keyasint"`
 	// Age is the time since the reader last read from the store.
 	Age time.Duration `cbor:"3,keyasint"`
-	// Rate is the traffic, in bytes per second, that watching the table causes at the reader.
+	// Rate is the average traffic, in bytes per second, that watching the table causes at the reader.
 	Rate float64 `cbor:"4,keyasint"`
 }
 
@@ -36,7 +37,8 @@
 type Status string
 
 // The results of a request. StatusHistoryLost is returned if the changes since the version are no longer known, and
-// StatusUnavailable if the router does not watch the table or has not read from the store recently.
+// StatusUnavailable if the router does not share the table, does not watch it itself or has not read from the store within
+// maxReaderAge.
 const (
 	StatusOK          Status = "known"
 	StatusHistoryLost Status = "lost"
@@ -45,6 +47,7 @@
 
 // Readers sends requests to the readers of the zone.
 type Readers interface {
+	// Ask sends a request to the reader at an address, and waits for the reply.
 	Ask(ctx context.Context, address string, req Request) (Reply, error)
 }
 
--- a/sharer/cost.go
+++ b/sharer/cost.go
@@ -5,26 +5,26 @@
 	"time"
 )
 
-// cost is an exponentially decaying average of bytes per second.
-type cost struct {
+// byteRate is an exponentially decaying average of bytes per second, with the time constant rateSpan.
+type byteRate struct {
 	sum float64
 	at  time.Time
 }
 
-func (c *cost) add(now time.Time, bytes int64) {
+func (c *byteRate) add(now time.Time, bytes int64) {
 	c.decay(now)
 	c.sum += float64(bytes)
 }
 
-func (c *cost) decay(now time.Time) {
+func (c *byteRate) decay(now time.Time) {
 	if passed := now.Sub(c.at); passed > 0 {
 		c.sum *= math.Exp(-passed.Seconds() / rateSpan.Seconds())
 	}
 	c.at = now
 }
 
-// rate returns the current average.
-func (c *cost) rate(now time.Time) float64 {
+// rate returns the current average, in bytes per second.
+func (c *byteRate) rate(now time.Time) float64 {
 	c.decay(now)
 	return c.sum / rateSpan.Seconds()
 }
--- a/sharer/store.go
+++ b/sharer/store.go
@@ -12,19 +12,19 @@
 )
 
 const (
-	// maxDirectRate is the maximum traffic, in bytes per second, that watching a table may cause at a router before it asks
-	// readers instead. It is a good part of the bandwidth for control traffic. Below half of it, the router watches the table
-	// directly again.
+	// maxDirectRate is the maximum traffic, in bytes per second, that watching a table may cause at a router before it asks readers
+	// instead. It is a large share of the bandwidth for control traffic. The router watches the table directly again when the
+	// traffic at the reader is below half of it.
 	maxDirectRate = 32 << 10
 	// rateSpan is the time constant of the average traffic.
 	rateSpan = 5 * time.Second
-	// maxRequestWait is the maximum time that a reader waits for a change, and replyMargin the additional time that its reply may
-	// take. A reader that hangs is abandoned after their sum.
+	// maxRequestWait is the maximum time that a reader waits for a change before it replies. replyMargin is the additional time that
+	// the reply may take. A request to a reader fails after their sum.
 	maxRequestWait = 400 * time.Millisecond
 	replyMargin    = 300 * time.Millisecond
-	// maxReaderAge is the maximum age of a reader's data.
+	// maxReaderAge is the maximum time since a reader's last reading of the store with which its replies are used.
 	maxReaderAge = time.Second
-	// readerBackoff is how long a reader is not asked after a failure.
+	// readerBackoff is how long a router does not ask a reader after a failed request to it.
 	readerBackoff = 5 * time.Second
 )
 
@@ -35,7 +35,7 @@
 	metricAnswered = "shared_answered"
 )
 
-// Table is one part of a table that is shared.
+// Table is one part, that is, partition, of a table that is shared.
 type Table struct {
 	Name, Part string
 	Projection Projection
@@ -45,28 +45,28 @@
 type Dependencies struct {
 	Store   masticway.RowStore
 	Readers Readers
-	// Choose returns the addresses of the zone's readers, best first, and whether this router is one of them. There are no
-	// addresses until the membership of the routers is known.
+	// Choose returns the addresses of the zone's readers, in the order in which they are asked, and whether this router is one of
+	// them. There are no addresses until the membership of the routers is known.
 	Choose  func() (addresses []string, own bool)
 	Clock   masticway.Clock
 	Log     *logrus.Entry
 	Metrics *measurer.Set
 }
 
-// Store is a row store that reads some tables through other routers if this is cheaper, and serves the other routers that read
-// through this one.
+// Store is a row store that reads some tables through other routers if watching them directly causes too much traffic. It also
+// serves the other routers that read through this one.
 type Store struct {
 	masticway.RowStore
-	parts  Dependencies
+	deps   Dependencies
 	tables map[string]*sharedTable
 }
 
 // sharedTable is the state of one shared table. Its lock guards all fields.
 type sharedTable struct {
 	Table
-	mu   sync.Mutex
-	view *view
-	cost cost
+	mu         sync.Mutex
+	view       *view
+	directRate byteRate
 	// viaReaders is set if the table is read through readers. retryAt holds the readers that failed and the times until which
 	// they are not asked.
 	viaReaders bool
@@ -77,14 +77,14 @@
 
 // New returns a store that shares the given tables.
 func New(p Dependencies, tables ...Table) *Store {
-	s := &Store{RowStore: p.Store, parts: p, tables: map[string]*sharedTable{}}
+	s := &Store{RowStore: p.Store, deps: p, tables: map[string]*sharedTable{}}
 	for _, t := range tables {
 		s.tables[t.Name] = &sharedTable{Table: t, view: newView(t.Projection), retryAt: map[string]time.Time{}}
 	}
 	return s
 }
 
-// Read returns the rows of one part of a table.
+// Read returns the rows of one part of a table. The rows of a shared table may come from a reader and be up to maxReaderAge old.
 func (s *Store) Read(ctx context.Context, table, part string) (masticway.RowReading, error) {
 	t, ok := s.tables[table]
 	if !ok || part != t.Part {
@@ -95,12 +95,13 @@
 	}
 	reading, err := s.RowStore.Read(ctx, table, part)
 	if err == nil {
-		t.recordReading(s.parts.Clock.Now(), true, reading)
+		t.recordReading(s.deps.Clock.Now(), true, reading)
 	}
 	return reading, err
 }
 
-// Watch returns the changes of a table. For a shared table, it may return only the relevant changes.
+// Watch returns the changes of a table. For a shared table, it may return only the relevant changes, as of up to maxReaderAge
+// ago, and wait only up to maxRequestWait for one.
 func (s *Store) Watch(ctx context.Context, req masticway.WatchRequest) (masticway.RowReading, error) {
 	t, ok := s.tables[req.Table]
 	if !ok {
@@ -114,27 +115,28 @@
 	}
 	reading, err := s.RowStore.Watch(ctx, req)
 	if err == nil {
-		t.recordReading(s.parts.Clock.Now(), false, reading)
+		t.recordReading(s.deps.Clock.Now(), false, reading)
 	}
 	return reading, err
 }
 
-// askReaders asks the zone's readers in turn. It returns false if the table must be read directly.
+// askReaders asks the zone's readers in turn until one replies with recent data. It returns false if the table must be read
+// directly.
 func (s *Store) askReaders(ctx context.Context, t *sharedTable, req Request) (Reply, bool) {
-	addresses, own := s.parts.Choose()
+	addresses, own := s.deps.Choose()
 	if own {
 		t.useDirect()
 		return Reply{}, false
 	}
-	if !t.useReaders(s.parts.Clock.Now()) {
+	if !t.useReaders(s.deps.Clock.Now()) {
 		return Reply{}, false
 	}
 	for _, address := range addresses {
-		if !t.canAsk(s.parts.Clock.Now(), address) {
+		if !t.canAsk(s.deps.Clock.Now(), address) {
 			continue
 		}
-		s.parts.Metrics.Add(metricAsked, 1)
-		reply, err := s.parts.Readers.Ask(ctx, address, req)
+		s.deps.Metrics.Add(metricAsked, 1)
+		reply, err := s.deps.Readers.Ask(ctx, address, req)
 		if err == nil && reply.Status != StatusUnavailable && reply.Age <= maxReaderAge {
 			t.updateReaderRate(reply.Rate)
 			return reply, true
@@ -142,32 +144,32 @@
 		if ctx.Err() != nil {
 			return Reply{}, false
 		}
-		s.parts.Metrics.Add(metricFailed, 1)
-		t.backOff(s.parts.Clock.Now(), address)
-		s.parts.Log.WithFields(logrus.Fields{
+		s.deps.Metrics.Add(metricFailed, 1)
+		t.backOff(s.deps.Clock.Now(), address)
+		s.deps.Log.WithFields(logrus.Fields{
 			"event": "reader_left", "table": t.Name, "reader": address, "verdict": reply.Status, "age_ms": reply.Age.Milliseconds(), "error": err,
 		}).Info("a reader cannot serve the table")
 	}
 	return Reply{}, false
 }
 
-// HandleRequest handles a request of another router.
+// HandleRequest handles a request of another router. It may wait up to maxRequestWait for a relevant change.
 func (s *Store) HandleRequest(ctx context.Context, req Request) Reply {
 	t, ok := s.tables[req.Table]
 	if !ok || req.Part != t.Part {
 		return Reply{Status: StatusUnavailable}
 	}
-	s.parts.Metrics.Add(metricAnswered, 1)
-	reply, changed := t.reply(s.parts.Clock.Now(), req)
+	s.deps.Metrics.Add(metricAnswered, 1)
+	reply, changed := t.reply(s.deps.Clock.Now(), req)
 	if reply.Status != StatusOK || req.Whole || req.Wait <= 0 || len(reply.Reading.Rows) > 0 {
 		return reply
 	}
 	select {
 	case <-ctx.Done():
 	case <-changed:
-	case <-s.parts.Clock.After(min(req.Wait, maxRequestWait)):
+	case <-s.deps.Clock.After(min(req.Wait, maxRequestWait)):
 	}
-	reply, _ = t.reply(s.parts.Clock.Now(), req)
+	reply, _ = t.reply(s.deps.Clock.Now(), req)
 	return reply
 }
 
@@ -175,7 +177,7 @@
 func (t *sharedTable) reply(now time.Time, req Request) (Reply, <-chan struct{}) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	reply := Reply{Status: StatusOK, Age: now.Sub(t.view.readAt), Rate: t.cost.rate(now)}
+	reply := Reply{Status: StatusOK, Age: now.Sub(t.view.readAt), Rate: t.directRate.rate(now)}
 	switch {
 	case t.viaReaders || t.view.version == 0 || reply.Age > maxReaderAge:
 		reply.Status = StatusUnavailable
@@ -202,7 +204,7 @@
 		t.view.replace(now, reading)
 		return
 	}
-	t.cost.add(now, reading.Bytes())
+	t.directRate.add(now, reading.Bytes())
 	t.view.update(now, reading)
 }
 
@@ -213,11 +215,12 @@
 	t.viaReaders = false
 }
 
-// useReaders reports whether the table must be read through readers because watching it directly causes too much traffic.
+// useReaders reports whether the table must be read through readers. It switches to readers if watching the table directly causes
+// too much traffic.
 func (t *sharedTable) useReaders(now time.Time) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if !t.viaReaders && t.cost.rate(now) > maxDirectRate {
+	if !t.viaReaders && t.directRate.rate(now) > maxDirectRate {
 		t.viaReaders = true
 	}
 	return t.viaReaders
@@ -229,16 +232,18 @@
 	defer t.mu.Unlock()
 	if rate < maxDirectRate/2 {
 		t.viaReaders = false
-		t.cost = cost{}
+		t.directRate = byteRate{}
 	}
 }
 
+// canAsk reports whether a reader may be asked now.
 func (t *sharedTable) canAsk(now time.Time, reader string) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return !now.Before(t.retryAt[reader])
 }
 
+// backOff records that a request to a reader has failed.
 func (t *sharedTable) backOff(now time.Time, reader string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/sharer/view.go
+++ b/sharer/view.go
@@ -8,19 +8,19 @@
 	"github.com/masticway/masticway"
 )
 
-// maxDeleted is the maximum number of deleted rows that a view stores.
+// maxDeleted is the maximum number of deletions that a view stores.
 const maxDeleted = 2000
 
 // Projection computes the part of a row's value that is relevant to other routers. A change of the row is relevant only if the
-// result changes.
+// result changes. Results must be comparable with ==.
 type Projection func(key string, value []byte) any
 
-// view is a router's copy of one part of a table, with the versions of the last relevant change of each row.
+// view is a router's copy of one part of a table. It holds each row as of the last relevant change.
 type view struct {
 	project Projection
 	rows    map[masticway.RowKey]viewRow
-	// deleted are the deleted rows, oldest first. Changes since a version below floor are unknown, so all rows must be read
-	// again.
+	// deleted are the deleted rows, oldest first. If a reader of the view knows only a version below floor, deletions since may be
+	// missing, so it must read all rows again.
 	deleted []masticway.StoredRow
 	floor   int64
 	// version is the store's version that the view reflects, and readAt is when it was read. version is zero before the first
@@ -40,7 +40,7 @@
 	return &view{project: s, rows: map[masticway.RowKey]viewRow{}, changed: make(chan struct{})}
 }
 
-// replace applies a reading of all rows.
+// replace applies a reading of all rows, unless the view is newer.
 func (v *view) replace(now time.Time, reading masticway.RowReading) {
 	if reading.Version < v.version {
 		return
@@ -62,7 +62,7 @@
 	v.update(now, masticway.RowReading{Rows: rows, Version: reading.Version})
 }
 
-// update applies the changes since the view's version.
+// update applies a reading of the changes since the view's version, unless the view is newer.
 func (v *view) update(now time.Time, reading masticway.RowReading) {
 	if reading.Version < v.version {
 		return
@@ -101,7 +101,7 @@
 	return true
 }
 
-// all returns all rows.
+// all returns all rows, as of their last relevant changes.
 func (v *view) all() masticway.RowReading {
 	reading := masticway.RowReading{Version: v.version}
 	for _, r := range v.rows {
