--- a/rotator/rotator_test.go
+++ b/rotator/rotator_test.go
@@ -20,7 +20,7 @@
 )
 
 const (
-	// step is the time by which the simulation advances at once.
+	// step is the time by which the simulation advances in each step.
 	step = 10 * time.Millisecond
 	// routerCapacity is the number of requests per second that a router's link can carry. maxLinkDelay is the maximum time that
 	// packets wait for the link.
--- a/router/answers.go
+++ b/router/answers.go
@@ -79,6 +79,7 @@
 	w.writeEvent(w.newAnswer("chat.completion.chunk", chatChoice{Delta: delta}, nil))
 }
 
+// startStream writes the header of a streamed answer at its first call.
 func (w *chatWriter) startStream() {
 	if w.started {
 		return
@@ -101,7 +102,8 @@
 	}
 }
 
-// finish writes the rest of the answer. A stream that was interrupted ends with an error event and never as if it were complete.
+// finish writes the rest of the answer, or returns err if nothing has been written yet. A stream that was interrupted ends with
+// an error event and never as if it were complete. err is nil or a RefusalError.
 func (w *chatWriter) finish(out result, err error) error {
 	if err != nil && !w.started {
 		return err
@@ -124,6 +126,7 @@
 	return nil
 }
 
+// writeWhole writes an answer that is not streamed.
 func (w *chatWriter) writeWhole(reason string, usage *chatUsage) error {
 	message := &chatMessage{Role: "assistant", Content: w.text.String()}
 	data, err := json.Marshal(w.newAnswer("chat.completion", chatChoice{Message: message, FinishReason: &reason}, usage))
@@ -132,7 +135,7 @@
 	}
 	w.to.Header().Set("Content-Type", "application/json")
 	w.to.Header().Set("Date", time.Now().UTC().Format(http.TimeFormat))
-	// The caller notices a broken connection; the request itself is done.
+	// The caller notices a broken connection. The request itself has run.
 	_, _ = w.to.Write(data)
 	return nil
 }
--- a/router/attempt.go
+++ b/router/attempt.go
@@ -37,7 +37,8 @@
 	}
 }
 
-// affordableOutput returns the largest output of the whole answer in tokens that the hold covers.
+// affordableOutput returns the maximum output of the whole answer in tokens, including that of earlier attempts, that the request
+// allows and the remaining hold covers.
 func (x *exchange) affordableOutput(bound masticway.Amount) int {
 	prompt := x.q.maxPromptTokens
 	if x.promptTokens > 0 {
@@ -50,7 +51,8 @@
 	return min(x.q.call.MaxOutput, x.outputTokens+max(0, rest))
 }
 
-// runAttempt makes one attempt at an upstream and waits until its fate is final or counts as unknown.
+// runAttempt makes one attempt at an upstream with a slot, and waits until its fate is final or counts as unknown. It releases
+// the slot and charges the attempt to the hold.
 func (x *exchange) runAttempt(ctx context.Context, p slot, work chooser.Request) attemptResult {
 	x.attempt++
 	began := x.r.clock.Now()
@@ -73,7 +75,7 @@
 	return e
 }
 
-// newFeed starts to collect what a sidecar sends for the current attempt.
+// newFeed starts to collect what a sidecar sends for the current attempt. The caller must remove the feed.
 func (x *exchange) newFeed(at masticway.Peer) *feed {
 	run := masticway.RunKey{Identity: x.q.identity, Attempt: x.attempt}
 	f := newFeed(run, at.Instance, at.Incarnation, x.nextChunk)
@@ -81,7 +83,8 @@
 	return f
 }
 
-// chargeAttempt adds the attempt's true cost to the hold, or its bound as the presumed cost if its sidecar is gone.
+// chargeAttempt adds the attempt's true cost to the hold. If the attempt's sidecar is gone, it adds the bound as the presumed
+// cost and settles the hold. If the fate is unknown, it gives the hold to resolveLater, and the exchange has none afterwards.
 func (x *exchange) chargeAttempt(f *feed, d sealer.Dispatch, e attemptResult) {
 	switch {
 	case e.final != nil:
@@ -99,6 +102,7 @@
 	}
 }
 
+// traceAttempt adds the end of an attempt to the trace.
 func (x *exchange) traceAttempt(e attemptResult, began, now time.Time) {
 	a := &x.trace.Attempts[len(x.trace.Attempts)-1]
 	a.Fate = e.fate
@@ -114,7 +118,8 @@
 	}
 }
 
-// relayRun relays a run's answer until its fate is final, or unknown because its sidecar cannot be reached.
+// relayRun relays a run's answer until its fate is final, or unknown because its sidecar cannot be reached or this router stops.
+// If accepted is not set, the sidecar must accept the run within AcceptTimeout, or its fate is queried.
 func (x *exchange) relayRun(ctx context.Context, f *feed, accepted bool, work chooser.Request) attemptResult {
 	accept := time.NewTimer(x.r.settings.AcceptTimeout.Std())
 	defer accept.Stop()
@@ -213,7 +218,7 @@
 	}
 }
 
-// handleCounted records the prompt's true token count and shrinks the hold to the bound that follows from it.
+// handleCounted records the prompt's true token count, and shrinks the request's own hold to the bound that follows from it.
 func (x *exchange) handleCounted(c sealer.PromptCount) {
 	x.promptTokens = c.Prompt
 	if x.hold == nil || x.found != nil {
@@ -226,6 +231,7 @@
 	}
 }
 
+// handleRefused returns the result of an attempt that the sidecar refused, and prepares the next attempt according to the reason.
 func (x *exchange) handleRefused(f *feed, m sealer.Refused) attemptResult {
 	e := attemptResult{fate: masticway.FateNotRun, cause: retrier.CauseRefused, reason: string(m.Reason)}
 	switch m.Reason {
@@ -259,7 +265,8 @@
 	return e
 }
 
-// handleFinal ends the attempt once every chunk before the end has been relayed.
+// handleFinal ends the attempt if every chunk before the end has been relayed. Otherwise it fetches the missing chunks, after
+// which the sidecar sends the result again.
 func (x *exchange) handleFinal(f *feed, m *sealer.RunResult) (attemptResult, bool) {
 	if x.nextChunk < f.firstIndex+m.Chunks {
 		x.fetchMissing(f)
@@ -273,8 +280,8 @@
 	return e, true
 }
 
-// handleCallerGone cancels the run if its caller cannot ask for the answer again and no other caller follows it. Other runs
-// continue, because the caller may return.
+// handleCallerGone cancels the run after its caller has disconnected. The run continues if the caller can ask for the answer
+// again by its key, if the request is non-repeatable, or if another caller of this router follows the run.
 func (x *exchange) handleCallerGone(f *feed) {
 	if x.q.hasCallerKey || x.q.nonRepeatable || x.r.upstreams.feeds.hasOthers(f.run) {
 		return
@@ -284,10 +291,10 @@
 	}
 }
 
-// resolve finds a run's fate after its link broke or its acceptance did not arrive in time.
+// resolve finds a run's fate after its link broke or its acceptance did not arrive in time. If the sidecar has the run, resolve
+// asks for its chunks and the attempt continues. If the sidecar does not answer within LostAfter, the fate counts as unknown.
 //
-// The sidecar reports the fate of a run that it has accepted. A run that it has not accepted it refuses from then on, so "not
-// run" is final.
+// After a query, a sidecar refuses a run that it has not accepted, so the fate "not run" is final.
 func (x *exchange) resolve(ctx context.Context, f *feed) (attemptResult, bool) {
 	deadline := x.r.clock.Now().Add(x.r.settings.LostAfter.Std())
 	for x.r.clock.Now().Before(deadline) && x.r.ctx.Err() == nil {
@@ -308,7 +315,8 @@
 	return attemptResult{fate: masticway.FateUnknown, cause: retrier.CauseLinkLost, reason: "sidecar cannot be reached"}, true
 }
 
-// fateIfSidecarGone returns the fate of a run whose sidecar is gone.
+// fateIfSidecarGone returns the fate of a run whose sidecar is gone: it ran if a part of the answer has arrived, or else its fate
+// is unknown.
 func (x *exchange) fateIfSidecarGone() masticway.Fate {
 	if x.nextChunk > 0 {
 		return masticway.FateRan
@@ -334,8 +342,8 @@
 	return *a.Status, true, false
 }
 
-// resolveLater queries the fate of a lost attempt until it is known and then settles its hold. The request itself has moved on to
-// another attempt or ended.
+// resolveLater queries the fate of a lost attempt until it is known, and then settles its hold. It cancels the run if the request
+// is repeatable. Meanwhile, the request has another attempt or has ended.
 func (r *Router) resolveLater(q request, h *moneyHold, run masticway.RunKey, instance string, sidecar masticway.Incarnation, bound masticway.Amount) {
 	kind := biller.KindSuperseded
 	if q.nonRepeatable {
--- a/router/bank.go
+++ b/router/bank.go
@@ -20,16 +20,16 @@
 const (
 	// moveRetryInterval is the interval between attempts to find the outcome of a move.
 	moveRetryInterval = 200 * time.Millisecond
-	// moveTimeout limits one attempt at a move.
+	// moveTimeout limits one attempt at a move, and one access to the links row.
 	moveTimeout = 3 * time.Second
-	// tickInterval is the interval at which timeouts are checked and draining is polled.
+	// tickInterval is the interval at which timeouts are checked, and at which the progress of a drain or a start is.
 	tickInterval = 20 * time.Millisecond
 	// memoryCompleteAfter is the time after a keeper's start from which its memory of identities counts as complete.
 	memoryCompleteAfter = 2 * time.Minute
 )
 
-// budgetManager runs the keeper: it moves money in the table and answers hold requests. It also maintains this incarnation's
-// links row, the list of sidecars at which its money may be used.
+// budgetManager runs this router's keeper: it moves money between budgets and grants in the table, and answers hold requests. It
+// also maintains this incarnation's links row, the list of sidecars at which the incarnation's money may be used.
 type budgetManager struct {
 	self    masticway.Incarnation
 	clock   masticway.Clock
@@ -46,9 +46,10 @@
 	// requestReturn is called when a budget is short of money and other routers have open grants of it.
 	requestReturn func(budget string, payers []masticway.Incarnation)
 
-	mu      sync.Mutex
-	keeper  *keeper.Keeper
-	limits  *limiter.ContractLimiter
+	mu     sync.Mutex
+	keeper *keeper.Keeper
+	limits *limiter.ContractLimiter
+	// waiting holds the replies of the hold requests that wait for money.
 	waiting map[masticway.HoldID]func(keeper.Reply)
 	// holdWorkspaces maps the holds that count as open in the contract limits to their workspaces.
 	holdWorkspaces map[masticway.HoldID]string
@@ -60,7 +61,8 @@
 	linksMu      sync.Mutex
 	links        bookkeeper.Links
 	linksVersion int64
-	goneAt       map[masticway.Incarnation]time.Time
+	// goneAt holds the ended sidecars that are still in the links row, and when this router noticed their ends.
+	goneAt map[masticway.Incarnation]time.Time
 
 	ctx context.Context
 	wg  *sync.WaitGroup
@@ -82,7 +84,7 @@
 	}
 }
 
-// openLinks writes the first links row. No money can be drawn before that.
+// openLinks writes the first links row. No money can be drawn and no sidecar can be registered before that.
 func (b *budgetManager) openLinks(ctx context.Context) error {
 	version, err := b.book.OpenLinks(ctx, b.self)
 	if err != nil {
@@ -95,7 +97,8 @@
 	return nil
 }
 
-// hold asks this router's keeper for money. It calls reply once, possibly before it returns, with the lock held.
+// hold asks this router's keeper for money. It calls reply once, with the lock held, possibly before hold returns. If the router
+// stops first, it may never call reply.
 func (b *budgetManager) hold(r keeper.HoldRequest, c masticway.Contract, reply func(linker.HoldIs)) {
 	now := b.clock.Now()
 	b.mu.Lock()
@@ -132,12 +135,14 @@
 	}
 }
 
+// resize reduces the amount of a hold.
 func (b *budgetManager) resize(id masticway.HoldID, amount masticway.Amount) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.apply(b.keeper.Resize(b.clock.Now(), id, amount))
 }
 
+// settle ends a hold and charges its grant.
 func (b *budgetManager) settle(s linker.Settle) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -154,6 +159,7 @@
 	}
 }
 
+// returnFree returns the money of a budget that no hold uses, because another router has asked for it.
 func (b *budgetManager) returnFree(budget string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -177,8 +183,8 @@
 	}
 }
 
-// move executes a move and retries it until its outcome is known. It fails only if the table was unavailable and no earlier
-// attempt can have succeeded.
+// move executes a move and retries it until its outcome is known, this incarnation is sealed or the router stops. It gives the
+// move up as failed only if the table was unavailable and no earlier attempt can have succeeded.
 func (b *budgetManager) move(m keeper.Move) {
 	unknown := false
 	for b.ctx.Err() == nil {
@@ -208,6 +214,7 @@
 	}
 }
 
+// tryMove makes one attempt at a move.
 func (b *budgetManager) tryMove(m keeper.Move) (keeper.MoveResult, error) {
 	ctx, cancel := context.WithTimeout(b.ctx, moveTimeout)
 	defer cancel()
@@ -217,6 +224,7 @@
 	return b.book.ApplyMove(ctx, m, version)
 }
 
+// completeMove gives the result of a move to the keeper.
 func (b *budgetManager) completeMove(r keeper.MoveResult) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -237,6 +245,7 @@
 	b.readLinks()
 }
 
+// readLinks reads the links row. The caller must hold linksMu.
 func (b *budgetManager) readLinks() {
 	ctx, cancel := context.WithTimeout(b.ctx, moveTimeout)
 	defer cancel()
@@ -252,8 +261,8 @@
 	b.linksVersion = version
 }
 
-// register adds sidecars to the links row, which must be done before they are used. It retries until it succeeds or a context
-// ends, and reports whether it succeeded.
+// register adds sidecars to the links row, which must be done before they are used. It retries until it succeeds, or ctx ends or
+// the router stops, and reports whether it succeeded.
 func (b *budgetManager) register(ctx context.Context, sidecars ...masticway.Incarnation) bool {
 	for ctx.Err() == nil && b.ctx.Err() == nil {
 		if b.tryRegister(sidecars) {
@@ -264,6 +273,7 @@
 	return false
 }
 
+// tryRegister makes one attempt to add sidecars to the links row, and reports whether the row contains them.
 func (b *budgetManager) tryRegister(sidecars []masticway.Incarnation) bool {
 	b.linksMu.Lock()
 	defer b.linksMu.Unlock()
@@ -284,7 +294,8 @@
 	return b.putLinks(next)
 }
 
-// putLinks replaces the links row. The caller must hold linksMu.
+// putLinks replaces the links row, and reports whether it succeeded. If not, it reads the row again. The caller must hold
+// linksMu.
 func (b *budgetManager) putLinks(next bookkeeper.Links) bool {
 	ctx, cancel := context.WithTimeout(b.ctx, moveTimeout)
 	defer cancel()
@@ -315,7 +326,7 @@
 }
 
 // removeGone removes ended sidecars from the links row once every hold that may have been used at them is settled. What they
-// spent is added to the row's absorbed amounts.
+// spent is added to the row's SpentByRemoved.
 func (b *budgetManager) removeGone() {
 	b.linksMu.Lock()
 	defer b.linksMu.Unlock()
@@ -342,7 +353,7 @@
 	}
 }
 
-// returnIdle returns idle money and hands over the budgets that have another keeper now.
+// returnIdle returns the money of idle budgets, and hands over the budgets that have another keeper now.
 func (b *budgetManager) returnIdle() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -354,6 +365,7 @@
 	}
 }
 
+// tick ends the waits that have timed out and updates the metrics.
 func (b *budgetManager) tick() {
 	now := b.clock.Now()
 	b.mu.Lock()
@@ -369,7 +381,7 @@
 	}
 }
 
-// drain returns all money. It reports false if ctx ended first.
+// drain returns all money to the budgets. It returns false if ctx ended first.
 func (b *budgetManager) drain(ctx context.Context) bool {
 	for {
 		b.mu.Lock()
--- a/router/bank_test.go
+++ b/router/bank_test.go
@@ -34,7 +34,7 @@
 	qt.Assert(t, links.Has("s~1"), qt.IsTrue)
 }
 
-// answerTimeout is long because it ends the test only if it fails.
+// answerTimeout is how long the test waits for an answer. It is long because the wait ends earlier unless the test fails.
 const answerTimeout = 30 * time.Second
 
 // TestSealedRouterAnswersWaitingHolds guards against hold requests that wait without end because their router is sealed and can
--- a/router/budgets.go
+++ b/router/budgets.go
@@ -15,8 +15,7 @@
 type GrantStatus struct {
 	Payer masticway.Incarnation `json:"payer"`
 	Open  masticway.Amount      `json:"open"`
-	// Stranded is set if the payer's lease has expired or is missing; Why explains it, or names what the recovery
-	// waits for.
+	// Stranded is set if the payer's lease has expired or is missing. Reason is the cause, or what the recovery waits for.
 	Stranded bool   `json:"stranded,omitempty"`
 	Reason   string `json:"why,omitempty"`
 }
@@ -29,10 +28,11 @@
 	Presumed  masticway.Amount `json:"presumed"`
 	GivenBack masticway.Amount `json:"given_back"`
 	Granted   masticway.Amount `json:"granted"`
-	Left      masticway.Amount `json:"left"`
-	Stranded  masticway.Amount `json:"stranded"`
-	Grants    []GrantStatus    `json:"grants"`
-	// Local is the position of the answering router.
+	// Left is what is neither settled nor granted, and Stranded the open amount of the stranded grants.
+	Left     masticway.Amount `json:"left"`
+	Stranded masticway.Amount `json:"stranded"`
+	Grants   []GrantStatus    `json:"grants"`
+	// Local is the answering router's position in the budget. It is nil if the router has none.
 	Local *keeper.Position `json:"here,omitempty"`
 }
 
@@ -41,7 +41,7 @@
 	if err != nil {
 		return nil, err
 	}
-	daemons, err := r.book.Leases(ctx)
+	leases, err := r.book.Leases(ctx)
 	if err != nil {
 		return nil, err
 	}
@@ -50,7 +50,7 @@
 		Granted: b.OpenAmount(), Left: b.Remaining(), Grants: []GrantStatus{},
 	}
 	for _, g := range b.Grants {
-		s := r.grantStatus(g, daemons)
+		s := r.grantStatus(g, leases)
 		if s.Stranded {
 			status.Stranded += s.Open
 		}
@@ -62,10 +62,11 @@
 	return status, nil
 }
 
-func (r *Router) grantStatus(g bookkeeper.Grant, daemons []bookkeeper.RouterLease) GrantStatus {
+// grantStatus returns the status of a grant, given all lease rows.
+func (r *Router) grantStatus(g bookkeeper.Grant, leases []bookkeeper.RouterLease) GrantStatus {
 	s := GrantStatus{Payer: g.Payer, Open: g.OpenAmount(), Stranded: true, Reason: "no lease row"}
 	now := r.clock.Now()
-	for _, d := range daemons {
+	for _, d := range leases {
 		if d.Incarnation == g.Payer && d.ExpiresAt.After(now) {
 			s.Stranded, s.Reason = false, ""
 		}
@@ -76,7 +77,7 @@
 	if !s.Stranded {
 		return s
 	}
-	for _, d := range daemons {
+	for _, d := range leases {
 		for part := range strings.SplitSeq(d.BlockedRecoveries, "; ") {
 			if strings.HasPrefix(part, string(g.Payer)+" ") {
 				s.Reason = part
--- a/router/callers.go
+++ b/router/callers.go
@@ -27,7 +27,7 @@
 	headerRequest       = "Masticway-Request-Id"
 	headerClass         = "Masticway-Class"
 	headerNonRepeatable = "Masticway-Non-Repeatable"
-	// maxKeyBytes is the largest size of a caller's idempotency key.
+	// maxKeyBytes is the maximum size of a caller's idempotency key in bytes.
 	maxKeyBytes = 200
 )
 
@@ -42,6 +42,7 @@
 	return r.newMux(ws)
 }
 
+// newRequestID returns a request ID that names this incarnation.
 func (r *Router) newRequestID() string {
 	return explainer.RequestID(r.self, strconv.FormatUint(r.lastRequestNumber.Add(1), 36))
 }
@@ -78,10 +79,10 @@
 	path     func(name string) string
 }
 
-// handleCaller authenticates a request and writes the error body if it fails.
+// handleCaller returns a handler that authenticates a request, calls f with it, and writes the error body if either fails.
 func (r *Router) handleCaller(f func(context.Context, callerRequest) error) restful.RouteFunction {
 	return func(request *restful.Request, response *restful.Response) {
-		// The request is counted before the check whether this router drains, so that a drain waits for it.
+		// The request is counted before the check whether this router is draining, so that a drain waits for it.
 		r.openRequests.Add(1)
 		defer r.openRequests.Add(-1)
 		id := r.newRequestID()
@@ -98,6 +99,7 @@
 	}
 }
 
+// authenticate calls f if the router is ready and the request has a known key. Otherwise it returns a refusal.
 func (r *Router) authenticate(request *restful.Request, response *restful.Response, id string, f func(context.Context, callerRequest) error) error {
 	if !r.Ready() {
 		return refusal(http.StatusServiceUnavailable, "not_serving", "this router is starting or leaving", time.Second)
@@ -137,7 +139,7 @@
 	}{detail{e.Code, e.Message, e.Fate, e.RetryAfter.Milliseconds()}}
 }
 
-// readBody reads the body up to the configured limit.
+// readBody reads the whole body. It returns a refusal if the body exceeds the configured limit or cannot be read.
 func (r *Router) readBody(c callerRequest) ([]byte, error) {
 	data, err := io.ReadAll(http.MaxBytesReader(c.to, c.http.Body, r.settings.BodyLimit))
 	if _, ok := errors.AsType[*http.MaxBytesError](err); ok {
@@ -149,7 +151,8 @@
 	return data, nil
 }
 
-// newRequest fills in what all requests have: identity, class and contract.
+// newRequest returns a request with what all requests have: identity, class and contract. It returns a refusal if the headers are
+// invalid.
 func (r *Router) newRequest(c callerRequest) (request, error) {
 	q := request{id: c.id, contract: c.contract, revision: c.config.Revision(), receivedAt: r.clock.Now(), class: c.contract.Class}
 	key := c.http.Header.Get(headerKey)
@@ -239,7 +242,7 @@
 	return q, body.Stream, nil
 }
 
-// maxTokensLimit is the largest output in tokens that a caller may name.
+// maxTokensLimit is the maximum output in tokens that a caller may request.
 const maxTokensLimit = 10_000_000
 
 // ParseChat parses a chat body and counts its messages. Its error is a RefusalError.
@@ -286,7 +289,7 @@
 	}{"list", list})
 }
 
-// callService serves /v1/services/{service}/{path}.
+// callService serves requests to /v1/services/{service}/{path}.
 func (r *Router) callService(ctx context.Context, c callerRequest) error {
 	data, err := r.readBody(c)
 	if err != nil {
--- a/router/claims.go
+++ b/router/claims.go
@@ -14,12 +14,14 @@
 
 const (
 	claimPrefix = "claim/"
-	// claimTimeout limits all work on one claim before the request is refused.
+	// claimTimeout limits the time for inserting a claim row, after which the request is refused.
 	claimTimeout = 2 * time.Second
-	// recordTimeout limits how long the answer waits for the outcome to be recorded.
-	recordTimeout      = 5 * time.Second
+	// recordTimeout limits the time for updating or deleting a claim row. The answer waits for it.
+	recordTimeout = 5 * time.Second
+	// claimRetryInterval is the interval between attempts to read or write a claim row.
 	claimRetryInterval = 100 * time.Millisecond
-	// maxRecordedBody is the largest body in bytes that is recorded. A longer one is left out, and a replay has no body.
+	// maxRecordedBody is the maximum size in bytes of a recorded answer. A longer answer is recorded without its body, and a replay
+	// has none.
 	maxRecordedBody = 256 << 10
 )
 
@@ -31,7 +33,8 @@
 	claimDone claimState = "done"
 )
 
-// claimRow is the table row of a non-repeatable identity.
+// claimRow is the table row by which a request claims a non-repeatable identity, so that no other request with the identity runs.
+// The outcome is recorded in it.
 type claimRow struct {
 	Request     string                `json:"request"`
 	Sender      masticway.Incarnation `json:"sender"`
@@ -44,13 +47,14 @@
 	Usage       masticway.Usage       `json:"usage"`
 }
 
-// claim is a row that this exchange owns.
+// claim is the claim row of this exchange, and its key.
 type claim struct {
 	key string
 	row claimRow
 }
 
-// claimRun claims the identity before anything is dispatched. It reports in done whether out and err are already the answer.
+// claimRun claims the identity before anything is dispatched. If another request has claimed it, claimRun replays the recorded
+// outcome or joins the run. It reports in done whether out and err are already the answer.
 func (x *exchange) claimRun(ctx context.Context) (out result, done bool, err error) {
 	c := &claim{
 		key: claimPrefix + string(x.q.identity),
@@ -81,7 +85,8 @@
 	return result{}, true, unknownOutcome()
 }
 
-// findRecorded looks for the recorded outcome of a non-repeatable identity that was billed already.
+// findRecorded reads the recorded outcome of a non-repeatable identity into x.replay. It returns false if there is none or it
+// cannot be read.
 func (x *exchange) findRecorded(ctx context.Context) bool {
 	if !x.q.nonRepeatable {
 		return false
@@ -104,7 +109,8 @@
 	}
 }
 
-// insertClaim writes the row if there is none, and returns the row that the table has then.
+// insertClaim writes the row if there is none, and returns the row that is in the table afterwards. It returns an error if this
+// is not known within claimTimeout.
 func (r *Router) insertClaim(ctx context.Context, c *claim) (claimRow, error) {
 	ctx, cancel := context.WithTimeout(ctx, claimTimeout)
 	defer cancel()
@@ -144,6 +150,7 @@
 	}
 }
 
+// readClaim reads a claim row. The version is zero if there is none.
 func (r *Router) readClaim(ctx context.Context, key string) (claimRow, int64, error) {
 	row, err := r.platform.Table.Get(ctx, key)
 	if err != nil || row.Version == 0 {
@@ -154,7 +161,8 @@
 	return c, row.Version, err
 }
 
-// completeClaim records the outcome before the answer ends, or frees the identity if nothing ran.
+// completeClaim records the outcome before the answer ends, or frees the identity if nothing ran. If it is unknown whether the
+// request ran, the claim stays open.
 func (x *exchange) completeClaim(_ context.Context, out result, err error) {
 	if x.claim == nil {
 		return
@@ -185,7 +193,8 @@
 	}
 }
 
-// recordClaim replaces this request's own row. It retries until it succeeds or the timeout ends.
+// recordClaim records an outcome in this request's own row. It retries until it succeeds or recordTimeout has passed, and reports
+// whether it succeeded.
 func (r *Router) recordClaim(key string, row claimRow) bool {
 	value, err := json.Marshal(row)
 	if err != nil {
@@ -194,9 +203,11 @@
 	return r.updateClaim(key, row.Request, recordTimeout, value)
 }
 
-// deleteClaim deletes this request's own row, because the request did not run.
+// deleteClaim deletes this request's own row, because the request did not run. It gives up after recordTimeout.
 func (r *Router) deleteClaim(c *claim) { r.updateClaim(c.key, c.row.Request, recordTimeout, nil) }
 
+// updateClaim replaces the row of a request by a value, or deletes it if value is nil. It does not replace an outcome that is
+// already recorded. It retries until it succeeds or the timeout has passed, and reports whether the row is as required.
 func (r *Router) updateClaim(key, request string, timeout time.Duration, value []byte) bool {
 	ctx, cancel := context.WithTimeout(r.ctx, timeout)
 	defer cancel()
--- a/router/configuration.go
+++ b/router/configuration.go
@@ -10,7 +10,7 @@
 	"github.com/masticway/masticway/linker"
 )
 
-// changeRequestInterval is the shortest interval between two requests for changes.
+// changeRequestInterval is the minimum interval between two requests for changes.
 const changeRequestInterval = 200 * time.Millisecond
 
 // loadConfig reads the whole configuration from the table, or from a peer if the table is unavailable.
@@ -47,13 +47,14 @@
 	return max(0, time.Duration(r.clock.Now().UnixNano()-r.confirmedAt.Load()))
 }
 
-// isStale reports whether the configuration was last confirmed longer ago than the settings allow for serving.
+// isStale reports whether the configuration was last confirmed longer than StaleAfter ago. It returns false if StaleAfter is
+// zero.
 func (r *Router) isStale() bool {
 	limit := r.settings.StaleAfter.Std()
 	return limit > 0 && r.configAge() > limit
 }
 
-// publish makes the applied configuration visible to readers. The caller must hold configMu.
+// publish makes the applied configuration visible to readers, and wakes keepLease. The caller must hold configMu.
 func (r *Router) publish() {
 	s := r.config.Snapshot()
 	r.snapshot.Store(&s)
@@ -64,7 +65,8 @@
 	}
 }
 
-// applyChanges applies changes that came from the table, a peer or a sidecar, and announces the new revision.
+// applyChanges applies changes that came from the table, a peer or a sidecar, and announces the new revision in heartbeats. If
+// changes are missing between them and the applied revision, it starts to read them from the table.
 func (r *Router) applyChanges(changes []masticway.Change) {
 	began := time.Now()
 	r.configMu.Lock()
@@ -84,8 +86,8 @@
 	}
 }
 
-// requestChanges asks a peer for the changes that this router lacks. It asks once per interval only, because many peers announce
-// a revision at the same time.
+// requestChanges asks a peer or sidecar for the changes after the applied revision if it has a newer one. It asks at most once
+// per changeRequestInterval, because many peers announce a revision at the same time.
 func (r *Router) requestChanges(c *linker.Conn, revision masticway.Revision) {
 	applied := r.snapshot.Load().Revision()
 	now := r.clock.Now().UnixNano()
@@ -105,7 +107,7 @@
 	_ = c.Send(linker.Message{Changes: &linker.Changes{List: changes, Upto: upto}})
 }
 
-// pollConfig reads the head revision from the table and applies newer changes.
+// pollConfig reads the head revision from the table and applies newer changes. If the table is unavailable, it does nothing.
 func (r *Router) pollConfig() {
 	ctx, cancel := r.platformContext()
 	defer cancel()
--- a/router/configuration_test.go
+++ b/router/configuration_test.go
@@ -17,7 +17,7 @@
 )
 
 // TestPollConfigKeepsProgressOnSlowTable has more changes than one poll has time to read. A poll that dropped the changes that it
-// had read when its time was over would read the same ones each time and never catch up.
+// had read before its timeout would read the same ones each time and never catch up.
 func TestPollConfigKeepsProgressOnSlowTable(t *testing.T) {
 	const (
 		changes = 10
--- a/router/exchange.go
+++ b/router/exchange.go
@@ -42,13 +42,14 @@
 const (
 	// defaultMaxOutput limits an answer in tokens if neither the caller nor the contract does.
 	defaultMaxOutput = 1024
-	// defaultMinOutput is the smallest output in tokens that a request is started for if the contract names none.
+	// defaultMinOutput is the minimum output in tokens that the money must cover for a request to start, if the contract sets none.
 	defaultMinOutput = 16
 	// defaultHoldTimeout is how long a request waits for money if the contract names no time.
 	defaultHoldTimeout = 300 * time.Millisecond
 	// messageOverhead is an upper bound on the tokens that surround one message of a prompt.
 	messageOverhead = 8
-	// duplicateTimeout is how long a repeated request looks for the run of the first one.
+	// duplicateTimeout is how long a repeated request looks for the run of the first one, and duplicateInterval the interval between
+	// its attempts.
 	duplicateTimeout  = 10 * time.Second
 	duplicateInterval = 100 * time.Millisecond
 	// noUpstreamTimeout is how long a request waits while no upstream of its pool is usable.
@@ -60,7 +61,7 @@
 type request struct {
 	id       string
 	identity masticway.Identity
-	// hasCallerKey is set if the caller chose the idempotency key, so that it may repeat the request.
+	// hasCallerKey is set if the caller sent an idempotency key, so that it can repeat the request.
 	hasCallerKey    bool
 	contract        masticway.Contract
 	revision        masticway.Revision
@@ -102,7 +103,7 @@
 	usage   masticway.Usage
 }
 
-// exchange processes one request from admission to its bill.
+// exchange processes one request, from its admission to its bill. It belongs to the goroutine of the request.
 type exchange struct {
 	r             *Router
 	q             request
@@ -114,13 +115,18 @@
 	hold          *moneyHold
 	promptCounted bool
 	attempt       int
-	// nextChunk is the index of the next chunk of the answer, and attemptStart the one at which the current attempt began.
+	// nextChunk is the index of the next chunk of the whole answer. attemptStart is the index of the first chunk of the current
+	// attempt.
 	nextChunk    int
 	attemptStart int
+	// text and outputTokens are the whole answer so far and its number of tokens.
 	text         strings.Builder
 	outputTokens int
+	// promptTokens is the prompt's true token count, or zero if it is not known. promptCounted is set if it was counted before the
+	// hold.
 	promptTokens int
 	history      retrier.History
+	// excluded holds the instances that the next attempt avoids.
 	excluded     map[string]bool
 	firstTokenAt time.Time
 	lastTokenAt  time.Time
@@ -182,6 +188,7 @@
 	return out, err
 }
 
+// serve gets the request's answer: from its own run, the run of another request with the same identity, or a record.
 func (x *exchange) serve(ctx context.Context) (result, error) {
 	if err := x.acquireHold(ctx); err != nil {
 		x.step(eventRefused)
@@ -209,15 +216,15 @@
 	return &masticway.RefusalError{Status: status, Code: code, Message: message, Fate: masticway.FateNotRun, RetryAfter: retry}
 }
 
-// mergeFate combines the fate of one more attempt with those before. Once an attempt may have run, the request is no longer
-// reported as not run.
+// mergeFate combines the fate of one more attempt with the fates of those before. Once an attempt may have run, the request is no
+// longer reported as not run.
 func (x *exchange) mergeFate(f masticway.Fate) {
 	if f == masticway.FateRan || (f == masticway.FateUnknown && x.fate == masticway.FateNotRun) {
 		x.fate = f
 	}
 }
 
-// withFate adapts a refusal to the fate of the attempts before it.
+// withFate changes the fate and the status of a refusal according to the fate of the attempts before it.
 func (x *exchange) withFate(err error) error {
 	refused, ok := errors.AsType[*masticway.RefusalError](err)
 	if !ok || x.fate == masticway.FateNotRun {
@@ -231,6 +238,7 @@
 	return refused
 }
 
+// unknownOutcome returns the error for a request that may have run.
 func unknownOutcome() *masticway.RefusalError {
 	return &masticway.RefusalError{
 		Status: http.StatusGatewayTimeout, Code: "outcome_unknown", Fate: masticway.FateUnknown,
@@ -254,7 +262,8 @@
 	reason        string
 }
 
-// runAttempts tries upstreams until the answer is complete or the retry rules end the request.
+// runAttempts tries upstreams until the answer is complete, the retry rules end the request, or another run with the same
+// identity is found, which it joins.
 func (x *exchange) runAttempts(ctx context.Context) (result, error) {
 	for {
 		p, work, err := x.acquireSlot(ctx)
@@ -362,7 +371,8 @@
 	}
 }
 
-// acquireSlot gets a slot at an upstream that the payer's links row contains.
+// acquireSlot gets a slot at an upstream that the payer's links row contains. It may wait in the queue for as long as the
+// request's class may wait.
 func (x *exchange) acquireSlot(_ context.Context) (slot, chooser.Request, error) {
 	q := x.q
 	work := chooser.Request{PromptBytes: len(q.call.Prompt), Zone: x.r.settings.Zone}
@@ -405,7 +415,7 @@
 	return p, work, x.withFate(refusal(http.StatusServiceUnavailable, "overloaded", "no upstream has room in time", max(estimate, 100*time.Millisecond)))
 }
 
-// finish settles, records and logs the end of the exchange.
+// finish settles the hold, records the outcome of a claimed request, and traces and logs the end of the exchange.
 func (x *exchange) finish(ctx context.Context, out result, err error) {
 	x.settle()
 	x.completeClaim(ctx, out, err)
--- a/router/follow.go
+++ b/router/follow.go
@@ -7,7 +7,8 @@
 	"github.com/masticway/masticway/sealer"
 )
 
-// maxFeedEvents limits the events that wait for a slow caller. Further chunks are dropped and fetched later.
+// maxFeedEvents is the number of events waiting for a slow caller above which chunks are dropped, to be fetched later. Other
+// events are not dropped for this.
 const maxFeedEvents = 256
 
 // runEvent is an event of a run; exactly one field is set.
@@ -17,7 +18,8 @@
 	counted  *sealer.PromptCount
 	chunk    *masticway.Chunk
 	final    *sealer.RunResult
-	missing  bool
+	// missing is set if the sidecar does not have the run.
+	missing bool
 	// linkDown is also set if the run was not accepted in time.
 	linkDown bool
 }
@@ -42,7 +44,7 @@
 	return &feed{run: run, instance: instance, sidecar: sidecar, firstIndex: firstIndex, wake: make(chan struct{}, 1)}
 }
 
-// push adds an event without blocking. Chunks beyond the limit are dropped and fetched later.
+// push adds an event without blocking. Chunks beyond maxFeedEvents are dropped and fetched later.
 func (f *feed) push(e runEvent) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -51,7 +53,7 @@
 		return
 	}
 	if e.final != nil && f.dropped {
-		// It is sent again after the missing chunks.
+		// The sidecar sends the result again after the missing chunks.
 		return
 	}
 	f.events = append(f.events, e)
@@ -61,7 +63,8 @@
 	}
 }
 
-// pop removes the next event. It reports in needsFetch whether chunks were dropped and must be fetched now.
+// pop removes and returns the next event; ok is false if there is none. Then needsFetch reports whether chunks were dropped since
+// its last report, and must be fetched now.
 func (f *feed) pop() (e runEvent, ok, needsFetch bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/router/join.go
+++ b/router/join.go
@@ -15,7 +15,8 @@
 	status sealer.RunStatus
 }
 
-// findRun looks for a run of the same identity at the sidecars, and reports whether there is one to join.
+// findRun looks for a run of the same identity at the sidecars, and reports whether there is one to join. A run that has ended
+// without a complete answer is not joined if the request is repeatable.
 func (x *exchange) findRun(ctx context.Context) bool {
 	status, conn, complete := x.r.upstreams.findRun(ctx, x.q.identity)
 	x.searchIncomplete = !complete
@@ -34,7 +35,8 @@
 	return true
 }
 
-// joinRun relays the answer of a run that another request with the same identity started.
+// joinRun relays the answer of a run that another request with the same identity started. If that run ends early and the request
+// is repeatable, it continues the answer with its own attempts.
 func (x *exchange) joinRun(ctx context.Context) (result, error) {
 	x.step(eventAttached)
 	if status := x.found.status; status.Resumed > 0 {
@@ -53,7 +55,7 @@
 		x.step(eventLost)
 		return result{}, unknownOutcome()
 	}
-	// The run ended early and its own router may be dead, so this router continues the answer with its own money.
+	// The run ended early and the router that started it may have crashed, so this router continues the answer with its own hold.
 	x.step(eventDisrupted)
 	x.found = nil
 	if err := x.reacquireHold(ctx); err != nil {
--- a/router/money.go
+++ b/router/money.go
@@ -21,10 +21,11 @@
 	amount  masticway.Amount
 	takenAt time.Time
 	charges []keeper.Charge
-	// presumed is the part of the charges for sidecars that are gone, whose true cost is not known.
+	// presumed is the sum of the charges for sidecars that are gone, whose true cost is not known.
 	presumed masticway.Amount
 }
 
+// spent returns the sum of the charges.
 func (h *moneyHold) spent() masticway.Amount {
 	var sum masticway.Amount
 	for _, c := range h.charges {
@@ -33,7 +34,7 @@
 	return sum
 }
 
-// holdBounds returns the largest useful hold for the rest of the request and the smallest that it can start with.
+// holdBounds returns the maximum cost of the rest of the request, and the minimum hold with which it can start.
 func (x *exchange) holdBounds() (maxCost, minCost masticway.Amount) {
 	q := x.q
 	prompt := q.maxPromptTokens
@@ -51,7 +52,8 @@
 	return maxCost, q.cost(prompt, min(rest, q.minOutput))
 }
 
-// acquireHold takes a hold, or finds the run or the recorded outcome of the same identity.
+// acquireHold takes a hold, or sets x.found or x.replay if there is a run or a recorded outcome of the same identity. It may wait
+// for money, and up to duplicateTimeout for the run of a request with the same identity. Its error is a RefusalError.
 func (x *exchange) acquireHold(ctx context.Context) error {
 	deadline := x.r.clock.Now().Add(duplicateTimeout)
 	for x.r.ctx.Err() == nil {
@@ -93,6 +95,7 @@
 	return refusal(http.StatusServiceUnavailable, "budget_unreachable", "the budget cannot be reached now", time.Second)
 }
 
+// requestHold asks the budget's keeper for a hold with a new ID.
 func (x *exchange) requestHold(ctx context.Context) (linker.HoldIs, masticway.HoldID) {
 	maxCost, minCost := x.holdBounds()
 	wait := x.q.contract.HoldWait.Std()
@@ -116,7 +119,7 @@
 }
 
 // countPrompt gets the prompt's true token count, so that a request is not refused because the bound from its bytes exceeds a
-// small budget.
+// small budget. It returns false if the settings do not allow this, the request is for a service, or no upstream answers.
 func (x *exchange) countPrompt(ctx context.Context) bool {
 	if !x.r.settings.Money.ExactCount || x.q.call.Service != "" {
 		return false
@@ -131,7 +134,8 @@
 	return true
 }
 
-// reacquireHold takes a new hold for the rest of a request that has already started.
+// reacquireHold takes a new hold for the rest of a request that has already started. It unsets hasCallerKey meanwhile, so that
+// the request does not count as a duplicate of itself.
 func (x *exchange) reacquireHold(ctx context.Context) error {
 	hadCallerKey := x.q.hasCallerKey
 	x.q.hasCallerKey = false
@@ -156,7 +160,7 @@
 	x.r.settleHold(x.q, h, kind, masticway.Usage{Prompt: x.promptTokens, Completion: x.outputTokens})
 }
 
-// settleHold ends a hold and writes its bill.
+// settleHold reports a hold's charges to its payer, and adds a bill to the journal if there are any.
 func (r *Router) settleHold(q request, h *moneyHold, kind biller.Kind, usage masticway.Usage) {
 	r.peers.settle(h.grant.Payer, linker.Settle{Hold: h.id, Charges: h.charges})
 	r.metrics.Observe(histogramSettle, string(q.class), r.clock.Now().Sub(h.takenAt))
--- a/router/operators.go
+++ b/router/operators.go
@@ -25,13 +25,15 @@
 )
 
 const (
+	// operatorTimeout limits one operator request, and maxOperatorBody its body in bytes.
 	operatorTimeout = 5 * time.Second
 	maxOperatorBody = 1 << 20
-	// maxHistory is the largest number of changes in one history answer.
+	// maxHistory is the maximum number of changes in one history answer.
 	maxHistory = 50
 )
 
-// OperatorHandler returns the handler for operators, who have a listener and a token of their own.
+// OperatorHandler returns the handler for operators. It must be served on a listener of its own, and requires the operators'
+// token.
 func (r *Router) OperatorHandler() http.Handler {
 	ws := new(restful.WebService).Path("/admin/v1").Consumes("*/*").Produces("*/*")
 	ws.Route(ws.GET("/contracts").To(r.handleOperator(r.listContracts)))
@@ -68,7 +70,7 @@
 	return uuid.NewString()
 }
 
-// baseRevision returns the revision on which a change is based.
+// baseRevision returns the revision on which a change is based, from the If-Match header.
 func (o operatorRequest) baseRevision() (masticway.Revision, error) {
 	value := strings.Trim(o.http.Header.Get("If-Match"), `"`)
 	if value == "*" {
@@ -81,6 +83,7 @@
 	return masticway.Revision(n), nil
 }
 
+// handleOperator returns a handler that checks the operators' token, calls f, and writes its result or error.
 func (r *Router) handleOperator(f func(context.Context, operatorRequest) (any, error)) restful.RouteFunction {
 	return func(request *restful.Request, response *restful.Response) {
 		w := response.ResponseWriter
@@ -260,8 +263,9 @@
 
 // ConfigStatus reports which incarnations have applied the newest revision.
 type ConfigStatus struct {
-	Head    masticway.Revision `json:"head"`
-	InForce bool               `json:"in_force"`
+	Head masticway.Revision `json:"head"`
+	// InForce is set if every incarnation with a lease row has applied Head. Behind holds those that have not.
+	InForce bool `json:"in_force"`
 	// State is the newest change's state in the change chart.
 	State   charter.State            `json:"state"`
 	Daemons []bookkeeper.RouterLease `json:"daemons"`
@@ -273,12 +277,12 @@
 	if err != nil {
 		return nil, err
 	}
-	daemons, err := r.book.Leases(ctx)
+	leases, err := r.book.Leases(ctx)
 	if err != nil {
 		return nil, err
 	}
-	status := ConfigStatus{Head: head, Daemons: daemons}
-	for _, d := range daemons {
+	status := ConfigStatus{Head: head, Daemons: leases}
+	for _, d := range leases {
 		if d.AppliedRevision < head {
 			status.Behind = append(status.Behind, string(d.Incarnation))
 		}
@@ -338,7 +342,7 @@
 	return numberedOrder, nil
 }
 
-// explain finds a request's trace in this router, at a peer or in the object store.
+// explain returns a request's trace from this router, a peer or the object store.
 func (r *Router) explain(ctx context.Context, o operatorRequest) (any, error) {
 	id := o.path("request")
 	if t, ok := r.traces.Get(id); ok {
--- a/router/peer_money.go
+++ b/router/peer_money.go
@@ -10,18 +10,21 @@
 )
 
 const (
-	// settleRetryInterval is the interval between attempts to report a settlement, and between steps of a recovery that failed.
+	// settleRetryInterval is the interval between attempts to report a settlement or to resolve a lost attempt, and the pause after
+	// a failed step of a recovery.
 	settleRetryInterval = 100 * time.Millisecond
-	// holdGrace is how long a remote keeper may take beyond the wait of the request itself.
+	// holdGrace is how long a remote keeper may take to reply beyond the request's maximum wait for money.
 	holdGrace = 700 * time.Millisecond
 )
 
+// pendingSettlement is a settlement that its payer has not acknowledged.
 type pendingSettlement struct {
 	payer      masticway.Incarnation
 	settlement linker.Settle
 }
 
-// hold asks the budget's keeper for money, or this router's own keeper if that one cannot be reached.
+// hold asks the budget's keeper for money, or this router's own if that one cannot be reached or does not act as the keeper. It
+// returns the reply and the ID of the hold, which is not that of the request if both were asked.
 func (p *peers) hold(ctx context.Context, request keeper.HoldRequest, c masticway.Contract) (linker.HoldIs, masticway.HoldID) {
 	target := p.keeperFor(request.Budget)
 	if conn := p.conn(target); conn != nil {
@@ -34,7 +37,7 @@
 			return *answer.HoldIs, request.ID
 		}
 		if err != nil {
-			// The keeper may have taken the hold, so it is released as soon as the keeper can be reached.
+			// The keeper may have taken the hold, so the hold is settled as soon as the keeper can be reached.
 			p.settle(target, linker.Settle{Hold: request.ID})
 		}
 		request.ID += "-own"
@@ -54,7 +57,7 @@
 	return h, request.ID
 }
 
-// resize reports a smaller bound to the hold's payer.
+// resize reports a smaller bound to the hold's payer. It is not reported again if this fails.
 func (p *peers) resize(payer masticway.Incarnation, id masticway.HoldID, amount masticway.Amount) {
 	if payer == p.router.self {
 		p.router.budgets.resize(id, amount)
@@ -65,7 +68,8 @@
 	}
 }
 
-// settle reports a hold's charges to its payer. It retries until the payer acknowledges them or its rows are gone.
+// settle reports a hold's charges to its payer. For another router, this happens in the background, and is retried until the
+// payer acknowledges them or has been recovered.
 func (p *peers) settle(payer masticway.Incarnation, s linker.Settle) {
 	if payer == p.router.self {
 		p.router.budgets.settle(s)
@@ -129,7 +133,7 @@
 	}
 }
 
-// requestReturnByDialing asks a router to which this one keeps no link.
+// requestReturnByDialing asks a router to which this one keeps no link to return idle money. It tries only once.
 func (p *peers) requestReturnByDialing(payer masticway.Incarnation, m linker.Message) {
 	ctx, cancel := context.WithTimeout(p.router.ctx, platformTimeout)
 	defer cancel()
@@ -147,6 +151,7 @@
 	}
 }
 
+// answerHold answers a hold request from another router, possibly after it has returned.
 func (p *peers) answerHold(c *linker.Conn, m linker.Message) {
 	contract, ok := p.router.snapshot.Load().Contract(m.Hold.Identity.Workspace())
 	if !ok {
--- a/router/peer_reach.go
+++ b/router/peer_reach.go
@@ -8,8 +8,8 @@
 	"github.com/masticway/masticway/linker"
 )
 
-// registerMissing asks a peer to register the sidecars at which its money may be used and that it is not known to have
-// registered. It reports whether the peer did so.
+// registerMissing asks a peer to register all sidecars to which this router is linked, except those that the peer is known to
+// have registered. Only then may the peer's money be used at them. It reports whether the peer did so.
 func (p *peers) registerMissing(c *linker.Conn) bool {
 	missing := []masticway.Incarnation{}
 	for _, s := range p.router.upstreams.allConns() {
@@ -20,8 +20,8 @@
 	return p.requestRegistration(c, missing)
 }
 
-// registerAll asks all peers to register the sidecars that they lack. It is called repeatedly, so sidecars that were linked
-// meanwhile are included the next time.
+// registerAll asks all peers in the background to register the sidecars that they lack. It is called with every round of
+// heartbeats, so sidecars that are linked later are included the next time.
 func (p *peers) registerAll() {
 	sidecars := p.router.upstreams.allConns()
 	for _, c := range p.unregisteredPeers(sidecars) {
@@ -43,6 +43,7 @@
 	return unregistered
 }
 
+// requestRegistration asks a peer to register sidecars, and records it and returns true if the peer has done so.
 func (p *peers) requestRegistration(c *linker.Conn, sidecars []masticway.Incarnation) bool {
 	ctx, cancel := context.WithTimeout(p.router.ctx, registerTimeout)
 	defer cancel()
@@ -72,6 +73,7 @@
 	return p.registered[payer][sidecar]
 }
 
+// answerRegistration registers the sidecars that a peer asks for, and replies when this is done.
 func (p *peers) answerRegistration(c *linker.Conn, m linker.Message) {
 	ctx, cancel := c.Bind(p.router.ctx)
 	defer cancel()
@@ -81,7 +83,7 @@
 	}
 }
 
-// addInbound records that this router has registered the sidecars of the peer at the other end of a link.
+// addInbound records that this router has registered the sidecars that the peer at the other end of a link asked for.
 func (p *peers) addInbound(ctx context.Context, c *linker.Conn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/router/peers.go
+++ b/router/peers.go
@@ -19,30 +19,36 @@
 const (
 	// registerTimeout limits one request to a peer to register sidecars.
 	registerTimeout = 5 * time.Second
-	// configIdleTimeout is how long a peer may send nothing large after it was asked for its configuration. The whole transfer
-	// has no limit, because the next peer would send the same bytes over the same link.
+	// configIdleTimeout is how long a peer that was asked for its configuration may send no data of it. The whole transfer has no
+	// timeout, because the next peer would send the same bytes over the same link.
 	configIdleTimeout = 5 * time.Second
 )
 
-// peers holds the links to the other routers of the region and determines the keeper of each budget.
+// peers holds the links to the other routers of the region, and determines the keeper of each budget: the one router of the
+// region that holds the budget's money for all of them. The routers among which it chooses are the keepers.
 type peers struct {
 	router   *Router
 	listener *linker.Listener
 
-	mu         sync.Mutex
-	conns      map[masticway.Incarnation]*linker.Conn
-	cancels    map[string]context.CancelFunc
+	mu sync.Mutex
+	// conns holds the links that this router dialed and whose peers have registered its sidecars. cancels stops the dialing of each
+	// listed router, by instance.
+	conns   map[masticway.Incarnation]*linker.Conn
+	cancels map[string]context.CancelFunc
+	// registered holds the sidecars that each peer is known to have in its links row.
 	registered map[masticway.Incarnation]map[masticway.Incarnation]bool
-	draining   map[masticway.Incarnation]bool
+	// draining holds the peers whose heartbeats have reported that they are draining.
+	draining map[masticway.Incarnation]bool
 	// instancesRead is set once the instance list has been read.
 	instancesRead bool
-	// inbound holds the links that peers dialed and for which this router has registered the peer's sidecars. The value is true
-	// once a heartbeat has come since, which a peer sends after it counts this router among the keepers.
+	// inbound holds the links that peers dialed and for which this router has registered the peer's sidecars. The value is true if a
+	// heartbeat has arrived since then. A peer sends one after it has added this router to its keepers.
 	inbound map[*linker.Conn]bool
-	// lastMessageAt is when the last message of each peer came, and silent marks those whose last one is too long ago.
+	// lastMessageAt is when the last message of each peer arrived. silent marks the peers whose last message arrived more than
+	// SuspectAfter ago.
 	lastMessageAt map[masticway.Incarnation]time.Time
 	silent        map[masticway.Incarnation]bool
-	// placement assigns budgets to the responsive routers; it is nil after these have changed.
+	// placement assigns budgets to the keepers. It is nil after these have changed, and is then computed again when needed.
 	placement *rendezvous.Rendezvous
 	// unsettled holds the settlements that their payer has not acknowledged.
 	unsettled map[masticway.HoldID]pendingSettlement
@@ -85,6 +91,7 @@
 	}
 }
 
+// dial keeps a link to an instance. The caller must hold the lock.
 func (p *peers) dial(i masticway.Instance) {
 	ctx, stop := context.WithCancel(p.router.ctx)
 	p.cancels[i.ID] = stop
@@ -96,18 +103,18 @@
 	_ = c.Send(p.heartbeatMessage())
 	p.router.wg.Go(func() {
 		if !p.registerMissing(c) {
-			// The peer's money can only be used at sidecars that it has registered; the next dial asks again.
+			// The peer's money can only be used at sidecars that it has registered. The link is dialed again, and the peer asked again.
 			c.Close()
 			return
 		}
 		p.router.recovery.watchPeer(c.Peer())
 		p.addKeeper(c)
-		// This heartbeat tells the peer that it counts among the keepers here.
+		// This heartbeat informs the peer that it is one of the keepers here.
 		_ = c.Send(p.heartbeatMessage())
 	})
 }
 
-// addKeeper adds a peer to the keepers.
+// addKeeper adds a peer to the keepers, until its link is down, it is draining or it is silent.
 func (p *peers) addKeeper(c *linker.Conn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -123,7 +130,8 @@
 	delete(p.inbound, c)
 }
 
-// isReady reports whether this router and every listed router of its region count each other among the keepers.
+// isReady reports whether this router and every listed router of its region have each other among their keepers. It returns false
+// until the instance list has been read.
 func (p *peers) isReady() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -166,7 +174,7 @@
 	return slices.AppendSeq(make([]*linker.Conn, 0, len(p.conns)), maps.Values(p.conns))
 }
 
-// tick marks the peers that are silent. Others are the keepers of their budgets until a message comes again.
+// tick marks the peers that are silent. Other routers are the keepers of their budgets until a message arrives again.
 func (p *peers) tick() {
 	now := p.router.clock.Now()
 	p.mu.Lock()
@@ -193,15 +201,15 @@
 	return p.conns[inc]
 }
 
-// liveNames returns the names of this router and the peers that are neither draining nor silent, in a fixed order.
-func (p *peers) liveNames() []string {
+// keeperNames returns the incarnations of this router and the peers that are neither draining nor silent, sorted.
+func (p *peers) keeperNames() []string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.liveNamesLocked()
+	return p.keeperNamesLocked()
 }
 
-// liveNamesLocked is liveNames for callers that hold the lock.
-func (p *peers) liveNamesLocked() []string {
+// keeperNamesLocked is keeperNames for callers that hold the lock.
+func (p *peers) keeperNamesLocked() []string {
 	names := []string{string(p.router.self)}
 	for inc := range p.conns {
 		if !p.draining[inc] && !p.silent[inc] {
@@ -212,7 +220,9 @@
 	return names
 }
 
-// keeperFor returns the router of the region that is the keeper of a budget, by rendezvous hashing.
+// keeperFor returns the router of the region that is the keeper of a budget, by rendezvous hashing. Without the setting Keepers,
+// each router is the keeper of all budgets for itself. The name "audit" is not a budget: its keeper is the router that audits
+// bills.
 func (p *peers) keeperFor(budget string) masticway.Incarnation {
 	if !p.router.settings.Money.Keepers && budget != "audit" {
 		return p.router.self
@@ -220,17 +230,18 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.placement == nil {
-		p.placement = rendezvous.New(p.liveNamesLocked(), xxhash.Sum64String)
+		p.placement = rendezvous.New(p.keeperNamesLocked(), xxhash.Sum64String)
 	}
 	return masticway.Incarnation(p.placement.Lookup(budget))
 }
 
-// rank returns this router's position in the order in which routers take on a task. Its cost grows with the number of routers.
+// rank returns this router's position, from zero, in the order in which the region's routers perform a task. The time that it
+// takes grows with the number of routers.
 func (p *peers) rank(task string) int {
 	weight := func(name string) uint64 { return xxhash.Sum64String(task + "/" + name) }
 	own := weight(string(p.router.self))
 	n := 0
-	for _, name := range p.liveNames() {
+	for _, name := range p.keeperNames() {
 		if weight(name) > own {
 			n++
 		}
@@ -238,7 +249,7 @@
 	return n
 }
 
-// fetchConfig asks peers for their configuration. A peer that is starting has none yet.
+// fetchConfig asks the linked peers in turn for their configuration, until one has it. A peer that is starting has none yet.
 func (p *peers) fetchConfig(ctx context.Context) (configurer.Configuration, bool) {
 	for _, c := range p.allConns() {
 		if full, ok := p.requestConfig(ctx, c); ok {
@@ -259,8 +270,8 @@
 	return *a.Config, true
 }
 
-// keepAlive sends heartbeats to one peer, which closes a silent link. The regular ones start only after the configuration is
-// loaded.
+// keepAlive sends heartbeats to one peer until ctx ends, because the peer closes a silent link. The regular heartbeats start only
+// after the configuration is loaded.
 func (p *peers) keepAlive(ctx context.Context, c *linker.Conn) {
 	for {
 		select {
--- a/router/peers_test.go
+++ b/router/peers_test.go
@@ -22,7 +22,7 @@
 	slowLink = 10_000_000 / 8
 	// largeConfigBytes is the size of a configuration that takes 8.4 s on a slow link.
 	largeConfigBytes = 10 << 20
-	// configLimit is more than twice the time that a large configuration takes.
+	// configLimit is the maximum duration of the transfer in the test, more than twice the time that a large configuration takes.
 	configLimit = 30 * time.Second
 )
 
@@ -86,7 +86,7 @@
 	}
 }
 
-// TestFetchConfigOverSlowLink guards against a limit on the whole transfer, which would cut off a large configuration on a slow
+// TestFetchConfigOverSlowLink guards against a timeout of the whole transfer, which would cut off a large configuration on a slow
 // link each time it is fetched, and against waiting without end for a peer that does not answer.
 func TestFetchConfigOverSlowLink(t *testing.T) {
 	large := &configurer.Configuration{Revision: 7, Contracts: []masticway.Contract{{Workspace: strings.Repeat("w", largeConfigBytes)}}}
@@ -108,7 +108,7 @@
 			defer r.wg.Wait()
 			p := &peers{router: r, conns: map[masticway.Incarnation]*linker.Conn{c.Peer().Incarnation: c}}
 			full, ok := p.fetchConfig(ctx)
-			// A peer that does not answer must be given up for the next one long before the limit.
+			// The next peer must be asked long before configLimit if one does not answer.
 			qt.Check(t, ctx.Err(), qt.IsNil)
 			qt.Assert(t, ok, qt.Equals, tc.want)
 			if tc.want {
--- a/router/place.go
+++ b/router/place.go
@@ -11,6 +11,7 @@
 	"github.com/masticway/masticway/tracker"
 )
 
+// slotRequest is a request for a slot. granted receives the slot, and is closed if the deadline passes first.
 type slotRequest struct {
 	entry   limiter.Entry
 	work    chooser.Request
@@ -18,7 +19,7 @@
 	granted chan slot
 }
 
-// slot is a slot at an upstream that is assigned to a request.
+// slot is a concurrency slot at an upstream that is assigned to a request.
 type slot struct {
 	upstream tracker.Upstream
 	scores   []chooser.Score
@@ -45,10 +46,12 @@
 	return true
 }
 
-// errNoSlot is returned if no upstream had a free slot in time.
+// errNoSlot is returned if no upstream has a free slot in time, or none is expected to.
 var errNoSlot = errors.New("no free slot at an upstream")
 
-// acquire gets a slot for a request. If none is free it waits in the fair queue.
+// acquire gets a slot for a request. If none is free, it waits in the fair queue until the request's deadline. It returns
+// errNoSlot at once if the queue is full or the estimated wait is longer. It also returns the estimate, and context.Canceled if
+// done is closed first or the router stops.
 func (u *upstreams) acquire(done <-chan struct{}, w *slotRequest) (slot, time.Duration, error) {
 	u.mu.Lock()
 	if p, ok := u.tryAcquire(w); ok {
@@ -84,6 +87,7 @@
 	return slot{}, 0, context.Canceled
 }
 
+// estimateWait estimates how long a new entry waits in the queue. The caller must hold the lock.
 func (u *upstreams) estimateWait(e limiter.Entry) time.Duration {
 	ahead := u.queue.Len(e.Pool, masticway.ClassInteractive)
 	if e.Class == masticway.ClassBatch {
@@ -104,7 +108,8 @@
 	return all
 }
 
-// tryAcquire chooses among the upstreams with free slots. The caller must hold the lock.
+// tryAcquire chooses among the allowed upstreams with free slots and takes a slot there. It returns false if there are none. The
+// caller must hold the lock.
 func (u *upstreams) tryAcquire(w *slotRequest) (slot, bool) {
 	var open []tracker.Upstream
 	for _, t := range u.usable(w.entry.Pool) {
@@ -133,6 +138,7 @@
 	}
 }
 
+// serveWaitingIn grants free slots to requests waiting for a pool, in the order of the queue. The caller must hold the lock.
 func (u *upstreams) serveWaitingIn(pool string) {
 	for {
 		e, ok := u.queue.Pop(pool)
@@ -153,7 +159,7 @@
 	}
 }
 
-// releaseSlot frees a slot.
+// releaseSlot frees a slot and grants free slots to waiting requests.
 func (u *upstreams) releaseSlot(instance string, took time.Duration, firstTokenSeen bool, w chooser.Request) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
--- a/router/recovery.go
+++ b/router/recovery.go
@@ -21,23 +21,24 @@
 const (
 	// recoveryInterval is the interval at which lease rows and recoveries are checked.
 	recoveryInterval = 250 * time.Millisecond
-	// minLeaseReadInterval is the shortest interval between two reads of all lease rows; leaseReadIntervalPerRow is the interval
-	// per row if that is longer.
+	// minLeaseReadInterval is the minimum interval between two reads of all lease rows. If there are many rows, the interval is
+	// leaseReadIntervalPerRow times their number.
 	minLeaseReadInterval    = time.Second
 	leaseReadIntervalPerRow = 100 * time.Millisecond
-	// taskLeases is the task of reading all lease rows, which leaseReaders of a region's routers do.
+	// taskLeases is the task of reading all lease rows. leaseReaders is the number of a region's routers that perform it.
 	taskLeases   = "leases"
 	leaseReaders = 2
-	// recoveredTTL is how long a recovered incarnation is remembered, so that late settlements for it are given up.
+	// recoveredTTL is how long a recovered incarnation is remembered, so that settlements for it are not retried.
 	recoveredTTL = 10 * time.Minute
 )
 
-// recovery watches the leases of other incarnations and returns the money of dead ones to its budgets.
+// recovery watches the leases of other incarnations, and returns the money of those that have crashed, the victims, to its
+// budgets.
 type recovery struct {
 	router *Router
 
 	mu        sync.Mutex
-	watch     *recoverer.FailureDetector
+	detector  *recoverer.FailureDetector
 	active    map[masticway.Incarnation]*recoverer.Recovery
 	recovered map[masticway.Incarnation]time.Time
 	instances map[string]masticway.Instance
@@ -48,7 +49,7 @@
 
 func newRecovery(r *Router) *recovery {
 	return &recovery{
-		router: r, watch: recoverer.NewFailureDetector(recoverer.DetectorSettings{
+		router: r, detector: recoverer.NewFailureDetector(recoverer.DetectorSettings{
 			Self: r.self, Region: r.settings.Region, DetectionTime: r.settings.Lease.Std(), HeartbeatInterval: r.settings.Heartbeat.Std(),
 		}), active: map[masticway.Incarnation]*recoverer.Recovery{},
 		recovered: map[masticway.Incarnation]time.Time{}, instances: map[string]masticway.Instance{},
@@ -63,7 +64,8 @@
 	}
 }
 
-// isRecovered reports whether an incarnation's rows are gone, because it was drained or recovered.
+// isRecovered reports whether an incarnation's rows are known to be gone, because it was drained or recovered within
+// recoveredTTL.
 func (v *recovery) isRecovered(inc masticway.Incarnation) bool {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -71,7 +73,7 @@
 	return ok
 }
 
-// summary returns what active recoveries wait for, for the lease row.
+// summary describes what active recoveries wait for, as text for the lease row.
 func (v *recovery) summary() string {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -95,8 +97,8 @@
 	}
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	for _, e := range v.watch.Check(now, v.signs, v.stake) {
-		v.applyWatch(now, e)
+	for _, e := range v.detector.Check(now, v.observe, v.responsibility) {
+		v.applyDetection(now, e)
 	}
 	for victim, rec := range v.active {
 		v.apply(victim, rec, rec.Tick(now))
@@ -108,8 +110,8 @@
 	}
 }
 
-// isReadDue reports whether this router must read all lease rows now. The interval grows with their number, which keeps the bytes
-// read per second constant.
+// isReadDue reports whether this router must read all lease rows now, and if so records that it does. The interval grows with the
+// number of rows, which bounds the bytes read per second.
 func (v *recovery) isReadDue(now time.Time) bool {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -117,13 +119,14 @@
 		return false
 	}
 	if v.router.peers.rank(taskLeases) >= leaseReaders {
-		// Two routers of a region look for dead routers to which nobody has a link; the others rely on their links.
+		// Other routers of the region look for crashed routers to which no router has a link. This one relies on its links.
 		return false
 	}
 	v.lastReadAt = now
 	return true
 }
 
+// readLeases reads all lease rows and gives them to the detector.
 func (v *recovery) readLeases() {
 	r := v.router
 	ctx, cancel := r.platformContext()
@@ -136,7 +139,7 @@
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	v.rowCount = len(rows)
-	for _, inc := range v.watch.ApplyRows(now, rows) {
+	for _, inc := range v.detector.ApplyRows(now, rows) {
 		v.markRecovered(now, inc)
 	}
 }
@@ -145,7 +148,7 @@
 func (v *recovery) watchPeer(p masticway.Peer) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	v.watch.AddRouter(v.router.clock.Now(), bookkeeper.RouterLease{
+	v.detector.AddRouter(v.router.clock.Now(), bookkeeper.RouterLease{
 		Incarnation: p.Incarnation, Instance: p.Instance, Region: v.router.settings.Region,
 	})
 }
@@ -157,8 +160,8 @@
 	}
 }
 
-// signs returns the signs of life of another router that this one has observed.
-func (v *recovery) signs(d bookkeeper.RouterLease) recoverer.Observation {
+// observe returns what this router knows about whether another one is up. The caller must hold the lock.
+func (v *recovery) observe(d bookkeeper.RouterLease) recoverer.Observation {
 	r := v.router
 	return recoverer.Observation{
 		IsAlive:       r.peers.isResponsive(d.Incarnation),
@@ -167,16 +170,16 @@
 	}
 }
 
-// stake returns what this router has to do with the recovery of another one.
-func (v *recovery) stake(d bookkeeper.RouterLease) recoverer.Responsibility {
+// responsibility returns whether this router holds money for another one, and its rank among the routers that may recover it.
+func (v *recovery) responsibility(d bookkeeper.RouterLease) recoverer.Responsibility {
 	return recoverer.Responsibility{
 		HoldsMoney: len(v.router.budgets.holdsOf(d.Incarnation)) > 0,
 		Rank:       v.router.peers.rank(string(d.Incarnation)),
 	}
 }
 
-// applyWatch executes one effect of the watch. The caller must hold the lock.
-func (v *recovery) applyWatch(now time.Time, e recoverer.DetectorEffect) {
+// applyDetection executes one effect of the detector. The caller must hold the lock.
+func (v *recovery) applyDetection(now time.Time, e recoverer.DetectorEffect) {
 	switch e := e.(type) {
 	case recoverer.ReadRow:
 		v.router.wg.Go(func() { v.readRow(e.Incarnation) })
@@ -190,6 +193,7 @@
 	}
 }
 
+// readRow reads the lease row of one router and gives it to the detector.
 func (v *recovery) readRow(inc masticway.Incarnation) {
 	ctx, cancel := v.router.platformContext()
 	defer cancel()
@@ -198,26 +202,28 @@
 	now := v.router.clock.Now()
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	if v.watch.ApplyRow(now, inc, d, err == nil, err != nil && !missing) {
+	if v.detector.ApplyRow(now, inc, d, err == nil, err != nil && !missing) {
 		v.markRecovered(now, inc)
 	}
 }
 
+// challenge writes a challenge to a router that seems to have crashed, which the router answers if it is up.
 func (v *recovery) challenge(inc masticway.Incarnation) {
 	ctx, cancel := v.router.platformContext()
 	defer cancel()
 	err := v.router.book.Challenge(ctx, inc, v.router.self)
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	v.watch.RecordChallenge(v.router.clock.Now(), inc, err == nil)
+	v.detector.RecordChallenge(v.router.clock.Now(), inc, err == nil)
 }
 
-// watchChallenges checks for challenges to this router until it ends.
+// watchChallenges checks for challenges to this router until the router stops.
 func (r *Router) watchChallenges() {
 	r.loop(max(tickInterval, r.settings.Lease.Std()/challengeReadsPerLease), r.answerChallenge)
 }
 
-// answerChallenge renews the lease at once if another router suspects that this one is dead.
+// answerChallenge renews the lease at once if another router suspects that this one has crashed, and has therefore written a new
+// challenge.
 func (r *Router) answerChallenge() {
 	ctx, cancel := r.platformContext()
 	defer cancel()
@@ -244,6 +250,7 @@
 	}
 }
 
+// sealInTable seals the victim's rows, so that it can draw no more money, and reads the sidecars and grants to recover.
 func (v *recovery) sealInTable(victim masticway.Incarnation, rec *recoverer.Recovery) {
 	ctx, cancel := v.router.platformContext()
 	defer cancel()
@@ -284,6 +291,7 @@
 	rec.RecordLost(sidecar, lastReport, found)
 }
 
+// sealAt seals the victim at one sidecar, so that the sidecar starts no more runs for it, and returns the sidecar's report.
 func (v *recovery) sealAt(victim, sidecar masticway.Incarnation) (report sealer.SealReport, sidecarGone bool, err error) {
 	instance := sidecar.Instance()
 	v.mu.Lock()
@@ -312,6 +320,7 @@
 	return *a.Sealed, false, nil
 }
 
+// returnMoney closes the victim's grants, and finishes the recovery if it is done.
 func (v *recovery) returnMoney(rec *recoverer.Recovery, victim masticway.Incarnation, closings []bookkeeper.GrantClosure) {
 	ctx, cancel := v.router.platformContext()
 	defer cancel()
@@ -338,7 +347,8 @@
 	}
 }
 
-// settleHolds settles the holds that this router granted to the victim, as far as their fates are final.
+// settleHolds settles and bills the holds that this router granted to the victim, except those whose runs still run. The caller
+// must hold the lock.
 func (v *recovery) settleHolds(rec *recoverer.Recovery, victim masticway.Incarnation) {
 	fates, goneSidecar := rec.HoldReports()
 	byHold := map[masticway.HoldID][]recoverer.SidecarHold{}
@@ -359,6 +369,7 @@
 	}
 }
 
+// chargesOf returns the charges for one hold, or reports that one of its runs still runs.
 func chargesOf(fates []recoverer.SidecarHold) (charges []keeper.Charge, running bool) {
 	for _, f := range fates {
 		if f.Report.Running {
@@ -390,6 +401,7 @@
 	})
 }
 
+// finish deletes the victim's rows and ends the recovery.
 func (v *recovery) finish(rec *recoverer.Recovery, victim masticway.Incarnation) {
 	ctx, cancel := v.router.platformContext()
 	defer cancel()
@@ -403,6 +415,6 @@
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	delete(v.active, victim)
-	v.watch.Remove(victim)
+	v.detector.Remove(victim)
 	v.recovered[victim] = v.router.clock.Now()
 }
--- a/router/recovery_test.go
+++ b/router/recovery_test.go
@@ -46,8 +46,9 @@
 	}
 }
 
-// TestChallengeIsAnsweredInTime challenges a live router. Its lease is read again half a lease after the challenge, so it must be
-// renewed within a quarter; the rest is left for the table. Otherwise a live router would be taken for dead and recovered.
+// TestChallengeIsAnsweredInTime challenges a router that is up. Its lease row is read again half a lease after the challenge, so
+// the router must renew it within a quarter of a lease; the rest is left for the table. Otherwise a router that is up would be
+// considered crashed and be recovered.
 func TestChallengeIsAnsweredInTime(t *testing.T) {
 	cases := map[string]time.Duration{
 		"lease of the settings": 4 * time.Second, "short lease": 2 * time.Second, "very short lease": 200 * time.Millisecond,
--- a/router/router.go
+++ b/router/router.go
@@ -25,11 +25,12 @@
 )
 
 const (
-	// flushInterval is the interval between two batches of bills and traces.
+	// flushInterval is the interval between two writes of bills and traces to the object store.
 	flushInterval = time.Second
 	// auditInterval is the interval between two searches for duplicate bills.
 	auditInterval = 5 * time.Second
-	// heartbeatsPerInbound is how many heartbeats are sent on dialed links for each one on the inbound links from the same peers.
+	// heartbeatsPerInbound is the number of rounds of heartbeats on dialed links for each round on the inbound links from the same
+	// peers.
 	heartbeatsPerInbound = 4
 	// challengeReadsPerLease is how many times per lease duration a router checks for a challenge. It must answer one within half
 	// a lease.
@@ -85,16 +86,18 @@
 	// listVersion is the version of the instance list that was last read; only the polling loop uses it.
 	listVersion string
 	// sentOpen and sentUpto are the open grants that the last heartbeat reported; heartbeatMu guards them.
-	sentOpen   []int64
-	sentUpto   int64
+	sentOpen []int64
+	sentUpto int64
+	// heartbeats is the number of rounds of heartbeats sent.
 	heartbeats int
 
 	draining atomic.Bool
-	// peersReady is set once this router and the other routers of the region count each other among the keepers, or LostAfter has
+	// peersReady is set once this router and the other routers of the region have each other among their keepers, or LostAfter has
 	// passed.
 	peersReady        atomic.Bool
 	openRequests      atomic.Int64
 	lastRequestNumber atomic.Uint64
+	// answeredChallenge is the version of the last challenge that was answered.
 	answeredChallenge atomic.Int64
 	// changesRequestedAt is when this router last asked a peer for changes, in Unix nanoseconds.
 	changesRequestedAt atomic.Int64
@@ -140,9 +143,11 @@
 // Self returns the identifier of this incarnation.
 func (r *Router) Self() masticway.Incarnation { return r.self }
 
-// Sealed returns a channel that is closed when this incarnation has been sealed and a new one must be started.
+// Sealed returns a channel that is closed when this router learns that its incarnation has been sealed, so that a new one must be
+// started.
 func (r *Router) Sealed() <-chan struct{} { return r.sealed }
 
+// markSealed records that this incarnation is sealed, and refuses all hold requests.
 func (r *Router) markSealed() {
 	r.sealedOnce.Do(func() {
 		r.log.WithField("event", "sealed").Warn("this incarnation is sealed")
@@ -160,7 +165,8 @@
 	}
 }
 
-// Start writes the first rows, loads the configuration and starts serving. It retries until ctx ends.
+// Start writes the first rows, loads the configuration and starts the background work. It retries until ctx ends or the
+// incarnation is sealed. The router accepts callers' requests later, when Ready returns true.
 func (r *Router) Start(ctx context.Context) error {
 	r.wg.Go(func() { r.loop(r.settings.Poll.Std(), r.readInstances) })
 	if err := r.retryUntil(ctx, "opening the links row", func() error { return r.budgets.openLinks(ctx) }); err != nil {
@@ -186,6 +192,7 @@
 	return nil
 }
 
+// retryUntil calls f until it succeeds, the incarnation is found sealed, ctx ends or the router stops.
 func (r *Router) retryUntil(ctx context.Context, what string, f func() error) error {
 	for {
 		err := f()
@@ -206,6 +213,7 @@
 	}
 }
 
+// loop calls f after each interval until the router stops.
 func (r *Router) loop(interval time.Duration, f func()) {
 	for {
 		select {
@@ -217,9 +225,9 @@
 	}
 }
 
-// waitForPeers sets peersReady once the routers of the region count each other among the keepers. Until then each router is the
-// keeper of every budget, so two requests with the same key that arrive at two routers would both run. An unreachable peer delays
-// this router for LostAfter at most.
+// waitForPeers sets peersReady once this router and the other routers of the region have each other among their keepers. Until
+// then, two routers may each be the keeper of the same budget, so two requests with the same key that arrive at both would both
+// run. An unreachable peer delays this router for LostAfter at most.
 func (r *Router) waitForPeers() {
 	deadline := r.clock.Now().Add(r.settings.LostAfter.Std())
 	for !r.peers.isReady() && r.clock.Now().Before(deadline) && r.ctx.Err() == nil {
@@ -228,15 +236,16 @@
 	r.peersReady.Store(true)
 }
 
-// Ready reports whether the router serves requests.
+// Ready reports whether the router accepts requests from callers. Those that arrive while it does not are refused. Requests from
+// operators and other routers are accepted at any time.
 func (r *Router) Ready() bool {
 	return r.peersReady.Load() && r.snapshot.Load().Revision() > 0 && !r.draining.Load() && !r.isSealed() && !r.isStale()
 }
 
-// Drain stops accepting requests, waits for those in progress and returns all money.
+// Drain stops accepting requests from callers, waits for those in progress and returns all money.
 //
-// It reports whether all requests finished before ctx ended; the number that did not is logged and counted. Money that could not
-// be returned in time is left for recovery.
+// It reports whether all requests ended before ctx. The number of those that did not is logged and counted, and then nothing is
+// returned. Money that is not returned is left for recovery.
 func (r *Router) Drain(ctx context.Context) bool {
 	r.draining.Store(true)
 	for r.openRequests.Load() > 0 {
@@ -267,12 +276,12 @@
 	}
 }
 
-// Close stops everything at once, as a crash would.
+// Close stops all work without returning money, as a crash would, and waits until requests and goroutines have ended.
 func (r *Router) Close() {
 	r.stop()
 	r.peers.close()
 	for r.openRequests.Load() > 0 {
-		// Handlers see that r.ctx has ended; they must not start work after the wait below.
+		// Handlers end because r.ctx has ended. They must not start goroutines after wg.Wait has returned.
 		time.Sleep(time.Millisecond)
 	}
 	r.wg.Wait()
@@ -321,6 +330,7 @@
 	r.recovery.updateInstances(reading.Instances)
 }
 
+// renewLease writes the lease row, which is valid for two intervals of Heartbeat.
 func (r *Router) renewLease(ctx context.Context) error {
 	state := "serving"
 	if r.draining.Load() {
@@ -334,7 +344,8 @@
 	})
 }
 
-// keepLease renews the lease row once per heartbeat interval, and at once when a revision has been applied.
+// keepLease renews the lease row once per heartbeat interval, and at once when a revision has been applied. It stops renewing
+// while the router is draining or sealed.
 func (r *Router) keepLease() {
 	for {
 		select {
@@ -360,8 +371,9 @@
 	return linker.Message{Beat: &linker.Beat{Revision: r.snapshot.Load().Revision(), Open: open, Upto: upto, Leaving: r.draining.Load()}}
 }
 
-// sendHeartbeats sends a heartbeat on every link. Because there are many links to sidecars, it includes the open grants only if
-// they have changed.
+// sendHeartbeats sends a heartbeat on every link that this router dialed, and in some rounds on the inbound links. Because there
+// are many links to sidecars, it includes the open grants only if they have changed since the last round. It also asks peers to
+// register sidecars that they lack.
 func (r *Router) sendHeartbeats() {
 	r.heartbeatMu.Lock()
 	defer r.heartbeatMu.Unlock()
@@ -388,6 +400,7 @@
 	r.peers.registerAll()
 }
 
+// flush writes bills and traces to the object store, also while the router stops.
 func (r *Router) flush() {
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(r.ctx), platformTimeout)
 	defer cancel()
@@ -399,7 +412,7 @@
 	}
 }
 
-// audit refunds bills that are duplicates or superseded. One router of each region does so.
+// audit refunds bills that are duplicates or superseded, if this router is the one of its region that does so.
 func (r *Router) audit() {
 	if r.peers.keeperFor("audit") != r.self {
 		return
@@ -415,6 +428,7 @@
 	}
 }
 
+// refund refunds one bill. If this fails, the refund is tried again later.
 func (r *Router) refund(ctx context.Context, f biller.Refund) {
 	err := r.book.Refund(ctx, f.Budget, f.Hold, f.Amount)
 	if err != nil {
--- a/router/sealed_test.go
+++ b/router/sealed_test.go
@@ -16,7 +16,7 @@
 
 // TestSealedRouterFailsRequestsAtOnce lets a sidecar refuse a request because its router is sealed, although its money comes from
 // another router. A seal is permanent, so free retries would only delay the refusal by seconds while the router's next
-// incarnation already serves. As long as the router is not known to be sealed, the request must be retried.
+// incarnation already serves. Until the router is known to be sealed, the request must be retried.
 func TestSealedRouterFailsRequestsAtOnce(t *testing.T) {
 	r := New(Settings{}, Secrets{}, masticway.SystemClock{}, logger.Discard(), Platform{Table: emulator.NewTable()}, nil, measurer.New())
 	defer r.Close()
--- a/router/start_test.go
+++ b/router/start_test.go
@@ -41,7 +41,7 @@
 }
 
 // TestSidecarsAreDialedAfterLinksRowIsWritten delays a router's first links row, as a table under load does. A sidecar reads that
-// row as soon as it is linked and takes a router without one for sealed for good, so a link that is made too early makes it
+// row as soon as it is linked, and considers a router without a row permanently sealed, so a link that is made too early makes it
 // refuse the router's requests.
 func TestSidecarsAreDialedAfterLinksRowIsWritten(t *testing.T) {
 	table := &blockedTable{Table: emulator.NewTable(), release: make(chan struct{})}
--- a/router/upstreams.go
+++ b/router/upstreams.go
@@ -18,19 +18,23 @@
 // callTimeout limits one call to a sidecar or a peer.
 const callTimeout = 500 * time.Millisecond
 
-// upstreams runs tracker, chooser and queue: it keeps the links to sidecars and assigns their slots to requests.
+// upstreams keeps the links to sidecars and assigns the slots of their upstreams to requests, by a tracker, a chooser and a
+// queue.
 type upstreams struct {
 	router *Router
 	feeds  *feeds
 
-	mu        sync.Mutex
-	tracker   *tracker.Tracker
-	chooser   *chooser.Chooser
-	queue     *limiter.Queue
+	mu      sync.Mutex
+	tracker *tracker.Tracker
+	chooser *chooser.Chooser
+	queue   *limiter.Queue
+	// conns, cancels and addresses hold the link to each sidecar, the function that ends its dialing, and the address that is
+	// dialed, by instance.
 	conns     map[string]*linker.Conn
 	cancels   map[string]context.CancelFunc
 	addresses map[string]string
-	waiting   map[string]*slotRequest
+	// waiting holds the requests in the queue, by the IDs of their entries.
+	waiting map[string]*slotRequest
 }
 
 func newUpstreams(r *Router) *upstreams {
@@ -97,13 +101,14 @@
 	}
 }
 
+// dial keeps a link to an instance. The caller must hold the lock.
 func (u *upstreams) dial(i masticway.Instance) {
 	ctx, stop := context.WithCancel(u.router.ctx)
 	u.cancels[i.ID] = stop
 	u.addresses[i.ID] = i.Address
 	d := u.router.dialer(u.handle, u.linkUp, u.linkDown)
 	u.router.wg.Go(func() {
-		// A sidecar reads a router's links row once they are linked, and takes the router for ended if there is none.
+		// A sidecar reads a router's links row when they are linked, and considers the router ended if there is none.
 		select {
 		case <-u.router.budgets.linksOpened:
 			d.Keep(ctx, i.Address)
@@ -121,7 +126,8 @@
 	u.router.wg.Go(func() { u.activate(c) })
 }
 
-// activate makes a sidecar usable once this router's links row contains it, and asks the peers to register it as well.
+// activate adds a sidecar to this router's links row, and asks the peers to register it as well. It then makes the sidecar usable
+// if the link is still up.
 func (u *upstreams) activate(c *linker.Conn) {
 	inc := c.Peer().Incarnation
 	instance := c.Peer().Instance
@@ -262,11 +268,12 @@
 	u.serveWaiting()
 }
 
-// findRun asks all linked sidecars for a run of an identity. It reports in complete whether all of them answered.
+// findRun asks all linked sidecars for a run of an identity, and returns the run of the last attempt. conn is nil if there is
+// none. It reports in complete whether all sidecars answered.
 //
-// It waits up to two thirds of SuspectAfter, the silence after which a sidecar gets no new work, because a slow sidecar may have
-// the run. It must not wait longer: a request that is then dispatched to a sidecar that has been cut off must still learn that
-// its fate is unknown.
+// It waits up to two thirds of SuspectAfter, the silence after which a sidecar gets no new work, but at least callTimeout,
+// because a slow sidecar may have the run. It must not wait longer, so that time is left to find that the fate is unknown if the
+// request is then dispatched to a sidecar that has been cut off.
 func (u *upstreams) findRun(ctx context.Context, identity masticway.Identity) (status sealer.RunStatus, conn *linker.Conn, complete bool) {
 	conns := u.allConns()
 	type finding struct {
@@ -298,7 +305,8 @@
 	return best.status, best.conn, complete
 }
 
-// countTokens asks a usable upstream for a prompt's true token count. It returns -1 if none answers.
+// countTokens asks the usable upstreams of a pool in turn for a prompt's true token count. It returns -1 if none answers within
+// callTimeout.
 func (u *upstreams) countTokens(ctx context.Context, pool string, prompt []byte) int {
 	u.mu.Lock()
 	usable := u.usable(pool)
@@ -318,8 +326,9 @@
 	return -1
 }
 
-// HasUpstreams reports whether at least n sidecars may get work from this router under money of any linked router, and whether this
-// router and the others of the region count each other among the keepers.
+// HasUpstreams reports whether at least n sidecars are usable and all of them are registered by all linked routers, so that money
+// of any router may be used at them. It returns false until this router and the others of the region have each other among their
+// keepers.
 func (r *Router) HasUpstreams(n int) bool {
 	u := r.upstreams
 	u.mu.Lock()
--- a/sharer/sharer_test.go
+++ b/sharer/sharer_test.go
@@ -38,7 +38,7 @@
 type countingStore struct {
 	*emulator.RowStore
 	bytes, calls atomic.Int64
-	// isDown is set if the store fails all calls.
+	// isDown is set if the store fails all calls of this router.
 	isDown atomic.Bool
 }
 
@@ -222,7 +222,7 @@
 
 // TestReadingsGrowWithServersNotWithTheirSquare guards against store traffic that grows with the number of routers times the
 // number of servers. There are two servers for each router, and all heartbeats are written to the table. If each router watched
-// it, this would cost 16 kB per second for each of 100 routers and 65 kB for each of 400.
+// the table, each would read 16 kB per second with 100 routers, and 65 kB with 400.
 func TestReadingsGrowWithServersNotWithTheirSquare(t *testing.T) {
 	perRouter := map[int]float64{}
 	for _, routers := range []int{15, 100, 400} {
@@ -244,7 +244,7 @@
 }
 
 // TestChangesArriveInTime changes the state of one server, and adds and removes another, while readers work, hang or are cut off
-// from the store. All routers must know of it in time, within the 2 s that deployments with the tightest limits allow.
+// from the store. All routers must know of each change within the 2 s that deployments with the tightest limits allow.
 func TestChangesArriveInTime(t *testing.T) {
 	cases := map[string]struct {
 		disturb  func(f *fleet)
