--- a/examiner/register_test.go
+++ b/examiner/register_test.go
@@ -12,7 +12,7 @@
 
 var testTime = time.Unix(1_800_000_000, 0)
 
-func newTestRegister() *Registry {
+func newTestRegistry() *Registry {
 	return NewRegistry("r~1", func() float64 { return 0 })
 }
 
@@ -42,7 +42,7 @@
 		"one of them shared with a request outside quarantine": {crashes: []masticway.ServerCrash{newCrash("a", false), newCrash("b", true), newCrash("c", true)}, others: []masticway.ServerCrash{newCrash("c", false)}, want: masticway.SuspicionProven},
 	} {
 		t.Run(name, func(t *testing.T) {
-			r := newTestRegister()
+			r := newTestRegistry()
 			for _, crash := range tc.crashes {
 				r.RecordCrash(testTime, "d", "/p", crash)
 			}
@@ -55,7 +55,7 @@
 }
 
 func TestSuspectsExpire(t *testing.T) {
-	r := newTestRegister()
+	r := newTestRegistry()
 	r.RecordCrash(testTime, "suspect", "/p", newCrash("a", false))
 	for _, s := range []string{"a", "b", "c"} {
 		r.RecordCrash(testTime, "crashing", "/p", newCrash(s, s != "a"))
@@ -89,7 +89,7 @@
 // and crashes a server each time. This happens if only the store's row counts the retries and the store is unavailable. The
 // second block must be longer both at the router of the retry and at a router that it shares its evidence with.
 func TestRetriesCountWithoutStore(t *testing.T) {
-	r, other := newTestRegister(), newTestRegister()
+	r, other := newTestRegistry(), newTestRegistry()
 	for _, s := range []string{"a", "b", "c"} {
 		r.RecordCrash(testTime, "crashing", "/p", newCrash(s, s != "a"))
 	}
@@ -108,10 +108,10 @@
 	}
 }
 
-// TestCrashElsewhereKeepsQuarantinedRun guards against ending a quarantined run when another server crashes that the request ran
-// on before.
+// TestCrashElsewhereKeepsQuarantinedRun guards against ending a request's quarantined run when a server crashes on which the
+// request ran before.
 func TestCrashElsewhereKeepsQuarantinedRun(t *testing.T) {
-	r := newTestRegister()
+	r := newTestRegistry()
 	r.RecordCrash(testTime, "d", "/p", newCrash("a", false))
 	_, _, ok := r.Claim(testTime, "d", "b")
 	qt.Assert(t, ok, qt.IsTrue)
@@ -124,7 +124,7 @@
 // TestExpiredRowsAreDeletedByOwner guards against rows of expired suspects that remain in the store, or that every router
 // deletes.
 func TestExpiredRowsAreDeletedByOwner(t *testing.T) {
-	r := newTestRegister()
+	r := newTestRegistry()
 	row := masticway.StoredRow{RowKey: masticway.RowKey{Key: "d"}, Version: 7, Value: Record{Crashes: []masticway.ServerCrash{newCrash("a", false)}}.encode()}
 	qt.Assert(t, r.ApplyRow(testTime, row), qt.IsNil)
 	later := testTime.Add(suspectTTL)
@@ -139,7 +139,7 @@
 }
 
 func TestSuspectsAreBounded(t *testing.T) {
-	r := newTestRegister()
+	r := newTestRegistry()
 	r.RecordCrash(testTime, "crashing", "/p", newCrash("a", false))
 	r.RecordCrash(testTime, "crashing", "/p", newCrash("b", true))
 	for i := range 3 * maxSuspects {
@@ -153,10 +153,10 @@
 	qt.Assert(t, r.Status(testTime, "crashing").Crashes, qt.HasLen, maxCrashes)
 }
 
-// TestQuarantinedRunOfDeadRouterTimesOut guards against waiting forever for a quarantined run whose router has died.
-func TestQuarantinedRunOfDeadRouterTimesOut(t *testing.T) {
-	r := newTestRegister()
-	record := Record{Crashes: []masticway.ServerCrash{newCrash("a", false)}}.WithRun(&Run{Router: "dead~1", Server: "b"})
+// TestQuarantinedRunOfCrashedRouterTimesOut guards against waiting forever for a quarantined run whose router has crashed.
+func TestQuarantinedRunOfCrashedRouterTimesOut(t *testing.T) {
+	r := newTestRegistry()
+	record := Record{Crashes: []masticway.ServerCrash{newCrash("a", false)}}.WithRun(&Run{Router: "crashed~1", Server: "b"})
 	qt.Assert(t, r.ApplyRow(testTime, masticway.StoredRow{RowKey: masticway.RowKey{Key: "d"}, Version: 1, Value: record.encode()}), qt.IsNil)
 	s := r.Status(testTime.Add(runLease-time.Millisecond), "d")
 	qt.Assert(t, s.Running, qt.IsTrue)
@@ -192,7 +192,7 @@
 // TestClearedRequestIsForgotten clears a suspect that has a row in the store. Evidence of another router that is written before
 // the row is deleted must not be lost.
 func TestClearedRequestIsForgotten(t *testing.T) {
-	r := newTestRegister()
+	r := newTestRegistry()
 	row := masticway.StoredRow{RowKey: masticway.RowKey{Key: "d"}, Version: 1, Value: Record{Crashes: []masticway.ServerCrash{newCrash("a", false)}}.encode()}
 	qt.Assert(t, r.ApplyRow(testTime, row), qt.IsNil)
 	r.Clear("d")
--- a/rotator/rotator.go
+++ b/rotator/rotator.go
@@ -27,7 +27,7 @@
 	leaseTimeout = 3 * time.Second
 	// leaseRetryInterval is the minimum time from a lost election to the next. A random time of up to the same length is added.
 	leaseRetryInterval = 500 * time.Millisecond
-	// maxPauseWithoutLease is how long after the begin of an overload the listener may be paused without a lease.
+	// maxPauseWithoutLease is how long after the start of an overload the listener may be paused without a lease.
 	maxPauseWithoutLease = 1500 * time.Millisecond
 )
 
@@ -182,7 +182,7 @@
 	return overloaded, delayed
 }
 
-// logOverload logs the begin or the end of an overload, and sets the metric.
+// logOverload logs the start or the end of an overload, and sets the metric.
 func (r *Rotator) logOverload(overloaded bool) {
 	fields := logrus.Fields{"event": "overload", "overloaded": overloaded}
 	gauge := int64(0)
--- a/rotator/rotator_test.go
+++ b/rotator/rotator_test.go
@@ -36,15 +36,18 @@
 
 // simRouter is one router of the zone, with its link.
 type simRouter struct {
-	zone     *simZone
-	name     string
-	rotator  *rotator.Rotator
+	zone    *simZone
+	name    string
+	rotator *rotator.Rotator
+	// capacity is the number of requests per second that the router's link can carry.
 	capacity float64
 
 	mu     sync.Mutex
 	paused bool
 	// backlog is the number of requests that wait for the link.
-	backlog    float64
+	backlog float64
+	// misses is the number of successive failed readiness probes. leaveCount is the number of times that the router left the
+	// rotation, and wasOut whether it was out at the last step.
 	misses     int
 	leaveCount int
 	wasOut     bool
@@ -97,6 +100,7 @@
 	usesAll bool
 	steps   int
 
+	// served and lost are the numbers of requests that were served, and that were refused or failed.
 	served, lost float64
 	// minReady is the minimum number of routers that were ready at the same time.
 	minReady int
--- a/sharer/sharer_test.go
+++ b/sharer/sharer_test.go
@@ -74,7 +74,8 @@
 	store  *sharer.Store
 	// isSilent is set if the router replies to no requests.
 	isSilent atomic.Bool
-	since    int64
+	// since is the version of the copy. known holds the states of the servers, by row key.
+	since int64
 
 	mu    sync.Mutex
 	known map[string]string
--- a/throttler/limits.go
+++ b/throttler/limits.go
@@ -267,8 +267,8 @@
 	return r
 }
 
-// WaitTime returns how much longer a server gets no requests from this router because permits were refused. It returns zero if a
-// request may be sent or a permit may be requested.
+// WaitTime returns how much longer a server gets no requests from this router because permits were refused or no router replied.
+// It returns zero if a request may be sent or a permit may be requested.
 func (s *Limits) WaitTime(now time.Time, server masticway.ServerIncarnation) time.Duration {
 	if !s.IsRefused(now, server) {
 		return 0
--- a/throttler/world_test.go
+++ b/throttler/world_test.go
@@ -54,7 +54,7 @@
 	w        *world
 	address  string
 	throttle *throttler.Throttler
-	isDead   bool
+	isDown   bool
 	// isExempt is set if its requests are not counted.
 	isExempt bool
 	// members are the routers that it knows. ranked are their addresses, ranked for the server.
@@ -86,7 +86,7 @@
 // reach returns another router, unless it is down or cut off.
 func (n *simRouter) reach(address string) (*simRouter, bool) {
 	for _, o := range n.w.routers {
-		if o.address == address && !o.isDead && (n.w.isCut == nil || !n.w.isCut(n, o)) {
+		if o.address == address && !o.isDown && (n.w.isCut == nil || !n.w.isCut(n, o)) {
 			return o, true
 		}
 	}
@@ -144,7 +144,7 @@
 
 // updateMembership makes the routers that are not down the members of all routers.
 func (w *world) updateMembership() {
-	alive := slices.DeleteFunc(slices.Clone(w.routers), func(n *simRouter) bool { return n.isDead })
+	alive := slices.DeleteFunc(slices.Clone(w.routers), func(n *simRouter) bool { return n.isDown })
 	for _, n := range w.routers {
 		n.members = alive
 	}
@@ -162,7 +162,7 @@
 			}
 		}
 		for _, n := range w.routers {
-			if !n.isDead {
+			if !n.isDown {
 				n.throttle.NotifyPeers(context.Background())
 			}
 		}
@@ -171,7 +171,7 @@
 
 // sendRequest sends one request to a router.
 func (w *world) sendRequest(n *simRouter) {
-	if n.isDead {
+	if n.isDown {
 		return
 	}
 	w.requestCount++
@@ -285,8 +285,8 @@
 		return nil
 	}
 	cases := map[string]func(w *world){
-		"the owner dies and remains a member for 10 s": func(w *world) {
-			owner(w).isDead = true
+		"the owner crashes and remains a member for 10 s": func(w *world) {
+			owner(w).isDown = true
 			w.advance(settleTime+20*time.Second, 200)
 			w.updateMembership()
 		},
@@ -306,7 +306,7 @@
 		},
 		"all routers restart": func(w *world) {
 			for _, n := range w.routers {
-				n.isDead = true
+				n.isDown = true
 			}
 			old := len(w.routers)
 			for range old {
