--- a/router/budgets.go
+++ b/router/budgets.go
@@ -22,13 +22,14 @@
 
 // BudgetStatus describes a budget and its grants.
 type BudgetStatus struct {
-	Budget    string           `json:"budget"`
-	Prepaid   masticway.Amount `json:"prepaid"`
-	Settled   masticway.Amount `json:"settled"`
+	Budget  string           `json:"budget"`
+	Prepaid masticway.Amount `json:"prepaid"`
+	Settled masticway.Amount `json:"settled"`
+	// Presumed is the part of Settled whose true cost is unknown. GivenBack is the sum of refunds, already subtracted from Settled.
 	Presumed  masticway.Amount `json:"presumed"`
 	GivenBack masticway.Amount `json:"given_back"`
-	Granted   masticway.Amount `json:"granted"`
-	// Left is what is neither settled nor granted, and Stranded the open amount of the stranded grants.
+	// Granted is the sum of the open grants, Left what can still be granted, and Stranded the open amount of the stranded grants.
+	Granted  masticway.Amount `json:"granted"`
 	Left     masticway.Amount `json:"left"`
 	Stranded masticway.Amount `json:"stranded"`
 	Grants   []GrantStatus    `json:"grants"`
--- a/router/settings.go
+++ b/router/settings.go
@@ -44,7 +44,7 @@
 	Policy keeper.Policy `json:"policy"`
 	// Slices is the number of routers that share a budget under the slice policy.
 	Slices int `json:"slices"`
-	// IdleAfter is the time without requests after which a budget's money is returned.
+	// IdleAfter is the time without hold requests after which a budget's money is returned.
 	IdleAfter masticway.Duration `json:"idle_after"`
 	// ExactCount is set if the engine counts the tokens of a prompt before a request is refused for lack of money.
 	ExactCount bool `json:"exact_count"`
@@ -66,7 +66,8 @@
 
 // Queue holds the settings of the queue for upstreams.
 type Queue struct {
-	// PerClass and PerWorkspace are the maximum numbers of requests that wait for one pool, of each class and of each workspace.
+	// PerClass is the maximum number of requests of one class that wait for one pool, and PerWorkspace that of those from one
+	// workspace.
 	PerClass     int `json:"per_class"`
 	PerWorkspace int `json:"per_workspace"`
 	// InteractiveBurst is the number of interactive requests that go before one waiting batch request.
@@ -74,6 +75,6 @@
 	// InteractiveWait and BatchWait are the maximum waits of a request of each class.
 	InteractiveWait masticway.Duration `json:"interactive_wait"`
 	BatchWait       masticway.Duration `json:"batch_wait"`
-	// Overcommit times an upstream's capacity is the number of requests that one router may have in flight there.
+	// Overcommit times an upstream's capacity is the maximum number of requests that one router may have in flight there.
 	Overcommit float64 `json:"overcommit"`
 }
