--- a/authenticator/authenticator.go
+++ b/authenticator/authenticator.go
@@ -26,8 +26,8 @@
 	return keyPrefix + hex.EncodeToString(b)
 }
 
-// Hash returns the form in which a key is stored.
-func Hash(key string) string {
+// HashKey returns the form in which a key is stored.
+func HashKey(key string) string {
 	sum := sha256.Sum256([]byte(key))
 	return hex.EncodeToString(sum[:])
 }
@@ -39,8 +39,8 @@
 	return subtle.ConstantTimeCompare(x[:], y[:]) == 1
 }
 
-// Bearer returns the token of an Authorization header, or nothing.
-func Bearer(r *http.Request) string {
+// BearerToken returns the token of an Authorization header, or nothing.
+func BearerToken(r *http.Request) string {
 	token, ok := strings.CutPrefix(r.Header.Get("Authorization"), "Bearer ")
 	if !ok {
 		return ""
--- a/authenticator/authenticator_test.go
+++ b/authenticator/authenticator_test.go
@@ -24,7 +24,7 @@
 		t.Run(name, func(t *testing.T) {
 			r := httptest.NewRequest("GET", "/", nil)
 			r.Header.Set("Authorization", tc.header)
-			qt.Assert(t, authenticator.Bearer(r), qt.Equals, tc.token)
+			qt.Assert(t, authenticator.BearerToken(r), qt.Equals, tc.token)
 		})
 	}
 }
@@ -32,7 +32,7 @@
 func TestKeysAndSecrets(t *testing.T) {
 	a, b := authenticator.NewKey(), authenticator.NewKey()
 	qt.Assert(t, a == b, qt.IsFalse)
-	qt.Assert(t, strings.Contains(authenticator.Hash(a), a), qt.IsFalse)
+	qt.Assert(t, strings.Contains(authenticator.HashKey(a), a), qt.IsFalse)
 	qt.Assert(t, authenticator.Equal(a, a), qt.IsTrue)
 	qt.Assert(t, authenticator.Equal(a, b), qt.IsFalse)
 	qt.Assert(t, authenticator.Equal("", a), qt.IsFalse)
--- a/charter/charter.go
+++ b/charter/charter.go
@@ -52,15 +52,15 @@
 // Error names chart and fault.
 func (e *FaultError) Error() string { return fmt.Sprintf("chart %s: %s", e.Chart, e.Fault) }
 
-// StepError reports an event that a chart does not allow in a state.
-type StepError struct {
+// TransitionError reports an event that a chart does not allow in a state.
+type TransitionError struct {
 	Chart string
 	State State
 	Event Event
 }
 
 // Error describes the step.
-func (e *StepError) Error() string {
+func (e *TransitionError) Error() string {
 	return fmt.Sprintf("chart %s: no step from %s on %s", e.Chart, e.State, e.Event)
 }
 
@@ -153,14 +153,14 @@
 // Initial returns the state in which everything starts.
 func (c Chart) Initial() State { return c.initial }
 
-// Next returns the state after an event; it fails with StepError and the same state when there is no such step.
+// Next returns the state after an event; it fails with TransitionError and the same state when there is no such step.
 func (c Chart) Next(s State, e Event) (State, error) {
 	next, ok := c.states[s][e]
 	if !ok {
-		return s, &StepError{Chart: c.name, State: s, Event: e}
+		return s, &TransitionError{Chart: c.name, State: s, Event: e}
 	}
 	return next, nil
 }
 
-// Final tells whether nothing follows a state.
-func (c Chart) Final(s State) bool { return len(c.states[s]) == 0 }
+// IsFinal tells whether nothing follows a state.
+func (c Chart) IsFinal(s State) bool { return len(c.states[s]) == 0 }
--- a/charter/charter_test.go
+++ b/charter/charter_test.go
@@ -38,8 +38,8 @@
 	qt.Assert(t, err, qt.IsNil)
 	settled, err := c.Next(held, "settled")
 	qt.Assert(t, err, qt.IsNil)
-	qt.Assert(t, c.Final(settled), qt.IsTrue)
+	qt.Assert(t, c.IsFinal(settled), qt.IsTrue)
 	_, err = c.Next(settled, "settled")
-	var step *charter.StepError
+	var step *charter.TransitionError
 	qt.Assert(t, err, qt.ErrorAs, &step)
 }
--- a/commander/client.go
+++ b/commander/client.go
@@ -91,7 +91,7 @@
 	for _, h := range call.headers {
 		request.Header.Set(h.name, h.value)
 	}
-	answer, err := receiver.Do(http.DefaultClient, request, receiver.Limits{Begin: clientTimeout, Pause: clientTimeout, Bytes: noSizeLimit})
+	answer, err := receiver.Do(http.DefaultClient, request, receiver.Limits{HeaderTimeout: clientTimeout, IdleTimeout: clientTimeout, MaxBytes: noSizeLimit})
 	if err != nil {
 		return nil, fmt.Errorf("calling the router: %w", err)
 	}
--- a/commander/dev.go
+++ b/commander/dev.go
@@ -126,8 +126,8 @@
 // seedDev stores the sample catalog and contracts, each contract with one key, and the prepaid budgets.
 func seedDev(ctx context.Context, fleet *starter.Fleet, key string) error {
 	contracts := sampleContracts()
-	contracts[0] = contracts[0].WithKeyHashes(authenticator.Hash(key))
-	contracts[1] = contracts[1].WithKeyHashes(authenticator.Hash(key + "-bronceo"))
+	contracts[0] = contracts[0].WithKeyHashes(authenticator.HashKey(key))
+	contracts[1] = contracts[1].WithKeyHashes(authenticator.HashKey(key + "-bronceo"))
 	budgets := []starter.Prepaid{
 		{Budget: "tailoring", Amount: devPrepaid * masticway.PerToken}, {Budget: "bronceo", Amount: devPrepaid * masticway.PerToken},
 	}
--- a/commander/drive.go
+++ b/commander/drive.go
@@ -56,8 +56,8 @@
 		return err
 	}
 	report, err := loader.Drive{
-		Callers: strings.Split(f.callers, ","), Key: f.key, Model: f.model, Rate: rate, Duration: f.duration,
-		Tokens: f.tokens, PromptBytes: f.prompt, Seed: 1, Watch: watched,
+		BaseURLs: strings.Split(f.callers, ","), Key: f.key, Model: f.model, Rate: rate, Duration: f.duration,
+		Tokens: f.tokens, PromptBytes: f.prompt, Seed: 1, Processes: watched,
 	}.Run(ctx)
 	if err != nil {
 		return err
@@ -66,8 +66,8 @@
 	return nil
 }
 
-func parseWatch(list string) ([]loader.Watched, error) {
-	var watched []loader.Watched
+func parseWatch(list string) ([]loader.Process, error) {
+	var watched []loader.Process
 	for part := range strings.SplitSeq(list, ",") {
 		if part == "" {
 			continue
@@ -78,7 +78,7 @@
 		if !ok || err != nil {
 			return nil, &usageError{reason: fmt.Sprintf("--watch %q is not NAME=PID", part)}
 		}
-		watched = append(watched, loader.Watched{Name: name, PID: n, Vars: vars})
+		watched = append(watched, loader.Process{Name: name, PID: n, MetricsURL: vars})
 	}
 	return watched, nil
 }
--- a/commander/roles.go
+++ b/commander/roles.go
@@ -177,7 +177,7 @@
 		name: "key", description: "generate a caller key, and its hash for the contract", example: "masticway key",
 		run: func(_ context.Context, e env) error {
 			key := authenticator.NewKey()
-			_, err := fmt.Fprintf(e.out, "key   %s\nhash  %s\n", key, authenticator.Hash(key))
+			_, err := fmt.Fprintf(e.out, "key   %s\nhash  %s\n", key, authenticator.HashKey(key))
 			return err
 		},
 	}
@@ -190,7 +190,7 @@
 		example: "masticway docs --page settings > docs/SETTINGS.md",
 		flags:   func(s *flaggy.Subcommand) { s.String(&page, "", "page", "settings or capacity") },
 		run: func(_ context.Context, e env) error {
-			write := validator.Page
+			write := validator.SettingsPage
 			switch page {
 			case "settings":
 			case "capacity":
--- a/commander/soak.go
+++ b/commander/soak.go
@@ -35,8 +35,8 @@
 			s.String(&out, "", "out", "directory for settings and logs")
 		},
 		run: func(ctx context.Context, e env) error {
-			if seed < 0 || seconds < 1 || routers < 1 || routers > soaker.MostRouters {
-				return &usageError{reason: fmt.Sprintf("--seed is 0 or more, --seconds 1 or more, --routers 1 to %d", soaker.MostRouters)}
+			if seed < 0 || seconds < 1 || routers < 1 || routers > soaker.MaxRouters {
+				return &usageError{reason: fmt.Sprintf("--seed is 0 or more, --seconds 1 or more, --routers 1 to %d", soaker.MaxRouters)}
 			}
 			for _, kind := range splitList(kinds) {
 				if !slices.Contains(soaker.Kinds(), kind) {
--- a/configurer/bench_test.go
+++ b/configurer/bench_test.go
@@ -16,7 +16,7 @@
 		name := fmt.Sprint("workspace-", i)
 		c := masticway.Contract{
 			Workspace: name, Budget: name, Class: masticway.ClassInteractive,
-			KeyHashes: []string{authenticator.Hash(name), authenticator.Hash(name + "b")},
+			KeyHashes: []string{authenticator.HashKey(name), authenticator.HashKey(name + "b")},
 			Services:  []masticway.ServiceTerms{{Name: "booking", NonRepeatable: []masticway.CallPattern{{Method: "POST", Path: "/sessions"}}}},
 		}
 		for m := range 4 {
--- a/connector/client.go
+++ b/connector/client.go
@@ -105,7 +105,7 @@
 }
 
 func (p Platform) call(ctx context.Context, path string, body, answer any) (sent bool, err error) {
-	limits := receiver.Limits{Begin: p.timeout, Pause: receiver.PauseLimit, Bytes: bodyLimit}
+	limits := receiver.Limits{HeaderTimeout: p.timeout, IdleTimeout: receiver.DefaultIdleTimeout, MaxBytes: bodyLimit}
 	return postJSON(ctx, p.client, p.base+path, limits, body, answer)
 }
 
--- a/connector/upstream.go
+++ b/connector/upstream.go
@@ -30,7 +30,7 @@
 )
 
 // noTimeouts are the limits of calls that only the caller's context bounds.
-var noTimeouts = receiver.Limits{Begin: unbounded, Pause: unbounded, Bytes: bodyLimit}
+var noTimeouts = receiver.Limits{HeaderTimeout: unbounded, IdleTimeout: unbounded, MaxBytes: bodyLimit}
 
 // Upstream is a client of a model engine or a plain service over HTTP.
 type Upstream struct {
--- a/explainer/explainer.go
+++ b/explainer/explainer.go
@@ -67,8 +67,8 @@
 	Took      masticway.Duration `json:"took"`
 }
 
-// Memory holds recent traces; it is safe for concurrent use.
-type Memory struct {
+// TraceCache holds recent traces; it is safe for concurrent use.
+type TraceCache struct {
 	batches *batcher.Batcher[Trace]
 
 	mu     sync.Mutex
@@ -76,13 +76,13 @@
 	order  []string
 }
 
-// NewMemory returns an empty memory whose batches carry the owner's name.
-func NewMemory(owner masticway.Incarnation) *Memory {
-	return &Memory{batches: batcher.New[Trace](prefix, owner, pendingMost), traces: map[string]Trace{}}
+// NewTraceCache returns an empty memory whose batches carry the owner's name.
+func NewTraceCache(owner masticway.Incarnation) *TraceCache {
+	return &TraceCache{batches: batcher.New[Trace](prefix, owner, pendingMost), traces: map[string]Trace{}}
 }
 
 // Add remembers a trace.
-func (m *Memory) Add(t Trace) {
+func (m *TraceCache) Add(t Trace) {
 	for i, a := range t.Attempts {
 		slices.SortFunc(a.Candidates, func(x, y chooser.Score) int { return cmp.Compare(x.Seconds, y.Seconds) })
 		t.Attempts[i].Candidates = slices.Clone(a.Candidates[:min(len(a.Candidates), candidatesKept)])
@@ -99,12 +99,12 @@
 }
 
 // Flush writes what waits as one object; after a failure it is written by the next flush.
-func (m *Memory) Flush(ctx context.Context, store masticway.ObjectStore) error {
+func (m *TraceCache) Flush(ctx context.Context, store masticway.ObjectStore) error {
 	return m.batches.Flush(ctx, store, "")
 }
 
 // Get returns a trace that is still in memory.
-func (m *Memory) Get(request string) (Trace, bool) {
+func (m *TraceCache) Get(request string) (Trace, bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	t, ok := m.traces[request]
@@ -116,8 +116,8 @@
 	return string(owner) + "." + serial
 }
 
-// Search looks for a trace in the object store; it fails with NotFoundError when there is none.
-func Search(ctx context.Context, store masticway.ObjectStore, request string) (Trace, error) {
+// FindTrace looks for a trace in the object store; it fails with NotFoundError when there is none.
+func FindTrace(ctx context.Context, store masticway.ObjectStore, request string) (Trace, error) {
 	owner, _, _ := strings.Cut(request, ".")
 	names, err := store.List(ctx, prefix+owner+"/")
 	if err != nil {
--- a/explainer/explainer_test.go
+++ b/explainer/explainer_test.go
@@ -14,7 +14,7 @@
 
 func TestOldTracesAreFoundInTheObjectStore(t *testing.T) {
 	store := emulator.NewObjectStore()
-	m := explainer.NewMemory("r~1")
+	m := explainer.NewTraceCache("r~1")
 	ctx := context.Background()
 	for i := range 5000 {
 		m.Add(explainer.Trace{Request: explainer.RequestID("r~1", fmt.Sprint(i))})
@@ -31,11 +31,11 @@
 	_, ok = m.Get("r~1.4999")
 	qt.Assert(t, ok, qt.IsTrue)
 	for _, id := range []string{"r~1.0", "r~1.1500", "r~1.4999"} {
-		trace, err := explainer.Search(ctx, store, id)
+		trace, err := explainer.FindTrace(ctx, store, id)
 		qt.Assert(t, err, qt.IsNil, qt.Commentf("%s", id))
 		qt.Assert(t, trace.Request, qt.Equals, id)
 	}
 	var missing *masticway.NotFoundError
-	_, err := explainer.Search(ctx, store, "r~1.nope")
+	_, err := explainer.FindTrace(ctx, store, "r~1.nope")
 	qt.Assert(t, err, qt.ErrorAs, &missing)
 }
--- a/forwarder/candidates_test.go
+++ b/forwarder/candidates_test.go
@@ -29,7 +29,7 @@
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
 			f := newFixtureWithSettings(t, len(zones), forwarder.Settings{
-				Retries: forwarder.RetriesSettings{Ratio: 0.2, Slack: 50, WindowSeconds: 10},
+				Retries: forwarder.RetriesSettings{Ratio: 0.2, FixedRetries: 50, WindowSeconds: 10},
 				Regions: map[string]string{"z-east": "east", "z-west": "west"},
 			})
 			d := f.snapshot.Deployment
--- a/forwarder/forwarder.go
+++ b/forwarder/forwarder.go
@@ -80,8 +80,8 @@
 	Rotation masticway.Rotation
 	// Throttler enforces the rate limits and backoff that servers announce.
 	Throttler masticway.Throttler
-	// OnLeaving is called for servers that announce that they drain.
-	OnLeaving func(masticway.Server)
+	// OnDraining is called for servers that announce that they drain.
+	OnDraining func(masticway.Server)
 	// Dial connects to servers.
 	Dial func(ctx context.Context, network, address string) (net.Conn, error)
 }
@@ -90,7 +90,7 @@
 func New(s Settings, p Dependencies) *Forwarder {
 	f := &Forwarder{
 		settings: s, clock: p.Clock, log: p.Log, metrics: p.Metrics, codec: p.Codec, budgets: p.Budgets, snapshot: p.Snapshot,
-		examiner: p.Examiner, rotation: p.Rotation, throttler: p.Throttler, onLeaving: p.OnLeaving,
+		examiner: p.Examiner, rotation: p.Rotation, throttler: p.Throttler, onLeaving: p.OnDraining,
 		checks: &checks{dial: p.Dial, clock: p.Clock, log: p.Log, byServer: map[masticway.ServerIncarnation]*check{}},
 		sender: sender.New(p.Dial, p.Clock.Now), servers: chooser.NewServers(s.serverPolicy()), allowances: map[string]*retrier.Allowance{},
 	}
@@ -178,7 +178,7 @@
 	a, ok := f.allowances[pool]
 	if !ok {
 		s := f.settings.Retries
-		a = retrier.NewAllowance(s.Ratio, s.Slack, time.Duration(s.WindowSeconds*float64(time.Second)))
+		a = retrier.NewAllowance(s.Ratio, s.FixedRetries, time.Duration(s.WindowSeconds*float64(time.Second)))
 		f.allowances[pool] = a
 	}
 	return a
--- a/forwarder/forwarder_test.go
+++ b/forwarder/forwarder_test.go
@@ -237,7 +237,7 @@
 )
 
 func newFixture(t *testing.T, servers int) *fixture {
-	return newFixtureWithRetries(t, servers, forwarder.RetriesSettings{Ratio: 0.2, Slack: 50, WindowSeconds: 10})
+	return newFixtureWithRetries(t, servers, forwarder.RetriesSettings{Ratio: 0.2, FixedRetries: 50, WindowSeconds: 10})
 }
 
 func newFixtureWithRetries(t *testing.T, servers int, retries forwarder.RetriesSettings) *fixture {
@@ -296,7 +296,7 @@
 		Members: f.budgets, Peers: func() []string { return nil }, Clock: f.clock, Log: log.WithField("", ""), Metrics: measurer.New(), Address: routerAddress,
 	})
 	f.router = forwarder.New(settings, forwarder.Dependencies{
-		Examiner: e, Rotation: &f.rotation, Throttler: f.throttler, OnLeaving: func(masticway.Server) {}, Clock: f.clock, Log: log.WithField("", ""), Metrics: measurer.New(), Codec: platform.HeaderCodec{},
+		Examiner: e, Rotation: &f.rotation, Throttler: f.throttler, OnDraining: func(masticway.Server) {}, Clock: f.clock, Log: log.WithField("", ""), Metrics: measurer.New(), Codec: platform.HeaderCodec{},
 		Budgets: f.budgets, Snapshot: func() follower.Snapshot { return f.snapshot }, Dial: (&net.Dialer{}).DialContext,
 	})
 	f.frontend = httptest.NewServer(f.router)
--- a/forwarder/limits_test.go
+++ b/forwarder/limits_test.go
@@ -148,7 +148,7 @@
 		sent   int
 	}{"claim granted": {claims: true, sent: 1}, "claim denied": {}} {
 		t.Run(name, func(t *testing.T) {
-			f := newFixtureWithExaminer(t, quarantining{claimable: tc.claims}, 1, forwarder.Settings{Retries: forwarder.RetriesSettings{Ratio: 0.2, Slack: 50, WindowSeconds: 10}})
+			f := newFixtureWithExaminer(t, quarantining{claimable: tc.claims}, 1, forwarder.Settings{Retries: forwarder.RetriesSettings{Ratio: 0.2, FixedRetries: 50, WindowSeconds: 10}})
 			f.servers[0].SetRateLimit("0.5")
 			incarnation := masticway.ServerIncarnation(f.servers[0].ID)
 			f.throttler.Observe(incarnation, masticway.ServerAnswer{Signed: true, Limit: masticway.RateLimit{IsSet: true, Rate: 0.5}})
--- a/forwarder/settings.go
+++ b/forwarder/settings.go
@@ -27,7 +27,7 @@
 	MemoryMB int64 `json:"memory_mb,omitempty"`
 	// GraceSeconds is how long the process runs after it is asked to shut down.
 	GraceSeconds float64         `json:"grace_seconds"`
-	Money        MoneySettings   `json:"money"`
+	Budgets      BudgetSettings  `json:"money"`
 	Retries      RetriesSettings `json:"retries"`
 	Cold         ColdSettings    `json:"cold"`
 	// Regions maps the deployment's availability zones to their regions.
@@ -47,8 +47,8 @@
 	ZoneTokenCost float64 `json:"zone_token_cost"`
 }
 
-// MoneySettings configures how prepaid budgets are kept.
-type MoneySettings struct {
+// BudgetSettings configures how prepaid budgets are kept.
+type BudgetSettings struct {
 	// Parts is the number of parts of the store over which budgets are spread.
 	Parts   int                `json:"parts"`
 	Reserve masticway.Duration `json:"reserve"`
@@ -57,21 +57,21 @@
 // RetriesSettings bounds the retries at a pool over all routers.
 type RetriesSettings struct {
 	Ratio         float64 `json:"ratio"`
-	Slack         float64 `json:"slack"`
+	FixedRetries  float64 `json:"slack"`
 	WindowSeconds float64 `json:"window_seconds"`
 }
 
 // ColdSettings bounds the requests that a cold server gets in any second, over all routers: the pool's configured rate times
 // Overshoot, plus Slack.
 type ColdSettings struct {
-	Overshoot float64 `json:"overshoot"`
-	Slack     float64 `json:"slack"`
+	Overshoot     float64 `json:"overshoot"`
+	ExtraRequests float64 `json:"slack"`
 }
 
 // serverPolicy returns the settings for the choice of servers.
 func (s Settings) serverPolicy() chooser.ServerPolicy {
 	return chooser.ServerPolicy{
 		RankShare: s.Policy.RankShare, ZoneTokenCost: s.Policy.ZoneTokenCost,
-		Cold: chooser.ColdRateLimit{Overshoot: s.Cold.Overshoot, Slack: s.Cold.Slack},
+		Cold: chooser.ColdRateLimit{Overshoot: s.Cold.Overshoot, Slack: s.Cold.ExtraRequests},
 	}
 }
--- a/linker/conn.go
+++ b/linker/conn.go
@@ -147,17 +147,17 @@
 	return nil
 }
 
-// Ask sends a question and waits for its answer.
+// Call sends a question and waits for its answer.
 //
 // When it fails after sending, the peer may have acted on the question.
-func (c *Conn) Ask(ctx context.Context, m Message) (Message, error) {
+func (c *Conn) Call(ctx context.Context, m Message) (Message, error) {
 	return c.ask(ctx, m, question{})
 }
 
-// AskLarge is Ask for an answer of any size: it fails with LateError once nothing large has come for a pause.
+// CallLarge is Ask for an answer of any size: it fails with LateError once nothing large has come for a pause.
 //
 // The time that a large answer takes grows with its size, and so does that of others that come before it on the link.
-func (c *Conn) AskLarge(ctx context.Context, m Message, pause time.Duration) (Message, error) {
+func (c *Conn) CallLarge(ctx context.Context, m Message, pause time.Duration) (Message, error) {
 	asking, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
 	late := time.AfterFunc(pause, func() { cancel(&LateError{Peer: c.peer.Instance, Pause: pause}) })
@@ -166,14 +166,14 @@
 }
 
 func (c *Conn) ask(ctx context.Context, m Message, q question) (Message, error) {
-	m.Call = c.calls.Add(1)
+	m.CallID = c.calls.Add(1)
 	q.answer = make(chan Message, 1)
 	c.mu.Lock()
-	c.answers[m.Call] = q
+	c.answers[m.CallID] = q
 	c.mu.Unlock()
 	defer func() {
 		c.mu.Lock()
-		delete(c.answers, m.Call)
+		delete(c.answers, m.CallID)
 		c.mu.Unlock()
 	}()
 	if err := c.Send(m); err != nil {
@@ -200,9 +200,9 @@
 	}
 }
 
-// Answer sends the reply to a question.
-func (c *Conn) Answer(question, reply Message) error {
-	reply.Reply = question.Call
+// Reply sends the reply to a question.
+func (c *Conn) Reply(question, reply Message) error {
+	reply.ReplyTo = question.CallID
 	return c.Send(reply)
 }
 
@@ -252,12 +252,12 @@
 func (c *Conn) expectPiece() { _ = c.socket.SetReadDeadline(time.Now().Add(readTimeout)) }
 
 func (c *Conn) deliver(m Message, h Handler) {
-	if m.Reply == 0 {
+	if m.ReplyTo == 0 {
 		h(c, m)
 		return
 	}
 	c.mu.Lock()
-	q, ok := c.answers[m.Reply]
+	q, ok := c.answers[m.ReplyTo]
 	c.mu.Unlock()
 	if ok {
 		q.answer <- m
--- a/linker/handshake.go
+++ b/linker/handshake.go
@@ -236,13 +236,13 @@
 	Identity Identity
 	Dial     DialFunc
 	Handler  Handler
-	// Up and Down are called as the link comes and goes.
-	Up   func(*Conn)
-	Down func(*Conn)
+	// OnUp and Down are called as the link comes and goes.
+	OnUp   func(*Conn)
+	OnDown func(*Conn)
 }
 
-// Once opens one link and proves both ends; the caller must run it.
-func (d Dialer) Once(ctx context.Context, address string) (*Conn, error) {
+// Connect opens one link and proves both ends; the caller must run it.
+func (d Dialer) Connect(ctx context.Context, address string) (*Conn, error) {
 	w := websocket.Dialer{
 		NetDialContext: d.Dial, HandshakeTimeout: handshakeTimeout,
 		ReadBufferSize: bufferBytes, WriteBufferSize: bufferBytes, WriteBufferPool: &writeBuffers,
@@ -278,11 +278,11 @@
 	return w.Peer, writeOne(socket, proof{MAC: mac})
 }
 
-// Keep holds a link to an address until the context ends, dialing again with jittered backoff.
-func (d Dialer) Keep(ctx context.Context, address string) {
+// KeepConnected holds a link to an address until the context ends, dialing again with jittered backoff.
+func (d Dialer) KeepConnected(ctx context.Context, address string) {
 	wait := backoffLeast
 	for ctx.Err() == nil {
-		c, err := d.Once(ctx, address)
+		c, err := d.Connect(ctx, address)
 		if err != nil {
 			if !sleep(ctx, time.Duration(rand.Int64N(int64(wait)))+wait/2) {
 				return
@@ -299,9 +299,9 @@
 func (d Dialer) Serve(ctx context.Context, c *Conn) {
 	stop := context.AfterFunc(ctx, c.Close)
 	defer stop()
-	d.Up(c)
+	d.OnUp(c)
 	c.run(d.Handler)
-	d.Down(c)
+	d.OnDown(c)
 }
 
 func sleep(ctx context.Context, d time.Duration) bool {
--- a/linker/linker_test.go
+++ b/linker/linker_test.go
@@ -34,7 +34,7 @@
 		defer mu.Unlock()
 		if m.Find != nil {
 			list = append(list, string(m.Find.Identity))
-			_ = c.Answer(m, linker.Message{Status: &sealer.RunStatus{Found: true}})
+			_ = c.Reply(m, linker.Message{Status: &sealer.RunStatus{Found: true}})
 		}
 	}
 	l = linker.NewListener(identity("server", key), handle, func(*linker.Conn) {}, func(*linker.Conn) {})
@@ -53,7 +53,7 @@
 func dialer(key string) linker.Dialer {
 	return linker.Dialer{
 		Identity: identity("client", key), Dial: (&net.Dialer{}).DialContext,
-		Handler: func(*linker.Conn, linker.Message) {}, Up: func(*linker.Conn) {}, Down: func(*linker.Conn) {},
+		Handler: func(*linker.Conn, linker.Message) {}, OnUp: func(*linker.Conn) {}, OnDown: func(*linker.Conn) {},
 	}
 }
 
@@ -61,12 +61,12 @@
 	address, heard, l := serve(t, "0123456789abcdef")
 	d := dialer("0123456789abcdef")
 	ctx, cancel := context.WithCancel(context.Background())
-	c, err := d.Once(ctx, address)
+	c, err := d.Connect(ctx, address)
 	qt.Assert(t, err, qt.IsNil)
 	var wg sync.WaitGroup
 	wg.Go(func() { d.Serve(ctx, c) })
 	for _, id := range []string{"a", "b", "c"} {
-		a, err := c.Ask(ctx, linker.Message{Find: &sealer.Find{Identity: masticway.Identity(id)}})
+		a, err := c.Call(ctx, linker.Message{Find: &sealer.Find{Identity: masticway.Identity(id)}})
 		qt.Assert(t, err, qt.IsNil)
 		qt.Assert(t, a.Status.Found, qt.IsTrue)
 	}
@@ -75,7 +75,7 @@
 	cancel()
 	wg.Wait()
 	var down *linker.DownError
-	_, err = c.Ask(context.Background(), linker.Message{Find: &sealer.Find{}})
+	_, err = c.Call(context.Background(), linker.Message{Find: &sealer.Find{}})
 	qt.Assert(t, err, qt.ErrorAs, &down)
 	l.Close()
 }
@@ -88,7 +88,7 @@
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
 			address, _, l := serve(t, tc.server)
-			_, err := dialer(tc.client).Once(context.Background(), address)
+			_, err := dialer(tc.client).Connect(context.Background(), address)
 			var refused *linker.HandshakeError
 			qt.Assert(t, err, qt.ErrorAs, &refused)
 			qt.Assert(t, l.All(), qt.HasLen, 0)
@@ -101,15 +101,15 @@
 	d := dialer("0123456789abcdef")
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	first, err := d.Once(ctx, address)
+	first, err := d.Connect(ctx, address)
 	qt.Assert(t, err, qt.IsNil)
 	go d.Serve(ctx, first)
-	_, err = first.Ask(ctx, linker.Message{Find: &sealer.Find{}})
+	_, err = first.Call(ctx, linker.Message{Find: &sealer.Find{}})
 	qt.Assert(t, err, qt.IsNil)
-	second, err := d.Once(ctx, address)
+	second, err := d.Connect(ctx, address)
 	qt.Assert(t, err, qt.IsNil)
 	go d.Serve(ctx, second)
-	_, err = second.Ask(ctx, linker.Message{Find: &sealer.Find{}})
+	_, err = second.Call(ctx, linker.Message{Find: &sealer.Find{}})
 	qt.Assert(t, err, qt.IsNil)
 	<-first.Done()
 	qt.Assert(t, l.All(), qt.HasLen, 1)
@@ -119,10 +119,10 @@
 	address, _, l := serve(t, "0123456789abcdef")
 	d := dialer("0123456789abcdef")
 	ups := make(chan *linker.Conn, 4)
-	d.Up = func(c *linker.Conn) { ups <- c }
+	d.OnUp = func(c *linker.Conn) { ups <- c }
 	ctx, cancel := context.WithCancel(context.Background())
 	var wg sync.WaitGroup
-	wg.Go(func() { d.Keep(ctx, address) })
+	wg.Go(func() { d.KeepConnected(ctx, address) })
 	(<-ups).Close()
 	(<-ups).Close()
 	<-ups
@@ -134,7 +134,7 @@
 func TestPeerThatDoesNotReadLosesItsLink(t *testing.T) {
 	address, _, _ := serve(t, "0123456789abcdef")
 	d := dialer("0123456789abcdef")
-	c, err := d.Once(context.Background(), address)
+	c, err := d.Connect(context.Background(), address)
 	qt.Assert(t, err, qt.IsNil)
 	// Nothing runs the link, so its queue fills: memory stays bounded and the link ends.
 	var down *linker.DownError
@@ -150,7 +150,7 @@
 func FuzzDecode(f *testing.F) {
 	seeds := []linker.Message{
 		{Frame: &sealer.Frame{Run: masticway.RunKey{Identity: "w/k", Attempt: 1}, Chunk: masticway.Chunk{Text: "x", Tokens: 1}}},
-		{Call: 7, Hold: nil, Beat: &linker.Beat{Revision: 3, Load: &masticway.LoadReport{ReportedAt: time.Unix(1, 0)}}},
+		{CallID: 7, Hold: nil, Heartbeat: &linker.Heartbeat{Revision: 3, Load: &masticway.LoadReport{ReportedAt: time.Unix(1, 0)}}},
 		{Dispatch: &sealer.Dispatch{Bound: 5, Call: masticway.Call{Model: "m"}}},
 	}
 	for _, m := range seeds {
@@ -196,7 +196,7 @@
 			for i := range n {
 				c.Models = append(c.Models, masticway.ModelTerms{Name: fmt.Sprint("model-", i), MaxOutput: 512})
 			}
-			batch := []linker.Message{{Changes: &linker.Changes{List: []masticway.Change{{Revision: 7200, ID: "1b4e28ba-2fa1-11d2-883f-0016d3cca427", Contract: &c}}, Upto: 7200}}}
+			batch := []linker.Message{{Changes: &linker.Changes{List: []masticway.Change{{Revision: 7200, ID: "1b4e28ba-2fa1-11d2-883f-0016d3cca427", Contract: &c}}, Revision: 7200}}}
 			size := 0
 			for b.Loop() {
 				data, err := linker.Encode(batch)
--- a/linker/slow_test.go
+++ b/linker/slow_test.go
@@ -31,7 +31,7 @@
 func run(t *testing.T, address string) (c *linker.Conn, stop func()) {
 	d := dialer("0123456789abcdef")
 	ctx, cancel := context.WithCancel(context.Background())
-	c, err := d.Once(ctx, address)
+	c, err := d.Connect(ctx, address)
 	if err != nil {
 		cancel()
 		t.Fatal(err)
@@ -55,7 +55,7 @@
 			return
 		case <-tick.C:
 			// It fails once the link is down, which the next turn finds.
-			_ = c.Send(linker.Message{Beat: &linker.Beat{}})
+			_ = c.Send(linker.Message{Heartbeat: &linker.Heartbeat{}})
 		}
 	}
 }
@@ -67,7 +67,7 @@
 		if m.Explain == nil {
 			return
 		}
-		_ = c.Answer(m, linker.Message{Explained: &linker.Explained{Trace: trace}})
+		_ = c.Reply(m, linker.Message{Explained: &linker.Explained{Trace: trace}})
 	}
 	l := linker.NewListener(identity("server", "0123456789abcdef"), answer, func(*linker.Conn) {}, func(*linker.Conn) {})
 	server := httptest.NewServer(l)
@@ -101,7 +101,7 @@
 			var wg sync.WaitGroup
 			for range tc.questions {
 				wg.Go(func() {
-					a, err := c.Ask(ctx, linker.Message{Explain: &linker.Explain{}})
+					a, err := c.Call(ctx, linker.Message{Explain: &linker.Explain{}})
 					if qt.Check(t, err, qt.IsNil) {
 						qt.Check(t, a.Explained.Trace, qt.HasLen, tc.bytes)
 					}
@@ -181,7 +181,7 @@
 		if m.Explain == nil {
 			return
 		}
-		_ = c.Answer(m, linker.Message{Explained: &linker.Explained{Trace: make([]byte, 10*after)}})
+		_ = c.Reply(m, linker.Message{Explained: &linker.Explained{Trace: make([]byte, 10*after)}})
 	}
 	l := linker.NewListener(identity("server", "0123456789abcdef"), answer, func(*linker.Conn) {}, func(*linker.Conn) {})
 	server := httptest.NewUnstartedServer(l)
@@ -212,7 +212,7 @@
 			c := behindLink(t, slowLink, 2<<20)
 			ctx, cancel := context.WithTimeout(t.Context(), slowAnswerLimit)
 			defer cancel()
-			a, err := c.AskLarge(ctx, tc.question, pause)
+			a, err := c.CallLarge(ctx, tc.question, pause)
 			if tc.late {
 				var late *linker.LateError
 				qt.Assert(t, err, qt.ErrorAs, &late)
--- a/loader/driver.go
+++ b/loader/driver.go
@@ -23,8 +23,8 @@
 
 // Drive offers steady load to processes that run already, and watches what they use.
 type Drive struct {
-	// Callers are base URLs of routers, or of a model engine to compare with.
-	Callers     []string
+	// BaseURLs are base URLs of routers, or of a model engine to compare with.
+	BaseURLs    []string
 	Key         string
 	Model       string
 	Rate        float64
@@ -32,15 +32,15 @@
 	Tokens      int
 	PromptBytes int
 	Seed        int64
-	Watch       []Watched
+	Processes   []Process
 }
 
-// Watched is a process whose use of the machine is measured.
-type Watched struct {
+// Process is a process whose use of the machine is measured.
+type Process struct {
 	Name string
 	PID  int
-	// Vars is the URL of its metrics, or empty.
-	Vars string
+	// MetricsURL is the URL of its metrics, or empty.
+	MetricsURL string
 }
 
 // Use is what a watched process used on average.
@@ -72,7 +72,7 @@
 	bytes float64
 }
 
-func (w Watched) sample(ctx context.Context) (sample, error) {
+func (w Process) sample(ctx context.Context) (sample, error) {
 	var s sample
 	data, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", w.PID))
 	if err != nil {
@@ -101,11 +101,11 @@
 	return s, err
 }
 
-func (w Watched) linkBytes(ctx context.Context) (float64, error) {
-	if w.Vars == "" {
+func (w Process) linkBytes(ctx context.Context) (float64, error) {
+	if w.MetricsURL == "" {
 		return 0, nil
 	}
-	request, err := http.NewRequestWithContext(ctx, http.MethodGet, w.Vars, nil)
+	request, err := http.NewRequestWithContext(ctx, http.MethodGet, w.MetricsURL, nil)
 	if err != nil {
 		return 0, fmt.Errorf("watching %s: %w", w.Name, err)
 	}
@@ -150,7 +150,7 @@
 
 func (d Drive) samples(ctx context.Context) (map[string]sample, error) {
 	all := map[string]sample{}
-	for _, w := range d.Watch {
+	for _, w := range d.Processes {
 		s, err := w.sample(ctx)
 		if err != nil {
 			return nil, err
@@ -176,7 +176,7 @@
 		}
 		report.Requests++
 		due := began.Add(at)
-		url := d.Callers[report.Requests%len(d.Callers)]
+		url := d.BaseURLs[report.Requests%len(d.BaseURLs)]
 		body := d.body(report.Requests)
 		wg.Go(func() {
 			a := d.once(ctx, client, url, body, due)
--- a/loader/runner.go
+++ b/loader/runner.go
@@ -224,7 +224,7 @@
 	keyed := make([]masticway.Contract, 0, len(contracts))
 	for _, c := range contracts {
 		keys[c.Workspace] = authenticator.NewKey()
-		keyed = append(keyed, c.WithKeyHashes(authenticator.Hash(keys[c.Workspace])))
+		keyed = append(keyed, c.WithKeyHashes(authenticator.HashKey(keys[c.Workspace])))
 	}
 	var budgets []starter.Prepaid
 	for _, b := range s.Budgets {
--- a/messenger/messenger.go
+++ b/messenger/messenger.go
@@ -94,7 +94,7 @@
 		return answer, fmt.Errorf("calling %s: %w", address, err)
 	}
 	request.Header.Set("Content-Type", contentType)
-	response, err := receiver.Do(c.http, request, receiver.Limits{Begin: beginTimeout, Pause: receiver.PauseLimit, Bytes: maxAnswerBytes})
+	response, err := receiver.Do(c.http, request, receiver.Limits{HeaderTimeout: beginTimeout, IdleTimeout: receiver.DefaultIdleTimeout, MaxBytes: maxAnswerBytes})
 	if err != nil {
 		return answer, fmt.Errorf("calling %s: %w", address, err)
 	}
--- a/receiver/receiver.go
+++ b/receiver/receiver.go
@@ -14,9 +14,9 @@
 // what it is given before it returns, and a pause is only seen between two pieces.
 const pieceBytes = 16 << 10
 
-// PauseLimit is how long an answer between the machines of a deployment may pause once it has begun, 2 s: packets wait for
+// DefaultIdleTimeout is how long an answer between the machines of a deployment may pause once it has begun, 2 s: packets wait for
 // up to half a second on a full link, each way, and one of them may be lost.
-const PauseLimit = 2 * time.Second
+const DefaultIdleTimeout = 2 * time.Second
 
 // leastRate is how fast an answer has to arrive on the whole, in bytes a second: an eightieth of the slowest link of a
 // router. One that is slower is as good as silent.
@@ -27,12 +27,12 @@
 
 // Limits bound the receiving of one answer.
 type Limits struct {
-	// Begin is how long it may take until its head is there.
-	Begin time.Duration
-	// Pause is how long nothing may come once it has begun.
-	Pause time.Duration
-	// Bytes bounds its body.
-	Bytes int64
+	// HeaderTimeout is how long it may take until its head is there.
+	HeaderTimeout time.Duration
+	// IdleTimeout is how long nothing may come once it has begun.
+	IdleTimeout time.Duration
+	// MaxBytes bounds its body.
+	MaxBytes int64
 }
 
 // Answer is an answer that has arrived whole.
@@ -79,15 +79,15 @@
 	began := time.Now()
 	ctx, cancel := context.WithCancelCause(request.Context())
 	defer cancel(nil)
-	late := time.AfterFunc(l.Begin, func() { cancel(errLate) })
+	late := time.AfterFunc(l.HeaderTimeout, func() { cancel(errLate) })
 	defer late.Stop()
 	response, err := client.Do(request.WithContext(ctx))
 	if err != nil {
 		return Answer{}, &Error{Took: time.Since(began), Err: cause(ctx, err)}
 	}
 	defer response.Body.Close()
-	if response.ContentLength > l.Bytes {
-		return Answer{}, &Error{Took: time.Since(began), Err: &TooLargeError{Limit: l.Bytes}}
+	if response.ContentLength > l.MaxBytes {
+		return Answer{}, &Error{Took: time.Since(began), Err: &TooLargeError{Limit: l.MaxBytes}}
 	}
 	body, err := readAll(ctx, response, l, late)
 	if err != nil {
@@ -96,8 +96,8 @@
 	return Answer{Status: response.StatusCode, Body: body}, nil
 }
 
-// Progress calls the function of WithProgress, if the context has one, for an answer that arrives under another context.
-func Progress(ctx context.Context) {
+// ReportProgress calls the function of WithProgress, if the context has one, for an answer that arrives under another context.
+func ReportProgress(ctx context.Context) {
 	if progress, ok := ctx.Value(progressKey{}).(func()); ok {
 		progress()
 	}
@@ -109,16 +109,16 @@
 	body := make([]byte, 0, max(pieceBytes, response.ContentLength))
 	for {
 		if response.StatusCode == http.StatusOK && max(int64(len(body)), response.ContentLength) > pieceBytes {
-			Progress(ctx)
+			ReportProgress(ctx)
 		}
 		// What a link that is only just fast enough would have taken less than this, beyond a pause.
 		spared := time.Duration(len(body))*time.Second/leastRate - time.Since(began)
-		late.Reset(min(l.Pause, l.Pause+spared))
+		late.Reset(min(l.IdleTimeout, l.IdleTimeout+spared))
 		body = slices.Grow(body, pieceBytes)
 		n, err := response.Body.Read(body[len(body) : len(body)+pieceBytes])
 		body = body[:len(body)+n]
-		if int64(len(body)) > l.Bytes {
-			return body, &TooLargeError{Limit: l.Bytes}
+		if int64(len(body)) > l.MaxBytes {
+			return body, &TooLargeError{Limit: l.MaxBytes}
 		}
 		if errors.Is(err, io.EOF) {
 			return body, nil
--- a/receiver/receiver_test.go
+++ b/receiver/receiver_test.go
@@ -122,7 +122,7 @@
 			request := answering(t, tc.status, tc.length, tc.oneChunk, tc.pieces)
 			progress := false
 			ctx := receiver.WithProgress(request.Context(), func() { progress = true })
-			answer, err := receiver.Do(http.DefaultClient, request.WithContext(ctx), receiver.Limits{Begin: begin, Pause: pause, Bytes: limit})
+			answer, err := receiver.Do(http.DefaultClient, request.WithContext(ctx), receiver.Limits{HeaderTimeout: begin, IdleTimeout: pause, MaxBytes: limit})
 			qt.Check(t, progress, qt.Equals, tc.progress)
 			if tc.want > 0 {
 				qt.Assert(t, err, qt.IsNil)
@@ -145,6 +145,6 @@
 	request := answering(t, 200, 0, false, []piece{{bytes: 5}, {after: pause / 2, bytes: 5}, {after: pause / 2, bytes: 5}})
 	ctx, cancel := context.WithTimeout(request.Context(), pause*3/4)
 	defer cancel()
-	_, err := receiver.Do(http.DefaultClient, request.WithContext(ctx), receiver.Limits{Begin: begin, Pause: pause, Bytes: limit})
+	_, err := receiver.Do(http.DefaultClient, request.WithContext(ctx), receiver.Limits{HeaderTimeout: begin, IdleTimeout: pause, MaxBytes: limit})
 	qt.Assert(t, err, qt.ErrorIs, context.DeadlineExceeded)
 }
--- a/recoverer/recoverer.go
+++ b/recoverer/recoverer.go
@@ -79,7 +79,7 @@
 func (r *Recovery) Started() time.Time { return r.started }
 
 // IsDone reports whether the recovery is complete.
-func (r *Recovery) IsDone() bool { return r.chart.Final(r.state) }
+func (r *Recovery) IsDone() bool { return r.chart.IsFinal(r.state) }
 
 // step makes a transition of the statechart; an event that the state does not allow is ignored.
 func (r *Recovery) step(e charter.Event) {
--- a/relayer/ways.go
+++ b/relayer/ways.go
@@ -77,7 +77,7 @@
 		select {
 		case <-p.progress:
 			p.cancelRelay()
-			receiver.Progress(p.ctx)
+			receiver.ReportProgress(p.ctx)
 			p.graceTimer, p.hedgeTimer = nil, p.store.clock.After(progressTimeout)
 		case r := <-p.direct:
 			p.direct = nil
--- a/retrier/retrier.go
+++ b/retrier/retrier.go
@@ -12,7 +12,7 @@
 // The causes of a failed attempt.
 const (
 	CauseRefused   Cause = "refused"
-	CauseLeaving   Cause = "leaving"
+	CauseDraining  Cause = "leaving"
 	CauseStale     Cause = "stale"
 	CauseFenced    Cause = "fenced"
 	CauseFull      Cause = "full"
@@ -56,7 +56,7 @@
 var disruptionRules = []Rule{
 	{Cause: CauseStale, Fate: masticway.FateNotRun, Action: ActionRetryFree},
 	{Cause: CauseFenced, Fate: masticway.FateNotRun, Action: ActionRetryFree},
-	{Cause: CauseLeaving, Fate: masticway.FateNotRun, Action: ActionRetryFree},
+	{Cause: CauseDraining, Fate: masticway.FateNotRun, Action: ActionRetryFree},
 	{Cause: CauseFull, Fate: masticway.FateNotRun, Action: ActionRetryFree},
 	{Cause: CauseLinkLost, Fate: masticway.FateNotRun, Action: ActionRetryFree},
 	{Cause: CauseDisrupted, Action: ActionRetryFree},
--- a/retrier/retrier_test.go
+++ b/retrier/retrier_test.go
@@ -18,7 +18,7 @@
 		action  retrier.Action
 	}{
 		"a draining upstream is retried for free": {
-			failure: retrier.Failure{Cause: retrier.CauseLeaving, Fate: masticway.FateNotRun},
+			failure: retrier.Failure{Cause: retrier.CauseDraining, Fate: masticway.FateNotRun},
 			history: retrier.History{Counted: 3}, action: retrier.ActionRetryFree,
 		},
 		"a lost upstream is resumed": {
@@ -26,7 +26,7 @@
 			history: retrier.History{Counted: 3}, action: retrier.ActionRetryFree,
 		},
 		"free retries are bounded": {
-			failure: retrier.Failure{Cause: retrier.CauseLeaving, Fate: masticway.FateNotRun},
+			failure: retrier.Failure{Cause: retrier.CauseDraining, Fate: masticway.FateNotRun},
 			history: retrier.History{Free: 16}, action: retrier.ActionFail,
 		},
 		"a failed request is a counted retry": {
@@ -43,10 +43,10 @@
 			failure: retrier.Failure{Cause: retrier.CauseLinkLost, Fate: masticway.FateUnknown, NonRepeatable: true, Resumable: true}, action: retrier.ActionFail,
 		},
 		"non-repeatable that did not run": {
-			failure: retrier.Failure{Cause: retrier.CauseLeaving, Fate: masticway.FateNotRun, NonRepeatable: true}, action: retrier.ActionRetryFree,
+			failure: retrier.Failure{Cause: retrier.CauseDraining, Fate: masticway.FateNotRun, NonRepeatable: true}, action: retrier.ActionRetryFree,
 		},
 		"plain counts a drain": {
-			policy: retrier.PolicyPlain, failure: retrier.Failure{Cause: retrier.CauseLeaving, Fate: masticway.FateNotRun}, action: retrier.ActionRetryCounted,
+			policy: retrier.PolicyPlain, failure: retrier.Failure{Cause: retrier.CauseDraining, Fate: masticway.FateNotRun}, action: retrier.ActionRetryCounted,
 		},
 	}
 	for name, tc := range cases {
--- a/router/attempt.go
+++ b/router/attempt.go
@@ -236,7 +236,7 @@
 	e := attemptResult{fate: masticway.FateNotRun, cause: retrier.CauseRefused, reason: string(m.Reason)}
 	switch m.Reason {
 	case sealer.ReasonDraining:
-		e.cause = retrier.CauseLeaving
+		e.cause = retrier.CauseDraining
 		x.r.upstreams.markDraining(f.instance)
 	case sealer.ReasonStale:
 		e.cause = retrier.CauseStale
@@ -335,7 +335,7 @@
 	}
 	callCtx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	a, err := c.Ask(callCtx, linker.Message{Query: &sealer.Query{Run: run}})
+	a, err := c.Call(callCtx, linker.Message{Query: &sealer.Query{Run: run}})
 	if err != nil || a.Status == nil {
 		return status, false, false
 	}
--- a/router/bank.go
+++ b/router/bank.go
@@ -99,17 +99,17 @@
 
 // hold asks this router's keeper for money. It calls reply once, with the lock held, possibly before hold returns. If the router
 // stops first, it may never call reply.
-func (b *budgetManager) hold(r keeper.HoldRequest, c masticway.Contract, reply func(linker.HoldIs)) {
+func (b *budgetManager) hold(r keeper.HoldRequest, c masticway.Contract, reply func(linker.HoldReply)) {
 	now := b.clock.Now()
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.sealed {
-		reply(linker.HoldIs{Verdict: keeper.ResultNotKeeper})
+		reply(linker.HoldReply{Verdict: keeper.ResultNotKeeper})
 		return
 	}
 	limit, retry := b.limits.Admit(now, c)
 	if limit != limiter.LimitNone {
-		reply(linker.HoldIs{Limit: string(limit), Retry: retry})
+		reply(linker.HoldReply{Limit: string(limit), RetryAfter: retry})
 		return
 	}
 	sure := now.Sub(b.keeper.Started()) > memoryCompleteAfter
@@ -118,7 +118,7 @@
 		if a.Result != keeper.ResultHeld {
 			b.releaseLimit(r.ID)
 		}
-		reply(linker.HoldIs{Verdict: a.Result, Grant: a.Grant, Amount: a.Amount, Waited: a.Waited, Open: a.InProgress, Sure: sure})
+		reply(linker.HoldReply{Verdict: a.Result, Grant: a.Grant, Amount: a.Amount, Waited: a.Waited, FirstInProgress: a.InProgress, DetectsDuplicates: sure})
 	}
 	b.apply(b.keeper.Hold(now, r))
 }
--- a/router/bank_test.go
+++ b/router/bank_test.go
@@ -53,9 +53,9 @@
 	// The first request's draw finds that the router is sealed.
 	for _, name := range []string{"waits when the seal is found", "comes after the seal was found"} {
 		t.Run(name, func(t *testing.T) {
-			answered := make(chan linker.HoldIs, 1)
+			answered := make(chan linker.HoldReply, 1)
 			request := keeper.HoldRequest{ID: masticway.HoldID(name), Budget: "b", MaxAmount: 2, MinAmount: 1, MaxWait: time.Hour}
-			r.budgets.hold(request, masticway.Contract{Workspace: "w"}, func(h linker.HoldIs) { answered <- h })
+			r.budgets.hold(request, masticway.Contract{Workspace: "w"}, func(h linker.HoldReply) { answered <- h })
 			select {
 			case h := <-answered:
 				qt.Assert(t, h.Verdict, qt.Equals, keeper.ResultNotKeeper)
--- a/router/callers.go
+++ b/router/callers.go
@@ -105,8 +105,8 @@
 		return refusal(http.StatusServiceUnavailable, "not_serving", "this router is starting or leaving", time.Second)
 	}
 	config := *r.snapshot.Load()
-	key := authenticator.Bearer(request.Request)
-	contract, ok := config.ContractByKeyHash(authenticator.Hash(key))
+	key := authenticator.BearerToken(request.Request)
+	contract, ok := config.ContractByKeyHash(authenticator.HashKey(key))
 	if key == "" || !ok {
 		return refusal(http.StatusUnauthorized, "bad_key", "the key is missing or unknown", 0)
 	}
--- a/router/configuration.go
+++ b/router/configuration.go
@@ -95,7 +95,7 @@
 	if revision <= applied || now-last < int64(changeRequestInterval) || !r.changesRequestedAt.CompareAndSwap(last, now) {
 		return
 	}
-	_ = c.Send(linker.Message{Want: &linker.Want{After: applied}})
+	_ = c.Send(linker.Message{ChangesRequest: &linker.ChangesRequest{After: applied}})
 }
 
 // sendChanges sends a peer the changes that it lacks, as far as they are still kept here.
@@ -104,7 +104,7 @@
 	changes := r.config.ChangesAfter(after)
 	upto := r.config.Snapshot().Revision()
 	r.configMu.Unlock()
-	_ = c.Send(linker.Message{Changes: &linker.Changes{List: changes, Upto: upto}})
+	_ = c.Send(linker.Message{Changes: &linker.Changes{List: changes, Revision: upto}})
 }
 
 // pollConfig reads the head revision from the table and applies newer changes. If the table is unavailable, it does nothing.
--- a/router/exchange.go
+++ b/router/exchange.go
@@ -439,7 +439,7 @@
 		x.r.metrics.Observe(histogramWhole, string(x.q.class), now.Sub(x.q.receivedAt))
 		x.r.metrics.Observe(histogramWhole, "workspace "+x.q.contract.Workspace, now.Sub(x.q.receivedAt))
 	}
-	if !x.chart.Final(x.state) {
+	if !x.chart.IsFinal(x.state) {
 		x.step(eventAnswered)
 	}
 	x.trace.State = string(x.state)
--- a/router/money.go
+++ b/router/money.go
@@ -59,12 +59,12 @@
 	for x.r.ctx.Err() == nil {
 		h, id := x.requestHold(ctx)
 		if h.Limit != "" {
-			return refusal(http.StatusTooManyRequests, "limit_"+h.Limit, "the contract's "+h.Limit+" limit is reached", h.Retry)
+			return refusal(http.StatusTooManyRequests, "limit_"+h.Limit, "the contract's "+h.Limit+" limit is reached", h.RetryAfter)
 		}
 		switch h.Verdict {
 		case keeper.ResultHeld:
 			x.setHold(h, id)
-			if x.q.hasCallerKey && !h.Sure && x.nextChunk == 0 && x.findRun(ctx) {
+			if x.q.hasCallerKey && !h.DetectsDuplicates && x.nextChunk == 0 && x.findRun(ctx) {
 				x.settle()
 			}
 			return nil
@@ -72,7 +72,7 @@
 			if x.findRun(ctx) || x.findRecorded(ctx) {
 				return nil
 			}
-			unavailable := !h.Open && !x.endedEarly && !x.searchIncomplete
+			unavailable := !h.FirstInProgress && !x.endedEarly && !x.searchIncomplete
 			if unavailable || x.r.clock.Now().After(deadline) || x.isCallerGone() {
 				return &masticway.RefusalError{
 					Status: http.StatusConflict, Code: "answer_not_available", Fate: masticway.FateUnknown,
@@ -96,7 +96,7 @@
 }
 
 // requestHold asks the budget's keeper for a hold with a new ID.
-func (x *exchange) requestHold(ctx context.Context) (linker.HoldIs, masticway.HoldID) {
+func (x *exchange) requestHold(ctx context.Context) (linker.HoldReply, masticway.HoldID) {
 	maxCost, minCost := x.holdBounds()
 	wait := x.q.contract.HoldWait.Std()
 	if wait == 0 {
@@ -109,7 +109,7 @@
 	}, x.q.contract)
 }
 
-func (x *exchange) setHold(h linker.HoldIs, id masticway.HoldID) {
+func (x *exchange) setHold(h linker.HoldReply, id masticway.HoldID) {
 	x.hold = &moneyHold{id: id, grant: h.Grant, amount: h.Amount, takenAt: x.r.clock.Now()}
 	maxCost, _ := x.holdBounds()
 	x.trace.Holds = append(x.trace.Holds, explainer.Hold{
--- a/router/operators.go
+++ b/router/operators.go
@@ -87,7 +87,7 @@
 func (r *Router) handleOperator(f func(context.Context, operatorRequest) (any, error)) restful.RouteFunction {
 	return func(request *restful.Request, response *restful.Response) {
 		w := response.ResponseWriter
-		if !authenticator.Equal(authenticator.Bearer(request.Request), r.secrets.AdminToken) {
+		if !authenticator.Equal(authenticator.BearerToken(request.Request), r.secrets.AdminToken) {
 			writeRefusal(w, refusal(http.StatusUnauthorized, "bad_token", "the operators' token is missing or wrong", 0))
 			return
 		}
@@ -332,12 +332,12 @@
 	if err != nil {
 		return nil, err
 	}
-	answer, err := conn.Ask(ctx, linker.Message{Order: &numberedOrder})
-	if err != nil || answer.OrderIs == nil {
+	answer, err := conn.Call(ctx, linker.Message{Order: &numberedOrder})
+	if err != nil || answer.OrderReply == nil {
 		return nil, &masticway.OutcomeUnknownError{Service: "sidecar", ID: instance, Reason: "no answer to the order"}
 	}
-	if !answer.OrderIs.Done {
-		return nil, refusal(http.StatusConflict, "order_refused", answer.OrderIs.Reason, 0)
+	if !answer.OrderReply.Done {
+		return nil, refusal(http.StatusConflict, "order_refused", answer.OrderReply.Reason, 0)
 	}
 	return numberedOrder, nil
 }
@@ -349,10 +349,10 @@
 		return t, nil
 	}
 	for _, c := range r.peers.allConns() {
-		a, err := c.Ask(ctx, linker.Message{Explain: &linker.Explain{Request: id}})
+		a, err := c.Call(ctx, linker.Message{Explain: &linker.Explain{Request: id}})
 		if err == nil && a.Explained != nil && len(a.Explained.Trace) > 0 {
 			return json.RawMessage(a.Explained.Trace), nil
 		}
 	}
-	return explainer.Search(ctx, r.platform.Objects, id)
+	return explainer.FindTrace(ctx, r.platform.Objects, id)
 }
--- a/router/peer_money.go
+++ b/router/peer_money.go
@@ -25,16 +25,16 @@
 
 // hold asks the budget's keeper for money, or this router's own if that one cannot be reached or does not act as the keeper. It
 // returns the reply and the ID of the hold, which is not that of the request if both were asked.
-func (p *peers) hold(ctx context.Context, request keeper.HoldRequest, c masticway.Contract) (linker.HoldIs, masticway.HoldID) {
+func (p *peers) hold(ctx context.Context, request keeper.HoldRequest, c masticway.Contract) (linker.HoldReply, masticway.HoldID) {
 	target := p.keeperFor(request.Budget)
 	if conn := p.conn(target); conn != nil {
 		callCtx, cancel := context.WithTimeout(ctx, request.MaxWait+holdGrace)
 		defer cancel()
 		// The link may still encode this copy after the call has timed out.
 		sent := request
-		answer, err := conn.Ask(callCtx, linker.Message{Hold: &sent})
-		if err == nil && answer.HoldIs != nil && answer.HoldIs.Verdict != keeper.ResultNotKeeper {
-			return *answer.HoldIs, request.ID
+		answer, err := conn.Call(callCtx, linker.Message{Hold: &sent})
+		if err == nil && answer.HoldReply != nil && answer.HoldReply.Verdict != keeper.ResultNotKeeper {
+			return *answer.HoldReply, request.ID
 		}
 		if err != nil {
 			// The keeper may have taken the hold, so the hold is settled as soon as the keeper can be reached.
@@ -45,15 +45,15 @@
 	if target != p.router.self {
 		p.router.metrics.Add(metricFallbackHolds, 1)
 	}
-	reply := make(chan linker.HoldIs, 1)
-	p.router.budgets.hold(request, c, func(h linker.HoldIs) { reply <- h })
-	var h linker.HoldIs
+	reply := make(chan linker.HoldReply, 1)
+	p.router.budgets.hold(request, c, func(h linker.HoldReply) { reply <- h })
+	var h linker.HoldReply
 	select {
 	case h = <-reply:
 	case <-p.router.ctx.Done():
-		return linker.HoldIs{Verdict: keeper.ResultUnreachable}, request.ID
+		return linker.HoldReply{Verdict: keeper.ResultUnreachable}, request.ID
 	}
-	h.Sure = h.Sure && target == p.router.self
+	h.DetectsDuplicates = h.DetectsDuplicates && target == p.router.self
 	return h, request.ID
 }
 
@@ -100,7 +100,7 @@
 	}
 	ctx, cancel := context.WithTimeout(p.router.ctx, callTimeout)
 	defer cancel()
-	_, err := c.Ask(ctx, linker.Message{Settle: &s})
+	_, err := c.Call(ctx, linker.Message{Settle: &s})
 	return err == nil
 }
 
@@ -123,7 +123,7 @@
 
 // requestReturn asks the payers that have open grants of a budget, in any region, to return idle money.
 func (p *peers) requestReturn(budget string, payers []masticway.Incarnation) {
-	m := linker.Message{GiveBack: &linker.GiveBack{Budget: budget}}
+	m := linker.Message{ReturnIdle: &linker.ReturnIdle{Budget: budget}}
 	for _, payer := range payers {
 		if c := p.conn(payer); c != nil {
 			_ = c.Send(m)
@@ -147,7 +147,7 @@
 	}
 	defer c.Close()
 	if c.Peer().Incarnation == payer {
-		_, _ = c.Ask(ctx, m)
+		_, _ = c.Call(ctx, m)
 	}
 }
 
@@ -158,10 +158,10 @@
 		contract = masticway.Contract{Workspace: m.Hold.Identity.Workspace()}
 	}
 	if p.router.draining.Load() || p.router.isSealed() {
-		_ = c.Answer(m, linker.Message{HoldIs: &linker.HoldIs{Verdict: keeper.ResultNotKeeper}})
+		_ = c.Reply(m, linker.Message{HoldReply: &linker.HoldReply{Verdict: keeper.ResultNotKeeper}})
 		return
 	}
-	p.router.budgets.hold(*m.Hold, contract, func(h linker.HoldIs) {
-		_ = c.Answer(m, linker.Message{HoldIs: &h})
+	p.router.budgets.hold(*m.Hold, contract, func(h linker.HoldReply) {
+		_ = c.Reply(m, linker.Message{HoldReply: &h})
 	})
 }
--- a/router/peer_reach.go
+++ b/router/peer_reach.go
@@ -47,7 +47,7 @@
 func (p *peers) requestRegistration(c *linker.Conn, sidecars []masticway.Incarnation) bool {
 	ctx, cancel := context.WithTimeout(p.router.ctx, registerTimeout)
 	defer cancel()
-	if _, err := c.Ask(ctx, linker.Message{Reach: &linker.Reach{Sidecars: sidecars}}); err != nil {
+	if _, err := c.Call(ctx, linker.Message{RecordSidecars: &linker.RecordSidecars{Sidecars: sidecars}}); err != nil {
 		return false
 	}
 	p.mu.Lock()
@@ -77,9 +77,9 @@
 func (p *peers) answerRegistration(c *linker.Conn, m linker.Message) {
 	ctx, cancel := c.Bind(p.router.ctx)
 	defer cancel()
-	if p.router.budgets.register(ctx, m.Reach.Sidecars...) {
+	if p.router.budgets.register(ctx, m.RecordSidecars.Sidecars...) {
 		p.addInbound(ctx, c)
-		_ = c.Answer(m, linker.Message{Reached: &linker.Reached{}})
+		_ = c.Reply(m, linker.Message{SidecarsRecorded: &linker.SidecarsRecorded{}})
 	}
 }
 
--- a/router/peers.go
+++ b/router/peers.go
@@ -96,7 +96,7 @@
 	ctx, stop := context.WithCancel(p.router.ctx)
 	p.cancels[i.ID] = stop
 	d := p.router.dialer(p.handle, p.linkUp, p.linkDown)
-	p.router.wg.Go(func() { d.Keep(ctx, i.Address) })
+	p.router.wg.Go(func() { d.KeepConnected(ctx, i.Address) })
 }
 
 func (p *peers) linkUp(c *linker.Conn) {
@@ -152,7 +152,7 @@
 // heartbeatMessage returns the heartbeat to a peer.
 func (p *peers) heartbeatMessage() linker.Message {
 	r := p.router
-	return linker.Message{Beat: &linker.Beat{Revision: r.snapshot.Load().Revision(), Leaving: r.draining.Load(), Unseen: r.configAge()}}
+	return linker.Message{Heartbeat: &linker.Heartbeat{Revision: r.snapshot.Load().Revision(), Leaving: r.draining.Load(), Staleness: r.configAge()}}
 }
 
 func (p *peers) linkDown(c *linker.Conn) {
@@ -263,7 +263,7 @@
 	callCtx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	p.router.wg.Go(func() { p.keepAlive(callCtx, c) })
-	a, err := c.AskLarge(callCtx, linker.Message{WantConfig: &linker.WantConfig{}}, configIdleTimeout)
+	a, err := c.CallLarge(callCtx, linker.Message{ConfigRequest: &linker.ConfigRequest{}}, configIdleTimeout)
 	if err != nil || a.Config == nil || a.Config.Revision == 0 {
 		return configurer.Configuration{}, false
 	}
@@ -296,31 +296,31 @@
 		p.answerHold(c, m)
 	case m.Settle != nil:
 		r.budgets.settle(*m.Settle)
-		_ = c.Answer(m, linker.Message{Settled: &linker.Settled{}})
+		_ = c.Reply(m, linker.Message{Settled: &linker.Settled{}})
 	case m.Resize != nil:
 		r.budgets.resize(m.Resize.Hold, m.Resize.Amount)
-	case m.GiveBack != nil:
-		r.budgets.returnFree(m.GiveBack.Budget)
-		if m.Call != 0 {
-			_ = c.Answer(m, linker.Message{Settled: &linker.Settled{}})
+	case m.ReturnIdle != nil:
+		r.budgets.returnFree(m.ReturnIdle.Budget)
+		if m.CallID != 0 {
+			_ = c.Reply(m, linker.Message{Settled: &linker.Settled{}})
 		}
-	case m.Reach != nil:
+	case m.RecordSidecars != nil:
 		r.wg.Go(func() { p.answerRegistration(c, m) })
 	case m.Changes != nil:
 		r.applyChanges(m.Changes.List)
-	case m.Want != nil:
-		r.sendChanges(c, m.Want.After)
-	case m.Beat != nil:
-		p.handleHeartbeat(c, *m.Beat)
-	case m.WantConfig != nil:
+	case m.ChangesRequest != nil:
+		r.sendChanges(c, m.ChangesRequest.After)
+	case m.Heartbeat != nil:
+		p.handleHeartbeat(c, *m.Heartbeat)
+	case m.ConfigRequest != nil:
 		full := r.snapshot.Load().Configuration()
-		_ = c.Answer(m, linker.Message{Config: &full})
+		_ = c.Reply(m, linker.Message{Config: &full})
 	case m.Explain != nil:
 		p.answerExplain(c, m)
 	}
 }
 
-func (p *peers) handleHeartbeat(c *linker.Conn, b linker.Beat) {
+func (p *peers) handleHeartbeat(c *linker.Conn, b linker.Heartbeat) {
 	p.mu.Lock()
 	if _, known := p.inbound[c]; known {
 		p.inbound[c] = true
@@ -331,7 +331,7 @@
 	}
 	p.mu.Unlock()
 	if b.Revision == p.router.snapshot.Load().Revision() {
-		p.router.confirm(p.router.clock.Now().Add(-b.Unseen))
+		p.router.confirm(p.router.clock.Now().Add(-b.Staleness))
 	}
 	p.router.requestChanges(c, b.Revision)
 }
@@ -341,5 +341,5 @@
 	if t, ok := p.router.traces.Get(m.Explain.Request); ok {
 		data, _ = json.Marshal(t)
 	}
-	_ = c.Answer(m, linker.Message{Explained: &linker.Explained{Trace: data}})
+	_ = c.Reply(m, linker.Message{Explained: &linker.Explained{Trace: data}})
 }
--- a/router/peers_test.go
+++ b/router/peers_test.go
@@ -43,8 +43,8 @@
 // full is not nil.
 func linkedPeer(t *testing.T, instance string, full *configurer.Configuration) *linker.Conn {
 	answer := func(c *linker.Conn, m linker.Message) {
-		if m.WantConfig != nil && full != nil {
-			_ = c.Answer(m, linker.Message{Config: full})
+		if m.ConfigRequest != nil && full != nil {
+			_ = c.Reply(m, linker.Message{Config: full})
 		}
 	}
 	var wg sync.WaitGroup
@@ -56,10 +56,10 @@
 	qt.Assert(t, err, qt.IsNil)
 	d := linker.Dialer{
 		Identity: peerIdentity("asking"), Dial: (&net.Dialer{}).DialContext,
-		Handler: func(*linker.Conn, linker.Message) {}, Up: func(*linker.Conn) {}, Down: func(*linker.Conn) {},
+		Handler: func(*linker.Conn, linker.Message) {}, OnUp: func(*linker.Conn) {}, OnDown: func(*linker.Conn) {},
 	}
 	ctx, cancel := context.WithCancel(context.Background())
-	c, err := d.Once(ctx, address)
+	c, err := d.Connect(ctx, address)
 	qt.Assert(t, err, qt.IsNil)
 	wg.Go(func() { d.Serve(ctx, c) })
 	t.Cleanup(func() {
@@ -81,7 +81,7 @@
 			return
 		case <-tick.C:
 			// Send fails once the link is down, which the next iteration detects.
-			_ = c.Send(linker.Message{Beat: &linker.Beat{}})
+			_ = c.Send(linker.Message{Heartbeat: &linker.Heartbeat{}})
 		}
 	}
 }
--- a/router/recovery.go
+++ b/router/recovery.go
@@ -313,7 +313,7 @@
 		// An instance runs one process at a time, so the sidecar that is looked for has ended.
 		return report, true, nil
 	}
-	a, err := c.Ask(ctx, linker.Message{Seal: &sealer.Seal{Incarnation: victim}})
+	a, err := c.Call(ctx, linker.Message{Seal: &sealer.Seal{Incarnation: victim}})
 	if err != nil || a.Sealed == nil {
 		return report, false, fmt.Errorf("sealing %s at %s: %w", victim, sidecar, err)
 	}
--- a/router/router.go
+++ b/router/router.go
@@ -71,7 +71,7 @@
 	upstreams *upstreams
 	peers     *peers
 	recovery  *recovery
-	traces    *explainer.Memory
+	traces    *explainer.TraceCache
 	journal   *batcher.Batcher[biller.Bill]
 	auditor   *biller.Auditor
 
@@ -121,7 +121,7 @@
 		secrets: secrets, dial: dial, metrics: metrics,
 		book:          bookkeeper.New(platform.Table),
 		store:         configurer.NewStore(platform.Table),
-		traces:        explainer.NewMemory(self),
+		traces:        explainer.NewTraceCache(self),
 		journal:       biller.NewJournal(self),
 		auditor:       biller.NewAuditor(),
 		configApplied: make(chan struct{}, 1),
@@ -296,13 +296,13 @@
 }
 
 func (r *Router) dialer(h linker.Handler, up, down func(*linker.Conn)) linker.Dialer {
-	return linker.Dialer{Identity: r.identity(), Dial: r.dial, Handler: h, Up: up, Down: down}
+	return linker.Dialer{Identity: r.identity(), Dial: r.dial, Handler: h, OnUp: up, OnDown: down}
 }
 
 // dialOnce opens a link to a process to which this router keeps none. The caller must close it.
 func (r *Router) dialOnce(ctx context.Context, address string) (*linker.Conn, error) {
 	d := r.dialer(func(*linker.Conn, linker.Message) {}, func(*linker.Conn) {}, func(*linker.Conn) {})
-	c, err := d.Once(ctx, address)
+	c, err := d.Connect(ctx, address)
 	if err != nil {
 		return nil, err
 	}
@@ -368,7 +368,7 @@
 // heartbeatMessage returns the heartbeat to a sidecar, including the open grants.
 func (r *Router) heartbeatMessage() linker.Message {
 	open, upto := r.budgets.openGrants()
-	return linker.Message{Beat: &linker.Beat{Revision: r.snapshot.Load().Revision(), Open: open, Upto: upto, Leaving: r.draining.Load()}}
+	return linker.Message{Heartbeat: &linker.Heartbeat{Revision: r.snapshot.Load().Revision(), OpenGrants: open, GrantsUpTo: upto, Leaving: r.draining.Load()}}
 }
 
 // sendHeartbeats sends a heartbeat on every link that this router dialed, and in some rounds on the inbound links. Because there
@@ -378,11 +378,11 @@
 	r.heartbeatMu.Lock()
 	defer r.heartbeatMu.Unlock()
 	m := r.heartbeatMessage()
-	full := *m.Beat
-	if full.Upto == r.sentUpto && slices.Equal(full.Open, r.sentOpen) {
-		m.Beat.Open, m.Beat.Upto = nil, 0
+	full := *m.Heartbeat
+	if full.GrantsUpTo == r.sentUpto && slices.Equal(full.OpenGrants, r.sentOpen) {
+		m.Heartbeat.OpenGrants, m.Heartbeat.GrantsUpTo = nil, 0
 	}
-	r.sentOpen, r.sentUpto = full.Open, full.Upto
+	r.sentOpen, r.sentUpto = full.OpenGrants, full.GrantsUpTo
 	for _, c := range r.upstreams.allConns() {
 		_ = c.Send(m)
 	}
--- a/router/upstreams.go
+++ b/router/upstreams.go
@@ -111,7 +111,7 @@
 		// A sidecar reads a router's links row when they are linked, and considers the router ended if there is none.
 		select {
 		case <-u.router.budgets.linksOpened:
-			d.Keep(ctx, i.Address)
+			d.KeepConnected(ctx, i.Address)
 		case <-ctx.Done():
 		}
 	})
@@ -202,14 +202,14 @@
 		u.feeds.deliver(m.Status.Run, sidecar, runEvent{missing: true})
 	case m.Changes != nil:
 		u.router.applyChanges(m.Changes.List)
-	case m.Want != nil:
-		u.router.sendChanges(c, m.Want.After)
-	case m.Beat != nil:
-		u.handleHeartbeat(c, *m.Beat)
+	case m.ChangesRequest != nil:
+		u.router.sendChanges(c, m.ChangesRequest.After)
+	case m.Heartbeat != nil:
+		u.handleHeartbeat(c, *m.Heartbeat)
 	}
 }
 
-func (u *upstreams) handleHeartbeat(c *linker.Conn, b linker.Beat) {
+func (u *upstreams) handleHeartbeat(c *linker.Conn, b linker.Heartbeat) {
 	instance := c.Peer().Instance
 	u.mu.Lock()
 	if b.Leaving {
@@ -285,7 +285,7 @@
 	defer cancel()
 	for _, c := range conns {
 		go func() {
-			a, err := c.Ask(ctx, linker.Message{Find: &sealer.Find{Identity: identity}})
+			a, err := c.Call(ctx, linker.Message{Find: &sealer.Find{Identity: identity}})
 			if err != nil || a.Status == nil {
 				found <- finding{}
 				return
@@ -318,9 +318,9 @@
 		if c == nil {
 			continue
 		}
-		a, err := c.Ask(ctx, linker.Message{Count: &linker.Count{Prompt: prompt}})
-		if err == nil && a.CountIs != nil && a.CountIs.Tokens >= 0 {
-			return a.CountIs.Tokens
+		a, err := c.Call(ctx, linker.Message{Count: &linker.Count{Prompt: prompt}})
+		if err == nil && a.CountReply != nil && a.CountReply.Tokens >= 0 {
+			return a.CountReply.Tokens
 		}
 	}
 	return -1
--- a/sidecar/beats.go
+++ b/sidecar/beats.go
@@ -27,10 +27,10 @@
 func (c *Sidecar) sendBeats() {
 	m := c.beatMessage()
 	c.mu.Lock()
-	if c.told != nil && m.Beat.Load != nil && sameLoad(*c.told, *m.Beat.Load) {
-		m.Beat.Load = nil
+	if c.told != nil && m.Heartbeat.Load != nil && sameLoad(*c.told, *m.Heartbeat.Load) {
+		m.Heartbeat.Load = nil
 	} else {
-		c.told = m.Beat.Load
+		c.told = m.Heartbeat.Load
 	}
 	c.mu.Unlock()
 	for _, conn := range c.listener.All() {
@@ -47,7 +47,7 @@
 func (c *Sidecar) beatMessage() linker.Message {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return linker.Message{Beat: &linker.Beat{Revision: c.core.Revision(), Leaving: c.core.IsDraining(), Load: c.load}}
+	return linker.Message{Heartbeat: &linker.Heartbeat{Revision: c.core.Revision(), Leaving: c.core.IsDraining(), Load: c.load}}
 }
 
 func (c *Sidecar) watchLoad() {
--- a/sidecar/orders.go
+++ b/sidecar/orders.go
@@ -11,11 +11,11 @@
 // order passes an order to the upstream, unless its fencing number is not the newest in the table.
 func (c *Sidecar) order(conn *linker.Conn, m linker.Message) {
 	err := c.carryOut(*m.Order)
-	answer := linker.OrderIs{Done: err == nil}
+	answer := linker.OrderReply{Done: err == nil}
 	if err != nil {
 		answer.Reason = err.Error()
 	}
-	_ = conn.Answer(m, linker.Message{OrderIs: &answer})
+	_ = conn.Reply(m, linker.Message{OrderReply: &answer})
 }
 
 // FenceError reports an order with an old fencing number.
--- a/sidecar/sidecar.go
+++ b/sidecar/sidecar.go
@@ -18,13 +18,13 @@
 // Settings are a sidecar's settings file.
 type Settings struct {
 	masticway.ProcessSettings
-	LinkAddress string             `json:"link_address"`
-	UpstreamURL string             `json:"upstream_url"`
-	Silence     masticway.Duration `json:"silence"`
-	KeepFor     masticway.Duration `json:"keep_for"`
-	KeepBytes   int                `json:"keep_bytes"`
-	OrphanAfter masticway.Duration `json:"orphan_after"`
-	MaxRuns     int                `json:"max_runs"`
+	LinkAddress         string             `json:"link_address"`
+	UpstreamURL         string             `json:"upstream_url"`
+	UpstreamIdleTimeout masticway.Duration `json:"silence"`
+	KeepFor             masticway.Duration `json:"keep_for"`
+	KeepBytes           int                `json:"keep_bytes"`
+	OrphanAfter         masticway.Duration `json:"orphan_after"`
+	MaxRuns             int                `json:"max_runs"`
 }
 
 // Names of the metrics.
@@ -92,15 +92,15 @@
 	mux.Handle("GET /debug/vars", c.metrics)
 	mux.HandleFunc("GET /healthz", func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusOK) })
 	mux.HandleFunc("GET /readyz", func(w http.ResponseWriter, _ *http.Request) {
-		if c.Leaving() {
+		if c.IsDraining() {
 			w.WriteHeader(http.StatusServiceUnavailable)
 		}
 	})
 	return mux
 }
 
-// Leaving tells whether new work is refused.
-func (c *Sidecar) Leaving() bool {
+// IsDraining tells whether new work is refused.
+func (c *Sidecar) IsDraining() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.core.IsDraining()
@@ -149,19 +149,19 @@
 		c.apply(c.core.Cancel(m.Cancel.Run, from))
 	case m.Query != nil:
 		status := c.core.Query(now, m.Query.Run)
-		_ = conn.Answer(m, linker.Message{Status: &status})
+		_ = conn.Reply(m, linker.Message{Status: &status})
 	case m.Find != nil:
 		status := c.core.Find(m.Find.Identity)
-		_ = conn.Answer(m, linker.Message{Status: &status})
+		_ = conn.Reply(m, linker.Message{Status: &status})
 	case m.Seal != nil:
 		c.seal(conn, m)
-	case m.Beat != nil:
-		c.takeBeat(conn, *m.Beat)
+	case m.Heartbeat != nil:
+		c.takeBeat(conn, *m.Heartbeat)
 	case m.Changes != nil:
 		c.core.ApplyChanges(m.Changes.List)
-		c.core.AdvanceRevision(m.Changes.Upto)
-	case m.Want != nil:
-		_ = conn.Send(linker.Message{Changes: &linker.Changes{List: c.core.ChangesAfter(m.Want.After)}})
+		c.core.AdvanceRevision(m.Changes.Revision)
+	case m.ChangesRequest != nil:
+		_ = conn.Send(linker.Message{Changes: &linker.Changes{List: c.core.ChangesAfter(m.ChangesRequest.After)}})
 	case m.Count != nil:
 		c.wg.Go(func() { c.count(conn, m) })
 	case m.Order != nil:
@@ -173,18 +173,18 @@
 	report, effects := c.core.Seal(c.clock.Now(), m.Seal.Incarnation)
 	c.apply(effects)
 	c.metrics.Add(metricSealed, 1)
-	_ = conn.Answer(m, linker.Message{Sealed: &report})
+	_ = conn.Reply(m, linker.Message{Sealed: &report})
 }
 
-func (c *Sidecar) takeBeat(conn *linker.Conn, b linker.Beat) {
+func (c *Sidecar) takeBeat(conn *linker.Conn, b linker.Heartbeat) {
 	c.apply(c.core.VerifyAhead(c.clock.Now(), conn.Peer().Incarnation))
-	if b.Upto > 0 {
-		c.core.DropClosedGrants(conn.Peer().Incarnation, b.Open, b.Upto)
+	if b.GrantsUpTo > 0 {
+		c.core.DropClosedGrants(conn.Peer().Incarnation, b.OpenGrants, b.GrantsUpTo)
 	}
 	now := c.clock.Now()
 	if b.Revision > c.core.Revision() && now.Sub(c.wanted) > wantPause {
 		c.wanted = now
-		_ = conn.Send(linker.Message{Want: &linker.Want{After: c.core.Revision()}})
+		_ = conn.Send(linker.Message{ChangesRequest: &linker.ChangesRequest{After: c.core.Revision()}})
 	}
 }
 
@@ -212,5 +212,5 @@
 	if err != nil {
 		tokens = -1
 	}
-	_ = conn.Answer(m, linker.Message{CountIs: &linker.CountIs{Tokens: tokens}})
+	_ = conn.Reply(m, linker.Message{CountReply: &linker.CountReply{Tokens: tokens}})
 }
--- a/soaker/process.go
+++ b/soaker/process.go
@@ -50,8 +50,8 @@
 	p := &process{soak: s, files: filepath.Join(s.Directory, routerTarget(i)), links: [2]*link{callers, l}, settings: forwarder.Settings{
 		Instance: routerTarget(i), Zone: zoneName, LogLevel: "info", LogEvery: 1, CallerAddress: address(callerPort), ReadinessAddress: address(readinessPort),
 		PeerAddress: address(peerPort), PeerSeeds: seeds, StoreAddress: l.Addr().String(), GraceSeconds: s.grace.Seconds(),
-		Money:   forwarder.MoneySettings{Parts: 4, Reserve: masticway.Duration(5 * time.Second)},
-		Retries: forwarder.RetriesSettings{Ratio: 0.2, Slack: 50, WindowSeconds: 10},
+		Budgets: forwarder.BudgetSettings{Parts: 4, Reserve: masticway.Duration(5 * time.Second)},
+		Retries: forwarder.RetriesSettings{Ratio: 0.2, FixedRetries: 50, WindowSeconds: 10},
 		// With one holder of a workspace the other routers borrow, as most do in a large fleet.
 		Policy: forwarder.PolicySettings{Holders: 1},
 	}}
--- a/soaker/soak.go
+++ b/soaker/soak.go
@@ -16,8 +16,8 @@
 )
 
 const (
-	// MostRouters is the most routers of a soak, a few hundred processes.
-	MostRouters                 = 200
+	// MaxRouters is the most routers of a soak, a few hundred processes.
+	MaxRouters                  = 200
 	callersEach                 = 12                               // callers for each router
 	recoveryBound, recoveryPaid = 12 * time.Second, 5_000_000      // requests are served so long after all faults (as the users' deployments have it) and a top-up
 	narrowLink, narrowEvery     = 10e6 / 8, 3                      // a machine's narrow link of 10 Mbit/s in bytes a second, in one soak of so many
--- a/starter/fleet_test.go
+++ b/starter/fleet_test.go
@@ -95,7 +95,7 @@
 	err = fleet.Seed(ctx, masticway.Catalog{
 		Models:   []masticway.Model{{Name: "m", PromptWeight: 1000, CompletionWeight: 3000}, {Name: "other", PromptWeight: 1, CompletionWeight: 1}},
 		Services: []masticway.Service{{Name: "stock", Price: 10_000}, {Name: "hidden", Price: 1}},
-	}, []masticway.Contract{contract.WithKeyHashes(authenticator.Hash(callerKey))}, []starter.Prepaid{{Budget: contract.Budget, Amount: masticway.Amount(sum) * masticway.PerToken}})
+	}, []masticway.Contract{contract.WithKeyHashes(authenticator.HashKey(callerKey))}, []starter.Prepaid{{Budget: contract.Budget, Amount: masticway.Amount(sum) * masticway.PerToken}})
 	qt.Assert(t, err, qt.IsNil)
 	qt.Assert(t, fleet.AwaitReady(ctx), qt.IsNil)
 	return b
--- a/starter/gateway.go
+++ b/starter/gateway.go
@@ -130,7 +130,7 @@
 	peerClient := messenger.NewClient()
 	d.store = relayer.New(store, peerClient, clock, entry, metrics)
 	d.treasurer = treasurer.New(d.store, lender.NewClient(peerClient), clock, entry, metrics, s.Instance, treasurer.Settings{
-		Address: s.PeerAddress, Parts: s.Money.Parts, Reserve: s.Money.Reserve.Std(), BurstShare: s.Policy.BurstShare,
+		Address: s.PeerAddress, Parts: s.Budgets.Parts, Reserve: s.Budgets.Reserve.Std(), BurstShare: s.Policy.BurstShare,
 		Zone: s.Zone, Holders: s.Policy.Holders, Processors: s.Processors,
 	})
 	d.store.SetPeers(d.peers)
@@ -158,7 +158,7 @@
 	dialer := &net.Dialer{KeepAlive: -1}
 	d.forwarder = forwarder.New(s, forwarder.Dependencies{
 		Clock: clock, Log: entry, Metrics: metrics, Codec: codec, Budgets: d.treasurer, Snapshot: d.follower.Snapshot, Examiner: d.examiner,
-		Rotation: d.rotator, Throttler: d.throttler, OnLeaving: d.follower.MarkDraining, Dial: d.rotator.MeasureDial(dialer.DialContext),
+		Rotation: d.rotator, Throttler: d.throttler, OnDraining: d.follower.MarkDraining, Dial: d.rotator.MeasureDial(dialer.DialContext),
 	})
 	d.callerListener = newCallerListener(d.pausable)
 	d.callerServer = &http.Server{
--- a/starter/gateway_test.go
+++ b/starter/gateway_test.go
@@ -117,8 +117,8 @@
 	return forwarder.Settings{
 		Instance: instance, Zone: "z", LogLevel: "info", LogEvery: 1, CallerAddress: freeAddress(p.t), ReadinessAddress: freeAddress(p.t),
 		PeerAddress: freeAddress(p.t), MetricsAddress: freeAddress(p.t), StoreAddress: p.store, GraceSeconds: 5,
-		Money:   forwarder.MoneySettings{Parts: 2, Reserve: masticway.Duration(5 * time.Second)},
-		Retries: forwarder.RetriesSettings{Ratio: 0.2, Slack: 50, WindowSeconds: 10},
+		Budgets: forwarder.BudgetSettings{Parts: 2, Reserve: masticway.Duration(5 * time.Second)},
+		Retries: forwarder.RetriesSettings{Ratio: 0.2, FixedRetries: 50, WindowSeconds: 10},
 	}
 }
 
--- a/starter/sidecar.go
+++ b/starter/sidecar.go
@@ -52,7 +52,7 @@
 }
 
 // IsDraining reports whether the sidecar refuses new work because it is draining.
-func (d *SidecarDaemon) IsDraining() bool { return d.sidecar.Leaving() }
+func (d *SidecarDaemon) IsDraining() bool { return d.sidecar.IsDraining() }
 
 // Drain shuts the daemon down gracefully. It returns false if a request was cut off.
 func (d *SidecarDaemon) Drain() bool {
@@ -88,5 +88,5 @@
 
 // NewSidecarUpstream returns a client of the sidecar's upstream.
 func NewSidecarUpstream(s sidecar.Settings, dial Dial) masticway.Upstream {
-	return connector.NewUpstream(s.UpstreamURL, connector.DialFunc(dial), s.Silence.Std())
+	return connector.NewUpstream(s.UpstreamURL, connector.DialFunc(dial), s.UpstreamIdleTimeout.Std())
 }
--- a/validator/validator_test.go
+++ b/validator/validator_test.go
@@ -62,7 +62,7 @@
 }
 
 func TestSettingsPageIsUpToDate(t *testing.T) {
-	page, err := validator.Page()
+	page, err := validator.SettingsPage()
 	qt.Assert(t, err, qt.IsNil)
 	written, err := os.ReadFile("../docs/SETTINGS.md")
 	qt.Assert(t, err, qt.IsNil)
