--- a/throttler/world_test.go
+++ b/throttler/world_test.go
@@ -20,7 +20,7 @@
 )
 
 const (
-	// step is the time by which the simulation advances at once.
+	// step is the time by which the simulation advances in each step.
 	step = 20 * time.Millisecond
 	// window, overshoot and slack define the allowed number of requests: in any window, a server may get overshoot times what its
 	// limit allows, plus slack.
@@ -54,7 +54,7 @@
 	w        *world
 	address  string
 	throttle *throttler.Throttler
-	isDead   bool
+	isDown   bool
 	// isExempt is set if its requests are not counted.
 	isExempt bool
 	// members are the routers that it knows. ranked are their addresses, ranked for the server.
@@ -83,10 +83,10 @@
 	return all
 }
 
-// reach returns another router, unless it is dead or cut off.
+// reach returns another router, unless it is down or cut off.
 func (n *simRouter) reach(address string) (*simRouter, bool) {
 	for _, o := range n.w.routers {
-		if o.address == address && !o.isDead && (n.w.isCut == nil || !n.w.isCut(n, o)) {
+		if o.address == address && !o.isDown && (n.w.isCut == nil || !n.w.isCut(n, o)) {
 			return o, true
 		}
 	}
@@ -142,9 +142,9 @@
 	return n
 }
 
-// updateMembership makes the live routers the members of all routers.
+// updateMembership makes the routers that are not down the members of all routers.
 func (w *world) updateMembership() {
-	alive := slices.DeleteFunc(slices.Clone(w.routers), func(n *simRouter) bool { return n.isDead })
+	alive := slices.DeleteFunc(slices.Clone(w.routers), func(n *simRouter) bool { return n.isDown })
 	for _, n := range w.routers {
 		n.members = alive
 	}
@@ -162,7 +162,7 @@
 			}
 		}
 		for _, n := range w.routers {
-			if !n.isDead {
+			if !n.isDown {
 				n.throttle.NotifyPeers(context.Background())
 			}
 		}
@@ -171,7 +171,7 @@
 
 // sendRequest sends one request to a router.
 func (w *world) sendRequest(n *simRouter) {
-	if n.isDead {
+	if n.isDown {
 		return
 	}
 	w.requestCount++
@@ -272,8 +272,8 @@
 	}
 }
 
-// TestLimitHoldsWhileMembershipChanges guards against two routers that both grant the full limit while a router dies, starts or
-// is cut off.
+// TestLimitHoldsWhileMembershipChanges guards against two routers that both grant the full limit while a router crashes, starts
+// or is cut off.
 func TestLimitHoldsWhileMembershipChanges(t *testing.T) {
 	// owner returns the router that owns the limit.
 	owner := func(w *world) *simRouter {
@@ -285,8 +285,8 @@
 		return nil
 	}
 	cases := map[string]func(w *world){
-		"the owner dies and remains a member for 10 s": func(w *world) {
-			owner(w).isDead = true
+		"the owner crashes and remains a member for 10 s": func(w *world) {
+			owner(w).isDown = true
 			w.advance(settleTime+20*time.Second, 200)
 			w.updateMembership()
 		},
@@ -306,7 +306,7 @@
 		},
 		"all routers restart": func(w *world) {
 			for _, n := range w.routers {
-				n.isDead = true
+				n.isDown = true
 			}
 			old := len(w.routers)
 			for range old {
