--- a/commander/budgets.go
+++ b/commander/budgets.go
@@ -38,8 +38,8 @@
 		name   string
 		amount masticway.Amount
 	}{
-		{"prepaid", v.Prepaid}, {"settled", v.Settled}, {"presumed", v.Presumed}, {"given back", v.GivenBack},
-		{"granted", v.Granted}, {"stranded", v.Stranded}, {"left", v.Left},
+		{"prepaid", v.Prepaid}, {"settled", v.Settled}, {"presumed", v.Presumed}, {"given back", v.Refunded},
+		{"granted", v.Granted}, {"stranded", v.Stranded}, {"left", v.Remaining},
 	}
 	fmt.Fprintf(w, "budget %s, in tokens at weight one\n", v.Budget)
 	for _, r := range rows {
--- a/commander/configuration.go
+++ b/commander/configuration.go
@@ -124,7 +124,7 @@
 		run: func(ctx context.Context, e env) error {
 			return callAndPrint(ctx, c, e, apiCall{method: http.MethodGet, path: "/admin/v1/config/status"}, func(w io.Writer, v router.ConfigStatus) {
 				fmt.Fprintf(w, "head %d, in force everywhere: %t\n", v.Head, v.InForce)
-				for _, d := range v.Daemons {
+				for _, d := range v.Leases {
 					fmt.Fprintf(w, "  %-40s applied %d  %s  lease to %s\n", d.Incarnation, d.AppliedRevision, d.State, d.ExpiresAt.Format("15:04:05.000"))
 				}
 			})
--- a/examiner/digest.go
+++ b/examiner/digest.go
@@ -13,8 +13,8 @@
 // is infeasible.
 const digestBytes = 16
 
-// Source holds the content of a request from which its digest is computed.
-type Source struct {
+// DigestInput holds the content of a request from which its digest is computed.
+type DigestInput struct {
 	// Workspace is the caller's workspace. It is empty on routes that need no key.
 	Workspace string
 	Method    string
@@ -26,7 +26,7 @@
 
 // Digest returns the request's digest. It does not depend on the request's ID, keys and time limit, so all attempts at the same
 // request have the same digest.
-func Digest(s Source) masticway.RequestDigest {
+func Digest(s DigestInput) masticway.RequestDigest {
 	sum := sha256.New()
 	for _, field := range []string{s.Workspace, s.Method, s.Host, s.Target} {
 		add(sum, []byte(field))
--- a/examiner/digest_test.go
+++ b/examiner/digest_test.go
@@ -9,9 +9,9 @@
 )
 
 func TestDigestTellsRequestsApart(t *testing.T) {
-	one := examiner.Source{Workspace: "w", Method: "POST", Host: "h", Target: "/a/b?c", Body: []byte("body")}
+	one := examiner.DigestInput{Workspace: "w", Method: "POST", Host: "h", Target: "/a/b?c", Body: []byte("body")}
 	qt.Assert(t, examiner.Digest(one), qt.Equals, examiner.Digest(one))
-	for name, other := range map[string]examiner.Source{
+	for name, other := range map[string]examiner.DigestInput{
 		"another caller":                   {Workspace: "v", Method: "POST", Host: "h", Target: "/a/b?c", Body: []byte("body")},
 		"another method":                   {Workspace: "w", Method: "PUT", Host: "h", Target: "/a/b?c", Body: []byte("body")},
 		"another host":                     {Workspace: "w", Method: "POST", Host: "g", Target: "/a/b?c", Body: []byte("body")},
--- a/forwarder/exchange.go
+++ b/forwarder/exchange.go
@@ -131,7 +131,7 @@
 // digest returns the request's digest.
 func (x *exchange) digest() masticway.RequestDigest {
 	x.digestOnce.Do(func() {
-		x.digestValue = examiner.Digest(examiner.Source{
+		x.digestValue = examiner.Digest(examiner.DigestInput{
 			Workspace: x.q.account.Workspace, Method: x.q.method, Host: x.q.host, Target: x.q.target, Body: x.q.body,
 		})
 	})
--- a/router/budgets.go
+++ b/router/budgets.go
@@ -25,14 +25,14 @@
 	Budget  string           `json:"budget"`
 	Prepaid masticway.Amount `json:"prepaid"`
 	Settled masticway.Amount `json:"settled"`
-	// Presumed is the part of Settled whose true cost is unknown. GivenBack is the sum of refunds, already subtracted from Settled.
-	Presumed  masticway.Amount `json:"presumed"`
-	GivenBack masticway.Amount `json:"given_back"`
+	// Presumed is the part of Settled whose true cost is unknown. Refunded is the sum of refunds, already subtracted from Settled.
+	Presumed masticway.Amount `json:"presumed"`
+	Refunded masticway.Amount `json:"given_back"`
 	// Granted is the sum of the open grants, Left what can still be granted, and Stranded the open amount of the stranded grants.
-	Granted  masticway.Amount `json:"granted"`
-	Left     masticway.Amount `json:"left"`
-	Stranded masticway.Amount `json:"stranded"`
-	Grants   []GrantStatus    `json:"grants"`
+	Granted   masticway.Amount `json:"granted"`
+	Remaining masticway.Amount `json:"left"`
+	Stranded  masticway.Amount `json:"stranded"`
+	Grants    []GrantStatus    `json:"grants"`
 	// Local is the answering router's position in the budget. It is nil if the router has none.
 	Local *keeper.Position `json:"here,omitempty"`
 }
@@ -47,8 +47,8 @@
 		return nil, err
 	}
 	status := BudgetStatus{
-		Budget: b.ID, Prepaid: b.Prepaid, Settled: b.Settled, Presumed: b.Presumed, GivenBack: b.Refunded,
-		Granted: b.OpenAmount(), Left: b.Remaining(), Grants: []GrantStatus{},
+		Budget: b.ID, Prepaid: b.Prepaid, Settled: b.Settled, Presumed: b.Presumed, Refunded: b.Refunded,
+		Granted: b.OpenAmount(), Remaining: b.Remaining(), Grants: []GrantStatus{},
 	}
 	for _, g := range b.Grants {
 		s := r.grantStatus(g, leases)
--- a/router/operators.go
+++ b/router/operators.go
@@ -267,9 +267,9 @@
 	// InForce is set if every incarnation with a lease row has applied Head. Behind holds those that have not.
 	InForce bool `json:"in_force"`
 	// State is the newest change's state in the change chart.
-	State   charter.State            `json:"state"`
-	Daemons []bookkeeper.RouterLease `json:"daemons"`
-	Behind  []string                 `json:"behind,omitempty"`
+	State  charter.State            `json:"state"`
+	Leases []bookkeeper.RouterLease `json:"daemons"`
+	Behind []string                 `json:"behind,omitempty"`
 }
 
 func (r *Router) configStatus(ctx context.Context, _ operatorRequest) (any, error) {
@@ -281,7 +281,7 @@
 	if err != nil {
 		return nil, err
 	}
-	status := ConfigStatus{Head: head, Daemons: leases}
+	status := ConfigStatus{Head: head, Leases: leases}
 	for _, d := range leases {
 		if d.AppliedRevision < head {
 			status.Behind = append(status.Behind, string(d.Incarnation))
