--- a/treasurer/borrowers.go
+++ b/treasurer/borrowers.go
@@ -8,15 +8,15 @@
 )
 
 const (
-	// loanRecordTTL is how long a lender remembers a loan request: longer than the borrower tries to cancel it after its
-	// response was lost.
+	// loanRecordTTL is how long a lender remembers a loan request at least: longer than a borrower tries to cancel a request
+	// whose response was lost.
 	loanRecordTTL = 10 * time.Second
-	// messageNumberWindow is how far a message number may lag behind the borrower's newest and still be accepted;
+	// messageNumberWindow is how far the number of a repayment may lag behind the borrower's newest and still be accepted;
 	// concurrent messages overtake each other by a few dozen.
 	messageNumberWindow = 1024
 )
 
-// loanRecord is what was lent for one loan request.
+// loanRecord is a lender's record of one loan request; amount is what was held for it.
 type loanRecord struct {
 	at     time.Time
 	amount int64
@@ -25,13 +25,13 @@
 	canceled bool
 }
 
-// borrowerState is what a lender remembers of one borrower.
+// borrowerState is what a lender remembers of one borrower: the numbers of its repayments, and its loan requests by number.
 type borrowerState struct {
 	repayments numberSet
 	loans      map[int64]*loanRecord
 }
 
-// borrower returns the state of one borrower.
+// borrower returns the state of one borrower, which it creates for a new one.
 func (p *Planner) borrower(i masticway.Incarnation) *borrowerState {
 	m, ok := p.borrowers[i]
 	if !ok {
@@ -41,12 +41,12 @@
 	return m
 }
 
-// dropExpired drops the records of requests that can no longer be canceled.
+// dropExpired drops the records that are older than loanRecordTTL.
 func (m *borrowerState) dropExpired(now time.Time) {
 	maps.DeleteFunc(m.loans, func(_ int64, loan *loanRecord) bool { return now.Sub(loan.at) > loanRecordTTL })
 }
 
-// cancel cancels a loan request and returns what was handed over for it.
+// cancel marks a loan request as canceled and returns what was handed over for it, zero if it was canceled before.
 func (m *borrowerState) cancel(now time.Time, number int64) int64 {
 	loan, known := m.loans[number]
 	if !known {
@@ -68,7 +68,7 @@
 	seen   map[int64]struct{}
 }
 
-// add adds a number and reports whether it is new; one that is too old is not.
+// add adds a number and reports whether it is new; one that is too old to be remembered counts as not new.
 func (n *numberSet) add(number int64) bool {
 	if _, again := n.seen[number]; again || number <= n.newest-messageNumberWindow {
 		return false
--- a/treasurer/concentration.go
+++ b/treasurer/concentration.go
@@ -5,17 +5,18 @@
 // These constants are policy: when a router that is not a holder of a workspace draws its own grant because demand is
 // concentrated there.
 const (
-	// concentratedRate is how many requests a second of a workspace must arrive at a router before it draws for them, so
-	// that a router with little traffic of many workspaces holds no grants of all of them.
+	// concentratedRate is how many requests a second of a workspace must arrive at a router before it draws a grant for them,
+	// so that a router with little traffic of many workspaces does not hold grants of all of them.
 	concentratedRate = 3.0
-	// dispersedFactor is the fraction of both thresholds below which the router stops drawing; it leaves a margin because
-	// demand is bursty.
+	// dispersedFactor is the fraction of both thresholds (concentratedRate and the share of all demand that one of the
+	// candidates would have on average) below which the router stops drawing; it leaves a margin because demand is bursty.
 	dispersedFactor = 0.5
 )
 
-// updateConcentration updates whether a workspace's demand arrives mostly at this router. Such a router holds a grant
-// although it is not one of the holders: what it would borrow arrives over the same network link as its callers' requests,
-// and late if these saturate it. Other routers need not know, because tokens are only ever spent from a grant or a loan.
+// updateConcentration updates whether a workspace's demand is concentrated at this router: whether many of its requests, and
+// at least one candidate's average share of its demand, arrive here. Such a router holds a grant although it is not one of
+// the holders: what it would borrow arrives over the same network link as its callers' requests, and late if these saturate
+// it. Other routers need not know, because tokens are only ever spent from a grant or a loan.
 func (p *Planner) updateConcentration(now time.Time, a *account) {
 	if a.arrivals.sum == 0 {
 		return
@@ -26,14 +27,14 @@
 		a.concentrated = false
 		return
 	}
-	requests, part := concentratedRate, 1/float64(len(a.candidates))
+	minRate, minShare := concentratedRate, 1/float64(len(a.candidates))
 	if a.concentrated {
-		requests, part = dispersedFactor*requests, dispersedFactor*part
+		minRate, minShare = dispersedFactor*minRate, dispersedFactor*minShare
 	}
 	a.arrivals.decay(now)
 	own := max(0, a.demand.rate-a.peerDemand.rate)
 	all := max(own, a.fleetDemand(p.settings.Incarnation))
-	a.concentrated = a.arrivals.rate >= requests && own >= part*all && !p.isBudgetLow(a)
+	a.concentrated = a.arrivals.rate >= minRate && own >= minShare*all && !p.isBudgetLow(a)
 }
 
 // isBudgetLow reports whether too little of a workspace's budget is left for all of its candidates to hold some.
--- a/treasurer/death_test.go
+++ b/treasurer/death_test.go
@@ -32,9 +32,9 @@
 		var richest *fleetRouter
 		var most int64
 		for _, r := range f.routers {
-			for _, p := range r.planner.Positions() {
-				if p.Workspace == workspace && p.Taken > most {
-					richest, most = r, p.Taken
+			for _, s := range r.planner.AccountStates() {
+				if s.Workspace == workspace && s.Taken > most {
+					richest, most = r, s.Taken
 				}
 			}
 		}
@@ -118,7 +118,7 @@
 			b.planner.SetPeers(4, peers)
 			const need = 100
 			var asked []treasurer.HoldID
-			// answered holds the requests whose responses were ready.
+			// answered is the set of requests whose responses are ready.
 			answered := map[treasurer.HoldID]bool{}
 			ask := func() {
 				asked = append(asked, b.hold(need))
@@ -141,7 +141,7 @@
 			for elapsed := time.Duration(0); elapsed < outage; elapsed += 30 * time.Millisecond {
 				ask()
 				for _, s := range b.plan(30 * time.Millisecond) {
-					replies, err := b.planner.CompleteStep(b.now, s, masticway.RowReading{}, &masticway.UnavailableError{Service: "rows"})
+					replies, err := b.planner.CompleteStoreCall(b.now, s, masticway.RowReading{}, &masticway.UnavailableError{Service: "rows"})
 					qt.Assert(t, err, qt.IsNil)
 					b.record(replies)
 				}
--- a/treasurer/demand.go
+++ b/treasurer/demand.go
@@ -12,9 +12,9 @@
 	minObservedSpan = 1500 * time.Millisecond
 )
 
-// average is an exponentially decaying mean of a rate a second.
+// average is an exponentially decaying mean of amounts a second.
 type average struct {
-	// rate is the mean a second as of the last update.
+	// rate is the mean a second as of the last update; sum is the sum of the amounts, each reduced by its age.
 	rate      float64
 	sum       float64
 	updatedAt time.Time
@@ -22,7 +22,7 @@
 	firstAt time.Time
 }
 
-// decay reduces the weight of earlier amounts.
+// decay reduces the weight of earlier amounts and updates the rate.
 func (m *average) decay(now time.Time) {
 	if elapsed := now.Sub(m.updatedAt); elapsed > 0 {
 		m.sum *= math.Exp(-elapsed.Seconds() / demandWindow.Seconds())
--- a/treasurer/fleet_test.go
+++ b/treasurer/fleet_test.go
@@ -125,7 +125,7 @@
 			}
 			slices.Sort(f.waits)
 			t.Logf("refused %.4f, lost %.4f, calls for each request %.2f, closings %d, median wait %v, 99th percentile %v; steps %v",
-				sum.refusedShare(), f.lostShare(), calls, f.closings, f.waits[len(f.waits)/2], f.waits[len(f.waits)*99/100], f.stepsByKind)
+				sum.refusedShare(), f.lostShare(), calls, f.closings, f.waits[len(f.waits)/2], f.waits[len(f.waits)*99/100], f.callsByKind)
 			qt.Check(t, sum.refusedShare() <= tc.refused, qt.IsTrue)
 			qt.Check(t, f.lostShare() <= tc.lost, qt.IsTrue)
 			qt.Check(t, calls <= tc.calls, qt.IsTrue)
@@ -164,7 +164,7 @@
 				asked += f.asked[workspace]
 				unreachable += f.unreachable[workspace]
 			}
-			t.Logf("%d of %d refused, steps %v", unreachable, asked, f.stepsByKind)
+			t.Logf("%d of %d refused, steps %v", unreachable, asked, f.callsByKind)
 			qt.Check(t, float64(unreachable) <= tc.refused*float64(asked), qt.IsTrue)
 			f.checkBudgets(t)
 		})
--- a/treasurer/holders.go
+++ b/treasurer/holders.go
@@ -14,8 +14,8 @@
 
 // These constants are policy: which routers keep a reserve of a workspace's tokens, and how much.
 const (
-	// minReserveRequests is how many typical requests each holder must be able to keep in reserve. A budget with less left
-	// has fewer holders, down to one for all of it.
+	// minReserveRequests is how many typical requests each holder must be able to keep in reserve. If the budget has less
+	// left than that for each candidate, fewer of them are holders, down to one for all of it.
 	minReserveRequests = 8
 	// soleHolderWindow is the total demand, as a duration, that the one holder of a low budget keeps in reserve.
 	soleHolderWindow = 3 * time.Second
@@ -38,10 +38,10 @@
 	Processors float64
 }
 
-// holderCandidates lists the routers that hold grants of a workspace unless its budget is low: in each availability zone
-// the first by rendezvous hash of the workspace and the instance, then the second of each, and so on until there are
-// enough. All routers that know the same peers compute the same list, also after restarts. Where they differ the budget is
-// still safe, because tokens are only ever spent from a grant or a loan.
+// holderCandidates lists the routers that hold grants of a workspace unless its budget is low: in each availability zone the
+// one with the greatest rendezvous weight for the workspace, then the second of each zone, and so on until there are at least
+// Settings.Holders. All routers that know the same peers compute the same list, also after restarts. Where they differ the
+// budget is still safe, because tokens are only ever spent from a grant or a loan.
 func (p *Planner) holderCandidates(a *account) []Peer {
 	if a.candidates != nil {
 		return a.candidates
@@ -76,12 +76,12 @@
 	return a.candidates
 }
 
-// weight is the rendezvous weight of a name for a workspace.
+// weight is the rendezvous weight of a name for a key, such as a workspace.
 func weight(workspace, name string) uint64 { return xxhash.Sum64String(workspace + "\x00" + name) }
 
-// weight is the router's rendezvous weight for a workspace: of two routers, one with twice the processors comes first four
-// times as often. Other routers wait for a holder's loans, and a router with a seventh of a processor is often busy for
-// longer than they can wait.
+// weight is the router's rendezvous weight for a key, such as a workspace: of two routers, one with twice the processors has
+// the greater weight four times as often as the other. Other routers wait for a holder's loans, and a router with a seventh
+// of a processor is often busy for longer than they can wait.
 func (o Peer) weight(workspace string) float64 {
 	const steps = 1 << 53
 	uniform := (float64(weight(workspace, o.Incarnation.Instance())>>11) + 0.5) / steps
@@ -113,7 +113,8 @@
 	return all[:min(len(all), max(1, n))]
 }
 
-// isHolder reports whether this router is one of a workspace's holders, from which others borrow.
+// isHolder reports whether this router is one of a workspace's holders, from which others borrow. A router without peers is
+// not.
 func (p *Planner) isHolder(a *account) bool {
 	if len(p.peers) == 0 {
 		return false
@@ -128,13 +129,14 @@
 	return len(p.peers) == 0 || p.isHolder(a) || a.concentrated
 }
 
-// borrowsFromHolders reports whether this router borrows a workspace's tokens from its holders instead of drawing a grant,
-// as it does unless none of them has answered lately.
+// borrowsFromHolders reports whether this router borrows a workspace's tokens from its holders instead of drawing a grant. A
+// router that keeps no reserve does, except for borrowBackoff after no lender has answered.
 func (p *Planner) borrowsFromHolders(now time.Time, a *account) bool {
 	return !p.keepsReserve(a) && now.Sub(a.noAnswerAt) > borrowBackoff
 }
 
-// fleetDemand returns the demand at all routers, that at other routers as of their last change of the row.
+// fleetDemand returns the demand at all routers that have a grant, and at this one; that at others is as of their last change
+// of their grants.
 func (a *account) fleetDemand(self masticway.Incarnation) float64 {
 	all := a.demand.rate
 	for i, g := range a.row.Grants {
@@ -181,26 +183,27 @@
 	return min(want, share)
 }
 
-// holderShare returns this router's share of the ungranted tokens and its own free ones.
+// holderShare returns how much of the ungranted tokens and its own free ones this router may keep in reserve, by its share of
+// all demand; zero if it keeps none.
 func (p *Planner) holderShare(a *account) float64 {
 	pool := a.ungranted() + max(0, a.free())
 	if pool <= 0 || !p.keepsReserve(a) {
 		return 0
 	}
 	all := a.fleetDemand(p.settings.Incarnation) + 1
-	part := (a.demand.rate + 1) / all
+	share := (a.demand.rate + 1) / all
 	if p.isHolder(a) {
 		// Traffic can shift between zones faster than tokens can, so half of a holder's share is the same for all.
-		part = (part + 1/float64(len(p.holders(a)))) / 2
+		share = (share + 1/float64(len(p.holders(a)))) / 2
 	}
-	return float64(pool) * reserveShare(part)
+	return float64(pool) * reserveShare(share)
 }
 
-// lenders returns the routers to ask for a loan, in this order: the workspace's holders, starting with another one for each
-// request, then others that had tokens free. Routers that left a request unanswered lately come last. All callers of a
-// workspace may use one router. If that router always asked the holder of its own availability zone first, everything it
-// borrowed was within the spend limit of that one: its crash cost 5.7% of a budget, and during a partition the other
-// holders' reserves were empty.
+// lenders returns the routers to ask for a loan, in this order and at most maxLenders: the workspace's holders, starting with
+// another one for each round, then others that had tokens free, then any others. Routers that left a request unanswered
+// lately come last. All callers of a workspace may use one router. If that router always asked the holder of its own
+// availability zone first, everything it borrowed was within that holder's spend limit: a crash of the holder cost 5.7% of a
+// budget, and during a partition the other holders' reserves were empty.
 func (p *Planner) lenders(now time.Time, a *account) []Witness {
 	var all []Witness
 	add := func(o Peer) {
@@ -227,17 +230,17 @@
 	return all[:min(len(all), maxLenders)]
 }
 
-// peersByUnspent lists the other routers that had tokens free, most first.
+// peersByUnspent lists the other routers that had tokens of their grants free when they last changed these, most first.
 func (p *Planner) peersByUnspent(a *account) []Peer {
-	inHand := func(o Peer) int64 { return a.row.Grants[o.Incarnation].Granted - a.row.Grants[o.Incarnation].Taken }
+	unspent := func(o Peer) int64 { return a.row.Grants[o.Incarnation].Granted - a.row.Grants[o.Incarnation].Taken }
 	var others []Peer
 	for _, peer := range p.peers {
-		if inHand(peer) > 0 {
+		if unspent(peer) > 0 {
 			others = append(others, peer)
 		}
 	}
 	slices.SortStableFunc(others, func(x, y Peer) int {
-		return cmp.Compare(inHand(y), inHand(x))
+		return cmp.Compare(unspent(y), unspent(x))
 	})
 	return others
 }
--- a/treasurer/holders_test.go
+++ b/treasurer/holders_test.go
@@ -25,8 +25,8 @@
 	return peers
 }
 
-// newBorrower returns the planner of a router that knows its peers and what each workspace has prepaid.
-func newBorrower(router treasurer.Peer, peers []treasurer.Peer, workspaces int) *treasurer.Planner {
+// newPlannerWithPeers returns the planner of a router that knows its peers and the workspaces' budgets.
+func newPlannerWithPeers(router treasurer.Peer, peers []treasurer.Peer, workspaces int) *treasurer.Planner {
 	p := treasurer.NewPlanner(treasurer.Settings{
 		Incarnation: router.Incarnation, Address: router.Address, Zone: router.Zone, Parts: 1, Reserve: 10 * time.Second, Holders: 6,
 	})
@@ -69,7 +69,7 @@
 			holdersOf := map[string]map[string]bool{}
 			load := map[string]int{}
 			for _, router := range peers {
-				p := newBorrower(router, peers, workspaces)
+				p := newPlannerWithPeers(router, peers, workspaces)
 				for i := range workspaces {
 					workspace := fmt.Sprintf("w%d", i)
 					if holdersOf[workspace] == nil {
@@ -84,7 +84,7 @@
 			for workspace, holders := range holdersOf {
 				qt.Assert(t, holders, qt.HasLen, tc.holders, qt.Commentf("%s", workspace))
 				for _, router := range peers {
-					lenders := lendersFor(newBorrower(router, peers, workspaces), workspace, epoch)
+					lenders := lendersFor(newPlannerWithPeers(router, peers, workspaces), workspace, epoch)
 					if len(lenders) == 0 {
 						continue
 					}
@@ -106,7 +106,7 @@
 	const rounds = 4
 	peers := newPeers(103, 6, "1")
 	for _, router := range peers {
-		p := newBorrower(router, peers, 1)
+		p := newPlannerWithPeers(router, peers, 1)
 		first := map[string]int{}
 		holders := len(lendersFor(p, "w0", epoch))
 		if holders == 0 {
@@ -115,10 +115,10 @@
 		p.CompleteBorrowRound(epoch, treasurer.BorrowRound{Number: 1, Workspace: "w0", Need: 100}, nil, 0)
 		for i := range rounds * 6 {
 			now := epoch.Add(time.Duration(i+1) * time.Second)
-			asks := p.DueBorrowRounds(now)
-			qt.Assert(t, asks, qt.HasLen, 1)
-			first[asks[0].Lenders[0].Address]++
-			p.CompleteBorrowRound(now, asks[0], nil, 0)
+			due := p.DueBorrowRounds(now)
+			qt.Assert(t, due, qt.HasLen, 1)
+			first[due[0].Lenders[0].Address]++
+			p.CompleteBorrowRound(now, due[0], nil, 0)
 		}
 		qt.Assert(t, first, qt.HasLen, 6)
 		for address, n := range first {
@@ -130,7 +130,7 @@
 func TestRestartsKeepHolders(t *testing.T) {
 	before, after := newPeers(30, 3, "1"), newPeers(30, 3, "2")
 	for i := range before {
-		first, second := lendersFor(newBorrower(before[i], before, 1), "w0", epoch), lendersFor(newBorrower(after[i], after, 1), "w0", epoch)
+		first, second := lendersFor(newPlannerWithPeers(before[i], before, 1), "w0", epoch), lendersFor(newPlannerWithPeers(after[i], after, 1), "w0", epoch)
 		qt.Assert(t, len(first), qt.Equals, len(second))
 		for k := range first {
 			qt.Assert(t, first[k].Address, qt.Equals, second[k].Address)
@@ -139,11 +139,11 @@
 }
 
 // TestUnresponsiveHolderIsAskedLast has a holder that is frozen or unreachable. Each request to it costs the timeout, so it
-// must be asked first only once a second and not for each request.
+// must be asked last for a second after it left one unanswered, and not first for each request.
 func TestUnresponsiveHolderIsAskedLast(t *testing.T) {
 	peers := newPeers(103, 6, "1")
 	for _, router := range peers {
-		p := newBorrower(router, peers, 1)
+		p := newPlannerWithPeers(router, peers, 1)
 		p.Hold(epoch, "w0", 100, epoch.Add(time.Minute))
 		for _, r := range p.DueBorrowRounds(epoch) {
 			unresponsive := r.Lenders[0]
@@ -170,16 +170,17 @@
 	t.Fatal("no router borrows")
 }
 
-// TestExhaustedNeedsAnswersFromAllPeers has a router with a row that is granted to others entirely. It cannot know what
-// they have unspent, so while one of them does not answer there may be tokens left.
+// TestExhaustedNeedsAnswersFromAllPeers has a router with a row that has most of the budget granted to another one, and less
+// ungranted than a request needs. It cannot know what others have unspent, so while one of them does not answer there may be
+// tokens left.
 func TestExhaustedNeedsAnswersFromAllPeers(t *testing.T) {
 	cases := map[string]struct {
 		unanswered int
 		want       treasurer.Verdict
 	}{
-		"all have too little":   {want: treasurer.VerdictExhausted},
-		"one does not answer":   {unanswered: 1, want: treasurer.VerdictUnreachable},
-		"nobody answers at all": {unanswered: 3, want: treasurer.VerdictUnreachable},
+		"all have too little": {want: treasurer.VerdictExhausted},
+		"one does not answer": {unanswered: 1, want: treasurer.VerdictUnreachable},
+		"none answers":        {unanswered: 3, want: treasurer.VerdictUnreachable},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -206,11 +207,11 @@
 }
 
 // TestRepaymentGoesToActualLender has a lender that was restarted after the borrower counted the routers. Its successor
-// lends, so the unused part must be repaid to the successor; nobody would accept a repayment to the predecessor.
+// lends, so the unused part must be repaid to the successor; no router would accept a repayment to the predecessor.
 func TestRepaymentGoesToActualLender(t *testing.T) {
 	peers := newPeers(103, 6, "1")
 	for _, router := range peers {
-		p := newBorrower(router, peers, 1)
+		p := newPlannerWithPeers(router, peers, 1)
 		id, _ := p.Hold(epoch, "w0", 100, epoch.Add(time.Minute))
 		for _, r := range p.DueBorrowRounds(epoch) {
 			successor := masticway.NewIncarnation(r.Lenders[0].Incarnation.Instance(), "2")
@@ -256,8 +257,8 @@
 	qt.Assert(t, b.account().Grants, qt.HasLen, 1)
 }
 
-// TestNoReserveWhilePeersChange has a router that starts with a fleet and counts a few more peers each second, as long as
-// the store takes to accept the presences of hundreds of routers. After each count it was the holder of workspaces without
+// TestNoReserveWhilePeersChange has a router that starts with a fleet and counts a few more peers each second, until the
+// store has accepted the presences of hundreds of routers. After each count it was the holder of workspaces without
 // requests, drew grants for them and returned these after the next count; 84 of one router's first 152 store calls
 // conflicted with another router's change.
 func TestNoReserveWhilePeersChange(t *testing.T) {
--- a/treasurer/holds.go
+++ b/treasurer/holds.go
@@ -5,7 +5,8 @@
 	"time"
 )
 
-// hold is what was reserved for one request: an amount of the router's own grant, and loans.
+// hold is what was reserved for one request, or for a loan to another router: an amount of the router's own grant, and loans.
+// It is cleared once the response may be sent or the loan handed over.
 type hold struct {
 	account *account
 	amount  int64
@@ -13,8 +14,8 @@
 	cleared bool
 }
 
-// settle returns what was not used, where loans count as used first. Nothing can have been used of a hold that is not
-// cleared.
+// settle returns what was not used, where loans count as used first; what was used beyond the hold is ignored. Nothing can
+// have been used of a hold that is not cleared.
 func (h hold) settle(used int64) {
 	if !h.cleared {
 		used = 0
@@ -32,8 +33,8 @@
 	}
 }
 
-// Hold reserves tokens for one request, or queues it until its deadline. The verdict is unreachable for a workspace without
-// a budget.
+// Hold reserves tokens for one request, or queues it until its deadline. The replies may include others of the workspace. The
+// verdict is unreachable for a workspace without a budget.
 func (p *Planner) Hold(now time.Time, workspace string, need int64, deadline time.Time) (HoldID, []Reply) {
 	p.lastHold++
 	id := p.lastHold
@@ -47,8 +48,7 @@
 	return id, p.serveQueue(now, a)
 }
 
-// Settle ends a hold of which the given amount was used; it does nothing but drop the waiting request if there is no such
-// hold.
+// Settle ends a hold of which the given amount was used. If there is no such hold, it only drops the request if that waits.
 func (p *Planner) Settle(now time.Time, id HoldID, used int64) []Reply {
 	h, ok := p.holds[id]
 	if !ok {
@@ -61,7 +61,8 @@
 	return p.serveQueue(now, h.account)
 }
 
-// Clear asks for clearance of a hold. No part of the response may be sent before a reply with VerdictCleared.
+// Clear asks for clearance of a hold, and gets no reply if there is no such hold. No part of the response may be sent before
+// a reply with VerdictCleared.
 func (p *Planner) Clear(now time.Time, id HoldID) []Reply {
 	h, ok := p.holds[id]
 	if !ok {
@@ -71,7 +72,8 @@
 	return p.clearHolds(now, h.account)
 }
 
-// clearHolds clears the holds that every spend limit allows; a small one does not wait behind a large one.
+// clearHolds clears the holds that ask for it, as far as all spend limits in force allow; a small one does not wait behind a
+// large one.
 func (p *Planner) clearHolds(now time.Time, a *account) []Reply {
 	var replies []Reply
 	var blocked []HoldID
@@ -98,7 +100,7 @@
 	}
 }
 
-// serveQueue answers waiting requests in order until one must wait on.
+// serveQueue clears holds, and answers waiting requests in order until one must go on waiting.
 func (p *Planner) serveQueue(now time.Time, a *account) []Reply {
 	replies := p.clearHolds(now, a)
 	for len(a.waiting) > 0 {
@@ -121,6 +123,7 @@
 	return replies
 }
 
+// decide returns the verdict on a waiting request, and false if it must go on waiting.
 func (p *Planner) decide(now time.Time, a *account, w waiter) (Verdict, bool) {
 	if w.need <= p.available(now, a)+a.loanBalance() {
 		return VerdictHeld, true
@@ -149,7 +152,8 @@
 	return "", false
 }
 
-// exceedsBudget reports whether a need certainly exceeds what is ungranted and what this router has free or borrowed.
+// exceedsBudget reports whether, by the known row, a need exceeds what is ungranted and what this router has free or
+// borrowed. It returns false while the outcome of a change of the grant is unknown.
 func (p *Planner) exceedsBudget(a *account, need int64) bool {
 	return need > a.ungranted()+max(0, a.free())+a.loanBalance() && a.isGrantKnown()
 }
--- a/treasurer/lending.go
+++ b/treasurer/lending.go
@@ -6,7 +6,8 @@
 	"github.com/sirupsen/logrus"
 )
 
-// borrow asks the lenders one after the other until the need is met.
+// borrow asks the lenders of a round one after the other, until the need is met or all were asked, and passes the loans to
+// the planner. A lender that does not answer is told in the background to cancel the request.
 func (t *Treasurer) borrow(ctx context.Context, r BorrowRound) {
 	var loans []Loan
 	need := r.Need
@@ -41,7 +42,7 @@
 	t.deliver(t.planner.CompleteBorrowRound(t.clock.Now(), r, loans, unanswered))
 }
 
-// cancelRequest tells a lender whose response did not arrive to take back what it may have lent.
+// cancelRequest has a lender whose response did not arrive take back what it may have lent. It does not wait for that.
 func (t *Treasurer) cancelRequest(ctx context.Context, r BorrowRound, l Witness) {
 	t.metrics.Add(metricUnanswered, 1)
 	t.mu.Lock()
@@ -50,7 +51,8 @@
 	t.tasks.Go(func() { t.repay(ctx, unanswered) })
 }
 
-// repay repays a loan. If the lender does not answer, the tokens remain counted as taken there.
+// repay returns a loan or cancels a request. If the lender does not answer any of maxRepayAttempts attempts, the tokens
+// remain counted as taken there.
 func (t *Treasurer) repay(ctx context.Context, r Repayment) {
 	for range maxRepayAttempts {
 		callCtx, cancel := context.WithTimeout(ctx, repayTimeout)
@@ -68,10 +70,12 @@
 	t.log.WithFields(logrus.Fields{"event": "not_repaid", "lender": r.Lender, "workspace": r.Workspace, "amount": r.Amount}).Warn("loan not repaid")
 }
 
-// Lend takes tokens out of this router's grant for another router. It waits until they are cleared, or the context is done.
-func (t *Treasurer) Lend(ctx context.Context, ask LoanRequest) int64 {
+// Lend takes tokens out of this router's grant for another router and returns how many, after it has waited until they are
+// cleared. It lends nothing and returns zero if too little may be taken, the borrower has canceled the request, or clearance
+// takes longer than clearTimeout or the context allows.
+func (t *Treasurer) Lend(ctx context.Context, request LoanRequest) int64 {
 	t.mu.Lock()
-	id, amount := t.planner.Lend(t.clock.Now(), ask)
+	id, amount := t.planner.Lend(t.clock.Now(), request)
 	t.mu.Unlock()
 	if amount == 0 {
 		t.metrics.Add(metricLendShort, 1)
@@ -85,7 +89,7 @@
 		return 0
 	}
 	t.mu.Lock()
-	lent := t.planner.CompleteLoan(id, ask)
+	lent := t.planner.CompleteLoan(id, request)
 	t.mu.Unlock()
 	if !lent {
 		t.Settle(id, 0)
--- a/treasurer/loans.go
+++ b/treasurer/loans.go
@@ -8,15 +8,15 @@
 
 // These constants are policy: when and whom to ask for a loan, what to lend, and when to repay.
 const (
-	// borrowDelay is how long a request waits for the store before other routers are asked; a healthy store answers the two
-	// calls that a request may need within 20 ms.
+	// borrowDelay is how long a request waits for the store before other routers are asked, at a router that draws its own
+	// grant and whose row shows enough. A healthy store answers the two calls that a request may need within 20 ms.
 	borrowDelay = 30 * time.Millisecond
-	// borrowBackoff is how long a router that draws its own grant asks no lender after a round that returned too little,
-	// and how long a router that otherwise borrows draws its own grant after no lender has answered.
+	// borrowBackoff is how long a router that keeps a reserve asks no lender after a round that returned too little. It is
+	// also how long a router that keeps none draws its own grant after a round in which no lender answered.
 	borrowBackoff = 300 * time.Millisecond
-	// refillInterval is how long a router that borrows waits after such a round: it is the time of a holder's two calls to
-	// the store.
-	refillInterval = 40 * time.Millisecond
+	// borrowerBackoff is how long a router that keeps no reserve asks no lender after a round that returned too little: the
+	// time of a holder's two calls to the store.
+	borrowerBackoff = 40 * time.Millisecond
 	// idleLoanTTL is how long a loan may remain unused before it is repaid.
 	idleLoanTTL = time.Second
 	// minLoanDivisor divides the requested amount to give the smallest loan.
@@ -25,8 +25,8 @@
 	maxLenders = 8
 )
 
-// Loan is an amount that another router has taken out of its own grant for this one. It counts as taken there, so that it
-// is not spent twice if either router crashes.
+// Loan is an amount that another router has taken out of its own grant for this one. It counts as taken there, so that it is
+// not spent twice if either router crashes.
 type Loan struct {
 	Lender masticway.Incarnation
 	// Address is where the lender was reached.
@@ -44,7 +44,8 @@
 	Lenders []Witness
 }
 
-// LoanRequest is a request to one router of a round; the borrower and the number identify it.
+// LoanRequest asks one router of a round for a loan. The number is the round's; with the borrower it identifies the request
+// at the lender.
 type LoanRequest struct {
 	Number    int64                 `cbor:"1,keyasint"`
 	Borrower  masticway.Incarnation `cbor:"2,keyasint"`
@@ -52,15 +53,15 @@
 	Need      int64                 `cbor:"4,keyasint"`
 }
 
-// Repayment returns what was borrowed and not used; the lender counts each number once.
+// Repayment returns what was borrowed and not used, or cancels a request; the lender counts each number of a borrower once.
 type Repayment struct {
 	Number    int64                 `cbor:"1,keyasint"`
 	Borrower  masticway.Incarnation `cbor:"2,keyasint"`
 	Lender    masticway.Incarnation `cbor:"3,keyasint"`
 	Workspace string                `cbor:"4,keyasint"`
 	Amount    int64                 `cbor:"5,keyasint"`
-	// This is the number of a request whose response did not arrive, zero if there is none: the lender takes back whatever
-	// it has lent for the request, and lends nothing more for it.
+	// CanceledRequest is the number of a request whose response did not arrive, zero if there is none: the lender takes back
+	// whatever it has lent for the request, and lends nothing more for it.
 	CanceledRequest int64 `cbor:"6,keyasint,omitempty"`
 	// Address is where the lender is reached; it is not sent.
 	Address string `cbor:"-"`
@@ -79,10 +80,10 @@
 func (a *account) takeLoans(amount int64) []Loan {
 	var taken []Loan
 	for amount > 0 && len(a.loans) > 0 {
-		part := min(amount, a.loans[0].Amount)
-		taken = append(taken, Loan{Lender: a.loans[0].Lender, Address: a.loans[0].Address, Amount: part})
-		amount -= part
-		if a.loans[0].Amount -= part; a.loans[0].Amount == 0 {
+		used := min(amount, a.loans[0].Amount)
+		taken = append(taken, Loan{Lender: a.loans[0].Lender, Address: a.loans[0].Address, Amount: used})
+		amount -= used
+		if a.loans[0].Amount -= used; a.loans[0].Amount == 0 {
 			a.loans = a.loans[1:]
 		}
 	}
@@ -103,8 +104,8 @@
 	a.loans = append(a.loans, l)
 }
 
-// DueBorrowRounds returns the rounds to start now: for requests that have waited for the store, or whose need the store
-// cannot meet.
+// DueBorrowRounds returns the rounds to start now, at most one at a time for each workspace: for requests at a router that
+// borrows from holders, requests whose need the budget's row cannot meet, and others that have waited for borrowDelay.
 func (p *Planner) DueBorrowRounds(now time.Time) []BorrowRound {
 	var rounds []BorrowRound
 	for _, a := range p.sortedAccounts {
@@ -132,7 +133,7 @@
 	if p.keepsReserve(a) {
 		return borrowBackoff
 	}
-	return refillInterval
+	return borrowerBackoff
 }
 
 // CompleteBorrowRound adds the loans that a round returned; unanswered is how many of the lenders that were asked did not
@@ -169,40 +170,41 @@
 	}
 }
 
-// Lend takes tokens for another router out of what may be taken. Its hold must be cleared before the tokens are handed
-// over, and is ended by CompleteLoan; there is none if nothing can be lent.
-func (p *Planner) Lend(now time.Time, ask LoanRequest) (HoldID, int64) {
-	a, ok := p.accounts[ask.Workspace]
+// Lend takes tokens for another router out of what may be taken, and counts the request as demand. It returns their hold,
+// which must be cleared before the tokens are handed over and is ended by CompleteLoan. If nothing is lent, the amount is
+// zero and there is no hold.
+func (p *Planner) Lend(now time.Time, request LoanRequest) (HoldID, int64) {
+	a, ok := p.accounts[request.Workspace]
 	if !ok || p.closing {
 		return 0, 0
 	}
-	borrower := p.borrower(ask.Borrower)
-	if _, known := borrower.loans[ask.Number]; known {
+	borrower := p.borrower(request.Borrower)
+	if _, known := borrower.loans[request.Number]; known {
 		// The borrower has canceled the request, or this is a duplicate.
 		return 0, 0
 	}
-	a.observeDemand(now, ask.Need)
-	a.peerDemand.add(now, float64(ask.Need))
-	amount := min(ask.Need, p.available(now, a)-a.queuedNeed())
-	if amount <= 0 || amount < ask.Need/minLoanDivisor {
+	a.observeDemand(now, request.Need)
+	a.peerDemand.add(now, float64(request.Need))
+	amount := min(request.Need, p.available(now, a)-a.queuedNeed())
+	if amount <= 0 || amount < request.Need/minLoanDivisor {
 		return 0, 0
 	}
 	p.lastHold++
 	a.taken += amount
 	p.holds[p.lastHold] = &hold{account: a, amount: amount}
-	borrower.loans[ask.Number] = &loanRecord{at: now, amount: amount}
+	borrower.loans[request.Number] = &loanRecord{at: now, amount: amount}
 	borrower.dropExpired(now)
 	return p.lastHold, amount
 }
 
 // CompleteLoan ends a cleared hold because its tokens are handed to another router. It returns false if the hold is not
 // cleared or the borrower has canceled the request meanwhile; the caller must then settle the hold.
-func (p *Planner) CompleteLoan(id HoldID, ask LoanRequest) bool {
+func (p *Planner) CompleteLoan(id HoldID, request LoanRequest) bool {
 	h, ok := p.holds[id]
 	if !ok || !h.cleared {
 		return false
 	}
-	loan, known := p.borrower(ask.Borrower).loans[ask.Number]
+	loan, known := p.borrower(request.Borrower).loans[request.Number]
 	if !known || loan.canceled {
 		return false
 	}
@@ -212,7 +214,8 @@
 	return true
 }
 
-// AcceptRepayment takes back what another router did not use of a loan, once for each number.
+// AcceptRepayment takes back what another router did not use of a loan, or what was lent for a request that it cancels; once
+// for each number. It ignores repayments that are meant for another incarnation, except cancellations.
 func (p *Planner) AcceptRepayment(now time.Time, r Repayment) []Reply {
 	a, ok := p.accounts[r.Workspace]
 	if !ok || r.Lender != p.settings.Incarnation && r.CanceledRequest == 0 || !p.borrower(r.Borrower).repayments.add(r.Number) {
@@ -229,7 +232,8 @@
 	return p.serveQueue(now, a)
 }
 
-// DueRepayments removes the loans that are unused and due, and returns them as repayments.
+// DueRepayments removes the loans to return now, and returns them as repayments: all while the router shuts down and after a
+// round that returned too little, and otherwise those of workspaces without waiting requests after idleLoanTTL.
 func (p *Planner) DueRepayments(now time.Time) []Repayment {
 	var due []Repayment
 	for _, a := range p.sortedAccounts {
--- a/treasurer/main_test.go
+++ b/treasurer/main_test.go
@@ -12,7 +12,7 @@
 	if f := flag.Lookup("rapid.seed"); f.Value.String() == "0" {
 		_ = flag.Set("rapid.seed", "20261202")
 		_ = flag.Set("rapid.nofailfile", "true")
-		// A hold takes about ten steps from its request to its delivery.
+		// A hold takes about ten steps of a test from its request to its delivery.
 		_ = flag.Set("rapid.steps", "400")
 	}
 	os.Exit(m.Run())
--- a/treasurer/model_test.go
+++ b/treasurer/model_test.go
@@ -17,34 +17,37 @@
 // workspaces are those of the model, each with a prepaid budget of its own.
 var workspaces = []string{"tailor", "salon"}
 
-// model is the planners of a fleet and the rows, in one goroutine. It counts itself what callers received.
+// model is a fleet's planners and their rows, run in one goroutine. Independently of them it counts what callers received.
 type model struct {
 	now     time.Time
 	rows    *emulator.Rows
 	routers []*modelRouter
 	version int64
 	prepaid map[string]int64
-	// maxPrepaid is the largest budget that was ever in force, delivered what callers received.
-	maxPrepaid      map[string]int64
-	delivered       map[string]int64
+	// maxPrepaid is the largest budget that was ever in force, delivered what callers received, by workspace.
+	maxPrepaid map[string]int64
+	delivered  map[string]int64
+	// lateWrites are those that reach the store later, if ever, although their outcome is unknown or their router has ended.
 	lateWrites      []masticway.RowWrite
 	deliveries      int
 	lastIncarnation int
 	// burstShare is the planners' Settings.BurstShare.
 	burstShare float64
-	// holders is how many routers hold grants of a workspace while the others borrow; zero means all.
+	// holders is the planners' Settings.Holders.
 	holders int
 }
 
 // modelRouter is one instance; a restart gives it a new planner.
 type modelRouter struct {
-	instance       string
-	self           masticway.Incarnation
-	planner        *treasurer.Planner
-	started        bool
-	steps          []treasurer.Step
-	holds          []*modelHold
-	ended          []treasurer.EndedIncarnation
+	instance string
+	self     masticway.Incarnation
+	planner  *treasurer.Planner
+	started  bool
+	// calls are in flight to the store; holds include requests that wait; ended are the predecessors to close.
+	calls []treasurer.StoreCall
+	holds []*modelHold
+	ended []treasurer.EndedIncarnation
+	// delayedReports are in flight to witnesses. strayReports are too, but their sender has given them up.
 	delayedReports []treasurer.SpendReport
 	strayReports   []treasurer.SpendReport
 	partitioned    bool
@@ -52,6 +55,7 @@
 	startedAt time.Time
 }
 
+// modelHold is a request of a caller and its hold.
 type modelHold struct {
 	id        treasurer.HoldID
 	workspace string
@@ -96,7 +100,7 @@
 
 // restart ends a router's process with all its holds and starts a new one; writes in flight may still arrive.
 func (w *model) restart(r *modelRouter) {
-	for _, s := range r.steps {
+	for _, s := range r.calls {
 		if s.Write != nil {
 			w.lateWrites = append(w.lateWrites, *s.Write)
 		}
@@ -105,7 +109,7 @@
 	r.self = masticway.NewIncarnation(r.instance, fmt.Sprint(w.lastIncarnation))
 	r.planner = treasurer.NewPlanner(treasurer.Settings{Incarnation: r.self, Address: r.instance, Parts: 2, Reserve: 5 * time.Second, BurstShare: w.burstShare, Holders: w.holders})
 	r.startedAt = w.now
-	r.started, r.steps, r.holds, r.ended, r.delayedReports, r.strayReports = false, nil, nil, nil, nil, nil
+	r.started, r.calls, r.holds, r.ended, r.delayedReports, r.strayReports = false, nil, nil, nil, nil, nil
 	accounts := map[string]masticway.Account{}
 	for workspace, prepaid := range w.prepaid {
 		accounts[workspace] = masticway.Account{Workspace: workspace, Prepaid: prepaid, HasLimit: true}
@@ -113,7 +117,7 @@
 	r.planner.Configure(w.version, accounts)
 }
 
-// kill crashes a router; all that was cleared may have reached its callers.
+// kill crashes a router and restarts it; all that was cleared counts as received by its callers.
 func (w *model) kill(r *modelRouter) {
 	for _, h := range r.holds {
 		if h.cleared {
@@ -149,11 +153,13 @@
 	}
 }
 
+// rowReading is a row and the store's clock when it was read.
 type rowReading struct {
 	row masticway.StoredRow
 	at  time.Duration
 }
 
+// read reads one row.
 func (w *model) read(table, key string) rowReading {
 	out := rowReading{row: masticway.StoredRow{RowKey: masticway.RowKey{Table: table, Part: treasurer.PartOf(key, 2), Key: key}}}
 	all, err := w.rows.Read(context.Background(), table, out.row.Part)
@@ -169,6 +175,7 @@
 	return out
 }
 
+// closePredecessors closes the grants of a router's predecessors without concurrent writes.
 func (w *model) closePredecessors(t *rapid.T, r *modelRouter) {
 	if r.partitioned || len(r.ended) == 0 {
 		return
@@ -235,20 +242,20 @@
 	return false
 }
 
-// plan collects the steps that a planner wants.
+// plan collects the calls to the store that a planner returns.
 func (w *model) plan(r *modelRouter) {
-	w.handleReplies(r, r.planner.Tick(w.now))
-	r.steps = append(r.steps, r.planner.Plan(w.now)...)
+	w.handleReplies(r, r.planner.ServeQueues(w.now))
+	r.calls = append(r.calls, r.planner.Plan(w.now)...)
 }
 
-// completeStep ends one step with a random outcome.
-func (w *model) completeStep(t *rapid.T, r *modelRouter) {
-	if len(r.steps) == 0 {
+// completeCall ends one call with a random outcome.
+func (w *model) completeCall(t *rapid.T, r *modelRouter) {
+	if len(r.calls) == 0 {
 		return
 	}
-	i := rapid.IntRange(0, len(r.steps)-1).Draw(t, "step")
-	s := r.steps[i]
-	r.steps = append(r.steps[:i:i], r.steps[i+1:]...)
+	i := rapid.IntRange(0, len(r.calls)-1).Draw(t, "step")
+	s := r.calls[i]
+	r.calls = append(r.calls[:i:i], r.calls[i+1:]...)
 	outcome := rapid.SampledFrom([]string{"ok", "ok", "ok", "nothing", "lost", "late"}).Draw(t, "how")
 	if r.partitioned {
 		outcome = "nothing"
@@ -275,11 +282,11 @@
 			err = unknown
 		}
 	}
-	replies, fault := r.planner.CompleteStep(w.now, s, reading, err)
+	replies, fault := r.planner.CompleteStoreCall(w.now, s, reading, err)
 	w.handleReplies(r, replies)
 	if fault != nil {
 		if _, sealed := errors.AsType[*masticway.SealedError](fault); !sealed {
-			t.Fatalf("completing a step: %v", fault)
+			t.Fatalf("completing a call: %v", fault)
 		}
 		w.restart(r)
 	}
@@ -306,6 +313,7 @@
 	}
 }
 
+// request has a caller request tokens.
 func (w *model) request(t *rapid.T, r *modelRouter) {
 	workspace := rapid.SampledFrom(workspaces).Draw(t, "workspace")
 	amount := rapid.Int64Range(1, 500).Draw(t, "amount")
@@ -337,15 +345,15 @@
 	var cancellations []treasurer.Repayment
 	for _, r := range borrower.planner.DueBorrowRounds(w.now) {
 		var loans []treasurer.Loan
-		ask := treasurer.LoanRequest{Number: r.Number, Borrower: borrower.self, Workspace: r.Workspace, Need: r.Need}
+		request := treasurer.LoanRequest{Number: r.Number, Borrower: borrower.self, Workspace: r.Workspace, Need: r.Need}
 		if lender != borrower {
-			id, amount := lender.planner.Lend(w.now, ask)
+			id, amount := lender.planner.Lend(w.now, request)
 			cleared := false
 			for _, reply := range lender.planner.Clear(w.now, id) {
 				cleared = cleared || reply.ID == id
 			}
 			if cleared {
-				lent := lender.planner.CompleteLoan(id, ask)
+				lent := lender.planner.CompleteLoan(id, request)
 				if !lent {
 					w.handleReplies(lender, lender.planner.Settle(w.now, id, 0))
 				}
@@ -369,6 +377,7 @@
 	}
 }
 
+// applyChanges passes all current rows to a router, as its watch would.
 func (w *model) applyChanges(t *rapid.T, r *modelRouter) {
 	if r.partitioned {
 		return
@@ -413,16 +422,16 @@
 			"close":  func(t *rapid.T) { w.closePredecessors(t, router(t)) },
 			"ask":    func(t *rapid.T) { w.request(t, router(t)) },
 			"plan":   func(t *rapid.T) { w.plan(router(t)) },
-			"finish": func(t *rapid.T) { w.completeStep(t, router(t)) },
+			"finish": func(t *rapid.T) { w.completeCall(t, router(t)) },
 			"turn": func(t *rapid.T) {
-				// One router carries out all its steps, so that requests make progress.
+				// One router makes all its calls, so that requests make progress.
 				r := router(t)
 				w.takeOver(t, r)
 				for range 4 {
 					w.now = w.now.Add(30 * time.Millisecond)
 					w.plan(r)
-					for len(r.steps) > 0 {
-						w.completeStep(t, r)
+					for len(r.calls) > 0 {
+						w.completeCall(t, r)
 					}
 				}
 			},
@@ -434,8 +443,8 @@
 				for range rapid.IntRange(1, 4).Draw(t, "turns") {
 					w.request(t, r)
 					w.plan(r)
-					for len(r.steps) > 0 {
-						w.completeStep(t, r)
+					for len(r.calls) > 0 {
+						w.completeCall(t, r)
 					}
 					w.sendReports(t, r)
 					w.deliver(t, r)
--- a/treasurer/outcome.go
+++ b/treasurer/outcome.go
@@ -7,9 +7,9 @@
 	"github.com/masticway/masticway"
 )
 
-// CompleteStep applies the outcome of a step and returns the replies that result. It fails with a masticway.SealedError if
-// another incarnation has taken over this instance's checkpoint, or if a row cannot be decoded.
-func (p *Planner) CompleteStep(now time.Time, s Step, reading masticway.RowReading, err error) ([]Reply, error) {
+// CompleteStoreCall applies the outcome of a call and returns the replies that result. It fails with a masticway.SealedError
+// if another incarnation has taken over this instance's checkpoint, and with another error if a row cannot be decoded.
+func (p *Planner) CompleteStoreCall(now time.Time, s StoreCall, reading masticway.RowReading, err error) ([]Reply, error) {
 	if s.Part == "" {
 		return p.completeCheckpoint(now, s, reading, err)
 	}
@@ -23,7 +23,7 @@
 	}
 	if err != nil {
 		p.failChange(now, s, err)
-		return p.Tick(now), nil
+		return p.ServeQueues(now), nil
 	}
 	p.noteStoreSuccess()
 	if s.Write == nil {
@@ -32,6 +32,7 @@
 	return p.completeChange(now, s, reading)
 }
 
+// noteStoreSuccess records that the store has answered a call, if only with a conflict.
 func (p *Planner) noteStoreSuccess() {
 	p.failingSince = time.Time{}
 	p.changeInterval -= min(p.changeInterval, changeIntervalStep)
@@ -42,8 +43,8 @@
 	p.changeInterval = min(maxChangeInterval, max(initialChangeInterval, 2*p.changeInterval))
 }
 
-// RetryCheckpoint allows the checkpoint to be written at once. Until the store has it, a crash of this router costs its
-// workspaces what the rate of the spend limits allowed for the whole outage.
+// RetryCheckpoint allows the checkpoint to be written at once instead of after probeInterval. Until the store has it, a crash
+// of this router costs its workspaces what the rate of the spend limits allowed for the whole outage.
 func (p *Planner) RetryCheckpoint() { p.checkpointRetryAt = time.Time{} }
 
 // noteStoreFailure records that the store failed a call sent at the given time.
@@ -53,9 +54,9 @@
 	}
 }
 
-// noteStepFailure records a failed step. It reports whether the step certainly changed nothing, and whether the store
-// refused it because of its rate limit.
-func (p *Planner) noteStepFailure(s Step, err error) (notRun, rateLimited bool) {
+// noteCallFailure records a failed call. It reports whether the call certainly changed nothing, and whether the store refused
+// it because of its rate limit.
+func (p *Planner) noteCallFailure(s StoreCall, err error) (notRun, rateLimited bool) {
 	unavailable, notRun := errors.AsType[*masticway.UnavailableError](err)
 	rateLimited = notRun && unavailable.RateLimited
 	if rateLimited {
@@ -66,10 +67,10 @@
 	return notRun, rateLimited
 }
 
-// failChange records a failed read or change of accounts. A change of unknown outcome remains unconfirmed until a newer row
-// is read.
-func (p *Planner) failChange(now time.Time, s Step, err error) {
-	notRun, _ := p.noteStepFailure(s, err)
+// failChange records a failed read or change of accounts. A change of unknown outcome remains unconfirmed until applyRow gets
+// a newer row.
+func (p *Planner) failChange(now time.Time, s StoreCall, err error) {
+	notRun, _ := p.noteCallFailure(s, err)
 	a, ok := p.accounts[s.Workspace]
 	if !ok {
 		return
@@ -84,15 +85,15 @@
 	a.changeInFlight, a.returning = false, 0
 }
 
-// endChange records that a step's change is no longer in flight.
-func (p *Planner) endChange(s Step) {
+// endChange records that the change of a grant that a call made or attempted is no longer in flight.
+func (p *Planner) endChange(s StoreCall) {
 	if a, ok := p.accounts[s.Workspace]; ok {
 		a.changeInFlight, a.returning = false, 0
 	}
 }
 
 // completeChange applies a committed change.
-func (p *Planner) completeChange(now time.Time, s Step, reading masticway.RowReading) ([]Reply, error) {
+func (p *Planner) completeChange(now time.Time, s StoreCall, reading masticway.RowReading) ([]Reply, error) {
 	p.endChange(s)
 	var rows []masticway.StoredRow
 	for _, put := range s.Write.Puts {
@@ -101,8 +102,8 @@
 	return p.applyRows(now, s, rows)
 }
 
-// completeRead applies a read of a whole part; a row that is missing there does not exist.
-func (p *Planner) completeRead(now time.Time, s Step, reading masticway.RowReading) ([]Reply, error) {
+// completeRead applies a read of a whole part; a row that is missing there and was never read does not exist.
+func (p *Planner) completeRead(now time.Time, s StoreCall, reading masticway.RowReading) ([]Reply, error) {
 	found := map[string]bool{}
 	for _, r := range reading.Rows {
 		found[r.Key] = true
@@ -117,8 +118,8 @@
 	return p.applyRows(now, s, reading.Rows)
 }
 
-// applyRows applies rows that were read, or returned with a conflict, after the step was sent.
-func (p *Planner) applyRows(now time.Time, s Step, rows []masticway.StoredRow) ([]Reply, error) {
+// applyRows applies rows as they were after the call was sent: read, written, or returned with a conflict.
+func (p *Planner) applyRows(now time.Time, s StoreCall, rows []masticway.StoredRow) ([]Reply, error) {
 	var replies []Reply
 	for _, r := range rows {
 		a, ok := p.accounts[r.Key]
@@ -186,14 +187,14 @@
 }
 
 // completeCheckpoint applies the outcome of writing a checkpoint.
-func (p *Planner) completeCheckpoint(now time.Time, s Step, reading masticway.RowReading, err error) ([]Reply, error) {
+func (p *Planner) completeCheckpoint(now time.Time, s StoreCall, reading masticway.RowReading, err error) ([]Reply, error) {
 	p.checkpointInFlight = false
 	if conflict, ok := errors.AsType[*masticway.RowConflictError](err); ok {
 		p.noteStoreSuccess()
 		return p.resolveCheckpoint(now, conflict.Rows)
 	}
 	if err != nil {
-		notRun, rateLimited := p.noteStepFailure(s, err)
+		notRun, rateLimited := p.noteCallFailure(s, err)
 		if notRun {
 			p.dropLimits(s.sequence)
 		}
@@ -201,7 +202,7 @@
 		if rateLimited {
 			p.checkpointRetryAt = now.Add(p.changeInterval)
 		}
-		return p.Tick(now), nil
+		return p.ServeQueues(now), nil
 	}
 	p.noteStoreSuccess()
 	p.checkpointLatency += (now.Sub(s.sentAt) - p.checkpointLatency) / 4
@@ -209,7 +210,7 @@
 	p.keepOnlyLimits(s.sequence)
 	p.checkpoint.Basis = reading.StoreTime
 	p.checkpointBasis = now
-	return p.Tick(now), nil
+	return p.ServeQueues(now), nil
 }
 
 // keepOnlyLimits leaves only the spend limits of the given checkpoint in force.
@@ -249,12 +250,12 @@
 		// The store's clock at that write is unknown; the older basis is safe.
 		p.keepOnlyLimits(checkpoint.Sequence)
 	}
-	return p.Tick(now), nil
+	return p.ServeQueues(now), nil
 }
 
-// TakeOver returns the write that replaces the checkpoint row of the predecessor, which the caller must make before it
-// calls CompleteTakeOver. now is the store's clock when the row was read, listening an upper bound of it when this process
-// began to listen.
+// TakeOver returns the write that replaces the checkpoint row of the predecessor, which the caller must make before it calls
+// CompleteTakeOver. now is the store's clock when the row was read, listening an upper bound of the store's clock when this
+// process began to listen.
 func (p *Planner) TakeOver(row masticway.StoredRow, now, listening time.Duration) (masticway.RowWrite, error) {
 	old, err := decode[Checkpoint](row)
 	if err != nil {
@@ -269,7 +270,8 @@
 	}, nil
 }
 
-// CompleteTakeOver records that the store has this incarnation's first checkpoint.
+// CompleteTakeOver records that the store has this incarnation's first checkpoint, written with the given version when the
+// store's clock was at.
 func (p *Planner) CompleteTakeOver(now time.Time, version int64, at time.Duration) {
 	p.started, p.startedAt = true, now
 	p.checkpointVersion = version
@@ -279,32 +281,32 @@
 	p.limitsInForce = []checkpointLimits{{basis: now, limits: map[string]SpendLimit{}}}
 }
 
-// Predecessors lists the ended incarnations whose grants are still open.
+// Predecessors lists the ended incarnations of this instance whose grants may still be open.
 func (p *Planner) Predecessors() []EndedIncarnation { return p.checkpoint.Ended }
 
 // ForgetPredecessors records that the grants of all predecessors are closed; the next checkpoint omits them.
 func (p *Planner) ForgetPredecessors() { p.checkpoint.Ended = nil }
 
-// Close makes the planner return all that is not held.
+// Close makes the planner return what is free of its grants and its unused loans, and lend nothing more.
 func (p *Planner) Close() { p.closing = true }
 
-// FinalCheckpoint returns the last checkpoint once all that can be returned has been: its limits are what was taken, and
-// nothing more will be taken.
-func (p *Planner) FinalCheckpoint(now time.Time) (Step, bool) {
+// FinalCheckpoint returns the write of the last checkpoint, whose limits are what was taken. It returns false until Close was
+// called, all that is free in the grants has been returned, and no other checkpoint is in flight.
+func (p *Planner) FinalCheckpoint(now time.Time) (StoreCall, bool) {
 	if !p.started || p.checkpointInFlight || !p.closing {
-		return Step{}, false
+		return StoreCall{}, false
 	}
 	for _, a := range p.sortedAccounts {
 		if !a.isGrantKnown() || p.grantDelta(now, a) < 0 {
-			return Step{}, false
+			return StoreCall{}, false
 		}
 	}
-	step := p.writeCheckpoint(now)
+	final := p.writeCheckpoint(now)
 	limits := p.limitsInForce[len(p.limitsInForce)-1].limits
 	for workspace := range limits {
 		// Responses still in progress may be sent after this checkpoint.
 		limits[workspace] = SpendLimit{Taken: p.accounts[workspace].taken}
 	}
-	step.Write.Puts[0].Value = encode(p.checkpoint)
-	return step, true
+	final.Write.Puts[0].Value = encode(p.checkpoint)
+	return final, true
 }
--- a/treasurer/plan.go
+++ b/treasurer/plan.go
@@ -10,29 +10,29 @@
 	"github.com/masticway/masticway"
 )
 
-// Step is a call to the store; its outcome must be passed to the planner that returned it.
-type Step struct {
-	// Part is the part of the accounts that the step reads or changes; it is empty for a checkpoint.
+// StoreCall is a call to the store; its outcome must be passed to the CompleteStoreCall of the planner that returned it.
+type StoreCall struct {
+	// Part is the part of the accounts that the call reads or changes; it is empty for a checkpoint.
 	Part string
-	// Workspace is the workspace whose row the step changes; it is empty for a read and a checkpoint.
+	// Workspace is the workspace whose row the call changes; it is empty for a read and a checkpoint.
 	Workspace string
 	// Write is the change; nil means that the part is to be read.
 	Write *masticway.RowWrite
-	// sequence is the checkpoint's sequence number.
+	// sequence is the checkpoint's sequence number, zero for other calls.
 	sequence int64
 	sentAt   time.Time
 }
 
-// Plan returns the calls to make to the store now. At most one checkpoint, one change of each workspace and one read of
-// each part are in flight at a time.
-func (p *Planner) Plan(now time.Time) []Step {
+// Plan returns the calls to make to the store now, and counts them as in flight until CompleteStoreCall. It returns no
+// checkpoint, change of a workspace or read of a part while it counts an earlier one as in flight.
+func (p *Planner) Plan(now time.Time) []StoreCall {
 	if !p.started {
 		return nil
 	}
 	if p.peersChanged {
 		p.peersChanged, p.peersChangedAt = false, now
 	}
-	var steps []Step
+	var calls []StoreCall
 	for _, a := range p.sortedAccounts {
 		a.demand.decay(now)
 		a.peerDemand.decay(now)
@@ -40,10 +40,10 @@
 	}
 	failing := !p.failingSince.IsZero()
 	if !p.checkpointInFlight && !now.Before(p.checkpointRetryAt) && (failing || p.isCheckpointDue(now)) {
-		steps = append(steps, p.writeCheckpoint(now))
+		calls = append(calls, p.writeCheckpoint(now))
 	}
 	if failing {
-		return steps
+		return calls
 	}
 	reads := map[string]bool{}
 	for _, a := range p.accountsByQueue() {
@@ -56,27 +56,27 @@
 		}
 		if delta != 0 && a.rowKnown && now.Sub(p.lastChangeAt) >= p.changeInterval {
 			p.lastChangeAt = now
-			steps = append(steps, p.changeGrant(now, a, delta))
+			calls = append(calls, p.changeGrant(now, a, delta))
 		}
 	}
 	for _, part := range slices.Sorted(maps.Keys(reads)) {
 		if !p.readsInFlight[part] {
 			p.readsInFlight[part] = true
-			steps = append(steps, Step{Part: part, sentAt: now})
+			calls = append(calls, StoreCall{Part: part, sentAt: now})
 		}
 	}
-	return steps
+	return calls
 }
 
-// accountsByQueue lists the accounts by the length of their queues, longest first, because a change may have to wait for
-// the next change interval.
+// accountsByQueue lists the accounts by the length of their queues, longest first, because a change of a grant may have to
+// wait for the next change interval.
 func (p *Planner) accountsByQueue() []*account {
 	all := slices.Clone(p.sortedAccounts)
 	slices.SortStableFunc(all, func(x, y *account) int { return cmp.Compare(len(y.waiting), len(x.waiting)) })
 	return all
 }
 
-// isCheckpointDue reports whether a checkpoint must be written now.
+// isCheckpointDue reports whether a checkpoint must be written now, given that the store does not fail.
 func (p *Planner) isCheckpointDue(now time.Time) bool {
 	age := now.Sub(p.checkpointSentAt)
 	if age < checkpointPause || p.checkpointCredit(now) < 1 {
@@ -94,7 +94,8 @@
 	return age >= interval
 }
 
-// checkpointInterval returns how often a router with demand writes a checkpoint even if it has taken nothing.
+// checkpointInterval returns how often a router with demand writes a checkpoint even if the last one covers all that is
+// taken.
 func (p *Planner) checkpointInterval() time.Duration {
 	return max(busyCheckpointInterval, time.Duration(p.members)*busyCheckpointIntervalPerRouter)
 }
@@ -105,7 +106,7 @@
 }
 
 // checkpointCredit returns how many checkpoints may be written now. One is gained each minCheckpointInterval, up to
-// maxCheckpointCredit, because a loan waits for the checkpoint of a router that is mostly idle.
+// maxCheckpointCredit, so that a router that is mostly idle can write one at once when a loan waits for it.
 func (p *Planner) checkpointCredit(now time.Time) float64 {
 	return min(maxCheckpointCredit, p.checkpointCreditLeft+float64(now.Sub(p.checkpointSentAt))/float64(p.minCheckpointInterval()))
 }
@@ -115,7 +116,8 @@
 	return checkpointPause + time.Duration(p.members)*checkpointPausePerRouter
 }
 
-// currentLimit returns the most that every spend limit in force allows to be taken now, whatever is granted.
+// currentLimit returns how much of a workspace may be cleared in all now, whatever is granted: the lowest of the spend limits
+// in force, where what needs witnesses counts as far as a quorum has acknowledged it.
 func (p *Planner) currentLimit(now time.Time, a *account) int64 {
 	return p.minLimit(a, func(f checkpointLimits, limit SpendLimit) int64 {
 		elapsed := now.Sub(f.basis)
@@ -132,11 +134,12 @@
 	return p.minLimit(a, func(f checkpointLimits, limit SpendLimit) int64 { return limit.bound(now.Sub(f.basis)) })
 }
 
-// baseLimit is like currentLimit without what an unreachable store adds.
+// baseLimit is like currentLimit without what the rate allows: only what was taken at the checkpoint and the burst.
 func (p *Planner) baseLimit(a *account) int64 {
 	return p.minLimit(a, func(_ checkpointLimits, limit SpendLimit) int64 { return limit.unwitnessedBound(0) })
 }
 
+// minLimit returns the lowest bound of a workspace's spend limits in force, zero if a checkpoint in force does not name it.
 func (p *Planner) minLimit(a *account, bound func(checkpointLimits, SpendLimit) int64) int64 {
 	if len(p.limitsInForce) == 0 {
 		return 0
@@ -152,8 +155,8 @@
 	return lowest
 }
 
-// hasLimit reports whether every checkpoint that the store may have names the workspace. Its grant grows only then, so that
-// a successor finds every grant.
+// hasLimit reports whether every checkpoint that the store may have names the workspace. Its grant grows only then, so that a
+// successor finds every grant.
 func (p *Planner) hasLimit(a *account) bool {
 	for _, f := range p.limitsInForce {
 		if _, ok := f.limits[a.workspace]; !ok {
@@ -163,7 +166,8 @@
 	return len(p.limitsInForce) > 0
 }
 
-// burst returns how much of a workspace may be taken between two checkpoints if these are slow or far apart.
+// burst returns how much of a workspace the next checkpoint lets be used before the one after it: earlyBurst, or more if
+// checkpoints are slow or far apart or other routers borrow, but no more than is free.
 func (p *Planner) burst(a *account, early int64) int64 {
 	span := p.checkpointLatency
 	interval := p.minCheckpointInterval()
@@ -180,19 +184,19 @@
 	return min(burst, max(0, a.free()))
 }
 
-// earlyLimit returns how much of a workspace may be taken in the first seconds of an outage of the store, before its full
-// rate applies; otherwise responses that are ready then would have to wait. It is a small part of the reserve, so that
-// little is lost when all routers crash. Just before a refill the grant has less than half of the reserve free, hence the
-// share of the workspace's tokens.
+// earlyLimit returns how much of a workspace may be used until outageThreshold, before the full rate of its spend limit
+// applies; otherwise responses that are ready then would have to wait. It is a small part of the reserve, so that little is
+// lost when all routers crash. Just before a refill the grant has less than half of the reserve free, so holderShare stands
+// in for the reserve if it is more.
 func (p *Planner) earlyLimit(a *account) int64 {
 	reserve := max(float64(a.free()), p.holderShare(a))
-	// Until there was any demand, the reserve itself is small.
+	// Without demand, a fraction of the reserve is allowed.
 	span := max(a.demand.rate*outageThreshold.Seconds(), initialReserveShare*reserve)
 	return int64(min(span, p.settings.BurstShare*reserve))
 }
 
-// earlyBurst returns the part of the early limit that may be taken at once and without witnesses; a checkpoint for each
-// response would take more calls to the store.
+// earlyBurst returns the part of the early limit that may be used at once and without witnesses, so that not every response
+// needs a checkpoint of its own.
 func (p *Planner) earlyBurst(a *account, early int64) int64 {
 	if len(p.peers) == 0 {
 		return early
@@ -200,9 +204,9 @@
 	return min(early, p.demandWithin(a, burstWindow))
 }
 
-// unwitnessedLimit returns the part of the early limit that needs no acknowledgement of witnesses. It is lost when the
-// router crashes, whichever other routers are up. A router that cannot reach any other one serves its own callers by it,
-// and routers that are partitioned off together lend to each other.
+// unwitnessedLimit returns the part of the early limit that needs no acknowledgement of witnesses. It is lost when the router
+// crashes, whichever other routers are up. It lets a router that cannot reach any other one serve its own callers, and
+// routers that are partitioned off together lend to each other.
 func (p *Planner) unwitnessedLimit(a *account, early int64) int64 {
 	if a.concentrated {
 		// All of the workspace's demand is at this router, and would be lost at once.
@@ -212,7 +216,7 @@
 	return min(early, max(p.demandWithin(a, unwitnessedWindow), int64(own*outageThreshold.Seconds())))
 }
 
-// demandWithin returns the demand of the given time, but at least one typical request.
+// demandWithin returns the demand of the given time, but at least the need of one typical request.
 func (p *Planner) demandWithin(a *account, span time.Duration) int64 {
 	return max(int64(a.demand.rate*span.Seconds()), int64(a.typicalNeed))
 }
@@ -225,7 +229,9 @@
 	}
 }
 
-func (p *Planner) writeCheckpoint(now time.Time) Step {
+// writeCheckpoint returns the write of the next checkpoint. It counts the write as in flight and its spend limits as in
+// force.
+func (p *Planner) writeCheckpoint(now time.Time) StoreCall {
 	p.checkpoint.Sequence++
 	next := p.checkpoint
 	next.Limits = map[string]SpendLimit{}
@@ -243,7 +249,7 @@
 	p.checkpointInFlight = true
 	p.checkpointCreditLeft, p.checkpointSentAt = max(0, p.checkpointCredit(now)-1), now
 	key := p.checkpointKey()
-	return Step{
+	return StoreCall{
 		sequence: next.Sequence, sentAt: now,
 		Write: &masticway.RowWrite{
 			Expected: []masticway.RowVersion{{RowKey: key, Version: p.checkpointVersion}},
@@ -252,10 +258,10 @@
 	}
 }
 
-// limitRate returns the most that is taken of a workspace in a second while the store does not answer. Holders lend to each
-// other then, so the deviation is that of the requests at all of them. With that of each holder's own requests, two power
-// losses in one outage cost 13.7 s of all demand at five routers, against 10.1 s; 0.4% were refused in an outage of 7 s
-// with either.
+// limitRate returns the rate of a workspace's next spend limit: demand plus rateDeviations standard deviations. Holders lend
+// to each other during an outage of the store, so at a holder the deviation is that of the requests at all of them. With that
+// of each holder's own requests, two power losses in one outage cost 13.7 s of all demand at five routers, against 10.1 s;
+// 0.4% were refused in an outage of 7 s with either.
 func (p *Planner) limitRate(a *account) int64 {
 	requests := a.demand.rate * demandWindow.Seconds() / max(1, a.typicalNeed)
 	if p.isHolder(a) {
@@ -269,17 +275,18 @@
 	return a.granted > 0 || !a.isGrantKnown() || a.taken > 0 || p.mayDraw(now, a)
 }
 
-// mayDraw reports whether this router may grow its grant of a workspace.
+// mayDraw reports whether this router may let its own grant of a workspace grow.
 func (p *Planner) mayDraw(now time.Time, a *account) bool {
 	return p.isHolder(a) || a.concentrated || (len(a.waiting) > 0 || a.demand.rate > 1) && !p.borrowsFromHolders(now, a)
 }
 
+// checkpointKey returns the key of the row of this instance's checkpoint.
 func (p *Planner) checkpointKey() masticway.RowKey {
 	instance := p.settings.Incarnation.Instance()
 	return masticway.RowKey{Table: tableCheckpoints, Part: PartOf(instance, p.settings.Parts), Key: instance}
 }
 
-// accountParts lists the parts of the store that have the accounts.
+// accountParts lists the parts of the store that the rows of the configured workspaces are in.
 func (p *Planner) accountParts() []string {
 	known := map[string]bool{}
 	for workspace := range p.accounts {
@@ -288,7 +295,7 @@
 	return slices.Sorted(maps.Keys(known))
 }
 
-// ownParts lists the parts of the store that have the accounts of which this router has a grant or keeps a reserve.
+// ownParts lists the parts with the rows of workspaces of which this router has a grant or keeps a reserve.
 func (p *Planner) ownParts() []string {
 	own := map[string]bool{}
 	for workspace, a := range p.accounts {
@@ -299,18 +306,19 @@
 	return slices.Sorted(maps.Keys(own))
 }
 
-// needsFreshRow reports whether a request waits for tokens that are not left according to an outdated row.
+// needsFreshRow reports whether a row that is older than rowTTL shows too little for the first waiting request, so that it
+// must be read again before the budget is found exhausted.
 func (p *Planner) needsFreshRow(now time.Time, a *account) bool {
 	return len(a.waiting) > 0 && a.rowKnown && p.exceedsBudget(a, a.waiting[0].need) && now.Sub(a.rowSeenAt) >= rowTTL
 }
 
-// changeGrant returns the write that changes one workspace's grant. Each workspace has its own write, so that a conflict on
-// one row affects no other.
-func (p *Planner) changeGrant(now time.Time, a *account, delta int64) Step {
+// changeGrant returns the write that changes one workspace's grant, and counts it as in flight. Each workspace has its own
+// write, so that a conflict on one row affects no other.
+func (p *Planner) changeGrant(now time.Time, a *account, delta int64) StoreCall {
 	a.changeInFlight, a.returning = true, max(0, -delta)
 	next := a.newestRow().WithGrant(p.settings.Incarnation, Grant{Granted: a.granted + delta, Taken: a.taken, Demand: int64(a.demand.rate)})
 	key := accountKey(a.workspace, p.settings.Parts)
-	return Step{
+	return StoreCall{
 		Part: key.Part, Workspace: a.workspace, sentAt: now,
 		Write: &masticway.RowWrite{
 			Expected: []masticway.RowVersion{{RowKey: key, Version: a.rowVersion}},
@@ -319,14 +327,15 @@
 	}
 }
 
-// newestRow returns the row with the prepaid amount of the newest configuration.
+// newestRow returns the known row with the prepaid amount of the newest configuration.
 func (a *account) newestRow() Account {
 	row := a.row
 	row.Prepaid, row.Version = a.currentPrepaid(), max(a.configVersion, row.Version)
 	return row
 }
 
-// grantDelta returns by how much the grant should grow now; a negative result is an amount to return.
+// grantDelta returns by how much the grant should grow now; a negative result is an amount to return. It also keeps track of
+// since when there has been a surplus.
 func (p *Planner) grantDelta(now time.Time, a *account) int64 {
 	free := a.free()
 	left := a.ungranted()
@@ -334,7 +343,7 @@
 		return -max(0, free)
 	}
 	if left < 0 {
-		// The budget was lowered below what is granted: return what is not taken.
+		// The budget was lowered below what is closed or granted: return what is not taken.
 		return -max(0, min(free, -left))
 	}
 	need := a.queuedNeed()
--- a/treasurer/planner.go
+++ b/treasurer/planner.go
@@ -11,110 +11,125 @@
 // These constants are policy: how tokens are spread over routers, what a router's crash may cost, and when a request is
 // refused or waits.
 const (
-	// outageThreshold is how long the store must not have answered before the rate of a spend limit applies beyond its
-	// MaxEarly. Until then MaxEarly bounds spending; a router that crashes and is restarted within that time strands no
-	// more than that. When all routers of a deployment lost power together, they had written their checkpoints again after
-	// 0.6 to 2.5 s, and no witness was left: with 2.2 s, a power loss of 2 s at 103 routers cost four seconds of all
-	// demand; with 3 s it cost one.
+	// outageThreshold is how long after a checkpoint's Basis its spend limits begin to allow more by their rate than
+	// MaxEarly. A router that crashes and is restarted within that time loses no more than the larger of MaxEarly and Burst.
+	// When all routers of a deployment lost power together, they had written their checkpoints again after 0.6 to 2.5 s, and
+	// no witness was left: with 2.2 s, a power loss of 2 s at 103 routers cost four seconds of all demand; with 3 s it cost
+	// one.
 	outageThreshold = 3 * time.Second
-	// burstWindow is the demand that a checkpoint lets its router take before the next one: three of a busy router's
-	// checkpoint intervals. unwitnessedWindow is the demand that may be taken during an outage of the store before a
-	// witness has acknowledged it. With all of MaxEarly in the burst, a holder that crashed took 8% of a large budget with
-	// it and 9.2% of a day's requests were refused, against 0.5% with these windows.
+	// burstWindow is the demand, as a duration, that a checkpoint allows to be used at once unless the store is slow or other
+	// routers borrow: three of a busy router's checkpoint intervals. unwitnessedWindow is the demand, as a duration, that at
+	// least may be used during an outage of the store before witnesses have acknowledged it. MaxEarly bounds both. With all
+	// of MaxEarly in the burst, a holder that crashed took 8% of a large budget with it and 9.2% of a day's requests were
+	// refused, against 0.5% with these windows.
 	burstWindow       = 750 * time.Millisecond
 	unwitnessedWindow = 1500 * time.Millisecond
 	// rateDeviations is by how many standard deviations the rate of a spend limit exceeds the mean demand, which is bursty.
-	// With n requests at all holders in demandWindow, whose sizes spread as much as their mean, one standard deviation is
-	// 1/sqrt(n) of the mean: the rate is four times the demand for one request in the window, twice for nine. An excess is
-	// lost when a router crashes and its witnesses cannot be asked. With 1.5 times the demand at routers that saw five
-	// requests, 4.5% were refused on days with faults, against 3.7% with 4 times.
+	// With n requests in demandWindow (at all holders of the workspace, if this router is one), whose sizes spread as much as
+	// their mean, one standard deviation is 1/sqrt(n) of the mean: the rate is four times the demand for one request in the
+	// window, twice for nine. An excess is lost when a router crashes and its witnesses cannot be asked. With 1.5 times the
+	// demand at routers that saw five requests, 4.5% were refused on days with faults, against 3.7% with 4 times.
 	rateDeviations = 3
-	// slowStoreLatency is the latency of the store above which the burst of a spend limit covers the demand of that time.
+	// slowStoreLatency is the latency of checkpoints from which on the burst of a spend limit covers twice the demand of that
+	// latency. A checkpoint that is in flight for longer is late: what waits for it is reported to witnesses.
 	slowStoreLatency = 60 * time.Millisecond
-	// timelyStoreLatency is how long the store may take to write a checkpoint before requests are admitted by spend limits
-	// only. clearanceSlack is how long a hold may then be expected to wait for its clearance. With the whole of
-	// outageThreshold fewer requests are refused and more are late, which is worth less: a score of 0.69 against 0.73 on a
-	// calm day with two network partitions.
+	// timelyStoreLatency is how long a checkpoint may be in flight before requests are admitted only within the spend limits,
+	// as these will be after clearanceSlack: a hold may then be expected to wait that long for its clearance. With
+	// outageThreshold as clearanceSlack fewer requests are refused and more are late, which is worth less: a score of 0.69
+	// against 0.73 (higher is better) on a calm day with two network partitions.
 	timelyStoreLatency = 400 * time.Millisecond
 	clearanceSlack     = 150 * time.Millisecond
 	// reserveRatio is the ratio of what all routers together keep in reserve to what remains ungranted in the store. What
 	// remains there cannot be reached during a network partition.
 	reserveRatio = 4.0
-	// minReserveDivisor divides the typical request to give the smallest reserve that a router keeps; several routers can
-	// combine such reserves.
+	// minReserveDivisor divides the typical request's need to give the smallest reserve that a router keeps; several routers
+	// can combine such reserves.
 	minReserveDivisor = 3
-	// lowWatermark is the fraction of the reserve below which it is refilled, highWatermark the multiple above which the
-	// surplus is returned.
+	// lowWatermark and highWatermark are multiples of a router's reserve of a workspace. If fewer tokens than lowWatermark
+	// times the reserve are free, the grant grows until the reserve is free. If more than highWatermark times the reserve are
+	// free for surplusTTL, what exceeds the reserve is returned.
 	lowWatermark  = 0.4
 	highWatermark = 2.5
-	// surplusTTL is how long a surplus may remain unused before it is returned.
+	// surplusTTL is how long a surplus must have remained unused before it is returned.
 	surplusTTL = 250 * time.Millisecond
-	// unavailableAfter is how long the store must have failed before requests that no grant covers are refused at once.
+	// unavailableAfter is how long the store must have failed before requests that neither the grant nor loans cover are
+	// refused at once. A router that borrows from holders lets them wait until their deadlines.
 	unavailableAfter = 400 * time.Millisecond
 	// startupGrace is how long after its start a router reports no budget as exhausted: where many routers start together,
-	// the grants of their predecessors are still being closed.
+	// the grants of their predecessors are still being closed. For the same time after its start, or after a change of its
+	// peers, it draws no reserve of a workspace without demand.
 	startupGrace = 2 * time.Second
-	// rowTTL is the maximum age of a workspace's row from which a budget is found exhausted.
+	// rowTTL is the maximum age of a workspace's row from which a budget is found exhausted, unless the row was read after
+	// the request arrived.
 	rowTTL = 300 * time.Millisecond
 )
 
 // These constants bound how often the store is called, given its rate limit and its failures.
 const (
-	// busyCheckpointInterval is how often a router with demand writes its checkpoint, idleCheckpointInterval how often any
-	// other router does.
+	// busyCheckpointInterval is how often a router with grants and demand for them writes its checkpoint even if it has taken
+	// no more than its spend limits cover, idleCheckpointInterval how often any other router does.
 	busyCheckpointInterval = 250 * time.Millisecond
 	idleCheckpointInterval = 4 * time.Second
-	// busyCheckpointIntervalPerRouter times the number of routers is the interval in a fleet for which that exceeds
-	// busyCheckpointInterval, because all routers write to one store: 330 checkpoints a second for any number of routers.
+	// busyCheckpointIntervalPerRouter times the number of routers replaces busyCheckpointInterval in a fleet for which it is
+	// longer, because all routers write to one store: such fleets write about 330 checkpoints a second, whatever their size.
 	busyCheckpointIntervalPerRouter = 3 * time.Millisecond
-	// checkpointPause is the minimum time between two checkpoints of a router; checkpointPausePerRouter is added for each
-	// router of the fleet, so that all of them together write fewer than 3,300 checkpoints a second, and a loan that waits
-	// for a checkpoint in a fleet of a hundred routers still arrives in time.
+	// checkpointPause is the minimum time between two checkpoints of a router. checkpointPausePerRouter times the number of
+	// routers is added to it for the minimum average time, so that all of them together write about 3,300 checkpoints a
+	// second at most, and a loan that waits for a checkpoint in a fleet of a hundred routers still arrives in time.
 	checkpointPause          = 20 * time.Millisecond
 	checkpointPausePerRouter = 300 * time.Microsecond
 	// maxCheckpointCredit is how many checkpoints a router may write checkpointPause apart after a time in which it wrote
 	// none.
 	maxCheckpointCredit = 4.0
-	// changeRetryInterval is the minimum time between a failed change of a grant and the next attempt.
+	// changeRetryInterval is the minimum time between a change of a grant that failed, other than by a conflict, and the next
+	// attempt.
 	changeRetryInterval = 60 * time.Millisecond
-	// probeInterval separates attempts while the store fails; only the checkpoint is tried then.
+	// probeInterval separates attempts to write the checkpoint while the store fails. The planner asks for no other store
+	// call then.
 	probeInterval = 120 * time.Millisecond
-	// initialChangeInterval and maxChangeInterval bound the minimum time between two changes of grants by one router once
-	// the store has refused a call because of its rate limit. The interval doubles with each refusal and shrinks by
+	// The minimum time between two changes of grants by one router is zero until the store refuses a call because of its rate
+	// limit. It is then initialChangeInterval, doubles with each further refusal up to maxChangeInterval, and shrinks by
 	// changeIntervalStep with each call that the store answers, so that routers share the rate without coordination.
 	initialChangeInterval = 20 * time.Millisecond
 	maxChangeInterval     = 640 * time.Millisecond
 	changeIntervalStep    = 5 * time.Millisecond
 )
 
-// Verdict is the decision on a hold.
+// Verdict is the decision on a request for tokens, or VerdictCleared for a hold.
 type Verdict string
 
-// VerdictUnreachable means that tokens may be left but cannot be obtained now.
 const (
-	VerdictHeld        Verdict = "held"
-	VerdictExhausted   Verdict = "exhausted"
+	// VerdictHeld means that the tokens are reserved.
+	VerdictHeld Verdict = "held"
+	// VerdictExhausted means that too little of the budget is left for the request.
+	VerdictExhausted Verdict = "exhausted"
+	// VerdictUnreachable means that tokens may be left but cannot be obtained now, that the context was done before, or
+	// that the workspace has no budget.
 	VerdictUnreachable Verdict = "unreachable"
 	// VerdictCleared means that the response covered by the hold may be sent to the caller.
 	VerdictCleared Verdict = "cleared"
 )
 
-// HoldID identifies a hold within one incarnation.
+// HoldID identifies a hold, or the request for one, within one incarnation.
 type HoldID int64
 
-// Reply reports a verdict on a hold.
+// Reply reports a verdict on a hold. A reply with VerdictCleared, or for a workspace without a budget, has only the first two
+// fields.
 type Reply struct {
 	ID      HoldID
 	Verdict Verdict
-	Waited  time.Duration
-	// The next four fields describe what was known of the workspace: the tokens prepaid, those not granted to any router,
-	// those free in this router's grant, and those that its spend limits and loans allowed to be taken. RowAge is the age
-	// of the row that they came from. The last field reports whether other routers were asked for a loan.
-	Prepaid    int64
-	Ungranted  int64
-	Free       int64
-	Available  int64
-	RowAge     time.Duration
+	// Waited is how long the request waited for the verdict.
+	Waited time.Duration
+	// Prepaid and Ungranted are what was known of the workspace's budget: all of it, and what was not granted to any router.
+	Prepaid   int64
+	Ungranted int64
+	// Free is what was left of this router's grant after the verdict, Available what it could take at once of that and of
+	// its loans.
+	Free      int64
+	Available int64
+	// RowAge is the age of the workspace's row that Ungranted came from.
+	RowAge time.Duration
+	// AskedPeers is set if other routers were asked for a loan after the request had arrived.
 	AskedPeers bool
 }
 
@@ -123,27 +138,29 @@
 	Incarnation masticway.Incarnation
 	// Address is where other routers reach this one; empty if they cannot.
 	Address string
-	// Parts is the number of parts (partitions) of the store over which the rows of workspaces and checkpoints are spread.
-	// All routers must use the same number, and it must not change as long as there are rows.
+	// Parts is the number of parts (partitions) over which the rows of each table are spread, except for presences, which
+	// have one part. All routers must use the same number, and it must not change while there are rows.
 	Parts int
-	// BurstShare is the fraction of a workspace's reserve that may be taken before the next checkpoint. With 0.15 instead
-	// of 0.06, the score of five days with faults at thirty routers was 0.632 instead of 0.624, that of the calm day 0.598
-	// instead of 0.565.
+	// BurstShare bounds SpendLimit.MaxEarly: it is the fraction of a router's reserve of a workspace that may be used before
+	// the store has not answered for outageThreshold. With 0.15 instead of 0.06, the score (higher is better) of five days
+	// with faults at thirty routers was 0.632 instead of 0.624, that of the calm day 0.598 instead of 0.565.
 	BurstShare float64
-	// Holders is how many routers hold a grant of a workspace whose budget is not low, at least one in each availability
-	// zone as far as there are enough; zero means all routers. When one of six crashes, a sixth of what is in reserve
-	// cannot be reached until its successor has closed its grant. With a reserve at each of 103 routers, more than half of
-	// a budget was in reserves, and keeping it there took four of five calls to the store and 0.2 of a heavy day's score.
+	// Holders is the minimum number of routers that hold a grant of a workspace whose budget is not low; zero means all
+	// routers. Each availability zone contributes equally many as far as it has them, so there are more if the number of
+	// zones does not divide it. When one of six crashes, a sixth of what is in reserve cannot be reached until its successor
+	// has closed its grant. With a reserve at each of 103 routers, more than half of a budget was in reserves, and keeping it
+	// there took four of five calls to the store and 0.2 of a heavy day's score.
 	Holders int
 	// Zone is the availability zone of the router.
 	Zone string
 	// Processors is how many processors the router may use; routers with more are preferred as holders.
 	Processors float64
-	// Reserve is the demand, as a duration, for which a router keeps tokens in reserve, to serve requests while the store
-	// cannot be reached.
+	// Reserve is the demand, as a duration, for which a router keeps tokens in reserve if the budget allows, to serve
+	// requests while the store cannot be reached.
 	Reserve time.Duration
 }
 
+// waiter is a request that waits for tokens.
 type waiter struct {
 	id       HoldID
 	need     int64
@@ -151,22 +168,23 @@
 	deadline time.Time
 }
 
-// account is a router's state of one workspace.
+// account is a router's state of one workspace. Amounts are in tokens.
 type account struct {
 	workspace     string
 	prepaid       int64
 	configVersion int64
 	row           Account
 	// allocated is the sum of the row's closed amount and all its grants; consumed is the sum of the closed amount and what
-	// all holders had taken of their grants.
+	// each holder had taken of its grant when it last changed it.
 	allocated int64
 	consumed  int64
-	// rowVersion is zero while there is no row; rowKnown is set once the row, or its absence, has been read and no change
-	// of unknown outcome has followed.
+	// rowVersion is zero while there is no row. rowKnown is set while the row, or its absence, is known: it is cleared by a
+	// change of unknown outcome. rowSeenAt is when the row was last known to be current.
 	rowVersion int64
 	rowKnown   bool
 	rowSeenAt  time.Time
-	granted    int64
+	// granted is this incarnation's grant according to the row.
+	granted int64
 	// changeInFlight is set while a change of the grant is in flight; returning is what that change returns.
 	changeInFlight bool
 	returning      int64
@@ -176,13 +194,15 @@
 	// change returns.
 	unconfirmed       bool
 	unconfirmedReturn int64
-	// taken is the sum of all holds and of what was used; cleared is the part of it whose responses may be sent. Only what
-	// is cleared can be lost to the budget when this router crashes, and the spend limits bound it.
+	// taken is the sum of what is held of the grant, was used of it, and is lent. cleared is the part of it whose responses
+	// may be sent, or that was lent. Only cleared tokens can have been used when this router crashes, and the spend limits
+	// bound them.
 	taken             int64
 	cleared           int64
 	awaitingClearance []HoldID
-	// demand is the rate of requested tokens in tokens a second, peerDemand the part of it that other routers request, and
-	// callerArrivals the rate of requests of this router's own callers.
+	// demand is the rate of requested tokens in tokens a second, peerDemand the part of it that other routers request as
+	// loans, and arrivals the rate of requests of this router's own callers in requests a second. typicalNeed is a moving
+	// average of the tokens that one request needs.
 	demand      average
 	peerDemand  average
 	arrivals    average
@@ -191,20 +211,23 @@
 	// this router's index in it, negative if it is not a candidate.
 	candidates []Peer
 	rank       int
-	// concentrated is set if the workspace's demand arrives mostly at this router, although it is not a holder.
+	// concentrated is set if the workspace's demand is concentrated at this router, which is no candidate
+	// (updateConcentration).
 	concentrated bool
-	waiting      []waiter
-	// loans are borrowed and unused; lent is the part of this router's grant that other routers have borrowed.
+	// waiting is the queue of requests.
+	waiting []waiter
+	// loans are borrowed and unused; lent is the part of this router's grant that other routers have borrowed and not repaid.
+	// borrowing is set during a borrow round, and borrowedAt is when the last one ended.
 	loans      []Loan
 	lent       int64
 	borrowing  bool
 	borrowedAt time.Time
-	// shortfallAt is when a borrow round last returned too little, allAnswered is set if every router asked in the last
-	// round answered, and noAnswerAt is when none of them last did.
+	// shortfallAt is when a borrow round last returned too little, and noAnswerAt when a round last ended in which all
+	// lenders left the request unanswered. allAnswered is set if every router asked in the last round answered.
 	shortfallAt time.Time
 	allAnswered bool
 	noAnswerAt  time.Time
-	// surplusSince is since when the grant has exceeded the reserve by more than highWatermark allows.
+	// surplusSince is since when more has been free than highWatermark allows; zero if it is not.
 	surplusSince time.Time
 }
 
@@ -218,12 +241,14 @@
 	}
 }
 
-// ungranted returns what is not granted to any router, by the newest configuration.
+// ungranted returns what is not granted to any router, by the newest configuration. It is negative after a budget was lowered
+// below that.
 func (a *account) ungranted() int64 { return a.currentPrepaid() - a.allocated }
 
-// unspent returns what is not granted and what all holders had free when they last changed their grants.
+// unspent returns what is not granted plus what all holders had free when they last changed their grants.
 func (a *account) unspent() int64 { return a.currentPrepaid() - a.consumed }
 
+// currentPrepaid returns the prepaid amount of the newest configuration that this router or the row has.
 func (a *account) currentPrepaid() int64 {
 	if a.configVersion > a.row.Version {
 		return a.prepaid
@@ -237,6 +262,7 @@
 // isGrantKnown reports whether the grant in the store is known.
 func (a *account) isGrantKnown() bool { return !a.changeInFlight && !a.unconfirmed }
 
+// free returns what is not taken of the usable grant.
 func (a *account) free() int64 { return a.usableGrant() - a.taken }
 
 // queuedNeed returns the sum of what the waiting requests need.
@@ -254,12 +280,14 @@
 	// basis is when this router learned of the write whose store time is the checkpoint's Basis.
 	basis  time.Time
 	limits map[string]SpendLimit
-	// witnesses are those that the checkpoint names; acked is the amount that each has acknowledged, by workspace.
+	// witnesses are those that the checkpoint names; acked has, for each of them, the amounts that it has acknowledged, by
+	// workspace.
 	witnesses []Witness
 	acked     map[masticway.Incarnation]map[string]int64
 }
 
-// Planner decides how one incarnation grants, holds, lends and returns tokens. It is not safe for concurrent use.
+// Planner decides how one incarnation draws grants, holds, borrows, lends and returns tokens. It is not safe for concurrent
+// use.
 type Planner struct {
 	settings Settings
 	accounts map[string]*account
@@ -268,7 +296,11 @@
 	holds          map[HoldID]*hold
 	lastHold       HoldID
 
-	limitsInForce      []checkpointLimits
+	// limitsInForce has the spend limits of the last checkpoint that the store certainly has, then those of each later one
+	// that it may have.
+	limitsInForce []checkpointLimits
+	// checkpoint is the last one sent; checkpointVersion and checkpointBasis belong to the last one that the store is known
+	// to have.
 	checkpoint         Checkpoint
 	checkpointVersion  int64
 	checkpointInFlight bool
@@ -280,25 +312,27 @@
 	checkpointLatency time.Duration
 	members           int
 	peers             []Peer
-	// peersChanged is set if the set of peer instances has changed since the last plan; peersChangedAt is when a plan last
-	// found that it had.
+	// peersChanged is set if the set of peer instances has changed since the last plan; peersChangedAt is the time of the
+	// last plan that found it set.
 	peersChanged   bool
 	peersChangedAt time.Time
 	// unansweredAt is when each instance last left a loan request unanswered.
-	unansweredAt      map[string]time.Time
+	unansweredAt map[string]time.Time
+	// readsInFlight is the set of parts that are being read.
 	readsInFlight     map[string]bool
 	checkpointRetryAt time.Time
-	failingSince      time.Time
+	// failingSince is when the first call was sent that the store has failed since it last answered; zero if none.
+	failingSince time.Time
 	// changeInterval is the minimum time between two changes of grants; lastChangeAt is when the last one was sent.
 	changeInterval time.Duration
 	lastChangeAt   time.Time
 	// started is set once the store has a checkpoint of this incarnation.
 	started   bool
 	startedAt time.Time
-	// closing is set once Close was called: no more tokens are requested.
+	// closing is set once Close was called: grants only shrink and nothing is lent any more.
 	closing bool
-	// borrowers is the state kept for each router that has asked for a loan; lastMessage is the number of the last message
-	// sent.
+	// borrowers is the state kept for each router that has asked for a loan; lastMessage is the number of this router's last
+	// borrow round or repayment.
 	borrowers   map[masticway.Incarnation]*borrowerState
 	lastMessage int64
 	// peerReports is what other routers have reported to this one as a witness; reportsInFlight is the set of witnesses to
@@ -319,7 +353,8 @@
 	}
 }
 
-// Configure sets what each workspace has prepaid, as of a configuration's version.
+// Configure sets what workspaces have prepaid, as of a configuration's version. It ignores accounts without a limit, and
+// amounts that are older than the known ones.
 func (p *Planner) Configure(version int64, accounts map[string]masticway.Account) {
 	for workspace, paid := range accounts {
 		if !paid.HasLimit {
@@ -338,9 +373,10 @@
 	slices.SortFunc(p.sortedAccounts, func(x, y *account) int { return cmp.Compare(x.workspace, y.workspace) })
 }
 
-// maxTaken returns the most that may be taken in all now. While the store answers in time only the grant bounds it, because
-// the spend limit will be written before the response is ready. Otherwise the spend limits bound it as well: as they are
-// expected to be after clearanceSlack, or as they are now if the witnesses do not acknowledge reports.
+// maxTaken returns the most of its grant that the router may have taken now. While the store answers in time only the grant
+// bounds it, because a checkpoint that covers it is expected before the response is ready. Otherwise the spend limits bound
+// it as well: as they are expected to be after clearanceSlack, or as they are now if the witnesses do not acknowledge
+// reports.
 func (p *Planner) maxTaken(now time.Time, a *account) int64 {
 	if p.isStoreTimely(now) {
 		return a.usableGrant()
@@ -361,7 +397,8 @@
 	return max(0, p.maxTaken(now, a)-a.taken)
 }
 
-// SetPeers sets the number of routers and the other routers that can lend and be witnesses.
+// SetPeers sets the number of routers and the other routers that can lend and be witnesses. Peers on this router's own
+// instance are left out.
 func (p *Planner) SetPeers(members int, peers []Peer) {
 	p.members = members
 	others := slices.DeleteFunc(slices.Clone(peers), func(o Peer) bool { return o.Incarnation.Instance() == p.settings.Incarnation.Instance() })
@@ -376,8 +413,9 @@
 	}
 }
 
-// Tick answers requests whose wait is over and clears holds whose spend limits have grown.
-func (p *Planner) Tick(now time.Time) []Reply {
+// ServeQueues answers the requests of all workspaces that have the tokens they wait for or need not wait any longer, and
+// clears holds that the spend limits now cover.
+func (p *Planner) ServeQueues(now time.Time) []Reply {
 	var replies []Reply
 	for _, a := range p.sortedAccounts {
 		if len(a.waiting)+len(a.awaitingClearance) > 0 {
@@ -387,8 +425,8 @@
 	return replies
 }
 
-// Position is a router's state of one workspace.
-type Position struct {
+// AccountState is a router's state of one workspace, for tests.
+type AccountState struct {
 	Workspace string `json:"workspace"`
 	Prepaid   int64  `json:"prepaid"`
 	Ungranted int64  `json:"left"`
@@ -397,11 +435,11 @@
 	Waiting   int    `json:"waiting"`
 }
 
-// Positions lists the router's positions, sorted by workspace.
-func (p *Planner) Positions() []Position {
-	var all []Position
+// AccountStates lists the state of each workspace, sorted by workspace.
+func (p *Planner) AccountStates() []AccountState {
+	var all []AccountState
 	for _, a := range p.sortedAccounts {
-		all = append(all, Position{
+		all = append(all, AccountState{
 			Workspace: a.workspace, Prepaid: a.prepaid, Ungranted: a.ungranted(), Granted: a.granted, Taken: a.taken, Waiting: len(a.waiting),
 		})
 	}
--- a/treasurer/planner_test.go
+++ b/treasurer/planner_test.go
@@ -13,7 +13,7 @@
 
 var epoch = time.Date(2026, 12, 2, 9, 0, 0, 0, time.UTC)
 
-// harness drives one planner on a row store, one step at a time.
+// harness drives one planner on a row store, one call to the store at a time.
 type harness struct {
 	t       *testing.T
 	now     time.Time
@@ -63,15 +63,15 @@
 	return id
 }
 
-// plan advances the time and returns the steps that the planner wants.
-func (b *harness) plan(d time.Duration) []treasurer.Step {
+// plan advances the time and returns the calls that the planner plans.
+func (b *harness) plan(d time.Duration) []treasurer.StoreCall {
 	b.now = b.now.Add(d)
-	b.record(b.planner.Tick(b.now))
+	b.record(b.planner.ServeQueues(b.now))
 	return b.planner.Plan(b.now)
 }
 
-// complete carries out a step as the store would.
-func (b *harness) complete(s treasurer.Step) {
+// complete makes a call and passes its outcome to the planner.
+func (b *harness) complete(s treasurer.StoreCall) {
 	var reading masticway.RowReading
 	var err error
 	if s.Write == nil {
@@ -79,12 +79,12 @@
 	} else {
 		reading, err = b.rows.Apply(*s.Write)
 	}
-	replies, fault := b.planner.CompleteStep(b.now, s, reading, err)
+	replies, fault := b.planner.CompleteStoreCall(b.now, s, reading, err)
 	qt.Assert(b.t, fault, qt.IsNil)
 	b.record(replies)
 }
 
-// run advances the time and carries out all steps that the planner wants.
+// run advances the time and makes all calls that the planner plans.
 func (b *harness) run(d time.Duration) {
 	for ; d > 0; d -= 30 * time.Millisecond {
 		for _, s := range b.plan(30 * time.Millisecond) {
@@ -148,7 +148,7 @@
 			if outcome != nil {
 				_, err := b.rows.Apply(*returning.Write)
 				qt.Assert(t, err, qt.IsNil)
-				replies, fault := b.planner.CompleteStep(b.now, returning, masticway.RowReading{}, outcome)
+				replies, fault := b.planner.CompleteStoreCall(b.now, returning, masticway.RowReading{}, outcome)
 				qt.Assert(t, fault, qt.IsNil)
 				b.record(replies)
 				b.completeCheckpoints()
@@ -159,7 +159,7 @@
 	}
 }
 
-// completeCheckpoints carries out checkpoints but leaves all other steps unanswered.
+// completeCheckpoints writes checkpoints but leaves all other calls unanswered.
 func (b *harness) completeCheckpoints() {
 	for range 20 {
 		for _, s := range b.plan(30 * time.Millisecond) {
@@ -170,8 +170,8 @@
 	}
 }
 
-// nextReturn carries out steps until one returns tokens, and returns that one.
-func (b *harness) nextReturn() treasurer.Step {
+// nextReturn makes calls until one is planned that returns tokens, and returns that one.
+func (b *harness) nextReturn() treasurer.StoreCall {
 	for range 3000 {
 		for _, s := range b.plan(30 * time.Millisecond) {
 			before := b.account().Grants[b.self].Granted
@@ -182,12 +182,12 @@
 		}
 	}
 	b.t.Fatal("no tokens were returned")
-	return treasurer.Step{}
+	return treasurer.StoreCall{}
 }
 
-// TestEarlyLimitClearsHoldsAtOutageStart has an outage of the store which the router cannot detect for two seconds. The
-// spend limit allows 4% of the reserve early, so that responses of that time need not wait. A large hold beyond it must not
-// block small ones.
+// TestEarlyLimitClearsHoldsAtOutageStart has an outage of the store that the router has not detected yet. The spend limit
+// allows 4% of the reserve early, so that responses of that time need not wait. A large hold beyond it must not block small
+// ones.
 func TestEarlyLimitClearsHoldsAtOutageStart(t *testing.T) {
 	cases := map[string]struct {
 		share float64
@@ -226,14 +226,14 @@
 	}
 }
 
-// lend lends all that is asked for.
-func (b *harness) lend(ask treasurer.LoanRequest) {
-	loan, amount := b.planner.Lend(b.now, ask)
-	qt.Assert(b.t, amount, qt.Equals, ask.Need)
+// lend lends all that is requested.
+func (b *harness) lend(request treasurer.LoanRequest) {
+	loan, amount := b.planner.Lend(b.now, request)
+	qt.Assert(b.t, amount, qt.Equals, request.Need)
 	b.record(b.planner.Clear(b.now, loan))
 	b.run(120 * time.Millisecond)
 	qt.Assert(b.t, b.verdicts[loan], qt.DeepEquals, []treasurer.Verdict{treasurer.VerdictCleared})
-	qt.Assert(b.t, b.planner.CompleteLoan(loan, ask), qt.IsTrue)
+	qt.Assert(b.t, b.planner.CompleteLoan(loan, request), qt.IsTrue)
 }
 
 func TestDuplicateRepaymentIsIgnored(t *testing.T) {
@@ -241,11 +241,11 @@
 	b.hold(1000)
 	b.run(300 * time.Millisecond)
 	b.lend(treasurer.LoanRequest{Number: 1, Borrower: "other~1", Workspace: "w", Need: 500})
-	before := b.planner.Positions()[0].Taken
+	before := b.planner.AccountStates()[0].Taken
 	repayment := treasurer.Repayment{Number: 1, Borrower: "other~1", Lender: b.self, Workspace: "w", Amount: 200}
 	b.planner.AcceptRepayment(b.now, repayment)
 	b.planner.AcceptRepayment(b.now, repayment)
-	qt.Assert(t, b.planner.Positions()[0].Taken, qt.Equals, before-200)
+	qt.Assert(t, b.planner.AccountStates()[0].Taken, qt.Equals, before-200)
 }
 
 // TestLoanWithLostAnswerIsReturned loses the response to a loan request: the lender counts the tokens as taken and the
@@ -267,13 +267,13 @@
 			b := newHarness(t, 100000)
 			b.hold(1000)
 			b.run(300 * time.Millisecond)
-			before := b.planner.Positions()[0].Taken
-			ask := treasurer.LoanRequest{Number: 7, Borrower: "other~1", Workspace: "w", Need: asked}
-			cancellation := treasurer.Repayment{Number: 8, Borrower: "other~1", Lender: b.self, Workspace: "w", CanceledRequest: ask.Number}
+			before := b.planner.AccountStates()[0].Taken
+			request := treasurer.LoanRequest{Number: 7, Borrower: "other~1", Workspace: "w", Need: asked}
+			cancellation := treasurer.Repayment{Number: 8, Borrower: "other~1", Lender: b.self, Workspace: "w", CanceledRequest: request.Number}
 			if tc.arrival == "early" {
 				b.planner.AcceptRepayment(b.now, cancellation)
 			}
-			loan, amount := b.planner.Lend(b.now, ask)
+			loan, amount := b.planner.Lend(b.now, request)
 			if tc.arrival == "early" {
 				qt.Assert(t, amount, qt.Equals, int64(0))
 				return
@@ -283,7 +283,7 @@
 			if tc.arrival == "waiting" {
 				b.planner.AcceptRepayment(b.now, cancellation)
 			}
-			waiting, lent := b.hold(b.planner.Positions()[0].Granted-b.planner.Positions()[0].Taken+1), b.planner.CompleteLoan(loan, ask)
+			waiting, lent := b.hold(b.planner.AccountStates()[0].Granted-b.planner.AccountStates()[0].Taken+1), b.planner.CompleteLoan(loan, request)
 			qt.Assert(t, lent, qt.Equals, tc.lent)
 			if !lent {
 				// What was not lent goes to the waiting request.
@@ -292,14 +292,14 @@
 			}
 			b.record(b.planner.Settle(b.now, waiting, 0))
 			if tc.arrival == "late" {
-				qt.Assert(t, b.planner.Positions()[0].Taken, qt.Equals, before+asked)
+				qt.Assert(t, b.planner.AccountStates()[0].Taken, qt.Equals, before+asked)
 				b.planner.AcceptRepayment(b.now, cancellation)
 			}
 			b.planner.AcceptRepayment(b.now, cancellation)
 			cancellation.Number++
 			b.planner.AcceptRepayment(b.now, cancellation)
-			qt.Assert(t, b.planner.Positions()[0].Taken, qt.Equals, before, qt.Commentf("returned once, however often the cancellation arrives"))
-			_, amount = b.planner.Lend(b.now, ask)
+			qt.Assert(t, b.planner.AccountStates()[0].Taken, qt.Equals, before, qt.Commentf("returned once, however often the cancellation arrives"))
+			_, amount = b.planner.Lend(b.now, request)
 			qt.Assert(t, amount, qt.Equals, int64(0), qt.Commentf("nothing may be lent for a canceled request"))
 		})
 	}
@@ -312,11 +312,11 @@
 	b.hold(1000)
 	b.run(300 * time.Millisecond)
 	b.lend(treasurer.LoanRequest{Number: 1, Borrower: "other~1", Workspace: "w", Need: 500})
-	before := b.planner.Positions()[0].Taken
+	before := b.planner.AccountStates()[0].Taken
 	for _, number := range []int64{4, 2, 3, 2, 4} {
 		b.planner.AcceptRepayment(b.now, treasurer.Repayment{Number: number, Borrower: "other~1", Lender: b.self, Workspace: "w", Amount: 100})
 	}
-	qt.Assert(t, b.planner.Positions()[0].Taken, qt.Equals, before-300)
+	qt.Assert(t, b.planner.AccountStates()[0].Taken, qt.Equals, before-300)
 }
 
 func TestSuccessorPresumesLimitSpent(t *testing.T) {
@@ -381,7 +381,7 @@
 func TestLateGrantOfEndedIncarnationConflicts(t *testing.T) {
 	b := newHarness(t, 1000)
 	b.hold(600)
-	var change treasurer.Step
+	var change treasurer.StoreCall
 	for change.Workspace == "" {
 		for _, s := range b.plan(30 * time.Millisecond) {
 			if s.Workspace != "" {
@@ -422,7 +422,7 @@
 			for range 60 {
 				for _, s := range b.plan(30 * time.Millisecond) {
 					if tc.faults.Busy {
-						replies, _ := b.planner.CompleteStep(b.now, s, masticway.RowReading{}, &masticway.UnavailableError{Service: "rows"})
+						replies, _ := b.planner.CompleteStoreCall(b.now, s, masticway.RowReading{}, &masticway.UnavailableError{Service: "rows"})
 						b.record(replies)
 						continue
 					}
@@ -465,7 +465,7 @@
 				continue
 			}
 			changes++
-			replies, err := b.planner.CompleteStep(b.now, s, masticway.RowReading{}, &masticway.UnavailableError{Service: "rows", RateLimited: true})
+			replies, err := b.planner.CompleteStoreCall(b.now, s, masticway.RowReading{}, &masticway.UnavailableError{Service: "rows", RateLimited: true})
 			qt.Assert(t, err, qt.IsNil)
 			b.record(replies)
 		}
@@ -485,7 +485,7 @@
 	for range 100 {
 		for _, s := range b.plan(30 * time.Millisecond) {
 			calls++
-			replies, _ := b.planner.CompleteStep(b.now, s, masticway.RowReading{}, &masticway.UnavailableError{Service: "rows"})
+			replies, _ := b.planner.CompleteStoreCall(b.now, s, masticway.RowReading{}, &masticway.UnavailableError{Service: "rows"})
 			b.record(replies)
 		}
 	}
@@ -501,7 +501,7 @@
 		b.now = b.now.Add(50 * time.Millisecond)
 		for _, s := range old.Plan(b.now) {
 			reading, err := b.rows.Apply(*s.Write)
-			if _, fault := old.CompleteStep(b.now, s, reading, err); fault != nil {
+			if _, fault := old.CompleteStoreCall(b.now, s, reading, err); fault != nil {
 				qt.Assert(t, fault, qt.ErrorAs, &sealed)
 				return
 			}
@@ -549,14 +549,14 @@
 	b := newHarness(t, 100000)
 	b.hold(1000)
 	b.run(300 * time.Millisecond)
-	before := b.planner.Positions()
+	before := b.planner.AccountStates()
 	old := b.rows.Row(masticway.RowKey{Table: "masticway_accounts", Part: "0", Key: "w"})
 	old.Version--
 	old.Value = []byte(`{"prepaid":100000,"version":1,"grants":{"edge~1":{"granted":90000,"sequence":1}}}`)
 	replies, err := b.planner.ApplyChanges(b.now, []masticway.StoredRow{old})
 	qt.Assert(t, err, qt.IsNil)
 	b.record(replies)
-	qt.Assert(t, b.planner.Positions(), qt.DeepEquals, before)
+	qt.Assert(t, b.planner.AccountStates(), qt.DeepEquals, before)
 }
 
 func TestCheckpointIsWrittenAtOnceAfterOutage(t *testing.T) {
@@ -565,14 +565,14 @@
 	var failed int
 	for _, s := range b.plan(30 * time.Millisecond) {
 		failed++
-		replies, err := b.planner.CompleteStep(b.now, s, masticway.RowReading{}, &masticway.UnavailableError{Service: "rows"})
+		replies, err := b.planner.CompleteStoreCall(b.now, s, masticway.RowReading{}, &masticway.UnavailableError{Service: "rows"})
 		qt.Assert(t, err, qt.IsNil)
 		b.record(replies)
 	}
 	qt.Assert(t, failed > 0, qt.IsTrue)
 	qt.Assert(t, b.plan(time.Millisecond), qt.HasLen, 0)
 	b.planner.RetryCheckpoint()
-	steps := b.plan(time.Millisecond)
-	qt.Assert(t, steps, qt.HasLen, 1)
-	qt.Assert(t, steps[0].Part, qt.Equals, "", qt.Commentf("the checkpoint must be written first"))
+	calls := b.plan(time.Millisecond)
+	qt.Assert(t, calls, qt.HasLen, 1)
+	qt.Assert(t, calls[0].Part, qt.Equals, "", qt.Commentf("the checkpoint must be written first"))
 }
--- a/treasurer/presence.go
+++ b/treasurer/presence.go
@@ -13,45 +13,45 @@
 	"github.com/masticway/masticway"
 )
 
-// These constants are policy: which routers count as running, which share budgets and retries.
+// These constants are policy: which routers count as running, among which budgets and retries are shared.
 const (
-	// presenceTTL is the maximum age of a presence that counts, in addition to the time since this router last counted.
-	// After an outage all presences are old, and routers that believed to be the only ones would each use the retries meant
-	// for all. Where presences are written less often, it is presenceTTLIntervals of their intervals.
+	// presenceTTL plus the time since this router last counted is the maximum age of a presence that counts. After an outage
+	// all presences are old, and routers that believed to be the only ones would each use the retries meant for all. Where
+	// presences are written less often, presenceTTLIntervals times their interval replaces presenceTTL.
 	presenceTTL          = 12 * time.Second
 	presenceTTLIntervals = 4
 )
 
 // These constants bound how often presences are read and written.
 const (
-	// initialCountInterval is the interval between counts after a start, when most routers may be starting too; it doubles
-	// up to countInterval.
-	initialCountInterval = 300 * time.Millisecond
-	// countInterval is how often each router writes its presence in a small fleet, announceIntervalPerRouter what each
-	// router contributes to the interval in a large one. All presences are in one part of the store, which takes 200 writes
-	// a second; with this interval they use half of that for any number of routers.
-	countInterval             = 3 * time.Second
-	announceIntervalPerRouter = 10 * time.Millisecond
-	// maxCountRate bounds the rate at which a router reads all presences, in bytes a second.
+	// initialPresenceInterval is the interval between writes of a router's presence after its start, when most routers may be
+	// starting too; it doubles up to presenceInterval.
+	initialPresenceInterval = 300 * time.Millisecond
+	// basePresenceInterval is how often each router writes its presence in a small fleet, presenceIntervalPerRouter what each
+	// router contributes to the interval in a large one. All presences are in one part of the store, which takes 200 writes a
+	// second; with this interval they use half of that for any number of routers.
+	basePresenceInterval      = 3 * time.Second
+	presenceIntervalPerRouter = 10 * time.Millisecond
+	// maxCountRate bounds the mean rate at which a router reads all presences, in bytes a second.
 	maxCountRate = 4 << 10
 )
 
-// announceInterval returns how often each of the given number of routers writes its presence.
-func announceInterval(routers int) time.Duration {
-	return max(countInterval, time.Duration(routers)*announceIntervalPerRouter)
+// presenceInterval returns how often each of the given number of routers writes its presence.
+func presenceInterval(routers int) time.Duration {
+	return max(basePresenceInterval, time.Duration(routers)*presenceIntervalPerRouter)
 }
 
 // maintainPresence keeps this router's presence and the count of routers up to date until the context is done.
 func (t *Treasurer) maintainPresence(ctx context.Context) {
-	interval := initialCountInterval
+	interval := initialPresenceInterval
 	for ctx.Err() == nil {
 		t.logStatus()
 		// The jitter keeps routers that were refused at the same time from retrying at the same time.
 		t.sleep(ctx, interval/2+rand.N(interval))
 		if t.refreshPresence(ctx) {
-			interval = min(2*interval, announceInterval(t.Members()))
+			interval = min(2*interval, presenceInterval(t.Members()))
 		} else {
-			interval = min(2*interval, countInterval)
+			interval = min(2*interval, basePresenceInterval)
 		}
 	}
 }
@@ -86,8 +86,8 @@
 	return err == nil
 }
 
-// countRouters counts the routers whose presences are recent, including this one, passes them to the planner, and writes
-// this router's presence. The count is valid even if that write fails.
+// countRouters counts the routers whose presences are recent, including this one, passes them to the planner, and writes this
+// router's presence. Routers without an address count but are no peers. The count is valid even if the write fails.
 func (t *Treasurer) countRouters(ctx context.Context) (int, error) {
 	reading, err := t.store.Read(ctx, tableRouters, routersPart)
 	if err != nil {
@@ -95,7 +95,7 @@
 	}
 	ownVersion := int64(0)
 	var peers []Peer
-	ttl := max(presenceTTL, presenceTTLIntervals*announceInterval(len(reading.Rows))) + t.sinceLastCount()
+	ttl := max(presenceTTL, presenceTTLIntervals*presenceInterval(len(reading.Rows))) + t.sinceLastCount()
 	n := 1
 	for _, r := range reading.Rows {
 		if r.Key == t.self.Instance() {
@@ -120,7 +120,7 @@
 	return n, t.writePresence(ctx)
 }
 
-// setCount records a count.
+// setCount records a count and passes it to the planner.
 func (t *Treasurer) setCount(n int, peers []Peer, reading masticway.RowReading, ownVersion int64) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -149,7 +149,8 @@
 	readAt    time.Time
 }
 
-// writePresence writes this router's presence.
+// writePresence writes this router's presence. It returns nil after a conflict too, although the presence is then written
+// only by the next call.
 func (t *Treasurer) writePresence(ctx context.Context) error {
 	t.mu.Lock()
 	row := t.presence
--- a/treasurer/presence_test.go
+++ b/treasurer/presence_test.go
@@ -62,11 +62,11 @@
 			}
 			for range 2 {
 				count(all)
-				clock.now = clock.now.Add(countInterval)
+				clock.now = clock.now.Add(basePresenceInterval)
 			}
-			for elapsed := time.Duration(0); elapsed < tc.downtime; elapsed += countInterval {
+			for elapsed := time.Duration(0); elapsed < tc.downtime; elapsed += basePresenceInterval {
 				count(all[:routers-1])
-				clock.now = clock.now.Add(countInterval)
+				clock.now = clock.now.Add(basePresenceInterval)
 			}
 			clock.now = clock.now.Add(tc.outage)
 			qt.Assert(t, count(all[:1]), qt.Equals, tc.want)
--- a/treasurer/reports.go
+++ b/treasurer/reports.go
@@ -33,15 +33,16 @@
 	t.deliver(t.planner.CompleteReport(t.clock.Now(), s, accepted))
 }
 
-// AcceptReport accepts another router's report, unless its sender has ended, the report is for another incarnation, or this
-// router is sealed.
+// AcceptReport records another router's report as its witness and returns true, unless a successor of the sender has asked
+// for its reports, the report is for another incarnation, or this router is sealed.
 func (t *Treasurer) AcceptReport(s SpendReport) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return !t.sealed && t.planner.AcceptReport(s)
 }
 
-// FinalReports returns what an ended incarnation has reported to this router.
+// FinalReports returns what an ended incarnation has reported to this router, which accepts no further reports of it. The
+// record is empty if the witness is another incarnation or this router is sealed.
 func (t *Treasurer) FinalReports(witness, ended masticway.Incarnation) WitnessRecord {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -52,8 +53,8 @@
 	return t.planner.FinalReports(witness, ended)
 }
 
-// presumeSpent returns what a predecessor is presumed to have spent, by workspace: from its witnesses if enough of them
-// answer, else from its spend limits.
+// presumeSpent returns what a predecessor is presumed to have spent, by workspace: from what its witnesses remember if enough
+// of them answer, else from its spend limits alone.
 func (t *Treasurer) presumeSpent(ctx context.Context, e EndedIncarnation) map[string]int64 {
 	records := t.queryWitnesses(ctx, e)
 	presumedSpent := e.PresumedSpent(records)
@@ -97,7 +98,7 @@
 	return records
 }
 
-// queryWitness asks one witness, up to maxWitnessAttempts times.
+// queryWitness asks one witness, up to maxWitnessAttempts times; it returns false if the witness did not answer.
 func (t *Treasurer) queryWitness(ctx context.Context, w Witness, ended masticway.Incarnation) (WitnessRecord, bool) {
 	for range maxWitnessAttempts {
 		callCtx, cancel := context.WithTimeout(ctx, witnessTimeout)
--- a/treasurer/rows.go
+++ b/treasurer/rows.go
@@ -21,7 +21,7 @@
 // routersPart is the one part that has the presences of all routers, so that one call reads them all.
 const routersPart = "routers"
 
-// Presence is the row of a running router; StoreTime is the store's clock when it was written.
+// Presence is the row of a running router; StoreTime is its estimate of the store's clock when it was written.
 type Presence struct {
 	Incarnation masticway.Incarnation `json:"incarnation"`
 	// Address is where other routers reach it; empty if they cannot.
@@ -33,18 +33,19 @@
 	StoreTime  time.Duration `json:"at_ns"`
 }
 
-// Grant is the part of a budget that one incarnation may spend.
+// Grant is the part of a budget that one incarnation may spend, in tokens.
 type Grant struct {
 	Granted int64 `json:"granted"`
-	// Taken is what the holder had taken of the grant when it last changed it, so that other routers can estimate what it
-	// has free.
+	// Taken is what the incarnation had taken of the grant when it last changed it, so that other routers can estimate what
+	// it has free.
 	Taken int64 `json:"taken,omitempty"`
-	// Demand is the demand at the holder at that time, in tokens a second; routers size their reserves by their shares of
-	// the total.
+	// Demand is the demand at the incarnation's router at that time, in tokens a second; routers size their reserves by their
+	// shares of the total.
 	Demand int64 `json:"demand,omitempty"`
 }
 
-// Account is the row of one workspace. When a grant grows, the sum of Closed and all grants does not exceed Prepaid.
+// Account is the row of one workspace; its amounts are in tokens. When a grant grows, the sum of Closed and all grants does
+// not exceed Prepaid.
 type Account struct {
 	// Prepaid and Version come from the newest configuration that any router has written here.
 	Prepaid int64 `json:"prepaid"`
@@ -79,7 +80,8 @@
 	return a
 }
 
-// WithClosed returns the account without an incarnation's grant, of which the given amount counts as spent.
+// WithClosed returns the account without an incarnation's grant, of which the given amount counts as spent, but no more than
+// the grant.
 func (a Account) WithClosed(i masticway.Incarnation, spent int64) Account {
 	grants := maps.Clone(a.Grants)
 	delete(grants, i)
@@ -88,67 +90,73 @@
 	return a
 }
 
-// SpendLimit bounds what an incarnation takes from one workspace until its next checkpoint.
+// SpendLimit bounds what an incarnation clears, and so what can be used, of one workspace until its next checkpoint. What it
+// takes beyond the limit waits for clearance.
 type SpendLimit struct {
+	// Taken is what was taken of the grant when the checkpoint was sent, in tokens. Burst is how much may be cleared beyond
+	// it at once.
 	Taken int64 `json:"taken"`
 	Burst int64 `json:"burst"`
-	// Rate is in tokens a second since the basis; it replaces Burst where it allows more. It allows more the longer the
-	// store does not answer, because routers that are killed are mostly restarted within a second, and what their limits
-	// allowed for a longer time would be lost. MaxUnwitnessed bounds what Rate allows before witnesses have acknowledged
-	// it, MaxEarly what it allows until the store has not answered for outageThreshold.
+	// Rate is in tokens a second since the checkpoint's Basis; it replaces Burst where it allows more. The longer the store
+	// does not answer, the larger is the part of it that counts, because routers that are killed are mostly restarted within
+	// a second, and what their limits allowed for a longer time would be lost. MaxUnwitnessed bounds, in tokens, what Rate
+	// allows before witnesses have acknowledged it, MaxEarly what it allows until outageThreshold after the Basis.
 	Rate           int64 `json:"rate"`
 	MaxUnwitnessed int64 `json:"alone,omitempty"`
 	MaxEarly       int64 `json:"ahead,omitempty"`
 }
 
-// bound returns the most that may have been taken the given time after the basis.
-func (p SpendLimit) bound(elapsed time.Duration) int64 {
-	byRate := p.rateBound(elapsed)
+// bound returns the most that may have been cleared the given time after the Basis.
+func (l SpendLimit) bound(elapsed time.Duration) int64 {
+	byRate := l.rateBound(elapsed)
 	if elapsed < outageThreshold {
-		byRate = min(byRate, p.MaxEarly)
+		byRate = min(byRate, l.MaxEarly)
 	}
-	return p.Taken + max(p.Burst, byRate)
+	return l.Taken + max(l.Burst, byRate)
 }
 
 // unwitnessedBound returns the part of bound that needs no acknowledgement of witnesses.
-func (p SpendLimit) unwitnessedBound(elapsed time.Duration) int64 {
-	return p.Taken + max(p.Burst, min(p.rateBound(elapsed), p.MaxUnwitnessed, p.MaxEarly))
+func (l SpendLimit) unwitnessedBound(elapsed time.Duration) int64 {
+	return l.Taken + max(l.Burst, min(l.rateBound(elapsed), l.MaxUnwitnessed, l.MaxEarly))
 }
 
 // rateBound returns what the rate allows after the given time.
-func (p SpendLimit) rateBound(elapsed time.Duration) int64 {
-	return int64(float64(p.Rate) * elapsed.Seconds())
+func (l SpendLimit) rateBound(elapsed time.Duration) int64 {
+	return int64(float64(l.Rate) * elapsed.Seconds())
 }
 
-// EndedIncarnation is an incarnation that has ended and whose grants are not all closed yet.
+// EndedIncarnation is an incarnation that has ended and whose grants may not all be closed yet.
 type EndedIncarnation struct {
 	Incarnation masticway.Incarnation `json:"incarnation"`
-	// MaxSpent is the most that it may have taken, by workspace; MaxUnwitnessed is the part of that which needed no
+	// MaxSpent is the most that it may have spent, by workspace; MaxUnwitnessed is the part of that which needed no
 	// acknowledgement of witnesses.
 	MaxSpent       map[string]int64 `json:"spent"`
 	MaxUnwitnessed map[string]int64 `json:"written,omitempty"`
-	// Taken is what its last checkpoint has as taken, and SinceBasis the time from that checkpoint's basis to the latest
-	// time at which the incarnation may have run. Both only explain in logs where a presumed amount comes from.
+	// Taken is what its last checkpoint has as taken, and SinceBasis the time from that checkpoint's Basis to the latest time
+	// at which the incarnation may have run. Both only explain in logs where a presumed amount comes from.
 	Taken      map[string]int64 `json:"taken,omitempty"`
 	SinceBasis time.Duration    `json:"silence_ns,omitempty"`
-	// Witnesses know what it took beyond MaxUnwitnessed, if a quorum of them answers; Sequence is that of its last
-	// checkpoint.
+	// Witnesses are those of its last checkpoint: they know what it spent beyond MaxUnwitnessed if enough of them answer.
+	// Sequence is that checkpoint's number.
 	Witnesses []Witness `json:"witnesses,omitempty"`
 	Sequence  int64     `json:"sequence,omitempty"`
 }
 
-// Checkpoint is the row of one instance: it bounds what its incarnation may spend until the next one.
+// Checkpoint is the row of one instance: it bounds what its incarnation may spend until it writes the next one.
 type Checkpoint struct {
 	Incarnation masticway.Incarnation `json:"incarnation"`
-	Sequence    int64                 `json:"sequence"`
+	// Sequence is the number of the checkpoint among those of its incarnation.
+	Sequence int64 `json:"sequence"`
 	// Address is where the incarnation listens; no other process on the machine can listen there at the same time.
 	Address string `json:"address,omitempty"`
-	// Basis is the store's clock at the last write that was known to be made when this one was sent.
+	// Basis is the store's clock at the incarnation's last earlier write of this row that it knew to be made, and knew the
+	// time of, when it sent this one.
 	Basis  time.Duration         `json:"basis_ns"`
 	Limits map[string]SpendLimit `json:"promises,omitempty"`
-	// Witnesses remember what the incarnation takes beyond the unwitnessed part of its limits.
-	Witnesses []Witness          `json:"witnesses,omitempty"`
-	Ended     []EndedIncarnation `json:"ended,omitempty"`
+	// Witnesses remember what the incarnation spends beyond the unwitnessed part of its limits.
+	Witnesses []Witness `json:"witnesses,omitempty"`
+	// Ended lists earlier incarnations of the instance.
+	Ended []EndedIncarnation `json:"ended,omitempty"`
 }
 
 // startInfo describes the start of an incarnation.
@@ -161,38 +169,38 @@
 	listening time.Duration
 }
 
-// endedBy returns the store's clock by which the incarnation that wrote the checkpoint had certainly ended: when another
-// process listened at its address, or else when its checkpoint was taken over.
-func (b Checkpoint) endedBy(s startInfo) time.Duration {
-	if b.Address == "" || b.Address != s.address {
+// endedBy returns the store's clock by which the incarnation that wrote the checkpoint had certainly ended: when the new one
+// began to listen at its address, or else, if the addresses differ or that is unknown, when its checkpoint was taken over.
+func (c Checkpoint) endedBy(s startInfo) time.Duration {
+	if c.Address == "" || c.Address != s.address {
 		return s.now
 	}
 	return min(s.now, s.listening)
 }
 
-// successor returns the first checkpoint of a new incarnation, which lists the old one as ended.
-func (b Checkpoint) successor(s startInfo) Checkpoint {
-	ended := append([]EndedIncarnation(nil), b.Ended...)
-	if len(b.Limits) > 0 {
-		elapsed := b.endedBy(s) - b.Basis
-		maxSpent := make(map[string]int64, len(b.Limits))
-		maxUnwitnessed := make(map[string]int64, len(b.Limits))
-		taken := make(map[string]int64, len(b.Limits))
-		for workspace, p := range b.Limits {
+// successor returns the first checkpoint of a new incarnation, which lists the old one as ended if that had any spend limits.
+func (c Checkpoint) successor(s startInfo) Checkpoint {
+	ended := append([]EndedIncarnation(nil), c.Ended...)
+	if len(c.Limits) > 0 {
+		elapsed := c.endedBy(s) - c.Basis
+		maxSpent := make(map[string]int64, len(c.Limits))
+		maxUnwitnessed := make(map[string]int64, len(c.Limits))
+		taken := make(map[string]int64, len(c.Limits))
+		for workspace, p := range c.Limits {
 			maxSpent[workspace] = p.bound(elapsed)
 			maxUnwitnessed[workspace] = p.unwitnessedBound(elapsed)
 			taken[workspace] = p.Taken
 		}
 		ended = append(ended, EndedIncarnation{
-			Incarnation: b.Incarnation, MaxSpent: maxSpent, MaxUnwitnessed: maxUnwitnessed, Taken: taken, SinceBasis: elapsed, Sequence: b.Sequence,
-			Witnesses: b.Witnesses,
+			Incarnation: c.Incarnation, MaxSpent: maxSpent, MaxUnwitnessed: maxUnwitnessed, Taken: taken, SinceBasis: elapsed, Sequence: c.Sequence,
+			Witnesses: c.Witnesses,
 		})
 	}
 	return Checkpoint{Incarnation: s.incarnation, Address: s.address, Basis: s.now, Ended: ended}
 }
 
-// CloseGrant returns the write that removes an ended incarnation's grant from a workspace's row, and the grant. It writes
-// the row even without a grant, so that a late write of the ended incarnation conflicts with a newer version.
+// CloseGrant returns the write that removes an ended incarnation's grant from a workspace's row, and the grant. The write is
+// needed even without a grant, so that a late write of the ended incarnation conflicts with a newer version.
 func CloseGrant(row masticway.StoredRow, ended masticway.Incarnation, spent int64) (masticway.RowWrite, Grant, error) {
 	account, err := decode[Account](row)
 	if err != nil {
@@ -209,7 +217,7 @@
 	return masticway.RowKey{Table: tableAccounts, Part: PartOf(workspace, parts), Key: workspace}
 }
 
-// PartOf returns the part of the store that has the row of a workspace or an instance.
+// PartOf returns the part that has the row of a workspace or an instance.
 func PartOf(key string, parts int) string {
 	h := fnv.New32a()
 	_, _ = h.Write([]byte(key))
@@ -225,6 +233,7 @@
 	return data
 }
 
+// decode decodes the value of a row; it returns the zero value if the row does not exist.
 func decode[T any](row masticway.StoredRow) (T, error) {
 	var v T
 	if len(row.Value) == 0 || row.Deleted {
--- a/treasurer/simulation_test.go
+++ b/treasurer/simulation_test.go
@@ -23,8 +23,7 @@
 	// router, as measured in deployments with a hundred routers: 4 ms, and 0.5 ms between availability zones.
 	fleetStoreLatency   = 4 * time.Millisecond
 	fleetNetworkLatency = 500 * time.Microsecond
-	// fleetTick, fleetCountInterval, fleetLendTimeout and fleetClearTimeout are those of the treasurer that drives a
-	// planner.
+	// These are the treasurer's tickInterval, basePresenceInterval, lendTimeout and clearTimeout.
 	fleetTick          = 50 * time.Millisecond
 	fleetCountInterval = 3 * time.Second
 	fleetLendTimeout   = 60 * time.Millisecond
@@ -44,7 +43,7 @@
 	// perSecond is the total rate of requests, span how long they arrive.
 	perSecond float64
 	span      time.Duration
-	// pinned is the index of the router at which all requests of a workspace arrive.
+	// pinned is, by workspace, the index of the router at which all of its requests arrive.
 	pinned map[string]int
 	// budgetFactor is the budget of a workspace as a multiple of what its callers use in the whole span.
 	budgetFactor float64
@@ -84,20 +83,23 @@
 	routers      []*fleetRouter
 	names        []string
 	prepaid      map[string]int64
-	changedRows  []masticway.StoredRow
+	// changedRows lists all changes of accounts in order; each router has seen the first changesSeen of them.
+	changedRows []masticway.StoredRow
 	// workspaceShare is each workspace's share of the traffic, zoneShare that of each availability zone.
 	workspaceShare map[string]float64
 	zoneShare      []float64
 	// storeDown is set during an outage of the store.
 	storeDown bool
-	// calls counts the calls to the store, stepsByKind the planners' steps.
+	// calls counts the calls to the store, callsByKind the calls of the planners by what they are for.
 	calls       int
-	stepsByKind map[string]int
+	callsByKind map[string]int
 	// delivered is the amount that callers of each workspace received.
 	delivered map[string]int64
 	// asked counts the requests of each workspace, and unreachable those of them with that verdict.
-	asked           map[string]int
-	unreachable     map[string]int
+	asked       map[string]int
+	unreachable map[string]int
+	// seconds is by time since trafficStart; waits has how long each request with tokens waited; closings counts the grants of
+	// predecessors that were closed.
 	seconds         []fleetSecond
 	waits           []time.Duration
 	closings        int
@@ -118,15 +120,18 @@
 	generation  int
 	alive       bool
 	wakePending bool
+	// partitioned is set while the router reaches only other partitioned ones, and not the store.
 	partitioned bool
 	changesSeen int
 	holds       map[treasurer.HoldID]*fleetHold
 	// extraLatency is added to each message to or from the router, as over a saturated link.
 	extraLatency   time.Duration
 	listeningSince time.Time
-	clearances     map[treasurer.HoldID]func(bool)
+	// clearances are the continuations of loan requests whose holds wait for clearance.
+	clearances map[treasurer.HoldID]func(bool)
 }
 
+// fleetHold is a request of a caller and its hold; second is the index in fleet.seconds.
 type fleetHold struct {
 	workspace string
 	need      int64
@@ -136,7 +141,7 @@
 func newFleet(load fleetLoad) *fleet {
 	f := &fleet{
 		load: load, random: rand.New(rand.NewPCG(7, 11)), now: epoch, trafficStart: epoch, prepaid: map[string]int64{}, workspaceShare: map[string]float64{},
-		delivered: map[string]int64{}, stepsByKind: map[string]int{}, asked: map[string]int{}, unreachable: map[string]int{},
+		delivered: map[string]int64{}, callsByKind: map[string]int{}, asked: map[string]int{}, unreachable: map[string]int{},
 	}
 	f.rows = emulator.NewRows(func() time.Time { return f.now })
 	var sum float64
@@ -225,7 +230,7 @@
 	f.repeat(r, generation, fleetCountInterval, func() { f.updatePeers(r) })
 }
 
-// repeat calls do at the given interval while the generation lasts, starting at a random time.
+// repeat calls do at the given interval until the router's generation ends, for the first time at a random time within it.
 func (f *fleet) repeat(r *fleetRouter, generation int, interval time.Duration, do func()) {
 	var again func()
 	again = func() {
@@ -313,7 +318,7 @@
 	return f.routers[n]
 }
 
-// updatePeers passes all routers to one of them; a router that has ended still counts.
+// updatePeers sets a router's peers to all routers, as if counted; those that have ended still count.
 func (f *fleet) updatePeers(r *fleetRouter) {
 	if !r.alive || f.storeDown || r.partitioned {
 		return
@@ -362,7 +367,7 @@
 
 // runOnce does what Treasurer.runOnce does.
 func (f *fleet) runOnce(r *fleetRouter) {
-	f.handleReplies(r, r.planner.Tick(f.now))
+	f.handleReplies(r, r.planner.ServeQueues(f.now))
 	generation := r.generation
 	alive := func(do func()) func() {
 		return func() {
@@ -373,7 +378,7 @@
 		}
 	}
 	for _, s := range r.planner.Plan(f.now) {
-		f.runStep(r, s, alive)
+		f.runStoreCall(r, s, alive)
 	}
 	for _, s := range r.planner.DueReports(f.now) {
 		o := f.router(s.Witness)
@@ -386,8 +391,8 @@
 			f.schedule(fleetNetworkLatency, alive(func() { f.handleReplies(r, r.planner.CompleteReport(f.now, s, accepted)) }))
 		})
 	}
-	for _, ask := range r.planner.DueBorrowRounds(f.now) {
-		f.borrow(r, ask, ask.Lenders, nil, 0, alive)
+	for _, round := range r.planner.DueBorrowRounds(f.now) {
+		f.borrow(r, round, round.Lenders, nil, 0, alive)
 	}
 	for _, repayment := range r.planner.DueRepayments(f.now) {
 		f.repay(repayment)
@@ -403,8 +408,8 @@
 	})
 }
 
-// runStep simulates one call to the store.
-func (f *fleet) runStep(r *fleetRouter, s treasurer.Step, alive func(func()) func()) {
+// runStoreCall simulates one call to the store.
+func (f *fleet) runStoreCall(r *fleetRouter, s treasurer.StoreCall, alive func(func()) func()) {
 	f.calls++
 	kind := "checkpoint"
 	if s.Part != "" && s.Write == nil {
@@ -412,9 +417,9 @@
 	} else if s.Part != "" {
 		kind = "grant"
 	}
-	f.stepsByKind[kind]++
+	f.callsByKind[kind]++
 	done := func(reading masticway.RowReading, err error) {
-		replies, fault := r.planner.CompleteStep(f.now, s, reading, err)
+		replies, fault := r.planner.CompleteStoreCall(f.now, s, reading, err)
 		if fault != nil {
 			panic(fault)
 		}
@@ -432,7 +437,7 @@
 		} else {
 			reading, err = f.apply(*s.Write)
 			if err != nil {
-				f.stepsByKind["conflict"]++
+				f.callsByKind["conflict"]++
 			}
 		}
 		f.schedule(fleetStoreLatency/2+r.extraLatency, alive(func() { done(reading, err) }))
@@ -452,45 +457,45 @@
 	return rows
 }
 
-// borrow asks one lender after the other.
-func (f *fleet) borrow(r *fleetRouter, ask treasurer.BorrowRound, lenders []treasurer.Witness, loans []treasurer.Loan, unanswered int, alive func(func()) func()) {
-	need := ask.Need
+// borrow asks one lender after the other, until the need is met or all were asked, and passes the loans to the planner.
+func (f *fleet) borrow(r *fleetRouter, round treasurer.BorrowRound, lenders []treasurer.Witness, loans []treasurer.Loan, unanswered int, alive func(func()) func()) {
+	need := round.Need
 	for _, l := range loans {
 		need -= l.Amount
 	}
 	if need <= 0 || len(lenders) == 0 {
-		f.handleReplies(r, r.planner.CompleteBorrowRound(f.now, ask, loans, unanswered))
+		f.handleReplies(r, r.planner.CompleteBorrowRound(f.now, round, loans, unanswered))
 		return
 	}
 	l, o := lenders[0], f.router(lenders[0].Incarnation)
-	sent := treasurer.LoanRequest{Number: ask.Number, Borrower: r.self, Workspace: ask.Workspace, Need: need}
+	request := treasurer.LoanRequest{Number: round.Number, Borrower: r.self, Workspace: round.Workspace, Need: need}
 	f.schedule(fleetNetworkLatency, func() {
 		if !o.alive || o.partitioned != r.partitioned || 2*(r.extraLatency+o.extraLatency) >= fleetLendTimeout {
 			f.schedule(fleetLendTimeout, alive(func() {
-				f.repay(r.planner.CancelRequest(f.now, ask, l))
-				f.borrow(r, ask, lenders[1:], loans, unanswered+1, alive)
+				f.repay(r.planner.CancelRequest(f.now, round, l))
+				f.borrow(r, round, lenders[1:], loans, unanswered+1, alive)
 			}))
 			return
 		}
 		lender := o.self
-		f.lend(o, sent, func(amount int64) {
+		f.lend(o, request, func(amount int64) {
 			f.schedule(fleetNetworkLatency, alive(func() {
-				f.borrow(r, ask, lenders[1:], append(loans, treasurer.Loan{Lender: lender, Address: l.Address, Amount: amount}), unanswered, alive)
+				f.borrow(r, round, lenders[1:], append(loans, treasurer.Loan{Lender: lender, Address: l.Address, Amount: amount}), unanswered, alive)
 			}))
 		})
 	})
 }
 
-// lend lends tokens, which may have to wait for the lender's checkpoint.
-func (f *fleet) lend(o *fleetRouter, ask treasurer.LoanRequest, answer func(int64)) {
-	id, amount := o.planner.Lend(f.now, ask)
+// lend lends tokens, which may have to wait for clearance; it calls answer with the amount, zero if nothing is lent.
+func (f *fleet) lend(o *fleetRouter, request treasurer.LoanRequest, answer func(int64)) {
+	id, amount := o.planner.Lend(f.now, request)
 	if amount == 0 {
 		answer(0)
 		return
 	}
 	o.clearances[id] = func(cleared bool) {
 		delete(o.clearances, id)
-		if !cleared || !o.planner.CompleteLoan(id, ask) {
+		if !cleared || !o.planner.CompleteLoan(id, request) {
 			f.handleReplies(o, o.planner.Settle(f.now, id, 0))
 			answer(0)
 			return
@@ -611,7 +616,7 @@
 	f.wakeUp(r)
 }
 
-// kill ends a router and restarts it after the given time.
+// kill crashes a router and restarts it after the given time.
 func (f *fleet) kill(r *fleetRouter, downtime time.Duration) {
 	r.alive = false
 	f.schedule(downtime, func() { f.start(r) })
@@ -634,7 +639,8 @@
 	return float64(s.exhausted+s.unreachable) / math.Max(1, float64(s.asked))
 }
 
-// lostShare returns the share of all budgets that no router has and no caller received.
+// lostShare returns the share of all budgets that is neither ungranted, nor free in a router's grant, nor received by a
+// caller.
 func (f *fleet) lostShare() float64 { return f.lostShareOf(f.names...) }
 
 // lostShareOf is like lostShare for the budgets of some workspaces.
@@ -650,7 +656,7 @@
 		}
 	}
 	for _, r := range f.routers {
-		for _, p := range r.planner.Positions() {
+		for _, p := range r.planner.AccountStates() {
 			if slices.Contains(names, p.Workspace) {
 				accounted += p.Granted - p.Taken
 			}
@@ -667,14 +673,14 @@
 	}
 }
 
-// killAll ends routers and restarts them after the given time.
+// killAll crashes routers and restarts them after the given time.
 func (f *fleet) killAll(routers []*fleetRouter, downtime time.Duration) {
 	for _, r := range routers {
 		f.kill(r, downtime)
 	}
 }
 
-// everyFifth returns every fifth router, with some of each availability zone.
+// everyFifth returns every fifth router, some of each availability zone.
 func (f *fleet) everyFifth() []*fleetRouter {
 	var some []*fleetRouter
 	for i := 0; i < len(f.routers); i += 5 {
--- a/treasurer/takeover.go
+++ b/treasurer/takeover.go
@@ -26,6 +26,7 @@
 	return false
 }
 
+// tryTakeOver reads the instance's checkpoint and replaces it by the first one of this incarnation.
 func (t *Treasurer) tryTakeOver(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
@@ -58,7 +59,8 @@
 	return nil
 }
 
-// closePredecessors closes the grants of this instance's earlier incarnations.
+// closePredecessors closes the grants of this instance's earlier incarnations. Once all are closed, the next checkpoint omits
+// these incarnations.
 func (t *Treasurer) closePredecessors(ctx context.Context) {
 	t.mu.Lock()
 	ended := t.planner.Predecessors()
@@ -83,7 +85,8 @@
 	t.mu.Unlock()
 }
 
-// closeGrant closes one grant, retrying for as long as other routers change the row at the same time.
+// closeGrant closes one grant, trying again after each failure until the context is done. A conflict with a change by another
+// router returns the row, so unless there are too many such changes it need not be read again.
 func (t *Treasurer) closeGrant(ctx context.Context, ended EndedIncarnation, workspace string, spent int64) {
 	key := accountKey(workspace, t.parts)
 	row, known := masticway.StoredRow{RowKey: key}, false
@@ -110,7 +113,7 @@
 		if conflict, ok := errors.AsType[*masticway.RowConflictError](err); ok && len(conflict.Rows) == 1 {
 			row = conflict.Rows[0]
 			t.sleepForContention(ctx, grants)
-			// By the time that the other writers need, the row will have changed again.
+			// With many writers the row will have changed again by now.
 			known = grants < contendedGrants
 			continue
 		}
@@ -119,8 +122,8 @@
 	}
 }
 
-// sleepForContention sleeps for a random part of the time in which the holders of that many grants of a row can each write
-// it once. Where all of them close grants at once, conflicting writes would exhaust the store's rate.
+// sleepForContention sleeps for a random part of the time in which the holders of that many grants of a row can each write it
+// twice. Where all of them close grants at once, conflicting writes would exhaust the store's rate.
 func (t *Treasurer) sleepForContention(ctx context.Context, grants int) {
 	if span := time.Duration(grants) * closingInterval; span > 0 {
 		t.sleep(ctx, time.Duration(rand.Int64N(int64(span))))
@@ -140,6 +143,7 @@
 	return masticway.StoredRow{RowKey: key}, reading.StoreTime, err
 }
 
+// tryCloseGrant closes one grant in a row that was read.
 func (t *Treasurer) tryCloseGrant(ctx context.Context, row masticway.StoredRow, ended EndedIncarnation, workspace string, spent int64) error {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
--- a/treasurer/treasurer.go
+++ b/treasurer/treasurer.go
@@ -17,34 +17,35 @@
 
 // These constants are policy: how long a request may wait for a loan from another router.
 const (
-	// lendTimeout bounds one loan request to another router: a few times the latency between availability zones plus the
-	// wait for the lender's checkpoint, which clearTimeout bounds.
+	// lendTimeout bounds one loan request to another router: a few times the latency between availability zones plus
+	// clearTimeout, which bounds how long the lender waits for clearance, usually by its next checkpoint.
 	lendTimeout  = 60 * time.Millisecond
 	clearTimeout = 45 * time.Millisecond
 )
 
 // These constants are timeouts, intervals and bounds of the treasurer's calls.
 const (
-	// tickInterval is how often waits and plans are checked if no event occurs.
+	// tickInterval is how often waiting requests are checked and calls are planned if no event occurs.
 	tickInterval = 50 * time.Millisecond
-	// callTimeout bounds one call to the store.
+	// callTimeout bounds one call to the store that reads or writes accounts or checkpoints, except for the watch and the
+	// reads before it; a takeover's read and write share it.
 	callTimeout = 2 * time.Second
-	// callRetryInterval separates attempts of a call that failed.
+	// callRetryInterval separates attempts of a call to the store or to another router that failed.
 	callRetryInterval = 100 * time.Millisecond
 	// maxConcurrentClosings bounds how many grants of predecessors are closed at the same time.
 	maxConcurrentClosings = 6
-	// closingInterval is the time for each grant over which closings of one row's grants are spread: the store's time for
-	// two writes to one part.
+	// closingInterval times the number of grants in a row is the longest random wait before another attempt to close one of
+	// them: 10 ms is the store's time for two writes to one part.
 	closingInterval = 10 * time.Millisecond
-	// contendedGrants is the number of grants in a row from which on writes to it conflict so often that the row returned
-	// with a conflict is probably outdated already.
+	// contendedGrants is the number of grants in a row above which, or at which, writes to it conflict so often that the row
+	// returned with a conflict is probably outdated already.
 	contendedGrants = 8
-	// watchWait is how long one call of the accounts' watch may wait for changes. Two calls are watchInterval apart, plus
-	// watchIntervalPerRouter for each router.
+	// watchWait is how long one call of the accounts' watch may wait for changes. After each call the watch pauses for
+	// watchInterval plus watchIntervalPerRouter for each router.
 	watchWait              = 5 * time.Second
 	watchInterval          = 200 * time.Millisecond
 	watchIntervalPerRouter = 6 * time.Millisecond
-	// repayTimeout and maxRepayAttempts bound the attempts to repay a loan.
+	// repayTimeout bounds one attempt to repay a loan or to cancel a loan request, maxRepayAttempts the number of attempts.
 	repayTimeout     = 500 * time.Millisecond
 	maxRepayAttempts = 5
 )
@@ -76,8 +77,9 @@
 	log     *logrus.Entry
 	metrics *measurer.Set
 	self    masticway.Incarnation
-	parts   int
-	// address is where other routers reach this one; the process has listened there since listeningAt.
+	// parts is Settings.Parts.
+	parts int
+	// address is where other routers reach this one; the process has listened there since listeningAt or longer.
 	address     string
 	zone        string
 	processors  float64
@@ -85,9 +87,12 @@
 
 	mu      sync.Mutex
 	planner *Planner
+	// waiting has the channels of the goroutines that wait for a verdict or a clearance.
 	waiting map[HoldID]chan Reply
+	// members is the number of running routers, including this one; zero until they were counted.
 	members int
-	sealed  bool
+	// sealed is set once this incarnation must not spend any more.
+	sealed bool
 
 	// countedAt is when the routers were last counted, countedBytes the size of their presences, and presence this router's
 	// own.
@@ -95,7 +100,7 @@
 	countedBytes int64
 	presence     presenceRow
 
-	// peers lists the other routers that can be reached, sorted by incarnation.
+	// peers lists the other routers that have an address and were running at the last count, sorted by incarnation.
 	peers []Peer
 
 	peerClient PeerClient
@@ -103,25 +108,26 @@
 	tasks      sync.WaitGroup
 }
 
-// PeerClient calls other routers: to borrow and repay tokens, and to use them as witnesses of what is taken while the store
+// PeerClient calls other routers: to borrow and repay tokens, and to use them as witnesses of what is spent while the store
 // cannot be reached.
 type PeerClient interface {
-	// Borrow returns what the router at the address lends, which may be nothing, and the incarnation that lent it.
-	Borrow(ctx context.Context, address string, ask LoanRequest) (Loan, error)
+	// Borrow returns what the router at the address lends, which may be nothing, and the incarnation that lent it; an empty
+	// incarnation means the one that was expected there.
+	Borrow(ctx context.Context, address string, request LoanRequest) (Loan, error)
 	// Repay fails if the lender may not have received the repayment; a repayment may be sent again.
 	Repay(ctx context.Context, address string, r Repayment) error
 	// SendReport sends a report to a witness and reports whether the witness accepted it.
 	SendReport(ctx context.Context, address string, s SpendReport) (bool, error)
-	// FinalReports asks a witness what an ended incarnation has reported to it.
+	// FinalReports asks a witness what an ended incarnation has reported to it, and has it refuse further reports of that.
 	FinalReports(ctx context.Context, address string, witness, ended masticway.Incarnation) (WitnessRecord, error)
 }
 
-// New returns a treasurer for a new incarnation on an instance. The process must already listen at the settings' address,
-// where others reach it.
-func New(store masticway.RowStore, lender PeerClient, clock masticway.Clock, log *logrus.Entry, metrics *measurer.Set, instance string, s Settings) *Treasurer {
+// New returns a treasurer for a new incarnation on an instance; the settings' incarnation is ignored. The process must
+// already listen at the settings' address, where others reach it.
+func New(store masticway.RowStore, peerClient PeerClient, clock masticway.Clock, log *logrus.Entry, metrics *measurer.Set, instance string, s Settings) *Treasurer {
 	s.Incarnation = masticway.NewIncarnation(instance, uuid.NewString()[:8])
 	return &Treasurer{
-		store: store, peerClient: lender, clock: clock, log: log, metrics: metrics, self: s.Incarnation, parts: s.Parts, address: s.Address, zone: s.Zone, processors: s.Processors, listeningAt: clock.Now(),
+		store: store, peerClient: peerClient, clock: clock, log: log, metrics: metrics, self: s.Incarnation, parts: s.Parts, address: s.Address, zone: s.Zone, processors: s.Processors, listeningAt: clock.Now(),
 		planner: NewPlanner(s),
 		waiting: map[HoldID]chan Reply{}, wake: make(chan struct{}, 1),
 	}
@@ -130,7 +136,7 @@
 // Self returns the router's incarnation.
 func (t *Treasurer) Self() masticway.Incarnation { return t.self }
 
-// PeerAddresses returns the addresses of the other routers that can be reached, sorted.
+// PeerAddresses returns the addresses of the other routers that were running at the last count, sorted.
 func (t *Treasurer) PeerAddresses() []string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -142,23 +148,24 @@
 	return all
 }
 
-// Members returns the number of running routers, including this one; zero until they were counted.
+// Members returns the number of routers that were running at the last count, including this one; zero until then.
 func (t *Treasurer) Members() int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.members
 }
 
-// ZonePeers returns the other routers in this one's availability zone that can be reached.
+// ZonePeers returns the other routers in this one's availability zone that have an address and were running at the last
+// count.
 func (t *Treasurer) ZonePeers() []Peer {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return slices.DeleteFunc(slices.Clone(t.peers), func(o Peer) bool { return o.Zone != t.zone })
 }
 
-// ZoneReaders returns the addresses of the routers in this one's availability zone that read the given key for their zone, best
-// first, by rendezvous hash and processors. If this router is one of them, it returns true and no addresses. There are none
-// until the routers were counted.
+// ZoneReaders returns the addresses of the routers, at most limit, that read the given key for this router's availability
+// zone: those of the zone with the greatest rendezvous weights for the key, greatest first. If this router is one of them, it
+// returns true and no addresses. It returns false and no addresses while no other router of the zone is known.
 func (t *Treasurer) ZoneReaders(key string, limit int) (addresses []string, isReader bool) {
 	zone := t.ZonePeers()
 	if len(zone) == 0 {
@@ -173,8 +180,8 @@
 	return addresses, false
 }
 
-// RankedAddresses returns the addresses of the first routers for a key by rendezvous hash and processors, this router's own
-// included. There are none until the routers were counted.
+// RankedAddresses returns the addresses of the routers, at most limit, with the greatest rendezvous weights for a key,
+// greatest first. This router's own may be among them. There are none until the routers were counted.
 func (t *Treasurer) RankedAddresses(key string, limit int) (addresses []string) {
 	t.mu.Lock()
 	counted, peers := t.members > 0, slices.Clone(t.peers)
@@ -188,7 +195,8 @@
 	return addresses
 }
 
-// rankPeers returns the first routers for a key among the given peers and this router.
+// rankPeers returns the given peers and this router, at most limit of them, by their rendezvous weights for a key, greatest
+// first. A router's weight grows with its processors.
 func (t *Treasurer) rankPeers(key string, peers []Peer, limit int) []Peer {
 	self := Peer{Witness: Witness{Incarnation: t.self, Address: t.address}, Zone: t.zone, Processors: t.processors}
 	weights := map[masticway.Incarnation]float64{}
@@ -200,8 +208,8 @@
 	return all[:min(limit, len(all))]
 }
 
-// OwnsKey reports whether this router is the one to which a key is assigned by rendezvous hash; no router owns a key until the
-// routers were counted.
+// OwnsKey reports whether this router is the one to which a key is assigned by rendezvous hash, whatever the routers'
+// processors. It returns false until the routers were counted.
 func (t *Treasurer) OwnsKey(key string) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -212,7 +220,7 @@
 	return !slices.ContainsFunc(t.peers, func(o Peer) bool { return weight(key, o.Incarnation.Instance()) > own })
 }
 
-// Configure sets what each workspace has prepaid.
+// Configure sets what workspaces have prepaid, unless the deployment is older than the last one.
 func (t *Treasurer) Configure(d masticway.Deployment) {
 	t.mu.Lock()
 	t.planner.Configure(d.Version, d.Accounts)
@@ -220,7 +228,8 @@
 	t.wakeUp()
 }
 
-// Hold reserves tokens for a request. It waits at most the given time, or until the context is done.
+// Hold reserves tokens for a request. It waits until there is a verdict, usually for no more than the given time, or until
+// the context is done. If the verdict is VerdictHeld, the hold must be ended by Settle.
 func (t *Treasurer) Hold(ctx context.Context, workspace string, need int64, maxWait time.Duration) Reply {
 	now := t.clock.Now()
 	answer := make(chan Reply, 1)
@@ -245,8 +254,8 @@
 	}
 }
 
-// Clear waits until the response covered by a hold may be sent to the caller; it returns false if the context was done
-// first.
+// Clear waits until the response covered by a hold may be sent to the caller. It returns false if the context was done first;
+// for a hold that does not exist it waits for that.
 func (t *Treasurer) Clear(ctx context.Context, id HoldID) bool {
 	answer := make(chan Reply, 1)
 	t.mu.Lock()
@@ -273,7 +282,7 @@
 	t.mu.Unlock()
 }
 
-// deliver passes replies to the goroutines that wait for them; t.mu must be held.
+// deliver passes replies to the goroutines that wait for them, and counts refusals; t.mu must be held.
 func (t *Treasurer) deliver(replies []Reply) {
 	for _, r := range replies {
 		if c, ok := t.waiting[r.ID]; ok {
@@ -289,7 +298,7 @@
 	}
 }
 
-// NotifyStoreRecovered tells the treasurer that the store answers again.
+// NotifyStoreRecovered lets the treasurer retry a failed checkpoint at once because the store answers again.
 func (t *Treasurer) NotifyStoreRecovered() {
 	t.mu.Lock()
 	t.planner.RetryCheckpoint()
@@ -297,7 +306,7 @@
 	t.wakeUp()
 }
 
-// wakeUp makes the loop in Run plan at once.
+// wakeUp makes the loop in Run check at once what is due.
 func (t *Treasurer) wakeUp() {
 	select {
 	case t.wake <- struct{}{}:
@@ -305,7 +314,8 @@
 	}
 }
 
-// Run takes over the checkpoint and serves requests until the context is done.
+// Run takes over the checkpoint and then makes the calls that requests need, until the context is done. A sealed incarnation
+// makes no more of them. Run returns after the context is done and its calls have ended.
 func (t *Treasurer) Run(ctx context.Context) {
 	if !t.takeOver(ctx) {
 		return
@@ -341,14 +351,14 @@
 	return t.sealed
 }
 
-// runOnce ends waits and starts the calls that are due.
+// runOnce answers requests that need not wait any longer, and starts the calls that are due.
 func (t *Treasurer) runOnce(ctx context.Context) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	now := t.clock.Now()
-	t.deliver(t.planner.Tick(now))
+	t.deliver(t.planner.ServeQueues(now))
 	for _, s := range t.planner.Plan(now) {
-		t.tasks.Go(func() { _ = t.runStep(ctx, s) })
+		t.tasks.Go(func() { _ = t.runStoreCall(ctx, s) })
 	}
 	for _, s := range t.planner.DueReports(now) {
 		t.tasks.Go(func() { t.sendReport(ctx, s) })
@@ -361,8 +371,9 @@
 	}
 }
 
-// runStep carries out one step.
-func (t *Treasurer) runStep(ctx context.Context, s Step) error {
+// runStoreCall makes one call to the store and passes the outcome to the planner. It also goes on if the context is done,
+// until callTimeout.
+func (t *Treasurer) runStoreCall(ctx context.Context, s StoreCall) error {
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), callTimeout)
 	defer cancel()
 	t.metrics.Add(metricStoreCalls, 1)
@@ -378,7 +389,7 @@
 	if err != nil {
 		t.noteFailure(s, err)
 	}
-	replies, fault := t.planner.CompleteStep(t.clock.Now(), s, reading, err)
+	replies, fault := t.planner.CompleteStoreCall(t.clock.Now(), s, reading, err)
 	t.deliver(replies)
 	if fault != nil {
 		t.seal(fault)
@@ -387,7 +398,8 @@
 	return err
 }
 
-func (t *Treasurer) noteFailure(s Step, err error) {
+// noteFailure counts a conflict, or counts and logs another failure.
+func (t *Treasurer) noteFailure(s StoreCall, err error) {
 	if _, ok := errors.AsType[*masticway.RowConflictError](err); ok {
 		t.metrics.Add(metricConflicts, 1)
 		return
@@ -396,7 +408,8 @@
 	t.log.WithFields(logrus.Fields{"event": "money_step_failed", "part": s.Part, "workspace": s.Workspace, "error": err}).Debug("store call failed")
 }
 
-// seal stops serving requests, because a sealed incarnation must not spend any more; t.mu must be held.
+// seal stops serving requests, because another incarnation has taken over or a row cannot be decoded. A planner without
+// grants replaces the one in use, so that later requests are refused; those that wait get no reply. t.mu must be held.
 func (t *Treasurer) seal(err error) {
 	if t.sealed {
 		return
@@ -406,7 +419,9 @@
 	t.planner = NewPlanner(Settings{Incarnation: t.self, Parts: t.parts})
 }
 
-// Close returns what is free of the grants and writes the final checkpoint. Nothing can be held after it.
+// Close returns what is free of the grants and the unused loans, and writes the final checkpoint; it gives up if the context
+// is done or the router is sealed. Nothing is free in the grants afterwards, but for what holds settled later leave, which is
+// not returned.
 func (t *Treasurer) Close(ctx context.Context) {
 	t.mu.Lock()
 	t.planner.Close()
@@ -415,7 +430,7 @@
 		t.mu.Lock()
 		final, ok := t.planner.FinalCheckpoint(t.clock.Now())
 		t.mu.Unlock()
-		if ok && t.runStep(ctx, final) == nil {
+		if ok && t.runStoreCall(ctx, final) == nil {
 			t.log.WithFields(logrus.Fields{"event": "money_closed", "incarnation": t.self}).Info("unused tokens returned")
 			return
 		}
--- a/treasurer/watch.go
+++ b/treasurer/watch.go
@@ -11,16 +11,17 @@
 )
 
 const (
-	// maxWatchRate bounds the rate at which a router reads the watch of all accounts, in bytes a second. The watch returns
-	// every change of every workspace, so in a large fleet each router would read what all others write. Above this rate a
-	// router only polls the parts that have its own workspaces.
+	// maxWatchRate bounds the rate at which a router reads the watch of all accounts, in bytes a second averaged over
+	// demandWindow. The watch returns every change of every workspace, so in a large fleet each router would read what all
+	// others write. Above this rate a router only polls the parts that have its own workspaces.
 	maxWatchRate = 60 << 10
-	// maxInitialReads bounds the parts that all routers together read as they start: it is what the smallest stores answer
-	// in two seconds.
+	// maxInitialReads is the number of parts that all routers of a fleet together may read as they start; if there would be
+	// more, a router reads only those with its own workspaces if it has any. It is what the smallest stores answer in two
+	// seconds.
 	maxInitialReads = 4000
-	// partsInterval is how often each of these parts is read, plus partsIntervalPerRouter for each router, and
-	// watchRetryInterval how long until the watch is tried again. Meanwhile a holder learns of other routers' changes from
-	// the conflicts of its own.
+	// partsInterval is how often each of these parts is read, or partsIntervalPerRouter times the number of routers if that
+	// is longer. Meanwhile a holder learns of other routers' changes from the conflicts of its own. watchRetryInterval is how
+	// long until the watch is tried again.
 	partsInterval          = 4 * time.Second
 	partsIntervalPerRouter = 30 * time.Millisecond
 	watchRetryInterval     = 2 * time.Minute
@@ -63,14 +64,15 @@
 	}
 }
 
-// pollOwnParts reads the parts with this router's workspaces in turn, until the given time.
+// pollOwnParts reads the parts with this router's workspaces in turn, and returns after the first turn that ends at the given
+// time or later, or once the context is done.
 func (t *Treasurer) pollOwnParts(ctx context.Context, until time.Time) {
 	for ctx.Err() == nil && t.clock.Now().Before(until) {
 		parts := t.ownParts()
 		interval := max(partsInterval, time.Duration(t.Members())*partsIntervalPerRouter)
 		for _, part := range parts {
-			// A failure is logged, and the part is read again in the next turn.
-			_ = t.runStep(ctx, Step{Part: part, sentAt: t.clock.Now()})
+			// A failure is logged at the debug level, and the part is read again in the next turn.
+			_ = t.runStoreCall(ctx, StoreCall{Part: part, sentAt: t.clock.Now()})
 			t.sleep(ctx, interval/time.Duration(len(parts)))
 		}
 		if len(parts) == 0 {
@@ -98,6 +100,7 @@
 	return t.planner.ownParts()
 }
 
+// applyChanges passes changed rows to the planner, and seals the treasurer if one cannot be decoded.
 func (t *Treasurer) applyChanges(rows []masticway.StoredRow) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -126,7 +129,7 @@
 	return all, nil
 }
 
-// logStatus logs the counters of store calls, loans and reports.
+// logStatus logs the counters of store calls, verdicts, routers, loans and reports.
 func (t *Treasurer) logStatus() {
 	fields := logrus.Fields{"event": "money_status"}
 	for _, name := range []string{
--- a/treasurer/witness.go
+++ b/treasurer/witness.go
@@ -11,12 +11,12 @@
 
 const (
 	// maxWitnesses is how many other routers a checkpoint names as witnesses. While the store cannot be reached, a majority
-	// of them must accept a report before more is cleared than the checkpoint covers, so that a successor needs answers
-	// from only some: two of three in both cases. With two witnesses, of which one had to accept and both had to answer, a
-	// router that was restarted during a partition at the same time as one of them cost its workspace 10% of a budget.
+	// of them must accept a report before more is cleared than needs no witness, so that a successor needs answers from only
+	// some: two of three in both cases. With two witnesses, of which one had to accept and both had to answer, a router that
+	// was restarted during a partition at the same time as one of them cost its workspace 10% of a budget.
 	maxWitnesses = 3
 	// unackedTimeout is how long a report may lack a quorum before requests are admitted only by what the witnesses have
-	// acknowledged: the time of two reports that time out. After it callers would wait for nothing.
+	// acknowledged: twice reportTimeout. Requests admitted after that would hold tokens that are not cleared in time.
 	unackedTimeout = 300 * time.Millisecond
 )
 
@@ -26,13 +26,14 @@
 	Address     string                `json:"address"`
 }
 
-// SpendReport reports the most that its sender has taken, by workspace, where that exceeds what its checkpoint covers.
+// SpendReport reports how much its sender has taken in all, by workspace, where its spend limits do not clear that much
+// without the report. Amounts that no report can clear are left out.
 type SpendReport struct {
 	Sender masticway.Incarnation `cbor:"1,keyasint"`
 	// Witness is the recipient. Another incarnation on its instance lacks the earlier reports and must refuse this one.
 	Witness masticway.Incarnation `cbor:"2,keyasint"`
-	// These are the sequence numbers of the oldest and the newest checkpoint that may be the sender's last if it crashes
-	// now.
+	// OldestCheckpoint and NewestCheckpoint are the sequence numbers of the first and the last checkpoint that may be the
+	// sender's last one in the store if it crashes now.
 	OldestCheckpoint int64            `cbor:"3,keyasint"`
 	NewestCheckpoint int64            `cbor:"4,keyasint"`
 	Taken            map[string]int64 `cbor:"5,keyasint"`
@@ -40,15 +41,15 @@
 	Address string `cbor:"-"`
 }
 
-// ReportedSpend is a report about one workspace, with the newest checkpoint when it was made: a later checkpoint covers the same
-// amount.
+// ReportedSpend is what was reported of one workspace. Checkpoint is the sequence number of the sender's newest checkpoint
+// when it made the report: later checkpoints cover the amount.
 type ReportedSpend struct {
 	Taken      int64 `cbor:"1,keyasint"`
 	Checkpoint int64 `cbor:"2,keyasint"`
 }
 
-// WitnessRecord is a witness's record of what an ended incarnation has reported to it. Its first field is set if the
-// incarnation that answers is the one named as the witness.
+// WitnessRecord is a witness's record of what an ended incarnation has reported to it, by workspace. IsNamedWitness is set if
+// the incarnation that answers is the one named as the witness; another one of its instance has no record.
 type WitnessRecord struct {
 	IsNamedWitness bool                     `cbor:"1,keyasint"`
 	Reported       map[string]ReportedSpend `cbor:"2,keyasint"`
@@ -61,8 +62,8 @@
 	ended bool
 }
 
-// AcceptReport accepts another router's report. It returns false if the sender has ended or the report is for another
-// incarnation.
+// AcceptReport records another router's report. It returns false if a successor of the sender has asked for the record or the
+// report is for another incarnation.
 func (p *Planner) AcceptReport(s SpendReport) bool {
 	record := p.peerReports[s.Sender]
 	if s.Witness != p.settings.Incarnation || record.ended {
@@ -81,7 +82,8 @@
 	return true
 }
 
-// FinalReports returns what an ended incarnation has reported to a witness, and refuses further reports of it.
+// FinalReports returns what an ended incarnation has reported to a witness, and makes it refuse further reports of that
+// incarnation. The record is empty if the witness is another incarnation than this.
 func (p *Planner) FinalReports(witness, ended masticway.Incarnation) WitnessRecord {
 	if witness != p.settings.Incarnation {
 		return WitnessRecord{}
@@ -103,7 +105,7 @@
 	return others[:min(len(others), maxWitnesses)]
 }
 
-// compareCircular compares incarnations in the circular order that starts after begin.
+// compareCircular compares incarnations in the circular order in which the one after begin is the first.
 func compareCircular(begin, x, y masticway.Incarnation) int {
 	if (x > begin) != (y > begin) {
 		if x > begin {
@@ -114,14 +116,14 @@
 	return cmp.Compare(x, y)
 }
 
-// isCheckpointLate reports whether the store takes longer than usual for a checkpoint, so that what waits for it must be
-// reported to witnesses.
+// isCheckpointLate reports whether the store fails or has not answered a checkpoint for slowStoreLatency, so that what waits
+// for the checkpoint must be reported to witnesses.
 func (p *Planner) isCheckpointLate(now time.Time) bool {
 	return !p.failingSince.IsZero() || p.checkpointInFlight && now.Sub(p.checkpointSentAt) > slowStoreLatency
 }
 
-// unclearedTaken returns the amount taken of each workspace that has holds waiting for clearance, as far as reports can
-// clear them.
+// unclearedTaken returns what to report, by workspace: the amount taken, as far as acknowledged reports can clear it, of each
+// workspace that has holds waiting for clearance and whose spend limits do not cover that amount now.
 func (p *Planner) unclearedTaken(now time.Time) map[string]int64 {
 	taken := map[string]int64{}
 	for workspace, a := range p.accounts {
@@ -133,7 +135,8 @@
 	return taken
 }
 
-// DueReports returns the reports to send now, for holds that wait for a spend limit while the store is late.
+// DueReports returns the reports to send now, for holds that wait for clearance while the store is late, and counts them as
+// in flight until CompleteReport. Each witness gets one at a time.
 func (p *Planner) DueReports(now time.Time) []SpendReport {
 	var taken map[string]int64
 	if p.isCheckpointLate(now) {
@@ -185,13 +188,13 @@
 			f.recordAck(s)
 		}
 	}
-	if p.isAcked(now, s) {
+	if p.isCovered(now, s) {
 		p.unackedSince = time.Time{}
 	}
-	return p.Tick(now)
+	return p.ServeQueues(now)
 }
 
-// recordAck records what a witness of the checkpoint has acknowledged.
+// recordAck records what a router has acknowledged, if it is a witness of the checkpoint.
 func (f checkpointLimits) recordAck(s SpendReport) {
 	if !slices.ContainsFunc(f.witnesses, func(w Witness) bool { return w.Incarnation == s.Witness }) {
 		return
@@ -223,8 +226,8 @@
 // quorum returns how many of a checkpoint's witnesses must acknowledge an amount before it is cleared.
 func quorum(witnesses int) int { return witnesses/2 + 1 }
 
-// isAcked reports whether a quorum of witnesses has acknowledged all of a report.
-func (p *Planner) isAcked(now time.Time, s SpendReport) bool {
+// isCovered reports whether the spend limits in force now let all amounts of a report be cleared.
+func (p *Planner) isCovered(now time.Time, s SpendReport) bool {
 	for workspace, amount := range s.Taken {
 		if a, ok := p.accounts[workspace]; ok && p.currentLimit(now, a) < amount {
 			return false
@@ -238,8 +241,8 @@
 	return !p.unackedSince.IsZero() && now.Sub(p.unackedSince) > unackedTimeout
 }
 
-// HasQuorum reports whether so many of the named witnesses have answered that at least one of them has acknowledged
-// whatever was cleared.
+// HasQuorum reports whether so many of the named witnesses have answered that for whatever was cleared by a quorum's
+// acknowledgement, at least one of them has acknowledged it.
 func (e EndedIncarnation) HasQuorum(records []WitnessRecord) bool {
 	answered := 0
 	for _, r := range records {
@@ -250,9 +253,9 @@
 	return answered > len(e.Witnesses)-quorum(len(e.Witnesses))
 }
 
-// PresumedSpent returns the most that an ended incarnation can have spent, by workspace: what its last checkpoint allows
-// without witnesses and what these remember, if enough of them have answered, else all that its limits allow. What they
-// remember of earlier checkpoints is covered by the last one.
+// PresumedSpent returns the most that an ended incarnation can have spent, by workspace. If it had witnesses and enough of
+// them have answered, that is what its last checkpoint allows without witnesses, or what they remember if that is more; else
+// it is all that its limits allow. Reports made before its last checkpoint are covered by that.
 func (e EndedIncarnation) PresumedSpent(records []WitnessRecord) map[string]int64 {
 	if len(e.Witnesses) == 0 || !e.HasQuorum(records) {
 		return e.MaxSpent
--- a/treasurer/witness_test.go
+++ b/treasurer/witness_test.go
@@ -33,12 +33,12 @@
 	return b, witnesses
 }
 
-// simulateOutage has the store fail for the given time, and then asks for clearance of a new hold.
+// simulateOutage has the store fail for the given time, and then, while it still fails, asks for clearance of a new hold.
 func simulateOutage(b *harness, d time.Duration) treasurer.HoldID {
 	var id treasurer.HoldID
 	for ; d > 0; d -= 30 * time.Millisecond {
 		for _, s := range b.plan(30 * time.Millisecond) {
-			replies, err := b.planner.CompleteStep(b.now, s, masticway.RowReading{}, &masticway.UnavailableError{Service: "rows"})
+			replies, err := b.planner.CompleteStoreCall(b.now, s, masticway.RowReading{}, &masticway.UnavailableError{Service: "rows"})
 			qt.Assert(b.t, err, qt.IsNil)
 			b.record(replies)
 		}
@@ -103,7 +103,7 @@
 	b.now = b.now.Add(500 * time.Millisecond)
 	id := b.hold(100)
 	b.now = b.now.Add(2 * time.Minute)
-	b.record(b.planner.Tick(b.now))
+	b.record(b.planner.ServeQueues(b.now))
 	qt.Assert(t, b.verdicts[id], qt.DeepEquals, []treasurer.Verdict{treasurer.VerdictUnreachable})
 }
 
