--- a/treasurer/model_test.go
+++ b/treasurer/model_test.go
@@ -31,7 +31,7 @@
 	lateWrites      []masticway.RowWrite
 	deliveries      int
 	lastIncarnation int
-	// burstShare is the planners' Settings.BurstShare.
+	// burstShare is the planners' Settings.EarlyShare.
 	burstShare float64
 	// holders is the planners' Settings.Holders.
 	holders int
@@ -107,7 +107,7 @@
 	}
 	w.lastIncarnation++
 	r.self = masticway.NewIncarnation(r.instance, fmt.Sprint(w.lastIncarnation))
-	r.planner = treasurer.NewPlanner(treasurer.Settings{Incarnation: r.self, Address: r.instance, Parts: 2, Reserve: 5 * time.Second, BurstShare: w.burstShare, Holders: w.holders})
+	r.planner = treasurer.NewPlanner(treasurer.Settings{Incarnation: r.self, Address: r.instance, Parts: 2, Reserve: 5 * time.Second, EarlyShare: w.burstShare, Holders: w.holders})
 	r.startedAt = w.now
 	r.started, r.calls, r.holds, r.ended, r.delayedReports, r.strayReports = false, nil, nil, nil, nil, nil
 	accounts := map[string]masticway.Account{}
--- a/treasurer/plan.go
+++ b/treasurer/plan.go
@@ -192,7 +192,7 @@
 	reserve := max(float64(a.free()), p.holderShare(a))
 	// Without demand, a fraction of the reserve is allowed.
 	span := max(a.demand.rate*outageThreshold.Seconds(), initialReserveShare*reserve)
-	return int64(min(span, p.settings.BurstShare*reserve))
+	return int64(min(span, p.settings.EarlyShare*reserve))
 }
 
 // earlyBurst returns the part of the early limit that may be used at once and without witnesses, so that not every response
--- a/treasurer/planner.go
+++ b/treasurer/planner.go
@@ -141,10 +141,10 @@
 	// Parts is the number of parts (partitions) over which the rows of each table are spread, except for presences, which
 	// have one part. All routers must use the same number, and it must not change while there are rows.
 	Parts int
-	// BurstShare bounds SpendLimit.MaxEarly: it is the fraction of a router's reserve of a workspace that may be used before
+	// EarlyShare bounds SpendLimit.MaxEarly: it is the fraction of a router's reserve of a workspace that may be used before
 	// the store has not answered for outageThreshold. With 0.15 instead of 0.06, the score (higher is better) of five days
 	// with faults at thirty routers was 0.632 instead of 0.624, that of the calm day 0.598 instead of 0.565.
-	BurstShare float64
+	EarlyShare float64
 	// Holders is the minimum number of routers that hold a grant of a workspace whose budget is not low; zero means all
 	// routers. Each availability zone contributes equally many as far as it has them, so there are more if the number of
 	// zones does not divide it. When one of six crashes, a sixth of what is in reserve cannot be reached until its successor
--- a/treasurer/planner_test.go
+++ b/treasurer/planner_test.go
@@ -22,7 +22,7 @@
 	self    masticway.Incarnation
 	// verdicts lists what each hold was answered.
 	verdicts map[treasurer.HoldID][]treasurer.Verdict
-	// burstShare is the planner's Settings.BurstShare.
+	// burstShare is the planner's Settings.EarlyShare.
 	burstShare float64
 }
 
@@ -41,7 +41,7 @@
 // startAt starts an incarnation that has listened at the address since the given time.
 func (b *harness) startAt(self masticway.Incarnation, address string, listening time.Time, prepaid int64) {
 	b.self = self
-	b.planner = treasurer.NewPlanner(treasurer.Settings{Incarnation: self, Address: address, Parts: 1, Reserve: 10 * time.Second, BurstShare: b.burstShare})
+	b.planner = treasurer.NewPlanner(treasurer.Settings{Incarnation: self, Address: address, Parts: 1, Reserve: 10 * time.Second, EarlyShare: b.burstShare})
 	b.planner.Configure(1, map[string]masticway.Account{"w": {Workspace: "w", Prepaid: prepaid, HasLimit: true}})
 	row := b.rows.Row(masticway.RowKey{Table: "masticway_books", Part: "0", Key: self.Instance()})
 	write, err := b.planner.TakeOver(row, b.now.Sub(epoch), listening.Sub(epoch))
--- a/treasurer/simulation_test.go
+++ b/treasurer/simulation_test.go
@@ -214,7 +214,7 @@
 	r.alive = true
 	r.self = masticway.NewIncarnation(r.instance, fmt.Sprint(f.lastIncarnation))
 	r.planner = treasurer.NewPlanner(treasurer.Settings{
-		Incarnation: r.self, Address: r.instance, Zone: r.zone, Parts: fleetParts, Reserve: 30 * time.Second, BurstShare: 0.15, Holders: 6,
+		Incarnation: r.self, Address: r.instance, Zone: r.zone, Parts: fleetParts, Reserve: 30 * time.Second, EarlyShare: 0.15, Holders: 6,
 	})
 	r.holds, r.clearances = map[treasurer.HoldID]*fleetHold{}, map[treasurer.HoldID]func(bool){}
 	r.listeningSince, r.changesSeen = f.now, 0
