--- a/keeper/account.go
+++ b/keeper/account.go
@@ -8,10 +8,10 @@
 )
 
 const (
-	// defaultHorizon is the span of future demand that a draw covers unless a request names another.
-	// With it a busy budget draws about once a minute; see docs/MEASUREMENTS.md.
+	// defaultHorizon is the time span whose expected demand a draw covers, unless the latest hold request sets another
+	// one. With it, a busy budget draws about once a minute; see docs/MEASUREMENTS.md.
 	defaultHorizon = 60 * time.Second
-	// rateWindow is the time constant with which the measured demand rate decays.
+	// rateWindow is the time over which demand is averaged. After that time without an update the measured rate is zero.
 	rateWindow = 10 * time.Second
 )
 
@@ -33,24 +33,32 @@
 
 // account is the state of one budget at this router and of the router's grant from it.
 type account struct {
-	budget        string
-	grant         masticway.GrantKey
-	drawn         masticway.Amount
-	spent         masticway.Amount
-	presumed      masticway.Amount
-	returned      masticway.Amount
-	held          masticway.Amount
-	holdCount     int
-	waiters       []waiter
-	state         charter.State
-	seq           int64
+	budget string
+	// grant has number zero until the first move.
+	grant masticway.GrantKey
+	drawn masticway.Amount
+	spent masticway.Amount
+	// presumed is the part of spent of which it is unknown whether a lost sidecar ran it.
+	presumed masticway.Amount
+	// returned includes the money that a move in progress returns.
+	returned  masticway.Amount
+	held      masticway.Amount
+	holdCount int
+	waiters   []waiter
+	state     charter.State
+	// seq is the sequence number of the grant's last move.
+	seq int64
+	// demandRate is the measured demand in units of money per second.
 	demandRate    float64
 	rateUpdatedAt time.Time
-	lastHoldAt    time.Time
-	horizon       time.Duration
-	nextMoveAt    time.Time
-	// tableRead is set once a move has succeeded; readAt is when the last such move began, and remaining, othersOpen and
-	// otherPayers are what it found in the budget's row.
+	// lastHoldAt is when the last hold request arrived.
+	lastHoldAt time.Time
+	horizon    time.Duration
+	// nextMoveAt is the earliest time of the next draw or return of idle money.
+	nextMoveAt time.Time
+	// tableRead is set after a move has succeeded; readAt is when the last successful move began, and remaining,
+	// othersOpen and otherPayers are what it found in the budget's row. Under PolicySlice, remaining and othersOpen are
+	// zero.
 	tableRead      bool
 	moveStartedAt  time.Time
 	readAt         time.Time
@@ -58,13 +66,14 @@
 	othersOpen     masticway.Amount
 	otherPayers    []masticway.Incarnation
 	lastMoveFailed bool
-	bySidecar      map[masticway.Incarnation]masticway.Amount
+	// bySidecar is the part of spent that each sidecar ran.
+	bySidecar map[masticway.Incarnation]masticway.Amount
 }
 
 // free returns the part of the grant that is neither spent, returned nor held.
 func (a *account) free() masticway.Amount { return a.drawn - a.spent - a.returned - a.held }
 
-// recordDemand adds a request to the measured demand.
+// recordDemand adds a request to the measured demand and records its horizon.
 func (a *account) recordDemand(now time.Time, r HoldRequest) {
 	a.decayRate(now)
 	a.demandRate += float64(r.MaxAmount) / rateWindow.Seconds()
@@ -75,7 +84,7 @@
 	}
 }
 
-// decayRate reduces the demand rate by the time that has passed since it was last updated.
+// decayRate reduces the demand rate according to the time since its last update.
 func (a *account) decayRate(now time.Time) {
 	passed := now.Sub(a.rateUpdatedAt)
 	a.rateUpdatedAt = now
--- a/keeper/bench_test.go
+++ b/keeper/bench_test.go
@@ -39,7 +39,7 @@
 	}
 }
 
-// BenchmarkTidy measures the visit of 10 to 1,000 idle budgets, which is done once a second.
+// BenchmarkTidy measures one call of ReleaseIdle with 10 to 1,000 budgets without open holds, which is made once a second.
 func BenchmarkTidy(b *testing.B) {
 	for _, n := range []int{10, 100, 1000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
--- a/keeper/chart.go
+++ b/keeper/chart.go
@@ -4,13 +4,13 @@
 	"github.com/masticway/masticway/charter"
 )
 
-// The statecharts of grants and holds.
+// The state charts of grants and holds.
 var (
 	grantChart = charter.MustLoad(charter.Grant)
 	holdChart  = charter.MustLoad(charter.Hold)
 )
 
-// Events of the grant's statechart.
+// Events of the grant's state chart.
 const (
 	eventMove   charter.Event = "move"
 	eventMoved  charter.Event = "moved"
@@ -19,14 +19,14 @@
 	eventClosed charter.Event = "closed"
 )
 
-// Events of the hold's statechart.
+// Events of the hold's state chart.
 const (
 	eventTaken   charter.Event = "taken"
 	eventShrunk  charter.Event = "shrunk"
 	eventSettled charter.Event = "settled"
 )
 
-// States of the grant's statechart in which a move is in progress.
+// States of the grant's state chart in which a move is in progress.
 const (
 	stateMoving  charter.State = "moving"
 	stateClosing charter.State = "closing"
@@ -53,10 +53,10 @@
 	}
 }
 
-// ChartError returns a charter.StepError for the first transition that a statechart does not allow, or nil.
+// ChartError returns a charter.TransitionError for the first event that a state chart did not allow, or nil.
 func (k *Keeper) ChartError() error { return k.chartError }
 
-// eventOf returns the event of the grant's statechart that a move's result causes.
+// eventOf returns the event of the grant's state chart that a move's result causes.
 func eventOf(r MoveResult) charter.Event {
 	switch {
 	case r.Failed:
--- a/keeper/draw.go
+++ b/keeper/draw.go
@@ -7,14 +7,17 @@
 )
 
 const (
-	// lowWatermark is the share of the forecast below which the next draw starts before a request has to wait.
+	// lowWatermark is a share of the forecast demand. When free money falls below it, a draw starts even if no request
+	// waits yet.
 	lowWatermark = 0.25
 	// moveRetryDelay is the minimum time from the start of a move to the next draw or return of idle money, unless the move
 	// drew something.
 	moveRetryDelay = 100 * time.Millisecond
 )
 
-// drawIfShort starts a draw if requests wait for money or free money is below the low watermark.
+// drawIfShort starts a draw if requests wait for money or free money is below the low watermark, unless a move is in
+// progress or began less than moveRetryDelay ago. If requests wait and only other routers have money of the budget, it also
+// asks them to return some.
 func (k *Keeper) drawIfShort(now time.Time, a *account) []Effect {
 	if a.isMoving() || now.Before(a.nextMoveAt) {
 		return nil
@@ -42,7 +45,8 @@
 	return append(effects, k.startMove(now, a, m))
 }
 
-// startMove completes a move with the account's totals and a sequence number; it numbers a new grant if there is none.
+// startMove puts the account's totals and the next sequence number into m and records that the move is in progress. If the
+// account has no grant, it assigns the number of a new one.
 func (k *Keeper) startMove(now time.Time, a *account, m Move) Move {
 	if a.grant.Number == 0 {
 		k.lastGrantNumber++
@@ -66,7 +70,8 @@
 	return m
 }
 
-// ApplyMoveResult applies the result of a move and answers requests that waited for it.
+// ApplyMoveResult applies the result of a move and answers the waiting requests that it can answer now. It may start the
+// next move. The result of a grant that is no longer in memory is ignored.
 func (k *Keeper) ApplyMoveResult(now time.Time, r MoveResult) []Effect {
 	a, ok := k.accounts[r.Move.Grant.Budget]
 	if !ok || a.grant != r.Move.Grant {
@@ -97,7 +102,8 @@
 	return k.serveWaiters(now, a)
 }
 
-// removeClosedGrant drops a grant that the table has closed; if requests wait, a new grant is opened for them.
+// removeClosedGrant drops the account of a grant that the table has closed. If requests wait, they move to a new account,
+// which draws a new grant.
 func (k *Keeper) removeClosedGrant(now time.Time, a *account) []Effect {
 	fresh := &account{
 		budget: a.budget, state: grantChart.Initial(), waiters: a.waiters, demandRate: a.demandRate, rateUpdatedAt: a.rateUpdatedAt,
--- a/keeper/effects.go
+++ b/keeper/effects.go
@@ -15,6 +15,7 @@
 	Result HoldResult
 	Grant  masticway.GrantKey
 	Amount masticway.Amount
+	// Sender is set on a duplicate: the sender of the first request.
 	Sender masticway.Incarnation
 	// InProgress is set on a duplicate if the first request is still in progress.
 	InProgress bool
@@ -26,21 +27,24 @@
 // The caller passes the MoveResult back.
 type Move struct {
 	Grant masticway.GrantKey
-	// Spent is the total true cost charged to the grant so far.
+	// Spent is the total cost charged to the grant so far.
 	Spent masticway.Amount
-	// Presumed is the part of Spent that lost sidecars may or may not have run.
+	// Presumed is the part of Spent of which it is unknown whether a lost sidecar ran it.
 	Presumed masticway.Amount
-	// Need is what waiting requests need at least; Want also covers the forecast. If both are zero, nothing is drawn.
+	// Need is what waiting requests need at least, beyond the grant's free money. Want is what they need at most, together
+	// with the forecast demand, beyond the free money. If both are zero, nothing is drawn.
 	Need masticway.Amount
 	Want masticway.Amount
-	// Slices makes a first draw take the prepaid sum divided by it, for PolicySlice.
+	// Slices is set under PolicySlice. Then the grant's first draw takes the budget's prepaid sum divided by Slices, and
+	// later ones take nothing, whatever Need and Want are.
 	Slices int
 	// Return is the amount to return to the budget, and Close is set if the grant ends.
 	Return masticway.Amount
 	Close  bool
-	Seq    int64
-	// DrawnBefore is what the grant had drawn before the move. If the answer to the move is lost, the difference to
-	// the row's total shows how much it drew.
+	// Seq is the number of the move among the moves of the grant.
+	Seq int64
+	// DrawnBefore is what the grant had drawn before the move. If the answer to the move is lost, the difference between
+	// the total in the row and DrawnBefore is what the move drew.
 	DrawnBefore masticway.Amount
 }
 
@@ -57,7 +61,7 @@
 // MoveResult is the result of a move.
 type MoveResult struct {
 	Move Move
-	// Drawn is the amount moved to the grant.
+	// Drawn is the amount moved from the budget to the grant.
 	Drawn masticway.Amount
 	// Remaining is what the budget can still grant.
 	Remaining masticway.Amount
--- a/keeper/keeper.go
+++ b/keeper/keeper.go
@@ -11,14 +11,15 @@
 // Policy determines how much a draw takes.
 type Policy string
 
-// The draw policies. PolicyForecast draws by forecast demand. PolicySlice draws one fixed share for each router; it is the
-// baseline for comparison.
+// The draw policies. PolicyForecast draws as much as the forecast demand requires. Under PolicySlice each router draws one
+// fixed share of a budget; it is the baseline for comparison.
 const (
 	PolicyForecast Policy = "forecast"
 	PolicySlice    Policy = "slice"
 )
 
-// maxRecent is the number of tracked identities that are kept. An older one is dropped unless its hold is open.
+// maxRecent is the maximum length of the list of recently tracked identities. An identity that leaves the list is no longer
+// tracked, unless its hold is open or it is in the list once more.
 const maxRecent = 50_000
 
 // Settings configure a keeper.
@@ -27,7 +28,8 @@
 	Policy      Policy
 	// Slices is the number of routers that share a budget under PolicySlice.
 	Slices int
-	// IdleTimeout is the time without hold requests after which a budget's money is returned and its state dropped.
+	// IdleTimeout is the time without hold requests after which a budget's money is returned and its state dropped. While
+	// holds are open, only the free money beyond surplusFactor times the forecast demand is returned.
 	IdleTimeout time.Duration
 }
 
@@ -39,23 +41,26 @@
 	Budget   string
 	Identity masticway.Identity
 	Sender   masticway.Incarnation
-	// MaxAmount is the maximum cost.
+	// MaxAmount is the maximum cost of the attempt.
 	MaxAmount masticway.Amount `cbor:"Most"`
-	// MinAmount is the smallest useful hold.
+	// MinAmount is the smallest hold with which the attempt can run.
 	MinAmount masticway.Amount `cbor:"Least"`
 	// Tracked is set if the keeper must recognize a later request with the same identity as a duplicate.
 	Tracked bool
 	// FirstIncomplete is set if the first request's run ended early, so that it has no complete answer to share.
 	FirstIncomplete bool `cbor:"Again"`
-	Horizon         time.Duration
-	MaxWait         time.Duration `cbor:"Wait"`
+	// Horizon is the time span whose expected demand the next draws cover, defaultHorizon if it is zero.
+	Horizon time.Duration
+	// MaxWait is how long the request may wait for money.
+	MaxWait time.Duration `cbor:"Wait"`
 }
 
 // HoldResult is the result of a hold request.
 type HoldResult string
 
-// The results of a hold request. ResultExhausted means that the budget has too little money left, and ResultUnreachable
-// that there may be enough but that it could not be obtained in time.
+// The results of a hold request. ResultDuplicate means that an earlier request had the same identity, ResultExhausted that
+// the budget has too little money left, and ResultUnreachable that there may be enough but that it could not be obtained in
+// time.
 const (
 	ResultHeld        HoldResult = "held"
 	ResultDuplicate   HoldResult = "duplicate"
@@ -69,22 +74,27 @@
 type Charge struct {
 	Sidecar masticway.Incarnation `cbor:"1,keyasint"`
 	Amount  masticway.Amount      `cbor:"2,keyasint"`
-	// Presumed is set if the sidecar is lost; Amount is then the most that it can have run.
+	// Presumed is set if the sidecar is lost. Amount is then the maximum cost of what it may have run.
 	Presumed bool `cbor:"3,keyasint,omitempty"`
 }
 
 // Keeper manages the grants and holds of one incarnation. It is not safe for concurrent use.
 type Keeper struct {
-	settings        Settings
-	accounts        map[string]*account
-	holds           map[masticway.HoldID]*hold
+	settings Settings
+	// accounts holds the accounts by budget.
+	accounts map[string]*account
+	holds    map[masticway.HoldID]*hold
+	// waitingAccounts holds the account of each request that waits for money.
 	waitingAccounts map[masticway.HoldID]*account
-	tracked         map[masticway.Identity]masticway.HoldID
-	senders         map[masticway.HoldID]masticway.Incarnation
+	// tracked holds, for each identity that must not run twice, the id of the request's hold.
+	tracked map[masticway.Identity]masticway.HoldID
+	// senders holds the senders of the tracked requests.
+	senders map[masticway.HoldID]masticway.Incarnation
+	// recent lists tracked identities, the oldest first; untracked ones stay in it until maxRecent later ones have come.
 	recent          []masticway.Identity
 	lastGrantNumber int64
 	started         time.Time
-	// chartError is the first transition that a statechart did not allow; it shows a bug in this package.
+	// chartError reports the first event that a state chart did not allow; it shows a bug in this package.
 	chartError error
 }
 
@@ -104,8 +114,11 @@
 // Started returns when the keeper began to track identities.
 func (k *Keeper) Started() time.Time { return k.started }
 
-// Hold reserves money for one attempt, or queues the request until there is money or its maximum wait is over. A tracked
-// request whose identity is in use is answered as a duplicate; a request that already has a hold is answered with that hold.
+// Hold reserves money for one attempt. If that is not possible yet, it queues the request until there is money, the budget is
+// known to be exhausted, or the request's maximum wait is over.
+//
+// A request that already has a hold is answered with that hold. A tracked request is answered as a duplicate if an earlier one
+// with the same identity has a hold or waits, or if it has run and FirstIncomplete is not set.
 func (k *Keeper) Hold(now time.Time, r HoldRequest) []Effect {
 	if held, ok := k.holds[r.ID]; ok {
 		return []Effect{Reply{ID: r.ID, Result: ResultHeld, Grant: held.account.grant, Amount: held.amount}}
@@ -126,7 +139,7 @@
 	return k.serveWaiters(now, a)
 }
 
-// track records a request's identity, and drops the oldest identity if there are more than maxRecent.
+// track records a request's identity. If more than maxRecent are listed, it removes the oldest one from the list.
 func (k *Keeper) track(r HoldRequest) {
 	k.tracked[r.Identity] = r.ID
 	k.senders[r.ID] = r.Sender
@@ -143,7 +156,7 @@
 	}
 }
 
-// untrack drops a request's identity, so that another request with it is no duplicate.
+// untrack drops a request's identity, so that a later request with the same identity is not a duplicate.
 func (k *Keeper) untrack(r HoldRequest) {
 	if k.tracked[r.Identity] != r.ID {
 		return
@@ -162,7 +175,7 @@
 	return a
 }
 
-// Resize reduces a hold to a smaller maximum cost that has become known. A hold never grows.
+// Resize reduces a hold when a smaller maximum cost has become known. A larger amount is ignored.
 func (k *Keeper) Resize(now time.Time, id masticway.HoldID, amount masticway.Amount) []Effect {
 	h, ok := k.holds[id]
 	if !ok || amount >= h.amount {
@@ -174,7 +187,8 @@
 	return k.serveWaiters(now, h.account)
 }
 
-// Settle ends a hold and charges its true cost. Settling it again has no effect. A request that still waits is canceled.
+// Settle ends a hold and charges its cost. Settling it again has no effect. If the request still waits for a hold, it is
+// canceled without a reply.
 func (k *Keeper) Settle(now time.Time, id masticway.HoldID, charges []Charge) []Effect {
 	h, ok := k.holds[id]
 	if !ok {
@@ -197,7 +211,7 @@
 		}
 	}
 	a.spent += cost
-	// The demand rate counted the maximum cost; correct it to the true cost.
+	// The demand rate includes the maximum cost of the hold; replace it by the true cost.
 	a.demandRate = max(0, a.demandRate-float64(h.request.MaxAmount-cost)/rateWindow.Seconds())
 	if cost == 0 || answerLost {
 		// Nothing ran, or the answer was lost with its sidecar, so the same identity may run again.
@@ -237,7 +251,8 @@
 	return append(effects, k.drawIfShort(now, a)...)
 }
 
-// decide answers a waiting request and reports whether it can be answered now.
+// decide takes a hold for a waiting request or refuses it, and returns the reply. It returns false if the request must go on
+// waiting.
 //
 // ResultExhausted requires a read of the table that began after the request
 // arrived, so that a recent top-up is never missed.
@@ -275,13 +290,14 @@
 	return Reply{ID: r.ID, Result: ResultHeld, Grant: a.grant, Amount: amount, Waited: now.Sub(w.since)}
 }
 
-func (k *Keeper) refuse(now time.Time, w waiter, v HoldResult) Reply {
+func (k *Keeper) refuse(now time.Time, w waiter, result HoldResult) Reply {
 	k.untrack(w.request)
-	return Reply{ID: w.request.ID, Result: v, Waited: now.Sub(w.since)}
+	return Reply{ID: w.request.ID, Result: result, Waited: now.Sub(w.since)}
 }
 
-// Tick refuses requests whose deadline has passed and starts draws for the others that wait. It visits only budgets for
-// which requests wait.
+// Tick answers the waiting requests that can be answered now, for example because their deadline has passed, and starts draws
+// for the others. The requests for a budget are answered in order, so an answer can be later than the deadline. Tick visits
+// only budgets for which requests wait.
 func (k *Keeper) Tick(now time.Time) []Effect {
 	if len(k.waitingAccounts) == 0 {
 		return nil
--- a/keeper/keeper_test.go
+++ b/keeper/keeper_test.go
@@ -12,7 +12,7 @@
 
 var start = time.Unix(1_800_000_000, 0)
 
-// harness records a keeper's effects; the test answers its moves.
+// harness calls a keeper and records its effects. The test passes the results of the keeper's moves.
 type harness struct {
 	k        *keeper.Keeper
 	now      time.Time
@@ -41,18 +41,18 @@
 	}
 }
 
-func (b *harness) hold(id string, most, least masticway.Amount) {
+func (b *harness) hold(id string, maxAmount, minAmount masticway.Amount) {
 	b.apply(b.k.Hold(b.now, keeper.HoldRequest{
-		ID: masticway.HoldID(id), Identity: masticway.Identity("w/" + id), Budget: "b", Sender: "r~1", MaxAmount: most, MinAmount: least,
+		ID: masticway.HoldID(id), Identity: masticway.Identity("w/" + id), Budget: "b", Sender: "r~1", MaxAmount: maxAmount, MinAmount: minAmount,
 		Tracked: true, Horizon: time.Second, MaxWait: 200 * time.Millisecond,
 	}))
 }
 
 // answerMove passes a result of the oldest move to the keeper.
-func (b *harness) answerMove(drawn, left, elsewhere masticway.Amount, failed bool) {
+func (b *harness) answerMove(drawn, remaining, othersOpen masticway.Amount, failed bool) {
 	m := b.moves[0]
 	b.moves = b.moves[1:]
-	b.apply(b.k.ApplyMoveResult(b.now, keeper.MoveResult{Move: m, Drawn: drawn, Remaining: left, OthersOpen: elsewhere, Failed: failed, OtherPayers: []masticway.Incarnation{"o~1"}}))
+	b.apply(b.k.ApplyMoveResult(b.now, keeper.MoveResult{Move: m, Drawn: drawn, Remaining: remaining, OthersOpen: othersOpen, Failed: failed, OtherPayers: []masticway.Incarnation{"o~1"}}))
 }
 
 func (b *harness) tick(d time.Duration) {
@@ -61,37 +61,37 @@
 	b.apply(b.k.ReleaseIdle(b.now))
 }
 
-func TestHoldVerdicts(t *testing.T) {
+func TestHoldResults(t *testing.T) {
 	cases := map[string]struct {
-		most, least   masticway.Amount
-		drawn, left   masticway.Amount
-		elsewhere     masticway.Amount
+		maxAmount, minAmount   masticway.Amount
+		drawn, remaining   masticway.Amount
+		othersOpen     masticway.Amount
 		failed, waits bool
-		verdict       keeper.HoldResult
+		result       keeper.HoldResult
 		amount        masticway.Amount
 		asksPeers     bool
 	}{
-		"enough money":          {most: 100, least: 100, drawn: 500, left: 500, verdict: keeper.ResultHeld, amount: 100},
-		"maximum is reduced":    {most: 100, least: 10, drawn: 40, verdict: keeper.ResultHeld, amount: 20},
-		"minimum is kept":       {most: 100, least: 30, drawn: 40, verdict: keeper.ResultHeld, amount: 30},
-		"too little everywhere": {most: 100, least: 100, drawn: 40, verdict: keeper.ResultExhausted},
-		"peers return nothing":  {most: 100, least: 100, drawn: 40, elsewhere: 90, waits: true, verdict: keeper.ResultUnreachable, asksPeers: true},
-		"table is unreachable":  {most: 100, least: 100, failed: true, waits: true, verdict: keeper.ResultUnreachable},
+		"enough money":          {maxAmount: 100, minAmount: 100, drawn: 500, remaining: 500, result: keeper.ResultHeld, amount: 100},
+		"maximum is reduced":    {maxAmount: 100, minAmount: 10, drawn: 40, result: keeper.ResultHeld, amount: 20},
+		"minimum is kept":       {maxAmount: 100, minAmount: 30, drawn: 40, result: keeper.ResultHeld, amount: 30},
+		"too little everywhere": {maxAmount: 100, minAmount: 100, drawn: 40, result: keeper.ResultExhausted},
+		"peers return nothing":  {maxAmount: 100, minAmount: 100, drawn: 40, othersOpen: 90, waits: true, result: keeper.ResultUnreachable, asksPeers: true},
+		"table is unreachable":  {maxAmount: 100, minAmount: 100, failed: true, waits: true, result: keeper.ResultUnreachable},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
 			b := newHarness(keeper.PolicyForecast)
-			b.hold("h", tc.most, tc.least)
-			b.answerMove(tc.drawn, tc.left, tc.elsewhere, tc.failed)
+			b.hold("h", tc.maxAmount, tc.minAmount)
+			b.answerMove(tc.drawn, tc.remaining, tc.othersOpen, tc.failed)
 			_, answered := b.replies["h"]
 			qt.Assert(t, answered, qt.Equals, !tc.waits)
 			for range 10 {
 				b.tick(50 * time.Millisecond)
 				for len(b.moves) > 0 {
-					b.answerMove(0, tc.left, tc.elsewhere, tc.failed)
+					b.answerMove(0, tc.remaining, tc.othersOpen, tc.failed)
 				}
 			}
-			qt.Assert(t, b.replies["h"].Result, qt.Equals, tc.verdict)
+			qt.Assert(t, b.replies["h"].Result, qt.Equals, tc.result)
 			qt.Assert(t, b.replies["h"].Amount, qt.Equals, tc.amount)
 			qt.Assert(t, b.peerAsks > 0, qt.Equals, tc.asksPeers)
 		})
--- a/keeper/return.go
+++ b/keeper/return.go
@@ -5,14 +5,16 @@
 )
 
 const (
-	// surplusFactor is the multiple of the forecast that an idle budget keeps while it has open holds.
+	// surplusFactor is the multiple of the forecast demand that an idle budget keeps as free money while it has open holds.
 	surplusFactor = 3
 	// handOverDelay is the time without hold requests after which a budget that another router now keeps is handed
-	// over. It avoids a move for each request while that router is unreachable for a short time.
+	// over. While that router is unreachable for a short time, requests still arrive here, and the delay avoids a move
+	// for each.
 	handOverDelay = 2 * time.Second
 )
 
-// ReleaseIdle returns idle money and drops idle budgets. It visits every budget, so it should be called rarely.
+// ReleaseIdle starts moves that return the money of idle budgets, and drops budgets without a grant. It leaves budgets for
+// which requests wait as they are. It visits every budget, so it should be called rarely.
 func (k *Keeper) ReleaseIdle(now time.Time) []Effect {
 	var effects []Effect
 	for _, budget := range k.sortedBudgets() {
@@ -47,15 +49,16 @@
 	return nil
 }
 
-// ReturnFree returns free money that a peer has asked for: all of it if the budget is idle or now kept by another router
-// (elsewhere), and half of it if it is in use.
-func (k *Keeper) ReturnFree(now time.Time, budget string, elsewhere bool) []Effect {
+// ReturnFree starts a move that returns free money for which a peer has asked: half of it, or all of it if another router now
+// keeps the budget (keptElsewhere) or no hold request has arrived within the horizon. It does nothing under PolicySlice, while
+// requests wait, or while a move is in progress.
+func (k *Keeper) ReturnFree(now time.Time, budget string, keptElsewhere bool) []Effect {
 	a, ok := k.accounts[budget]
 	if !ok || a.isMoving() || a.grant.Number == 0 || len(a.waiters) > 0 || k.settings.Policy == PolicySlice {
 		return nil
 	}
 	free := a.free()
-	if !elsewhere && now.Sub(a.lastHoldAt) < a.horizon {
+	if !keptElsewhere && now.Sub(a.lastHoldAt) < a.horizon {
 		free /= 2
 	}
 	if free <= 0 {
@@ -64,8 +67,9 @@
 	return []Effect{k.startMove(now, a, Move{Return: free})}
 }
 
-// HandOver hands a budget over that another router now keeps: it returns the free money, and closes the grant once no hold is
-// open.
+// HandOver starts a move that returns the free money of a budget that another router now keeps, and that closes the grant if
+// no hold is open. It must be called repeatedly until the grant is closed. It does nothing while requests wait, while a move is
+// in progress, or within handOverDelay of the last hold request.
 func (k *Keeper) HandOver(now time.Time, budget string) []Effect {
 	a, ok := k.accounts[budget]
 	if !ok || a.isMoving() || a.grant.Number == 0 || len(a.waiters) > 0 || now.Sub(a.lastHoldAt) < handOverDelay {
@@ -80,7 +84,8 @@
 	return []Effect{k.startMove(now, a, Move{Return: a.free()})}
 }
 
-// Drain returns all money that is not held. It must be called repeatedly until the keeper has no accounts left.
+// Drain starts moves that return all money that is not held and close the grants without open holds. It must be called
+// repeatedly until IsEmpty returns true.
 func (k *Keeper) Drain(now time.Time) []Effect {
 	var effects []Effect
 	for _, budget := range k.sortedBudgets() {
--- a/keeper/state.go
+++ b/keeper/state.go
@@ -8,7 +8,7 @@
 	"github.com/masticway/masticway"
 )
 
-// OpenHold describes an open hold of a sender.
+// OpenHold describes an open hold, which is one that has not been settled.
 type OpenHold struct {
 	ID       masticway.HoldID
 	Identity masticway.Identity
@@ -39,7 +39,7 @@
 	return oldest, !oldest.IsZero()
 }
 
-// SpentBy returns, by the number of each open grant, the cost of what one sidecar has run for it.
+// SpentBy returns the settled cost of what one sidecar ran for each open grant, by the number of the grant.
 func (k *Keeper) SpentBy(sidecar masticway.Incarnation) map[int64]masticway.Amount {
 	spent := map[int64]masticway.Amount{}
 	for _, a := range k.accounts {
@@ -50,7 +50,7 @@
 	return spent
 }
 
-// OpenGrants returns the numbers of the open grants and the highest number assigned so far.
+// OpenGrants returns the numbers of the grants in memory, in ascending order, and the highest number assigned so far.
 func (k *Keeper) OpenGrants() (numbers []int64, maxNumber int64) {
 	for _, a := range k.accounts {
 		if a.grant.Number != 0 {
--- a/keeper/world_test.go
+++ b/keeper/world_test.go
@@ -51,7 +51,7 @@
 	version int64
 	moves   []pendingMove
 	dead    bool
-	// recoveries are two concurrent recoveries by two other routers.
+	// recoveries are the two concurrent recoveries of this router by two others. There are none until kill is called.
 	recoveries []*recoverer.Recovery
 }
 
@@ -287,7 +287,7 @@
 	}
 }
 
-// settle reports a run's result to its payer, sometimes more than once.
+// settle reports the result of a run to its payer, and repeats some of these reports.
 func (w *world) settle(t *rapid.T) {
 	run := w.pickRun(t, func(r *worldRun) bool {
 		decided := r.result != nil || r.refused || (r.sent && r.sidecar.gone)
