--- a/bookkeeper/bookkeeper.go
+++ b/bookkeeper/bookkeeper.go
@@ -13,10 +13,11 @@
 )
 
 const (
-	// maxCommitAttempts is the number of attempts of one operation when concurrent writers conflict.
+	// maxCommitAttempts limits the attempts of one operation when concurrent writers conflict or answers are lost.
 	maxCommitAttempts = 40
-	// minBackoff and maxBackoff bound the limit of the backoff after a conflict. The backoff is a random part of the
-	// limit, so that writers do not conflict again: without it eight writers gave up in 8 of 200 runs.
+	// After a conflict a writer waits for a random time, so that the writers do not conflict again. The time is below
+	// 2*minBackoff at first; this limit doubles with each further attempt up to maxBackoff. Without the random wait,
+	// eight concurrent writers gave up in 8 of 200 runs.
 	minBackoff = 200 * time.Microsecond
 	maxBackoff = 20 * time.Millisecond
 	// extraDrawShare is the share of the money left beyond its need that a draw may take while others have open grants.
@@ -34,10 +35,11 @@
 // errAlreadyDone ends an update that has nothing to change, usually because it is already committed.
 var errAlreadyDone = errors.New("nothing to commit")
 
-// update reads a row, calls change to compute a transaction from it, and commits that; after a conflict it starts again.
+// update reads the row key, calls change to compute a transaction from it, and commits that. It starts again after a conflict
+// on this row and after a commit whose outcome is unknown. It returns the error of a conflict on another row.
 //
 // Because change sees each new reading of the row, it can recognize its own write after a lost answer; it then returns
-// errAlreadyDone.
+// errAlreadyDone, and update returns nil.
 func update[T any](ctx context.Context, t masticway.Table, key, id string, change func(v T, version int64) ([]masticway.Condition, []masticway.Put, error)) error {
 	var commitErr error
 	for attempt := range maxCommitAttempts {
@@ -77,7 +79,7 @@
 	return fmt.Errorf("updating %s, %d attempts: %w", key, maxCommitAttempts, commitErr)
 }
 
-// backoff waits after a conflict, for a random time whose limit grows with the attempts, or until the context ends.
+// backoff waits for a random time whose limit grows with the number of attempts, or until ctx is done.
 func backoff(ctx context.Context, attempt int) {
 	maxPause := min(maxBackoff, minBackoff<<min(attempt, 10))
 	pause := time.NewTimer(time.Duration(rand.Int64N(int64(maxPause))))
@@ -88,8 +90,8 @@
 	}
 }
 
-// keepUnknown returns err, or an OutcomeUnknownError if the last commit's outcome is unknown, because then it could not be
-// read back either.
+// keepUnknown returns the error of an update whose next attempt failed with err before it committed anything. That is err, or
+// an OutcomeUnknownError if the outcome of the last commit is unknown.
 func keepUnknown(commitErr, err error, id string) error {
 	unknown, ok := errors.AsType[*masticway.OutcomeUnknownError](commitErr)
 	if !ok {
@@ -98,9 +100,10 @@
 	return &masticway.OutcomeUnknownError{Service: unknown.Service, ID: id, Reason: err.Error()}
 }
 
-// DrawSize returns how much of the remaining money a draw takes.
+// DrawSize returns how much of the remaining money a draw takes, which is at most want unless need is larger.
 //
-// While other payers have open grants, it takes beyond its need at most extraDrawShare of what would be left.
+// Unless the payer is the only one with an open grant, the draw takes, beyond its need, at most extraDrawShare of what its need
+// leaves.
 func DrawSize(remaining, need, want masticway.Amount, onlyPayer bool) masticway.Amount {
 	if remaining <= 0 {
 		return 0
@@ -117,7 +120,8 @@
 
 // ApplyMove carries out a keeper's move. linksVersion is the version of the payer's links row as the payer knows it.
 //
-// It fails with a SealedError if the payer has been fenced.
+// It fails with a SealedError if the payer has been fenced or its links row is gone, and with a ConflictError if the links row
+// has another version for a different reason. If the budget does not exist, it only sets BudgetMissing in the result.
 func (b *Ledger) ApplyMove(ctx context.Context, m keeper.Move, linksVersion int64) (keeper.MoveResult, error) {
 	key := prefixBudget + m.Grant.Budget
 	id := fmt.Sprintf("move/%s/%d/%d", m.Grant.Payer, m.Grant.Number, m.Seq)
@@ -146,7 +150,8 @@
 	return result, b.explainMoveError(ctx, m, linksVersion, err)
 }
 
-// explainMoveError returns a SealedError if a move failed because its payer has been fenced.
+// explainMoveError returns a SealedError if the payer of a failed move has been fenced or its links row is gone, and otherwise
+// the cause.
 func (b *Ledger) explainMoveError(ctx context.Context, m keeper.Move, linksVersion int64, cause error) error {
 	row, err := b.table.Get(ctx, prefixLinks+string(m.Grant.Payer))
 	if err != nil {
@@ -173,7 +178,7 @@
 	return payers
 }
 
-// openAmount returns the open amount of one grant, zero if there is no such grant.
+// openAmount returns the open amount of one grant, or zero if there is no such grant.
 func openAmount(b Budget, k masticway.GrantKey) masticway.Amount {
 	if i := b.grantIndex(k); i >= 0 {
 		return b.Grants[i].OpenAmount()
@@ -181,8 +186,8 @@
 	return 0
 }
 
-// applyMove returns the budget after a move and how much the move drew. done is set if the row needs no change, because it
-// already has the move or the move changes nothing.
+// applyMove returns the budget after a move and how much the move drew. done is set if nothing needs to be written, because the
+// row already contains the move or the move would change no amount.
 func applyMove(row Budget, m keeper.Move) (next Budget, drawn masticway.Amount, done bool) {
 	next = row.clone()
 	i := next.grantIndex(m.Grant)
@@ -215,7 +220,7 @@
 	return next, drawn, idle
 }
 
-// recordedDraw returns how much a move drew that the row already has.
+// recordedDraw returns how much a move drew that the row already contains.
 func recordedDraw(g Grant, m keeper.Move) masticway.Amount {
 	return g.Drawn - m.DrawnBefore
 }
@@ -246,7 +251,8 @@
 	return puts
 }
 
-// TopUp adds prepaid money to a budget, once for each change id, and creates the budget if it does not exist.
+// TopUp adds prepaid money to a budget, once for each change id, and creates the budget if it does not exist. It returns the
+// budget's row, and fails with an AmountError if the amount is not positive.
 func (b *Ledger) TopUp(ctx context.Context, budget, changeID string, amount masticway.Amount) (Budget, error) {
 	if amount <= 0 {
 		return Budget{}, &AmountError{Amount: amount}
@@ -282,7 +288,8 @@
 // Error names the amount.
 func (e *AmountError) Error() string { return fmt.Sprintf("amount %d is not positive", e.Amount) }
 
-// Refund subtracts a double bill from the settled amount, once for each hold.
+// Refund subtracts the amount of a double or superseded bill from the budget's settled amount, once for each hold. It does
+// nothing if the budget does not exist, and fails with an InvariantError if less than the amount is settled.
 func (b *Ledger) Refund(ctx context.Context, budget string, hold masticway.HoldID, amount masticway.Amount) error {
 	marker := prefixRefund + string(hold)
 	return update(ctx, b.table, prefixBudget+budget, marker, func(row Budget, version int64) ([]masticway.Condition, []masticway.Put, error) {
@@ -323,10 +330,11 @@
 	return b.PutLinks(ctx, Links{Incarnation: inc, State: LinksOpen}, 0)
 }
 
-// PutLinks replaces a links row if its version is still the given one, and returns the new version.
+// PutLinks replaces a links row if its version is still the given one, and returns the new version. If the row already has the
+// new value, PutLinks only returns the row's version.
 //
-// It fails with a SealedError if the row has another version. Usually the row has been sealed or deleted; it may also
-// be that an earlier write of the caller succeeded whose answer was lost, so the caller should read the row.
+// Otherwise it fails with a SealedError. Usually the row has been sealed or deleted; it may also be that an earlier write of the
+// caller with another value succeeded and its answer was lost, so the caller should read the row.
 func (b *Ledger) PutLinks(ctx context.Context, links Links, version int64) (int64, error) {
 	key := prefixLinks + string(links.Incarnation)
 	value := encode(links)
@@ -364,7 +372,8 @@
 	return links, row.Version, err
 }
 
-// PutLease writes a lease row. It needs no condition, because only the incarnation itself writes its row.
+// PutLease writes a lease row. It needs no condition, because other incarnations never write the row and delete it only after
+// the recovery of this one.
 func (b *Ledger) PutLease(ctx context.Context, d RouterLease) error {
 	key := prefixDaemon + string(d.Incarnation)
 	return b.table.Commit(ctx, masticway.Transaction{ID: key, Puts: []masticway.Put{{Key: key, Value: encode(d)}}})
@@ -388,7 +397,7 @@
 	return b.table.Commit(ctx, masticway.Transaction{ID: key, Puts: []masticway.Put{{Key: key, Value: encode(by)}}})
 }
 
-// ChallengeVersion returns the version of an incarnation's newest challenge, which is zero if there is none.
+// ChallengeVersion returns the version of the row with the latest challenge to an incarnation, or zero if there is none.
 func (b *Ledger) ChallengeVersion(ctx context.Context, inc masticway.Incarnation) (int64, error) {
 	row, err := b.table.Get(ctx, prefixChallenge+string(inc))
 	return row.Version, err
@@ -400,15 +409,15 @@
 	if err != nil {
 		return nil, err
 	}
-	daemons := make([]RouterLease, 0, len(rows))
+	leases := make([]RouterLease, 0, len(rows))
 	for _, r := range rows {
 		d, err := decode[RouterLease](r)
 		if err != nil {
 			return nil, err
 		}
-		daemons = append(daemons, d)
+		leases = append(leases, d)
 	}
-	return daemons, nil
+	return leases, nil
 }
 
 // PutReport stores a sidecar's totals for later recoveries.
@@ -417,7 +426,7 @@
 	return b.table.Commit(ctx, masticway.Transaction{ID: key, Puts: []masticway.Put{{Key: key, Value: encode(r)}}})
 }
 
-// Report reads the totals that a sidecar stored, and reports whether there are any.
+// Report reads the totals that a sidecar stored. It returns false if the sidecar has stored none.
 func (b *Ledger) Report(ctx context.Context, sidecar masticway.Incarnation) (Report, bool, error) {
 	row, err := b.table.Get(ctx, prefixReport+string(sidecar))
 	if err != nil {
--- a/bookkeeper/bookkeeper_test.go
+++ b/bookkeeper/bookkeeper_test.go
@@ -92,7 +92,7 @@
 				qt.Assert(t, err, qt.ErrorAs, &unavailable)
 			}
 			if tc.unknown || tc.refused {
-				// After the same move has been repeated, there must be exactly one draw.
+				// Although the move is repeated, it must draw exactly once.
 				result, err = ledger.ApplyMove(context.Background(), m, version)
 			}
 			qt.Assert(t, err, qt.IsNil)
@@ -204,13 +204,14 @@
 	audit   bool
 }
 
-// ledgerResult is the result of an operation. A draw that was fenced may have been made or not.
+// ledgerResult is the result of an operation. A draw that failed because the payer was fenced may still have been made.
 type ledgerResult struct {
 	amount masticway.Amount
 	fenced bool
 }
 
-// ledgerModel is a counter of the remaining money, in which a fenced draw may have been made or not.
+// ledgerModel models the ledger as a counter of the remaining money. A draw that failed because the payer was fenced may or may
+// not have reduced it.
 var ledgerModel = porcupine.NondeterministicModel{
 	Init: func() []any { return []any{masticway.Amount(500)} },
 	Step: func(state, input, output any) []any {
--- a/bookkeeper/fence.go
+++ b/bookkeeper/fence.go
@@ -7,7 +7,7 @@
 	"github.com/masticway/masticway"
 )
 
-// prefixFence is the key prefix of the rows with each upstream's latest fencing number.
+// prefixFence is the key prefix of the rows that hold the latest order to each upstream and its fencing number.
 const prefixFence = "fence/"
 
 type fenceRow struct {
@@ -16,7 +16,7 @@
 	ID     string          `json:"id"`
 }
 
-// LatestFence returns the latest fencing number assigned for an upstream, zero if there is none.
+// LatestFence returns the latest fencing number assigned to an order for an upstream instance, or zero if there is none.
 func LatestFence(ctx context.Context, t masticway.Table, instance string) (int64, error) {
 	row, err := t.Get(ctx, prefixFence+instance)
 	if err != nil {
@@ -26,8 +26,8 @@
 	return f.Number, err
 }
 
-// AssignFence assigns an order the next fencing number of its upstream. If id is that of the upstream's latest order,
-// that order is returned instead.
+// AssignFence assigns the next fencing number of an upstream instance to an order, stores the order and returns it. id
+// identifies the order: if the instance's latest order has this id, AssignFence only returns that order.
 func (b *Ledger) AssignFence(ctx context.Context, instance, id string, o masticway.Order) (masticway.Order, error) {
 	key := prefixFence + instance
 	err := update(ctx, b.table, key, "order/"+id, func(row fenceRow, _ int64) ([]masticway.Condition, []masticway.Put, error) {
--- a/bookkeeper/recovery.go
+++ b/bookkeeper/recovery.go
@@ -8,7 +8,7 @@
 )
 
 // Seal fences an incarnation in the table, so that it can no longer draw money or link to another sidecar. It returns the
-// sealed row.
+// sealed links row, or an empty one if there is none.
 func (b *Ledger) Seal(ctx context.Context, inc masticway.Incarnation) (Links, error) {
 	key := prefixLinks + string(inc)
 	var sealed Links
@@ -26,7 +26,7 @@
 	return sealed, nil
 }
 
-// GrantsOf returns the grants of an incarnation, which it reads from the index rows.
+// GrantsOf returns the keys of an incarnation's grants, which it reads from the index rows.
 func (b *Ledger) GrantsOf(ctx context.Context, inc masticway.Incarnation) ([]masticway.GrantKey, error) {
 	rows, err := b.table.Scan(ctx, prefixGrant+string(inc)+"/")
 	if err != nil {
@@ -43,18 +43,22 @@
 	return keys, nil
 }
 
-// GrantClosure is what the recovery of an incarnation found out about one of its grants.
+// GrantClosure is what the recovery of an incarnation has found out about one of its grants.
 type GrantClosure struct {
 	Grant masticway.GrantKey
 	// Spent is the true cost that the sidecars reported.
 	Spent masticway.Amount
-	// Running is the maximum cost of runs still in progress; that much stays granted.
+	// Running is the maximum cost of the runs that are still in progress. This amount stays granted.
 	Running masticway.Amount
-	// SidecarLost is set if a sidecar is gone without a final report. Once nothing runs, the rest of the grant is presumed spent.
+	// SidecarLost is set if a sidecar is gone without a final report. The rest of the grant is then presumed spent as soon as
+	// nothing runs.
 	SidecarLost bool
 }
 
-// Recover returns the rest of a sealed incarnation's grant to its budget. It is idempotent and safe to run concurrently.
+// Recover settles what a sealed incarnation has spent from a grant and returns the rest to the budget. While runs are in progress
+// it keeps their maximum cost granted; afterwards it closes the grant. If a sidecar is lost, it returns nothing.
+//
+// Recover is idempotent and safe to call concurrently. It returns the amount returned to the budget by this call.
 func (b *Ledger) Recover(ctx context.Context, c GrantClosure) (returned masticway.Amount, err error) {
 	key := prefixBudget + c.Grant.Budget
 	id := fmt.Sprintf("recover/%s/%d", c.Grant.Payer, c.Grant.Number)
@@ -79,7 +83,7 @@
 	return returned, nil
 }
 
-// applyClosure returns the budget after a recovery step, what the step returned and whether it closed the grant.
+// applyClosure returns the budget after one call of Recover, the amount returned to it and whether the grant is closed.
 // done is set if there is nothing to change.
 func applyClosure(row Budget, c GrantClosure) (next Budget, returned masticway.Amount, closed, done bool) {
 	next = row.clone()
@@ -112,7 +116,7 @@
 	return next, refund, false, false
 }
 
-// DeleteIncarnation deletes the links, lease and challenge rows of an incarnation whose grants are all closed.
+// DeleteIncarnation deletes the links, lease and challenge rows of an incarnation. All of its grants must be closed.
 func (b *Ledger) DeleteIncarnation(ctx context.Context, inc masticway.Incarnation) error {
 	return b.table.Commit(ctx, masticway.Transaction{
 		ID: "forget/" + string(inc),
--- a/bookkeeper/rows.go
+++ b/bookkeeper/rows.go
@@ -16,8 +16,10 @@
 	Drawn    masticway.Amount      `json:"drawn"`
 	Settled  masticway.Amount      `json:"settled"`
 	Returned masticway.Amount      `json:"returned"`
-	Presumed masticway.Amount      `json:"presumed,omitempty"`
-	// Seq is the sequence number of the payer's last committed move, which shows whether a move was made whose answer was lost.
+	// Presumed is the part of Settled of which it is unknown whether a lost sidecar ran it.
+	Presumed masticway.Amount `json:"presumed,omitempty"`
+	// Seq is the sequence number of the last committed move of the grant. It shows whether a move succeeded whose answer was
+	// lost.
 	Seq int64 `json:"seq"`
 }
 
@@ -31,12 +33,12 @@
 	Settled masticway.Amount `json:"settled"`
 	// Presumed is the part of Settled of which it is unknown whether a lost sidecar ran it.
 	Presumed masticway.Amount `json:"presumed,omitempty"`
-	// Refunded is the sum of the refunds for double bills, which has already been subtracted from Settled.
+	// Refunded is the sum of the refunds for double and superseded bills, which has already been subtracted from Settled.
 	Refunded masticway.Amount `json:"given_back,omitempty"`
 	Grants   []Grant          `json:"grants,omitempty"`
 }
 
-// OpenAmount returns the sum of all open grants.
+// OpenAmount returns the sum of the open amounts of all grants.
 func (b Budget) OpenAmount() masticway.Amount {
 	var sum masticway.Amount
 	for _, g := range b.Grants {
@@ -61,12 +63,13 @@
 	return nil
 }
 
-// InvariantError reports a budget row that would allow overspending.
+// InvariantError reports a budget row that breaks an invariant: the prepaid amount is too small, or an amount is negative.
 type InvariantError struct {
 	Budget  string
 	Prepaid masticway.Amount
 	Settled masticway.Amount
-	Open    masticway.Amount
+	// Open is the open amount of all grants, or of one grant if that is negative.
+	Open masticway.Amount
 }
 
 // Error names the amounts that break the invariant.
@@ -94,19 +97,19 @@
 	LinksSealed LinksState = "sealed"
 )
 
-// Links is the row with the durable set of sidecars to which an incarnation may have sent work.
+// Links is the row with the durable set of sidecars that may have run work for an incarnation's money.
 type Links struct {
 	Incarnation masticway.Incarnation   `json:"incarnation"`
 	State       LinksState              `json:"state"`
 	Sidecars    []masticway.Incarnation `json:"sidecars"`
-	// SpentByRemoved is the cost, by grant number, of what sidecars had run that have been removed from the set.
+	// SpentByRemoved is, by grant number, the cost of what was run by sidecars that have since been removed from the set.
 	SpentByRemoved map[int64]masticway.Amount `json:"absorbed,omitempty"`
 }
 
 // Has reports whether a sidecar is in the set.
 func (l Links) Has(sidecar masticway.Incarnation) bool { return slices.Contains(l.Sidecars, sidecar) }
 
-// RouterLease is the lease row of a router.
+// RouterLease is the row that a router renews periodically to show that it is up.
 type RouterLease struct {
 	Incarnation     masticway.Incarnation `json:"incarnation"`
 	Instance        string                `json:"instance"`
@@ -120,7 +123,7 @@
 	BlockedRecoveries string `json:"stranded,omitempty"`
 }
 
-// Report is the row that a sidecar leaves at a graceful shutdown.
+// Report is the row that a sidecar writes at a graceful shutdown.
 type Report struct {
 	Sidecar masticway.Incarnation `json:"sidecar"`
 	Totals  []Total               `json:"totals"`
--- a/keeper/keeper_test.go
+++ b/keeper/keeper_test.go
@@ -63,13 +63,13 @@
 
 func TestHoldResults(t *testing.T) {
 	cases := map[string]struct {
-		maxAmount, minAmount   masticway.Amount
-		drawn, remaining   masticway.Amount
-		othersOpen     masticway.Amount
-		failed, waits bool
-		result       keeper.HoldResult
-		amount        masticway.Amount
-		asksPeers     bool
+		maxAmount, minAmount masticway.Amount
+		drawn, remaining     masticway.Amount
+		othersOpen           masticway.Amount
+		failed, waits        bool
+		result               keeper.HoldResult
+		amount               masticway.Amount
+		asksPeers            bool
 	}{
 		"enough money":          {maxAmount: 100, minAmount: 100, drawn: 500, remaining: 500, result: keeper.ResultHeld, amount: 100},
 		"maximum is reduced":    {maxAmount: 100, minAmount: 10, drawn: 40, result: keeper.ResultHeld, amount: 20},
