--- a/sealer/answer.go
+++ b/sealer/answer.go
@@ -7,8 +7,8 @@
 	"github.com/masticway/masticway"
 )
 
-// Attach makes a router a reader of a run: it gets the answer from the chunk with index from on, and later chunks as they
-// arrive.
+// Attach makes a router a reader of a run: the router gets the answer from the chunk with index from on, later chunks as they
+// arrive, and the result. If this sidecar does not have the run, the router gets a RunStatus that says so.
 func (s *Sealer) Attach(k masticway.RunKey, from int, to masticway.Incarnation) []Effect {
 	r, ok := s.runs[k]
 	if !ok {
@@ -29,7 +29,8 @@
 	return effects
 }
 
-// Query returns the status of a run. A run that has not been accepted is refused from now on.
+// Query returns the status of a run. If this sidecar does not have the run, a later dispatch of it is refused for AnswerTTL, so
+// that the caller can rely on the status.
 func (s *Sealer) Query(now time.Time, k masticway.RunKey) RunStatus {
 	r, ok := s.runs[k]
 	if !ok {
@@ -45,14 +46,14 @@
 	return RunStatus{Run: k, Found: true, Result: r.final, Resumed: c.Resumed, ResumedText: c.ResumedText}
 }
 
-// dropWaiting drops dispatches of a run that wait for a verification.
+// dropWaiting drops the dispatches of a run that wait for a verification, without answering them.
 func (s *Sealer) dropWaiting(k masticway.RunKey) {
 	for inc, list := range s.waiting {
 		s.waiting[inc] = slices.DeleteFunc(list, func(p pending) bool { return p.dispatch.Run == k })
 	}
 }
 
-// Find returns the status of the newest run of an identity at this sidecar.
+// Find returns the status of the newest run with an identity at this sidecar.
 func (s *Sealer) Find(identity masticway.Identity) RunStatus {
 	k, ok := s.byID[identity]
 	if !ok {
@@ -61,7 +62,8 @@
 	return s.runs[k].status(k)
 }
 
-// Cancel stops a run unless it is non-repeatable or has other readers.
+// Cancel stops a run at the request of one of its readers. If the run has other readers, it only removes that reader. A
+// non-repeatable run goes on and keeps the reader.
 func (s *Sealer) Cancel(k masticway.RunKey, from masticway.Incarnation) []Effect {
 	r, ok := s.runs[k]
 	if !ok || r.final != nil || r.dispatch.NonRepeatable {
@@ -77,7 +79,8 @@
 	return []Effect{Stop{Run: k}}
 }
 
-// Detach removes a router from the readers of all runs. The runs go on, so that other routers can attach to them.
+// Detach removes a router from the readers of all runs. The runs go on, so that other routers can attach to them; see
+// OrphanTimeout.
 func (s *Sealer) Detach(now time.Time, router masticway.Incarnation) {
 	for _, r := range s.runs {
 		if !r.readers[router] {
@@ -90,7 +93,7 @@
 	}
 }
 
-// Tick stops orphaned runs and drops expired answers and refusals.
+// Tick stops repeatable runs that have been without readers for OrphanTimeout, and drops expired answers and refusals.
 func (s *Sealer) Tick(now time.Time) []Effect {
 	var effects []Effect
 	for k, r := range s.runs {
@@ -111,7 +114,7 @@
 	return effects
 }
 
-// evict drops the oldest answers while they have expired or take more memory than allowed.
+// evict drops the oldest finished runs while they have expired or the answers take more memory than allowed.
 func (s *Sealer) evict(now time.Time) {
 	for len(s.ended) > 0 {
 		k := s.ended[0]
--- a/sealer/doc.go
+++ b/sealer/doc.go
@@ -1,8 +1,14 @@
-// Package sealer decides which runs a sidecar accepts, and keeps account of what they cost.
+// Package sealer decides which runs a sidecar accepts, and records what they cost.
 //
-// All requests to an upstream go through its sidecar. So a run that this
-// package refuses certainly did not run, and its totals are the true cost of
-// each grant at that upstream. A sealed incarnation can start no more runs.
-// Answers are kept in bounded memory, so that a caller whose router crashed can
-// get the answer of the same run through another router.
+// A run is one attempt to execute a request at the upstream. A router sends a
+// dispatch to start it and pays for it from a grant, which may be that of
+// another router. All requests to an upstream go through its sidecar. Therefore
+// a refused dispatch certainly did not run, and the sidecar's totals are the true
+// cost of each grant's finished runs at that upstream.
+//
+// If a router seems to have failed, its incarnation is sealed, that is, fenced at
+// the sidecar: it can start no more runs, and its cost can be settled.
+//
+// Answers are kept in bounded memory for a limited time, so that a caller whose
+// router crashed can get the answer of the same run through another router.
 package sealer
--- a/sealer/message.go
+++ b/sealer/message.go
@@ -11,18 +11,24 @@
 	Request string                `cbor:"2,keyasint"`
 	Sender  masticway.Incarnation `cbor:"3,keyasint"`
 	Hold    masticway.HoldID      `cbor:"4,keyasint"`
-	Grant   masticway.GrantKey    `cbor:"5,keyasint"`
+	// Grant is the grant that pays for the run. Its payer may be another router than the sender.
+	Grant masticway.GrantKey `cbor:"5,keyasint"`
 	// Bound is the maximum cost of the run.
-	Bound            masticway.Amount   `cbor:"6,keyasint"`
-	PromptWeight     masticway.Amount   `cbor:"7,keyasint,omitempty"`
-	CompletionWeight masticway.Amount   `cbor:"8,keyasint,omitempty"`
-	Price            masticway.Amount   `cbor:"9,keyasint,omitempty"`
-	Revision         masticway.Revision `cbor:"10,keyasint"`
-	NonRepeatable    bool               `cbor:"11,keyasint,omitempty"`
-	Call             masticway.Call     `cbor:"12,keyasint"`
+	Bound masticway.Amount `cbor:"6,keyasint"`
+	// PromptWeight and CompletionWeight are the costs of one token of the prompt and of the completion.
+	PromptWeight     masticway.Amount `cbor:"7,keyasint,omitempty"`
+	CompletionWeight masticway.Amount `cbor:"8,keyasint,omitempty"`
+	// Price is the cost of a call of a plain service.
+	Price masticway.Amount `cbor:"9,keyasint,omitempty"`
+	// Revision is the sender's configuration revision.
+	Revision masticway.Revision `cbor:"10,keyasint"`
+	// NonRepeatable is set if the request must run at most once.
+	NonRepeatable bool           `cbor:"11,keyasint,omitempty"`
+	Call          masticway.Call `cbor:"12,keyasint"`
 }
 
-// cost returns the cost of what a run used. A resumed run is not charged for the prompt again.
+// cost returns the cost of what a run used: the price of a call of a plain service, or the weighted tokens of a model run. A
+// resumed run is not charged for the prompt again.
 func (d Dispatch) cost(u masticway.Usage) masticway.Amount {
 	if d.Call.Service != "" {
 		return d.Price
@@ -39,14 +45,21 @@
 
 // The reasons why a sidecar refuses a dispatch. In each case the dispatch did not run.
 const (
-	ReasonSealed     Reason = "sealed"
+	// ReasonSealed means that the payer or the sender is sealed.
+	ReasonSealed Reason = "sealed"
+	// ReasonUnverified means that the links row of the payer or the sender could not be read.
 	ReasonUnverified Reason = "unverified"
-	ReasonUnlinked   Reason = "unlinked"
-	ReasonDraining   Reason = "leaving"
-	ReasonStale      Reason = "stale_revision"
-	ReasonDuplicate  Reason = "duplicate"
-	ReasonCancelled  Reason = "cancelled"
-	ReasonFull       Reason = "full"
+	// ReasonUnlinked means that the links row of the payer or the sender does not contain this sidecar.
+	ReasonUnlinked Reason = "unlinked"
+	ReasonDraining Reason = "leaving"
+	// ReasonStale means that the sender has an older configuration revision than the sidecar.
+	ReasonStale Reason = "stale_revision"
+	// ReasonDuplicate means that another dispatch with the same identity is running, or has run and may not be repeated.
+	ReasonDuplicate Reason = "duplicate"
+	// ReasonCancelled means that the run has been refused before or reported as not found.
+	ReasonCancelled Reason = "cancelled"
+	// ReasonFull means that the maximum number of runs is in progress.
+	ReasonFull Reason = "full"
 )
 
 // Accepted confirms to a run's sender that the run has been accepted and will start, or to a router that it has been attached.
@@ -54,13 +67,13 @@
 	Run masticway.RunKey `cbor:"1,keyasint"`
 }
 
-// Refused is sent to the sender if the run has not been accepted and never will be.
+// Refused is sent to the sender of a dispatch that has not run and will not run.
 type Refused struct {
 	Run    masticway.RunKey `cbor:"1,keyasint"`
 	Reason Reason           `cbor:"2,keyasint"`
-	// Existing is the run that already has this identity.
+	// Existing is set for ReasonDuplicate: the run that already has this identity.
 	Existing *masticway.RunKey `cbor:"3,keyasint,omitempty"`
-	// Changes are the configuration changes that the sender has not applied.
+	// Changes are set for ReasonStale: the configuration changes that the sender has not applied. Older ones may be missing.
 	Changes []masticway.Change `cbor:"4,keyasint,omitempty"`
 	// Fenced is the incarnation that is sealed, unverified or unlinked.
 	Fenced masticway.Incarnation `cbor:"5,keyasint,omitempty"`
@@ -81,7 +94,7 @@
 	Chunk masticway.Chunk  `cbor:"2,keyasint"`
 }
 
-// RunResult is a run's result.
+// RunResult is sent to the readers of a run when it has ended.
 type RunResult struct {
 	Run  masticway.RunKey `cbor:"1,keyasint"`
 	Fate masticway.Fate   `cbor:"2,keyasint"`
@@ -90,7 +103,8 @@
 	Outcome  masticway.Outcome `cbor:"4,keyasint"`
 	Cost     masticway.Amount  `cbor:"5,keyasint"`
 	Hold     masticway.HoldID  `cbor:"6,keyasint"`
-	Chunks   int               `cbor:"7,keyasint"`
+	// Chunks is the number of chunks of the answer.
+	Chunks int `cbor:"7,keyasint"`
 	// Disrupted is set if the upstream or its environment failed, and not the request.
 	Disrupted bool `cbor:"8,keyasint,omitempty"`
 	// UpstreamEnded is set if the upstream's process no longer listens.
@@ -103,27 +117,30 @@
 	From int              `cbor:"2,keyasint"`
 }
 
-// Query requests the status of a run. A run that has not been accepted is refused from then on.
+// Query requests the status of a run. If the sidecar does not have the run, a later dispatch of it is refused for
+// Settings.AnswerTTL.
 type Query struct {
 	Run masticway.RunKey `cbor:"1,keyasint"`
 }
 
-// Find requests the status of an identity's newest run, without side effects.
+// Find requests the status of the newest run with an identity. Unlike Query it has no side effects.
 type Find struct {
 	Identity masticway.Identity `cbor:"1,keyasint"`
 }
 
-// RunStatus is the answer to Query and Find.
+// RunStatus is the answer to Query and Find, and to an Attach for a run that the sidecar does not have.
 type RunStatus struct {
-	Run    masticway.RunKey `cbor:"1,keyasint"`
-	Found  bool             `cbor:"2,keyasint"`
-	Result *RunResult       `cbor:"3,keyasint,omitempty"`
+	Run masticway.RunKey `cbor:"1,keyasint"`
+	// Found is set if the sidecar has the run.
+	Found bool `cbor:"2,keyasint"`
+	// Result is nil while the run is in progress.
+	Result *RunResult `cbor:"3,keyasint,omitempty"`
 	// Resumed and ResumedText are the tokens and the text that earlier attempts had produced when this run began.
 	Resumed     int    `cbor:"4,keyasint,omitempty"`
 	ResumedText string `cbor:"5,keyasint,omitempty"`
 }
 
-// Cancel requests that a run be stopped because its caller has disconnected.
+// Cancel requests that a run be stopped because its caller has disconnected. See Sealer.Cancel for the exceptions.
 type Cancel struct {
 	Run masticway.RunKey `cbor:"1,keyasint"`
 }
@@ -133,14 +150,15 @@
 	Incarnation masticway.Incarnation `cbor:"1,keyasint"`
 }
 
-// HoldReport is the cost of one hold's run at a sidecar.
+// HoldReport is the cost of one hold's run at a sidecar. The cost is zero while the run is in progress.
 type HoldReport struct {
 	Hold    masticway.HoldID `cbor:"1,keyasint"`
 	Cost    masticway.Amount `cbor:"2,keyasint"`
 	Running bool             `cbor:"3,keyasint,omitempty"`
 }
 
-// SealReport reports what this sidecar ran for a sealed incarnation: the totals of its grants, and the holds it dispatched.
+// SealReport reports what a sidecar ran for a sealed incarnation: the totals of the incarnation's grants, and the holds of those
+// runs dispatched by it that the sidecar still has in memory.
 type SealReport struct {
 	Incarnation masticway.Incarnation `cbor:"1,keyasint"`
 	// Sidecar is the incarnation of the reporting sidecar.
--- a/sealer/seal.go
+++ b/sealer/seal.go
@@ -9,7 +9,7 @@
 	"github.com/masticway/masticway/bookkeeper"
 )
 
-// Seal fences an incarnation and reports what was run for it: the totals of its grants, and the holds it dispatched.
+// Seal fences an incarnation and refuses its waiting dispatches. It returns a report of what was run for the incarnation.
 func (s *Sealer) Seal(now time.Time, inc masticway.Incarnation) (SealReport, []Effect) {
 	s.statuses[inc] = StatusSealed
 	waiting := s.waiting[inc]
@@ -36,7 +36,7 @@
 	return HoldReport{Hold: r.dispatch.Hold, Cost: r.final.Cost}
 }
 
-// Totals returns what this sidecar ran for the grants of a payer, or of all payers if payer is empty.
+// Totals returns what this sidecar ran and is still running for the grants of a payer, or of all payers if payer is empty.
 func (s *Sealer) Totals(payer masticway.Incarnation) []bookkeeper.Total {
 	byGrant := map[masticway.GrantKey]bookkeeper.Total{}
 	for k, spent := range s.totals {
@@ -69,9 +69,9 @@
 	return int(a.Grant.Number - b.Grant.Number)
 }
 
-// DropClosedGrants drops the totals of a payer's grants that have been closed, which are those not in open.
+// DropClosedGrants drops the totals of those of a payer's grants that are not in open, because they have been closed.
 //
-// Grants with numbers above maxNumber are kept, because they were opened after the payer compiled the list.
+// Totals of grants with numbers above maxNumber are kept, because these grants were opened after the payer made the list.
 func (s *Sealer) DropClosedGrants(payer masticway.Incarnation, open []int64, maxNumber int64) {
 	for k := range s.totals {
 		if k.Payer == payer && k.Number <= maxNumber && !slices.Contains(open, k.Number) {
--- a/sealer/sealer.go
+++ b/sealer/sealer.go
@@ -10,28 +10,29 @@
 // Settings configure a sealer.
 type Settings struct {
 	Self masticway.Incarnation
-	// AnswerTTL is the time for which a finished answer is kept, so that routers can attach to it, and a refusal too.
+	// AnswerTTL is the time for which a finished run with its answer is kept, so that routers can attach to it, unless
+	// MaxAnswerBytes is exceeded. It is also the time for which a refused run is remembered.
 	AnswerTTL time.Duration
-	// MaxAnswerBytes limits the size of the finished answers that are kept.
+	// MaxAnswerBytes limits the total size of the texts of finished answers that are kept.
 	MaxAnswerBytes int
-	// OrphanTimeout is the time after which a repeatable run without readers is stopped.
+	// OrphanTimeout is the time without readers after which a run is stopped. A non-repeatable run is not stopped.
 	OrphanTimeout time.Duration
-	// MaxRuns limits the runs in progress.
+	// MaxRuns limits the number of runs in progress.
 	MaxRuns int
 }
 
-// verifyAheadInterval is the minimum time between two verifications ahead of work of a router whose links row does not
-// contain this sidecar yet.
+// verifyAheadInterval is the minimum time between two verifications of one router by VerifyAhead. They are repeated until the
+// router's links row contains this sidecar or is sealed.
 const verifyAheadInterval = 200 * time.Millisecond
 
-// maxKeptChanges limits the configuration changes that are kept for routers with an older revision. They get earlier changes
-// from the table.
+// maxKeptChanges limits the number of configuration changes that are kept for routers with an older revision. Those routers get
+// earlier changes from the table.
 const maxKeptChanges = 64
 
 // Effect is an action that the caller must carry out: a Send, a Start, a Stop or a Verify.
 type Effect interface{ effect() }
 
-// Send sends a message to the router that is linked as To.
+// Send sends a message to the router with the incarnation To. If there is no link to it, the message is dropped.
 type Send struct {
 	To      masticway.Incarnation
 	Message any
@@ -43,10 +44,10 @@
 	Call masticway.Call
 }
 
-// Stop cancels a run at the upstream. The caller must still report the run's end.
+// Stop cancels a run at the upstream. The caller must still call RecordEnd when the run has ended.
 type Stop struct{ Run masticway.RunKey }
 
-// Verify reads an incarnation's links row. The caller passes the resulting status back.
+// Verify reads an incarnation's links row. The caller passes the resulting status to ApplyVerification.
 type Verify struct{ Incarnation masticway.Incarnation }
 
 func (Send) effect()   {}
@@ -57,8 +58,8 @@
 // IncarnationStatus is the status of an incarnation according to its links row in the table.
 type IncarnationStatus string
 
-// The statuses of an incarnation. StatusUnlinked means that the row does not contain this sidecar, and
-// StatusUnknown that the row could not be read.
+// The statuses of an incarnation. StatusSealed means that the row is sealed or does not exist, StatusUnlinked that the row does
+// not contain this sidecar, and StatusUnknown that the row could not be read.
 const (
 	StatusOpen     IncarnationStatus = "open"
 	StatusSealed   IncarnationStatus = "sealed"
@@ -68,16 +69,22 @@
 
 // run is a run that this sidecar has accepted.
 type run struct {
-	dispatch     Dispatch
-	prompt       int
-	tokens       int
-	bytes        int
-	bound        masticway.Amount
-	chunks       []masticway.Chunk
-	final        *RunResult
-	endedAt      time.Time
-	orphanedAt   time.Time
-	readers      map[masticway.Incarnation]bool
+	dispatch Dispatch
+	// prompt and tokens are the numbers of tokens of the prompt and of the answer so far.
+	prompt int
+	tokens int
+	// bytes is the size of the answer's text so far.
+	bytes int
+	// bound is the maximum cost, which is reduced when the prompt has been counted.
+	bound  masticway.Amount
+	chunks []masticway.Chunk
+	// final is nil while the run is in progress.
+	final   *RunResult
+	endedAt time.Time
+	// orphanedAt is when the run lost its last reader. It is zero if the run has a reader.
+	orphanedAt time.Time
+	readers    map[masticway.Incarnation]bool
+	// boundReached is set if the run has been stopped because it would have exceeded its maximum cost.
 	boundReached bool
 	cancelled    bool
 }
@@ -88,24 +95,32 @@
 	from     masticway.Incarnation
 }
 
-// Sealer is the state of one sidecar; it is not safe for concurrent use.
+// Sealer is the state of one sidecar. It is not safe for concurrent use.
 type Sealer struct {
 	settings Settings
-	runs     map[masticway.RunKey]*run
-	byID     map[masticway.Identity]masticway.RunKey
-	// refused holds runs that must never start because they have been reported as not run, and since when.
-	refused  map[masticway.RunKey]time.Time
+	// runs holds the runs in progress and the finished ones that are kept.
+	runs map[masticway.RunKey]*run
+	// byID holds the newest run of each identity.
+	byID map[masticway.Identity]masticway.RunKey
+	// refused holds the runs that must not start because they have been reported as not run, and since when.
+	refused map[masticway.RunKey]time.Time
+	// statuses holds the verified statuses, which are StatusOpen or StatusSealed.
 	statuses map[masticway.Incarnation]IncarnationStatus
-	// verifiedAheadAt is when a linked router was last verified ahead of its first dispatch.
+	// verifiedAheadAt is when VerifyAhead last requested the verification of a router that is not verified yet.
 	verifiedAheadAt map[masticway.Incarnation]time.Time
-	waiting         map[masticway.Incarnation][]pending
-	totals          map[masticway.GrantKey]masticway.Amount
-	running         int
-	ended           []masticway.RunKey
-	keptBytes       int
-	draining        bool
-	revision        masticway.Revision
-	changes         []masticway.Change
+	// waiting holds the dispatches that wait for the verification of an incarnation.
+	waiting map[masticway.Incarnation][]pending
+	// totals holds the cost of the finished runs by grant.
+	totals map[masticway.GrantKey]masticway.Amount
+	// running is the number of runs in progress.
+	running int
+	// ended lists the finished runs that are kept, the oldest first. keptBytes is the size of their answers' texts.
+	ended     []masticway.RunKey
+	keptBytes int
+	draining  bool
+	// revision is the newest configuration revision known; changes are the latest changes up to it.
+	revision masticway.Revision
+	changes  []masticway.Change
 }
 
 // New returns a sealer without runs.
@@ -122,13 +137,14 @@
 	}
 }
 
-// Dispatch accepts or refuses a run. No run starts before its payer and its sender have been verified.
+// Dispatch accepts or refuses a run, or queues the dispatch until its payer and its sender have been verified. A repeated
+// dispatch is confirmed again.
 func (s *Sealer) Dispatch(now time.Time, d Dispatch, from masticway.Incarnation) []Effect {
 	if r, ok := s.runs[d.Run]; ok {
 		if r.dispatch.Hold != d.Hold {
 			return []Effect{Send{To: from, Message: Refused{Run: d.Run, Reason: ReasonDuplicate, Existing: &d.Run}}}
 		}
-		// The dispatch has been repeated; the first one counts.
+		// The dispatch has been repeated; it must not start another run.
 		r.readers[from] = true
 		return []Effect{Send{To: from, Message: Accepted{Run: d.Run}}}
 	}
@@ -153,7 +169,7 @@
 	return s.start(d, from)
 }
 
-// refuse returns a refusal if the run cannot be accepted, whatever the status of its payer and sender.
+// refuse returns a refusal and true if the run cannot be accepted, whatever the status of its payer and sender.
 func (s *Sealer) refuse(d Dispatch) (Refused, bool) {
 	if _, ok := s.refused[d.Run]; ok {
 		return Refused{Run: d.Run, Reason: ReasonCancelled}, true
@@ -189,7 +205,8 @@
 	return []Effect{Send{To: from, Message: Accepted{Run: d.Run}}, Start{Run: d.Run, Call: d.Call}}
 }
 
-// VerifyAhead verifies a linked router before its first dispatch, so that a later outage of the table does not block it.
+// VerifyAhead requests the verification of a linked router before its first dispatch, so that a later outage of the table does
+// not block it. It does nothing if the router has been verified, a dispatch waits for that, or the last request is recent.
 func (s *Sealer) VerifyAhead(now time.Time, inc masticway.Incarnation) []Effect {
 	st := s.statuses[inc]
 	if st == StatusOpen || st == StatusSealed || now.Sub(s.verifiedAheadAt[inc]) < verifyAheadInterval || len(s.waiting[inc]) > 0 {
@@ -199,7 +216,8 @@
 	return []Effect{Verify{Incarnation: inc}}
 }
 
-// ApplyVerification applies the status read from the table, and decides on the dispatches that waited for it.
+// ApplyVerification applies the status read from the table, and decides on the dispatches that waited for it. An incarnation that
+// has been sealed stays sealed.
 func (s *Sealer) ApplyVerification(now time.Time, inc masticway.Incarnation, st IncarnationStatus) []Effect {
 	waiting := s.waiting[inc]
 	delete(s.waiting, inc)
@@ -226,7 +244,8 @@
 	return effects
 }
 
-// RecordPromptCount records the prompt's true token count, and sends it and the number of cached tokens to the run's readers.
+// RecordPromptCount records the prompt's true token count and reduces the maximum cost accordingly. It sends both and the number
+// of cached tokens to the run's readers.
 func (s *Sealer) RecordPromptCount(k masticway.RunKey, prompt, cached int) []Effect {
 	r, ok := s.runs[k]
 	if !ok || r.final != nil {
@@ -239,8 +258,8 @@
 	return s.sendToReaders(r, PromptCount{Run: k, Prompt: prompt, Bound: r.bound, Cached: cached})
 }
 
-// RecordChunk records the next chunk of an answer. If the chunk would exceed the run's maximum cost, it is dropped and the
-// run is stopped.
+// RecordChunk records the next chunk of an answer and sends it to the run's readers. If the chunk of a model run would exceed the
+// run's maximum cost, it and all later chunks are dropped and the run is stopped.
 func (s *Sealer) RecordChunk(k masticway.RunKey, c masticway.Chunk) []Effect {
 	r, ok := s.runs[k]
 	if !ok || r.final != nil || r.boundReached {
@@ -258,7 +277,8 @@
 	return s.sendToReaders(r, Frame{Run: k, Chunk: c})
 }
 
-// RecordEnd ends a run with the upstream's outcome or failure, and adds its true cost to the grant's total.
+// RecordEnd ends a run with the upstream's outcome, or with a failure if that is not nil. It adds the run's cost, which is at
+// most its bound, to the grant's total and sends the result to the run's readers.
 func (s *Sealer) RecordEnd(now time.Time, k masticway.RunKey, o masticway.Outcome, failure *masticway.UpstreamError) []Effect {
 	r, ok := s.runs[k]
 	if !ok || r.final != nil {
@@ -324,7 +344,7 @@
 	return list
 }
 
-// Drain makes the sealer refuse new runs from now on. Runs in progress continue.
+// Drain makes the sealer refuse all new runs. Runs in progress continue.
 func (s *Sealer) Drain() { s.draining = true }
 
 // IsDraining reports whether new runs are refused.
@@ -361,7 +381,7 @@
 // Revision returns the newest configuration revision known to this sidecar.
 func (s *Sealer) Revision() masticway.Revision { return s.revision }
 
-// ChangesAfter returns the kept changes that are newer than a revision.
+// ChangesAfter returns the kept changes that are newer than a revision. Changes that are no longer kept are missing.
 func (s *Sealer) ChangesAfter(r masticway.Revision) []masticway.Change {
 	i := slices.IndexFunc(s.changes, func(c masticway.Change) bool { return c.Revision > r })
 	if i < 0 {
--- a/sealer/sealer_test.go
+++ b/sealer/sealer_test.go
@@ -14,7 +14,7 @@
 
 const router masticway.Incarnation = "r~1"
 
-// harness records a sealer's effects; it answers verifications with an open status.
+// harness calls a sealer and records its effects. It answers verifications with StatusOpen.
 type harness struct {
 	s       *sealer.Sealer
 	started []masticway.RunKey
