--- a/recoverer/recoverer.go
+++ b/recoverer/recoverer.go
@@ -12,7 +12,7 @@
 	"github.com/masticway/masticway/sealer"
 )
 
-// Events of the recovery's statechart.
+// Events of the recovery's state chart.
 const (
 	eventMarked       charter.Event = "marked"
 	eventWitnessed    charter.Event = "witnessed"
@@ -20,13 +20,13 @@
 	eventStillRunning charter.Event = "still_running"
 )
 
-// States of the recovery's statechart that the code refers to.
+// States of the recovery's state chart that the code refers to.
 const (
 	stateSealing   charter.State = "sealing"
 	stateReturning charter.State = "returning"
 )
 
-// askInterval is the minimum time between two requests to the same sidecar.
+// askInterval is the minimum time between two requests for a report to the same sidecar.
 const askInterval = 250 * time.Millisecond
 
 // Effect is an action that the caller must carry out. It is one of the types below.
@@ -45,12 +45,14 @@
 func (SealAtSidecar) effect() {}
 func (CloseGrants) effect()   {}
 
-// sidecarReport is what is known of one sidecar. It is lost if the sidecar is gone without a final report.
+// sidecarReport is what is known of one sidecar.
 type sidecarReport struct {
-	report   sealer.SealReport
+	report sealer.SealReport
+	// received is set if report is current. It is reset when the sidecar is to be asked again.
 	received bool
-	lost     bool
-	askedAt  time.Time
+	// lost is set if the sidecar is gone without a final report.
+	lost    bool
+	askedAt time.Time
 }
 
 // Recovery is the recovery of one failed incarnation. It is not safe for concurrent use.
@@ -62,11 +64,12 @@
 	links       bookkeeper.Links
 	grants      []masticway.GrantKey
 	reports     map[masticway.Incarnation]*sidecarReport
-	sealing     bool
-	closing     bool
+	// sealing and closing are set while SealInTable and CloseGrants are being carried out.
+	sealing bool
+	closing bool
 }
 
-// New starts a recovery.
+// New returns a recovery that has not taken its first step. The calls of Tick advance it.
 func New(now time.Time, inc masticway.Incarnation) *Recovery {
 	c := charter.MustLoad(charter.Recovery)
 	return &Recovery{incarnation: inc, chart: c, state: c.Initial(), started: now, reports: map[masticway.Incarnation]*sidecarReport{}}
@@ -75,13 +78,13 @@
 // Incarnation returns the failed incarnation.
 func (r *Recovery) Incarnation() masticway.Incarnation { return r.incarnation }
 
-// Started returns when the recovery began.
+// Started returns when the recovery was created.
 func (r *Recovery) Started() time.Time { return r.started }
 
 // IsDone reports whether the recovery is complete.
 func (r *Recovery) IsDone() bool { return r.chart.IsFinal(r.state) }
 
-// step makes a transition of the statechart; an event that the state does not allow is ignored.
+// step makes a transition of the state chart. An event that the state does not allow is ignored.
 func (r *Recovery) step(e charter.Event) {
 	next, err := r.chart.Next(r.state, e)
 	if err == nil {
@@ -103,7 +106,8 @@
 	r.step(eventMarked)
 }
 
-// RecordReport records a sidecar's report, which replaces an earlier one.
+// RecordReport records a sidecar's report, which replaces an earlier one. The report of a lost sidecar is ignored, and so is that
+// of a sidecar that is not in the sealed links row.
 func (r *Recovery) RecordReport(report sealer.SealReport) {
 	w, ok := r.reports[report.Sidecar]
 	if !ok || w.lost {
@@ -113,14 +117,16 @@
 	w.received = true
 }
 
-// RecordLost records that a sidecar is known to be gone. If it left a report in the table (found), that counts; otherwise
-// the sidecar is lost, unless it has already reported that nothing runs any more.
+// RecordLost records that a sidecar is known to be gone. found is set if the sidecar wrote the report final to the table.
+//
+// If the sidecar has already reported that nothing runs, that report stays. Otherwise final replaces its report. If there is no
+// final report either, the sidecar is lost.
 func (r *Recovery) RecordLost(sidecar masticway.Incarnation, final bookkeeper.Report, found bool) {
 	w, ok := r.reports[sidecar]
 	if !ok {
 		return
 	}
-	if w.received && !running(w.report) {
+	if w.received && !hasRunning(w.report) {
 		// The sidecar's last report is final, because a sealed incarnation can start no more runs.
 		return
 	}
@@ -132,7 +138,7 @@
 	w.lost = true
 }
 
-// totalsOf returns the totals of an incarnation's grants in a report that a sidecar left.
+// totalsOf returns the totals of an incarnation's grants in the report that a sidecar wrote to the table.
 func totalsOf(final bookkeeper.Report, inc masticway.Incarnation) []bookkeeper.Total {
 	var totals []bookkeeper.Total
 	for _, t := range final.Totals {
@@ -143,13 +149,14 @@
 	return totals
 }
 
-// running reports whether a report names runs in progress.
-func running(s sealer.SealReport) bool {
+// hasRunning reports whether a report names runs in progress.
+func hasRunning(s sealer.SealReport) bool {
 	return slices.ContainsFunc(s.Totals, func(t bookkeeper.Total) bool { return t.Running > 0 }) ||
 		slices.ContainsFunc(s.Holds, func(h sealer.HoldReport) bool { return h.Running })
 }
 
-// RecordClosed records whether the grants have been closed. If runs are in progress, their sidecars are asked again.
+// RecordClosed records whether CloseGrants has succeeded. If it has and runs are still in progress, their sidecars are asked
+// again.
 func (r *Recovery) RecordClosed(ok bool) {
 	r.closing = false
 	if !ok {
@@ -157,7 +164,7 @@
 	}
 	if r.anyRunning() {
 		for _, w := range r.reports {
-			if running(w.report) && !w.lost {
+			if hasRunning(w.report) && !w.lost {
 				w.received = false
 			}
 		}
@@ -170,14 +177,14 @@
 // anyRunning reports whether a sidecar that is not lost has reported runs in progress.
 func (r *Recovery) anyRunning() bool {
 	for _, w := range r.reports {
-		if !w.lost && running(w.report) {
+		if !w.lost && hasRunning(w.report) {
 			return true
 		}
 	}
 	return false
 }
 
-// Tick returns the next effects.
+// Tick advances the recovery and returns the next effects.
 func (r *Recovery) Tick(now time.Time) []Effect {
 	switch r.state {
 	case r.chart.Initial():
@@ -198,7 +205,8 @@
 	return nil
 }
 
-// askSidecars returns requests to the sidecars that have not reported, or the next step if all have.
+// askSidecars returns requests to the sidecars that have not reported. If none is missing, it returns the effects of the next
+// step.
 func (r *Recovery) askSidecars(now time.Time) []Effect {
 	var effects []Effect
 	for _, s := range r.sidecars() {
@@ -231,9 +239,9 @@
 	return missing
 }
 
-// closures adds up the reports for each grant.
+// closures returns what the reports say about each grant.
 func (r *Recovery) closures() []bookkeeper.GrantClosure {
-	closings := make([]bookkeeper.GrantClosure, 0, len(r.grants))
+	closures := make([]bookkeeper.GrantClosure, 0, len(r.grants))
 	for _, g := range r.grants {
 		c := bookkeeper.GrantClosure{Grant: g, Spent: r.links.SpentByRemoved[g.Number]}
 		for _, w := range r.reports {
@@ -248,17 +256,17 @@
 				}
 			}
 		}
-		closings = append(closings, c)
+		closures = append(closures, c)
 	}
-	slices.SortFunc(closings, func(a, b bookkeeper.GrantClosure) int { return strings.Compare(a.Grant.Budget, b.Grant.Budget) })
-	return closings
+	slices.SortFunc(closures, func(a, b bookkeeper.GrantClosure) int { return strings.Compare(a.Grant.Budget, b.Grant.Budget) })
+	return closures
 }
 
 // HoldReports returns the reports on holds that the failed incarnation dispatched, and a lost sidecar if there is one. It must
 // be called when all sidecars have reported or are lost.
 //
-// A hold without a report did not run, unless a sidecar is lost: then its outcome is unknown. A sidecar that left its report
-// in the table names no holds.
+// If a sidecar is lost, the outcome of a hold without a report is unknown. If none is lost, the hold did not run at a sidecar
+// that still has its latest runs in memory. The report that a sidecar wrote to the table at its shutdown names no holds.
 func (r *Recovery) HoldReports() (reports []SidecarHold, lost masticway.Incarnation) {
 	for _, s := range r.sidecars() {
 		w := r.reports[s]
--- a/recoverer/watch.go
+++ b/recoverer/watch.go
@@ -9,15 +9,16 @@
 	"github.com/masticway/masticway/bookkeeper"
 )
 
-// rankDelay is the delay for each rank, so that routers do not all start the same recovery.
+// rankDelay is the delay of a recovery per rank of the router that starts it, so that routers do not all start the same one.
 const rankDelay = 3 * time.Second
 
 // DetectorSettings configure the detection of failures.
 type DetectorSettings struct {
 	Self   masticway.Incarnation
 	Region string
-	// DetectionTime is the time within which a failure is detected: half of it passes before a suspicion, and half is given to
-	// the suspected router to answer a challenge.
+	// DetectionTime is the time to detect a failure, apart from the delay by rank: for half of it a router must be silent before
+	// it is suspected, and for the other half it can answer a challenge. A router of another region is suspected later; see
+	// suspicionTimeout.
 	DetectionTime time.Duration
 	// HeartbeatInterval is the time between two writes of a lease row.
 	HeartbeatInterval time.Duration
@@ -33,8 +34,8 @@
 	SelfDraining bool
 }
 
-// Responsibility determines how soon this router recovers another one. It is not computed for a router that sends messages and
-// is not suspected.
+// Responsibility determines how soon this router recovers another one. Check does not ask for it if the other router is alive
+// and not suspected.
 type Responsibility struct {
 	// HoldsMoney is set if this router has open holds that the other router requested.
 	HoldsMoney bool
@@ -51,7 +52,8 @@
 // Challenge asks a router through the table to renew its lease. The caller reports back whether the challenge was written.
 type Challenge struct{ Incarnation masticway.Incarnation }
 
-// Recover starts a recovery. It is repeated until the incarnation's rows are gone.
+// Recover starts a recovery. It is repeated at each Check until Remove is called or the incarnation's row is gone, so the caller
+// must ignore it while the recovery is in progress.
 type Recover struct{ Incarnation masticway.Incarnation }
 
 func (ReadRow) detectorEffect()   {}
@@ -75,7 +77,8 @@
 
 // routerState is what is known of one other router.
 type routerState struct {
-	row          bookkeeper.RouterLease
+	row bookkeeper.RouterLease
+	// lastSeenAt is when the router last sent a message or was found to have renewed its lease.
 	lastSeenAt   time.Time
 	challengedAt time.Time
 	phase        phase
@@ -84,7 +87,8 @@
 // FailureDetector detects failures of other routers. It is not safe for concurrent use.
 //
 // Lease rows are written rarely, so the first sign of a failure is a link that
-// stays down or silent. The row is then read and its owner challenged through
+// stays down or silent. (There are no links to routers of other regions; for them
+// it is an overdue lease.) The row is then read and its owner challenged through
 // the table. A live router that has only lost its links renews its lease; a
 // router that does not is recovered. If the platform reports that the instance
 // has ended, no challenge is needed.
@@ -114,14 +118,14 @@
 	return gone
 }
 
-// AddRouter adds a router to which there is a link, before its row has been read.
+// AddRouter adds a router to which there is a link, unless it is already known. Its row may not have been read yet.
 func (w *FailureDetector) AddRouter(now time.Time, d bookkeeper.RouterLease) {
 	if _, ok := w.routers[d.Incarnation]; !ok && d.Incarnation != w.settings.Self {
 		w.routers[d.Incarnation] = &routerState{row: d, lastSeenAt: now}
 	}
 }
 
-// updateRow applies a lease row; a recovery that has begun goes on.
+// updateRow applies a lease row. It does not change the state of a router whose recovery has begun.
 func (w *FailureDetector) updateRow(now time.Time, d bookkeeper.RouterLease) {
 	if d.Incarnation == w.settings.Self {
 		return
@@ -184,7 +188,7 @@
 	s.challengedAt = now
 }
 
-// Check checks all known routers and returns the next effects.
+// Check checks all known routers and returns the next effects. observe and responsibilityFor get the row of the router to judge.
 func (w *FailureDetector) Check(now time.Time, observe func(bookkeeper.RouterLease) Observation, responsibilityFor func(bookkeeper.RouterLease) Responsibility) []DetectorEffect {
 	var effects []DetectorEffect
 	for _, inc := range w.incarnations() {
@@ -249,7 +253,7 @@
 	return nil
 }
 
-// suspicionTimeout returns the time without a sign of life after which a router is suspected.
+// suspicionTimeout returns the time after lastSeenAt at which a router is suspected.
 func (w *FailureDetector) suspicionTimeout(s *routerState) time.Duration {
 	if s.row.Region != w.settings.Region {
 		// There are no links between regions, so only an overdue lease is a sign of failure.
@@ -258,7 +262,7 @@
 	return w.settings.DetectionTime / 2
 }
 
-// recoveryDelay returns the delay by which this router starts later than routers with a higher priority for the same recovery.
+// recoveryDelay returns how long this router waits for others to start the same recovery first.
 func recoveryDelay(r Responsibility) time.Duration {
 	if r.HoldsMoney {
 		return 0
--- a/recoverer/watch_test.go
+++ b/recoverer/watch_test.go
@@ -18,25 +18,25 @@
 	renewed := bookkeeper.RouterLease{Incarnation: "r~2", Region: "here", ExpiresAt: start.Add(time.Minute)}
 	cases := map[string]struct {
 		row bookkeeper.RouterLease
-		// signs are the observations of each second; the last of them is repeated.
-		signs []recoverer.Observation
-		stake recoverer.Responsibility
+		// observations are those of each second; the last of them is repeated.
+		observations   []recoverer.Observation
+		responsibility recoverer.Responsibility
 		// rows are the answers to ReadRow; the last of them is repeated. An empty row means that the row is gone.
 		rows      []bookkeeper.RouterLease
 		tableDown bool
 		steps     string
 	}{
-		"alive":                        {row: row, signs: []recoverer.Observation{{IsAlive: true}}, steps: ""},
-		"failed":                       {row: row, signs: []recoverer.Observation{{}}, rows: []bookkeeper.RouterLease{row}, steps: "read challenge read recover "},
-		"platform reports its end":     {row: row, signs: []recoverer.Observation{{InstanceEnded: true}}, steps: "recover "},
-		"answers the challenge":        {row: row, signs: []recoverer.Observation{{}, {}, {}, {}, {IsAlive: true}}, rows: []bookkeeper.RouterLease{row, renewed}, steps: "read challenge "},
-		"renewed before the challenge": {row: row, signs: []recoverer.Observation{{}, {}, {}, {IsAlive: true}}, rows: []bookkeeper.RouterLease{renewed}, steps: "read "},
-		"its row is gone":              {row: row, signs: []recoverer.Observation{{}}, rows: []bookkeeper.RouterLease{{}}, steps: "read "},
-		"lower rank waits":             {row: row, signs: []recoverer.Observation{{}}, stake: recoverer.Responsibility{Rank: 3}, rows: []bookkeeper.RouterLease{row}, steps: ""},
-		"lower rank holding money":     {row: row, signs: []recoverer.Observation{{}}, stake: recoverer.Responsibility{Rank: 3, HoldsMoney: true}, rows: []bookkeeper.RouterLease{row}, steps: "read challenge read recover "},
-		"draining router stays out":    {row: row, signs: []recoverer.Observation{{SelfDraining: true, InstanceEnded: true}}, steps: ""},
-		"table unavailable":            {row: row, signs: []recoverer.Observation{{}}, tableDown: true, steps: "read read read "},
-		"other region, lease valid":    {row: bookkeeper.RouterLease{Incarnation: "r~2", Region: "there", ExpiresAt: start}, signs: []recoverer.Observation{{}}, steps: ""},
+		"alive":                        {row: row, observations: []recoverer.Observation{{IsAlive: true}}, steps: ""},
+		"failed":                       {row: row, observations: []recoverer.Observation{{}}, rows: []bookkeeper.RouterLease{row}, steps: "read challenge read recover "},
+		"platform reports its end":     {row: row, observations: []recoverer.Observation{{InstanceEnded: true}}, steps: "recover "},
+		"answers the challenge":        {row: row, observations: []recoverer.Observation{{}, {}, {}, {}, {IsAlive: true}}, rows: []bookkeeper.RouterLease{row, renewed}, steps: "read challenge "},
+		"renewed before the challenge": {row: row, observations: []recoverer.Observation{{}, {}, {}, {IsAlive: true}}, rows: []bookkeeper.RouterLease{renewed}, steps: "read "},
+		"its row is gone":              {row: row, observations: []recoverer.Observation{{}}, rows: []bookkeeper.RouterLease{{}}, steps: "read "},
+		"lower rank waits":             {row: row, observations: []recoverer.Observation{{}}, responsibility: recoverer.Responsibility{Rank: 3}, rows: []bookkeeper.RouterLease{row}, steps: ""},
+		"lower rank holding money":     {row: row, observations: []recoverer.Observation{{}}, responsibility: recoverer.Responsibility{Rank: 3, HoldsMoney: true}, rows: []bookkeeper.RouterLease{row}, steps: "read challenge read recover "},
+		"draining router stays out":    {row: row, observations: []recoverer.Observation{{SelfDraining: true, InstanceEnded: true}}, steps: ""},
+		"table unavailable":            {row: row, observations: []recoverer.Observation{{}}, tableDown: true, steps: "read read read "},
+		"other region, lease valid":    {row: bookkeeper.RouterLease{Incarnation: "r~2", Region: "there", ExpiresAt: start}, observations: []recoverer.Observation{{}}, steps: ""},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -45,8 +45,8 @@
 			steps, reads, recovering := "", 0, false
 			for second := range 8 {
 				now := start.Add(time.Duration(second) * time.Second)
-				sign := tc.signs[min(second, len(tc.signs)-1)]
-				for _, e := range w.Check(now, func(bookkeeper.RouterLease) recoverer.Observation { return sign }, func(bookkeeper.RouterLease) recoverer.Responsibility { return tc.stake }) {
+				observation := tc.observations[min(second, len(tc.observations)-1)]
+				for _, e := range w.Check(now, func(bookkeeper.RouterLease) recoverer.Observation { return observation }, func(bookkeeper.RouterLease) recoverer.Responsibility { return tc.responsibility }) {
 					switch e := e.(type) {
 					case recoverer.ReadRow:
 						steps += "read "
