--- a/lender/lender.go
+++ b/lender/lender.go
@@ -17,17 +17,17 @@
 	pathFinalReports = "/peer/recall"
 )
 
-// borrowResponse is the answer to a loan request.
+// borrowResponse is the answer to a loan request. Amount is the number of tokens that are lent.
 type borrowResponse struct {
 	Amount int64 `cbor:"1,keyasint"`
-	// Lender is the incarnation that lends. It may be a successor of the one to which the request was addressed.
+	// Lender is the incarnation that lends. It may be another one than the caller expects if the router has been restarted.
 	Lender masticway.Incarnation `cbor:"2,keyasint,omitempty"`
 }
 
 // ack is the answer to a message that only needs to be confirmed.
 type ack struct{}
 
-// reportResponse is the answer to a report. Taken is set if the report was accepted.
+// reportResponse is the answer to a report. Accepted is set if the witness has accepted the report.
 type reportResponse struct {
 	Accepted bool `cbor:"1,keyasint"`
 }
@@ -46,7 +46,8 @@
 // NewClient returns a client that sends its calls with m.
 func NewClient(m *messenger.Client) *Client { return &Client{messages: m} }
 
-// Borrow requests a loan of a workspace's money from the router at an address. The amount lent is never above the need.
+// Borrow requests a loan of a workspace's money from the router at an address. The amount of the loan is at most the need in the
+// request, and zero if the router lends nothing.
 func (c *Client) Borrow(ctx context.Context, address string, request treasurer.LoanRequest) (treasurer.Loan, error) {
 	answer, err := messenger.Call[borrowResponse](ctx, c.messages, address, pathBorrow, request)
 	return treasurer.Loan{Lender: answer.Lender, Amount: min(request.Need, max(0, answer.Amount))}, err
@@ -69,11 +70,11 @@
 	return messenger.Call[treasurer.WitnessRecord](ctx, c.messages, address, pathFinalReports, finalReportsRequest{Witness: witness, Ended: ended})
 }
 
-// PeerServer answers the calls of other routers.
+// PeerServer handles the calls of other routers.
 type PeerServer interface {
 	// Self returns the incarnation that lends.
 	Self() masticway.Incarnation
-	// Lend lends money to another router and returns the amount.
+	// Lend lends money to another router and returns the amount in tokens, which is zero if there is nothing to lend.
 	Lend(ctx context.Context, request treasurer.LoanRequest) int64
 	// AcceptRepayment accepts returned money.
 	AcceptRepayment(r treasurer.Repayment)
