--- a/accountant/account.go
+++ b/accountant/account.go
@@ -7,8 +7,7 @@
 	"time"
 )
 
-// listedEvents are the events, other than those of requests, that are listed in a report, and the fields by which they are
-// grouped.
+// listedEvents maps the events that a report lists in the table of changes to the fields by which they are grouped.
 var listedEvents = map[string][]string{
 	"started": nil, "stopping": nil, "stopped": {"cut_off"}, "reloaded": {"needs_restart"}, "reload_refused": nil, "server_ended": nil,
 	"configuration_in_force": {"version"}, "configuration_unreadable": {"row_version"}, "registration_unreadable": nil,
@@ -34,8 +33,8 @@
 	trace    trace
 }
 
-// New returns an analyzer with time buckets of the given length. If request is not empty, it only collects the lines that
-// concern the request with that id.
+// New returns an analyzer with time buckets of the given length. If request is not empty, the analyzer only makes the trace
+// of the request with that id.
 func New(bucket time.Duration, request string) *Analyzer {
 	return &Analyzer{
 		bucket: bucket, reader: reader{newest: map[string]time.Time{}},
@@ -47,10 +46,10 @@
 	}
 }
 
-// Read adds all lines of a source. name is used as the router of lines before the first that names one.
+// Read adds all lines of a source. Lines before the first one that names a router are assigned to a router called name.
 func (a *Analyzer) Read(name string, r io.Reader) error { return a.reader.read(name, r, a.addLine) }
 
-// addLine adds one event.
+// addLine adds one event, to the trace or to the tables.
 func (a *Analyzer) addLine(l Line) {
 	outageMS := a.outages.add(l)
 	switch {
@@ -88,7 +87,7 @@
 	a.times.add(Key{At: a.bucketStart(l)}, l, ms, key.Family)
 }
 
-// addEvent adds any other event. If the event ends an outage, outageMS is how long that lasted.
+// addEvent adds any other event. outageMS is the duration of the outage that the event ends, or zero.
 func (a *Analyzer) addEvent(l Line, outageMS int64) {
 	a.versions.add(l)
 	a.money.add(l)
@@ -107,7 +106,8 @@
 // bucketStart returns the start of a line's time bucket.
 func (a *Analyzer) bucketStart(l Line) time.Time { return l.Time.UTC().Truncate(a.bucket) }
 
-// Report returns the summary. No lines may be added afterwards, because it ends the outages that are still open.
+// Report returns the summary, or a NotFoundError if no line was an event. It ends the outages that are still open, so no
+// lines may be added afterwards.
 func (a *Analyzer) Report() (Report, error) {
 	if a.reader.input.Events == 0 {
 		return Report{}, &NotFoundError{What: "an event of key=value pairs", Lines: a.reader.input.Lines}
--- a/accountant/account_test.go
+++ b/accountant/account_test.go
@@ -21,7 +21,7 @@
 	return fmt.Sprintf("time=%q level=info msg=x instance=%s %s\n", at.Format(time.RFC3339Nano), router, fields)
 }
 
-// account returns the report on sources, each with the lines of one router.
+// account returns the report on the given sources. Each source contains the lines of one router.
 func account(t *testing.T, sources ...[]string) accountant.Report {
 	t.Helper()
 	a := accountant.New(time.Second, "")
@@ -134,7 +134,7 @@
 		line("edge-1", 0, failed+"a1"), line("edge-1", 10, timeout+"a1"), line("edge-1", 20, failed+"a2"),
 		line("edge-1", 30, failed+"a3"), line("edge-1", 30, timeout+"a4"),
 	}, []string{
-		// The later end counts, in whichever order they are read.
+		// The later of the two ends counts, whichever is read first.
 		line("edge-2", 5, served+"a1"), line("edge-2", 40, served+"a3"),
 	})
 	qt.Assert(t, summary(t, r, "failed_attempts_by_server"), qt.DeepEquals, []string{"s1 10.0.0.1:80 3 silent=3 unknown=3"})
@@ -152,7 +152,7 @@
 		[]string{line("edge-1", 0, "event=started"), version("edge-1", 10, 3), version("edge-1", 1000, 4), version("edge-1", 3000, 6), version("edge-1", 3500, 4)},
 		[]string{line("edge-2", 0, "event=started"), version("edge-2", 20, 3), version("edge-2", 1900, 5)},
 		[]string{line("edge-3", 5000, "event=started"), version("edge-3", 5100, 5)},
-		// A new process does not lag, whatever version the previous one had.
+		// A new process counts as starting with its version, whatever version the previous process had.
 		[]string{version("edge-4", 30, 3), line("edge-4", 6000, "event=started"), version("edge-4", 6100, 4)},
 	)
 	qt.Assert(t, summary(t, r, "configuration_versions_by_routers"), qt.DeepEquals, []string{
--- a/accountant/cause.go
+++ b/accountant/cause.go
@@ -34,8 +34,8 @@
 	return familyOther
 }
 
-// reasons maps a substring of a failure's logged cause to a reason. The first match counts. The substrings are taken from the
-// error messages of other packages and of the standard library.
+// reasons maps parts of the logged cause of a failure to reasons. The first part that the cause contains determines the
+// reason. The parts are taken from the error messages of other packages and of the standard library.
 var reasons = []struct{ part, reason string }{
 	{"waits for its turn to run alone", "waits_to_run_apart"},
 	{"ended under this request", "servers_ended"},
@@ -63,7 +63,7 @@
 	{"EOF", "connection_lost"},
 }
 
-// reasonOf returns the reason for a failure with a logged cause.
+// reasonOf returns the reason for a failure with a logged cause. It is empty if the cause is.
 func reasonOf(cause string) string {
 	for _, r := range reasons {
 		if strings.Contains(cause, r.part) {
@@ -76,10 +76,10 @@
 	return "other"
 }
 
-// neverReadAge is the age in milliseconds that is logged for a row that was never read, which is the maximum duration.
+// neverReadAge is the age in milliseconds that is logged for a row that was never read: the maximum time.Duration.
 const neverReadAge = int64(math.MaxInt64 / time.Millisecond)
 
-// Reasons for refusals for lack of money, by what was left as far as the router knew.
+// Reasons for refusals for lack of money, by how much of the budget was left as far as the router knew.
 const (
 	reasonUnread  = "row_never_read"
 	reasonEnough  = "enough_left"
@@ -87,7 +87,7 @@
 	reasonNothing = "nothing_left"
 )
 
-// moneyReason returns the reason for a refusal for lack of money.
+// moneyReason returns the reason for a refusal for lack of money that line l reports.
 func moneyReason(l Line) string {
 	left := l.Number("left") + max(l.Number("free"), l.Number("own"))
 	switch {
@@ -101,8 +101,8 @@
 	return reasonNothing
 }
 
-// causeOf returns the key for the cause of a request's end. The state of the store is part of it only if the request was
-// refused for lack of money.
+// causeOf returns the key for the cause of a request's end. The key contains store, the state of the store, only if the
+// request was refused for lack of money.
 func causeOf(l Line, store string) Key {
 	outcome := l.Text("outcome")
 	k := Key{Family: FamilyOf(outcome), Outcome: outcome, Reason: reasonOf(l.Text("cause"))}
--- a/accountant/doc.go
+++ b/accountant/doc.go
@@ -2,6 +2,6 @@
 //
 // It reads key=value lines of any number of routers, joins them by request id, and sums up the ends of requests by cause,
 // money by workspace, failed attempts by server, and the state that routers logged over time. Lines are read one at a time.
-// The memory needed grows with the names in the lines, the time buckets and the joined request ids; only the ids are limited.
-// The lines of one router are expected in chronological order.
+// The memory needed grows with the number of different names in the lines, of time buckets and of joined requests. Only the
+// number of joined requests is limited. The lines of one router are expected in chronological order.
 package accountant
--- a/accountant/joined.go
+++ b/accountant/joined.go
@@ -5,24 +5,28 @@
 	"time"
 )
 
-// maxJoined limits the requests that are joined. Lines of further requests are counted as not joined.
+// maxJoined limits the number of requests whose lines are joined. Lines of further requests are counted as not joined.
 const maxJoined = 1 << 20
 
 // joinedRequest is what the lines of all routers say about one request.
 type joinedRequest struct {
+	// failures and ends are the numbers of its failed attempts and of its ends.
 	failures, ends int
+	// router is the router of the first line, and last is the family of the latest end.
 	router, last   string
 	severalRouters bool
-	at             time.Time
+	// at is the time of the latest end.
+	at time.Time
 }
 
 // joinedRequests joins lines by request id.
 type joinedRequests struct {
-	ids     map[string]*joinedRequest
+	ids map[string]*joinedRequest
+	// dropped is the number of lines that were not joined, because they have no request id or there are too many requests.
 	dropped int64
 }
 
-// add adds the end of a request, or a failed attempt if family is empty.
+// add adds the end of a request with its family, or a failed attempt if family is empty.
 func (j *joinedRequests) add(l Line, family string) {
 	id := l.Text("request")
 	r, ok := j.ids[id]
@@ -46,8 +50,8 @@
 }
 
 // list returns the numbers of requests with failed attempts, with several ends and with several routers, by the family of
-// the last end. A request without a line for its end was served and not sampled, was still in progress, or was lost with
-// its router.
+// the last end. If there is no line for the end of a request, it was served and not sampled, it was still in progress, or its
+// router crashed or dropped the line.
 func (j *joinedRequests) list() []Row {
 	all := rows{}
 	for _, r := range j.ids {
--- a/accountant/line.go
+++ b/accountant/line.go
@@ -12,7 +12,7 @@
 	Value string `json:"value"`
 }
 
-// Line is one event of one router. Its time is zero if it was written without one.
+// Line is one event of one router. Time is zero if the line has no field time.
 type Line struct {
 	Time   time.Time `json:"time"`
 	Event  string    `json:"event"`
@@ -43,7 +43,7 @@
 	return l, l.Event != "" && err == nil
 }
 
-// Text returns the value of a field, empty if there is none.
+// Text returns the value of a field, or "" if there is none.
 func (l Line) Text(name string) string {
 	for _, f := range l.Fields {
 		if f.Name == name {
@@ -53,7 +53,7 @@
 	return ""
 }
 
-// Number returns the value of a field as an integer, zero if it isn't one.
+// Number returns the value of a field as an integer, or zero if there is none or it is not an integer.
 func (l Line) Number(name string) int64 {
 	n, err := strconv.ParseInt(l.Text(name), 10, 64)
 	if err != nil {
@@ -62,7 +62,8 @@
 	return n
 }
 
-// withoutPrefix returns the text from the field time or level on, with which a log line begins.
+// withoutPrefix returns the text from its first field time on, or if there is none, from its field level on. A text with
+// neither is returned as it is.
 func withoutPrefix(text string) string {
 	for _, start := range []string{"time=", "level="} {
 		if strings.HasPrefix(text, start) {
@@ -75,7 +76,7 @@
 	return text
 }
 
-// nextField returns the first field of the text and the text after it.
+// nextField returns the first field of the text and the text after it. It returns false if the text does not begin with a field.
 func nextField(text string) (Field, string, bool) {
 	name, rest, ok := strings.Cut(text, "=")
 	if !ok || name == "" || strings.ContainsAny(name, ` "`) {
--- a/accountant/money.go
+++ b/accountant/money.go
@@ -1,20 +1,22 @@
 package accountant
 
-// counterNames are the counters of the event money_status that are summed up.
+// counterNames are the names of the counters in the event money_status whose increases are summed up by router.
 var counterNames = []string{
 	"money_store_calls", "money_store_failures", "money_conflicts", "money_exhausted", "money_unreachable", "money_borrowed",
 	"money_lent", "money_not_repaid", "money_asks_unanswered", "money_statements", "money_recalled",
 }
 
-// money sums up prepaid tokens. A workspace's row counts its refusals.
+// money sums up what the lines say about prepaid tokens.
 type money struct {
+	// workspaces counts the refusals for lack of money of each workspace and sums up its closed grants.
 	workspaces rows
-	routers    rows
+	// routers counts the starts of each router and sums up its counters.
+	routers rows
 	// last holds the latest counters of each router's process.
 	last map[string]Counts
 }
 
-// addRefusal adds a refusal for lack of money.
+// addRefusal adds a refusal for lack of money whose cause is k.
 func (m money) addRefusal(l Line, k Key) {
 	kinds := m.workspaces.add(Key{Name: l.Text("workspace")}, l, l.Number("ms"), k.Outcome+"/"+k.Reason).Kinds
 	kinds["prepaid_most"] = max(kinds["prepaid_most"], l.Number("prepaid"))
@@ -48,8 +50,8 @@
 	}
 }
 
-// addCounters adds the increase of the counters since the router's last line. A counter that has decreased belongs to a new
-// process.
+// addCounters adds the increases of the counters since the router's previous event money_status. A counter that has decreased
+// belongs to a new process, which started at zero.
 func (m money) addCounters(l Line, kinds Counts) {
 	now := Counts{}
 	for _, name := range counterNames {
--- a/accountant/outages.go
+++ b/accountant/outages.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// outageKey identifies an outage: the router, the event with which it began and the table, if any.
+// outageKey identifies an open outage of the store by its router, the event with which it began and the table, if any.
 type outageKey struct{ router, beginEvent, table string }
 
 // beginOf maps an event that ends an outage to the event with which that outage began.
@@ -14,8 +14,8 @@
 	done rows
 }
 
-// add adds an event and returns the duration in milliseconds of the outage that it ends, zero if there is none. The events of
-// a router must be in order.
+// add adds an event. If the event ends an outage, add returns its duration in milliseconds, and otherwise zero. The events of a
+// router must be added in chronological order.
 func (o outages) add(l Line) int64 {
 	switch l.Event {
 	case "store_turned_away", "store_lost":
@@ -31,7 +31,7 @@
 	return 0
 }
 
-// end ends an outage and returns its duration in milliseconds.
+// end ends an outage and returns its duration in milliseconds, which is zero if there is no such outage.
 func (o outages) end(key outageKey, at time.Time, reason string) int64 {
 	begin, ok := o.open[key]
 	if !ok {
@@ -52,8 +52,8 @@
 	}
 }
 
-// state returns how a router currently reaches the store: directly, through other routers, or not for a table, of which it names
-// the last by name.
+// state returns how a router currently reaches the store: "direct", "through_others", or "lost:" with the name of a table that it
+// cannot reach. If there are several such tables, the alphabetically last one is named.
 func (o outages) state(router string) string {
 	state, lost := "direct", ""
 	for key := range o.open {
--- a/accountant/reader.go
+++ b/accountant/reader.go
@@ -9,9 +9,10 @@
 )
 
 const (
-	// maxLineBytes limits the length of a line.
+	// maxLineBytes limits the length of a line. A longer one ends the reading of its source with a ReadError.
 	maxLineBytes = 1 << 20
-	// maxDisorder is how much earlier than the router's newest line a line may be before it counts as out of order.
+	// maxDisorder is how much earlier than the router's newest line another line may be. An even earlier one counts as out of
+	// order.
 	maxDisorder = time.Second
 	// eventDropped is the event that a router logs, without a time, when it has dropped log lines because its log could not
 	// keep up.
@@ -21,15 +22,17 @@
 // ReadError reports a source that could not be read to its end.
 type ReadError struct {
 	Source string
-	Line   int64
-	Cause  error
+	// Line is the number of the first line that was not read, counted from 1.
+	Line  int64
+	Cause error
 }
 
 func (e *ReadError) Error() string { return fmt.Sprintf("%s, line %d: %v", e.Source, e.Line, e.Cause) }
 
 func (e *ReadError) Unwrap() error { return e.Cause }
 
-// Input describes what was read. Skipped counts lines that are not events, and Dropped lines that routers reported as dropped.
+// Input describes what was read. Skipped is the number of lines that are not events. Dropped is the number of lines that routers
+// did not write, according to their own reports.
 type Input struct {
 	Sources    int       `json:"sources"`
 	Lines      int64     `json:"lines"`
@@ -47,17 +50,18 @@
 		i.Sources, i.Lines, i.First.Format(time.RFC3339), i.Last.Format(time.RFC3339), i.Events, i.Skipped, i.Dropped, i.OutOfOrder)
 }
 
-// reader reads sources line by line. A line without a router is assigned to the router of the line before it, or to the
-// name of the source if it is the first.
+// reader reads sources line by line. A line that names no router is assigned to the router of the line before it. The first line
+// of a source is assigned to the name of the source then.
 type reader struct {
-	input  Input
+	input Input
+	// router is the router of the previous line.
 	router string
 	// newest holds the time of each router's newest line.
 	newest map[string]time.Time
 }
 
-// read calls take for each event of a source.
-func (r *reader) read(name string, from io.Reader, take func(Line)) error {
+// read calls handle for each event of a source, other than reports of dropped lines.
+func (r *reader) read(name string, from io.Reader, handle func(Line)) error {
 	r.input.Sources++
 	r.router = name
 	lines := bufio.NewScanner(from)
@@ -65,7 +69,7 @@
 	before := r.input.Lines
 	for lines.Scan() {
 		r.input.Lines++
-		r.handleLine(lines.Text(), take)
+		r.handleLine(lines.Text(), handle)
 	}
 	if err := lines.Err(); err != nil {
 		return &ReadError{Source: name, Line: r.input.Lines - before + 1, Cause: err}
@@ -73,8 +77,8 @@
 	return nil
 }
 
-// handleLine calls take if the line is an event, other than one about dropped lines.
-func (r *reader) handleLine(text string, take func(Line)) {
+// handleLine counts a line, and calls handle if it is an event other than a report of dropped lines.
+func (r *reader) handleLine(text string, handle func(Line)) {
 	l, ok := ParseLine(text)
 	if !ok || l.Time.IsZero() && l.Event != eventDropped {
 		r.input.Skipped++
@@ -94,10 +98,10 @@
 		r.input.OutOfOrder++
 	}
 	_, r.newest[l.Router] = extendSpan(l.Time, r.newest[l.Router], l.Time)
-	take(l)
+	handle(l)
 }
 
-// extendSpan returns the span from first to last extended to contain at.
+// extendSpan extends the span from first to last so that it contains at.
 func extendSpan(first, last, at time.Time) (time.Time, time.Time) {
 	if first.IsZero() || at.Before(first) {
 		first = at
--- a/accountant/report.go
+++ b/accountant/report.go
@@ -10,7 +10,7 @@
 	"time"
 )
 
-// NotFoundError reports that none of the lines is what was searched for.
+// NotFoundError reports that none of the lines is what was searched for. Lines is the number of lines.
 type NotFoundError struct {
 	What  string
 	Lines int64
@@ -25,8 +25,8 @@
 	chronological bool
 }
 
-// Report is the summary of a fleet's lines. Requests that were not served are complete, because each has a line; served ones
-// are logged in samples only.
+// Report is the summary of a fleet's lines. It contains all requests that were not served, unless routers dropped lines, because
+// each of them has a line. Served requests are logged in samples only.
 type Report struct {
 	Input  Input   `json:"input"`
 	Tables []Table `json:"tables"`
@@ -74,7 +74,7 @@
 	{"example", func(r Row) string { return r.Example }},
 }
 
-// share formats a row's share. Rows of the table of changes have none, because they are not parts of a whole.
+// share formats a row's share. It returns "" for rows of the table of changes, because these rows are not parts of a whole.
 func share(r Row) string {
 	if r.Share == 0 || !r.At.IsZero() && r.Name != "" {
 		return ""
--- a/accountant/rows.go
+++ b/accountant/rows.go
@@ -26,7 +26,7 @@
 // maxCountsShown limits the counts that String lists.
 const maxCountsShown = 8
 
-// String lists the largest counts that are not zero.
+// String lists the largest counts that are not zero, at most maxCountsShown of them, and the number of the others.
 func (c Counts) String() string {
 	names := slices.SortedFunc(maps.Keys(c), func(a, b string) int { return cmp.Or(cmp.Compare(c[b], c[a]), cmp.Compare(a, b)) })
 	names = slices.DeleteFunc(names, func(name string) bool { return c[name] == 0 })
@@ -40,28 +40,33 @@
 	return strings.Join(parts, " ")
 }
 
-// Row sums up the lines with a common key. Share is their part of all lines in the table.
+// Row sums up the lines with a common key.
 type Row struct {
 	Key
-	Count       int64     `json:"count"`
-	Share       float64   `json:"share"`
-	TokensAsked int64     `json:"tokens_asked,omitempty"`
-	TokensUsed  int64     `json:"tokens_used,omitempty"`
-	TotalMS     int64     `json:"total_ms,omitempty"`
-	MeanMS      int64     `json:"mean_ms,omitempty"`
-	MaxMS       int64     `json:"most_ms,omitempty"`
-	MoneyMS     int64     `json:"mean_money_ms,omitempty"`
-	Kinds       Counts    `json:"kinds,omitempty"`
-	Routers     Counts    `json:"routers,omitempty"`
-	First       time.Time `json:"first,omitzero"`
-	Last        time.Time `json:"last,omitzero"`
-	Example     string    `json:"example,omitempty"`
+	Count int64 `json:"count"`
+	// Share is Count divided by the sum of the counts of all rows in the table.
+	Share       float64 `json:"share"`
+	TokensAsked int64   `json:"tokens_asked,omitempty"`
+	TokensUsed  int64   `json:"tokens_used,omitempty"`
+	TotalMS     int64   `json:"total_ms,omitempty"`
+	MeanMS      int64   `json:"mean_ms,omitempty"`
+	MaxMS       int64   `json:"most_ms,omitempty"`
+	// MoneyMS is the mean of the field money_ms. While lines are added, it is the sum.
+	MoneyMS int64 `json:"mean_money_ms,omitempty"`
+	// Kinds counts the lines by properties that depend on the table.
+	Kinds Counts `json:"kinds,omitempty"`
+	// Routers counts the lines by router.
+	Routers Counts    `json:"routers,omitempty"`
+	First   time.Time `json:"first,omitzero"`
+	Last    time.Time `json:"last,omitzero"`
+	// Example is the id of one of the requests.
+	Example string `json:"example,omitempty"`
 }
 
 // rows sums up lines by key.
 type rows map[Key]*Row
 
-// at returns the row of a key, which it creates if there is none.
+// at returns the row of a key. It creates the row if there is none.
 func (r rows) at(k Key) *Row {
 	if _, ok := r[k]; !ok {
 		r[k] = &Row{Key: k, Kinds: Counts{}, Routers: Counts{}}
@@ -89,7 +94,8 @@
 	return row
 }
 
-// list returns the rows, those with a time bucket in chronological order and others by descending number of lines.
+// list returns the rows with their shares and means. Rows with a time bucket are in chronological order, and others are
+// ordered by descending number of lines.
 func (r rows) list() []Row {
 	all, total := make([]Row, 0, len(r)), int64(0)
 	for _, row := range r {
--- a/accountant/story.go
+++ b/accountant/story.go
@@ -7,10 +7,11 @@
 	"strings"
 )
 
-// TraceEntry is one line of a trace. IsEarlierState is set if the line is not about the request but is the last one that its
-// router had logged before about part of its state.
+// TraceEntry is one line of a trace.
 type TraceEntry struct {
 	Line
+	// IsEarlierState is set if the line is not about the request. It is then the last one with its event that the router logged
+	// before its next line about the request.
 	IsEarlierState bool `json:"before"`
 }
 
@@ -27,7 +28,7 @@
 	request string
 	entries []TraceEntry
 	ends    []Key
-	// states holds the last line of each listed event by router, until the lines have been added to the entries.
+	// states holds, by router and event, the last line of each listed event that is not among the entries yet.
 	states map[string]map[string]Line
 }
 
@@ -47,7 +48,7 @@
 	t.states[l.Router][l.Event] = l
 }
 
-// addEntry adds a line about the request, after the lines about its router's state.
+// addEntry adds a line about the request, preceded by the lines about its router's state.
 func (t *trace) addEntry(l Line, store string) {
 	for _, before := range t.states[l.Router] {
 		t.entries = append(t.entries, TraceEntry{Line: before, IsEarlierState: true})
@@ -59,7 +60,7 @@
 	}
 }
 
-// Trace returns the trace of the request whose id was given to New.
+// Trace returns the trace of the request whose id was given to New, or a NotFoundError if no line is about that request.
 func (a *Analyzer) Trace() (Trace, error) {
 	t := a.trace
 	if len(t.entries) == 0 {
@@ -69,7 +70,7 @@
 	return Trace{Request: t.request, Input: a.reader.input, Entries: t.entries, Ends: t.ends}, nil
 }
 
-// Print writes the trace as text, without the fields that all lines have.
+// Print writes the trace as text. It omits the fields that each line begins with or that all lines share, such as the level.
 func (t Trace) Print(w io.Writer) error {
 	fmt.Fprintf(w, "%s\nrequest %s; < marks the last state that a router logged before a line about the request\n", t.Input, t.Request)
 	for _, e := range t.Entries {
--- a/accountant/versions.go
+++ b/accountant/versions.go
@@ -8,12 +8,13 @@
 	"time"
 )
 
-// inForce is one line about a configuration version that came into force at a router.
+// inForce is one event: a configuration version came into force at a router.
 type inForce struct {
 	router  string
 	version int64
 	at      time.Time
-	// kind distinguishes a router's first version since its start and a return to an earlier version from the others.
+	// kind is kindStarting for a router's first version since its start, kindReverted for a version that is older than the
+	// router's previous one, and kindFollowed otherwise.
 	kind string
 }
 
@@ -45,7 +46,7 @@
 	}
 }
 
-// list returns one row for each version.
+// list returns one row for each version, in ascending order.
 func (v *versions) list() []Row {
 	known, numbers := map[string]bool{}, map[int64]bool{}
 	for _, l := range v.lines {
@@ -59,8 +60,9 @@
 	return all
 }
 
-// row sums up when routers had a version or a later one in force. MaxMS is the time between the first and the last router that
-// changed to it, apart from routers that started with it. missing holds the routers that have not been counted yet.
+// row returns the row of the version with a number. It sums up when this version or a later one first came into force at each
+// router. MaxMS is the time between the first and the last router to change to it, without those that started with it. row
+// removes the routers that it counts from missing, which must hold all of them.
 func (v *versions) row(number int64, missing map[string]bool) Row {
 	row, followed := Row{Kinds: Counts{}}, ""
 	for _, l := range v.lines {
