--- a/batcher/batcher.go
+++ b/batcher/batcher.go
@@ -9,26 +9,29 @@
 	"github.com/masticway/masticway"
 )
 
-// Batcher collects records of one owner. It is safe for concurrent use, except that Flush must not be called concurrently.
+// Batcher collects records of one owner. It is safe for concurrent use, but two calls of Flush must not overlap.
 type Batcher[T any] struct {
 	prefix     string
 	owner      string
 	maxPending int
 
-	mu           sync.Mutex
-	pending      []T
+	mu sync.Mutex
+	// pending holds the records that are not in a batch yet.
+	pending []T
+	// inFlight is the batch that is being written or is to be written again, and inFlightName is the name of its object.
 	inFlight     []T
 	nextNumber   int
 	inFlightName string
 	dropped      int64
 }
 
-// New returns an empty Batcher whose objects' names begin with prefix. Records beyond limit pending ones are dropped and counted.
+// New returns an empty Batcher. The names of its objects begin with prefix. While limit records have not been written yet,
+// further ones are dropped and counted.
 func New[T any](prefix string, owner masticway.Incarnation, limit int) *Batcher[T] {
 	return &Batcher[T]{prefix: prefix, owner: string(owner), maxPending: limit}
 }
 
-// Add adds a record, or drops it if too many are pending.
+// Add adds a record, or drops it if too many have not been written yet.
 func (b *Batcher[T]) Add(v T) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -39,9 +42,10 @@
 	b.pending = append(b.pending, v)
 }
 
-// Flush writes the pending records as one object, which is named after bucket, owner and the batch's number.
+// Flush writes the pending records as one object, whose name consists of the prefix, bucket, the owner and the batch's number. It
+// writes nothing if no records are pending.
 //
-// After a failure the next call writes the same batch again under the same name.
+// After a failure the next call writes the same batch again under the same name, whatever its bucket.
 func (b *Batcher[T]) Flush(ctx context.Context, store masticway.ObjectStore, bucket string) error {
 	b.mu.Lock()
 	if len(b.inFlight) == 0 {
@@ -74,14 +78,14 @@
 	return len(b.pending) + len(b.inFlight)
 }
 
-// Dropped returns the number of records that were dropped because too many were pending.
+// Dropped returns the number of records that have been dropped.
 func (b *Batcher[T]) Dropped() int64 {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.dropped
 }
 
-// ReadBatch reads the batch with a name from the object store.
+// ReadBatch reads the batch in the object with a name.
 func ReadBatch[T any](ctx context.Context, store masticway.ObjectStore, name string) ([]T, error) {
 	data, err := store.Get(ctx, name)
 	if err != nil {
--- a/batcher/doc.go
+++ b/batcher/doc.go
@@ -1,6 +1,7 @@
 // Package batcher collects records and writes them to the object store in batches.
 //
-// A batch whose write failed or lost its answer is written again under the same
-// name, so that no record is lost or duplicated. The number of records that wait
-// during an outage is limited; further records are dropped and counted.
+// If the write of a batch fails or its answer is lost, the batch is written again
+// under the same name, so that its records are neither lost nor duplicated. The
+// number of records that wait to be written is limited; further records are dropped
+// and counted.
 package batcher
