--- a/biller/biller.go
+++ b/biller/biller.go
@@ -12,10 +12,11 @@
 const (
 	// journalPrefix is the prefix of the names of batches of bills in the object store.
 	journalPrefix = "journal/"
-	// identityTTL is how long the auditor keeps an identity after its bill, and a hold after its bill was read.
+	// identityTTL is how long the auditor keeps an identity after the time of its first bill, and a hold after its bill has
+	// been read.
 	identityTTL = 30 * time.Minute
-	// batchTTL is how long the auditor keeps the name of a batch that it has read. It lists no batch that is older than two
-	// hours.
+	// batchTTL is how long the auditor keeps the name of a batch that it has read. It must exceed two hours, because the
+	// auditor lists the batches of the current and the previous hour.
 	batchTTL = 3 * time.Hour
 )
 
@@ -26,9 +27,9 @@
 const (
 	// KindFinal is for a request that was answered.
 	KindFinal Kind = "final"
-	// KindPart is for a part of a request whose answer was continued under another hold.
+	// KindPart is for work on a part of an answer that was then continued under another hold.
 	KindPart Kind = "part"
-	// KindSuperseded is for work whose answer was not used, because the request was run elsewhere.
+	// KindSuperseded is for work whose answer was not used because the request was run again elsewhere. It is refunded.
 	KindSuperseded Kind = "superseded"
 )
 
@@ -47,7 +48,7 @@
 	At       time.Time        `json:"at"`
 }
 
-// maxPendingBills limits the bills that wait for the object store; each needs about 400 bytes.
+// maxPendingBills limits the bills of one incarnation that wait to be written to the object store. A bill needs about 400 bytes.
 const maxPendingBills = 65536
 
 // NewJournal returns a Batcher for the bills of an incarnation.
@@ -66,12 +67,16 @@
 	Amount   masticway.Amount
 }
 
-// Auditor finds double bills. It is not safe for concurrent use.
+// Auditor finds double and superseded bills. It is not safe for concurrent use.
 type Auditor struct {
-	first     map[masticway.Identity]Bill
+	// first holds the first final bill of each identity.
+	first map[masticway.Identity]Bill
+	// seenHolds holds when the bill of each hold was considered.
 	seenHolds map[masticway.HoldID]time.Time
-	readAt    map[string]time.Time
-	retries   []Refund
+	// readAt holds when each batch was read, by name.
+	readAt map[string]time.Time
+	// retries holds the refunds to be returned again.
+	retries []Refund
 }
 
 // NewAuditor returns an auditor that has read nothing.
@@ -79,7 +84,8 @@
 	return &Auditor{first: map[masticway.Identity]Bill{}, seenHolds: map[masticway.HoldID]time.Time{}, readAt: map[string]time.Time{}}
 }
 
-// FindRefunds returns the refunds that are due for bills, and those to be retried. It considers each hold only once.
+// FindRefunds returns the refunds that are due for bills, and those to be retried. It considers the first bill of each hold and
+// ignores others that it gets within identityTTL.
 func (a *Auditor) FindRefunds(now time.Time, bills []Bill) []Refund {
 	refunds := a.retries
 	a.retries = nil
@@ -105,7 +111,7 @@
 	return refunds
 }
 
-// RetryRefund queues a refund that could not be written to the table, to be returned again with the next refunds.
+// RetryRefund queues a refund that could not be written to the table. The next call of FindRefunds returns it again.
 func (a *Auditor) RetryRefund(f Refund) { a.retries = append(a.retries, f) }
 
 func refundOf(b Bill) Refund {
@@ -131,7 +137,8 @@
 	}
 }
 
-// ReadNewBills returns the bills of the batches of the current and the previous hour that this auditor has not read yet.
+// ReadNewBills returns the bills of those batches of the current and the previous hour that this auditor has not read yet. After
+// an error it also returns the bills that it has read before, which the next call does not return again.
 func (a *Auditor) ReadNewBills(ctx context.Context, store masticway.ObjectStore, now time.Time) ([]Bill, error) {
 	var names []string
 	for _, hour := range []time.Time{now.Add(-time.Hour), now} {
