--- a/linker/conn.go
+++ b/linker/conn.go
@@ -19,23 +19,23 @@
 )
 
 const (
-	// maxQueuedMessages bounds the messages that wait to be written to the socket.
+	// maxQueuedMessages bounds the number of messages in a link's queue.
 	maxQueuedMessages = 8192
-	// maxBatchMessages bounds the messages packed into one WebSocket message.
+	// maxBatchMessages bounds the number of messages that are packed into one WebSocket message.
 	maxBatchMessages = 128
-	// maxMessageBytes bounds one WebSocket message in bytes.
+	// maxMessageBytes is the size of the largest WebSocket message that is read: 16 MB.
 	maxMessageBytes = 16 << 20
-	// maxBatchBytes is 1 MB. Messages are packed into one WebSocket message up to this size, and a larger one is sent alone:
-	// without this bound, several large messages together would exceed the reader's limit.
+	// maxBatchBytes is the size, 1 MB, up to which messages are packed into one WebSocket message. A larger message is sent
+	// alone. Without this bound, several large messages together could exceed the reader's limit, maxMessageBytes.
 	maxBatchBytes = 1 << 20
-	// pieceBytes is how much must be read or written within a timeout, 16 KB. A timeout for a whole message would be too short
-	// for a large one on a slow connection, and a link that is closed in the middle of a message has to send it again from the
-	// start.
+	// pieceBytes is how much of a message must be read or written within a timeout: 16 KB. A timeout for a whole message would
+	// be too short for a large one on a slow connection. If a link is closed in the middle of a message, the message has to be
+	// sent again from the start.
 	pieceBytes = 16 << 10
-	// writeTimeout closes a link if the peer doesn't accept the next piece in time.
+	// writeTimeout is the time for the peer to accept the next piece. After it the link is closed.
 	writeTimeout = 5 * time.Second
-	// readTimeout closes a link that has been silent for several heartbeat intervals, or on which the next piece doesn't arrive
-	// in time.
+	// readTimeout is the time for the next message to begin and for each piece of it to arrive. After it the link is closed. It
+	// is longer than several heartbeat intervals.
 	readTimeout = 5 * time.Second
 )
 
@@ -48,7 +48,8 @@
 // Error returns a text that names the peer and the reason.
 func (e *DownError) Error() string { return fmt.Sprintf("link to %s is down: %s", e.Peer, e.Reason) }
 
-// IdleTimeoutError reports a call during which, for its idle timeout, neither the reply nor a piece of a large message arrived.
+// IdleTimeoutError reports a call that was canceled because neither its reply nor a whole piece of a large message arrived
+// for the idle timeout.
 type IdleTimeoutError struct {
 	Peer    string
 	Timeout time.Duration
@@ -70,11 +71,12 @@
 // Handler handles a message from a link. Messages are passed in the order of their arrival, and a Handler must not block.
 type Handler func(c *Conn, m Message)
 
-// Conn is an authenticated link.
+// Conn is one end of a link: a connection between two processes that have authenticated each other.
 type Conn struct {
 	socket   *websocket.Conn
 	peer     masticway.Peer
 	identity Identity
+	// done is closed when the link is closed.
 	done     chan struct{}
 	once     sync.Once
 	lastCall atomic.Uint64
@@ -83,7 +85,8 @@
 	pending map[uint64]pendingCall
 	// queue grows as needed instead of having a fixed size, because most of the many links are idle.
 	queue []Message
-	wake  chan struct{}
+	// wake receives a value when messages have been queued.
+	wake chan struct{}
 }
 
 var _ masticway.Link[Message] = (*Conn)(nil)
@@ -104,7 +107,7 @@
 // Done returns a channel that is closed when the link is closed.
 func (c *Conn) Done() <-chan struct{} { return c.done }
 
-// Bind returns a copy of ctx that is also canceled when the link is closed.
+// Bind returns a copy of ctx that is also canceled when the link is closed. The caller must call the returned function.
 func (c *Conn) Bind(ctx context.Context) (context.Context, context.CancelFunc) {
 	bound, cancel := context.WithCancel(ctx)
 	go func() {
@@ -149,9 +152,9 @@
 	return nil
 }
 
-// Call sends a request and waits for its reply.
+// Call sends a request and waits for its reply, until ctx is done or the link is closed.
 //
-// If it fails after sending, the peer may have acted on the request.
+// If Call fails, the peer may nevertheless have acted on the request.
 func (c *Conn) Call(ctx context.Context, m Message) (Message, error) {
 	return c.call(ctx, m, pendingCall{})
 }
@@ -159,8 +162,8 @@
 // CallLarge sends a request whose reply may have any size, and waits for the reply. It fails with IdleTimeoutError if neither
 // the reply nor a whole piece of any message arrives for idleTimeout.
 //
-// A fixed timeout would not do: the time that a large reply takes grows with its size, and it also has to wait for large
-// messages that precede it on the link.
+// A fixed timeout would not be suitable: the time that a large reply takes grows with its size, and the reply also has to wait
+// for large messages that precede it on the link.
 func (c *Conn) CallLarge(ctx context.Context, m Message, idleTimeout time.Duration) (Message, error) {
 	callCtx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
@@ -193,7 +196,7 @@
 	}
 }
 
-// extendTimeouts restarts the idle timers of the pending calls that may have large replies.
+// extendTimeouts restarts the idle timers of all pending calls of CallLarge.
 func (c *Conn) extendTimeouts() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -210,7 +213,8 @@
 	return c.Send(reply)
 }
 
-// run reads messages until the link fails or is closed. The writer runs in a goroutine of its own.
+// run reads messages and passes them on until the link fails or is closed. Messages are written in another goroutine, for which
+// run waits before it returns.
 func (c *Conn) run(h Handler) {
 	var writer sync.WaitGroup
 	writer.Go(c.writeLoop)
@@ -288,7 +292,7 @@
 	}
 }
 
-// writeBatch packs messages into one WebSocket message, or into several if they are large.
+// writeBatch writes messages as one WebSocket message, or as several if they are large.
 func (c *Conn) writeBatch(batch []Message) error {
 	data, err := cbor.Marshal(batch)
 	if err != nil {
--- a/linker/handshake.go
+++ b/linker/handshake.go
@@ -22,9 +22,11 @@
 	Path             = "/link"
 	nonceBytes       = 16
 	handshakeTimeout = 2 * time.Second
-	minBackoff       = 50 * time.Millisecond
-	maxBackoff       = time.Second
-	// bufferBytes is small because most of the many links are idle. A longer message takes several reads.
+	// minBackoff and maxBackoff bound the backoff before its jitter, which makes a wait half to one and a half times as long.
+	minBackoff = 50 * time.Millisecond
+	maxBackoff = time.Second
+	// bufferBytes is the size of a link's read buffer and of its write buffer. It is small because most of the many links are
+	// idle. A larger message takes several reads.
 	bufferBytes = 1024
 	// The labels make the MACs of the two directions differ, so that one cannot be replayed as the other.
 	labelServer = "masticway server"
@@ -53,10 +55,11 @@
 	CounterReceived = "link_bytes_received"
 )
 
-// Identity is a process's identity with the key that authenticates it to its peers.
+// Identity is a process's identity and the key that authenticates it to its peers.
 type Identity struct {
 	Self masticway.Peer
-	Key  []byte
+	// Key is the fleet key, which all processes have.
+	Key []byte
 	// Meter counts the bytes of all links of the process. It may be nil.
 	Meter Meter
 }
@@ -105,7 +108,7 @@
 	return cbor.Unmarshal(data, v)
 }
 
-// Listener is an http.Handler that accepts links from peers.
+// Listener is an http.Handler that accepts links from peers. It keeps at most one link for each incarnation.
 type Listener struct {
 	identity Identity
 	handler  Handler
@@ -130,7 +133,7 @@
 	}
 }
 
-// ServeHTTP upgrades a request to a link and runs it until it is closed.
+// ServeHTTP upgrades a request to a link and returns when the link is closed. It refuses a peer that cannot be authenticated.
 func (l *Listener) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	socket, err := l.upgrader.Upgrade(w, r, nil)
 	if err != nil {
@@ -179,7 +182,8 @@
 	return h.Peer, nil
 }
 
-// add registers a link. It closes an older link of the same incarnation, whose unread messages must not be acted on.
+// add registers a link, and closes an older link of the same incarnation so that no further messages of it are read. It returns
+// false if the listener is closed.
 func (l *Listener) add(c *Conn) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -209,7 +213,7 @@
 	return l.conns[inc]
 }
 
-// All returns the links that are up.
+// All returns the registered links.
 func (l *Listener) All() []*Conn {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -220,7 +224,7 @@
 	return all
 }
 
-// Close closes all links and waits until they have ended.
+// Close closes all links and waits until onDown has returned for each of them. Later links are refused.
 func (l *Listener) Close() {
 	l.mu.Lock()
 	l.closed = true
@@ -242,7 +246,7 @@
 	OnDown func(*Conn)
 }
 
-// Connect opens a link and authenticates both ends. The caller must pass the link to Serve.
+// Connect opens a link and authenticates both ends. No message is read or written before the caller passes the link to Serve.
 func (d Dialer) Connect(ctx context.Context, address string) (*Conn, error) {
 	w := websocket.Dialer{
 		NetDialContext: d.Dial, HandshakeTimeout: handshakeTimeout,
@@ -296,7 +300,7 @@
 	}
 }
 
-// Serve runs a link until it is closed or ctx is done.
+// Serve calls OnUp, runs a link until it fails, is closed or ctx is done, and calls OnDown.
 func (d Dialer) Serve(ctx context.Context, c *Conn) {
 	stop := context.AfterFunc(ctx, c.Close)
 	defer stop()
--- a/linker/message.go
+++ b/linker/message.go
@@ -12,11 +12,11 @@
 // Version is the version of the protocol on links. Both ends must have the same.
 const Version = 1
 
-// Message is one message on a link. Exactly one of its bodies is set.
+// Message is one message on a link. Exactly one of the pointers is set.
 type Message struct {
-	// CallID is the number of a request that expects a reply.
+	// CallID is the number of a request that expects a reply, and otherwise zero.
 	CallID uint64 `cbor:"1,keyasint,omitempty"`
-	// ReplyTo is the number of the request that this message replies to.
+	// ReplyTo is the number of the request that this message answers. It is zero if the message is not a reply.
 	ReplyTo uint64 `cbor:"2,keyasint,omitempty"`
 
 	Heartbeat      *Heartbeat          `cbor:"10,keyasint,omitempty"`
@@ -54,16 +54,20 @@
 	Explained        *Explained                `cbor:"51,keyasint,omitempty"`
 }
 
-// Heartbeat is sent periodically by each end, as a heartbeat with state that the other end needs.
+// Heartbeat is sent periodically by each end. It shows that the sender is up, and carries state that the other end needs.
 type Heartbeat struct {
+	// Revision is the sender's configuration revision.
 	Revision masticway.Revision `cbor:"1,keyasint"`
-	Leaving  bool               `cbor:"2,keyasint,omitempty"`
-	// Staleness is how long ago the sender's revision was confirmed to be the newest.
-	Staleness time.Duration         `cbor:"6,keyasint,omitempty"`
-	Load      *masticway.LoadReport `cbor:"3,keyasint,omitempty"`
-	// OpenGrants lists the sending router's open grants. A sidecar drops the totals of the others.
+	// Leaving is set if the sender is draining.
+	Leaving bool `cbor:"2,keyasint,omitempty"`
+	// Staleness is the time since the sender's revision was last confirmed to be the newest.
+	Staleness time.Duration `cbor:"6,keyasint,omitempty"`
+	// Load is the load of a sidecar's upstream. It is nil if the load has not changed or the sender is a router.
+	Load *masticway.LoadReport `cbor:"3,keyasint,omitempty"`
+	// OpenGrants lists the numbers of the sending router's open grants. A sidecar drops the totals of the router's other
+	// grants up to GrantsUpTo.
 	OpenGrants []int64 `cbor:"4,keyasint,omitempty"`
-	// GrantsUpTo is the highest grant number that this list covers. Grants with higher numbers may be open.
+	// GrantsUpTo is the highest grant number that the list covers. Grants with higher numbers may be open too.
 	GrantsUpTo int64 `cbor:"5,keyasint,omitempty"`
 }
 
@@ -77,16 +81,17 @@
 	Tokens int `cbor:"1,keyasint"`
 }
 
-// OrderReply answers an order to an upstream.
+// OrderReply answers an order to an upstream. Reason is set if the order has not been carried out.
 type OrderReply struct {
 	Done   bool   `cbor:"1,keyasint"`
 	Reason string `cbor:"2,keyasint,omitempty"`
 }
 
-// Changes distributes configuration changes.
+// Changes carries configuration changes to a peer with an older revision.
 type Changes struct {
+	// List may lack older changes that the sender no longer keeps.
 	List []masticway.Change `cbor:"1,keyasint"`
-	// Revision is the sender's revision. The list may lack older changes that the sender no longer keeps.
+	// Revision is the sender's revision, or zero if the receiver must rely on the list alone.
 	Revision masticway.Revision `cbor:"2,keyasint,omitempty"`
 }
 
@@ -101,14 +106,16 @@
 	Verdict keeper.HoldResult  `cbor:"1,keyasint"`
 	Grant   masticway.GrantKey `cbor:"2,keyasint"`
 	Amount  masticway.Amount   `cbor:"3,keyasint"`
-	// DetectsDuplicates is set if the keeper has run long enough to recognize every earlier request with the same identity.
-	DetectsDuplicates bool          `cbor:"4,keyasint"`
-	Waited            time.Duration `cbor:"5,keyasint"`
+	// DetectsDuplicates is set if the answering router is the budget's keeper and has run for long enough to recognize every
+	// earlier request with the same identity.
+	DetectsDuplicates bool `cbor:"4,keyasint"`
+	// Waited is how long the request waited for money.
+	Waited time.Duration `cbor:"5,keyasint"`
 	// FirstInProgress is set on a duplicate whose first request is still in progress.
 	FirstInProgress bool `cbor:"8,keyasint,omitempty"`
-	// Limit is the contract limit that refuses the request, if one does.
+	// Limit names the limit of the contract that refused the request. If it is set, Verdict is empty.
 	Limit string `cbor:"6,keyasint,omitempty"`
-	// RetryAfter is the time after which the request may be retried.
+	// RetryAfter is the time after which a request refused by a limit may be retried.
 	RetryAfter time.Duration `cbor:"7,keyasint,omitempty"`
 }
 
@@ -118,7 +125,7 @@
 	Amount masticway.Amount `cbor:"2,keyasint"`
 }
 
-// Settle reports the charges of a finished hold.
+// Settle ends a hold and reports its charges. A hold without charges did not run.
 type Settle struct {
 	Hold    masticway.HoldID `cbor:"1,keyasint"`
 	Charges []keeper.Charge  `cbor:"3,keyasint"`
@@ -127,17 +134,17 @@
 // Settled acknowledges a settlement.
 type Settled struct{}
 
-// ReturnIdle asks a peer to return a budget's idle money.
+// ReturnIdle asks a peer to return money of a budget that it does not need. See keeper.Keeper.ReturnFree.
 type ReturnIdle struct {
 	Budget string `cbor:"1,keyasint"`
 }
 
-// RecordSidecars asks a peer to record the sidecars at which its money may be used.
+// RecordSidecars asks a peer to add sidecars to its links row, so that runs at them can be paid from its grants.
 type RecordSidecars struct {
 	Sidecars []masticway.Incarnation `cbor:"1,keyasint"`
 }
 
-// SidecarsRecorded confirms that the peer has stored the sidecars durably.
+// SidecarsRecorded confirms that the sidecars are in the links row of the sender.
 type SidecarsRecorded struct{}
 
 // ConfigRequest asks a peer for its whole configuration.
--- a/linker/slow_test.go
+++ b/linker/slow_test.go
@@ -20,10 +20,10 @@
 	slowLinkRate = 10_000_000 / 8
 	// fastLinkRate is 200 Mbit/s in bytes per second.
 	fastLinkRate = 200_000_000 / 8
-	// largeReplyBytes takes 12.6 s on a slow link. It is more than the buffers of the link's connections hold plus what the link
-	// carries in 5 s, so that writing it takes longer than writeTimeout too.
+	// largeReplyBytes is the size of a reply that takes 12.6 s on a slow link. It exceeds what the buffers of the link's
+	// connections hold plus what the link carries in 5 s, so that writing the reply takes longer than writeTimeout too.
 	largeReplyBytes = 15 << 20
-	// slowReplyTimeout is over twice the time that the replies of a test take on a slow link.
+	// slowReplyTimeout is how long a test waits for its replies. It is over twice the time that they take on a slow link.
 	slowReplyTimeout = 40 * time.Second
 )
 
