--- a/sidecar/beats.go
+++ b/sidecar/beats.go
@@ -23,7 +23,8 @@
 	}
 }
 
-// sendHeartbeats includes the load only if it has changed, because a sidecar has many links.
+// sendHeartbeats sends a heartbeat on each link. The heartbeat contains the load only if it has changed since the last one,
+// because a sidecar has many links.
 func (c *Sidecar) sendHeartbeats() {
 	m := c.heartbeatMessage()
 	c.mu.Lock()
--- a/sidecar/doc.go
+++ b/sidecar/doc.go
@@ -1,6 +1,7 @@
 // Package sidecar implements the process that runs beside one upstream instance.
 //
-// It carries out the decisions of package sealer: it serves links, runs requests
-// at the upstream, verifies routers' incarnations in the table and reports load.
-// All requests to the upstream pass through it.
+// All requests to the upstream pass through it. Package sealer decides which of
+// them run; this package carries the decisions out. It serves links from routers,
+// runs requests at the upstream, verifies routers' incarnations in the table and
+// reports the upstream's load.
 package sidecar
--- a/sidecar/drain.go
+++ b/sidecar/drain.go
@@ -9,12 +9,13 @@
 	"github.com/masticway/masticway/bookkeeper"
 )
 
-// maxReportAttempts bounds the attempts to write the totals at shutdown.
+// maxReportAttempts bounds the number of attempts to write the totals at shutdown.
 const maxReportAttempts = 20
 
-// Drain refuses new work, waits for the runs in progress, and writes the totals to the table.
+// Drain refuses new work, waits for the runs in progress, and tries to write the totals to the table.
 //
-// It returns false if ctx is done before all runs have finished.
+// It returns false if ctx is done before all runs have finished; then it writes no totals. It returns true even if the totals
+// could not be written.
 func (c *Sidecar) Drain(ctx context.Context) bool {
 	c.mu.Lock()
 	c.core.Drain()
@@ -54,7 +55,7 @@
 	report := bookkeeper.Report{Sidecar: c.self, Totals: c.core.Totals("")}
 	c.mu.Unlock()
 	for range maxReportAttempts {
-		err := c.book.PutReport(ctx, report)
+		err := c.ledger.PutReport(ctx, report)
 		if err == nil {
 			c.log.WithFields(logrus.Fields{"event": "totals_left", "grants": len(report.Totals)}).Info("totals written")
 			return
--- a/sidecar/orders.go
+++ b/sidecar/orders.go
@@ -8,7 +8,8 @@
 	"github.com/masticway/masticway/linker"
 )
 
-// handleOrder passes an order to the upstream unless its fencing number is older than the newest one known.
+// handleOrder passes an order to the upstream and replies whether it was carried out. An order whose fencing number is older than
+// the newest one is refused, and so is every order while the newest number cannot be read from the table.
 func (c *Sidecar) handleOrder(conn *linker.Conn, m linker.Message) {
 	err := c.executeOrder(*m.Order)
 	answer := linker.OrderReply{Done: err == nil}
--- a/sidecar/runs.go
+++ b/sidecar/runs.go
@@ -9,7 +9,7 @@
 	"github.com/masticway/masticway/sealer"
 )
 
-// apply carries out the sealer's effects. The caller must hold c.mu so that messages keep their order.
+// apply carries out the sealer's effects. The caller must hold c.mu, so that messages are sent in the order of the effects.
 func (c *Sidecar) apply(effects []sealer.Effect) {
 	for _, e := range effects {
 		switch e := e.(type) {
@@ -65,7 +65,7 @@
 	started := c.clock.Now()
 	outcome, err := c.upstream.Run(ctx, e.Call, sink{sidecar: c, run: e.Run})
 	if c.ctx.Err() != nil {
-		// The process is shutting down and canceled the run. Report nothing: the run's fate would be a guess.
+		// Close has canceled the run. Nothing is reported, because it is unknown what ran.
 		return
 	}
 	var failure *masticway.UpstreamError
--- a/sidecar/sidecar.go
+++ b/sidecar/sidecar.go
@@ -15,7 +15,7 @@
 	"github.com/masticway/masticway/sealer"
 )
 
-// Settings are the contents of a sidecar's settings file.
+// Settings are the contents of a sidecar's settings file. The settings page describes the fields.
 type Settings struct {
 	masticway.ProcessSettings
 	LinkAddress         string             `json:"link_address"`
@@ -38,7 +38,7 @@
 	metricRunSeconds = "run"
 )
 
-// changesRequestInterval is the minimum time between two requests for configuration changes.
+// changesRequestInterval is the minimum time between two requests for configuration changes to any router.
 const changesRequestInterval = 200 * time.Millisecond
 
 // Sidecar is the process beside one upstream.
@@ -47,7 +47,7 @@
 	self     masticway.Incarnation
 	clock    masticway.Clock
 	log      *logrus.Entry
-	book     *bookkeeper.Ledger
+	ledger   *bookkeeper.Ledger
 	table    masticway.Table
 	upstream masticway.Upstream
 	listener *linker.Listener
@@ -56,12 +56,14 @@
 	mu      sync.Mutex
 	core    *sealer.Sealer
 	cancels map[masticway.RunKey]context.CancelFunc
-	load    *masticway.LoadReport
-	// reportedLoad is the load last sent in a heartbeat.
+	// load is the upstream's last load report, or nil if there is none yet.
+	load *masticway.LoadReport
+	// reportedLoad is the load that was last sent to all routers.
 	reportedLoad *masticway.LoadReport
-	newestFence  int64
-	// changesRequestedAt is when a router was last asked for changes. Many routers announce a new revision at once, and one of
-	// them is enough to ask.
+	// newestFence is the newest fencing number known for the upstream.
+	newestFence int64
+	// changesRequestedAt is when a router was last asked for changes. Many routers announce a new revision at once, and it is
+	// enough to ask one of them.
 	changesRequestedAt time.Time
 
 	ctx  context.Context
@@ -73,7 +75,7 @@
 func New(s Settings, self masticway.Incarnation, key linker.Identity, clock masticway.Clock, log *logrus.Entry, table masticway.Table, upstream masticway.Upstream, metrics *measurer.Set) *Sidecar {
 	ctx, stop := context.WithCancel(context.Background())
 	c := &Sidecar{
-		settings: s, self: self, clock: clock, log: log, book: bookkeeper.New(table), table: table,
+		settings: s, self: self, clock: clock, log: log, ledger: bookkeeper.New(table), table: table,
 		upstream: upstream, metrics: metrics,
 		core: sealer.New(sealer.Settings{
 			Self: self, AnswerTTL: s.AnswerTTL.Std(), MaxAnswerBytes: s.MaxAnswerBytes,
@@ -100,7 +102,7 @@
 	return mux
 }
 
-// IsDraining reports whether the sidecar refuses new work.
+// IsDraining reports whether Drain has been called, so that the sidecar refuses new work.
 func (c *Sidecar) IsDraining() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -113,7 +115,8 @@
 	c.wg.Go(c.pollLoad)
 }
 
-// Close stops everything at once, without a drain, as a crash would.
+// Close cancels all runs and closes all links without a drain, so that routers see the same as after a crash. It waits for the
+// goroutines to end.
 func (c *Sidecar) Close() {
 	c.stop()
 	c.listener.Close()
@@ -189,10 +192,10 @@
 	}
 }
 
-// verify reads the state of an incarnation from the table.
+// verify reads an incarnation's links row from the table and passes its status to the sealer.
 func (c *Sidecar) verify(inc masticway.Incarnation) {
 	state := sealer.StatusUnknown
-	links, version, err := c.book.Links(c.ctx, inc)
+	links, version, err := c.ledger.Links(c.ctx, inc)
 	switch {
 	case err != nil:
 		c.log.WithFields(logrus.Fields{"event": "verify_failed", "incarnation": inc, "error": err}).Warn("cannot verify incarnation")
