--- a/receiver/receiver.go
+++ b/receiver/receiver.go
@@ -10,28 +10,29 @@
 	"time"
 )
 
-// pieceBytes is how much of a body is read at once: 16 KB, an eighth of a second at 1 Mbit/s. The transport may fill the whole
-// buffer before Read returns, so that a pause is noticed only between two pieces.
+// pieceBytes is how much of a body is read at once: 16 KB, which takes an eighth of a second at 1 Mbit/s. The transport may fill
+// the whole buffer before Read returns, so the idle timer is restarted only after a piece and not after each packet.
 const pieceBytes = 16 << 10
 
-// DefaultIdleTimeout is the idle timeout for responses between the machines of a deployment. It is 2 s because a packet may be queued
-// for up to half a second in each direction on a saturated network path, and one packet may be lost.
+// DefaultIdleTimeout is the idle timeout for responses between the machines of a deployment. It is 2 s because on a saturated
+// network path a packet may be queued for up to half a second in each direction, and one packet may be lost.
 const DefaultIdleTimeout = 2 * time.Second
 
-// minRate is the lowest average rate, in bytes per second, at which a response may arrive: an eightieth of the rate of a
-// router's slowest network path. A slower response is treated like one that does not arrive.
+// minRate is the lowest average rate, in bytes per second, at which a body may arrive: an eightieth of the rate of a router's
+// slowest network path. A body that falls a whole idle timeout behind this rate is canceled.
 const minRate = 16 << 10
 
-// errTimeout is the cause of a call that was canceled because of a timeout of its Limits.
+// errTimeout is the cause with which a call is canceled because of a timeout of its Limits or because of minRate.
 var errTimeout = errors.New("nothing came in time")
 
 // Limits bounds the receiving of one response.
 type Limits struct {
 	// HeaderTimeout is the longest time until the response's header has arrived.
 	HeaderTimeout time.Duration
-	// IdleTimeout is the longest time without data once the header has arrived.
+	// IdleTimeout is the longest time without data after the header has arrived. It becomes shorter for a body that arrives more
+	// slowly than minRate.
 	IdleTimeout time.Duration
-	// MaxBytes is the largest size of the body.
+	// MaxBytes is the largest size of the body in bytes.
 	MaxBytes int64
 }
 
@@ -41,11 +42,14 @@
 	Body   []byte
 }
 
-// Error reports a response that was not received completely, with the number of bytes of its body that were.
+// Error reports a response that was not received completely.
 type Error struct {
+	// Bytes is the number of bytes of the body that have been received.
 	Bytes int
-	Took  time.Duration
-	Err   error
+	// Took is the duration of the call.
+	Took time.Duration
+	// Err is the cause.
+	Err error
 }
 
 // Error returns a text with the cause and how much was received.
@@ -67,14 +71,15 @@
 // progressKey is the context key of the function passed to WithProgress.
 type progressKey struct{}
 
-// WithProgress returns a context for requests. Do calls progress whenever a part of a successful response of over 16 KB has
-// arrived. Smaller responses are complete almost as soon as they begin, and are not reported.
+// WithProgress returns a context for requests. If a response with status 200 has a body of more than 16 KB, Do calls progress
+// when the body begins to arrive and after each piece. Smaller responses are complete almost as soon as they begin, so for them
+// progress is not called.
 func WithProgress(ctx context.Context, progress func()) context.Context {
 	return context.WithValue(ctx, progressKey{}, progress)
 }
 
-// Do sends a request and returns its complete response. It fails with Error, which wraps TooLargeError or the transport's error.
-// The request's context bounds the call too.
+// Do sends a request and returns its complete response. It fails with an Error, which wraps a TooLargeError, the transport's
+// error, or an error that reports a timeout of the Limits. The request's context bounds the call too.
 func Do(client *http.Client, request *http.Request, l Limits) (Response, error) {
 	start := time.Now()
 	ctx, cancel := context.WithCancelCause(request.Context())
@@ -96,15 +101,15 @@
 	return Response{Status: response.StatusCode, Body: body}, nil
 }
 
-// ReportProgress calls the function passed to WithProgress, if ctx has one. Callers use it for a response that arrives under another
-// context.
+// ReportProgress calls the function that was passed to WithProgress, if there is one in ctx. It is for callers that receive a
+// response under another context.
 func ReportProgress(ctx context.Context) {
 	if progress, ok := ctx.Value(progressKey{}).(func()); ok {
 		progress()
 	}
 }
 
-// readAll reads a body. Each piece that arrives restarts the idle timer.
+// readAll reads a body. Each piece that arrives restarts the idle timer. After an error it also returns what it has read.
 func readAll(ctx context.Context, response *http.Response, l Limits, timer *time.Timer) ([]byte, error) {
 	start := time.Now()
 	body := make([]byte, 0, max(pieceBytes, response.ContentLength))
@@ -112,8 +117,8 @@
 		if response.StatusCode == http.StatusOK && max(int64(len(body)), response.ContentLength) > pieceBytes {
 			ReportProgress(ctx)
 		}
-		// slack is how far the body is ahead of minRate. It is negative if the body arrives more slowly, and shortens the
-		// timeout then; the call is canceled once the body is a whole idle timeout behind.
+		// slack is the time by which the body is ahead of minRate. It is negative if the body arrives more slowly. Then it
+		// shortens the timeout, and the call is canceled when the body is a whole idle timeout behind.
 		slack := time.Duration(len(body))*time.Second/minRate - time.Since(start)
 		timer.Reset(min(l.IdleTimeout, l.IdleTimeout+slack))
 		body = slices.Grow(body, pieceBytes)
@@ -131,7 +136,7 @@
 	}
 }
 
-// cause returns errTimeout if the call was canceled because of it, and otherwise err, the transport's error.
+// cause returns errTimeout if the call was canceled with that cause, and otherwise err.
 func cause(ctx context.Context, err error) error {
 	if errors.Is(context.Cause(ctx), errTimeout) {
 		return errTimeout
--- a/receiver/receiver_test.go
+++ b/receiver/receiver_test.go
@@ -59,7 +59,7 @@
 	return request
 }
 
-// sendOneChunk sends all pieces within one HTTP chunk, in the way a slow network delivers what a server has written at once.
+// sendOneChunk sends all pieces within one HTTP chunk, as a slow network delivers data that a server has written at once.
 func sendOneChunk(w http.ResponseWriter, pieces []piece) {
 	conn, _, err := w.(http.Hijacker).Hijack()
 	if err != nil {
