--- a/authenticator/authenticator.go
+++ b/authenticator/authenticator.go
@@ -12,34 +12,35 @@
 )
 
 const (
-	// keyPrefix marks caller keys so that a leaked one is recognized.
+	// keyPrefix is the prefix of caller keys, by which a leaked key can be recognized.
 	keyPrefix = "mw_"
-	keyBytes  = 24
-	// minSecretBytes is the shortest secret that is accepted from a file.
+	// keyBytes is the number of random bytes in a caller key.
+	keyBytes = 24
+	// minSecretBytes is the minimum length of a secret in a file.
 	minSecretBytes = 16
 )
 
-// NewKey returns a random caller key.
+// NewKey returns a new random caller key, with which callers authenticate themselves to a router.
 func NewKey() string {
 	b := make([]byte, keyBytes)
 	_, _ = rand.Read(b)
 	return keyPrefix + hex.EncodeToString(b)
 }
 
-// HashKey returns the hash under which a key is stored.
+// HashKey returns the hash that is stored instead of a caller key.
 func HashKey(key string) string {
 	sum := sha256.Sum256([]byte(key))
 	return hex.EncodeToString(sum[:])
 }
 
-// Equal reports whether two secrets are equal. It takes constant time.
+// Equal reports whether two secrets are equal. How long it takes does not depend on where they differ.
 func Equal(a, b string) bool {
 	x := sha256.Sum256([]byte(a))
 	y := sha256.Sum256([]byte(b))
 	return subtle.ConstantTimeCompare(x[:], y[:]) == 1
 }
 
-// BearerToken returns the bearer token of the Authorization header, or "" if there is none.
+// BearerToken returns the bearer token in the Authorization header of a request, or "" if there is none.
 func BearerToken(r *http.Request) string {
 	token, ok := strings.CutPrefix(r.Header.Get("Authorization"), "Bearer ")
 	if !ok {
@@ -57,7 +58,7 @@
 // Error returns a text that names the file and the reason.
 func (e *SecretError) Error() string { return fmt.Sprintf("secret file %s: %s", e.File, e.Reason) }
 
-// ReadSecret reads a secret from a file and trims white space around it.
+// ReadSecret reads a secret from a file and trims white space around it. It fails with a SecretError.
 func ReadSecret(file string) (string, error) {
 	data, err := os.ReadFile(file)
 	if err != nil {
