--- a/validator/validator.go
+++ b/validator/validator.go
@@ -15,7 +15,7 @@
 	"golang.org/x/text/message"
 )
 
-// Kind is the kind of a document.
+// Kind is the kind of a document. It is also the name of its schema file without the extension.
 type Kind string
 
 // The kinds of documents.
@@ -42,7 +42,7 @@
 	Message string
 }
 
-// FaultsError reports all errors in a document.
+// FaultsError reports all errors in a document that does not match its schema.
 type FaultsError struct {
 	Kind   Kind
 	Faults []Fault
@@ -82,7 +82,7 @@
 	return schemas, nil
 })
 
-// Check validates a document and reports all of its faults as a FaultsError.
+// Check validates a document against the schema of its kind. It reports all errors in the document as one FaultsError.
 func Check(k Kind, data []byte) error {
 	schemas, err := compileSchemas()
 	if err != nil {
@@ -120,7 +120,8 @@
 	return faults
 }
 
-// Decode validates a document, adds the defaults of the schema for absent fields, and decodes it.
+// Decode validates a document, adds the schema's defaults for absent fields, and decodes the result. It fails with a FaultsError
+// if the document is invalid.
 func Decode[T any](k Kind, data []byte) (T, error) {
 	var v T
 	if err := Check(k, data); err != nil {
@@ -142,7 +143,7 @@
 	return v, nil
 }
 
-// Property describes a field of a document. It is decoded from the JSON schema.
+// Property is the part of a JSON schema that describes a document or one of its fields.
 type Property struct {
 	Type        string              `json:"type"`
 	Title       string              `json:"title"`
@@ -170,7 +171,8 @@
 	return p, nil
 }
 
-// applyDefaults adds the defaults of absent fields.
+// applyDefaults adds the defaults of absent fields to an object, or to the objects in a list. Other values are returned as
+// they are.
 func applyDefaults(p Property, data json.RawMessage) (json.RawMessage, error) {
 	switch {
 	case p.Type == "object" && p.Properties != nil:
