--- a/charter/charter.go
+++ b/charter/charter.go
@@ -11,7 +11,7 @@
 // State is a state of a chart.
 type State string
 
-// Event triggers a transition from one state to another.
+// Event triggers a transition from one state to another or to the same one.
 type Event string
 
 //go:embed charts/*.json
@@ -43,7 +43,7 @@
 	States map[State]map[Event]State `json:"states"`
 }
 
-// FaultError reports an invalid chart.
+// FaultError reports an invalid chart. Fault says what is wrong with it.
 type FaultError struct {
 	Chart string
 	Fault string
@@ -52,7 +52,7 @@
 // Error returns a text that names the chart and the fault.
 func (e *FaultError) Error() string { return fmt.Sprintf("chart %s: %s", e.Chart, e.Fault) }
 
-// TransitionError reports an event for which a state has no transition.
+// TransitionError reports an event for which the current state has no transition.
 type TransitionError struct {
 	Chart string
 	State State
@@ -64,7 +64,7 @@
 	return fmt.Sprintf("chart %s: no step from %s on %s", e.Chart, e.State, e.Event)
 }
 
-// Load returns an embedded chart. It fails with FaultError if the chart is invalid.
+// Load returns an embedded chart. It fails with a FaultError if the chart is invalid.
 func Load(name string) (Chart, error) {
 	data, err := chartFiles.ReadFile("charts/" + name + ".json")
 	if err != nil {
@@ -92,7 +92,7 @@
 	return nil
 }
 
-// Parse decodes and validates a chart.
+// Parse decodes and validates a chart. It fails with a FaultError if the chart is invalid.
 func Parse(data []byte) (Chart, error) {
 	var f chartFile
 	if err := json.Unmarshal(data, &f); err != nil {
@@ -153,7 +153,8 @@
 // Initial returns the initial state.
 func (c Chart) Initial() State { return c.initial }
 
-// Next returns the state after an event. If the state has no transition for it, Next returns the same state and a TransitionError.
+// Next returns the state after an event. If the state has no transition for it, Next returns the same state and a
+// TransitionError.
 func (c Chart) Next(s State, e Event) (State, error) {
 	next, ok := c.states[s][e]
 	if !ok {
--- a/charter/charter_test.go
+++ b/charter/charter_test.go
@@ -40,6 +40,6 @@
 	qt.Assert(t, err, qt.IsNil)
 	qt.Assert(t, c.IsFinal(settled), qt.IsTrue)
 	_, err = c.Next(settled, "settled")
-	var stepErr *charter.TransitionError
-	qt.Assert(t, err, qt.ErrorAs, &stepErr)
+	var transitionErr *charter.TransitionError
+	qt.Assert(t, err, qt.ErrorAs, &transitionErr)
 }
