--- a/explainer/doc.go
+++ b/explainer/doc.go
@@ -2,6 +2,6 @@
 //
 // A trace contains the workspace, the configuration revision, the holds, the
 // candidates, the attempts and the bill. It contains no secret and no prompt
-// text. Memory is bounded: old traces are dropped from it and can be found in
-// the object store, to which traces are written in batches.
+// text. Traces are written to the object store in batches. Only a limited number
+// of recent ones is also kept in memory.
 package explainer
--- a/explainer/explainer.go
+++ b/explainer/explainer.go
@@ -15,11 +15,12 @@
 )
 
 const (
-	// maxTraces bounds the traces in memory.
+	// maxTraces bounds the number of traces that can be read from memory.
 	maxTraces = 1024
-	// maxCandidates bounds the candidates in the trace of one attempt. The best ones are kept.
+	// maxCandidates bounds the number of candidates in the trace of one attempt. Those with the shortest expected times are
+	// kept.
 	maxCandidates = 6
-	// maxPending bounds the traces that have not been written to the object store yet.
+	// maxPending bounds the number of traces that wait to be written to the object store. Further ones are not written.
 	maxPending = 4096
 	// objectPrefix is the prefix of the batches' names in the object store.
 	objectPrefix = "explain/"
@@ -40,11 +41,14 @@
 
 // Hold is money that was held for the request.
 type Hold struct {
-	ID     masticway.HoldID   `json:"id"`
-	Payer  string             `json:"payer"`
-	Bound  masticway.Amount   `json:"bound"`
-	Amount masticway.Amount   `json:"amount"`
-	Exact  bool               `json:"exact"`
+	ID    masticway.HoldID `json:"id"`
+	Payer string           `json:"payer"`
+	// Bound is the maximum cost of the attempt, and Amount is how much was held for it.
+	Bound  masticway.Amount `json:"bound"`
+	Amount masticway.Amount `json:"amount"`
+	// Exact is set if Bound is based on an exact token count of the prompt.
+	Exact bool `json:"exact"`
+	// Waited is how long the request waited for the money.
 	Waited masticway.Duration `json:"waited"`
 }
 
@@ -67,7 +71,8 @@
 	Took      masticway.Duration `json:"took"`
 }
 
-// TraceCache holds recent traces. It is safe for concurrent use.
+// TraceCache holds recent traces, and those that wait to be written to the object store. It is safe for concurrent use, but two
+// calls of Flush must not overlap.
 type TraceCache struct {
 	batches *batcher.Batcher[Trace]
 
@@ -76,12 +81,13 @@
 	order  []string
 }
 
-// NewTraceCache returns an empty cache of traces. The names of its batches contain the owner.
+// NewTraceCache returns an empty cache of traces. The names of the objects that it writes contain the owner.
 func NewTraceCache(owner masticway.Incarnation) *TraceCache {
 	return &TraceCache{batches: batcher.New[Trace](objectPrefix, owner, maxPending), traces: map[string]Trace{}}
 }
 
-// Add adds a trace.
+// Add adds a trace, from which it removes candidates beyond maxCandidates. The caller must not use the trace's attempts
+// afterwards.
 func (m *TraceCache) Add(t Trace) {
 	for i, a := range t.Attempts {
 		slices.SortFunc(a.Candidates, func(x, y chooser.Score) int { return cmp.Compare(x.Seconds, y.Seconds) })
@@ -103,7 +109,7 @@
 	return m.batches.Flush(ctx, store, "")
 }
 
-// Get returns a trace that is still in memory.
+// Get returns the trace of a request and true if it is still in memory.
 func (m *TraceCache) Get(request string) (Trace, bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -111,12 +117,14 @@
 	return t, ok
 }
 
-// RequestID returns a request ID that contains the incarnation that records the trace.
+// RequestID returns a request ID that consists of the incarnation that records the trace and a serial number. FindTrace uses the
+// incarnation to find the trace.
 func RequestID(owner masticway.Incarnation, serial string) string {
 	return string(owner) + "." + serial
 }
 
-// FindTrace looks up a trace in the object store. It fails with NotFoundError if there is none.
+// FindTrace searches the object store for the trace of a request, whose ID must be one that RequestID returned. It fails with a
+// NotFoundError if there is none.
 func FindTrace(ctx context.Context, store masticway.ObjectStore, request string) (Trace, error) {
 	owner, _, _ := strings.Cut(request, ".")
 	names, err := store.List(ctx, objectPrefix+owner+"/")
