--- a/logger/queue.go
+++ b/logger/queue.go
@@ -8,14 +8,14 @@
 )
 
 const (
-	// maxQueuedLines bounds the lines that wait to be written: a few seconds of a busy router's log.
+	// maxQueuedLines bounds the number of lines that wait to be written. It is what a busy router logs in a few seconds.
 	maxQueuedLines = 4096
 	// dropReportInterval is the minimum time between two reports of dropped lines.
 	dropReportInterval = time.Second
 )
 
-// Queue writes lines in the background so that a slow reader of the log does not delay requests. Lines that do not fit are
-// dropped, counted and reported.
+// Queue writes lines in the background, so that a slow reader of the log does not delay requests. Lines that do not fit into the
+// queue are dropped and counted. Their number is reported in a line of its own after a later line has been written.
 type Queue struct {
 	out     io.Writer
 	lines   chan []byte
@@ -25,14 +25,14 @@
 	done    chan struct{}
 }
 
-// NewQueue returns a queue that writes to out.
+// NewQueue returns a queue that writes to out. It must be closed to stop its goroutine.
 func NewQueue(out io.Writer) *Queue {
 	q := &Queue{out: out, lines: make(chan []byte, maxQueuedLines), closing: make(chan struct{}), done: make(chan struct{})}
 	go q.run()
 	return q
 }
 
-// Write queues one line. It never blocks and never fails.
+// Write queues one line, or drops it if the queue is full. It never blocks and never fails.
 func (q *Queue) Write(line []byte) (int, error) {
 	select {
 	case q.lines <- append([]byte(nil), line...):
@@ -45,7 +45,8 @@
 // Dropped returns the number of dropped lines that have not been reported yet.
 func (q *Queue) Dropped() int64 { return q.dropped.Load() }
 
-// Close writes the queued lines and stops the queue. Lines that handlers write afterwards are dropped.
+// Close writes the queued lines and stops the queue. Later calls of Write still succeed, but their lines are never written. Close
+// must be called only once.
 func (q *Queue) Close() {
 	close(q.closing)
 	<-q.done
