--- a/measurer/measurer.go
+++ b/measurer/measurer.go
@@ -13,10 +13,11 @@
 )
 
 const (
-	// maxLabels bounds the labels of one histogram. Values under further labels are recorded under otherLabel.
+	// maxLabels bounds the number of labels of one histogram. Values with further labels are recorded under otherLabel.
 	maxLabels  = 32
 	otherLabel = "other"
-	// Histograms cover 1 µs to 10 minutes with two significant digits.
+	// Histograms cover 1 µs to 10 minutes with two significant decimal digits. Values outside this range are recorded as its
+	// nearest end.
 	minMicros = 1
 	maxMicros = int64(10 * time.Minute / time.Microsecond)
 	digits    = 2
@@ -38,14 +39,14 @@
 // Add adds n to a counter.
 func (s *Set) Add(name string, n int64) { s.vars.Add(name, n) }
 
-// Gauge sets a gauge, a value that goes up and down.
+// Gauge sets a gauge to v. A gauge is a value that can increase and decrease.
 func (s *Set) Gauge(name string, v int64) {
 	g := new(expvar.Int)
 	g.Set(v)
 	s.vars.Set(name, g)
 }
 
-// Count returns the value of a counter, or zero if there is none with this name.
+// Count returns the value of a counter or gauge, or zero if there is none with this name.
 func (s *Set) Count(name string) int64 {
 	v, ok := s.vars.Get(name).(*expvar.Int)
 	if !ok {
@@ -54,7 +55,7 @@
 	return v.Value()
 }
 
-// Observe records a duration in a histogram under a label.
+// Observe records a duration in a histogram under a label, or under otherLabel if the histogram has too many labels.
 func (s *Set) Observe(name, label string, d time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -75,7 +76,7 @@
 	_ = h.RecordValue(min(max(d.Microseconds(), minMicros), maxMicros))
 }
 
-// Summary summarizes a histogram. Times are in milliseconds.
+// Summary summarizes a histogram of durations. All fields but Count are in milliseconds.
 type Summary struct {
 	Count int64   `json:"count"`
 	P50   float64 `json:"p50_ms"`
