--- a/accountant/account_test.go
+++ b/accountant/account_test.go
@@ -191,7 +191,7 @@
 	}
 }
 
-func TestWhatIsNoEventIsCounted(t *testing.T) {
+func TestLinesWithoutEventAreCounted(t *testing.T) {
 	a := accountant.New(time.Second, "")
 	text := "a banner\n" + "  0.1 edge-1 " + line("edge-1", 2000, timeout+"a1") + "level=warning event=log_lines_dropped lines=12\n" +
 		line("edge-1", 500, timeout+"a2") + line("edge-1", 1500, timeout+"a4") + "event=request outcome=served\n" + strings.TrimSuffix(line("edge-1", 2100, timeout+"a3"), "\n")
--- a/accountant/cause_test.go
+++ b/accountant/cause_test.go
@@ -21,26 +21,26 @@
 
 func TestReasons(t *testing.T) {
 	cases := map[string]struct{ cause, reason string }{
-		"none":                   {"", ""},
-		"places":                 {"8 connections to 10.0.0.1:80 are in use", "connections_in_use"},
-		"no answer to a connect": {"connecting: dial tcp 10.0.0.1:80: i/o timeout", "connect_timeout"},
-		"no route to a server":   {"connecting: dial tcp 10.0.0.1:80: connect: no route to host", "not_connected"},
-		"refused":                {"connecting: dial tcp 10.0.0.1:80: connect: connection refused", "connection_refused"},
-		"silent goes before":     {"nothing came for too long (sending (kept connection true): context canceled)", "silent"},
-		"deadline":               {"context deadline exceeded (sending (kept connection true): context deadline exceeded)", "deadline"},
-		"caller left":            {"connecting: dial tcp 10.0.0.1:80: operation was canceled", "caller_left"},
-		"stream":                 {"stream broke off after 3 events, 0 bytes of the next: unexpected EOF", "stream_broke_off"},
-		"rejected":               {"status 503, not run", "rejected"},
-		"promise":                {"the store did not take the promise for this answer's money in time", "promise_not_taken"},
-		"connection lost":        {"sending (kept connection true): read: connection reset by peer", "connection_lost"},
-		"unknown":                {"a new kind of failure", "other"},
+		"none":                     {"", ""},
+		"connections in use":       {"8 connections to 10.0.0.1:80 are in use", "connections_in_use"},
+		"no answer to a connect":   {"connecting: dial tcp 10.0.0.1:80: i/o timeout", "connect_timeout"},
+		"no route to a server":     {"connecting: dial tcp 10.0.0.1:80: connect: no route to host", "not_connected"},
+		"refused":                  {"connecting: dial tcp 10.0.0.1:80: connect: connection refused", "connection_refused"},
+		"silence takes precedence": {"nothing came for too long (sending (kept connection true): context canceled)", "silent"},
+		"deadline":                 {"context deadline exceeded (sending (kept connection true): context deadline exceeded)", "deadline"},
+		"caller left":              {"connecting: dial tcp 10.0.0.1:80: operation was canceled", "caller_left"},
+		"stream":                   {"stream broke off after 3 events, 0 bytes of the next: unexpected EOF", "stream_broke_off"},
+		"rejected":                 {"status 503, not run", "rejected"},
+		"promise":                  {"the store did not take the promise for this answer's money in time", "promise_not_taken"},
+		"connection lost":          {"sending (kept connection true): read: connection reset by peer", "connection_lost"},
+		"unknown":                  {"a new kind of failure", "other"},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) { qt.Assert(t, reasonOf(tc.cause), qt.Equals, tc.reason) })
 	}
 }
 
-func TestWhatWasLeftAtARefusal(t *testing.T) {
+func TestMoneyReason(t *testing.T) {
 	cases := map[string]struct{ fields, reason string }{
 		"nothing":                  {"hold=10 left=0 free=0 own=0 row_age_ms=5", reasonNothing},
 		"less":                     {"hold=10 left=4 free=5 own=0 row_age_ms=5", reasonLess},
--- a/accountant/line_test.go
+++ b/accountant/line_test.go
@@ -51,7 +51,7 @@
 	}
 }
 
-func TestWhatTheLoggerWritesIsReadBack(t *testing.T) {
+func TestLoggerOutputIsParsed(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		cause, left := rapid.String().Draw(t, "cause"), rapid.Int64().Draw(t, "left")
 		var out bytes.Buffer
--- a/authenticator/authenticator_test.go
+++ b/authenticator/authenticator_test.go
@@ -12,7 +12,7 @@
 	"github.com/masticway/masticway/authenticator"
 )
 
-func TestBearer(t *testing.T) {
+func TestBearerToken(t *testing.T) {
 	cases := map[string]struct{ header, token string }{
 		"token":         {"Bearer mw_1", "mw_1"},
 		"spaces around": {"Bearer  mw_1 ", "mw_1"},
--- a/bookkeeper/bookkeeper_test.go
+++ b/bookkeeper/bookkeeper_test.go
@@ -39,19 +39,19 @@
 
 func TestDrawSize(t *testing.T) {
 	cases := map[string]struct {
-		left, need, want masticway.Amount
-		alone            bool
-		size             masticway.Amount
+		remaining, need, want masticway.Amount
+		onlyPayer             bool
+		size                  masticway.Amount
 	}{
-		"nothing left":            {left: 0, need: 10, want: 20, size: 0},
-		"less than the need":      {left: 5, need: 10, want: 20, size: 5},
-		"alone takes its want":    {left: 100, need: 10, want: 100, alone: true, size: 100},
-		"leaves half to others":   {left: 110, need: 10, want: 200, size: 60},
-		"never more than it asks": {left: 1000, need: 10, want: 20, size: 20},
+		"nothing left":            {remaining: 0, need: 10, want: 20, size: 0},
+		"less than the need":      {remaining: 5, need: 10, want: 20, size: 5},
+		"alone takes its want":    {remaining: 100, need: 10, want: 100, onlyPayer: true, size: 100},
+		"leaves half to others":   {remaining: 110, need: 10, want: 200, size: 60},
+		"never more than it asks": {remaining: 1000, need: 10, want: 20, size: 20},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
-			qt.Assert(t, bookkeeper.DrawSize(tc.left, tc.need, tc.want, tc.alone), qt.Equals, tc.size)
+			qt.Assert(t, bookkeeper.DrawSize(tc.remaining, tc.need, tc.want, tc.onlyPayer), qt.Equals, tc.size)
 		})
 	}
 }
@@ -131,16 +131,16 @@
 
 func TestRecoverIsIdempotent(t *testing.T) {
 	cases := map[string]struct {
-		closing  bookkeeper.GrantClosure
+		closure  bookkeeper.GrantClosure
 		settled  masticway.Amount
 		presumed masticway.Amount
 		open     masticway.Amount
 	}{
-		"spent is known":      {closing: bookkeeper.GrantClosure{Spent: 30}, settled: 30},
-		"a run goes on":       {closing: bookkeeper.GrantClosure{Spent: 30, Running: 20}, settled: 30, open: 20},
-		"a sidecar vanished":  {closing: bookkeeper.GrantClosure{Spent: 30, SidecarLost: true}, settled: 100, presumed: 70},
-		"vanished and a run":  {closing: bookkeeper.GrantClosure{Spent: 30, Running: 20, SidecarLost: true}, settled: 0, open: 100},
-		"more than was drawn": {closing: bookkeeper.GrantClosure{Spent: 300}, settled: 100},
+		"spent is known":                      {closure: bookkeeper.GrantClosure{Spent: 30}, settled: 30},
+		"a run goes on":                       {closure: bookkeeper.GrantClosure{Spent: 30, Running: 20}, settled: 30, open: 20},
+		"a sidecar is lost":                   {closure: bookkeeper.GrantClosure{Spent: 30, SidecarLost: true}, settled: 100, presumed: 70},
+		"a sidecar is lost and a run goes on": {closure: bookkeeper.GrantClosure{Spent: 30, Running: 20, SidecarLost: true}, settled: 0, open: 100},
+		"more than was drawn":                 {closure: bookkeeper.GrantClosure{Spent: 300}, settled: 100},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -149,10 +149,10 @@
 			m := move("r~1", 1, 100, 100)
 			_, err := ledger.ApplyMove(context.Background(), m, version)
 			qt.Assert(t, err, qt.IsNil)
-			tc.closing.Grant = m.Grant
+			tc.closure.Grant = m.Grant
 			table.SetFaults(emulator.TableFaults{DropAnswers: 1})
 			for range 3 {
-				_, err := ledger.Recover(context.Background(), tc.closing)
+				_, err := ledger.Recover(context.Background(), tc.closure)
 				qt.Assert(t, err, qt.IsNil)
 			}
 			row, err := ledger.Budget(context.Background(), budget)
@@ -215,25 +215,25 @@
 var ledgerModel = porcupine.NondeterministicModel{
 	Init: func() []any { return []any{masticway.Amount(500)} },
 	Step: func(state, input, output any) []any {
-		left := state.(masticway.Amount)
+		remaining := state.(masticway.Amount)
 		in := input.(ledgerOp)
 		out := output.(ledgerResult)
-		drawn := min(in.draw, left)
+		drawn := min(in.draw, remaining)
 		switch {
-		case in.audit && out.amount != left:
+		case in.audit && out.amount != remaining:
 			return nil
 		case in.audit:
-			return []any{left}
+			return []any{remaining}
 		case in.topUp > 0:
-			return []any{left + in.topUp}
+			return []any{remaining + in.topUp}
 		case in.recover:
-			return []any{left + out.amount}
+			return []any{remaining + out.amount}
 		case out.fenced:
-			return []any{left, left - drawn}
+			return []any{remaining, remaining - drawn}
 		case out.amount != drawn:
 			return nil
 		}
-		return []any{left - drawn}
+		return []any{remaining - drawn}
 	},
 }
 
--- a/keeper/bench_test.go
+++ b/keeper/bench_test.go
@@ -39,8 +39,8 @@
 	}
 }
 
-// BenchmarkTidy measures one call of ReleaseIdle with 10 to 1,000 budgets without open holds, which is made once a second.
-func BenchmarkTidy(b *testing.B) {
+// BenchmarkReleaseIdle measures one call of ReleaseIdle with 10 to 1,000 budgets without open holds, which is made once a second.
+func BenchmarkReleaseIdle(b *testing.B) {
 	for _, n := range []int{10, 100, 1000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			k := keeper.New(keeper.Settings{Incarnation: "r~1", IdleTimeout: time.Hour}, start)
--- a/keeper/keeper_test.go
+++ b/keeper/keeper_test.go
@@ -191,7 +191,7 @@
 	qt.Assert(t, b.replies["late"].Result, qt.Equals, keeper.ResultHeld)
 }
 
-func TestSteadyDemandDrawsSeldom(t *testing.T) {
+func TestSteadyDemandDrawsRarely(t *testing.T) {
 	b := newHarness(keeper.PolicyForecast)
 	draws := 0
 	for range 600 {
--- a/keeper/world_test.go
+++ b/keeper/world_test.go
@@ -147,11 +147,11 @@
 		return
 	}
 	w.lastID++
-	most := masticway.Amount(rapid.IntRange(10, 300).Draw(t, "most"))
-	least := masticway.Amount(rapid.IntRange(5, int(most)).Draw(t, "least"))
+	maxAmount := masticway.Amount(rapid.IntRange(10, 300).Draw(t, "most"))
+	minAmount := masticway.Amount(rapid.IntRange(5, int(maxAmount)).Draw(t, "least"))
 	w.apply(r, r.keeper.Hold(w.now, keeper.HoldRequest{
 		ID: masticway.HoldID(fmt.Sprint(w.lastID)), Budget: worldBudget, Identity: masticway.Identity(fmt.Sprint("w/", w.lastID)),
-		Sender: r.self, MaxAmount: most, MinAmount: least, Horizon: 2 * time.Second, MaxWait: 300 * time.Millisecond,
+		Sender: r.self, MaxAmount: maxAmount, MinAmount: minAmount, Horizon: 2 * time.Second, MaxWait: 300 * time.Millisecond,
 	}))
 }
 
@@ -427,12 +427,12 @@
 	}
 }
 
-func (w *world) closeGrants(t *rapid.T, rec *recoverer.Recovery, closings []bookkeeper.GrantClosure) {
+func (w *world) closeGrants(t *rapid.T, rec *recoverer.Recovery, closures []bookkeeper.GrantClosure) {
 	if rapid.IntRange(0, 4).Draw(t, "answer_lost") == 0 {
 		w.table.SetFaults(emulator.TableFaults{DropAnswers: 1})
 	}
 	defer w.table.SetFaults(emulator.TableFaults{})
-	for _, c := range closings {
+	for _, c := range closures {
 		if _, err := w.ledger.Recover(context.Background(), c); err != nil {
 			rec.RecordClosed(false)
 			return
--- a/sealer/sealer_test.go
+++ b/sealer/sealer_test.go
@@ -72,7 +72,7 @@
 		reason   sealer.Reason
 	}{
 		"sealed sender":       {func(b *harness) { b.s.Seal(start, router) }, dispatch("a", 1), sealer.ReasonSealed},
-		"leaving":             {func(b *harness) { b.s.Drain() }, dispatch("a", 1), sealer.ReasonDraining},
+		"draining":            {func(b *harness) { b.s.Drain() }, dispatch("a", 1), sealer.ReasonDraining},
 		"queried before":      {func(b *harness) { b.s.Query(start, key("a", 1)) }, dispatch("a", 1), sealer.ReasonCancelled},
 		"stale revision":      {func(b *harness) { b.s.ApplyChanges([]masticway.Change{{Revision: 7}}) }, dispatch("a", 1), sealer.ReasonStale},
 		"identity is running": {func(b *harness) { b.run(dispatch("a", 1)) }, dispatch("a", 2), sealer.ReasonDuplicate},
@@ -103,21 +103,21 @@
 
 func TestIncarnationStatusDecidesPendingDispatches(t *testing.T) {
 	cases := map[string]struct {
-		standing sealer.IncarnationStatus
-		starts   int
-		reason   sealer.Reason
+		status sealer.IncarnationStatus
+		starts int
+		reason sealer.Reason
 	}{
-		"open":          {standing: sealer.StatusOpen, starts: 1},
-		"sealed":        {standing: sealer.StatusSealed, reason: sealer.ReasonSealed},
-		"not linked":    {standing: sealer.StatusUnlinked, reason: sealer.ReasonUnlinked},
-		"table is down": {standing: sealer.StatusUnknown, reason: sealer.ReasonUnverified},
+		"open":          {status: sealer.StatusOpen, starts: 1},
+		"sealed":        {status: sealer.StatusSealed, reason: sealer.ReasonSealed},
+		"not linked":    {status: sealer.StatusUnlinked, reason: sealer.ReasonUnlinked},
+		"table is down": {status: sealer.StatusUnknown, reason: sealer.ReasonUnverified},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
 			b := newHarness()
 			effects := b.s.Dispatch(start, dispatch("a", 1), router)
 			qt.Assert(t, effects, qt.DeepEquals, []sealer.Effect{sealer.Verify{Incarnation: router}})
-			b.apply(b.s.ApplyVerification(start, router, tc.standing))
+			b.apply(b.s.ApplyVerification(start, router, tc.status))
 			qt.Assert(t, b.started, qt.HasLen, tc.starts)
 			if tc.starts == 0 {
 				qt.Assert(t, b.last().(sealer.Refused).Reason, qt.Equals, tc.reason)
