--- a/accountant/cause.go
+++ b/accountant/cause.go
@@ -34,9 +34,9 @@
 	return familyOther
 }
 
-// reasons maps parts of the logged cause of a failure to reasons. The first part that the cause contains determines the
-// reason. The parts are taken from the error messages of other packages and of the standard library.
-var reasons = []struct{ part, reason string }{
+// reasons maps substrings of the logged cause of a failure to reasons. The first substring that the cause contains determines the
+// reason. The substrings are taken from the error messages of other packages and of the standard library.
+var reasons = []struct{ substring, reason string }{
 	{"waits for its turn to run alone", "waits_to_run_apart"},
 	{"ended under this request", "servers_ended"},
 	{"connections to ", "connections_in_use"},
@@ -66,7 +66,7 @@
 // reasonOf returns the reason for a failure with a logged cause. It is empty if the cause is.
 func reasonOf(cause string) string {
 	for _, r := range reasons {
-		if strings.Contains(cause, r.part) {
+		if strings.Contains(cause, r.substring) {
 			return r.reason
 		}
 	}
--- a/biller/biller.go
+++ b/biller/biller.go
@@ -42,7 +42,7 @@
 	Payer    masticway.Incarnation `json:"payer"`
 	Kind     Kind                  `json:"kind"`
 	Cost     masticway.Amount      `json:"cost"`
-	// Presumed is the part of the cost of which it is unknown whether a lost sidecar ran it.
+	// Presumed is the part of the cost that is charged because a lost sidecar may have run it.
 	Presumed masticway.Amount `json:"presumed,omitempty"`
 	Usage    masticway.Usage  `json:"usage"`
 	At       time.Time        `json:"at"`
--- a/bookkeeper/rows.go
+++ b/bookkeeper/rows.go
@@ -16,7 +16,7 @@
 	Drawn    masticway.Amount      `json:"drawn"`
 	Settled  masticway.Amount      `json:"settled"`
 	Returned masticway.Amount      `json:"returned"`
-	// Presumed is the part of Settled of which it is unknown whether a lost sidecar ran it.
+	// Presumed is the part of Settled that is charged because a lost sidecar may have run it.
 	Presumed masticway.Amount `json:"presumed,omitempty"`
 	// Seq is the sequence number of the last committed move of the grant. It shows whether a move succeeded whose answer was
 	// lost.
@@ -31,7 +31,7 @@
 	ID      string           `json:"id"`
 	Prepaid masticway.Amount `json:"prepaid"`
 	Settled masticway.Amount `json:"settled"`
-	// Presumed is the part of Settled of which it is unknown whether a lost sidecar ran it.
+	// Presumed is the part of Settled that is charged because a lost sidecar may have run it.
 	Presumed masticway.Amount `json:"presumed,omitempty"`
 	// Refunded is the sum of the refunds for double and superseded bills, which has already been subtracted from Settled.
 	Refunded masticway.Amount `json:"given_back,omitempty"`
--- a/keeper/account.go
+++ b/keeper/account.go
@@ -8,8 +8,8 @@
 )
 
 const (
-	// defaultHorizon is the time span whose expected demand a draw covers, unless the latest hold request sets another
-	// one. With it, a busy budget draws about once a minute; see docs/MEASUREMENTS.md.
+	// defaultHorizon is how far into the future the demand that a draw covers extends, unless the latest hold request sets
+	// another horizon. With it, a busy budget draws about once a minute; see docs/MEASUREMENTS.md.
 	defaultHorizon = 60 * time.Second
 	// rateWindow is the time over which demand is averaged. After that time without an update the measured rate is zero.
 	rateWindow = 10 * time.Second
@@ -38,7 +38,7 @@
 	grant masticway.GrantKey
 	drawn masticway.Amount
 	spent masticway.Amount
-	// presumed is the part of spent of which it is unknown whether a lost sidecar ran it.
+	// presumed is the part of spent that is charged because a lost sidecar may have run it.
 	presumed masticway.Amount
 	// returned includes the money that a move in progress returns.
 	returned  masticway.Amount
--- a/keeper/doc.go
+++ b/keeper/doc.go
@@ -7,8 +7,8 @@
 // budget. Type Keeper is the state of a router for all budgets that it keeps.
 //
 // The package is deterministic and does no I/O: a method that handles an event
-// takes the current time and returns effects. The caller carries the effects out on the
-// table and passes their results back. No timing of these calls can lead to
-// overspending, because a hold is taken only from a grant that the table has
+// takes the current time and returns effects. The caller carries the effects out
+// on the table and passes their results back. No timing of these calls can lead
+// to overspending, because a hold is taken only from a grant that the table has
 // already recorded for this incarnation.
 package keeper
--- a/keeper/draw.go
+++ b/keeper/draw.go
@@ -16,7 +16,7 @@
 )
 
 // drawIfShort starts a draw if requests wait for money or free money is below the low watermark, unless a move is in
-// progress or began less than moveRetryDelay ago. If requests wait and only other routers have money of the budget, it also
+// progress or the last one is too recent (nextMoveAt). If requests wait and only other routers have money of the budget, it also
 // asks them to return some.
 func (k *Keeper) drawIfShort(now time.Time, a *account) []Effect {
 	if a.isMoving() || now.Before(a.nextMoveAt) {
--- a/keeper/effects.go
+++ b/keeper/effects.go
@@ -29,7 +29,7 @@
 	Grant masticway.GrantKey
 	// Spent is the total cost charged to the grant so far.
 	Spent masticway.Amount
-	// Presumed is the part of Spent of which it is unknown whether a lost sidecar ran it.
+	// Presumed is the part of Spent that is charged because a lost sidecar may have run it.
 	Presumed masticway.Amount
 	// Need is what waiting requests need at least, beyond the grant's free money. Want is what they need at most, together
 	// with the forecast demand, beyond the free money. If both are zero, nothing is drawn.
--- a/keeper/keeper.go
+++ b/keeper/keeper.go
@@ -49,7 +49,7 @@
 	Tracked bool
 	// FirstIncomplete is set if the first request's run ended early, so that it has no complete answer to share.
 	FirstIncomplete bool `cbor:"Again"`
-	// Horizon is the time span whose expected demand the next draws cover, defaultHorizon if it is zero.
+	// Horizon is how far into the future the demand that the next draws cover extends. If it is zero, it is defaultHorizon.
 	Horizon time.Duration
 	// MaxWait is how long the request may wait for money.
 	MaxWait time.Duration `cbor:"Wait"`
@@ -118,7 +118,7 @@
 // known to be exhausted, or the request's maximum wait is over.
 //
 // A request that already has a hold is answered with that hold. A tracked request is answered as a duplicate if an earlier one
-// with the same identity has a hold or waits, or if it has run and FirstIncomplete is not set.
+// with the same identity has a hold or waits, or if it has run and the new one does not have FirstIncomplete set.
 func (k *Keeper) Hold(now time.Time, r HoldRequest) []Effect {
 	if held, ok := k.holds[r.ID]; ok {
 		return []Effect{Reply{ID: r.ID, Result: ResultHeld, Grant: held.account.grant, Amount: held.amount}}
--- a/linker/conn.go
+++ b/linker/conn.go
@@ -159,7 +159,7 @@
 	return c.call(ctx, m, pendingCall{})
 }
 
-// CallLarge sends a request whose reply may have any size, and waits for the reply. It fails with IdleTimeoutError if neither
+// CallLarge sends a request whose reply may have any size, and waits for the reply. It fails with an IdleTimeoutError if neither
 // the reply nor a whole piece of any message arrives for idleTimeout.
 //
 // A fixed timeout would not be suitable: the time that a large reply takes grows with its size, and the reply also has to wait
