--- a/linker/message.go
+++ b/linker/message.go
@@ -45,7 +45,7 @@
 	Resize           *Resize                   `cbor:"42,keyasint,omitempty"`
 	Settle           *Settle                   `cbor:"43,keyasint,omitempty"`
 	Settled          *Settled                  `cbor:"44,keyasint,omitempty"`
-	ReturnIdle       *ReturnIdle               `cbor:"45,keyasint,omitempty"`
+	ReturnFree       *ReturnFree               `cbor:"45,keyasint,omitempty"`
 	RecordSidecars   *RecordSidecars           `cbor:"46,keyasint,omitempty"`
 	SidecarsRecorded *SidecarsRecorded         `cbor:"47,keyasint,omitempty"`
 	ConfigRequest    *ConfigRequest            `cbor:"48,keyasint,omitempty"`
@@ -58,8 +58,8 @@
 type Heartbeat struct {
 	// Revision is the sender's configuration revision.
 	Revision masticway.Revision `cbor:"1,keyasint"`
-	// Leaving is set if the sender is draining.
-	Leaving bool `cbor:"2,keyasint,omitempty"`
+	// Draining is set if the sender is draining.
+	Draining bool `cbor:"2,keyasint,omitempty"`
 	// Staleness is the time since the sender's revision was last confirmed to be the newest.
 	Staleness time.Duration `cbor:"6,keyasint,omitempty"`
 	// Load is the load of a sidecar's upstream. It is nil if the load has not changed or the sender is a router.
@@ -103,9 +103,9 @@
 
 // HoldReply answers a hold request.
 type HoldReply struct {
-	Verdict keeper.HoldResult  `cbor:"1,keyasint"`
-	Grant   masticway.GrantKey `cbor:"2,keyasint"`
-	Amount  masticway.Amount   `cbor:"3,keyasint"`
+	Result keeper.HoldResult  `cbor:"1,keyasint"`
+	Grant  masticway.GrantKey `cbor:"2,keyasint"`
+	Amount masticway.Amount   `cbor:"3,keyasint"`
 	// DetectsDuplicates is set if the answering router is the budget's keeper and has run for long enough to recognize every
 	// earlier request with the same identity.
 	DetectsDuplicates bool `cbor:"4,keyasint"`
@@ -134,8 +134,8 @@
 // Settled acknowledges a settlement.
 type Settled struct{}
 
-// ReturnIdle asks a peer to return money of a budget that it does not need. See keeper.Keeper.ReturnFree.
-type ReturnIdle struct {
+// ReturnFree asks a peer to return money of a budget that it does not need. See keeper.Keeper.ReturnFree.
+type ReturnFree struct {
 	Budget string `cbor:"1,keyasint"`
 }
 
--- a/router/bank.go
+++ b/router/bank.go
@@ -104,7 +104,7 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.sealed {
-		reply(linker.HoldReply{Verdict: keeper.ResultNotKeeper})
+		reply(linker.HoldReply{Result: keeper.ResultNotKeeper})
 		return
 	}
 	limit, retry := b.limits.Admit(now, c)
@@ -118,7 +118,7 @@
 		if a.Result != keeper.ResultHeld {
 			b.releaseLimit(r.ID)
 		}
-		reply(linker.HoldReply{Verdict: a.Result, Grant: a.Grant, Amount: a.Amount, Waited: a.Waited, FirstInProgress: a.InProgress, DetectsDuplicates: sure})
+		reply(linker.HoldReply{Result: a.Result, Grant: a.Grant, Amount: a.Amount, Waited: a.Waited, FirstInProgress: a.InProgress, DetectsDuplicates: sure})
 	}
 	b.apply(b.keeper.Hold(now, r))
 }
--- a/router/bank_test.go
+++ b/router/bank_test.go
@@ -58,7 +58,7 @@
 			r.budgets.hold(request, masticway.Contract{Workspace: "w"}, func(h linker.HoldReply) { answered <- h })
 			select {
 			case h := <-answered:
-				qt.Assert(t, h.Verdict, qt.Equals, keeper.ResultNotKeeper)
+				qt.Assert(t, h.Result, qt.Equals, keeper.ResultNotKeeper)
 			case <-time.After(answerTimeout):
 				t.Fatal("the request was not answered")
 			}
--- a/router/money.go
+++ b/router/money.go
@@ -61,7 +61,7 @@
 		if h.Limit != "" {
 			return refusal(http.StatusTooManyRequests, "limit_"+h.Limit, "the contract's "+h.Limit+" limit is reached", h.RetryAfter)
 		}
-		switch h.Verdict {
+		switch h.Result {
 		case keeper.ResultHeld:
 			x.setHold(h, id)
 			if x.q.hasCallerKey && !h.DetectsDuplicates && x.nextChunk == 0 && x.findRun(ctx) {
--- a/router/peer_money.go
+++ b/router/peer_money.go
@@ -33,7 +33,7 @@
 		// The link may still encode this copy after the call has timed out.
 		sent := request
 		answer, err := conn.Call(callCtx, linker.Message{Hold: &sent})
-		if err == nil && answer.HoldReply != nil && answer.HoldReply.Verdict != keeper.ResultNotKeeper {
+		if err == nil && answer.HoldReply != nil && answer.HoldReply.Result != keeper.ResultNotKeeper {
 			return *answer.HoldReply, request.ID
 		}
 		if err != nil {
@@ -51,7 +51,7 @@
 	select {
 	case h = <-reply:
 	case <-p.router.ctx.Done():
-		return linker.HoldReply{Verdict: keeper.ResultUnreachable}, request.ID
+		return linker.HoldReply{Result: keeper.ResultUnreachable}, request.ID
 	}
 	h.DetectsDuplicates = h.DetectsDuplicates && target == p.router.self
 	return h, request.ID
@@ -123,7 +123,7 @@
 
 // requestReturn asks the payers that have open grants of a budget, in any region, to return idle money.
 func (p *peers) requestReturn(budget string, payers []masticway.Incarnation) {
-	m := linker.Message{ReturnIdle: &linker.ReturnIdle{Budget: budget}}
+	m := linker.Message{ReturnFree: &linker.ReturnFree{Budget: budget}}
 	for _, payer := range payers {
 		if c := p.conn(payer); c != nil {
 			_ = c.Send(m)
@@ -158,7 +158,7 @@
 		contract = masticway.Contract{Workspace: m.Hold.Identity.Workspace()}
 	}
 	if p.router.draining.Load() || p.router.isSealed() {
-		_ = c.Reply(m, linker.Message{HoldReply: &linker.HoldReply{Verdict: keeper.ResultNotKeeper}})
+		_ = c.Reply(m, linker.Message{HoldReply: &linker.HoldReply{Result: keeper.ResultNotKeeper}})
 		return
 	}
 	p.router.budgets.hold(*m.Hold, contract, func(h linker.HoldReply) {
--- a/router/peers.go
+++ b/router/peers.go
@@ -152,7 +152,7 @@
 // heartbeatMessage returns the heartbeat to a peer.
 func (p *peers) heartbeatMessage() linker.Message {
 	r := p.router
-	return linker.Message{Heartbeat: &linker.Heartbeat{Revision: r.snapshot.Load().Revision(), Leaving: r.draining.Load(), Staleness: r.configAge()}}
+	return linker.Message{Heartbeat: &linker.Heartbeat{Revision: r.snapshot.Load().Revision(), Draining: r.draining.Load(), Staleness: r.configAge()}}
 }
 
 func (p *peers) linkDown(c *linker.Conn) {
@@ -299,8 +299,8 @@
 		_ = c.Reply(m, linker.Message{Settled: &linker.Settled{}})
 	case m.Resize != nil:
 		r.budgets.resize(m.Resize.Hold, m.Resize.Amount)
-	case m.ReturnIdle != nil:
-		r.budgets.returnFree(m.ReturnIdle.Budget)
+	case m.ReturnFree != nil:
+		r.budgets.returnFree(m.ReturnFree.Budget)
 		if m.CallID != 0 {
 			_ = c.Reply(m, linker.Message{Settled: &linker.Settled{}})
 		}
@@ -325,7 +325,7 @@
 	if _, known := p.inbound[c]; known {
 		p.inbound[c] = true
 	}
-	if b.Leaving {
+	if b.Draining {
 		p.draining[c.Peer().Incarnation] = true
 		p.placement = nil
 	}
--- a/router/router.go
+++ b/router/router.go
@@ -368,7 +368,7 @@
 // heartbeatMessage returns the heartbeat to a sidecar, including the open grants.
 func (r *Router) heartbeatMessage() linker.Message {
 	open, upto := r.budgets.openGrants()
-	return linker.Message{Heartbeat: &linker.Heartbeat{Revision: r.snapshot.Load().Revision(), OpenGrants: open, GrantsUpTo: upto, Leaving: r.draining.Load()}}
+	return linker.Message{Heartbeat: &linker.Heartbeat{Revision: r.snapshot.Load().Revision(), OpenGrants: open, GrantsUpTo: upto, Draining: r.draining.Load()}}
 }
 
 // sendHeartbeats sends a heartbeat on every link that this router dialed, and in some rounds on the inbound links. Because there
--- a/router/upstreams.go
+++ b/router/upstreams.go
@@ -212,7 +212,7 @@
 func (u *upstreams) handleHeartbeat(c *linker.Conn, b linker.Heartbeat) {
 	instance := c.Peer().Instance
 	u.mu.Lock()
-	if b.Leaving {
+	if b.Draining {
 		u.tracker.MarkLeaving(instance)
 	}
 	if b.Load != nil {
--- a/sidecar/beats.go
+++ b/sidecar/beats.go
@@ -48,7 +48,7 @@
 func (c *Sidecar) heartbeatMessage() linker.Message {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return linker.Message{Heartbeat: &linker.Heartbeat{Revision: c.core.Revision(), Leaving: c.core.IsDraining(), Load: c.load}}
+	return linker.Message{Heartbeat: &linker.Heartbeat{Revision: c.core.Revision(), Draining: c.core.IsDraining(), Load: c.load}}
 }
 
 func (c *Sidecar) pollLoad() {
