--- a/amount.go
+++ b/amount.go
@@ -5,10 +5,10 @@
 	"time"
 )
 
-// Amount is an amount of money, in thousandths of the price of one token with weight one.
+// Amount is an amount of money. Its unit is a thousandth of PerToken.
 type Amount int64
 
-// PerToken is the price of one token with weight one.
+// PerToken is the base price of one token. The price of a model's tokens may be a multiple or a fraction of it.
 const PerToken Amount = 1000
 
 // Duration is a time.Duration that is encoded as a string such as "1.5s" in settings and contracts.
--- a/clock.go
+++ b/clock.go
@@ -12,13 +12,13 @@
 type Clock interface {
 	// Now returns the current time.
 	Now() time.Time
-	// After returns a channel that delivers the time once d has elapsed.
+	// After returns a channel that receives a value once d has elapsed. The value may differ from Now.
 	After(d time.Duration) <-chan time.Time
 }
 
 // SystemClock is the clock of the local machine. It does not jump when the time of day is set and, unlike Go's monotonic clock,
-// it includes the time for which the machine was suspended. Otherwise a suspension would extend leases, silence timeouts and
-// promises on this machine beyond what other machines expect.
+// it includes the time for which the machine was suspended, if the kernel reports its uptime. Otherwise a suspension would extend
+// leases, timeouts and other agreed periods on this machine beyond what other machines expect.
 type SystemClock struct{}
 
 // Now returns the time of day at the start of the process plus the time elapsed since, including suspensions.
@@ -30,11 +30,12 @@
 	return time.Duration(systemClock.suspended.Load())
 }
 
-// After waits on the monotonic clock, so a suspension prolongs the wait. The caller must call Now afterwards to get the time.
+// After waits on the monotonic clock, so a suspension prolongs the wait. The value that the channel receives is the time of day,
+// which may differ from Now.
 func (SystemClock) After(d time.Duration) <-chan time.Time { return time.After(d) }
 
 // systemClock is the clock behind SystemClock.
-var systemClock = newSuspendClock(clockReader(time.Now()), bootTime)
+var systemClock = newSuspendClock(clockReader(time.Now()), uptime)
 
 // clockReader returns a function that reads the time of day and the monotonic time elapsed since start.
 func clockReader(start time.Time) func() (day time.Time, steady time.Duration) {
@@ -45,18 +46,18 @@
 }
 
 const (
-	// minDrift is the minimum change of the difference between the time of day and the monotonic clock that causes the boot
-	// time to be read. Without suspensions, the two clocks advance at the same rate, except for corrections of some parts in
-	// ten thousand.
+	// minDrift is the minimum change of the difference between the time of day and the monotonic clock that causes the uptime to
+	// be read. Without suspensions, the two clocks advance at the same rate, except for corrections of some parts in ten
+	// thousand.
 	minDrift = 5 * time.Millisecond
-	// maxReadingGap is the maximum time between the readings of the monotonic clock before and after a reading of the boot time.
+	// maxReadingGap is the maximum time between the readings of the monotonic clock before and after a reading of the uptime.
 	maxReadingGap = time.Millisecond
 	// maxReadings is the maximum number of attempts to get readings within maxReadingGap.
 	maxReadings = 5
 )
 
-// bootTime returns the time since the machine booted, including suspensions. It returns false if that is not available.
-func bootTime() (time.Duration, bool) {
+// uptime returns the time since the machine booted, including suspensions. It returns false if the kernel does not report it.
+func uptime() (time.Duration, bool) {
 	var t unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &t); err != nil {
 		return 0, false
@@ -64,18 +65,19 @@
 	return time.Duration(t.Nano()), true
 }
 
-// suspendClock is a clock that includes suspensions. It reads the boot time, which needs a system call, only if the difference
-// between the time of day and the monotonic clock has changed, which is cheap to detect.
+// suspendClock is a clock that includes suspensions of at least minDrift. It reads the uptime, which needs a system call, only if
+// the difference between the time of day and the monotonic clock has changed by minDrift, which is cheap to detect.
 type suspendClock struct {
-	// readClocks returns the time of day and the monotonic clock; readBootTime returns the time since the machine booted.
-	readClocks   func() (day time.Time, steady time.Duration)
-	readBootTime func() (time.Duration, bool)
+	// readClocks returns the time of day and the monotonic clock. readUptime returns the time since the machine booted, including
+	// suspensions.
+	readClocks func() (day time.Time, steady time.Duration)
+	readUptime func() (time.Duration, bool)
 	// start and startSteady are the time of day and the monotonic clock when the suspendClock was created. startOffset is the
-	// boot time minus the monotonic clock at that time, if hasBootTime is set.
+	// uptime minus the monotonic clock at that time, if hasUptime is set.
 	start       time.Time
 	startSteady time.Duration
 	startOffset time.Duration
-	hasBootTime bool
+	hasUptime   bool
 
 	// suspended is how long the machine has been suspended since the start. drift is the difference between the elapsed time
 	// of day and the elapsed monotonic time when suspended was last updated. Both are in nanoseconds.
@@ -83,10 +85,10 @@
 	mu               sync.Mutex
 }
 
-func newSuspendClock(read func() (time.Time, time.Duration), boot func() (time.Duration, bool)) *suspendClock {
-	s := &suspendClock{readClocks: read, readBootTime: boot}
+func newSuspendClock(read func() (time.Time, time.Duration), uptime func() (time.Duration, bool)) *suspendClock {
+	s := &suspendClock{readClocks: read, readUptime: uptime}
 	s.start, s.startSteady = read()
-	s.startOffset, s.hasBootTime = s.bootOffset()
+	s.startOffset, s.hasUptime = s.uptimeOffset()
 	return s
 }
 
@@ -101,15 +103,16 @@
 	return s.start.Add(elapsed + time.Duration(s.suspended.Load()))
 }
 
-// updateSuspended updates how long the machine has been suspended. It is called when the drift has changed.
+// updateSuspended updates how long the machine has been suspended, if it has an uptime. It is called when the drift has changed
+// by minDrift.
 func (s *suspendClock) updateSuspended(drift time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if !s.hasBootTime {
+	if !s.hasUptime {
 		s.drift.Store(int64(drift))
 		return
 	}
-	offset, ok := s.bootOffset()
+	offset, ok := s.uptimeOffset()
 	if !ok {
 		// drift is unchanged, so the next call of now tries again.
 		return
@@ -121,18 +124,18 @@
 	s.drift.Store(int64(drift))
 }
 
-// bootOffset returns the boot time minus the monotonic clock. It returns false if the boot time is not available or if no
-// readings within maxReadingGap of each other were obtained.
-func (s *suspendClock) bootOffset() (time.Duration, bool) {
+// uptimeOffset returns the uptime minus the monotonic clock. It returns false if the uptime is not available or if no readings of
+// the monotonic clock within maxReadingGap of each other were obtained.
+func (s *suspendClock) uptimeOffset() (time.Duration, bool) {
 	for range maxReadings {
 		_, before := s.readClocks()
-		boot, ok := s.readBootTime()
+		uptime, ok := s.readUptime()
 		_, after := s.readClocks()
 		if !ok {
 			return 0, false
 		}
 		if after-before <= maxReadingGap {
-			return boot - after, true
+			return uptime - after, true
 		}
 	}
 	return 0, false
--- a/contract.go
+++ b/contract.go
@@ -5,10 +5,11 @@
 	"slices"
 )
 
-// Class distinguishes requests that a person waits for from long-running ones.
+// Class distinguishes requests that a person waits for from batch work.
 type Class string
 
-// The classes of a request, in the order in which queues serve them.
+// The classes of a request. Queues prefer interactive requests, but also serve batch requests while interactive ones keep
+// arriving.
 const (
 	ClassInteractive Class = "interactive"
 	ClassBatch       Class = "batch"
@@ -33,22 +34,26 @@
 
 // ServiceTerms specifies how one workspace may use one plain service.
 type ServiceTerms struct {
-	Name          string        `json:"name"`
+	Name string `json:"name"`
+	// NonRepeatable matches the calls that must not run more than once.
 	NonRepeatable []CallPattern `json:"non_repeatable,omitempty"`
 }
 
-// Contract specifies what an operator grants to one workspace.
+// Contract specifies what an operator allows one workspace.
 type Contract struct {
-	Workspace string         `json:"workspace"`
-	Budget    string         `json:"budget"`
-	Priority  int            `json:"priority,omitempty"`
-	Class     Class          `json:"class,omitempty"`
-	Models    []ModelTerms   `json:"models,omitempty"`
-	Services  []ServiceTerms `json:"services,omitempty"`
-	// RequestsPerSecond and Burst form a token bucket; zero means unlimited.
+	Workspace string `json:"workspace"`
+	// Budget is the name of the prepaid budget that pays for the requests.
+	Budget   string `json:"budget"`
+	Priority int    `json:"priority,omitempty"`
+	// Class is the class of requests that do not name one.
+	Class    Class          `json:"class,omitempty"`
+	Models   []ModelTerms   `json:"models,omitempty"`
+	Services []ServiceTerms `json:"services,omitempty"`
+	// RequestsPerSecond is the rate at which a token bucket fills; zero means no rate limit. The size of the bucket is the
+	// largest of Burst, RequestsPerSecond and one.
 	RequestsPerSecond float64 `json:"requests_per_second,omitempty"`
 	Burst             int     `json:"burst,omitempty"`
-	// Concurrency is the maximum number of open requests of the workspace in a region; zero means unlimited.
+	// Concurrency is the maximum number of open requests of the workspace in a region; zero means no limit.
 	Concurrency int `json:"concurrency,omitempty"`
 	// RequireIdempotencyKey is set if requests without an Idempotency-Key are refused.
 	RequireIdempotencyKey bool `json:"require_idempotency_key,omitempty"`
@@ -56,7 +61,8 @@
 	KeyHashes []string `json:"key_hashes,omitempty"`
 	// Horizon is the period of forecast demand that one draw from the budget covers.
 	Horizon Duration `json:"horizon,omitempty"`
-	// HoldWait is how long a request waits for open holds to be released before it is refused.
+	// HoldWait is how long a request that finds too little money waits for open holds to be released before it is refused; zero
+	// means a default.
 	HoldWait Duration `json:"hold_wait,omitempty"`
 }
 
@@ -100,7 +106,7 @@
 // Model is one model that the fleet serves, with its price.
 type Model struct {
 	Name string `json:"name"`
-	// PromptWeight and CompletionWeight are the prices of one prompt token and of one completion token, in thousandths.
+	// PromptWeight and CompletionWeight are the prices of one prompt token and of one completion token.
 	PromptWeight     Amount `json:"prompt_weight"`
 	CompletionWeight Amount `json:"completion_weight"`
 	// Version is the model version that upstreams should run.
--- a/deployment.go
+++ b/deployment.go
@@ -40,9 +40,9 @@
 	MaxServers int
 	// Timeout is the maximum time that a caller waits.
 	Timeout time.Duration
-	// LatencyObjective is the maximum time to the answer, or to its first event, that earns full credit.
+	// LatencyObjective is the longest time to the answer, or on event streams to its first event, that meets the objective.
 	LatencyObjective time.Duration
-	// MaxEventGap is the maximum pause between events that is still on time; it is zero on routes without streams.
+	// MaxEventGap is the longest pause between two events of a stream that meets the objective.
 	MaxEventGap time.Duration
 	Priority    int
 	// Regions are the regions in which requests may run; if empty, they may run in any.
@@ -73,8 +73,9 @@
 // Account is the configuration of a workspace: its keys, its priority and its prepaid tokens.
 type Account struct {
 	Workspace string
-	Keys      []string
-	Priority  int
+	// Keys are the caller keys.
+	Keys     []string
+	Priority int
 	// HasPriority is set if Priority overrides the priority of the route.
 	HasPriority bool
 	// Prepaid is the total number of tokens that the workspace may consume.
@@ -85,7 +86,8 @@
 	Regions []string
 }
 
-// CallerLimits limit the size of a caller's request and the time that sending it may take.
+// CallerLimits are the limits on callers' requests and connections that a deployment declares. Gateways enforce only
+// MaxBodyBytes; their other limits are constants.
 type CallerLimits struct {
 	MaxHeaderBytes int
 	MaxBodyBytes   int64
--- a/errors.go
+++ b/errors.go
@@ -17,7 +17,8 @@
 type UnavailableError struct {
 	Service string
 	Reason  string
-	// RateLimited is set if the call exceeded the rate limit of the service. The service is healthy, and must be called less often.
+	// RateLimited is set if the call exceeded the rate limit of the service. The service is healthy, and must be called less
+	// often.
 	RateLimited bool
 }
 
@@ -26,11 +27,12 @@
 	return fmt.Sprintf("%s unavailable: %s", e.Service, e.Reason)
 }
 
-// OutcomeUnknownError reports that a platform write may or may not have had an effect, since its answer was lost.
+// OutcomeUnknownError reports that a platform write may or may not have had an effect, because no usable answer arrived.
 type OutcomeUnknownError struct {
 	Service string
-	ID      string
-	Reason  string
+	// ID is the ID of the write; it is empty for writes without an ID.
+	ID     string
+	Reason string
 }
 
 // Error returns the service, the ID of the write and the reason.
@@ -52,7 +54,8 @@
 	Reason string
 	// Started is set if the upstream may have started the work.
 	Started bool
-	// NotListening is set if the upstream's address refuses connections: the upstream's process has ended.
+	// NotListening is set if the upstream's address refused connections after a run that may have started: the upstream's process
+	// has ended.
 	NotListening bool
 	// Status is the HTTP status of the upstream, or zero if there is none.
 	Status int
@@ -61,7 +64,7 @@
 // Error returns the reason.
 func (e *UpstreamError) Error() string { return "upstream failed: " + e.Reason }
 
-// SealedError reports that this incarnation has been fenced and its process must restart.
+// SealedError reports that this incarnation of a router has been fenced. Another incarnation must be started in its place.
 type SealedError struct {
 	Incarnation Incarnation
 }
@@ -69,7 +72,7 @@
 // Error returns the fenced incarnation.
 func (e *SealedError) Error() string { return fmt.Sprintf("incarnation %s is sealed", e.Incarnation) }
 
-// RefusalError is the final answer to a request that the fleet refuses.
+// RefusalError is the final answer to a request that the fleet refuses or gives up on.
 type RefusalError struct {
 	Status     int
 	Code       string
--- a/platform.go
+++ b/platform.go
@@ -61,7 +61,8 @@
 // InstanceState is the state of an instance as reported by the platform.
 type InstanceState string
 
-// The states of an instance. InstanceEnded guarantees that the processes of the instance have ended.
+// The states of an instance. An instance with InstanceLeaving is about to end and must get no new work. InstanceEnded guarantees
+// that the processes of the instance have ended.
 const (
 	InstanceLive    InstanceState = "live"
 	InstanceLeaving InstanceState = "leaving"
@@ -148,7 +149,8 @@
 
 // Outcome is how a run ended.
 type Outcome struct {
-	Usage  Usage  `cbor:"1,keyasint"`
+	Usage Usage `cbor:"1,keyasint"`
+	// Reason is the finish reason that a model engine reports.
 	Reason string `cbor:"2,keyasint,omitempty"`
 	// Status and ContentType are those of a plain service's answer.
 	Status      int    `cbor:"3,keyasint,omitempty"`
@@ -157,8 +159,8 @@
 
 // Sink receives an upstream's answer while it is generated.
 type Sink interface {
-	// PromptCounted is called once, when the upstream has reported the token count of the prompt and how many of the tokens were
-	// cached.
+	// PromptCounted is called at most once, when a model engine has reported the token count of the prompt and how many of the
+	// tokens were cached.
 	PromptCounted(promptTokens, cachedTokens int)
 	// Chunk is called with the next part of the answer.
 	Chunk(c Chunk)
@@ -180,6 +182,7 @@
 
 // Order is a command to an upstream to load a model version or to change its role.
 type Order struct {
+	// Fence is the fencing number. An upstream that checks it refuses an order with a lower number than one before.
 	Fence  int64  `json:"fence" cbor:"1,keyasint"`
 	Action string `json:"action" cbor:"2,keyasint"`
 	Target string `json:"target" cbor:"3,keyasint"`
@@ -187,7 +190,8 @@
 
 // Upstream is a model engine or plain service as used by its sidecar.
 //
-// Run fails with UpstreamError, whose Started field reports whether the work may have started.
+// Run fails with UpstreamError, whose Started field is set if the work may have started. Count returns the number of tokens of a
+// prompt, and Load the upstream's load report.
 type Upstream interface {
 	Run(ctx context.Context, c Call, s Sink) (Outcome, error)
 	Count(ctx context.Context, prompt []byte) (int, error)
--- a/request.go
+++ b/request.go
@@ -4,21 +4,22 @@
 	"strings"
 )
 
-// Incarnation identifies one run of a process between its start and its end. A restart creates a new incarnation.
+// Incarnation identifies one run of a router or sidecar. A restart creates a new incarnation, and so does a router that finds
+// that it has been fenced.
 type Incarnation string
 
-// Instance returns the instance that the incarnation ran on.
+// Instance returns the ID of the instance that the incarnation runs on.
 func (i Incarnation) Instance() string {
 	instance, _, _ := strings.Cut(string(i), "~")
 	return instance
 }
 
-// NewIncarnation returns the incarnation with an instance and a random suffix.
+// NewIncarnation returns the incarnation with an instance and a suffix, which must be unique on the instance.
 func NewIncarnation(instance, suffix string) Incarnation {
 	return Incarnation(instance + "~" + suffix)
 }
 
-// Identity identifies a request by its workspace and idempotency key. Each identity is billed once.
+// Identity identifies a request by its workspace and idempotency key. Requests with the same identity are billed once together.
 type Identity string
 
 // NewIdentity returns the identity with a workspace and an idempotency key.
@@ -36,17 +37,19 @@
 	Attempt  int      `json:"attempt" cbor:"2,keyasint"`
 }
 
-// GrantKey identifies one grant from a budget to one incarnation.
+// GrantKey identifies one grant: money moved from a budget to one incarnation of a router.
 type GrantKey struct {
-	Budget string      `json:"budget" cbor:"1,keyasint"`
-	Payer  Incarnation `json:"payer" cbor:"2,keyasint"`
-	Number int64       `json:"number" cbor:"3,keyasint"`
+	Budget string `json:"budget" cbor:"1,keyasint"`
+	// Payer is the incarnation that got the grant and pays for requests from it.
+	Payer Incarnation `json:"payer" cbor:"2,keyasint"`
+	// Number distinguishes the grants of one payer.
+	Number int64 `json:"number" cbor:"3,keyasint"`
 }
 
-// HoldID identifies a hold. It is unique in the fleet.
+// HoldID identifies a hold: money reserved for the cost of a request. It is unique in the fleet.
 type HoldID string
 
-// Fate is whether a dispatched request ran.
+// Fate is whether an upstream ran a request. A request that was never sent to one has FateNotRun.
 type Fate string
 
 // The fates of a request. FateUnknown must never be treated as FateNotRun.
--- a/rows.go
+++ b/rows.go
@@ -7,7 +7,8 @@
 	"time"
 )
 
-// RowKey identifies a row of the row store. The rows of one part of a table can be changed atomically.
+// RowKey identifies a row of the row store. Part is the name of a partition of the table; rows of one part can be changed
+// atomically together.
 type RowKey struct {
 	Table string
 	Part  string
@@ -45,9 +46,10 @@
 // RowReading is the result of a read, a write or a watch.
 type RowReading struct {
 	Rows []StoredRow
-	// Version is the newest version of the store at that time; after a write, it is the version of the write.
+	// Version is the newest version of the store at that time; after a write, it is the version of the write. After a read of
+	// several pages it is the version at the first page, so that a watch from there misses no change.
 	Version int64
-	// StoreTime is the time of the store's monotonic clock.
+	// StoreTime is the reading of the store's monotonic clock when it answered.
 	StoreTime time.Duration `cbor:"At"`
 }
 
@@ -60,18 +62,20 @@
 	return int64(n)
 }
 
-// WatchRequest is a request for the changes of a table.
+// WatchRequest is a request for the changes of all parts of a table.
 type WatchRequest struct {
 	Table string
 	// Since is the version after which changes are requested.
 	Since int64
 	// MaxWait is the maximum time to wait for the first change.
 	MaxWait time.Duration
-	// MaxBytes is the maximum size of the changes as computed by RowReading.Bytes; zero means no limit.
+	// MaxBytes limits the size of the changes as computed by RowReading.Bytes; zero means no limit. A store may also return
+	// somewhat larger changes.
 	MaxBytes int64
 }
 
-// RowStore is the platform's row store. Its methods fail only with the errors listed for them.
+// RowStore is the platform's row store. Its methods fail with the errors listed for them. Write may also fail with other errors,
+// after which its outcome is unknown.
 type RowStore interface {
 	// Read returns the rows of one part of a table in key order. It fails with UnavailableError.
 	Read(ctx context.Context, table, part string) (RowReading, error)
@@ -79,8 +83,9 @@
 	// does not match, with UnavailableError if nothing was written, and with OutcomeUnknownError if the write may have been
 	// made or may still be made.
 	Write(ctx context.Context, w RowWrite) (RowReading, error)
-	// Watch returns the changes of a table, with all versions of each row. It fails with HistoryLostError if the changes are no
-	// longer stored or exceed MaxBytes, and with UnavailableError.
+	// Watch returns the changes of a table, with all versions of each row. If there are none yet, it waits for the first one, and
+	// returns no rows after f.MaxWait. It fails with HistoryLostError if the changes are no longer stored or exceed MaxBytes, and
+	// with UnavailableError.
 	Watch(ctx context.Context, f WatchRequest) (RowReading, error)
 }
 
@@ -134,7 +139,7 @@
 	ParseAnswer(status int, h http.Header) ServerAnswer
 	// CallerHeaders returns the headers of a server's answer that are forwarded to the caller.
 	CallerHeaders(h http.Header) http.Header
-	// SetRefusal sets the headers of a refusal by the fleet for the caller's attempt. If wait is positive, they tell the caller to
-	// retry after it.
+	// SetRefusal sets the headers of a refusal by the fleet for the caller's attempt. If wait is positive, they tell the caller
+	// to retry after it.
 	SetRefusal(h http.Header, id string, wait time.Duration)
 }
