--- a/follower/beliefs.go
+++ b/follower/beliefs.go
@@ -10,27 +10,27 @@
 )
 
 const (
-	// outageThreshold is how long the store must have been silent for its next answer to end an outage. It is shorter than
+	// outageThreshold is the time without an answer about the servers that counts as an outage of the store. It is shorter than
 	// the time in which registrations of live servers can expire: three heartbeats, sent at least a second apart.
 	outageThreshold = 1500 * time.Millisecond
-	// recoveryGrace is how long registrations that expired during an outage may take to reappear.
+	// recoveryGrace is how long after an outage registrations that expired during it may take to reappear.
 	recoveryGrace = 2 * time.Second
 )
 
 // Snapshot is a router's view of its deployment at one moment; it is immutable.
 type Snapshot struct {
-	// ConfigurationLoaded is set once a configuration has been read, ServersLoaded once the registered servers have been
-	// read.
+	// ConfigurationLoaded is set once a valid configuration has been read, ServersLoaded once the registered servers have been
+	// read in full.
 	ConfigurationLoaded bool
 	ServersLoaded       bool
 	Deployment          masticway.Deployment
-	// Servers holds the servers that may get new work, by pool.
+	// Servers holds the servers that may get new work, by pool. Each pool's servers are sorted by ID.
 	Servers map[string][]masticway.Server
 	// EvacuatedZones lists the availability zones whose servers must get no new work.
 	EvacuatedZones []string
 }
 
-// IsReady reports whether requests can be served.
+// IsReady reports whether the configuration and the servers have been read, so that requests can be served.
 func (b Snapshot) IsReady() bool { return b.ConfigurationLoaded && b.ServersLoaded }
 
 // Incarnations returns the current incarnations of the servers that may get new work.
@@ -49,30 +49,34 @@
 	server  masticway.Server
 	version int64
 	// missingSince is when the row was found missing after an outage, and missingVersion the store version at which it was
-	// missing; both are zero while the row exists.
+	// missing. Both are zero unless the server is in its grace period.
 	missingSince   time.Time
 	missingVersion int64
-	// coldUntil is when the warm-up ends that the server reported with its registration.
+	// coldUntil is when the warm-up that the server reported with its registration ends; it is zero if it reported none.
 	coldUntil time.Time
 }
 
 // Registry derives snapshots from rows; it is not safe for concurrent use.
 type Registry struct {
-	decoder       masticway.DeploymentDecoder
-	deployment    masticway.Deployment
+	decoder    masticway.DeploymentDecoder
+	deployment masticway.Deployment
+	// rowVersion is the version of the configuration's row that was decoded last.
 	rowVersion    int64
 	configured    bool
 	serversLoaded bool
-	entries       map[string]entry
-	removed       map[string]int64
+	// entries holds the registrations by server ID, and removed the store versions at which registrations were removed.
+	entries map[string]entry
+	removed map[string]int64
 	// invalid holds the versions of rows that are not valid registrations, by key.
-	invalid     map[string]int64
+	invalid map[string]int64
+	// lastContact is when the store last answered about the servers, and recoveredAt when the last outage ended.
 	lastContact time.Time
 	recoveredAt time.Time
-	// evacuations holds the row versions of the evacuation orders in force, by zone, and reopenings the orders that ended.
+	// evacuations holds the row versions of the evacuation orders in force, by zone, and reopenings the ends of earlier
+	// orders.
 	evacuations map[string]int64
 	reopenings  map[string]zoneReopening
-	// departures holds the incarnations that announced that they are draining, by server id.
+	// departures holds the incarnations that announced that they are draining, by server ID.
 	departures map[string]departure
 }
 
@@ -84,8 +88,8 @@
 	}
 }
 
-// ApplyConfiguration applies the configuration's row; it ignores a row or a configuration that is older than the current
-// one.
+// ApplyConfiguration applies the configuration's row and reports whether the configuration has changed. It ignores a deleted row,
+// and a row or a configuration that is not newer than the current one. It fails if the row cannot be decoded.
 func (r *Registry) ApplyConfiguration(row masticway.StoredRow) (changed bool, err error) {
 	if row.Deleted || row.Version <= r.rowVersion {
 		return false, nil
@@ -102,7 +106,8 @@
 	return true, nil
 }
 
-// RecordContact records that the store answered about the servers, and reports whether that ends an outage.
+// RecordContact records that the store answered about the servers, and reports whether that ends an outage. If it does, the grace
+// period of expired registrations begins.
 func (r *Registry) RecordContact(now time.Time) (recovered bool) {
 	if !r.lastContact.IsZero() && now.Sub(r.lastContact) > outageThreshold {
 		r.recoveredAt = now
@@ -112,15 +117,15 @@
 	return recovered
 }
 
-// RegistrationError reports a row of the server table that is not a valid registration. It is returned once per row
-// version.
+// RegistrationError reports a row of the server table that is not a valid registration. It is returned once for each version of
+// the row.
 type RegistrationError struct {
 	Key     string
 	Version int64
 	Cause   error
 }
 
-// Error describes the row.
+// Error returns a message with the row's key and version and the cause.
 func (e *RegistrationError) Error() string {
 	return fmt.Sprintf("row %s at version %d is not a valid registration: %v", e.Key, e.Version, e.Cause)
 }
@@ -144,7 +149,9 @@
 	return changed, regErrs
 }
 
-// Replace applies a full read of the server table and removes the servers that are not in it.
+// Replace applies a full read of the server table and removes the servers that are not in it, unless they were registered after
+// it. Like Update, it returns an error for each invalid row. After an outage, a ready server that is missing is kept for the
+// grace period.
 func (r *Registry) Replace(now time.Time, reading masticway.RowReading) (changed bool, regErrs []*RegistrationError) {
 	changed, regErrs = r.Update(now, reading.Rows)
 	present := map[string]bool{}
@@ -170,7 +177,7 @@
 	}
 	s, err := r.decoder.Server(row.Key, row.Value)
 	if err != nil {
-		// The row no longer registers a server that takes work, even if it was another writer that corrupted it.
+		// The row no longer registers a server, even if another writer has corrupted it.
 		r.invalid[row.Key] = row.Version
 		delete(r.entries, row.Key)
 		return ok, &RegistrationError{Key: row.Key, Version: row.Version, Cause: err}
@@ -188,14 +195,15 @@
 	}
 	e := entry{server: s, version: row.Version}
 	if s.RemainingWarmUp > 0 {
-		// The server measured the remaining time before the row arrived here, so it is warm at the latest by then.
+		// The server measured the remaining time before the row arrived here, so it is warm at this time or earlier.
 		e.coldUntil = now.Add(s.RemainingWarmUp)
 	}
 	r.entries[row.Key] = e
 	return !ok || previous.server != s || !previous.missingSince.IsZero(), nil
 }
 
-// remove removes a server. After an outage, a ready server gets the grace period to reappear.
+// remove removes a server and reports whether it did. After an outage, it keeps a ready server for the grace period and only
+// records that its row is missing.
 func (r *Registry) remove(now time.Time, id string, version int64) bool {
 	e, ok := r.entries[id]
 	if !ok || version < e.version {
@@ -213,7 +221,8 @@
 	return true
 }
 
-// Expire removes the servers that did not reappear within the grace period.
+// Expire removes the servers that did not reappear within the grace period, and forgets old departures of unregistered servers.
+// It reports whether it removed a server.
 func (r *Registry) Expire(now time.Time) (changed bool) {
 	if now.Sub(r.recoveredAt) < recoveryGrace {
 		return false
--- a/follower/cold.go
+++ b/follower/cold.go
@@ -12,9 +12,10 @@
 	coldSourceZone         = "zone_back"
 )
 
-// coldUntil returns when a server counts as warm and what that is based on: the server's own registration or, if its zone
-// was reopened after that registration was written, the pool's full warm-up time counted from the reopening. Servers of an
-// evacuated zone may be restarted or lose their caches, and report that only with their next heartbeat.
+// coldUntil returns the time from which a server counts as warm, and the source of that time: the server's own registration or,
+// if its zone was reopened after that registration was written, the pool's full warm-up time counted from the reopening, if that
+// ends later. Servers of an evacuated zone may have been restarted or have lost their caches, and report that only with their
+// next heartbeat.
 func (r *Registry) coldUntil(e entry) (until time.Time, source string) {
 	reopening, ok := r.reopenings[e.server.Zone]
 	if !ok || e.version > reopening.version {
@@ -27,7 +28,8 @@
 	return e.coldUntil, coldSourceRegistration
 }
 
-// reportCold logs the servers that became cold or warm since its last call; the caller holds the lock.
+// reportCold logs the servers that became cold or warm since its last call, and updates the metric of cold servers. The caller
+// must hold f.mu.
 func (f *Follower) reportCold(now time.Time) {
 	for id, e := range f.registry.entries {
 		until, source := f.registry.coldUntil(e)
--- a/follower/departures.go
+++ b/follower/departures.go
@@ -8,7 +8,8 @@
 	"github.com/masticway/masticway"
 )
 
-// departureTTL is how long a departure is remembered after the server's row is gone, because the row may reappear late.
+// departureTTL is how long after its announcement the departure of a server without a row is remembered at least, because the row
+// may reappear late.
 const departureTTL = time.Hour
 
 // departure records that one incarnation of a server announced that it is draining.
@@ -17,9 +18,9 @@
 	at          time.Time
 }
 
-// MarkDraining records that an incarnation of a server announced that it is draining, and reports whether that takes the
-// server out of use now. If the server has no row, its registration may only have expired, so the departure also applies
-// when the row reappears. An incarnation other than the registered one has already ended and is ignored.
+// MarkDraining records that an incarnation of a server announced that it is draining, and reports whether that makes the
+// registered server draining. If the server has no row, its registration may only have expired, so the departure is recorded for
+// the case that the row reappears. An incarnation other than the registered one has already ended and is ignored.
 func (r *Registry) MarkDraining(now time.Time, id string, incarnation masticway.ServerIncarnation) bool {
 	e, registered := r.entries[id]
 	if registered && e.server.Incarnation() != incarnation {
@@ -34,8 +35,8 @@
 	return true
 }
 
-// isDeparted reports whether the registered incarnation has announced that it is draining. The next incarnation with the
-// same id takes new work again.
+// isDeparted reports whether an incarnation of a server has announced that it is draining. It forgets the announcement of another
+// incarnation with the same ID, because a new incarnation takes new work again.
 func (r *Registry) isDeparted(s masticway.Server) bool {
 	d, ok := r.departures[s.ID]
 	if ok && d.incarnation != s.Incarnation() {
@@ -45,7 +46,7 @@
 	return ok
 }
 
-// pruneDepartures forgets unregistered servers that departed more than departureTTL ago.
+// pruneDepartures forgets the departures of unregistered servers that are older than departureTTL.
 func (r *Registry) pruneDepartures(now time.Time) {
 	for id, d := range r.departures {
 		if _, registered := r.entries[id]; !registered && now.Sub(d.at) > departureTTL {
@@ -54,9 +55,9 @@
 	}
 }
 
-// MarkDraining records that a server announced in an answer that its current incarnation takes no new work. This applies at once,
-// even if the store is unreachable or does not have that information yet, and holds whatever the store later says about
-// that incarnation.
+// MarkDraining records that a server announced in an answer that this incarnation takes no new work. This applies at once, even
+// if the store is unreachable or does not have that information yet, and holds whatever the store later reports about that
+// incarnation.
 func (f *Follower) MarkDraining(s masticway.Server) {
 	f.update(func(now time.Time) bool {
 		if !f.registry.MarkDraining(now, s.ID, s.Incarnation()) {
--- a/follower/evacuations.go
+++ b/follower/evacuations.go
@@ -15,8 +15,9 @@
 	version int64
 }
 
-// UpdateEvacuations applies rows of the operator's table, or all of them if the read is full. It returns the zones that
-// were evacuated and those that were reopened.
+// UpdateEvacuations applies the evacuation orders among rows of the operator's table. If the read is full, it also ends the
+// orders that are not in it. It returns the zones that became evacuated and those that were reopened by that. A zone can be in
+// both.
 func (r *Registry) UpdateEvacuations(now time.Time, full bool, reading masticway.RowReading) (evacuated, reopened []string) {
 	present := map[string]bool{}
 	for _, row := range reading.Rows {
@@ -55,13 +56,13 @@
 	return evacuated, reopened
 }
 
-// reopenZone ends a zone's evacuation order, if there is one, and records when.
+// reopenZone ends a zone's evacuation order, if there is one, and records the time and the store version.
 func (r *Registry) reopenZone(now time.Time, zone string, version int64) {
 	delete(r.evacuations, zone)
 	r.reopenings[zone] = zoneReopening{at: now, version: version}
 }
 
-// applyEvacuations applies the operator's evacuation orders and logs what they change.
+// applyEvacuations applies the evacuation orders in a read of the operator's table and logs the zones that they change.
 func (f *Follower) applyEvacuations(full bool, reading masticway.RowReading) {
 	f.update(func(now time.Time) bool {
 		evacuated, reopened := f.registry.UpdateEvacuations(now, full, reading)
--- a/follower/follower.go
+++ b/follower/follower.go
@@ -13,17 +13,18 @@
 )
 
 const (
-	// maxWatchWait is how long one watch call may wait for changes, and so how long a dead connection can go unnoticed.
+	// maxWatchWait is how long a watch call for the configuration or the servers may wait for changes. A dead connection is
+	// noticed after that time and the timeout of the call.
 	maxWatchWait = 900 * time.Millisecond
-	// serverPollInterval separates two calls for the servers, whose rows change with every heartbeat.
+	// serverPollInterval is the pause between two calls for the servers, whose rows change with every heartbeat.
 	serverPollInterval = 150 * time.Millisecond
-	// configurationPollInterval separates two calls for the configuration.
+	// configurationPollInterval is the pause between two calls for the configuration, and for the tables of AddTable.
 	configurationPollInterval = 20 * time.Millisecond
-	// retryInterval separates attempts while the store is unreachable.
+	// retryInterval is the pause after a call that failed.
 	retryInterval = 120 * time.Millisecond
-	// fallbackInterval separates reads with the long timeout while those with the usual timeout fail.
+	// fallbackInterval is the pause between two reads with the long timeout while those with the usual timeout fail.
 	fallbackInterval = 400 * time.Millisecond
-	// expireInterval is how often expired servers are removed.
+	// expireInterval is the pause between two removals of expired servers.
 	expireInterval = 100 * time.Millisecond
 )
 
@@ -48,13 +49,13 @@
 	clock    masticway.Clock
 	log      *logrus.Entry
 	metrics  *measurer.Set
-	// onChange is called with each new snapshot.
+	// onChange is called with each new snapshot while mu is held.
 	onChange func(Snapshot)
 
 	mu       sync.Mutex
 	registry *Registry
 	snapshot atomic.Pointer[Snapshot]
-	// reportedCold holds the servers that were logged as cold, with the time of the log line.
+	// reportedCold holds the times at which servers were logged as cold, by server ID, until they are logged as warm.
 	reportedCold map[string]time.Time
 	// tables are the tables that are watched for other parts of the router.
 	tables []Table
@@ -63,19 +64,20 @@
 // Table describes one part of a table of the store that is watched for another part of the router.
 type Table struct {
 	Name, Part string
-	// MaxWait is how long one watch call may wait for changes, RelistInterval the minimum time between full reads.
+	// MaxWait is how long one watch call may wait for changes. RelistInterval is the usual time between full reads, which is
+	// longer for large tables and shorter if changes are lost.
 	MaxWait, RelistInterval time.Duration
-	// Apply is called with each read result; a full one holds all rows of the table.
+	// Apply is called with each read result. A full one holds all rows of the part; another holds changes of the whole table.
 	Apply func(full bool, reading masticway.RowReading)
 }
 
 // AddTable adds a table to watch; it must be called before Run.
 func (f *Follower) AddTable(t Table) { f.tables = append(f.tables, t) }
 
-// New returns a follower that calls onChange, from one goroutine at a time, whenever the snapshot changes. The fallback is
-// the same store with a longer timeout. It is needed when a router's link is so congested that calls exceed the usual
-// timeout, which is as long as money operations can wait: configuration changes must still take effect in time, and
-// draining servers must still be avoided.
+// New returns a follower that calls onChange, from one goroutine at a time, whenever the snapshot changes. onChange must not call
+// MarkDraining. The fallback is the same store with a longer timeout. It is needed when a router's link is so congested that
+// calls exceed the usual timeout, which is no longer than money operations can wait. Configuration changes must still take effect
+// in time, and draining servers must still be avoided then.
 func New(store, fallback masticway.RowStore, d masticway.DeploymentDecoder, clock masticway.Clock, log *logrus.Entry, metrics *measurer.Set, onChange func(Snapshot)) *Follower {
 	f := &Follower{store: store, fallback: fallback, decoder: d, clock: clock, log: log, metrics: metrics, onChange: onChange, registry: NewRegistry(d), reportedCold: map[string]time.Time{}}
 	f.snapshot.Store(&Snapshot{})
@@ -97,7 +99,7 @@
 			f.applyConfiguration(key, reading)
 		},
 	}
-	// Registrations expire while the store is unreachable, so a row that is missing after an outage is removed.
+	// Registrations can expire while the store is unreachable, so this table is read in full after an outage.
 	servers := &tableWatcher{Follower: f, table: f.decoder.ServerTable(), interval: serverPollInterval, maxWait: maxWatchWait, relistInterval: relistInterval, rowsExpire: true, apply: f.applyServers}
 	watchers := []*tableWatcher{configuration, servers}
 	for _, t := range f.tables {
@@ -126,7 +128,7 @@
 	}
 }
 
-// update changes the registry and publishes the resulting snapshot.
+// update calls change with f.mu held, to change the registry. If change returns true, it publishes the resulting snapshot.
 func (f *Follower) update(change func(now time.Time) bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/follower/mirror.go
+++ b/follower/mirror.go
@@ -13,40 +13,43 @@
 )
 
 const (
-	// relistInterval is the minimum time between full reads of a table, which correct for changes that the watch missed.
+	// relistInterval is the usual time between full reads of the configuration and of the servers, which correct for changes that
+	// the watch missed.
 	relistInterval = 2500 * time.Millisecond
-	// maxRelistRate bounds the bandwidth that full reads take on a router's link, in bytes per second: half of the 8 KB per
-	// second allowed for control traffic at the target fleet size. Reading a configuration of 0.8 MB every 2.5 s took a
-	// third of a 10 Mbit/s link from callers, and reads that timed out and restarted took all of it.
+	// maxRelistRate bounds the bandwidth that regular full reads of a table take on a router's link, in bytes per second: half of
+	// the 8 KB per second allowed for control traffic at the target fleet size. Reading a configuration of 0.8 MB every 2.5 s
+	// took a third of a 10 Mbit/s link from callers, and reads that timed out and restarted took all of it.
 	maxRelistRate = 4 << 10
-	// maxWatchBytes is the largest set of changes that is read as changes, 16 KB, enough for some tens of servers. Changes
-	// contain every version of a row: a router that was four versions of a 0.3 MB configuration behind took 3 s to read
-	// them on a link of 10 Mbit/s, and further versions were written meanwhile. A full read returns only the newest
+	// maxWatchBytes is the approximate size of the largest set of changes that is read as changes, 16 KB, enough for some tens of
+	// servers. Changes contain every version of a row: a router that was four versions of a 0.3 MB configuration behind took 3 s
+	// to read them on a link of 10 Mbit/s, and further versions were written meanwhile. A full read returns only the newest
 	// version, so after at most two of them the router is up to date.
 	maxWatchBytes = 16 << 10
 )
 
-// tableWatcher keeps up with one table of the store: it reads the table in full and then its changes.
+// tableWatcher keeps up with one part of a table of the store: it reads the part in full and then the table's changes.
 type tableWatcher struct {
 	*Follower
 	table, part string
-	// interval separates two calls, maxWait is how long one call may wait for changes, and relistInterval the minimum time
-	// between full reads.
+	// interval is the pause between two calls, maxWait is how long one call may wait for changes, and relistInterval is the usual
+	// time between full reads.
 	interval, maxWait, relistInterval time.Duration
-	// rowsExpire is set if rows vanish while the store is unreachable, so that the table is read in full after an outage.
+	// rowsExpire is set if rows can expire while the store is unreachable, so that the table is read in full after an outage.
 	rowsExpire bool
-	// apply is called with each read result; a full one holds all rows of the table.
+	// apply is called with each read result. A full one holds all rows of the part; another holds changes of the whole table.
 	apply func(full bool, reading masticway.RowReading)
 
-	// failing is set while reads with the usual timeout fail.
+	// failing is set when a read with the usual timeout fails, until one succeeds.
 	failing atomic.Bool
 	// gate lets only one large response arrive at a time.
 	gate readGate
 
 	mu sync.Mutex
-	// version is the store version up to which changes have been applied, or zero before the first read.
+	// version is the store version up to which changes have been applied. It is zero before the first read, and after changes
+	// have been lost until the next full read.
 	version int64
-	// listedAt is the time of the last full read, and size its size in bytes.
+	// listedAt is the time of the last full read, and size its size in bytes. After failures, listedAt is moved to make the next
+	// full read due earlier or later (see handleFailure).
 	listedAt time.Time
 	size     int64
 }
@@ -65,7 +68,7 @@
 	}
 }
 
-// runFallback reads with the longer timeout while reads with the usual timeout fail.
+// runFallback reads with the longer timeout while reads with the usual timeout fail, until the context ends.
 func (m *tableWatcher) runFallback(ctx context.Context) {
 	for ctx.Err() == nil {
 		m.sleep(ctx, fallbackInterval)
@@ -92,7 +95,8 @@
 	return m.version == 0 || m.clock.Now().Sub(m.listedAt) > interval
 }
 
-// read waits for the gate, then reads the table in full if that is due, or else its next changes, and applies the result.
+// read waits for the gate, then reads the table in full if that is due, or else its next changes, and applies the result. The
+// result full is set if it tried a full read.
 func (m *tableWatcher) read(ctx context.Context, store masticway.RowStore, isRelistDue func() bool) (full bool, err error) {
 	ctx, end := m.gate.begin(ctx, m.sleep)
 	defer end()
@@ -117,8 +121,8 @@
 	return full, nil
 }
 
-// accept applies a read result. It drops a full read that is older than the changes applied since that read began, because
-// rows missing from it or present in it may have changed meanwhile.
+// accept applies a read result. It drops a full read that is older than changes that have been applied already, because rows
+// missing from it or present in it may have changed meanwhile.
 func (m *tableWatcher) accept(full bool, reading masticway.RowReading) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -132,7 +136,7 @@
 	}
 }
 
-// restart makes the next read a full one, unless another read has advanced the version meanwhile.
+// restart makes the next read a full one, unless another read has changed the version meanwhile.
 func (m *tableWatcher) restart(historyLost *masticway.HistoryLostError) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -142,10 +146,10 @@
 	m.log.WithFields(logrus.Fields{"event": "history_lost", "table": m.table, "since": historyLost.Since, "large": historyLost.TooLarge}).Info("reading the table in full")
 }
 
-// handleFailure records a failed read and waits until the next attempt.
+// handleFailure records a failed read and waits for retryInterval. It returns at once if the error does not mean that the store
+// is unreachable.
 func (m *tableWatcher) handleFailure(ctx context.Context, full bool, err error) {
 	if _, historyLost := errors.AsType[*masticway.HistoryLostError](err); historyLost || errors.Is(err, errSuperseded) {
-		// Neither error means that the store is unreachable.
 		return
 	}
 	if !m.failing.Swap(true) {
--- a/follower/mirror_test.go
+++ b/follower/mirror_test.go
@@ -80,7 +80,7 @@
 	rows.SetFaults(emulator.RowFaults{})
 	eventually(t, f, "after an outage", func(b follower.Snapshot) bool { return b.Deployment.Version == 2 })
 	time.Sleep(3 * time.Second)
-	// Once per version: a change of this size is read from the table itself.
+	// The table is read in full once per version, because changes of this size are not read as changes.
 	qt.Check(t, store.count("operator"), qt.Equals, 2)
 	qt.Check(t, store.count("upstreams") >= 2, qt.IsTrue, qt.Commentf("registrations were read in full %d times", store.count("upstreams")))
 
--- a/follower/turns.go
+++ b/follower/turns.go
@@ -15,19 +15,20 @@
 // errSuperseded cancels a read because the response to another read of the same table is already arriving.
 var errSuperseded = errors.New("another read of the table is already arriving")
 
-// readGate lets the response to only one read of a table arrive at a time. On a congested link, the read with the usual
-// timeout and the fallback read would otherwise each get half of the bandwidth for the same rows.
+// readGate lets only one response of more than 16 KB to the reads of a table arrive at a time. On a congested link, the read with
+// the usual timeout and the fallback read would otherwise each get half of the bandwidth for the same rows.
 type readGate struct {
 	mu sync.Mutex
-	// cancels holds the cancel functions of the active reads by id; receiving is the id of the read of whose response more
-	// than 16 KB has arrived (see receiver.WithProgress), or zero.
-	cancels   map[int]context.CancelCauseFunc
-	lastID    int
+	// cancels holds the cancel functions of the active reads, by read ID. lastID is the last read ID that was assigned.
+	cancels map[int]context.CancelCauseFunc
+	lastID  int
+	// receiving is the ID of the read that has the gate, because its response of more than 16 KB is arriving (see
+	// receiver.WithProgress). It is zero if the gate is free.
 	receiving int
 }
 
-// begin waits, by calling sleep, until no response is arriving. It returns the context of a new read and the function that
-// ends it.
+// begin waits, by calling sleep, until the gate is free or ctx ends. It returns the context of a new read and the function that
+// must be called when the read has ended.
 func (t *readGate) begin(ctx context.Context, sleep func(ctx context.Context, d time.Duration)) (context.Context, func()) {
 	for ctx.Err() == nil && t.isReceiving() {
 		sleep(ctx, gatePollInterval)
