--- a/tracker/subset.go
+++ b/tracker/subset.go
@@ -9,8 +9,8 @@
 	"github.com/masticway/masticway"
 )
 
-// otherZonesDivisor is the inverse of the share of a router's links that goes to other availability zones, so that the
-// router can still serve if its own zone has lost every upstream of a pool.
+// otherZonesDivisor is the inverse of the minimum share of a router's links for a pool that goes to other availability zones, so
+// that the router can still serve if its own zone has lost every upstream of the pool.
 const otherZonesDivisor = 4
 
 // Pools returns the names of the pools of the models and services that an instance offers.
@@ -31,10 +31,11 @@
 // ServicePool returns the name of a plain service's pool.
 func ServicePool(name string) string { return "service:" + name }
 
-// Subset chooses the sidecars that a router links to: at most perPool for each model and service.
+// Subset chooses the sidecars that a router links to, among those listed as live: perPool for each pool, or all if there are
+// fewer. It returns them by instance ID.
 //
-// The choice is by rendezvous hashing, so that the routers spread over all sidecars and the loss of one sidecar changes the
-// choice by at most one.
+// The choice is by rendezvous hashing, so that the routers spread over all sidecars and the loss of one sidecar replaces at most
+// one choice for each pool.
 func Subset(list []masticway.Instance, router, zone string, perPool int) map[string]masticway.Instance {
 	byPool := map[string][]masticway.Instance{}
 	for _, i := range list {
--- a/tracker/tracker.go
+++ b/tracker/tracker.go
@@ -29,8 +29,8 @@
 )
 
 const (
-	// flapPenalty is added each time a link is lost and decays exponentially. While the sum is above flapLimit, the
-	// upstream gets no new work.
+	// flapPenalty is added to an upstream's penalty each time its link is lost. The penalty halves in each flapHalfLife. While it
+	// is above flapLimit, the upstream gets no new work.
 	flapPenalty  = 1.0
 	flapLimit    = 2.5
 	flapHalfLife = 5 * time.Second
@@ -68,7 +68,8 @@
 	return &Tracker{settings: s, chart: charter.MustLoad(charter.Upstream), entries: map[string]*entry{}}
 }
 
-// UpdateInstances applies a read of the instance list and returns the instances that were added.
+// UpdateInstances applies the sidecars in a read of the instance list and returns those that were added. Instances that are
+// missing from the list are kept.
 func (t *Tracker) UpdateInstances(list []masticway.Instance) []masticway.Instance {
 	var added []masticway.Instance
 	for _, i := range list {
@@ -103,7 +104,8 @@
 	}
 }
 
-// LinkUp records that a link is established. A new incarnation on an instance starts in the initial state.
+// LinkUp records that a link to an incarnation of a sidecar is established. A new incarnation on an instance first returns to the
+// initial state, unless the instance has ended.
 func (t *Tracker) LinkUp(now time.Time, instance string, inc masticway.Incarnation) {
 	e, ok := t.entries[instance]
 	if !ok {
@@ -132,7 +134,7 @@
 	return e.penalty * math.Exp2(-now.Sub(e.penaltyAt).Seconds()/flapHalfLife.Seconds())
 }
 
-// ObserveMessage records a message from the upstream's sidecar.
+// ObserveMessage records a message from the upstream's sidecar, which ends a silence.
 func (t *Tracker) ObserveMessage(now time.Time, instance string) {
 	e, ok := t.entries[instance]
 	if !ok {
@@ -142,14 +144,14 @@
 	t.step(e, eventMessage)
 }
 
-// MarkLeaving records that the sidecar announced that it is shutting down.
+// MarkLeaving records that the sidecar on an instance announced that it is shutting down.
 func (t *Tracker) MarkLeaving(instance string) {
 	if e, ok := t.entries[instance]; ok {
 		t.step(e, eventLeaving)
 	}
 }
 
-// Tick marks silent upstreams, and forgets ended ones a minute after their last message.
+// Tick marks silent upstreams, and forgets ended ones whose last message is over a minute old.
 func (t *Tracker) Tick(now time.Time) {
 	for id, e := range t.entries {
 		if now.Sub(e.view.LastMessageAt) > t.settings.SilenceTimeout {
@@ -161,7 +163,7 @@
 	}
 }
 
-// Usable returns the upstreams that may get new work, ordered by instance id.
+// Usable returns the upstreams that may get new work, sorted by instance ID.
 func (t *Tracker) Usable(now time.Time) []Upstream {
 	var usable []Upstream
 	for _, e := range t.entries {
@@ -173,7 +175,7 @@
 	return usable
 }
 
-// All returns every known upstream, ordered by instance id.
+// All returns every known upstream, sorted by instance ID.
 func (t *Tracker) All() []Upstream {
 	all := make([]Upstream, 0, len(t.entries))
 	for _, e := range t.entries {
@@ -185,13 +187,14 @@
 
 func compareByInstance(a, b Upstream) int { return strings.Compare(a.Instance.ID, b.Instance.ID) }
 
-// HasEnded reports whether the platform has declared an instance ended.
+// HasEnded reports whether the instance list has reported an instance as ended. It returns false once Tick has forgotten the
+// instance.
 func (t *Tracker) HasEnded(instance string) bool {
 	e, ok := t.entries[instance]
 	return ok && e.view.State == stateGone
 }
 
-// String describes an upstream for logs.
+// String returns the upstream's instance and state for logs.
 func (u Upstream) String() string {
 	return fmt.Sprintf("%s(%s)", u.Instance.ID, u.State)
 }
