--- a/connector/client.go
+++ b/connector/client.go
@@ -21,7 +21,7 @@
 // DialFunc opens a connection to an address.
 type DialFunc func(ctx context.Context, network, address string) (net.Conn, error)
 
-// NewHTTPClient returns a client that dials with dial and keeps idle connections.
+// NewHTTPClient returns a client that dials with dial, or directly if dial is nil, and keeps idle connections for reuse.
 func NewHTTPClient(dial DialFunc) *http.Client {
 	if dial == nil {
 		dial = (&net.Dialer{}).DialContext
@@ -80,13 +80,13 @@
 	return true, nil
 }
 
-// isDialError reports whether no connection was established, so that nothing was sent.
+// isDialError reports whether an error is that of a failed dial, so that nothing was sent.
 func isDialError(err error) bool {
 	op, ok := errors.AsType[*net.OpError](err)
 	return ok && op.Op == "dial"
 }
 
-// Platform is a client of the platform's table, object store and instance list.
+// Platform is a client of the platform's table and instance list. Objects returns one of its object store.
 type Platform struct {
 	base    string
 	client  *http.Client
@@ -99,7 +99,7 @@
 	_ masticway.InstanceList = Platform{}
 )
 
-// NewPlatform returns a client of the platform at a base URL; the answer to each call must begin within timeout.
+// NewPlatform returns a client of the platform at a base URL. A call fails if its answer does not begin within timeout.
 func NewPlatform(base string, client *http.Client, timeout time.Duration) Platform {
 	return Platform{base: base, client: client, timeout: timeout}
 }
@@ -109,7 +109,7 @@
 	return postJSON(ctx, p.client, p.base+path, limits, body, answer)
 }
 
-// Get reads a row.
+// Get reads a row. It returns a row with version zero if the key is absent.
 func (p Platform) Get(ctx context.Context, key string) (masticway.Row, error) {
 	var row masticway.Row
 	_, err := p.call(ctx, "/table/get", struct {
@@ -133,7 +133,7 @@
 	return rows, nil
 }
 
-// Commit commits a transaction.
+// Commit commits a transaction. It fails with the errors that masticway.Table lists.
 func (p Platform) Commit(ctx context.Context, tx masticway.Transaction) error {
 	sent, err := p.call(ctx, "/table/commit", tx, nil)
 	if err == nil {
@@ -155,7 +155,7 @@
 	return &masticway.OutcomeUnknownError{Service: "table", ID: tx.ID, Reason: err.Error()}
 }
 
-// Instances reads the instance list, unless it still has the known version.
+// Instances reads the instance list. If the list still has the known version, the reading has Unchanged set and no instances.
 func (p Platform) Instances(ctx context.Context, known string) (masticway.InstanceReading, error) {
 	var reading masticway.InstanceReading
 	_, err := p.call(ctx, "/instances/list", struct {
@@ -175,7 +175,7 @@
 	platform Platform
 }
 
-// Put writes an object.
+// Put writes an object. Every error is an OutcomeUnknownError, after which the object may have been written.
 func (o Objects) Put(ctx context.Context, name string, data []byte) error {
 	_, err := o.platform.call(ctx, "/objects/put", struct {
 		Name string `json:"name"`
--- a/connector/upstream.go
+++ b/connector/upstream.go
@@ -22,15 +22,15 @@
 const (
 	// lineLimit is the longest line of an event stream, in bytes.
 	lineLimit = 1 << 20
-	// unbounded is longer than any process runs: an order may take as long as loading a model does.
-	unbounded = 100 * 365 * 24 * time.Hour
+	// noTimeout is longer than any process runs. It is for calls such as orders, which may take as long as loading a model.
+	noTimeout = 100 * 365 * 24 * time.Hour
 	// probeTimeout bounds the connection attempt that checks, after a run broke off, whether the upstream next to this
 	// sidecar still listens.
 	probeTimeout = 100 * time.Millisecond
 )
 
-// noTimeouts are the limits of calls that only the caller's context bounds.
-var noTimeouts = receiver.Limits{HeaderTimeout: unbounded, IdleTimeout: unbounded, MaxBytes: bodyLimit}
+// noTimeouts are the limits of calls whose duration only the caller's context bounds.
+var noTimeouts = receiver.Limits{HeaderTimeout: noTimeout, IdleTimeout: noTimeout, MaxBytes: bodyLimit}
 
 // Upstream is a client of a model engine or a plain service over HTTP.
 type Upstream struct {
@@ -41,13 +41,14 @@
 	address string
 	// noRetry sends service calls, which must never be sent twice.
 	noRetry *http.Client
-	// idleTimeout is the longest time between two pieces of an answer; the total time is not bounded.
+	// idleTimeout is the longest time until the first piece of a run's answer and between two pieces; the total time is not
+	// bounded.
 	idleTimeout time.Duration
 }
 
 var _ masticway.Upstream = Upstream{}
 
-// NewUpstream returns a client of the upstream at a base URL.
+// NewUpstream returns a client of the upstream at a base URL. A run fails if the upstream sends nothing for idleTimeout.
 func NewUpstream(base string, dial DialFunc, idleTimeout time.Duration) Upstream {
 	u := Upstream{base: base, client: NewHTTPClient(dial), noRetry: NewNoRetryHTTPClient(dial), dial: dial, idleTimeout: idleTimeout}
 	if u.dial == nil {
@@ -60,7 +61,8 @@
 	return u
 }
 
-// Run performs a call and passes the answer to the sink.
+// Run performs a call and passes the answer to the sink. If a run fails that may have started, it checks whether the upstream
+// still listens.
 func (u Upstream) Run(ctx context.Context, c masticway.Call, s masticway.Sink) (masticway.Outcome, error) {
 	run := u.runModel
 	if c.Service != "" {
@@ -73,7 +75,7 @@
 	return outcome, err
 }
 
-// refusesConnections reports whether nothing listens at the upstream's address.
+// refusesConnections dials the upstream's address and reports whether the connection is refused, because nothing listens there.
 func (u Upstream) refusesConnections(ctx context.Context) bool {
 	ctx, cancel := context.WithTimeout(ctx, probeTimeout)
 	defer cancel()
@@ -84,8 +86,8 @@
 	return errors.Is(err, syscall.ECONNREFUSED)
 }
 
-// withIdleTimeout returns a context that is canceled if the upstream is silent for too long. Each call of reset restarts
-// the timeout; stop ends it.
+// withIdleTimeout returns a context that is canceled if the upstream is silent for too long. Each call of reset restarts the
+// timeout. stop ends it and cancels the context.
 func (u Upstream) withIdleTimeout(ctx context.Context) (watched context.Context, reset func(), stop func()) {
 	watched, cancel := context.WithCancelCause(ctx)
 	timer := time.AfterFunc(u.idleTimeout, func() {
