--- a/configurer/snapshot.go
+++ b/configurer/snapshot.go
@@ -27,7 +27,7 @@
 	return c, ok
 }
 
-// ContractByKeyHash returns the contract of the workspace that holds a caller key, and whether there is one.
+// ContractByKeyHash returns the contract that contains the hash of a caller key, and whether there is one.
 func (s Snapshot) ContractByKeyHash(hash string) (masticway.Contract, bool) {
 	workspace, ok := s.byKey[hash]
 	if !ok {
@@ -36,7 +36,7 @@
 	return s.Contract(workspace)
 }
 
-// Contracts returns all contracts, ordered by workspace.
+// Contracts returns all contracts, sorted by workspace.
 func (s Snapshot) Contracts() []masticway.Contract {
 	list := make([]masticway.Contract, 0, len(s.contracts))
 	for _, w := range slices.Sorted(maps.Keys(s.contracts)) {
@@ -45,7 +45,7 @@
 	return list
 }
 
-// With returns the snapshot after a change, which must be of the next revision.
+// With returns the snapshot after a change, which must have the next revision. It does not modify s.
 func (s Snapshot) With(c masticway.Change) Snapshot {
 	next := Snapshot{revision: c.Revision, catalog: s.catalog, contracts: s.contracts, byKey: s.byKey}
 	if c.Catalog != nil {
@@ -104,7 +104,7 @@
 	return s
 }
 
-// maxRecentChanges bounds the applied changes kept for peers that are behind.
+// maxRecentChanges is the maximum number of applied changes that are kept for peers that are behind.
 const maxRecentChanges = 64
 
 // State applies changes in order; it is not safe for concurrent use.
@@ -117,10 +117,11 @@
 // Snapshot returns the newest applied configuration.
 func (s *State) Snapshot() Snapshot { return s.snapshot }
 
-// IsReady reports whether a configuration has been loaded.
+// IsReady reports whether a complete configuration has been loaded.
 func (s *State) IsReady() bool { return s.ready }
 
-// Load replaces the whole configuration and reports whether it did; it ignores one that is not newer than the current one.
+// Load replaces the whole configuration and reports whether it did. It ignores one that is not newer than a configuration loaded
+// before.
 func (s *State) Load(f Configuration) bool {
 	if s.ready && f.Revision <= s.snapshot.revision {
 		return false
@@ -131,7 +132,8 @@
 	return true
 }
 
-// Apply applies changes, given in any order, and returns those it applied; gap reports whether earlier ones are missing.
+// Apply applies changes, given in any order, and returns those that it applied. The result gap is set if newer changes were not
+// applied because earlier ones are missing or no configuration has been loaded.
 func (s *State) Apply(changes []masticway.Change) (applied []masticway.Change, gap bool) {
 	ordered := slices.Clone(changes)
 	slices.SortFunc(ordered, func(a, b masticway.Change) int { return int(a.Revision - b.Revision) })
@@ -152,7 +154,7 @@
 	return applied, false
 }
 
-// ChangesAfter returns the recent changes after a revision, as far as they are still kept.
+// ChangesAfter returns the changes after a revision, as far as they are still kept: the first ones may be missing.
 func (s *State) ChangesAfter(r masticway.Revision) []masticway.Change {
 	i := slices.IndexFunc(s.recent, func(c masticway.Change) bool { return c.Revision > r })
 	if i < 0 {
--- a/configurer/store.go
+++ b/configurer/store.go
@@ -19,7 +19,7 @@
 	prefixID       = "config/id/"
 )
 
-// maxAttempts bounds the attempts at one change while other operators commit theirs.
+// maxAttempts is the maximum number of attempts at one change while other changes are committed or outcomes are unknown.
 const maxAttempts = 20
 
 // Store reads and changes the configuration in the table.
@@ -30,10 +30,12 @@
 // NewStore returns a store that uses the platform's table.
 func NewStore(t masticway.Table) *Store { return &Store{table: t} }
 
+// head is the row with the newest accepted revision.
 type head struct {
 	Revision masticway.Revision `json:"revision"`
 }
 
+// stored is a contract or the catalog, with the revision of its last change.
 type stored[T any] struct {
 	Revision masticway.Revision `json:"revision"`
 	Value    T                  `json:"value"`
@@ -43,11 +45,11 @@
 type RevisionConflictError struct {
 	Expected masticway.Revision
 	Current  masticway.Revision
-	// Contract is the current contract, if the change is to an existing one.
+	// Contract is the current contract if the change is to a contract that exists.
 	Contract *masticway.Contract
 }
 
-// Error describes both revisions.
+// Error returns a message with both revisions.
 func (e *RevisionConflictError) Error() string {
 	return fmt.Sprintf("based on revision %d, but revision %d stands", e.Expected, e.Current)
 }
@@ -76,8 +78,8 @@
 	eventAppliedEverywhere charter.Event = "everywhere"
 )
 
-// ChangeState returns the state of a change in the change state chart, given the error of Put and whether all daemons apply
-// the change.
+// ChangeState returns the state of a change in the change state chart, given the error of Put and whether all daemons apply the
+// change. The error must be nil, a RevisionConflictError or an OutcomeUnknownError: any other counts as success.
 func ChangeState(err error, appliedEverywhere bool) charter.State {
 	event := eventCommitted
 	if _, ok := errors.AsType[*RevisionConflictError](err); ok {
@@ -102,14 +104,15 @@
 	return h.Revision, err
 }
 
-// AnyRevision as the base of a change skips the check for conflicts.
+// AnyRevision as the base of a change skips the check whether its contract or the catalog has changed.
 const AnyRevision masticway.Revision = -1
 
-// Put commits a change that is based on the last revision of its contract or of the catalog. Changes with the same id are
-// accepted only once.
+// Put commits a change to a contract or to the catalog, unless that has changed since the revision base. Changes with the same ID
+// are accepted only once: if one has been accepted before, Put returns that one.
 //
-// It fails with RevisionConflictError if the contract or catalog has changed since, and with OutcomeUnknownError if the
-// table's answer was lost and the outcome cannot be read back. ChangeState maps the error to the state of the change.
+// It fails with RevisionConflictError if the contract or catalog has changed since base, with UnavailableError if the table is
+// unavailable, and with OutcomeUnknownError if the table's answer was lost and the outcome cannot be read back. After maxAttempts
+// it fails with the error of the last one.
 func (s *Store) Put(ctx context.Context, c masticway.Change, base masticway.Revision) (masticway.Change, error) {
 	var lastErr error
 	for range maxAttempts {
@@ -134,6 +137,7 @@
 	return c, fmt.Errorf("changing the configuration, %d tries: %w", maxAttempts, lastErr)
 }
 
+// readBackError returns the error of Put after err. A commit before it with an unknown outcome makes the outcome of Put unknown.
 func readBackError(commitErr, err error, id string) error {
 	if _, ok := errors.AsType[*masticway.OutcomeUnknownError](commitErr); ok {
 		return &masticway.OutcomeUnknownError{Service: "table", ID: id, Reason: err.Error()}
@@ -141,6 +145,8 @@
 	return err
 }
 
+// prepareTransaction returns the transaction that commits a change, and the change with its revision. If a change with the same
+// ID has been accepted already, it returns that one instead.
 func (s *Store) prepareTransaction(ctx context.Context, c masticway.Change, base masticway.Revision) (alreadyAccepted bool, tx masticway.Transaction, next masticway.Change, err error) {
 	idKey := prefixID + c.ID
 	accepted, idVersion, err := read[masticway.Change](ctx, s.table, idKey)
@@ -223,8 +229,8 @@
 	return c.Value, c.Revision, err
 }
 
-// Configuration reads the complete configuration. It reads the head revision first, so that the result may contain later changes but
-// misses none.
+// Configuration reads the complete configuration. It reads the head revision first, so the result may contain changes after its
+// revision but misses none up to it.
 func (s *Store) Configuration(ctx context.Context) (Configuration, error) {
 	revision, err := s.Head(ctx)
 	if err != nil {
@@ -258,7 +264,8 @@
 	return c, err
 }
 
-// Changes reads the accepted changes of a range of revisions, both ends included.
+// Changes reads the accepted changes of a range of revisions, both ends included. If one cannot be read, it returns those before
+// it and an error.
 func (s *Store) Changes(ctx context.Context, from, to masticway.Revision) ([]masticway.Change, error) {
 	var changes []masticway.Change
 	for r := from; r <= to; r++ {
