--- a/messenger/doc.go
+++ b/messenger/doc.go
@@ -1,5 +1,6 @@
 // Package messenger carries calls between routers.
 //
-// Every call is one CBOR body over a persistent HTTP connection. The caller's context bounds it, so that an unreachable
-// router delays the caller no longer than that. If an answer may be large, only the time until it begins is bounded.
+// A call is an HTTP POST request with a CBOR body; connections are kept for reuse. The caller's context bounds it, so that an
+// unreachable router delays the caller no longer than that. There are also limits on the time until an answer begins and on
+// pauses within it, but not on the total time of an answer that keeps arriving.
 package messenger
--- a/messenger/messenger.go
+++ b/messenger/messenger.go
@@ -16,14 +16,14 @@
 )
 
 const (
-	// maxMessageBytes bounds a message; the largest is a write to the row store, 1 MB of rows and their keys.
+	// maxMessageBytes bounds a message that is received; the largest is a write to the row store, 1 MB of rows and their keys.
 	maxMessageBytes = 4 << 20
 	// maxAnswerBytes bounds an answer; the largest is the row store's, which may contain rows written by operators.
 	maxAnswerBytes = 16 << 20
 	// beginTimeout is how long an answer may take to begin if the caller's context does not end before. It is a multiple of
 	// what any caller waits.
 	beginTimeout = 10 * time.Second
-	// idleTimeout closes connections to routers that have been idle for this long.
+	// idleTimeout is how long an idle connection is kept.
 	idleTimeout = 20 * time.Second
 	// maxIdleConnsPerRouter bounds the idle connections to one router: enough for a few concurrent calls.
 	maxIdleConnsPerRouter = 4
@@ -42,7 +42,7 @@
 	Status  int
 }
 
-// Error describes the call and the status.
+// Error returns a message with the address, the path and the status.
 func (e *StatusError) Error() string {
 	return fmt.Sprintf("router at %s answered %s with status %d", e.Address, e.Path, e.Status)
 }
@@ -50,14 +50,14 @@
 // Client calls other routers.
 type Client struct {
 	http *http.Client
-	// observe is called with the duration of each call that was answered or timed out.
+	// observe is called as ObserveCalls describes.
 	observe func(took time.Duration, answered bool)
 }
 
 // NewClient returns a client without open connections.
 func NewClient() *Client { return newClient(dialTimeout) }
 
-// NewSlowLinkClient returns a client that also reaches routers over a congested link.
+// NewSlowLinkClient returns a client with a longer dial timeout, which also reaches routers over a congested link.
 func NewSlowLinkClient() *Client { return newClient(slowLinkDialTimeout) }
 
 func newClient(dialTimeout time.Duration) *Client {
@@ -67,12 +67,13 @@
 	}}}
 }
 
-// ObserveCalls sets a function that is called after each Call that was answered or timed out, with its duration and whether it
-// was answered. It must be called before the first call.
+// ObserveCalls sets a function that is called with the duration of each Call that succeeded, or that failed because its context's
+// deadline or the dial timeout passed; answered is set if it succeeded. Calls that failed for other reasons are not observed, and
+// neither is Fetch by itself. ObserveCalls must be called before the first call.
 func (c *Client) ObserveCalls(observe func(took time.Duration, answered bool)) { c.observe = observe }
 
-// Call sends a message to the router at an address and decodes its answer. It fails with StatusError if the router does not
-// accept the message, and with the errors of the transport.
+// Call sends a message to the router at an address and decodes its answer. It fails with StatusError if the router answers with a
+// status other than 200, and otherwise with an error that wraps that of the transport or the codec.
 func Call[A any](ctx context.Context, c *Client, address, path string, message any) (A, error) {
 	began := time.Now()
 	answer, err := Fetch[A](ctx, c, address, path, beginTimeout, message)
@@ -82,7 +83,8 @@
 	return answer, err
 }
 
-// Fetch is like Call, but for answers that may be large: it bounds the time until the answer begins, not its transfer.
+// Fetch is like Call, but with a given limit on the time until the answer begins, and it is not observed. It is for answers that
+// may be large, with a context that allows for their transfer.
 func Fetch[A any](ctx context.Context, c *Client, address, path string, beginTimeout time.Duration, message any) (A, error) {
 	var answer A
 	data, err := cbor.Marshal(message)
@@ -107,7 +109,7 @@
 	return answer, nil
 }
 
-// Handle serves calls at a path; a message that cannot be decoded is answered with status 400.
+// Handle serves calls at a path. A message that is too large or cannot be decoded is answered with status 400.
 func Handle[M, A any](mux *http.ServeMux, path string, serve func(ctx context.Context, message M) A) {
 	mux.HandleFunc("POST "+path, func(w http.ResponseWriter, r *http.Request) {
 		var message M
