--- a/estimator/estimator.go
+++ b/estimator/estimator.go
@@ -15,7 +15,7 @@
 //go:embed measured.md
 var measuredText string
 
-// Slope is one measured quantity.
+// Slope is one measured quantity, usually the cost of one more unit of a load.
 type Slope struct {
 	Name  string  `json:"name"`
 	Value float64 `json:"value"`
@@ -51,7 +51,7 @@
 	return s
 }
 
-// The size of the fleet to design for.
+// The size of the fleet to design for, with the rates at its peak. Counts are for the whole fleet.
 const (
 	routers            = 350.0
 	sidecars           = 2100.0
@@ -67,7 +67,8 @@
 	secondsPerDay      = 86_400.0
 )
 
-// Settings at that size that differ from the defaults; durations are in seconds.
+// Settings at that size, some of which differ from the defaults. Durations are in seconds, and rates are those of one router.
+// linksPerPool is the number of sidecars of one pool that a router links to.
 const (
 	// heartbeatScale converts slopes measured with a heartbeat of 500 ms to the 1.5 s used at that size.
 	heartbeatScale      = 1.0 / 3
@@ -78,17 +79,19 @@
 	challengesPerSecond = 1.0
 )
 
-// Limits of the platform, and of what control traffic and processing may use.
+// Limits of the platform's table, and of what one router or sidecar may use for control, that is for all but relaying answers.
 const (
-	limitCore   = 0.042
-	limitMemory = 32.0
-	limitBytes  = 8192.0
-	limitWrites = 300.0
-	limitReads  = 2000.0
-	mebi        = 1 << 20
+	// maxControlCores is a share of one processor core. maxMemoryMB applies to the whole process, in units of bytesPerMB.
+	maxControlCores          = 0.042
+	maxMemoryMB              = 32.0
+	maxControlBytesPerSecond = 8192.0
+	maxTableWritesPerSecond  = 300.0
+	maxTableReadsPerSecond   = 2000.0
+	bytesPerMB               = 1 << 20
 )
 
-// Line is one sum of the page.
+// Line is one sum of the page: how much of a resource one process of a role, or the table, needs at the fleet's size. Value and
+// Limit are in Unit; a Limit of zero means no limit. Formula and Mechanism are texts of the page.
 type Line struct {
 	Role      string
 	Quantity  string
@@ -104,7 +107,7 @@
 // FitsLimit reports whether the sum is within its limit; a line without a limit always is.
 func (l Line) FitsLimit() bool { return l.Limit == 0 || l.Value <= l.Limit }
 
-// Compute returns all lines of the page for the given slopes.
+// Compute returns all lines of the page for the given slopes, in the page's order.
 func Compute(s Slopes) []Line {
 	links := models * linksPerPool
 	peers := routers/regions - 1
@@ -114,13 +117,13 @@
 	budgetsPerRouter := budgets / (routers / regions)
 	changesPerSecond := changesPerDay / secondsPerDay
 	listChangesPerSecond := (failuresPerDay + replacementsPerDay) / secondsPerDay
-	decisions := s["hold_settle_us"] + s["choose_us_per_candidate"]*linksPerPool + s["queue_us"]
+	decisionMicros := s["hold_settle_us"] + s["choose_us_per_candidate"]*linksPerPool + s["queue_us"]
 	return []Line{
 		{
-			Role: "router", Quantity: "processor for control", Unit: "of a core", Limit: limitCore,
+			Role: "router", Quantity: "processor for control", Unit: "of a core", Limit: maxControlCores,
 			Formula: "idle + links x link + peers x peer + requests x decisions + changes x workspaces x apply + budgets x tidy",
 			Value: s["router_idle_core"] + links*s["link_core"]*heartbeatScale + peers*s["peer_core"]*heartbeatScale +
-				perRouter*decisions/1e6 + changesPerSecond*workspaces*s["apply_us_per_workspace"]/1e6 + budgetsPerRouter*s["tidy_us_per_budget"]/1e6,
+				perRouter*decisionMicros/1e6 + changesPerSecond*workspaces*s["apply_us_per_workspace"]/1e6 + budgetsPerRouter*s["tidy_us_per_budget"]/1e6,
 			Mechanism: "part of the sidecars by rendezvous hash; heartbeats that say only what changed; pull of changes",
 			Remedy:    "keepers in groups of routers, so that peers are a group and not the region",
 		},
@@ -131,15 +134,15 @@
 			Mechanism: "grows with traffic; more routers share it",
 		},
 		{
-			Role: "router", Quantity: "memory", Unit: "MB", Limit: limitMemory,
+			Role: "router", Quantity: "memory", Unit: "MB", Limit: maxMemoryMB,
 			Formula: "idle + links x link + 2 x peers x link + workspaces x workspace + budgets x budget",
 			Value: s["router_idle_mb"] + (links+2*peers)*s["link_mb"] +
-				workspaces*s["workspace_bytes"]/mebi + budgetsPerRouter*s["budget_bytes"]/mebi,
+				workspaces*s["workspace_bytes"]/bytesPerMB + budgetsPerRouter*s["budget_bytes"]/bytesPerMB,
 			Mechanism: "all contracts, own budgets only; traces, answers and queues bounded",
 			Remedy:    "one link for a pair of routers, and a smaller program",
 		},
 		{
-			Role: "router", Quantity: "control bytes", Unit: "bytes/s", Limit: limitBytes,
+			Role: "router", Quantity: "control bytes", Unit: "bytes/s", Limit: maxControlBytesPerSecond,
 			Formula: "links x link + peers x peer + polls x poll + challenge + list changes x list + changes x change x (own sidecars + 1)",
 			Value: links*s["link_bytes"]*heartbeatScale + peers*s["peer_bytes"]*heartbeatScale + (2*pollsPerSecond+challengesPerSecond)*s["poll_bytes"] +
 				listChangesPerSecond*(routers+sidecars)*s["instance_bytes"] + changesPerSecond*s["change_bytes"]*(sidecars/routers+1),
@@ -147,42 +150,42 @@
 			Remedy:    "a longer heartbeat",
 		},
 		{
-			Role: "sidecar", Quantity: "processor for control", Unit: "of a core", Limit: limitCore,
+			Role: "sidecar", Quantity: "processor for control", Unit: "of a core", Limit: maxControlCores,
 			Formula:   "idle + links x link",
 			Value:     s["sidecar_idle_core"] + linksPerSidecar*s["link_core"]*heartbeatScale,
 			Mechanism: "links only from the routers whose part it is in",
 			Remedy:    "fewer links_per_pool",
 		},
 		{
-			Role: "sidecar", Quantity: "memory", Unit: "MB", Limit: limitMemory,
+			Role: "sidecar", Quantity: "memory", Unit: "MB", Limit: maxMemoryMB,
 			Formula:   "idle + links x link + answers kept",
 			Value:     s["sidecar_idle_mb"] + linksPerSidecar*s["link_mb"] + 8,
 			Mechanism: "answers kept are bounded at 8 MB by keep_bytes",
 			Remedy:    "a smaller keep_bytes",
 		},
 		{
-			Role: "sidecar", Quantity: "control bytes", Unit: "bytes/s", Limit: limitBytes,
+			Role: "sidecar", Quantity: "control bytes", Unit: "bytes/s", Limit: maxControlBytesPerSecond,
 			Formula:   "links x link + changes x change",
 			Value:     linksPerSidecar*s["link_bytes"]*heartbeatScale + changesPerSecond*s["change_bytes"],
 			Mechanism: "load reported only when it changed; changes asked for once",
 			Remedy:    "a longer heartbeat",
 		},
 		{
-			Role: "table", Quantity: "writes, steady", Unit: "/s", Limit: limitWrites,
+			Role: "table", Quantity: "writes, steady", Unit: "/s", Limit: maxTableWritesPerSecond,
 			Formula:   "routers / heartbeat + requests x budget writes + changes x (1 + routers applying) + links rows",
 			Value:     routers/leaseInterval + requestsPerSecond*s["budget_writes_per_request"] + changesPerSecond*(1+routers) + listChangesPerSecond*(routers+linksPerSidecar),
 			Mechanism: "a draw covers 60 s of forecast; lease rows every 15 s; no write on the path of an ordinary request",
 			Remedy:    "lease rows carry the applied revision with a delay at that size, or a longer horizon",
 		},
 		{
-			Role: "table", Quantity: "reads, steady", Unit: "/s", Limit: limitReads,
+			Role: "table", Quantity: "reads, steady", Unit: "/s", Limit: maxTableReadsPerSecond,
 			Formula:   "routers x (polls + challenge) + draws",
 			Value:     routers*(pollsPerSecond+challengesPerSecond) + requestsPerSecond*s["budget_writes_per_request"],
 			Mechanism: "one small row for each poll",
 			Remedy:    "a longer poll",
 		},
 		{
-			Role: "table", Quantity: "writes, claims of non-repeatable requests at 5% of all", Unit: "/s", Limit: limitWrites,
+			Role: "table", Quantity: "writes, claims of non-repeatable requests at 5% of all", Unit: "/s", Limit: maxTableWritesPerSecond,
 			Formula:   "0.05 x requests x 2",
 			Value:     0.05 * requestsPerSecond * 2,
 			Mechanism: "one row before, one after",
