--- a/contract.go
+++ b/contract.go
@@ -43,8 +43,9 @@
 type Contract struct {
 	Workspace string `json:"workspace"`
 	// Budget is the name of the prepaid budget that pays for the requests.
-	Budget   string `json:"budget"`
-	Priority int    `json:"priority,omitempty"`
+	Budget string `json:"budget"`
+	// Priority is the priority of the requests in queues and at the engines. Higher values are served first.
+	Priority int `json:"priority,omitempty"`
 	// Class is the class of requests that do not name one.
 	Class    Class          `json:"class,omitempty"`
 	Models   []ModelTerms   `json:"models,omitempty"`
--- a/deployment.go
+++ b/deployment.go
@@ -19,7 +19,7 @@
 	RetryByResuming RetryPolicy = "by_resuming"
 )
 
-// TrafficShare is the share of a route's traffic that goes to one pool.
+// TrafficShare is the share of a route's traffic that goes to one pool, in proportion to the weights of the route's shares.
 type TrafficShare struct {
 	Pool   string
 	Weight int
@@ -44,7 +44,8 @@
 	LatencyObjective time.Duration
 	// MaxEventGap is the longest pause between two events of a stream that meets the objective.
 	MaxEventGap time.Duration
-	Priority    int
+	// Priority is the urgency of the requests; zero is the most urgent.
+	Priority int
 	// Regions are the regions in which requests may run; if empty, they may run in any.
 	Regions []string
 }
@@ -76,7 +77,7 @@
 	// Keys are the caller keys.
 	Keys     []string
 	Priority int
-	// HasPriority is set if Priority overrides the priority of the route.
+	// HasPriority is set if Priority, in which zero is the most urgent, overrides the priority of the route.
 	HasPriority bool
 	// Prepaid is the total number of tokens that the workspace may consume.
 	Prepaid int64
@@ -187,7 +188,8 @@
 	// ID is assigned by the caller and is unique for each of its attempts.
 	ID  string
 	Key string
-	// Metered is set if the request declares its tokens.
+	// Metered is set if the request declares its tokens: the number of prompt tokens in Prompt and the maximum number of output
+	// tokens in MaxOutput.
 	Metered   bool
 	Prompt    int
 	MaxOutput int
--- a/platform.go
+++ b/platform.go
@@ -168,6 +168,7 @@
 
 // LoadReport is the load that an upstream reports about itself. It may be stale.
 type LoadReport struct {
+	// Running and Queued are numbers of requests.
 	Running    int       `json:"running" cbor:"1,keyasint"`
 	Queued     int       `json:"queued" cbor:"2,keyasint"`
 	ReportedAt time.Time `json:"at" cbor:"3,keyasint"`
--- a/rows.go
+++ b/rows.go
@@ -89,7 +89,8 @@
 	Watch(ctx context.Context, f WatchRequest) (RowReading, error)
 }
 
-// RowConflictError reports that an expected version of a write did not match. Rows are the current rows.
+// RowConflictError reports that an expected version of a write did not match. Rows holds the current versions of the expected
+// rows that exist.
 type RowConflictError struct {
 	Rows []StoredRow
 }
