--- a/starter/callers.go
+++ b/starter/callers.go
@@ -18,8 +18,8 @@
 type callerListener struct {
 	net.Listener
 	openRequests atomic.Int64
-	// closingIdle is set if connections that are idle after a response must be closed, shuttingDown if also those must be on
-	// which no request has come yet.
+	// closingIdle is set if connections that are idle after a response must be closed. shuttingDown is set if connections on
+	// which no request has arrived yet must be closed too.
 	closingIdle, shuttingDown atomic.Bool
 
 	mu    sync.Mutex
@@ -107,7 +107,8 @@
 	listener *callerListener
 
 	mu sync.Mutex
-	// hasRequest is set while a request is open, hasAnswered once one has been answered, closed once no other can come.
+	// hasRequest is set while a request is open, hasAnswered once one has been answered, and closed once the connection has been
+	// closed or hijacked.
 	hasRequest, hasAnswered, closed bool
 }
 
@@ -130,7 +131,7 @@
 	return c.Conn.SetReadDeadline(t)
 }
 
-// CloseWrite closes the writing side of the connection if the connection supports that.
+// CloseWrite closes the writing side of the connection. It does nothing if the connection does not support that.
 func (c *callerConn) CloseWrite() error {
 	if tcp, ok := c.Conn.(interface{ CloseWrite() error }); ok {
 		return tcp.CloseWrite()
@@ -148,7 +149,7 @@
 	}
 }
 
-// endRequest marks the open request, if any, as answered; closed is set if the connection has been closed or hijacked.
+// endRequest marks the open request, if any, as no longer open; closed is set if the connection has been closed or hijacked.
 func (c *callerConn) endRequest(closed bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/starter/configuration_test.go
+++ b/starter/configuration_test.go
@@ -79,9 +79,9 @@
 	return metrics.Counters.Version
 }
 
-// waitForVersion waits until a gateway uses a version of the configuration, or the time for that is over. That time is
-// maxConfigurationDelay, but at least three times as long as one plain read of the configuration over a slow link takes, because
-// the machine may be busy.
+// waitForVersion waits until a gateway uses a version of the configuration or a later one, or a timeout has passed. The timeout
+// is maxConfigurationDelay, but at least three times as long as one plain read of the configuration over a slow link takes,
+// because the machine may be busy.
 func (p *testPlatform) waitForVersion(s forwarder.Settings, version int64) {
 	began := time.Now()
 	plain := p.timePlainReading()
@@ -119,7 +119,7 @@
 
 // TestLargeConfigurationReachesASlowLink guards against a configuration so large that a slow link can't carry it within the
 // timeout of a store call. Each read is then abandoned halfway and started again, directly or through another router: the link
-// stays full, and the router serves requests by a configuration that was replaced long ago.
+// stays full, and the router serves requests with a configuration that was replaced long ago.
 func TestLargeConfigurationReachesASlowLink(t *testing.T) {
 	const small = 49
 	cases := map[string]struct {
--- a/starter/crashing_test.go
+++ b/starter/crashing_test.go
@@ -18,22 +18,22 @@
 )
 
 const (
-	// maxCrashes is the number of servers that may crash under a request before routers must know it as the cause. maxLaterSends
-	// is how often it may still be sent to servers once maxPropagation has passed after the last of these crashes. Both are
-	// requirements of the users.
+	// maxCrashes is the number of servers that may crash under a request before routers must recognize it as the cause.
+	// maxLaterSends is how often the request may still be sent to servers once maxPropagation has passed after the last of these
+	// crashes. Both are requirements of the users.
 	maxCrashes    = 3
 	maxLaterSends = 3
-	// restartDelay is the time from a server's crash to its restart, deregisterDelay that to the removal of its old incarnation's
-	// row.
+	// restartDelay is the time from a server's crash to its restart, and deregisterDelay the time from the crash to the removal
+	// of the old incarnation's row.
 	restartDelay    = 400 * time.Millisecond
 	deregisterDelay = 1500 * time.Millisecond
-	// callerTimeout is after what time a caller disconnects: half of the time that a server takes to crash.
+	// callerTimeout is the time after which a caller disconnects: half of the time that a server takes to crash.
 	callerTimeout = 10 * time.Millisecond
 	// crashBody is the text in a request's body that makes a server crash when it runs the request.
 	crashBody = "deadly"
 )
 
-// crashPlatform is a test platform whose servers crash under requests with crashBody and restart under another id.
+// crashPlatform is a test platform whose servers crash under requests with crashBody and restart under another ID.
 type crashPlatform struct {
 	*testPlatform
 	mu           sync.Mutex
@@ -180,10 +180,9 @@
 	return got
 }
 
-// TestRequestThatCrashesServersIsStopped sends a request that crashes every server which runs it again and again to three
-// routers, with the same path and body but different ids. It guards against routers that regard each of these as a new request
-// and the broken connection as the server's fault: then servers crash for as long as the request comes, with everything else that
-// they run.
+// TestRequestThatCrashesServersIsStopped repeatedly sends three routers a request that crashes every server which runs it, with
+// the same path and body but different IDs. It guards against routers that regard each of these as a new request and the broken
+// connection as the server's fault. Then servers crash as often as the request arrives, with everything else that they run.
 func TestRequestThatCrashesServersIsStopped(t *testing.T) {
 	for name, tc := range map[string]struct{ path, tokens string }{
 		"a stream":           {path: "/draft/x", tokens: "100,200"},
@@ -225,8 +224,8 @@
 
 // TestCrashingRequestIsFoundAfterCallerDisconnects sends a crashing request again and again, each time from a caller that
 // disconnects before the server crashes. It guards against routers that check for a crash only if a connection broke: if the
-// caller disconnects, the router closes the connection to the server itself, so no request becomes suspect and servers crash for
-// as long as it comes.
+// caller disconnects, the router closes the connection to the server itself, so no request becomes suspect and servers crash as
+// often as it arrives.
 func TestCrashingRequestIsFoundAfterCallerDisconnects(t *testing.T) {
 	c := newCrashPlatform(t, 8)
 	routers := c.startRouters(2)
--- a/starter/evacuation_test.go
+++ b/starter/evacuation_test.go
@@ -16,7 +16,7 @@
 	"github.com/masticway/masticway/starter"
 )
 
-// maxPropagation is how long an operator's order may take until all routers obey it: the shortest time that deployments require.
+// maxPropagation is how long an operator's order may take to reach all routers: the shortest such time that deployments require.
 const maxPropagation = 3 * time.Second
 
 // evacuationKey returns the key of the row with which an operator evacuates a zone: its servers must get no new requests.
@@ -55,7 +55,7 @@
 	return lines.String()
 }
 
-// runsAt returns how many of the runs after the first since were at a server.
+// runsAt returns the number of runs at a server, leaving out the first since runs at all servers.
 func (p *testPlatform) runsAt(id string, since int) int {
 	n := 0
 	for _, run := range p.ledger.Runs()[since:] {
@@ -146,7 +146,8 @@
 }
 
 // TestEvacuationReachesLateRouters starts routers during an evacuation, one of which can't reach the store. Then another zone is
-// evacuated instead and the store compacts its history, so that routers can't read the changes one by one.
+// evacuated instead and the store compacts its history, so that routers can't read the changes one by one. It guards against
+// routers that know only the orders whose changes they have read.
 func TestEvacuationReachesLateRouters(t *testing.T) {
 	p := newTestPlatform(t, 100000)
 	p.addServer("i-far", "ledger", "y")
--- a/starter/failure_test.go
+++ b/starter/failure_test.go
@@ -149,7 +149,7 @@
 	qt.Assert(t, row.Settled+row.Refunded-superseded, qt.Equals, answerCost(content))
 }
 
-// supersededCost returns the total of the superseded bills in the journal: those for work whose result no caller got.
+// supersededCost returns the total of the superseded bills in the journal: those for work that produced nothing for a caller.
 func (b *testbed) supersededCost() masticway.Amount {
 	names, err := b.Platform.Objects.List(context.Background(), "journal/")
 	qt.Assert(b.t, err, qt.IsNil)
--- a/starter/fleet.go
+++ b/starter/fleet.go
@@ -23,8 +23,9 @@
 
 const (
 	// PlatformProcess is the platform's process name in network faults.
-	PlatformProcess   = "platform"
-	loopbackAddress   = "127.0.0.1:0"
+	PlatformProcess = "platform"
+	loopbackAddress = "127.0.0.1:0"
+	// readyPollInterval is the pause between two checks by AwaitReady.
 	readyPollInterval = 10 * time.Millisecond
 	// placeholder fills required address fields that aren't used, because a fleet opens the sockets itself.
 	placeholder = "127.0.0.1:1"
@@ -35,8 +36,10 @@
 	Regions  []RegionSpec
 	Engines  []EngineGroup
 	Services []ServiceGroup
-	// Delay returns the one-way latency between two zones, written region/zone; the empty string is the platform's zone.
-	Delay       func(from, to string) time.Duration
+	// Delay returns the one-way latency between two zones, written region/zone; the empty string is the platform's zone. If Delay
+	// is nil, there is no latency.
+	Delay func(from, to string) time.Duration
+	// InstanceLag is how long the instance list lags behind.
 	InstanceLag time.Duration
 	// Router and Sidecar hold the settings that differ from the defaults.
 	Router  json.RawMessage
@@ -51,7 +54,7 @@
 	Routers int
 }
 
-// EngineGroup describes the engines of one model that every region has.
+// EngineGroup describes the engines of one model in each region. Count is their number per region.
 type EngineGroup struct {
 	Model    string
 	Count    int
@@ -60,14 +63,14 @@
 	HideCache bool
 }
 
-// ServiceGroup describes the instances of one plain service that every region has.
+// ServiceGroup describes the instances of one plain service in each region. Count is their number per region.
 type ServiceGroup struct {
 	Name  string
 	Count int
 }
 
-// Fleet is a running fleet with an emulated platform and emulated upstreams: all in one process, but with real sockets between
-// all roles.
+// Fleet is a running fleet with an emulated platform and emulated upstreams. All of it runs in one operating system process, but
+// routers, sidecars, upstreams and the platform communicate over real sockets.
 type Fleet struct {
 	spec        FleetSpec
 	Platform    *emulator.Platform
@@ -155,7 +158,7 @@
 	return nil
 }
 
-// serve opens a socket for a process, as listen does, serves HTTP on it and returns its address.
+// serve opens a socket for a process of the fleet, as listen does, serves HTTP on it and returns its address.
 func (f *Fleet) serve(process, zone string, h http.Handler) (string, error) {
 	l, err := f.listen(process, zone)
 	if err != nil {
@@ -165,7 +168,7 @@
 	return l.Addr().String(), nil
 }
 
-// listen opens a socket for a process and registers its address in the emulated network.
+// listen opens a socket for a process of the fleet, and registers its address and zone in the emulated network.
 func (f *Fleet) listen(process, zone string) (net.Listener, error) {
 	l, err := Listen(loopbackAddress)
 	if err != nil {
@@ -187,7 +190,7 @@
 	})
 }
 
-// newName returns an unused process name.
+// newName returns a process name that has not been used before.
 func (f *Fleet) newName(kind, region string) string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -224,7 +227,8 @@
 	return f.StartSidecar(s)
 }
 
-// StartSidecar starts a sidecar. A sidecar that has run before is restarted on the same instance.
+// StartSidecar starts a sidecar and lists its instance at the platform. A sidecar that has run before is restarted on the same
+// instance, with a new address.
 func (f *Fleet) StartSidecar(s *FleetSidecar) error {
 	zone := s.Region + "/" + s.instance.Zone
 	l, err := f.listen(s.Name, zone)
@@ -271,7 +275,7 @@
 	return validator.Decode[sidecar.Settings](validator.KindSidecar, document)
 }
 
-// AddRouter starts a router.
+// AddRouter starts a router and lists its instance at the platform.
 func (f *Fleet) AddRouter(region, zone string) (*FleetRouter, error) {
 	name := f.newName("router", region)
 	networkZone := region + "/" + zone
@@ -334,13 +338,14 @@
 // PlatformURL returns the base URL of the emulated platform, which also serves the switches for its faults.
 func (f *Fleet) PlatformURL() string { return f.platformURL }
 
-// NotReadyError is returned if a fleet did not become ready in time.
+// NotReadyError reports that a router of a fleet did not become ready in time.
 type NotReadyError struct{ Router string }
 
 // Error returns a message with the router's name.
 func (e *NotReadyError) Error() string { return "router " + e.Router + " is not ready" }
 
-// AwaitReady waits until all routers are ready and each can use all upstreams of its region.
+// AwaitReady waits until all routers are ready, know the other routers of their region, and can use all upstreams of it. It fails
+// with NotReadyError if ctx ends before.
 func (f *Fleet) AwaitReady(ctx context.Context) error {
 	for _, r := range f.Routers() {
 		for !r.Daemon.IsReady() || !r.Daemon.current.Load().router.HasUpstreams(f.sidecarCount(r.Region)) {
--- a/starter/gateway.go
+++ b/starter/gateway.go
@@ -35,30 +35,32 @@
 	// callerIdleTimeout is how long a caller's connection may be idle. It is longer than deployments allow, so that connections
 	// are closed by the callers, who know that limit. If the router closed one, a request could be on its way at that moment.
 	callerIdleTimeout = 60 * time.Second
-	// storeTimeout bounds one call to the row store. It is twice what a call takes if the store is 60 times slower than usual,
-	// and less than a connection that a network fault has stalled needs to recover.
+	// storeTimeout is how long the answer to a call to the row store may take to begin. It is twice what a call takes if the
+	// store is 60 times slower than usual, and less than a connection that a network fault has stalled needs to recover.
 	storeTimeout = 600 * time.Millisecond
-	// slowLinkTimeout bounds one read of a table while reads with storeTimeout fail. It allows for a congested link, on which
-	// packets are queued for up to half a second in each direction, and for the store's own time.
+	// slowLinkTimeout is the same for the reads of a table while reads with storeTimeout fail. It allows for a congested link, on
+	// which packets are queued for up to half a second in each direction, and for the store's own time.
 	slowLinkTimeout = 2 * time.Second
-	// suspectsMaxWait is how long one call may wait for changes of the suspects table. A watch that no longer gets answers is
-	// noticed after that time, which is within the shortest time in which deployments require all routers to learn of a suspect.
-	// suspectsRelistInterval is the interval at which the table is read in full. Longer times cost the store fewer calls.
+	// suspectsMaxWait is how long one call may wait for changes of the table of suspects: requests under which servers crashed. A
+	// watch that no longer gets answers is noticed after that time, which is within the shortest time in which deployments
+	// require all routers to learn of a suspect. suspectsRelistInterval is the usual interval at which the table is read in full.
+	// Longer times cost the store fewer calls.
 	suspectsMaxWait        = 2500 * time.Millisecond
 	suspectsRelistInterval = 30 * time.Second
 	// maxReadersPerZone limits how many routers of an availability zone watch the server table in the store, on behalf of the
 	// zone's other routers too, because watching that table is expensive.
 	maxReadersPerZone = 2
-	// suspensionCheckInterval is how often the gateway checks whether the machine has been suspended, which it only reports.
+	// suspensionCheckInterval is the interval at which the gateway checks whether the machine has been suspended. It only reports
+	// suspensions.
 	suspensionCheckInterval = time.Second
-	// minUnreadyTime is how long a router that shuts down still accepts connections: the load balancer checks its readiness once
-	// a second and takes it out of rotation after two failed checks.
+	// minUnreadyTime is how long a router that shuts down at least still accepts connections and forwards requests: the load
+	// balancer checks its readiness once a second and takes it out of rotation after two failed checks.
 	minUnreadyTime = 3200 * time.Millisecond
 	// closeBudgetsBefore and exitBefore are how long before the end of the grace period a router gives its granted money back,
 	// and how long before it a router exits.
 	closeBudgetsBefore = 1500 * time.Millisecond
 	exitBefore         = 300 * time.Millisecond
-	// drainPollInterval is how often a router that shuts down checks whether it can go on with the next step.
+	// drainPollInterval is the interval at which a router that shuts down checks whether it can go on with the next step.
 	drainPollInterval = 20 * time.Millisecond
 )
 
@@ -74,7 +76,8 @@
 	Peer      net.Listener
 }
 
-// ListenGateway opens a gateway's sockets; it opens one for metrics only if the settings have an address for it.
+// ListenGateway opens a gateway's sockets; it opens one for metrics only if the settings have an address for it. If it fails, the
+// sockets that it has opened stay open.
 func ListenGateway(s forwarder.Settings) (GatewayListeners, error) {
 	var l GatewayListeners
 	var err error
@@ -117,7 +120,8 @@
 	wg             sync.WaitGroup
 }
 
-// NewGateway returns a gateway that keeps its state in a row store. The slowLinkStore is the same store with a longer timeout.
+// NewGateway returns a gateway that keeps its state in a row store; Start starts it. The slowLinkStore is the same store with a
+// longer timeout. The log is written to out.
 func NewGateway(s forwarder.Settings, l GatewayListeners, store, slowLinkStore masticway.RowStore, decoder masticway.DeploymentDecoder, codec masticway.HeaderCodec, clock masticway.Clock, out io.Writer) (*GatewayDaemon, error) {
 	queue := logger.NewQueue(out)
 	log, err := logger.New(s.LogLevel, queue)
@@ -182,9 +186,9 @@
 	return NewGateway(s, l, platform.NewStore(s.StoreAddress, storeTimeout), platform.NewStore(s.StoreAddress, slowLinkTimeout), platform.Decoder{}, platform.HeaderCodec{}, masticway.SystemClock{}, out)
 }
 
-// serverContent returns a function that decodes a server's row to a value for comparison. A row that is only written again
-// compares equal to the one before, so that it isn't passed on to other routers. The value of a row that can't be decoded is its
-// text.
+// serverContent returns a function that decodes a server's row to a value for comparison. A row that is written again with the
+// same registration compares equal to the one before, so that it isn't passed on to other routers. The value of a row that can't
+// be decoded is its text.
 func serverContent(decoder masticway.DeploymentDecoder) sharer.Projection {
 	return func(key string, value []byte) any {
 		s, err := decoder.Server(key, value)
@@ -195,7 +199,7 @@
 	}
 }
 
-// applySnapshot passes a new snapshot of the configuration and the servers on to the parts of the gateway.
+// applySnapshot passes a new snapshot of the configuration and the servers on to the components of the gateway that use it.
 func (d *GatewayDaemon) applySnapshot(s follower.Snapshot) {
 	d.treasurer.Configure(s.Deployment)
 	d.throttler.Prune(s.Incarnations())
@@ -245,7 +249,7 @@
 	}
 }
 
-// peers returns the addresses of the other routers: those of the current members, or the configured seeds until there are any.
+// peers returns the addresses of the other routers: those of the current members or, while there are none, the configured seeds.
 func (d *GatewayDaemon) peers() []string {
 	known := d.treasurer.PeerAddresses()
 	if len(known) > 0 {
@@ -275,7 +279,7 @@
 	return mux
 }
 
-// readiness answers the load balancer's readiness check.
+// readiness answers the load balancer's readiness check with status 200 or 503.
 func (d *GatewayDaemon) readiness(w http.ResponseWriter, _ *http.Request) {
 	if d.forwarder.Ready() {
 		w.WriteHeader(http.StatusOK)
@@ -284,8 +288,8 @@
 	w.WriteHeader(http.StatusServiceUnavailable)
 }
 
-// Reload applies new settings. Only the log level can change while the gateway runs; if another setting has changed, the log line
-// says that a restart is needed.
+// Reload applies new settings. Only the log level can change while the gateway runs. If another setting has changed, the log line
+// says that a restart is needed. If the log level is invalid, nothing changes.
 func (d *GatewayDaemon) Reload(s forwarder.Settings) {
 	level, err := logrus.ParseLevel(s.LogLevel)
 	if err != nil {
@@ -300,7 +304,8 @@
 	}).Info("settings reloaded")
 }
 
-// Drain shuts the gateway down gracefully. It returns false if a request was cut off.
+// Drain shuts the gateway down gracefully and returns when it has stopped, at the end of the grace period at the latest. It
+// returns false if a request was cut off.
 func (d *GatewayDaemon) Drain() bool {
 	began := d.clock.Now()
 	grace := time.Duration(d.settings.GraceSeconds * float64(time.Second))
@@ -327,7 +332,8 @@
 // isIdle reports whether no request is open.
 func (d *GatewayDaemon) isIdle() bool { return d.callerListener.OpenRequests() == 0 }
 
-// wait returns as soon as done returns true, but no earlier than notBefore and no later than the deadline.
+// wait checks done every drainPollInterval and returns when it returns true, but no earlier than notBefore. It also returns when
+// the deadline has passed.
 func (d *GatewayDaemon) wait(notBefore, deadline time.Time, done func() bool) {
 	for {
 		now := d.clock.Now()
--- a/starter/leaving_test.go
+++ b/starter/leaving_test.go
@@ -94,7 +94,7 @@
 }
 
 // TestDrainedServerIsUsedAgainAfterRestart guards against routers that apply a server's announcement of draining to its next
-// incarnation too, or forget it within the same incarnation because the server's row is written again or lapses.
+// incarnation too, or forget it within the same incarnation because the server's row is written again or expires.
 func TestDrainedServerIsUsedAgainAfterRestart(t *testing.T) {
 	p, _, all := twoEngines(t, 1)
 	register := func(startedAt string) {
--- a/starter/listener.go
+++ b/starter/listener.go
@@ -59,7 +59,7 @@
 // Addr returns the address, also while the listener is paused.
 func (p *pausableListener) Addr() net.Addr { return p.address }
 
-// Close closes the listener; it can't be resumed.
+// Close closes the listener, which can't be resumed then.
 func (p *pausableListener) Close() error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -67,7 +67,8 @@
 	return p.pause()
 }
 
-// Pause closes the port, so that new connections are refused until Resume is called.
+// Pause closes the port, so that new connections are refused until Resume is called. Connections that have been accepted stay
+// open.
 func (p *pausableListener) Pause() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/starter/meeting_test.go
+++ b/starter/meeting_test.go
@@ -15,8 +15,8 @@
 )
 
 // TestNewRouterWaitsForPeers starts a router that cannot reach the other one. It must not serve until the two have connected, or
-// lost_after has passed: before that, each would regard itself as the only keeper of the budget, and a request sent to both with
-// the same idempotency key could run twice.
+// lost_after has passed: before that, each would regard itself as the only keeper of the budget (the router that grants money
+// from it), and a request sent to both with the same idempotency key could run twice.
 func TestNewRouterWaitsForPeers(t *testing.T) {
 	t.Parallel()
 	cases := map[string]struct {
--- a/starter/members.go
+++ b/starter/members.go
@@ -24,7 +24,8 @@
 	return list
 }
 
-// removeProcess removes a process of one kind from the fleet and returns it; it returns false if there is none of that name.
+// removeProcess removes a process of one kind from the fleet's list, without stopping it, and returns it. It returns false if
+// there is none of that name.
 func removeProcess[P any](f *Fleet, processes map[string]P, name string) (P, bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -33,7 +34,8 @@
 	return p, ok
 }
 
-// KillRouter stops a router as a crash would and marks its instance as ended at the platform.
+// KillRouter stops a router as a crash would and marks its instance as ended at the platform. It does nothing if there is no such
+// router.
 func (f *Fleet) KillRouter(name string) {
 	if r, ok := removeProcess(f, f.routers, name); ok {
 		r.Daemon.Kill()
@@ -41,7 +43,8 @@
 	}
 }
 
-// DrainRouter shuts a router down gracefully. It returns false if a request was cut off or there is no such router.
+// DrainRouter shuts a router down gracefully and then marks its instance as ended at the platform. It returns false if a request
+// was cut off or there is no such router.
 func (f *Fleet) DrainRouter(name string) bool {
 	r, ok := removeProcess(f, f.routers, name)
 	if !ok {
@@ -66,7 +69,8 @@
 	return s
 }
 
-// DrainSidecar shuts a sidecar down gracefully. It returns false if a request was cut off or there is no such sidecar.
+// DrainSidecar shuts a sidecar down gracefully and then marks its instance as ended at the platform. It returns false if a
+// request was cut off or there is no such sidecar.
 func (f *Fleet) DrainSidecar(name string) bool {
 	s, ok := removeProcess(f, f.sidecars, name)
 	if !ok {
--- a/starter/resumption_test.go
+++ b/starter/resumption_test.go
@@ -35,8 +35,8 @@
 
 // TestResumedRequestPaysForPromptOnce kills a router during streams, and the callers resume them at its successor. The successor
 // closes the dead router's grants with everything that was in flight charged, including the prompts. It guards against charging a
-// prompt again when its stream is resumed, which exhausts budgets that by the events delivered aren't used up, so that requests
-// are refused.
+// prompt again when its stream is resumed, which exhausts budgets before the events delivered have used them up, so that
+// requests are refused.
 func TestResumedRequestPaysForPromptOnce(t *testing.T) {
 	const (
 		callers, eventsEach, eventsSeen = 5, 10, 3
--- a/starter/router.go
+++ b/starter/router.go
@@ -31,7 +31,7 @@
 	wg        sync.WaitGroup
 }
 
-// incarnation is one incarnation of a router with its handlers, which are created once.
+// incarnation is one incarnation of a router with its handlers, which are created only once for it.
 type incarnation struct {
 	router        *router.Router
 	callerHandler http.Handler
@@ -83,8 +83,8 @@
 	}))
 }
 
-// runIncarnations starts the next incarnation whenever one has been fenced, until the context ends. It also ends if an
-// incarnation can't start for another reason.
+// runIncarnations runs the current incarnation, and starts the next one whenever one has been fenced, until the context ends. It
+// also returns if an incarnation can't start for another reason.
 func (d *RouterDaemon) runIncarnations(ctx context.Context) {
 	for ctx.Err() == nil {
 		i := d.current.Load()
@@ -111,10 +111,10 @@
 	}
 }
 
-// IsReady reports whether requests are served.
+// IsReady reports whether the current incarnation serves requests.
 func (d *RouterDaemon) IsReady() bool { return d.current.Load().router.Ready() }
 
-// Incarnation returns the incarnation that serves now.
+// Incarnation returns the current incarnation, which may not be ready.
 func (d *RouterDaemon) Incarnation() masticway.Incarnation { return d.current.Load().router.Self() }
 
 // Drain shuts the daemon down gracefully. It returns false if a request was cut off.
@@ -148,7 +148,7 @@
 	return router.Secrets{FleetKey: []byte(key), AdminToken: token}, nil
 }
 
-// ListenRouter opens a router's sockets.
+// ListenRouter opens a router's sockets. If it fails, the sockets that it has opened stay open.
 func ListenRouter(s router.Settings) (Listeners, error) {
 	var l Listeners
 	var err error
--- a/starter/server.go
+++ b/starter/server.go
@@ -15,9 +15,10 @@
 const (
 	// readHeaderTimeout bounds the time for reading a request's header, against clients that send it too slowly.
 	readHeaderTimeout = 5 * time.Second
-	maxHeaderBytes    = 64 << 10
-	idleTimeout       = 2 * time.Minute
-	// shutdownTimeout bounds the time for writing the rest of the responses after the drain.
+	// maxHeaderBytes limits the size of a request's header, and idleTimeout how long a connection may be idle between requests.
+	maxHeaderBytes = 64 << 10
+	idleTimeout    = 2 * time.Minute
+	// shutdownTimeout bounds the time for writing the rest of the responses after the drain, for all servers of a group together.
 	shutdownTimeout = 5 * time.Second
 )
 
@@ -67,7 +68,7 @@
 	})
 }
 
-// shutdown stops the servers gracefully: it waits for open requests for up to shutdownTimeout in all.
+// shutdown stops the servers gracefully, one after the other: it waits for open requests for up to shutdownTimeout in all.
 func (s *serverGroup) shutdown() {
 	ctx, cancel := context.WithTimeout(context.Background(), shutdownTimeout)
 	defer cancel()
@@ -78,7 +79,7 @@
 	}
 }
 
-// close stops the servers at once, closes all connections and waits until all servers have stopped.
+// close stops the servers at once, closes all their connections but hijacked ones, and waits until all servers have stopped.
 func (s *serverGroup) close() {
 	s.mu.Lock()
 	for _, server := range s.list {
--- a/starter/sidecar.go
+++ b/starter/sidecar.go
@@ -41,7 +41,7 @@
 	return d
 }
 
-// Start starts the sidecar, which serves links from routers, and returns.
+// Start starts the sidecar, which then serves links from routers, and returns. It fails if the state charts are invalid.
 func (d *SidecarDaemon) Start() error {
 	if err := charter.Check(); err != nil {
 		return err
