--- a/starter/gateway.go
+++ b/starter/gateway.go
@@ -41,10 +41,10 @@
 	// slowLinkTimeout is the same for the reads of a table while reads with storeTimeout fail. It allows for a congested link, on
 	// which packets are queued for up to half a second in each direction, and for the store's own time.
 	slowLinkTimeout = 2 * time.Second
-	// suspectsMaxWait is how long one call may wait for changes of the table of suspects: requests under which servers crashed. A
-	// watch that no longer gets answers is noticed after that time, which is within the shortest time in which deployments
-	// require all routers to learn of a suspect. suspectsRelistInterval is the usual interval at which the table is read in full.
-	// Longer times cost the store fewer calls.
+	// suspectsMaxWait is how long one call may wait for changes of the table of suspects: requests under which servers crashed. It
+	// is within the shortest time in which deployments require all routers to learn of a suspect. A watch that no longer gets
+	// answers is noticed after that wait and the timeout of the call. suspectsRelistInterval is the usual interval at which the
+	// table is read in full. Longer times cost the store fewer calls.
 	suspectsMaxWait        = 2500 * time.Millisecond
 	suspectsRelistInterval = 30 * time.Second
 	// maxReadersPerZone limits how many routers of an availability zone watch the server table in the store, on behalf of the
@@ -53,8 +53,8 @@
 	// suspensionCheckInterval is the interval at which the gateway checks whether the machine has been suspended. It only reports
 	// suspensions.
 	suspensionCheckInterval = time.Second
-	// minUnreadyTime is how long a router that shuts down at least still accepts connections and forwards requests: the load
-	// balancer checks its readiness once a second and takes it out of rotation after two failed checks.
+	// minUnreadyTime is the minimum time for which a router that shuts down still accepts connections and forwards requests. The
+	// load balancer checks its readiness once a second and takes it out of rotation after two failed checks.
 	minUnreadyTime = 3200 * time.Millisecond
 	// closeBudgetsBefore and exitBefore are how long before the end of the grace period a router gives its granted money back,
 	// and how long before it a router exits.
