--- a/deployment.go
+++ b/deployment.go
@@ -19,7 +19,7 @@
 	RetryByResuming RetryPolicy = "by_resuming"
 )
 
-// TrafficShare is the share of a route's traffic that goes to one pool.
+// TrafficShare is the share of a route's traffic that goes to one pool, in proportion to the weights of the route's shares.
 type TrafficShare struct {
 	Pool   string
 	Weight int
@@ -40,11 +40,12 @@
 	MaxServers int
 	// Timeout is the maximum time that a caller waits.
 	Timeout time.Duration
-	// LatencyObjective is the maximum time to the answer, or to its first event, that earns full credit.
+	// LatencyObjective is the longest time to the answer, or on event streams to its first event, that meets the objective.
 	LatencyObjective time.Duration
-	// MaxEventGap is the maximum pause between events that is still on time; it is zero on routes without streams.
+	// MaxEventGap is the longest pause between two events of a stream that meets the objective.
 	MaxEventGap time.Duration
-	Priority    int
+	// Priority is the urgency of the requests; zero is the most urgent.
+	Priority int
 	// Regions are the regions in which requests may run; if empty, they may run in any.
 	Regions []string
 }
@@ -73,9 +74,10 @@
 // Account is the configuration of a workspace: its keys, its priority and its prepaid tokens.
 type Account struct {
 	Workspace string
-	Keys      []string
-	Priority  int
-	// HasPriority is set if Priority overrides the priority of the route.
+	// Keys are the caller keys.
+	Keys     []string
+	Priority int
+	// HasPriority is set if Priority, in which zero is the most urgent, overrides the priority of the route.
 	HasPriority bool
 	// Prepaid is the total number of tokens that the workspace may consume.
 	Prepaid int64
@@ -85,7 +87,8 @@
 	Regions []string
 }
 
-// CallerLimits limit the size of a caller's request and the time that sending it may take.
+// CallerLimits are the limits on callers' requests and connections that a deployment declares. Gateways enforce only
+// MaxBodyBytes; their other limits are constants.
 type CallerLimits struct {
 	MaxHeaderBytes int
 	MaxBodyBytes   int64
@@ -185,7 +188,8 @@
 	// ID is assigned by the caller and is unique for each of its attempts.
 	ID  string
 	Key string
-	// Metered is set if the request declares its tokens.
+	// Metered is set if the request declares its tokens: the number of prompt tokens in Prompt and the maximum number of output
+	// tokens in MaxOutput.
 	Metered   bool
 	Prompt    int
 	MaxOutput int
