--- a/soaker/caller.go
+++ b/soaker/caller.go
@@ -20,38 +20,49 @@
 
 // Outcomes of a request as its caller sees them.
 const (
-	outcomeUnsent   = "unsent"   // there was no connection, or it broke before the whole request was written
+	outcomeUnsent   = "unsent"   // the whole request was not written: no connection, a broken one, or the caller gave up
 	outcomeAnswered = "answered" // the answer is complete according to the protocol
 	outcomeBroken   = "broken"   // the connection ended before the answer was complete
 	outcomeTimedOut = "silent"   // the answer was not complete when the caller stopped waiting
 )
 
 const (
-	answerSlack                   = time.Second                             // time that a caller waits beyond its time limit, twice what the rules allow
-	abandonShare, maxAbandonDelay = 0.03, 300 * time.Millisecond            // share of requests whose caller gives up early, and how long it waits at most
-	maxPrompt, maxSpareOutput     = 1500, 30                                // tokens of a prompt; tokens declared beyond the length of a stream
-	minTimeLimit, maxTimeLimit    = time.Second, 8 * time.Second            // the time limit that a caller sets
-	maxBodyBytes                  = 40 << 10                                // most bodies are far smaller
-	maxThinkTime, maxIdleTime     = 120 * time.Millisecond, 8 * time.Second // a usual pause between requests, and a long one in which a router may restart
-	idleShare                     = 0.04                                    // share of long pauses
-	connectTimeout                = time.Second                             // of a caller's new connection
-	statusWrongBody               = -http.StatusOK                          // a success whose body is not the request's own answer
+	// answerSlack is how long a caller waits beyond its time limit, or beyond the route's timeout if that is shorter; it is
+	// twice what the rules allow a router.
+	answerSlack = time.Second
+	// abandonShare is the share of requests whose caller gives up early; maxAbandonDelay is the longest time that it waits.
+	abandonShare, maxAbandonDelay = 0.03, 300 * time.Millisecond
+	// maxPrompt bounds the tokens of a prompt, maxSpareOutput the tokens that are declared beyond the length of a stream.
+	maxPrompt, maxSpareOutput = 1500, 30
+	// The shortest and the longest time limit that a caller sets.
+	minTimeLimit, maxTimeLimit = time.Second, 8 * time.Second
+	// maxBodyBytes bounds the random part of a body; most bodies are far smaller.
+	maxBodyBytes = 40 << 10
+	// maxThinkTime is the longest usual pause between a caller's requests, maxIdleTime the longest idle pause. A router may
+	// restart in an idle pause.
+	maxThinkTime, maxIdleTime = 120 * time.Millisecond, 8 * time.Second
+	// idleShare is the share of idle pauses.
+	idleShare = 0.04
+	// connectTimeout is the timeout for opening a caller's connection.
+	connectTimeout = time.Second
+	// statusWrongBody replaces the status of a success whose body is not the request's own answer.
+	statusWrongBody = -http.StatusOK
 )
 
 // request is a request of a caller and its outcome.
 type request struct {
 	route
 	id, path, workspace, body string
-	prompt, declared, router  int
-	timeLimit, waitTimeout    time.Duration // what the caller asks for, and how long it waits: longer, unless it gives up early
+	prompt, declared, router  int           // tokens of the prompt; declared maximum tokens of the answer; index of the router
+	timeLimit, waitTimeout    time.Duration // the time limit that the caller sends; how long it waits in fact
 	reusedConn                bool          // the connection had carried an earlier request
-	recurringName             string        // replaces the id in path and body, the same for all sends of a deadly request; empty for others
-	resumeAfter               int           // number of the last event that the caller has from an earlier answer; zero if it does not resume
+	recurringName             string        // the name in path and body of all sends of a deadly request; empty for others, which use id
+	resumeAfter               int           // number of the last event of an earlier answer; zero if the request resumes none
 	written                   atomic.Bool   // the whole request was written
 
 	sentAt, endedAt             time.Time
-	outcome, answerID, signedBy string
-	status, events              int
+	outcome, answerID, signedBy string // answerID and signedBy are the request and the server that the answer names
+	status, events              int    // HTTP status, zero if there was none, or statusWrongBody; number of events received
 	err                         error
 }
 
@@ -61,7 +72,7 @@
 		q.sentAt.UTC().Format(clockFormat), q.reusedConn, q.timeLimit, q.outcome, q.status, q.events, q.endedAt.Sub(q.sentAt).Round(time.Millisecond), q.err)
 }
 
-// caller sends requests one after the other and reuses its connection while it is open.
+// caller sends requests one after the other and, unless keep-alive is disabled, reuses its connection while it is open.
 type caller struct {
 	soak      *soakRun
 	random    *rand.Rand
@@ -80,7 +91,7 @@
 	return c
 }
 
-// sendUntil sends requests until the soak ends.
+// sendUntil sends random requests until done is closed.
 func (c *caller) sendUntil(done <-chan struct{}) {
 	for {
 		pause := randomUpTo(c.random, maxThinkTime)
@@ -122,7 +133,8 @@
 	return q.status
 }
 
-// canResume reports whether the answer broke off between its events and the caller may resume it. A stream has this many events.
+// canResume reports whether the caller may resume the answer: it broke off after some of its events, and the request is
+// repeatable. events is the number of events of a whole stream.
 func (q *request) canResume(events int) bool {
 	return q.metered && q.repeatable && q.outcome == outcomeBroken && q.status == http.StatusOK && q.events > 0 && q.resumeAfter+q.events < events
 }
@@ -146,7 +158,7 @@
 	}
 }
 
-// send sends a request to a path and checks what can be checked at once.
+// send sends a request to a path, records it with its outcome and checks what can be checked at once.
 func (c *caller) send(q *request, path string) {
 	c.sent++
 	q.id = fmt.Sprintf("%s-%d", c.name, c.sent)
@@ -207,8 +219,8 @@
 	return err
 }
 
-// checkBody compares the body of a success with the answer of a server without faults; a body that ends early must be a prefix
-// of it.
+// checkBody compares the body of a success with the answer of a server without faults, and sets the status to statusWrongBody if
+// it differs. If err says that the body ended early, it may be any prefix of the answer. It returns the error of the request.
 func (q *request) checkBody(body string, events int, err error) error {
 	want := "ok " + q.id + " " + q.body
 	if q.metered {
--- a/soaker/checks.go
+++ b/soaker/checks.go
@@ -10,9 +10,10 @@
 )
 
 const (
-	// timingSlack is added for a busy machine and the proxies: to the time in which draining servers may get work, to the
-	// remaining time that a server is given, and to the 200 ms that a connection may be open after a request that is not
-	// read (loss_slack_ms).
+	// timingSlack allows for a busy machine and the proxies. It is added to the time in which draining servers may get work
+	// and to the remaining time that a server is given. A connection may stay open for timingSlack after a request that is not
+	// read; the rules allow 200 ms (loss_slack_ms). Starvation also excuses a router if it ended within timingSlack before the
+	// request.
 	timingSlack = 500 * time.Millisecond
 	storeTarget = "store"
 	clockFormat = "15:04:05.000" // as within the timestamps of the routers' logs, so that lines can be matched
@@ -27,22 +28,22 @@
 	promiseOnce      = "once"      // a non-repeatable request runs at most once
 	promiseNotRun    = "not_run"   // a request that was reported as not run never ran
 	promiseWhole     = "whole"     // a caller gets the whole answer to its own request, and no partial answer looks complete
-	promiseUnchanged = "unchanged" // servers run what callers sent, for the caller's workspace, in the pool that a configuration routes it to
+	promiseUnchanged = "unchanged" // servers run what callers sent, for the caller's workspace, in the pool of its route
 	promiseAnswered  = "answered"  // an undisturbed router answers what it forwarded, also around its graceful shutdown
 	promiseInForce   = "in_force"  // an accepted configuration is applied in time by routers in contact with the store
 	promiseNoReturn  = "no_return" // a process never returns to an older configuration
 	promiseDrained   = "drained"   // a draining server gets no new requests after a while
 	promiseRecovered = "recovered" // requests are served again after all faults
 	promiseSpared    = "spared"    // a request that crashes servers is withheld from them in time, and no other is
-	promiseLimited   = "limited"   // a server that advertises a rate limit gets no more than that from all routers together
-	promiseRested    = "rested"    // a server that asks a router to back off gets nothing from it meanwhile
+	promiseLimited   = "limited"   // a server that advertises a rate limit gets hardly more than that from all routers together
+	promiseRested    = "rested"    // a server that asks a router to back off gets hardly any requests from it meanwhile
 	promiseAlive     = "alive"     // a router's process ends only when it is stopped
 )
 
 // Violation is a promise that was not kept, with a description.
 type Violation struct{ Promise, Text string }
 
-// interval is a time from start to end; while it lasts, its end is zero.
+// interval is the time between two points; its end is zero while it lasts.
 type interval struct{ from, to time.Time }
 
 // logf writes a line with the current time to soak.log.
@@ -86,12 +87,12 @@
 	return true
 }
 
-// routerTarget names a router in the record of disturbances. It is disturbed by faults, plannedTarget by planned restarts,
-// which begin with SIGTERM.
+// routerTarget and plannedTarget are names of a router in the record of disturbances. Planned restarts, which begin with SIGTERM,
+// are recorded under plannedTarget, all other faults of the router under routerTarget.
 func routerTarget(i int) string  { return fmt.Sprintf("router-%d", i) }
 func plannedTarget(i int) string { return "planned-" + routerTarget(i) }
 
-// starvedTarget is disturbed while the router or the soak itself waits too long for a processor.
+// starvedTarget is the name under which it is recorded that the router or the soak itself waited too long for a processor.
 func starvedTarget(i int) string { return "starved-" + routerTarget(i) }
 
 // contactTargets returns the targets that must be undisturbed for a router to be in contact with the store.
@@ -167,7 +168,7 @@
 	}
 }
 
-// checkFate compares what the answer says of a request's fate with its runs.
+// checkFate compares what the answer says about whether the request ran with its runs.
 func (s *soakRun) checkFate(q *request, runs []emulator.OpaqueRun) {
 	if len(runs) > 1 && !q.repeatable {
 		s.reportViolation(promiseOnce, "ran %d times: %s", len(runs), q)
@@ -185,7 +186,8 @@
 	}
 }
 
-// checkAnswered checks that a request that a router read was answered.
+// checkAnswered checks that a request was answered in time and completely, unless a disturbance, a fault of a server or a shutdown
+// excuses the router.
 func (s *soakRun) checkAnswered(q *request, runs []emulator.OpaqueRun) {
 	// A router that was disturbed by more than a planned restart need not answer. If the answer costs prepaid tokens, neither
 	// need a router whose store was disturbed.
--- a/soaker/deadly.go
+++ b/soaker/deadly.go
@@ -10,16 +10,25 @@
 )
 
 const (
-	deadlyMark                        = "deadly"                                // a request whose body contains it crashes the servers that run it
-	minDeadlyCrashes, maxDeadlySends  = 3, 3                                    // servers that may crash before a request must be known as deadly; how often it may be sent afterwards (as in the users' deployments)
-	maxDeadlyPause, maxDeadlyDuration = 400 * time.Millisecond, 8 * time.Second // its caller's longest pause between sends; the longest time for which it is sent, beyond minDuration
-	deadlyStreamBase                  = 1 << 20                                 // the first of its callers' streams of random numbers
-	impatientShare                    = 0.4                                     // share of these faults whose caller gives up at about the time when the server crashes
-	maxImpatientWait                  = 40 * time.Millisecond                   // longest wait of such a caller, twice the time that a server takes to crash
-	codeCrashesServers                = "request_ends_servers"                  // the code with which a router refuses a request that crashes servers
+	// deadlyMark marks deadly requests: a request whose body contains it crashes the servers that run it.
+	deadlyMark = "deadly"
+	// After minDeadlyCrashes crashes routers must know that a request is deadly, and after that they may send it to servers at
+	// most maxDeadlySends times, as in the users' deployments.
+	minDeadlyCrashes, maxDeadlySends = 3, 3
+	// maxDeadlyPause is the longest pause of a caller between two sends. maxDeadlyDuration is the longest time for which it
+	// repeats the request, beyond minDuration.
+	maxDeadlyPause, maxDeadlyDuration = 400 * time.Millisecond, 8 * time.Second
+	// deadlyStreamBase is the first stream of random numbers for the callers that send deadly requests.
+	deadlyStreamBase = 1 << 20
+	// impatientShare is the share of these faults whose caller gives up at about the time when the server crashes.
+	impatientShare = 0.4
+	// maxImpatientWait is the longest wait of such a caller, twice the time that a server takes to crash.
+	maxImpatientWait = 40 * time.Millisecond
+	// codeCrashesServers is the code with which a router refuses a request that crashes servers.
+	codeCrashesServers = "request_ends_servers"
 )
 
-// deadlyRequest sends a request that crashes every server that runs it, again and again.
+// deadlyRequest sends a request that crashes every server that runs it, again and again for the duration of the fault.
 func (s *soakRun) deadlyRequest(e faultEvent) {
 	s.mu.Lock()
 	name := fmt.Sprintf("%s-%d-%d", deadlyMark, e.target, len(s.requests))
@@ -44,8 +53,8 @@
 	}
 }
 
-// crashHandler returns the function that handles a crash of the server in a slot: the server's row stays until its missing
-// heartbeats are noticed, then a new server takes its place.
+// crashHandler returns the function that handles a crash of the server in a slot. It records the crash and returns; after
+// silenceTimeout, when missing heartbeats would be noticed, the server's row is removed and a new server takes the slot.
 func (s *soakRun) crashHandler(slot int) func(*emulator.OpaqueServer) {
 	return func(old *emulator.OpaqueServer) {
 		s.beginDisturbance("crash", old.ID, 0)
@@ -57,7 +66,8 @@
 	}
 }
 
-// checkDeadlyRequests checks that routers in contact with the store stopped sending deadly requests in time.
+// checkDeadlyRequests checks that routers in contact with the store sent each deadly request at most maxDeadlySends times after
+// it had to be known, which is stabilityPeriod after the run that caused crash number minDeadlyCrashes started.
 func (s *soakRun) checkDeadlyRequests() {
 	runs := map[string][]emulator.OpaqueRun{}
 	for _, r := range s.ledger.Runs() {
--- a/soaker/deployment.go
+++ b/soaker/deployment.go
@@ -9,8 +9,13 @@
 )
 
 const (
-	maxDrainDelay, extraServingTime = 2 * time.Second, 1500 * time.Millisecond // after the store accepted that a server drains: until it must get no new requests (as in the users' deployments), and how much longer it serves
-	silenceTimeout                  = 2 * time.Second                          // until the row of a crashed server is removed, after three heartbeats of less than a second
+	// maxDrainDelay is the time after the store accepted that a server drains, or after a router received an answer that
+	// announces it, until the server must get no new requests, as in the users' deployments. extraServingTime is how much longer
+	// it serves.
+	maxDrainDelay, extraServingTime = 2 * time.Second, 1500 * time.Millisecond
+	// silenceTimeout is the time until the row of a crashed server is removed: three missed heartbeats, each of which would have
+	// come within less than a second.
+	silenceTimeout = 2 * time.Second
 )
 
 // route is a route that every configuration has. Answers to metered requests are streams, which cost prepaid tokens.
@@ -42,7 +47,8 @@
 // versionPath returns the path that a version and all later ones serve.
 func versionPath(number int64) string { return fmt.Sprintf("version-%d", number) }
 
-// configure writes the next version, with more routes that no caller requests and with tokens paid to workspaces.
+// configure writes the next version, with a number of further routes that no caller requests (fewer if there would be more than
+// maxRoutes paths), and pays a number of tokens to each of some workspaces.
 func (s *soakRun) configure(more, paid int, to ...string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -66,7 +72,7 @@
 	s.logf("version %d accepted, %d bytes, %d routes added, %d tokens paid to %v", v.Number, size, more, paid, to)
 }
 
-// newestVersion returns the newest version that was accepted before a time; its number is zero if there is none.
+// newestVersion returns the newest version that was accepted before a time, or one with number zero if there is none.
 func (s *soakRun) newestVersion(before time.Time) (found version) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -78,7 +84,7 @@
 	return found
 }
 
-// startServer starts the next incarnation of the server in a slot.
+// startServer starts the next incarnation of the server in a slot and registers it as ready. It does not stop the current one.
 func (s *soakRun) startServer(slot int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -103,7 +109,7 @@
 // poolOf returns the pool of a server from its id.
 func poolOf(id string) string { return id[:strings.IndexByte(id, '-')] }
 
-// targetServer returns the server that a fault affects, and its slot.
+// targetServer returns the current server of the slot that a fault affects, and the slot.
 func (s *soakRun) targetServer(e faultEvent) (server *emulator.OpaqueServer, slot int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/soaker/faults.go
+++ b/soaker/faults.go
@@ -17,11 +17,12 @@
 	duration time.Duration
 }
 
-// scaled returns a number from 1 to max by the fault's severity.
+// scaled returns a number from 1 to max that grows with the fault's severity.
 func (e faultEvent) scaled(max int) int { return 1 + int(e.severity*float64(max)) }
 
 // fault is a kind of fault: its weight in the draw (a kind without weight is drawn only if Soak.Kinds names it), its longest
-// duration beyond minDuration, and the function that injects it and returns when it is over.
+// duration beyond minDuration, and the function that injects it. What is not over when the function returns runs in
+// soakRun.faults.
 type fault struct {
 	weight      int
 	maxDuration time.Duration
@@ -29,15 +30,22 @@
 }
 
 const (
-	maxGap, minDuration = 1400 * time.Millisecond, 150 * time.Millisecond // between the starts of two faults; the shortest duration of a fault
-	maxRestartPause     = 1000                                            // milliseconds before a process is started again
-	maxFailures         = 20                                              // requests that one fault makes a server fail
-	maxRoutes, maxTopUp = 4000, 30_000                                    // routes of a configuration, which a call to the store can carry; tokens of one top-up
-	allRoutersSeverity  = 0.8                                             // above it, a router fault affects all routers
-	silentLeaveShare    = 0.3                                             // share of draining servers whose row is removed instead of marked
+	// maxGap is the longest time between the starts of two faults, minDuration the shortest duration of a fault that lasts.
+	maxGap, minDuration = 1400 * time.Millisecond, 150 * time.Millisecond
+	// maxRestartPause is the longest pause, in milliseconds, before a process is started again.
+	maxRestartPause = 1000
+	// maxFailures bounds the number of requests for which one fault makes a server fail; the largest number is one less.
+	maxFailures = 20
+	// maxRoutes is the largest number of extra paths of a configuration, so that one call to the store can carry it; maxTopUp is
+	// the largest number of tokens of one top-up.
+	maxRoutes, maxTopUp = 4000, 30_000
+	// allRoutersSeverity is the severity above which a fault of routers affects all of them.
+	allRoutersSeverity = 0.8
+	// removedRowShare is the share of draining servers whose row is removed instead of marked as draining.
+	removedRowShare = 0.3
 )
 
-// Conditions of a proxy: slow, cut, and a marker that stands for a reset of its connections.
+// Conditions of a proxy. reset is only a marker for proxyFault, which then resets the proxy's connections.
 var slow, cut, reset = condition{delay: 200 * time.Millisecond, rate: 256 << 10}, condition{cut: true}, condition{}
 
 // kinds has all kinds of faults by name.
@@ -73,7 +81,7 @@
 // Kinds returns the sorted names of all kinds of faults.
 func Kinds() []string { return slices.Sorted(maps.Keys(kinds)) }
 
-// forTargets calls do concurrently for each router that a fault affects: one router, or all.
+// forTargets starts do, in a goroutine of s.faults, for each router that a fault affects: one router, or all.
 func (s *soakRun) forTargets(e faultEvent, do func(i int, p *process)) {
 	for i, p := range s.processes {
 		if i == e.target%s.Routers || e.severity > allRoutersSeverity {
@@ -82,7 +90,8 @@
 	}
 }
 
-// restart ends a router and starts it again, unless another fault restarts it already.
+// restart ends each affected router and starts it again, unless another fault is restarting or reloading it. The disturbance is
+// recorded under the name that target returns.
 func (s *soakRun) restart(e faultEvent, target func(int) string, end func(*process)) {
 	s.forTargets(e, func(i int, p *process) {
 		if !p.lifecycleMu.TryLock() {
@@ -99,7 +108,7 @@
 	})
 }
 
-// freeze suspends a router's process with SIGSTOP.
+// freeze suspends the processes of the affected routers with SIGSTOP for the duration of the fault.
 func (s *soakRun) freeze(e faultEvent) {
 	s.forTargets(e, func(i int, p *process) {
 		defer s.beginDisturbance(e.kind, routerTarget(i), 0)()
@@ -109,7 +118,7 @@
 	})
 }
 
-// hangup makes a router reload its settings, unless it is being restarted.
+// hangup makes each affected router reload its settings, unless it is being restarted.
 func (s *soakRun) hangup(e faultEvent) {
 	s.forTargets(e, func(_ int, p *process) {
 		if p.lifecycleMu.TryLock() {
@@ -119,7 +128,8 @@
 	})
 }
 
-// proxyFault returns a fault that changes the condition of one of a router's proxies; a later fault replaces an earlier one.
+// proxyFault returns a fault that changes the condition of one of a router's proxies. A later fault of the same proxy replaces an
+// earlier one, and the end of either ends both.
 func proxyFault(which int, c condition) func(s *soakRun, e faultEvent) {
 	return func(s *soakRun, e faultEvent) {
 		s.forTargets(e, func(i int, p *process) {
@@ -136,7 +146,7 @@
 	}
 }
 
-// storeFault returns a fault of the store; a later fault replaces an earlier one.
+// storeFault returns a fault of the store. A later fault replaces an earlier one, and the end of either ends both.
 func storeFault(f emulator.RowFaults) func(s *soakRun, e faultEvent) {
 	return func(s *soakRun, e faultEvent) {
 		defer s.beginDisturbance(e.kind, storeTarget, 0)()
@@ -146,12 +156,12 @@
 	}
 }
 
-// drain drains a server, by marking its row as draining or by removing it, and starts the server's next incarnation. The old one
-// still serves until routers must have noticed.
+// drain starts the next incarnation of a server and drains the old one, by marking its row as draining or by removing the row. The
+// old one still serves until extraServingTime after routers must have noticed.
 func (s *soakRun) drain(e faultEvent) {
 	old, slot := s.targetServer(e)
 	s.startServer(slot)
-	if e.severity < silentLeaveShare {
+	if e.severity < removedRowShare {
 		old.Deregister(s.rows)
 	} else {
 		s.register(old, true)
@@ -165,7 +175,8 @@
 	old.Deregister(s.rows)
 }
 
-// crash ends a server at once; its row stays until its missing heartbeats are noticed.
+// crash ends a server at once. Its row stays for silenceTimeout, as if until missing heartbeats are noticed; then a new server
+// takes its slot.
 func (s *soakRun) crash(e faultEvent) {
 	old, slot := s.targetServer(e)
 	s.beginDisturbance(e.kind, old.ID, 0)
@@ -175,13 +186,14 @@
 	s.startServer(slot)
 }
 
-// failures are the ways in which a server can fail a request, and one request that it answers properly.
+// failures are the ways in which a server can fail a request without crashing, and once no failure.
 var failures = []emulator.OpaqueFault{
 	emulator.OpaqueReset, emulator.OpaqueOverloaded, emulator.OpaqueTruncated, emulator.OpaqueWrongServer, emulator.OpaqueError, emulator.OpaqueNoFault,
 	emulator.OpaqueHang, emulator.OpaqueUnsigned, emulator.OpaqueWrongRequest, emulator.OpaqueStrayAnswer,
 }
 
-// failServer makes a server fail its next requests, one after the other in different ways.
+// failServer makes a server fail its next requests, one after the other in different ways. Every len(failures)th is answered
+// properly.
 func (s *soakRun) failServer(e faultEvent) {
 	server, _ := s.targetServer(e)
 	server.InjectFaults(slices.Repeat(failures, 1+maxFailures/len(failures)+1)[e.target%len(failures):][:e.scaled(maxFailures-1)]...)
--- a/soaker/limits.go
+++ b/soaker/limits.go
@@ -9,10 +9,15 @@
 )
 
 const (
-	maxLimitDuration           = 8 * time.Second                         // longest time for which a server advertises a rate limit
-	maxRateLimit               = 4.0                                     // requests per second
-	limitOvershoot, limitSlack = 1.5, 5                                  // a server may get this multiple of its limit, and this many requests more (as in the users' deployments)
-	limitWindow, limitDelay    = 4 * time.Second, 500 * time.Millisecond // in any window of this length, from routers that have known the limit for this long
+	// maxLimitDuration is the longest time for which a server advertises a rate limit, beyond minDuration.
+	maxLimitDuration = 8 * time.Second
+	// maxRateLimit is the largest advertised rate limit in requests per second.
+	maxRateLimit = 4.0
+	// Within any limitWindow, a server may get limitOvershoot times the requests that its limit allows, and limitSlack requests
+	// more, as in the users' deployments.
+	limitOvershoot, limitSlack = 1.5, 5
+	// limitDelay is how long after an answer that carries a limit the router's requests count towards it.
+	limitWindow, limitDelay = 4 * time.Second, 500 * time.Millisecond
 )
 
 // limitInterval is an interval in which a server advertises a rate limit.
@@ -37,10 +42,12 @@
 	s.limits = append(s.limits, limitInterval{server.ID, rate, interval{from, time.Now()}})
 }
 
-// checkRateLimits checks that no server got more than its rate limit allows from the routers that had received the limit.
+// checkRateLimits checks that no server got more than its rate limit, with its tolerance, allows from the routers that had
+// received the limit.
 func (s *soakRun) checkRateLimits() {
 	for _, l := range s.limits {
-		// Another fault may have changed or ended the limit early.
+		// Of two limits of one server that overlap, the later replaced the earlier, and the end of one removed the other. Neither
+		// is checked.
 		overlaps := func(o limitInterval) bool {
 			return o != l && o.server == l.server && o.from.Before(l.to) && l.from.Before(o.to)
 		}
@@ -61,7 +68,8 @@
 	}
 }
 
-// countsForLimit reports whether a run counts towards a limit: its router had received the limit and was not disturbed.
+// countsForLimit reports whether a run counts towards a limit: the limit had been in effect for stabilityPeriod and had not ended,
+// and the router that sent the run had been in contact with the store and had received the limit with an earlier answer.
 func (s *soakRun) countsForLimit(r emulator.OpaqueRun, l limitInterval) bool {
 	q := s.requests[r.ID]
 	if q == nil || r.StartedAt.Before(l.from.Add(stabilityPeriod)) || r.StartedAt.After(l.to) || !s.isUndisturbed(r.StartedAt.Add(-limitWindow-stabilityPeriod), r.StartedAt, contactTargets(q.router)...) {
@@ -73,7 +81,7 @@
 	})
 }
 
-// maxWithin returns the largest number of times within any window.
+// maxWithin returns the largest number of times within any window of a length. The times must be sorted.
 func maxWithin(times []time.Time, window time.Duration) (count int) {
 	for i, first := range times {
 		n := 0
--- a/soaker/prober.go
+++ b/soaker/prober.go
@@ -13,20 +13,22 @@
 	// is added for a busy machine.
 	applyTimeout, narrowApplyTimeout = 2 * time.Second, 3 * time.Second
 	applySlack                       = 500 * time.Millisecond
-	stabilityPeriod                  = 3 * time.Second                     // a router whose targets were undisturbed for this long is in contact with the store
-	probeInterval, probeTimeout      = 100 * time.Millisecond, time.Second // between the probes of a router; for one probe
+	// stabilityPeriod is how long a router's targets must have been undisturbed for it to count as in contact with the store.
+	stabilityPeriod = 3 * time.Second
+	// probeInterval is the pause after each pair of probes of a router; probeTimeout limits one probe.
+	probeInterval, probeTimeout = 100 * time.Millisecond, time.Second
 )
 
-// prober requests from one router, not through its proxy, the path of the newest version and of the newest version that the
-// router must have applied.
+// prober sends probes to one router directly, without its proxy. A probe requests the path of a version: either the newest one, or
+// the newest one that the router must have applied.
 type prober struct {
 	*caller
 	process           *process
-	seen, incarnation int64 // the newest version that the router's current incarnation has served; that incarnation
+	seen, incarnation int64 // the newest version that a probe found served by an incarnation of the router; that incarnation
 	missed            int64 // the newest version for which a violation was reported because the router did not apply it in time
 }
 
-// probe sends probes until the soak ends.
+// probe sends probes until done is closed.
 func (p *prober) probe(done <-chan struct{}) {
 	p.transport.DisableKeepAlives = true
 	for {
@@ -40,7 +42,7 @@
 	}
 }
 
-// maxApplyTime returns how long routers may take to apply a configuration.
+// maxApplyTime returns how long routers in contact with the store may take to apply a configuration.
 func (s *soakRun) maxApplyTime() time.Duration {
 	if s.narrow {
 		return narrowApplyTimeout + applySlack
@@ -88,15 +90,15 @@
 	return q
 }
 
-// awaitVersion sends requests until a router knows a version's path. A router that does not know it by the deadline has no
-// excuse, so a router that never applies a configuration is found even on a machine on which routers starve again and again.
+// awaitVersion sends requests until a router knows a version's path, and reports a violation if it does not by the deadline, even
+// if it was starved. So a router that never applies a configuration is found also on a machine on which routers often starve.
 func (c *caller) awaitVersion(ctx context.Context, v version, until time.Time) {
 	for ctx.Err() == nil {
 		q := c.requestVersion(v)
 		switch q.status {
 		case 0, http.StatusNotFound, http.StatusServiceUnavailable:
 		default:
-			// The router has the route, even if its servers are slow.
+			// The router has the route, even if no server answered in time.
 			return
 		}
 		if time.Now().After(until) {
--- a/soaker/process.go
+++ b/soaker/process.go
@@ -18,30 +18,33 @@
 )
 
 const (
-	zoneName                        = "zone"
-	startTimeout, readyPollInterval = 20 * time.Second, 50 * time.Millisecond // until a router is ready, longer than any fault lasts; between two checks
+	zoneName = "zone"
+	// startTimeout is how long a router may take until it is ready; it is longer than any fault lasts. readyPollInterval is the
+	// time between two checks.
+	startTimeout, readyPollInterval = 20 * time.Second, 50 * time.Millisecond
 	// Ports of a router. Each router has its own IP address, so no connection of another program uses them.
 	callerPort, readinessPort, peerPort = 7101, 7102, 7103
-	callerProxy, storeProxy             = 0, 1 // the index of a router's proxies
+	// Indices of a router's proxies: the one between its callers and it, and the one between it and the store.
+	callerProxy, storeProxy = 0, 1
 )
 
-// process is a router's process and its restarts.
+// process runs a router as a process of the operating system and can restart it.
 type process struct {
 	soak        *soakRun
 	settings    forwarder.Settings
 	files       string     // the path of its files without their extensions
 	proxies     [2]*proxy  // from its callers, and to the store
-	lifecycleMu sync.Mutex // serializes restarts and reloads
+	lifecycleMu sync.Mutex // held during a restart or reload; faults that find it held skip theirs
 
 	mu            sync.Mutex
 	command       *exec.Cmd
 	exited        chan struct{}
-	stopRequested bool         // the current incarnation was sent SIGTERM or SIGKILL
-	incarnation   atomic.Int64 // the number of starts
+	stopRequested bool         // the soak has sent SIGTERM or SIGKILL to the current incarnation
+	incarnation   atomic.Int64 // the number of the current incarnation, from 1
 	pid           atomic.Int64
 }
 
-// addRouter creates a router with its own IP address and starts it.
+// addRouter creates a router with its own IP address and its two proxies, and starts it.
 func (s *soakRun) addRouter(ip, store string, seeds []string, c condition) error {
 	address := func(port int) string { return fmt.Sprintf("%s:%d", ip, port) }
 	fromCallers, toStore := newProxy(address(callerPort), condition{}), newProxy(store, c)
@@ -82,7 +85,7 @@
 	return nil
 }
 
-// wait waits for the end of an incarnation, and reports a violation if it was not stopped.
+// wait waits for the end of an incarnation, and reports a violation if the soak had not asked it to stop.
 func (p *process) wait(c *exec.Cmd, exited chan struct{}) {
 	defer close(exited)
 	_ = c.Wait()
@@ -117,7 +120,7 @@
 	<-p.exited
 }
 
-// awaitReady waits until the router is ready; it returns false if that takes too long.
+// awaitReady waits until the router is ready, for at most about startTimeout, and reports whether it is.
 func (p *process) awaitReady() bool {
 	client := &http.Client{Timeout: time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
 	for until := time.Now().Add(startTimeout); time.Now().Before(until); time.Sleep(readyPollInterval) {
--- a/soaker/proxy.go
+++ b/soaker/proxy.go
@@ -8,14 +8,15 @@
 )
 
 const (
-	// chunkBytes is how much a proxy reads at once: a few packets, so that a slow proxy forwards bytes evenly.
+	// chunkBytes is the largest number of bytes that a proxy forwards at once; it is small, so that a slow proxy forwards
+	// evenly.
 	chunkBytes = 16 << 10
 	// cutPollInterval is the time between two checks whether a cut has ended.
 	cutPollInterval = 5 * time.Millisecond
 )
 
-// condition is how a proxy impairs its traffic: cut holds back all bytes, delay delays each chunk, and rate limits the bytes per
-// second in each direction unless it is zero.
+// condition is how a proxy impairs its traffic: cut holds back all bytes, delay delays each chunk, and rate, unless it is zero,
+// limits the bytes per second that all connections together get in each direction.
 type condition struct {
 	cut   bool
 	delay time.Duration
@@ -26,12 +27,12 @@
 type proxy struct {
 	net.Listener
 	target  string
-	usual   condition
+	usual   condition // when no fault impairs the proxy
 	current atomic.Pointer[condition]
 
 	mu     sync.Mutex
-	conns  []*net.TCPConn
-	freeAt [2]time.Time // when the rate allows each direction its next bytes
+	conns  []*net.TCPConn // both ends of all connections so far, closed ones included
+	freeAt [2]time.Time   // when the rate allows each direction its next bytes
 }
 
 // newProxy starts a proxy to a target.
@@ -51,7 +52,7 @@
 	return l
 }
 
-// reset ends all connections with a TCP reset.
+// reset ends all connections with a TCP reset at both ends.
 func (p *proxy) reset() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -76,7 +77,7 @@
 	}
 }
 
-// relay forwards bytes in both directions until both have ended.
+// relay forwards bytes in both directions until both have ended, and closes both connections.
 func (p *proxy) relay(near, far *net.TCPConn) {
 	p.mu.Lock()
 	p.conns = append(p.conns, near, far)
@@ -88,7 +89,8 @@
 	_, _ = near.Close(), far.Close()
 }
 
-// forward forwards bytes in one direction. It ends with a CloseWrite, also after a reset of the other end.
+// forward forwards bytes in one direction until reading or writing fails. It then closes the write side of to, so a reset of from
+// reaches the other end as a normal end of the data.
 func (p *proxy) forward(direction int, to, from *net.TCPConn) {
 	defer to.CloseWrite()
 	buffer := make([]byte, chunkBytes)
--- a/soaker/signals.go
+++ b/soaker/signals.go
@@ -9,13 +9,17 @@
 )
 
 const (
-	maxBackoff                     = 3 * time.Second           // longest backoff that a server asks for, beyond minDuration
-	backoffDelay, maxSentInBackoff = 500 * time.Millisecond, 2 // this long after it was asked, a router may send at most this many requests (as in the users' deployments)
-	refusalsPerBackoff             = 6                         // requests that a server refuses with the same backoff
+	// maxBackoff is the longest backoff that a server asks for, beyond minDuration.
+	maxBackoff = 3 * time.Second
+	// From backoffDelay after a server asked a router to back off until the backoff ends, the router may send it at most
+	// maxSentInBackoff requests, as in the users' deployments.
+	backoffDelay, maxSentInBackoff = 500 * time.Millisecond, 2
+	// refusalsPerBackoff is the number of requests that a server refuses with the same backoff.
+	refusalsPerBackoff = 6
 )
 
-// announceDrain drains a server that announces this only in its answers, not in its row, and starts the server's next
-// incarnation.
+// announceDrain starts the next incarnation of a server and drains the old one, which announces this only in its answers. The old
+// one's row stays unchanged until it closes.
 func (s *soakRun) announceDrain(e faultEvent) {
 	old, slot := s.targetServer(e)
 	s.startServer(slot)
@@ -44,7 +48,8 @@
 	return s.isUndisturbed(from, to, routerTarget(router), plannedTarget(router), starvedTarget(router))
 }
 
-// checkBackoff checks that the routers backed off that a server had asked to.
+// checkBackoff checks that each router that a server asked to back off sent it no more than maxSentInBackoff requests during the
+// backoff.
 func (s *soakRun) checkBackoff(server *emulator.OpaqueServer) {
 	arrivals := server.Arrivals()
 	for _, refused := range arrivals {
@@ -66,8 +71,8 @@
 	}
 }
 
-// checkAnnouncedDrain checks that a run does not come from a router that had earlier forwarded an answer in which the server
-// announced that it drains. This must hold even for routers without contact with the store.
+// checkAnnouncedDrain checks that a run does not come from a router that, more than maxDrainDelay before, had forwarded an answer
+// in which the server announced that it drains. This must hold even for routers without contact with the store.
 func (s *soakRun) checkAnnouncedDrain(r emulator.OpaqueRun, q *request) {
 	announcedAt, ok := s.drainAnnouncedAt[r.Server]
 	if !ok || r.StartedAt.Sub(announcedAt) <= maxDrainDelay+timingSlack {
@@ -78,7 +83,7 @@
 		if o.Server != r.Server || other == nil || other.router != q.router || other.signedBy != r.Server || o.StartedAt.Before(announcedAt) {
 			continue
 		}
-		// The router had the announcement by the time when it had forwarded the answer.
+		// The router had received the announcement when the caller had the whole answer.
 		if q.sentAt.Sub(other.endedAt) > maxDrainDelay && s.isRouterUndisturbed(q.router, other.endedAt.Add(-stabilityPeriod), r.StartedAt) {
 			s.reportViolation(promiseDrained, "%s got a request %s after an answer announced that it drains: %s", r.Server, r.StartedAt.Sub(other.endedAt).Round(time.Millisecond), q)
 			return
--- a/soaker/soak.go
+++ b/soaker/soak.go
@@ -17,30 +17,42 @@
 
 const (
 	// MaxRouters is the largest number of routers of a soak, each of which is a process.
-	MaxRouters                      = 200
-	callersPerRouter                = 12
-	recoveryTimeout, recoveryTokens = 12 * time.Second, 5_000_000      // until requests are served again after all faults (as in the users' deployments); the top-up before it
-	narrowBandwidth, narrowEvery    = 10e6 / 8, 3                      // bytes per second of a narrow network link of 10 Mbit/s, used in one of this many soaks
-	maxEvents, maxEventPause        = 10, 250 * time.Millisecond       // of a stream; between two events
-	minGrace, extraGrace            = 5 * time.Second, 3 * time.Second // grace period of routers after SIGTERM; what is added to it in half of the soaks, as is usual
-	maxWork                         = 250 * time.Millisecond           // duration of answers that are no streams, far less than a router waits before it tries another server
-	slowWork, slowEvery             = time.Second, 8                   // a longer duration of these answers, used in one of this many soaks
+	MaxRouters       = 200
+	callersPerRouter = 12
+	// recoveryTimeout is the time after all faults within which requests must be served again, as in the users' deployments.
+	// recoveryTokens are paid to each workspace before it starts.
+	recoveryTimeout, recoveryTokens = 12 * time.Second, 5_000_000
+	// narrowBandwidth is the bandwidth in bytes per second (10 Mbit/s) of each router's connections to the store in one of
+	// narrowEvery soaks, on average.
+	narrowBandwidth, narrowEvery = 10e6 / 8, 3
+	// The largest number of events of a stream, and the longest pause between two events. Each soak draws its own values.
+	maxEvents, maxEventPause = 10, 250 * time.Millisecond
+	// minGrace is the grace period of routers after SIGTERM. Half of the soaks add extraGrace, which makes it the usual one.
+	minGrace, extraGrace = 5 * time.Second, 3 * time.Second
+	// maxWork is the longest time that servers take for answers that are not streams. It is far shorter than the time that a
+	// router waits before it tries another server.
+	maxWork = 250 * time.Millisecond
+	// slowWork is a longer time for these answers, used in one of slowEvery soaks, on average.
+	slowWork, slowEvery = time.Second, 8
 )
 
 // Soak configures a soak.
 type Soak struct {
 	Seed               uint64
-	Duration           time.Duration
-	Routers            int
-	Program, Directory string   // the built program; the directory for settings and logs
-	Kinds              []string // the kinds of faults that are drawn; if empty, all that have a weight
+	Duration           time.Duration // the time in which faults begin; the start and the checks after the faults come on top
+	Routers            int           // the number of routers
+	Program, Directory string        // the built program; the directory for settings and logs
+	Kinds              []string      // the kinds of faults that are drawn; if empty, all that have a weight
 }
 
 // Report is the result of a soak.
 type Report struct {
+	// Requests counts the requests that were made, probes and resumed requests included, Served the complete answers with status
+	// 200, Resumed the requests that resumed an answer and got events, Versions the accepted versions of the configuration, and
+	// Faults the faults that were drawn.
 	Requests, Served, Resumed, Versions, Faults int
-	// Starved counts how often a router or the soak waited too long for a processor. What is late or missing at these times is
-	// no violation.
+	// Starved counts the polls at which a router or the soak had waited too long for a processor, once for each router
+	// concerned. What is late or missing at these times is no violation, except after all faults.
 	Starved    int
 	Violations []Violation
 }
@@ -54,25 +66,25 @@
 	store              *http.Server
 	ledger             *emulator.OpaqueRunLog
 	processes          []*process
-	routers            map[string]int // index of the process by the address that callers connect to
-	faults             sync.WaitGroup
-	events             int           // per stream
-	pause, work, grace time.Duration // between two events; duration of other answers; grace period of routers
-	narrow             bool          // network links to the store are narrow
+	routers            map[string]int // index of the process by each address that callers connect to: its own and its proxy's
+	faults             sync.WaitGroup // the faults that still last
+	events             int            // number of events per stream
+	pause, work, grace time.Duration  // between two events; duration of other answers; grace period of routers
+	narrow             bool           // network links to the store are narrow
 
 	mu               sync.Mutex
 	servers          []*emulator.OpaqueServer // the current incarnations, by slot
 	incarnations     int                      // number of incarnations of all servers
-	drainAcceptedAt  map[string]time.Time     // when the store accepted that a server drains
-	drainAnnouncedAt map[string]time.Time     // when a server started to announce in its answers that it drains
+	drainAcceptedAt  map[string]time.Time     // when the store had accepted a server's row as draining, or its removal; by server ID
+	drainAnnouncedAt map[string]time.Time     // when a server started to announce in its answers that it drains; by server ID
 	all              []*emulator.OpaqueServer // all incarnations of servers
-	limits           []limitInterval          // the intervals in which servers advertised rate limits
+	limits           []limitInterval          // the ended intervals in which servers advertised rate limits
 	versions         []version
-	prepaid          map[string]int64
-	delivered        map[string]int64
-	requests         map[string]*request
-	disturbances     map[string][]interval
-	delays           map[int][]schedulingDelay
+	prepaid          map[string]int64          // tokens by workspace
+	delivered        map[string]int64          // tokens that callers got, by workspace
+	requests         map[string]*request       // by id
+	disturbances     map[string][]interval     // by target: a router, a server or the store
+	delays           map[int][]schedulingDelay // by index of the router
 	violations       []Violation
 	served           int
 	resumed          int
@@ -111,7 +123,7 @@
 	return Report{Requests: len(s.requests), Served: s.served, Resumed: s.resumed, Versions: len(s.versions), Faults: s.faultsDrawn, Starved: s.starvationCount(), Violations: s.violations}, ctx.Err()
 }
 
-// start starts the store, the servers and the routers.
+// start starts the store, the servers and the routers, and waits until all routers are ready.
 func (s *soakRun) start() error {
 	listener := listen()
 	go func() { _ = s.store.Serve(listener) }()
@@ -127,10 +139,10 @@
 		s.startServer(slot)
 	}
 	s.configure(0, 0)
-	// The addresses do not depend on the seed, so that concurrent soaks do not share them.
+	// The subnet does not depend on the seed, so that concurrent soaks with the same seed rarely share addresses.
 	subnet := fmt.Sprintf("127.%d.%d.", 1+rand.IntN(254), rand.IntN(256))
 	for i := range s.Routers {
-		// Each router gets its own address and that of the first router as seeds.
+		// The peer seeds of a router are the peer addresses of the first router and of itself.
 		seeds := []string{fmt.Sprintf("%s%d:%d", subnet, 1, peerPort), fmt.Sprintf("%s%d:%d", subnet, 1+i, peerPort)}
 		if err := s.addRouter(fmt.Sprint(subnet, 1+i), listener.Addr().String(), seeds, c); err != nil {
 			return err
@@ -144,7 +156,7 @@
 	return nil
 }
 
-// startLoad starts the callers, the probers and the watch for starvation.
+// startLoad starts the callers, the probers and the watch for starvation, all of which end after done is closed.
 func (s *soakRun) startLoad(load *sync.WaitGroup, done <-chan struct{}) {
 	load.Go(func() { s.watchStarvation(done) })
 	var addresses []string
@@ -159,15 +171,16 @@
 	}
 }
 
-// injectFaults draws faults and injects them at their times, concurrently, until the duration of the soak is over.
+// injectFaults draws faults and starts each at its time until the duration of the soak is over or ctx ends. Faults run
+// concurrently and may still last when it returns.
 func (s *soakRun) injectFaults(ctx context.Context) {
-	var lots []string
+	var weightedKinds []string
 	for _, name := range Kinds() {
 		switch {
 		case len(s.Kinds) == 0:
-			lots = append(lots, slices.Repeat([]string{name}, kinds[name].weight)...)
+			weightedKinds = append(weightedKinds, slices.Repeat([]string{name}, kinds[name].weight)...)
 		case slices.Contains(s.Kinds, name):
-			lots = append(lots, slices.Repeat([]string{name}, max(1, kinds[name].weight))...)
+			weightedKinds = append(weightedKinds, slices.Repeat([]string{name}, max(1, kinds[name].weight))...)
 		}
 	}
 	start := time.Now()
@@ -177,7 +190,7 @@
 			return
 		case <-time.After(time.Until(start.Add(at))):
 		}
-		e := faultEvent{kind: lots[s.random.IntN(len(lots))], target: s.random.IntN(1 << 16), severity: s.random.Float64()}
+		e := faultEvent{kind: weightedKinds[s.random.IntN(len(weightedKinds))], target: s.random.IntN(1 << 16), severity: s.random.Float64()}
 		e.duration = minDuration + time.Duration(s.random.Float64()*float64(kinds[e.kind].maxDuration))
 		s.logf("%s target %d severity %.2f duration %s", e.kind, e.target, e.severity, e.duration)
 		s.faultsDrawn++
@@ -185,8 +198,8 @@
 	}
 }
 
-// checkRecovery checks that each router serves requests to each route again and applies the last accepted configuration. It
-// first pays enough tokens to all workspaces.
+// checkRecovery pays tokens to all workspaces and then checks that each router serves requests to each route again and applies
+// the last accepted configuration.
 func (s *soakRun) checkRecovery(ctx context.Context) {
 	s.configure(0, recoveryTokens, workspaces...)
 	last := s.newestVersion(time.Now())
--- a/soaker/soaker_test.go
+++ b/soaker/soaker_test.go
@@ -17,7 +17,7 @@
 	"github.com/masticway/masticway/soaker"
 )
 
-// buildMu serializes builds, each of which uses all processors that it may.
+// buildMu serializes the builds of broken programs, because each build uses all available processors.
 var buildMu sync.Mutex
 
 // build builds the program with some of its source files replaced, and returns its path.
@@ -60,7 +60,7 @@
 // soakSlots limits the number of concurrent soaks, so that they do not slow each other down.
 var soakSlots = make(chan struct{}, 4)
 
-// soak runs a soak, cancels it after a timeout, and returns its report.
+// soak runs a soak once a slot is free, cancels it after a timeout, and returns its report, which may then be incomplete.
 func soak(t *testing.T, s soaker.Soak, timeout time.Duration) soaker.Report {
 	soakSlots <- struct{}{}
 	defer func() { <-soakSlots }()
@@ -73,7 +73,8 @@
 	return report
 }
 
-// assertPromisesKept runs a soak and fails the test on any violation. The logs of a failed soak are kept.
+// assertPromisesKept runs a soak and fails the test on any violation, if too few requests were served or if no fault was injected.
+// The logs of a failed soak are kept.
 func assertPromisesKept(t *testing.T, s soaker.Soak) {
 	var err error
 	s.Program, err = program()
--- a/soaker/starvation.go
+++ b/soaker/starvation.go
@@ -10,12 +10,14 @@
 )
 
 const (
-	maxSchedulingDelay     = 300 * time.Millisecond // a thread that waited longer for a processor was starved
-	starvationPollInterval = 200 * time.Millisecond // between two polls
+	// maxSchedulingDelay is the longest wait for a processor, of any thread in one poll interval, that is not starvation.
+	maxSchedulingDelay = 300 * time.Millisecond
+	// starvationPollInterval is the pause between two polls.
+	starvationPollInterval = 200 * time.Millisecond
 )
 
-// watchStarvation records a disturbance of a router whenever the router waited too long for a processor, or the soak itself did,
-// which runs the callers, the store and the servers.
+// watchStarvation polls until done is closed. It records the scheduling delay of each router, and a disturbance if the router or
+// the soak itself waited too long for a processor. The soak counts because it runs the callers, the store and the servers.
 func (s *soakRun) watchStarvation(done <-chan struct{}) {
 	w := threadWaits{}
 	for {
@@ -35,7 +37,7 @@
 	}
 }
 
-// starvationCount returns how often routers were starved.
+// starvationCount returns the number of disturbances by starvation, added over all routers.
 func (s *soakRun) starvationCount() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -46,7 +48,8 @@
 	return n
 }
 
-// schedulingDelay is how long a router and the soak together waited for a processor in the poll interval that ended at a time.
+// schedulingDelay is the longest wait for a processor of a router's threads plus that of the soak's threads, in the poll interval
+// that ended at a time.
 type schedulingDelay struct {
 	at     time.Time
 	length time.Duration
@@ -59,13 +62,14 @@
 	s.delays[router] = append(s.delays[router], schedulingDelay{at: time.Now(), length: delay})
 }
 
-// delaySince returns the total scheduling delay of a router since a time; many short waits delay a router as one long wait does.
+// delaySince returns the sum of the scheduling delays of a router since a time, because many short waits delay a router as one
+// long wait does.
 func (s *soakRun) delaySince(router int, from time.Time) (d time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for _, h := range s.delays[router] {
-		if h.at.After(from) {
-			d += h.length
+	for _, delay := range s.delays[router] {
+		if delay.at.After(from) {
+			d += delay.length
 		}
 	}
 	return d
@@ -75,7 +79,7 @@
 // schedstat file.
 type threadWaits map[string]time.Duration
 
-// longest returns the longest wait of any of a process's threads since the last poll.
+// longest returns the longest wait of any of a process's threads since the last poll, or since its start for a new thread.
 func (w threadWaits) longest(pid int) (d time.Duration) {
 	files, _ := filepath.Glob(fmt.Sprintf("/proc/%d/task/*/schedstat", pid))
 	for _, file := range files {
