--- a/loader/client.go
+++ b/loader/client.go
@@ -19,35 +19,40 @@
 // outcome is the outcome of a request as its client sees it.
 type outcome string
 
+// The outcomes: a whole answer; an error with a code from the router, also in the middle of a stream; anything else, such as a
+// broken connection.
 const (
 	outcomeOK      outcome = "ok"
 	outcomeRefused outcome = "refused"
 	outcomeBroken  outcome = "broken"
 )
 
-// answer is the client's answer to the last attempt of a request.
+// answer is what the client got for the last attempt of a request.
 type answer struct {
 	outcome outcome
-	status  int
-	code    string
-	fate    masticway.Fate
-	text    string
-	usage   masticway.Usage
+	// status is the HTTP status, zero if there was no answer, or 502 if a stream ended with an error.
+	status int
+	code   string
+	fate   masticway.Fate
+	text   string
+	usage  masticway.Usage
 	// id is the request id in the answer, for the explain command.
 	id         string
 	attempts   int
 	retryAfter time.Duration
-	// firstToken and whole are the times from the planned arrival until the first token and the whole answer.
+	// firstToken and whole are the times from the planned arrival to the first token and to the end of the answer. For an
+	// answer that is not a stream, firstToken is the time to its end.
 	firstToken time.Duration
 	whole      time.Duration
-	tokenGaps  []time.Duration
-	ended      time.Time
+	// tokenGaps has the times between the tokens of a stream.
+	tokenGaps []time.Duration
+	ended     time.Time
 }
 
 const (
-	// maxRetryPause limits the time that a client waits before a retry, if the answer names one.
+	// maxRetryPause limits the pause before a retry if the answer names its length.
 	maxRetryPause = 2 * time.Second
-	// brokenPause is the pause before a retry if the answer names no time, such as after a broken connection.
+	// brokenPause is the pause before a retry if the answer names no length, such as after a broken connection.
 	brokenPause = 50 * time.Millisecond
 )
 
@@ -59,7 +64,8 @@
 	keys   map[string]string
 }
 
-// send sends a planned request. It retries with the same idempotency key, as often as the traffic allows.
+// send sends a planned request. It retries with the same idempotency key, as often as the traffic allows, until shouldRetry is
+// false or ctx is done.
 func (c *client) send(ctx context.Context, p plannedRequest, arrival time.Time) answer {
 	var a answer
 	for retries := 0; ; retries++ {
@@ -93,7 +99,7 @@
 	return a.status == http.StatusServiceUnavailable || a.status == http.StatusGatewayTimeout || a.status == http.StatusConflict || a.status == http.StatusBadGateway
 }
 
-// sendOnce sends one attempt of a request to a random router.
+// sendOnce sends one attempt of a request to a random ready router. The outcome is outcomeBroken if there is none.
 func (c *client) sendOnce(ctx context.Context, p plannedRequest, arrival time.Time) answer {
 	routers := c.routers()
 	if len(routers) == 0 {
@@ -170,7 +176,8 @@
 	Usage *masticway.Usage `json:"usage"`
 }
 
-// readEvents reads a stream of events into an answer.
+// readEvents reads a stream of events into an answer. The outcome is outcomeBroken unless the stream is complete or ends with an
+// error event.
 func readEvents(body io.Reader, a *answer, arrival time.Time) {
 	a.outcome = outcomeBroken
 	a.code = "stream"
@@ -251,7 +258,8 @@
 	}
 }
 
-// isCorrect reports whether an answer is the whole answer to the planned request.
+// isCorrect reports whether an answer is the whole answer to the planned request or, for a model without MaxTokens, a beginning of
+// it of the length that the answer's usage says.
 func (p plannedRequest) isCorrect(a answer) bool {
 	if p.traffic.Service != "" {
 		var echo struct {
@@ -262,6 +270,6 @@
 	if p.traffic.MaxTokens > 0 {
 		return a.text == emulator.Answer(p.messages, p.tokens)
 	}
-	// If the request sets no maximum, a small budget may cut its answer short; the usage shows the length.
+	// If the request sets no maximum, the router may set a smaller one because of a small budget.
 	return a.usage.Completion > 0 && a.text == emulator.Answer(p.messages, min(a.usage.Completion, p.tokens))
 }
--- a/loader/driver.go
+++ b/loader/driver.go
@@ -21,18 +21,23 @@
 	"github.com/masticway/masticway/measurer"
 )
 
-// Drive sends load at a steady rate to processes that are already running, and measures the resources that processes use.
+// Drive sends load at a constant mean rate to processes that are already running, and measures the resources that processes use.
 type Drive struct {
-	// BaseURLs has the base URLs of routers, or of a model engine for comparison.
-	BaseURLs    []string
-	Key         string
-	Model       string
-	Rate        float64
-	Duration    time.Duration
-	Tokens      int
+	// BaseURLs has the base URLs of routers, or of model engines for comparison, which get requests in turn.
+	BaseURLs []string
+	// Key is the caller's API key.
+	Key   string
+	Model string
+	// Rate is the mean number of requests per second; if it is zero, no request is sent.
+	Rate     float64
+	Duration time.Duration
+	// Tokens is the length of each answer.
+	Tokens int
+	// PromptBytes is the approximate size of each prompt.
 	PromptBytes int
 	Seed        int64
-	Processes   []Process
+	// Processes are the processes to measure.
+	Processes []Process
 }
 
 // Process is a process whose resource usage is measured.
@@ -45,11 +50,11 @@
 
 // ResourceUsage is the resource usage of a process during a drive.
 type ResourceUsage struct {
-	// CoreShare is the processor time per second of wall time.
+	// CoreShare is the processor time per wall time, so 1 is one whole core.
 	CoreShare float64 `json:"core_share"`
-	// ResidentMB is the resident memory at the end.
+	// ResidentMB is the resident memory at the end, in units of 2^20 bytes.
 	ResidentMB float64 `json:"resident_mb"`
-	// LinkBytes is the number of bytes per second that the process's links sent and received.
+	// LinkBytes is the number of bytes per second that the process's links to other routers and sidecars sent and received.
 	LinkBytes float64 `json:"link_bytes_per_second"`
 }
 
@@ -66,14 +71,14 @@
 // ticksPerSecond is the number of units of processor time in /proc per second.
 const ticksPerSecond = 100
 
-// sample is the state of a process at a time.
+// sample is the resource usage of a process from its start to a time, and its resident memory at that time.
 type sample struct {
 	cpuSeconds float64
 	residentMB float64
 	linkBytes  float64
 }
 
-// sample reads the resource usage of the process so far.
+// sample reads the current sample of the process.
 func (w Process) sample(ctx context.Context) (sample, error) {
 	var s sample
 	data, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", w.PID))
@@ -163,7 +168,8 @@
 	return all, nil
 }
 
-// offerLoad sends requests at random times, independent of the answers to earlier requests.
+// offerLoad sends requests at random times, independent of the answers to earlier requests. It returns when the duration is over
+// and all requests have ended.
 func (d Drive) offerLoad(ctx context.Context, start time.Time) DriveReport {
 	random := rand.New(rand.NewPCG(uint64(d.Seed), 1))
 	client := connector.NewHTTPClient(nil)
@@ -198,7 +204,7 @@
 	return report
 }
 
-// recordAnswer records the times of an answer that took so long after its planned arrival.
+// recordAnswer records the times of an answer; took is the time from the planned arrival to its end.
 func recordAnswer(first, between, whole *hdrhistogram.Histogram, a answer, took time.Duration) {
 	_ = first.RecordValue(max(1, a.firstToken.Microseconds()))
 	_ = whole.RecordValue(max(1, took.Microseconds()))
--- a/loader/faults.go
+++ b/loader/faults.go
@@ -20,7 +20,7 @@
 const (
 	// drainWatchTime is how long the upstream of a draining sidecar is watched for new work.
 	drainWatchTime = 8 * time.Second
-	// applyTimeout limits the wait until all routers have applied a configuration change.
+	// applyTimeout limits the wait until all ready routers have applied a configuration change.
 	applyTimeout = 10 * time.Second
 	pollInterval = 10 * time.Millisecond
 	// recoveryTimeout limits the wait until the money of a killed router is returned.
@@ -34,12 +34,13 @@
 	mu     sync.Mutex
 	// cutOff counts graceful shutdowns that cut off requests.
 	cutOff int
-	// drainTimes has the time for which each draining upstream still got new work.
+	// drainTimes has the time for which the upstream of each draining sidecar still got new work.
 	drainTimes []time.Duration
-	// applyTimes has the time until each configuration change was applied by all routers.
+	// applyTimes has the time until each configuration change was applied by all ready routers, or applyTimeout.
 	applyTimes []time.Duration
-	removed    []*starter.FleetSidecar
-	// recoveryTimes has the time until each killed router's money was returned.
+	// removed has the drained sidecars, which the fleet no longer lists.
+	removed []*starter.FleetSidecar
+	// recoveryTimes has the time until each killed router's money was returned, or recoveryTimeout.
 	recoveryTimes []time.Duration
 	errs          []error
 	wg            sync.WaitGroup
@@ -49,7 +50,8 @@
 	return &faultInjector{fleet: f, ledger: l}
 }
 
-// run injects all faults at their times and returns when the last has ended.
+// run injects all faults at their times and returns when all have ended and been measured. If ctx ends, it injects no more faults
+// and ends those that last.
 func (f *faultInjector) run(ctx context.Context, faults []Fault, start time.Time) {
 	for _, fault := range faults {
 		f.wg.Go(func() {
@@ -83,7 +85,8 @@
 	}
 }
 
-// inject injects a fault and returns the function that ends it; the function is nil if nothing has to end.
+// inject injects a fault and returns the function that ends it, or nil if there is nothing to end. For some kinds it blocks until
+// the fault is over.
 func (f *faultInjector) inject(ctx context.Context, fault Fault) (heal func(), err error) {
 	table := f.fleet.Platform.Table
 	healTable := func() { table.SetFaults(emulator.TableFaults{}) }
@@ -125,7 +128,8 @@
 	return nil
 }
 
-// configChange changes the priority in a workspace's contract and waits until all routers have applied the change.
+// configChange changes the priority in a workspace's contract, waits until all ready routers have applied the change, for at most
+// applyTimeout, and records how long that took.
 func (f *faultInjector) configChange(ctx context.Context, fault Fault) error {
 	store := configurer.NewStore(f.fleet.Platform.Table)
 	c, _, err := store.Contract(ctx, fault.Target)
@@ -210,7 +214,8 @@
 	return none, false
 }
 
-// injectRouterFault injects a fault of a router and returns the function that ends it.
+// injectRouterFault injects a fault of a router and returns the function that ends it, which starts a new router in place of a
+// killed or drained one.
 func (f *faultInjector) injectRouterFault(fault Fault) (func(), error) {
 	r, ok := pick(f.fleet.Routers(), fault.Target, func(r *starter.FleetRouter) string { return r.Name })
 	if !ok {
@@ -242,7 +247,8 @@
 	return replace, nil
 }
 
-// awaitRecovery waits until a killed incarnation holds no grants any more, and records how long that took.
+// awaitRecovery waits until a killed incarnation has no grants any more, for at most recoveryTimeout, and records how long that
+// took.
 func (f *faultInjector) awaitRecovery(inc masticway.Incarnation, killedAt time.Time) {
 	book := bookkeeper.New(f.fleet.Platform.Table)
 	for time.Since(killedAt) < recoveryTimeout {
@@ -257,7 +263,8 @@
 	f.recoveryTimes = append(f.recoveryTimes, time.Since(killedAt))
 }
 
-// injectSidecarFault injects a fault of a sidecar or its upstream and returns the function that ends it.
+// injectSidecarFault injects a fault of a sidecar or its upstream and returns the function that ends it. The function is nil for
+// FaultSidecarDrained, which blocks until the drain is over; the sidecar is not replaced.
 func (f *faultInjector) injectSidecarFault(fault Fault) (func(), error) {
 	s, ok := pick(f.fleet.Sidecars(), fault.Target, func(s *starter.FleetSidecar) string { return s.Name })
 	if !ok {
@@ -291,7 +298,8 @@
 	return func() { s.Engine.SetFaults(emulator.EngineFaults{}) }, nil
 }
 
-// drain shuts a sidecar down gracefully and records for how long its upstream still got new work.
+// drain shuts a sidecar down gracefully and records for how long its upstream still got new work. It blocks for at least
+// drainWatchTime.
 func (f *faultInjector) drain(s *starter.FleetSidecar) {
 	start := time.Now()
 	lastRunAt := start
--- a/loader/oracle.go
+++ b/loader/oracle.go
@@ -11,8 +11,8 @@
 	"github.com/masticway/masticway/starter"
 )
 
-// ledger tracks, by budget, what is prepaid and the true cost of all requests that clients have sent, without those that were
-// refused as not run. No router knows this for the whole fleet.
+// ledger tracks, by budget, the prepaid amount and the cost of the whole answers to all requests that clients have sent, without
+// those that were refused as not run. No router knows this for the whole fleet.
 type ledger struct {
 	mu       sync.Mutex
 	prepaid  map[string]masticway.Amount
@@ -31,7 +31,7 @@
 	return l
 }
 
-// addDemand adds the true cost of a request to the demand on its budget.
+// addDemand adds the cost of a request to the demand on its budget.
 func (l *ledger) addDemand(p plannedRequest) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -39,7 +39,7 @@
 }
 
 // withdrawDemand subtracts the cost of a refused request from the demand on its budget, and reports whether the budget could have
-// paid for it.
+// paid for it beside the remaining demand.
 func (l *ledger) withdrawDemand(p plannedRequest) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -62,15 +62,15 @@
 	Overbilled float64 `json:"overbilled_tokens"`
 	// Crossed counts answers that were not the whole answer to their own request.
 	Crossed int `json:"crossed_answers"`
-	// Doubled counts non-repeatable requests that ran more than once.
+	// Doubled counts non-repeatable requests to services that ran more than once.
 	Doubled int `json:"doubled_runs"`
-	// FalseNotRun counts requests that ran although they were refused as not run.
+	// FalseNotRun counts requests to services that ran although they were refused as not run.
 	FalseNotRun int `json:"false_not_run"`
-	// CutOff counts graceful shutdowns that cut off requests.
+	// CutOff counts graceful shutdowns of routers and sidecars that cut off requests.
 	CutOff int `json:"cut_off"`
-	// BrokenRows counts budget rows that would allow overspending.
+	// BrokenRows counts budget rows that are inconsistent or whose prepaid amount differs from what was paid.
 	BrokenRows int `json:"broken_rows"`
-	// LostAnswers counts non-repeatable requests that ran but whose client got no answer, not even a refusal.
+	// LostAnswers counts non-repeatable requests to services that ran but whose client got neither a whole answer nor a refusal.
 	LostAnswers int `json:"lost_answers"`
 }
 
@@ -79,12 +79,17 @@
 
 // Money has the totals of all budgets, in tokens of weight one.
 type Money struct {
-	Ran         float64 `json:"ran"`
-	Settled     float64 `json:"settled"`
-	Presumed    float64 `json:"presumed"`
-	GivenBack   float64 `json:"given_back"`
+	// Ran is the cost of what upstreams ran.
+	Ran float64 `json:"ran"`
+	// Settled is what was charged, Presumed the part of it of which it is unknown whether a lost sidecar ran it.
+	Settled  float64 `json:"settled"`
+	Presumed float64 `json:"presumed"`
+	// GivenBack is what was refunded because it had been charged twice; Settled does not contain it.
+	GivenBack float64 `json:"given_back"`
+	// Underbilled is what upstreams ran beyond what was charged.
 	Underbilled float64 `json:"underbilled"`
-	Stranded    float64 `json:"stranded_at_end"`
+	// Stranded is what routers still hold in grants after their shutdown.
+	Stranded float64 `json:"stranded_at_end"`
 }
 
 // inTokens converts an amount to tokens of weight one.
@@ -109,7 +114,8 @@
 	return ran
 }
 
-// checkMoney compares the cost of what ran with what was prepaid and with what the table says was charged.
+// checkMoney compares the cost of what ran with the prepaid amounts and with the charges in the table. It adds broken promises to
+// p and returns the totals.
 func checkMoney(ctx context.Context, fleet *starter.Fleet, l *ledger, ran map[string]masticway.Amount, p *Promises) (Money, error) {
 	var m Money
 	book := bookkeeper.New(fleet.Platform.Table)
@@ -136,7 +142,7 @@
 	return m, nil
 }
 
-// serviceRuns returns how often a service ran each request body.
+// serviceRuns returns how often all services together ran each request body.
 func serviceRuns(upstreams []*starter.FleetSidecar) map[string]int {
 	runs := map[string]int{}
 	for _, s := range upstreams {
--- a/loader/plan.go
+++ b/loader/plan.go
@@ -15,15 +15,18 @@
 
 // plannedRequest is a request of the plan. For a scenario, the plan depends only on the seed.
 type plannedRequest struct {
-	arrival  time.Duration
-	traffic  Traffic
-	key      string
+	// arrival is the time from the start of the load until the request is sent.
+	arrival time.Duration
+	traffic Traffic
+	// key is the idempotency key.
+	key string
+	// region is the index of the client's region.
 	region   int
 	messages []emulator.Message
 	body     string
-	// tokens is the length of the whole answer.
+	// tokens is the length of a model's whole answer.
 	tokens int
-	// cost is the true price.
+	// cost is what the whole answer costs.
 	cost masticway.Amount
 	// nonRepeatable is set if the contract forbids running the request twice.
 	nonRepeatable bool
@@ -82,7 +85,7 @@
 	return p
 }
 
-// fillerText returns text of a length, which depends only on the seed.
+// fillerText returns text of a length in bytes. The text depends only on the seed and the length.
 func fillerText(bytes int, seed uint64) string {
 	if bytes <= 0 {
 		return ""
--- a/loader/report.go
+++ b/loader/report.go
@@ -26,8 +26,8 @@
 	// TrueRefusals those for which it could not.
 	FalseRefusals int `json:"false_refusals"`
 	TrueRefusals  int `json:"true_refusals"`
-	// Limited counts refusals because of limits or overload, Unknown other requests of unknown outcome, and Failed all
-	// other requests without success.
+	// Limited counts refusals because of limits or overload, Unknown other refusals that report an unknown outcome, and Failed
+	// all other requests without success.
 	Limited int `json:"limited"`
 	Unknown int `json:"unknown"`
 	Failed  int `json:"failed"`
@@ -50,19 +50,19 @@
 	Promises Promises                 `json:"promises"`
 	Money    Money                    `json:"money"`
 	Traffic  map[string]TrafficReport `json:"traffic"`
-	// The shares are fractions of all requests.
+	// The shares are fractions of all planned requests. FailedShare is the share of Outcomes.Failed and Outcomes.Unknown.
 	FalseRefusalShare float64 `json:"false_refusal_share"`
 	FailedShare       float64 `json:"failed_share"`
-	// TableWrites and TableReads are per 1,000 requests.
+	// TableWrites and TableReads are committed transactions and reads of the table per 1,000 requests.
 	TableWrites float64 `json:"table_writes_per_1000"`
 	TableReads  float64 `json:"table_reads_per_1000"`
-	// WritesByKind has the writes by kind of row, also per 1,000 requests.
+	// WritesByKind has TableWrites by the kind of the first row that a transaction puts.
 	WritesByKind map[string]float64 `json:"writes_by_kind_per_1000"`
-	// RecoveryMS has, for each killed router, the time until its money was returned.
+	// RecoveryMS has, for each killed router, the time until its money was returned, at most recoveryTimeout.
 	RecoveryMS []int64 `json:"recovery_ms,omitempty"`
-	// QuietMS has, for each draining upstream, the time for which it still got new work.
+	// QuietMS has, for each draining sidecar, the time for which its upstream still got new work.
 	QuietMS []int64 `json:"quiet_ms,omitempty"`
-	// InForceMS has, for each configuration change, the time until all routers had applied it.
+	// InForceMS has, for each configuration change, the time until all ready routers had applied it, at most applyTimeout.
 	InForceMS []int64  `json:"in_force_ms,omitempty"`
 	Examples  []string `json:"examples,omitempty"`
 	// Failures describes broken promises and missed expectations.
--- a/loader/runner.go
+++ b/loader/runner.go
@@ -22,10 +22,11 @@
 
 const (
 	readyTimeout = 30 * time.Second
-	// answerTimeout limits the wait for answers after the last arrival.
+	// answerTimeout limits the wait for answers after the end of the scenario's duration.
 	answerTimeout = 90 * time.Second
 	// instanceLag is how far the instance list lags behind in experiments.
-	instanceLag      = 500 * time.Millisecond
+	instanceLag = 500 * time.Millisecond
+	// progressInterval is the shortest time between two lines of progress.
 	progressInterval = 5 * time.Second
 	// clientProcess is the prefix of the clients' names and locations in the network.
 	clientProcess = "client"
@@ -34,15 +35,15 @@
 // Runner runs a scenario.
 type Runner struct {
 	Scenario Scenario
-	// Progress gets a line every few seconds.
+	// Progress gets a line every few seconds while requests are sent.
 	Progress io.Writer
 	Log      *logrus.Logger
-	// InjectViolation, for tests, changes what the emulated upstreams report as run, so that a promise appears broken. It is
-	// called before the checks.
+	// InjectViolation is nil except in tests. It is called after the load and before the checks, and changes what the emulated
+	// upstreams report as run, so that a promise appears broken.
 	InjectViolation func(*starter.Fleet)
 }
 
-// tally counts the outcomes that clients saw, by the name of the traffic.
+// tally collects the outcomes that clients saw, by the name of the traffic, and counts broken promises.
 type tally struct {
 	mu           sync.Mutex
 	firstTokens  map[string]*hdrhistogram.Histogram
@@ -78,7 +79,7 @@
 	_ = h.RecordValue(max(1, d.Microseconds()))
 }
 
-// add counts the outcome of a request.
+// add counts the outcome of a request, and a broken promise if its answer is wrong.
 func (t *tally) add(p plannedRequest, a answer, falseRefusal bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -132,7 +133,8 @@
 	}
 }
 
-// checkServiceRuns compares the outcome of each request to a service with how often it ran.
+// checkServiceRuns compares the outcome of each request to a service with how often it ran, and counts broken promises. runs has
+// the number of runs by request body.
 func (t *tally) checkServiceRuns(runs map[string]int) {
 	for _, s := range t.services {
 		n := runs[s.planned.body]
@@ -152,7 +154,8 @@
 	}
 }
 
-// Run runs the scenario and returns its report. The error is not nil if the experiment itself failed.
+// Run runs the scenario and returns its report. The error is not nil if the experiment itself failed; broken promises and missed
+// expectations are only in the report.
 func (r Runner) Run(ctx context.Context) (Report, error) {
 	s := r.Scenario
 	catalog, err := s.catalog()
@@ -223,7 +226,7 @@
 	return s.RegionDelay.Std()
 }
 
-// seed writes catalog, contracts and budgets to the fleet's platform, and returns a new key for each workspace.
+// seed writes catalog, contracts and budgets to the fleet's platform, and returns a new API key for each workspace.
 func seed(ctx context.Context, fleet *starter.Fleet, s Scenario, catalog masticway.Catalog, contracts []masticway.Contract) (map[string]string, error) {
 	keys := map[string]string{}
 	withKeys := make([]masticway.Contract, 0, len(contracts))
@@ -284,7 +287,7 @@
 	return e.finish(ctx, len(all), readsAfter-reads, written)
 }
 
-// offerLoad sends all planned requests at their times and waits for their outcomes.
+// offerLoad sends all planned requests at their times and waits for their outcomes. After answerTimeout it gives up.
 func (e *experiment) offerLoad(ctx context.Context, all []plannedRequest, start time.Time) {
 	ctx, cancel := context.WithTimeout(ctx, e.runner.Scenario.Duration.Std()+answerTimeout)
 	defer cancel()
@@ -314,7 +317,7 @@
 	e.tally.add(p, a, falseRefusal)
 }
 
-// finish shuts the routers down, checks the promises and returns the report.
+// finish calls InjectViolation, shuts the routers down gracefully, checks the promises and returns the report.
 func (e *experiment) finish(ctx context.Context, requests int, reads int64, writes map[string]int64) (Report, error) {
 	if e.runner.InjectViolation != nil {
 		e.runner.InjectViolation(e.fleet)
--- a/loader/scenario.go
+++ b/loader/scenario.go
@@ -10,10 +10,12 @@
 
 // Scenario is a load experiment: a fleet, its traffic and the faults.
 type Scenario struct {
-	Name        string             `json:"name"`
-	Seed        int64              `json:"seed"`
-	Duration    masticway.Duration `json:"duration"`
-	Regions     []Region           `json:"regions"`
+	Name string `json:"name"`
+	Seed int64  `json:"seed"`
+	// Duration is the time in which requests arrive.
+	Duration masticway.Duration `json:"duration"`
+	Regions  []Region           `json:"regions"`
+	// The one-way network delays: between two zones of a region (and to the platform), between regions, and to and from clients.
 	ZoneDelay   masticway.Duration `json:"zone_delay"`
 	RegionDelay masticway.Duration `json:"region_delay"`
 	ClientDelay masticway.Duration `json:"client_delay"`
@@ -24,9 +26,10 @@
 	Budgets     []Budget           `json:"budgets"`
 	Traffic     []Traffic          `json:"traffic"`
 	Faults      []Fault            `json:"faults"`
-	Router      json.RawMessage    `json:"router"`
-	Sidecar     json.RawMessage    `json:"sidecar"`
-	Expect      Expect             `json:"expect"`
+	// Router and Sidecar have the settings that differ from the defaults.
+	Router  json.RawMessage `json:"router"`
+	Sidecar json.RawMessage `json:"sidecar"`
+	Expect  Expect          `json:"expect"`
 }
 
 // Region is a region of the fleet.
@@ -38,8 +41,10 @@
 
 // EngineGroup is a group of model engines in every region.
 type EngineGroup struct {
-	Model       string             `json:"model"`
-	Count       int                `json:"count"`
+	Model string `json:"model"`
+	// Count is the number of engines in each region.
+	Count int `json:"count"`
+	// The other fields are as in emulator.EngineSettings and emulator.EngineFaults.
 	Capacity    int                `json:"capacity"`
 	PrefillTime masticway.Duration `json:"prefill_time"`
 	TokenTime   masticway.Duration `json:"token_time"`
@@ -50,8 +55,9 @@
 
 // ServiceGroup is a group of plain services in every region.
 type ServiceGroup struct {
-	Name  string `json:"name"`
-	Count int    `json:"count"`
+	Name string `json:"name"`
+	// Count is the number of services in each region.
+	Count int `json:"count"`
 }
 
 // Budget is a budget with its prepaid amount at the start.
@@ -60,28 +66,34 @@
 	Prepaid masticway.Amount `json:"prepaid"`
 }
 
-// Traffic is a stream of similar requests.
+// Traffic is a stream of similar requests to a model, or to a service if Service is set.
 type Traffic struct {
-	Name         string          `json:"name"`
-	Workspace    string          `json:"workspace"`
-	Rate         float64         `json:"rate"`
-	Model        string          `json:"model"`
-	Service      string          `json:"service"`
-	Path         string          `json:"path"`
-	Class        masticway.Class `json:"class"`
-	PromptBytes  int             `json:"prompt_bytes"`
-	SharedBytes  int             `json:"shared_bytes"`
-	Groups       int             `json:"groups"`
-	OutputTokens int             `json:"output_tokens"`
-	MaxTokens    int             `json:"max_tokens"`
-	Stream       bool            `json:"stream"`
-	Retries      int             `json:"retries"`
+	Name      string `json:"name"`
+	Workspace string `json:"workspace"`
+	// Rate is the mean number of requests per second, in all regions together.
+	Rate    float64         `json:"rate"`
+	Model   string          `json:"model"`
+	Service string          `json:"service"`
+	Path    string          `json:"path"`
+	Class   masticway.Class `json:"class"`
+	// PromptBytes is the approximate size of a prompt. SharedBytes of it are the same in all requests of a group, and each
+	// request belongs to one of this many Groups.
+	PromptBytes int `json:"prompt_bytes"`
+	SharedBytes int `json:"shared_bytes"`
+	Groups      int `json:"groups"`
+	// OutputTokens is the mean length of an answer; MaxTokens, unless it is zero, is the limit that the request sets.
+	OutputTokens int  `json:"output_tokens"`
+	MaxTokens    int  `json:"max_tokens"`
+	Stream       bool `json:"stream"`
+	// Retries is the maximum number of retries of a request.
+	Retries int `json:"retries"`
 }
 
 // FaultKind is a kind of fault.
 type FaultKind string
 
-// The kinds of faults.
+// The kinds of faults. Cut means cut off from all other processes, or a region from other regions and the platform. Drained means
+// shut down gracefully; FaultListHidesDraining drains a sidecar while the instance list is down.
 const (
 	FaultTableDown           FaultKind = "table_down"
 	FaultTableSlow           FaultKind = "table_slow"
@@ -105,14 +117,20 @@
 
 // Fault is a failure, or an action of an operator, during the load.
 type Fault struct {
-	At       masticway.Duration `json:"at"`
+	// At is the time from the start of the load until the fault begins.
+	At masticway.Duration `json:"at"`
+	// Duration is the time after At until the fault ends or, if it stopped a process, until that process is replaced or restarted.
+	// Kinds of faults that end by themselves ignore it.
 	Duration masticway.Duration `json:"for"`
 	Kind     FaultKind          `json:"kind"`
-	Target   string             `json:"target"`
-	Value    int64              `json:"value"`
+	// Target is an index or name prefix of a router or sidecar, or the name of a region, budget or workspace.
+	Target string `json:"target"`
+	// Value is the delay in milliseconds for FaultTableSlow, the number of answers for FaultTableLosesAnswers and
+	// FaultServiceDropsAnswers, and the amount for FaultTopUp. Other kinds ignore it.
+	Value int64 `json:"value"`
 }
 
-// Expect has upper limits of figures, beside the promises; a figure without limit (zero) is only reported.
+// Expect has upper limits for figures of the report. A figure whose limit is zero is not checked. Promises are always checked.
 type Expect struct {
 	FalseRefusalShare float64 `json:"false_refusal_share"`
 	FailedShare       float64 `json:"failed_share"`
