--- a/emulator/caller.go
+++ b/emulator/caller.go
@@ -11,14 +11,14 @@
 // OpaqueCall is what a caller declares in the headers of a request.
 type OpaqueCall struct {
 	ID string
-	// TimeLeft is how long the caller will wait.
+	// TimeLeft is the time limit of the request.
 	TimeLeft time.Duration
 	// Key is the caller's API key. It is empty for routes that do not require one.
 	Key string
 	// Metered is set if the request declares its tokens: the number in Prompt and the maximum of its answer, MaxOutput.
 	Metered           bool
 	Prompt, MaxOutput int
-	// LastEvent is the ID of the last event that the caller has received of an interrupted answer. It is zero for a new request.
+	// LastEvent is the ID of the last event that the caller received of an interrupted answer, or zero if it resumes none.
 	LastEvent int
 }
 
@@ -37,7 +37,8 @@
 	return h
 }
 
-// AnswerOrigin returns the ID of the request that an answer's headers name, and the ID of the opaque server that signed it.
+// AnswerOrigin returns the ID of the request that an answer's headers name, and the ID of the opaque server whose signature they
+// carry. An ID is empty if its header is missing.
 func AnswerOrigin(h http.Header) (request, server string) {
 	return h.Get("X-Attempt-Id"), strings.TrimPrefix(h.Get("X-Server-Signature"), signaturePrefix)
 }
--- a/emulator/deployment.go
+++ b/emulator/deployment.go
@@ -27,14 +27,15 @@
 	DeploymentTokensPerEvent = 3
 )
 
-// Deployment is a deployment configuration with one route of each kind and one more for each path, in the operator's format.
+// Deployment is a deployment configuration in the operator's format, with one route of each kind and one more for each path.
 type Deployment struct {
-	Number  int64
-	Paths   []string
-	Prepaid map[string]int64
+	Number  int64            // the version of the configuration
+	Paths   []string         // the paths of further routes
+	Prepaid map[string]int64 // prepaid tokens by workspace
 }
 
-// Put writes the configuration and returns its size in bytes. It returns an error if the template cannot be executed.
+// Put writes the configuration to its row, regardless of the store's faults, and returns its size in bytes. It returns an error
+// if the template cannot be executed.
 func (d Deployment) Put(rows *RowStore) (int, error) {
 	var document bytes.Buffer
 	if err := deploymentTemplate.Execute(&document, d); err != nil {
@@ -44,7 +45,7 @@
 	return document.Len(), nil
 }
 
-// Register writes a server's registration, with its state as ready or draining.
+// Register writes a server's registration row, with its state as ready or draining.
 func (s *OpaqueServer) Register(rows *RowStore, pool, zone string, draining bool) {
 	state := "ready"
 	if draining {
@@ -53,7 +54,7 @@
 	rows.Put(s.registrationKey(), fmt.Appendf(nil, `{"service":%q,"address":%q,"zone":%q,"slots":32,"state":%q}`, pool, s.Address(), zone, state))
 }
 
-// Deregister removes a server's registration.
+// Deregister removes a server's registration row.
 func (s *OpaqueServer) Deregister(rows *RowStore) { rows.Delete(s.registrationKey()) }
 
 func (s *OpaqueServer) registrationKey() masticway.RowKey {
--- a/emulator/engine.go
+++ b/emulator/engine.go
@@ -24,17 +24,17 @@
 	TokenTime   time.Duration
 	// CacheBlocks is the maximum number of blocks in the prefix cache.
 	CacheBlocks int
-	// ReportLag is how far load reports lag behind.
+	// ReportLag is the least age of the load reports that the engine returns, as soon as it has one of that age.
 	ReportLag time.Duration
-	// IgnoreFences makes the engine execute orders that have outdated fencing numbers.
+	// IgnoreFences makes the engine execute orders even if their fencing numbers are outdated.
 	IgnoreFences bool
 }
 
 // EngineFaults are the faults that can be injected into an engine.
 type EngineFaults struct {
-	// Down rejects new requests and breaks open streams.
+	// Down rejects new requests and breaks those that run or wait.
 	Down bool `json:"down"`
-	// Stall pauses all output without ending the streams.
+	// Stall pauses prefills and all output without ending the streams.
 	Stall bool `json:"stall"`
 	// BreakBeforeFirstToken is the number of streams to break after the prompt's token count has been sent and before the
 	// first token.
@@ -45,12 +45,16 @@
 
 // EngineCounts counts the work that an engine did.
 type EngineCounts struct {
-	Runs       int64 `json:"runs"`
+	// Runs counts the requests that got a slot in the batch, resumed ones included.
+	Runs int64 `json:"runs"`
+	// Prompt counts prompt tokens, without those of resumed requests, and Completion the tokens that were generated.
 	Prompt     int64 `json:"prompt_tokens"`
 	Completion int64 `json:"completion_tokens"`
-	CacheHits  int64 `json:"cache_hit_tokens"`
-	Orders     int64 `json:"orders"`
-	// Owners splits the tokens by the owner that the prompt names.
+	// CacheHits counts the prompt tokens that were in the prefix cache.
+	CacheHits int64 `json:"cache_hit_tokens"`
+	// Orders counts the orders that were executed.
+	Orders int64 `json:"orders"`
+	// Owners splits Prompt and Completion by the owner that the prompt names.
 	Owners map[string]OwnerCounts `json:"owners"`
 }
 
@@ -83,24 +87,32 @@
 	running    int
 	waiting    admissionQueue
 	lastTicket int64
-	cache      map[uint64]int64
-	// cacheTick is a logical clock; cache holds the tick of each block's last use.
+	// cache has the tick of each cached block's last use, by the block's hash.
+	cache map[uint64]int64
+	// cacheTick is a logical clock for uses of the cache.
 	cacheTick int64
-	reports   []masticway.LoadReport
-	fence     int64
-	// down is closed while the engine is down.
+	// reports has the load reports that may still be returned, oldest first.
+	reports []masticway.LoadReport
+	// fence is the highest fencing number of the orders so far.
+	fence int64
+	// down is closed when the engine goes down, and replaced when it is up again.
 	down chan struct{}
 	// prefillSlot is a semaphore with one slot, which a prefill holds while it runs.
 	prefillSlot chan struct{}
 }
 
+// admission is a request that waits for a slot in the batch.
 type admission struct {
 	priority int
-	ticket   int64
+	// ticket increases with the arrival.
+	ticket int64
+	// admitted is closed when the request has got a slot.
 	admitted chan struct{}
-	index    int
+	// index is the position in the queue, or -1 if it is no longer there.
+	index int
 }
 
+// admissionQueue is a heap of waiting requests: the highest priority first, then the earliest arrival.
 type admissionQueue []*admission
 
 func (q admissionQueue) Len() int { return len(q) }
@@ -158,7 +170,7 @@
 	return counts
 }
 
-// Record counts work that no request asked for, so that tests can verify that the checks detect it.
+// Record counts tokens of an owner that no request asked for, so that tests can verify that the checks detect it.
 func (e *Engine) Record(owner string, prompt, completion int64) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -204,9 +216,10 @@
 	return nil
 }
 
-// report takes a new load report and returns the newest one that is at least ReportLag old, or the oldest one kept if none is.
+// report makes a new load report and returns the newest one that is at least ReportLag old, or the oldest kept one if none is.
 //
-// Older reports are discarded. Reports are only taken by calls, so the returned one can be much older than ReportLag.
+// Reports older than the returned one are discarded. Reports are made only by calls, so the returned one can be much older than
+// ReportLag.
 func (e *Engine) report() masticway.LoadReport {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -227,9 +240,10 @@
 	return reported
 }
 
-// maxReportedPrefixes is the maximum number of prefixes in one load report.
+// maxReportedPrefixes is the maximum number of prefixes, each the hash of a block and all blocks before it, in one load report.
 const maxReportedPrefixes = 16
 
+// recentPrefixes returns the sorted hashes of the most recently used blocks.
 func (e *Engine) recentPrefixes() []uint64 {
 	var recent []uint64
 	for h, used := range e.cache {
@@ -242,11 +256,13 @@
 }
 
 type completionRequest struct {
-	Messages     []Message       `json:"-"`
-	Raw          json.RawMessage `json:"messages"`
-	MaxTokens    int             `json:"max_tokens"`
-	Priority     int             `json:"priority"`
-	ResumeTokens int             `json:"resume_tokens"`
+	Messages []Message `json:"-"`
+	// Raw is the encoding of Messages.
+	Raw       json.RawMessage `json:"messages"`
+	MaxTokens int             `json:"max_tokens"`
+	Priority  int             `json:"priority"`
+	// ResumeTokens is the number of tokens of the answer that the caller already has.
+	ResumeTokens int `json:"resume_tokens"`
 }
 
 func (e *Engine) serveCompletion(w http.ResponseWriter, r *http.Request) {
@@ -274,7 +290,8 @@
 	e.streamAnswer(r.Context(), w, in, down)
 }
 
-// admit waits for a slot in the batch and reports whether it got one before ctx was done. Higher priorities go first.
+// admit takes a slot in the batch, and waits for it if the batch is full. It returns false, without a slot, if ctx is done first.
+// Higher priorities go first.
 func (e *Engine) admit(ctx context.Context, priority int) bool {
 	e.mu.Lock()
 	if e.running < e.settings.Capacity {
@@ -316,8 +333,9 @@
 	close(a.admitted)
 }
 
-// lookUpPrompt counts the run, looks the prompt up in the prefix cache and adds it. It returns the number of tokens that have to
-// be computed, including those that a resumed request already has, and the number of cached tokens.
+// lookUpPrompt counts the run, looks the prompt up in the prefix cache and adds it to the cache. It returns the number of tokens
+// to prefill, which include those of the answer that the caller of a resumed request already has, and the number of cached
+// tokens.
 func (e *Engine) lookUpPrompt(in completionRequest) (uncached, cached int) {
 	promptTokens := CountTokens(in.Messages)
 	e.mu.Lock()
@@ -344,6 +362,7 @@
 	return promptTokens - cached + in.ResumeTokens, cached
 }
 
+// evictOldest removes the least recently used blocks until the cache has no more than CacheBlocks.
 func (e *Engine) evictOldest() {
 	for len(e.cache) > e.settings.CacheBlocks {
 		var oldest uint64
@@ -389,7 +408,8 @@
 	fmt.Fprint(w, "data: [DONE]\n\n")
 }
 
-// takeBreakFault reports whether this stream must break before its first token, and decrements the number of streams to break.
+// takeBreakFault reports whether this stream must break before its first token. If so, it decrements the number of streams to
+// break.
 func (e *Engine) takeBreakFault() bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -400,8 +420,8 @@
 	return true
 }
 
-// runPrefill waits for a prefill of duration d; it reports false if ctx is done or the engine has failed. Prefills of one engine
-// run one at a time, because they share its compute.
+// runPrefill waits for a prefill of duration d; it returns false if ctx is done or the engine goes down first. Prefills of one
+// engine run one at a time, because they share its compute.
 func (e *Engine) runPrefill(ctx context.Context, down chan struct{}, d time.Duration) bool {
 	select {
 	case e.prefillSlot <- struct{}{}:
@@ -414,7 +434,7 @@
 	return e.wait(ctx, down, d)
 }
 
-// wait waits for d, and longer while the engine stalls. It reports false if ctx is done or the engine has failed.
+// wait waits for d, and longer while the engine stalls. It returns false if ctx is done or the engine goes down first.
 func (e *Engine) wait(ctx context.Context, down chan struct{}, d time.Duration) bool {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
--- a/emulator/link.go
+++ b/emulator/link.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// chunkBytes is the maximum number of bytes, 8 KB, that one connection receives before others get their turn.
+// chunkBytes is the maximum number of bytes that one connection receives before others get their turn.
 const chunkBytes = 8 << 10
 
 // BandwidthProxy is a TCP proxy that emulates the network interface of one machine: the bytes that arrive on all of its
@@ -16,7 +16,7 @@
 	bytesPerSecond int64
 
 	mu            sync.Mutex
-	nextFree      time.Time
+	nextFree      time.Time // when all bytes for which bandwidth is reserved have arrived
 	receivedBytes int64
 	listeners     []net.Listener
 	conns         map[net.Conn]bool
@@ -24,7 +24,7 @@
 	wg            sync.WaitGroup
 }
 
-// NewBandwidthProxy returns a proxy that forwards at most rate received bytes per second.
+// NewBandwidthProxy returns a proxy without targets. The machine that it emulates receives at most rate bytes per second.
 func NewBandwidthProxy(rate int64) *BandwidthProxy {
 	return &BandwidthProxy{bytesPerSecond: rate, conns: map[net.Conn]bool{}}
 }
@@ -42,7 +42,7 @@
 	return listener.Addr().String(), nil
 }
 
-// ReceivedBytes returns the number of bytes received from all targets.
+// ReceivedBytes returns the number of bytes received from all targets, including those that still wait for bandwidth.
 func (l *BandwidthProxy) ReceivedBytes() int64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -89,6 +89,7 @@
 	}
 }
 
+// track records connections, so that Close closes them. If the proxy is already closed, it closes them and returns false.
 func (l *BandwidthProxy) track(conns ...net.Conn) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/emulator/network.go
+++ b/emulator/network.go
@@ -9,15 +9,16 @@
 
 // Network emulates the network between processes that run in one test, with delays and partitions.
 //
-// A partition holds bytes back instead of dropping them, as a real network does
-// until a connection times out, so that delayed messages arrive after it heals.
+// A partition holds bytes back instead of dropping them, as a real network does until a connection times out, so that delayed
+// messages arrive after the partition heals.
 type Network struct {
 	mu sync.Mutex
 	// processes maps a listening address to its process.
 	processes  map[string]string
 	delay      func(from, to string) time.Duration
 	partitions map[[2]string]bool
-	changed    chan struct{}
+	// changed is closed and replaced whenever partitions change.
+	changed chan struct{}
 }
 
 // NewNetwork returns a network without partitions; delay returns the one-way latency between two zones.
@@ -25,7 +26,8 @@
 	return &Network{processes: map[string]string{}, delay: delay, partitions: map[[2]string]bool{}, changed: make(chan struct{})}
 }
 
-// RegisterAddress records which process listens on an address, because partitions are between processes.
+// RegisterAddress records which process listens on an address. Partitions and delays need this, because they are between
+// processes.
 func (n *Network) RegisterAddress(address, process string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -50,6 +52,7 @@
 	n.changed = make(chan struct{})
 }
 
+// partition reports whether two processes are partitioned, and returns a channel that is closed when any partition changes.
 func (n *Network) partition(a, b string) (partitioned bool, changed chan struct{}) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -57,7 +60,8 @@
 	return partitioned, n.changed
 }
 
-// Dialer returns a dial function for a process in a zone; zoneOf returns the zone of a process.
+// Dialer returns a dial function for a process in a zone; zoneOf returns the zone of a process. Dialing waits while the two
+// processes are partitioned. The bytes of its connections are delayed, but the connection itself is opened without delay.
 func (n *Network) Dialer(process, zone string, zoneOf func(process string) string) func(ctx context.Context, network, address string) (net.Conn, error) {
 	return func(ctx context.Context, network, address string) (net.Conn, error) {
 		n.mu.Lock()
@@ -89,6 +93,7 @@
 	}
 }
 
+// packet has bytes and the time before which they must not be delivered.
 type packet struct {
 	data []byte
 	due  time.Time
@@ -102,7 +107,7 @@
 	delay   time.Duration
 	out     chan packet
 	in      chan packet
-	unread  []byte
+	unread  []byte // the rest of a packet of which Read has returned a part
 	done    chan struct{}
 	once    sync.Once
 	readMu  sync.Mutex
@@ -113,6 +118,7 @@
 	deadlineChanged chan struct{}
 }
 
+// shapedQueueLen is the number of packets that a connection queues in each direction.
 const shapedQueueLen = 1024
 
 func newShapedConn(c net.Conn, n *Network, a, b string, delay time.Duration) *shapedConn {
@@ -145,6 +151,7 @@
 	}
 }
 
+// pumpOut writes queued packets to the connection when they are due.
 func (s *shapedConn) pumpOut() {
 	for {
 		select {
@@ -162,6 +169,7 @@
 	}
 }
 
+// pumpIn reads packets from the connection and queues them when they are due.
 func (s *shapedConn) pumpIn() {
 	defer close(s.in)
 	for {
@@ -187,7 +195,7 @@
 	}
 }
 
-// Write queues bytes for the peer.
+// Write queues bytes for the peer. It blocks while the queue is full.
 func (s *shapedConn) Write(b []byte) (int, error) {
 	p := packet{data: append([]byte(nil), b...), due: time.Now().Add(s.delay)}
 	select {
@@ -204,7 +212,7 @@
 func (timeoutError) Timeout() bool   { return true }
 func (timeoutError) Temporary() bool { return true }
 
-// Read waits for bytes from the peer.
+// Read waits for bytes from the peer, the read deadline or the end of the connection.
 func (s *shapedConn) Read(b []byte) (int, error) {
 	s.readMu.Lock()
 	defer s.readMu.Unlock()
@@ -231,6 +239,8 @@
 	return n, nil
 }
 
+// deadlineTimer returns a channel that receives at the read deadline, or nil if there is none, and one that is closed when the
+// deadline changes.
 func (s *shapedConn) deadlineTimer() (<-chan time.Time, chan struct{}) {
 	s.deadlineMu.Lock()
 	defer s.deadlineMu.Unlock()
--- a/emulator/opaque.go
+++ b/emulator/opaque.go
@@ -30,9 +30,10 @@
 	OpaqueError OpaqueFault = "error"
 	// OpaqueReset runs the request and resets the connection without an answer.
 	OpaqueReset OpaqueFault = "reset"
-	// OpaqueTruncated runs the request and closes the connection in the middle of the answer.
+	// OpaqueTruncated runs the request and closes the connection in the middle of the answer. It has no effect on a stream that
+	// has only one event left.
 	OpaqueTruncated OpaqueFault = "cut"
-	// OpaqueHang runs the request and never answers.
+	// OpaqueHang runs the request and never answers; it waits until the caller closes the connection.
 	OpaqueHang OpaqueFault = "hang"
 	// OpaqueUnsigned runs the request and answers without its signature.
 	OpaqueUnsigned OpaqueFault = "forged"
@@ -40,8 +41,7 @@
 	OpaqueWrongRequest OpaqueFault = "foreign"
 	// OpaqueStrayAnswer runs the request and sends another request's answer before its own.
 	OpaqueStrayAnswer OpaqueFault = "extra"
-	// OpaqueCrash crashes the server shortly after it has started to run the request, and with it all other requests that it
-	// runs.
+	// OpaqueCrash crashes the server crashDelay after it has started to run the request, which breaks all its other requests too.
 	OpaqueCrash OpaqueFault = "crash"
 )
 
@@ -50,31 +50,36 @@
 
 // OpaqueRun is one request that a server has started to run.
 type OpaqueRun struct {
+	// ID is the request's ID, Server that of the server. LastEvent is the ID of the last event that the caller already has, or
+	// empty if the request resumes no answer.
 	ID, Server, Workspace, LastEvent, Path string
-	TimeLeft                               time.Duration
-	HasKey                                 bool
-	Body                                   string
+	// TimeLeft is the remaining time that the request grants.
+	TimeLeft time.Duration
+	// HasKey is set if the request carries an API key, which routers must remove.
+	HasKey bool
+	Body   string
 	// StartedAt is when the server started to run the request, Fault the fault that was injected.
 	StartedAt time.Time
 	Fault     OpaqueFault
-	// CallerDisconnected is set if the connection ended before a stream was complete, or while OpaqueHang kept it without an
-	// answer.
+	// CallerDisconnected is set if an event of a stream could not be written because the connection had ended, or when the
+	// connection ends during OpaqueHang.
 	CallerDisconnected bool
 }
 
-// OpaqueRunLog records the requests that all servers ran, across restarts.
+// OpaqueRunLog records the requests that the servers that share it have started to run, across restarts.
 type OpaqueRunLog struct {
 	mu   sync.Mutex
 	runs []OpaqueRun
 }
 
-// Runs returns the requests that were run, in the order of their starts.
+// Runs returns the requests that servers have started to run, in the order of their starts.
 func (l *OpaqueRunLog) Runs() []OpaqueRun {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return append([]OpaqueRun(nil), l.runs...)
 }
 
+// add appends a run and returns its index.
 func (l *OpaqueRunLog) add(r OpaqueRun) int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -96,13 +101,15 @@
 	RetryAfter string
 }
 
-// OpaqueServer implements the protocol of the users' servers and can inject every fault that they have.
+// OpaqueServer emulates a server of the users: it implements their protocol and can inject the faults of type OpaqueFault.
+// Routers cannot look into such a server; they see only its row and its answers.
 type OpaqueServer struct {
 	ID       string
 	runLog   *OpaqueRunLog
 	listener net.Listener
 
-	mu     sync.Mutex
+	mu sync.Mutex
+	// faults are the faults of the next requests.
 	faults []OpaqueFault
 	// events is the number of events in a stream, pause the time before each.
 	events int
@@ -114,7 +121,8 @@
 	// A request whose body contains crashText crashes the server; onCrash is called before it closes.
 	crashText string
 	onCrash   func(s *OpaqueServer)
-	// rateLimit is the Server-Limit header of all answers; draining adds the Server-Leaving header to them.
+	// rateLimit is the Server-Limit header of answers; draining adds the Server-Leaving header to them. Answers with 421 and those
+	// to another request have neither.
 	rateLimit string
 	draining  bool
 	// retryAfter is the Retry-After header of rejections, in seconds.
@@ -141,7 +149,8 @@
 // Address returns the address on which the server listens.
 func (s *OpaqueServer) Address() string { return s.listener.Addr().String() }
 
-// InjectFaults sets the faults of the next requests, one each, replacing earlier ones. Requests after them have no fault.
+// InjectFaults sets the faults of the next requests, one each, replacing earlier ones. Requests after them have no fault. A
+// request that crashes the server (see CrashOn) takes none of them.
 func (s *OpaqueServer) InjectFaults(faults ...OpaqueFault) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -155,15 +164,15 @@
 	s.events, s.pause = events, pause
 }
 
-// CrashOn makes every request whose body contains text crash the server. onCrash is called once, before any connection is closed,
-// so that it runs before any caller can notice the crash.
+// CrashOn makes every request whose body contains text crash the server. onCrash is called only for the first crash, before any
+// connection is closed, so that it runs before any caller can notice the crash.
 func (s *OpaqueServer) CrashOn(text string, onCrash func(s *OpaqueServer)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.crashText, s.onCrash = text, onCrash
 }
 
-// crash closes the server after crashDelay.
+// crash waits for crashDelay, calls onCrash if it has not been called, and closes the server.
 func (s *OpaqueServer) crash() {
 	time.Sleep(crashDelay)
 	s.mu.Lock()
@@ -190,7 +199,8 @@
 	return s.echo, s.workTime
 }
 
-// SetRateLimit sets the Server-Limit header of all answers, in requests per second. An empty string removes it.
+// SetRateLimit sets the Server-Limit header of answers, in requests per second. An empty string removes it. Answers with 421 and
+// those to another request do not carry it.
 func (s *OpaqueServer) SetRateLimit(perSecond string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -215,7 +225,8 @@
 	return header
 }
 
-// StartDraining adds the Server-Leaving header to all answers until the server stops draining.
+// StartDraining adds the Server-Leaving header to answers until StopDraining is called. Answers with 421 and those to another
+// request do not carry it. The server continues to run requests.
 func (s *OpaqueServer) StartDraining() { s.setDraining(true) }
 
 // StopDraining removes the Server-Leaving header from answers, as after a restart of the server.
@@ -227,7 +238,7 @@
 	s.draining = draining
 }
 
-// Arrivals returns the requests that have reached the server, in the order of arrival.
+// Arrivals returns all requests that have reached the server, rejected ones included, in the order of arrival.
 func (s *OpaqueServer) Arrivals() []OpaqueArrival {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -291,6 +302,8 @@
 	}
 }
 
+// recordArrival records the arrival of a request. It takes the request's fault from the queue and returns it with the settings of
+// streams.
 func (s *OpaqueServer) recordArrival(id, body string) (fault OpaqueFault, events int, pause time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -365,8 +378,8 @@
 	return s.write(c, fmt.Sprintf("HTTP/1.1 200 OK\r\n%sContent-Length: %d\r\n\r\n%s", header, len(text), text))
 }
 
-// streamEvents sends the events after lastEvent, the last one that the caller has received. If cut is set, the stream ends in the
-// middle of an event.
+// streamEvents sends the events after lastEvent, the last one that the caller has received. If cut is set and more than one event
+// is left, the stream ends in the middle of an event. It reports whether the connection stays open.
 func (s *OpaqueServer) streamEvents(c net.Conn, run int, id, header, lastEvent string, events int, pause time.Duration, cut bool) bool {
 	if !s.write(c, "HTTP/1.1 200 OK\r\n"+header+"Content-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n") {
 		return false
--- a/emulator/platform.go
+++ b/emulator/platform.go
@@ -101,8 +101,8 @@
 	})
 }
 
-// handleJSON registers a handler that decodes its request from JSON and encodes its answer as JSON. Errors are mapped to status
-// codes.
+// handleJSON registers a handler for POST requests that decodes its request from JSON and encodes its answer as JSON. writeError
+// writes its errors.
 func handleJSON[T any](mux *http.ServeMux, path string, f func(*http.Request, T) (any, error)) {
 	mux.HandleFunc("POST "+path, func(w http.ResponseWriter, r *http.Request) {
 		var in T
@@ -120,6 +120,8 @@
 	})
 }
 
+// writeError answers with the status for an error: 409 for a conflict, 404 for what does not exist, and 503 otherwise. For an
+// unknown outcome it aborts the connection instead.
 func writeError(w http.ResponseWriter, err error) {
 	if _, ok := errors.AsType[*masticway.OutcomeUnknownError](err); ok {
 		// The outcome must remain unknown to the caller, so abort the connection without an answer.
--- a/emulator/prompt.go
+++ b/emulator/prompt.go
@@ -53,8 +53,8 @@
 	return b.String()
 }
 
-// NaturalLength returns the number of tokens of an answer without a limit: N if the last message contains [tokens=N], and
-// defaultAnswerTokens otherwise.
+// NaturalLength returns the number of tokens of an answer if the request sets no limit: N if the last message contains
+// [tokens=N], and defaultAnswerTokens otherwise.
 func NaturalLength(messages []Message) int {
 	last := messages[max(0, len(messages)-1):]
 	for _, m := range last {
--- a/emulator/rows.go
+++ b/emulator/rows.go
@@ -18,7 +18,7 @@
 	Unresponsive bool
 	// Delay is how long every call waits before it is executed.
 	Delay time.Duration
-	// DropAnswers is the number of writes that are executed without an answer.
+	// DropAnswers is the number of writes that get no answer although they are executed if the expected versions match.
 	DropAnswers int
 	// LateWrites is the number of writes that get no answer and are executed after LateWriteDelay, if the expected
 	// versions still match then.
@@ -30,14 +30,14 @@
 type RowStore struct {
 	mu      sync.Mutex
 	rows    map[masticway.RowKey]masticway.StoredRow
-	history []masticway.StoredRow
-	version int64
+	history []masticway.StoredRow // the changes since version compacted, in order
+	version int64                 // the version of the last commit
 	// compacted is the version up to which the history has been discarded.
 	compacted int64
 	faults    RowFaults
 	started   time.Time
 	now       func() time.Time
-	changed   chan struct{}
+	changed   chan struct{} // closed and replaced at each commit or compaction
 	// pendingLateWrites is the number of late writes that have not been executed yet.
 	pendingLateWrites int
 }
@@ -81,7 +81,7 @@
 	return masticway.StoredRow{RowKey: key}
 }
 
-// Compact discards the history, so that watches since an earlier version fail.
+// Compact discards the history, so that watches since an earlier version fail, also those that wait already.
 func (s *RowStore) Compact() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -103,7 +103,7 @@
 	return s.pendingLateWrites
 }
 
-// Read returns the rows of one part of a table.
+// Read returns the rows of one part (partition) of a table, sorted by key, subject to the faults.
 func (s *RowStore) Read(ctx context.Context, table, part string) (masticway.RowReading, error) {
 	if err := s.injectFault(ctx); err != nil {
 		return masticway.RowReading{}, err
@@ -120,7 +120,7 @@
 	return out, nil
 }
 
-// Write commits a write if the expected versions match, subject to the faults.
+// Write commits a write if the expected versions match, subject to the faults. If they do not, it returns a RowConflictError.
 func (s *RowStore) Write(ctx context.Context, w masticway.RowWrite) (masticway.RowReading, error) {
 	if err := s.injectFault(ctx); err != nil {
 		return masticway.RowReading{}, err
@@ -192,7 +192,7 @@
 }
 
 // Watch waits until a table has changes since f.Since, for at most f.MaxWait, and returns them. It fails with a HistoryLostError
-// if the changes are no longer kept or are larger than f.MaxBytes.
+// if the changes are no longer kept or are larger than f.MaxBytes, and with an UnavailableError if ctx is done first.
 func (s *RowStore) Watch(ctx context.Context, f masticway.WatchRequest) (masticway.RowReading, error) {
 	if err := s.injectFault(ctx); err != nil {
 		return masticway.RowReading{}, err
@@ -214,6 +214,7 @@
 	}
 }
 
+// changes returns the changes of a table since f.Since, and a channel that is closed at the next commit or compaction.
 func (s *RowStore) changes(f masticway.WatchRequest) (masticway.RowReading, <-chan struct{}, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -234,11 +235,12 @@
 	return out, s.changed, nil
 }
 
+// reading returns a reading without rows, at the current version and store time.
 func (s *RowStore) reading() masticway.RowReading {
 	return masticway.RowReading{Version: s.version, StoreTime: s.now().Sub(s.started)}
 }
 
-// injectFault applies the faults that concern every call.
+// injectFault applies the faults that concern every call: it waits or returns the error with which the call must fail.
 func (s *RowStore) injectFault(ctx context.Context) error {
 	s.mu.Lock()
 	f := s.faults
--- a/emulator/rowserver.go
+++ b/emulator/rowserver.go
@@ -12,7 +12,7 @@
 	"github.com/masticway/masticway"
 )
 
-// rowJSON is the JSON encoding of a row.
+// rowJSON is the JSON encoding of a row, of a change of a row or of a row's expected version.
 type rowJSON struct {
 	Table   string `json:"table"`
 	Part    string `json:"part"`
@@ -26,7 +26,7 @@
 	return masticway.RowKey{Table: r.Table, Part: r.Part, Key: r.Key}
 }
 
-// maxPageRows is the maximum number of rows in one page. It is small enough that tests get more than one page.
+// maxPageRows is the maximum number of rows in one answer to a read. It is small enough that tests get more than one page.
 const maxPageRows = 500
 
 // Handler returns the handler of the row store's protocol.
@@ -93,6 +93,8 @@
 	writeRows(w, out, false, err)
 }
 
+// writeRows answers with rows, or with the status for an error: 412 for a conflict, with the current rows, 410 if the history is
+// lost, and 503 otherwise. For an unknown outcome it aborts the connection instead.
 func writeRows(w http.ResponseWriter, out masticway.RowReading, hasMore bool, err error) {
 	status := http.StatusOK
 	conflict, ok := errors.AsType[*masticway.RowConflictError](err)
--- a/emulator/service.go
+++ b/emulator/service.go
@@ -17,11 +17,11 @@
 	DelayMillis int `json:"slow_ms"`
 	// DropAnswers is the number of calls whose connection is aborted after they have run.
 	DropAnswers int `json:"drop_answers"`
-	// Down rejects every call without running it.
+	// Down rejects every call with 503 without running it.
 	Down bool `json:"down"`
 }
 
-// Service emulates a plain service, such as booking or stock, and counts the calls that it ran.
+// Service emulates a plain service, such as booking or stock, and counts the calls that it ran. Answers repeat the call's body.
 type Service struct {
 	mu        sync.Mutex
 	faults    ServiceFaults
@@ -39,7 +39,7 @@
 	s.faults = f
 }
 
-// Runs returns how many calls with each body were run.
+// Runs returns the number of calls that were run, by body.
 func (s *Service) Runs() map[string]int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/emulator/table.go
+++ b/emulator/table.go
@@ -21,8 +21,8 @@
 	DelayMillis int `json:"slow_ms"`
 	// DropAnswers is the number of commits that take effect without an answer.
 	DropAnswers int `json:"lose_answers"`
-	// MaxWritesPerSecond is the maximum number of commits per second, failed ones included. Zero means no limit, and a
-	// negative number allows none.
+	// MaxWritesPerSecond is the maximum number of commits per second, including those that fail because of a conflict. Zero
+	// means no limit, and a negative number allows none.
 	MaxWritesPerSecond int `json:"writes_per_second"`
 }
 
@@ -34,8 +34,8 @@
 	faults       TableFaults
 	reads        int64
 	writesByKind map[string]int64
-	window       time.Time
-	windowWrites int
+	window       time.Time // the current second, for MaxWritesPerSecond
+	windowWrites int       // the commits in it
 }
 
 var _ masticway.Table = (*Table)(nil)
@@ -52,7 +52,7 @@
 	t.faults = f
 }
 
-// Reads returns the number of executed reads.
+// Reads returns the number of executed calls of Get and Scan.
 func (t *Table) Reads() int64 {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -67,6 +67,7 @@
 	return maps.Clone(t.writesByKind)
 }
 
+// kindOf returns the kind of a transaction, or the empty string if it puts no row.
 func kindOf(tx masticway.Transaction) string {
 	if len(tx.Puts) == 0 {
 		return ""
@@ -75,6 +76,7 @@
 	return kind
 }
 
+// injectFault waits for the injected delay and returns the faults, with an error if the table is down.
 func (t *Table) injectFault() (TableFaults, error) {
 	t.mu.Lock()
 	f := t.faults
@@ -118,7 +120,8 @@
 	return rows, nil
 }
 
-// Commit commits a transaction if all its conditions are met.
+// Commit commits a transaction if all its conditions are met, and returns a ConflictError otherwise. A put without a value
+// deletes the row.
 func (t *Table) Commit(_ context.Context, tx masticway.Transaction) error {
 	if _, err := t.injectFault(); err != nil {
 		return err
@@ -149,6 +152,7 @@
 	return nil
 }
 
+// allowWrite counts a commit and reports whether MaxWritesPerSecond allows it.
 func (t *Table) allowWrite() bool {
 	if t.faults.MaxWritesPerSecond == 0 {
 		return true
@@ -235,8 +239,8 @@
 // InstanceList is an instance list that shows changes only after a lag.
 type InstanceList struct {
 	mu      sync.Mutex
-	entries map[string]masticway.Instance
-	changes []instanceChange
+	entries map[string]masticway.Instance // as shown, by instance ID
+	changes []instanceChange              // not shown yet, oldest first
 	version int
 	lag     time.Duration
 	down    bool
@@ -261,14 +265,15 @@
 	l.down = down
 }
 
-// Set records an instance or its new state.
+// Set records a new or changed instance, which the list shows after its lag.
 func (l *InstanceList) Set(i masticway.Instance) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.changes = append(l.changes, instanceChange{at: time.Now(), instance: i})
 }
 
-// SetState records the new state of an instance and reports whether the instance exists.
+// SetState records the new state of an instance, which the list shows after its lag. It returns false if there is no such
+// instance.
 func (l *InstanceList) SetState(id string, s masticway.InstanceState) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -285,8 +290,8 @@
 	return ok
 }
 
-// Instances returns the list with all changes that are at least as old as the lag, or only its version if the known version is
-// still current.
+// Instances returns the list with all changes that are at least as old as the lag, or only its version if known is still the
+// current version.
 func (l *InstanceList) Instances(_ context.Context, known string) (masticway.InstanceReading, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
