--- a/commander/account.go
+++ b/commander/account.go
@@ -15,9 +15,9 @@
 // accountFlags are the flags and log files of the account command.
 type accountFlags struct {
 	files   []string
-	request string
-	bucket  time.Duration
-	rows    int
+	request string        // if it is set, this request is traced instead of a report
+	bucket  time.Duration // the length of a time bucket
+	rows    int           // the maximum number of rows of a table
 	json    bool
 }
 
@@ -71,6 +71,7 @@
 	return encoder.Encode(v)
 }
 
+// readLog adds a log file, or standard input if the name is "-", to the account.
 func readLog(account *accountant.Analyzer, name string) error {
 	if name == "-" {
 		return account.Read(name, os.Stdin)
--- a/commander/client.go
+++ b/commander/client.go
@@ -21,17 +21,18 @@
 	// clientTimeout is the timeout for the start of a router's answer and for each pause in it. The duration of a whole answer
 	// has no timeout, because it grows with the configuration.
 	clientTimeout = 10 * time.Second
-	// noSizeLimit is the size limit of an answer in bytes, so large that only the router limits the size.
+	// noSizeLimit is a size limit of an answer in bytes that no answer reaches.
 	noSizeLimit = math.MaxInt64
 )
 
-// client calls a router's operator API.
+// client calls a router's operator API. Its fields are the flags of a command.
 type client struct {
-	router    string
-	tokenFile string
-	output    string
+	router    string // base URL
+	tokenFile string // file with the operator token
+	output    string // text or json
 }
 
+// flags declares the flags of a command that calls the operator API.
 func (c *client) flags(s *flaggy.Subcommand) {
 	c.output = "text"
 	s.String(&c.router, "", "router", "base URL of a router's operator listener")
@@ -63,7 +64,7 @@
 	headers []header
 }
 
-// callAndPrint makes a call and prints its answer.
+// callAndPrint makes a call and prints its answer as printAnswer does.
 func callAndPrint[T any](ctx context.Context, c *client, e env, call apiCall, text func(w io.Writer, v T)) error {
 	data, err := c.call(ctx, call)
 	if err != nil {
@@ -72,6 +73,8 @@
 	return printAnswer(c, e, data, text)
 }
 
+// call makes a call and returns the body of its answer. It returns a usageError if the flags are invalid, and an apiError if the
+// status is not 200.
 func (c *client) call(ctx context.Context, call apiCall) ([]byte, error) {
 	if c.router == "" || c.tokenFile == "" {
 		return nil, &usageError{reason: "--router and --token-file are needed"}
--- a/commander/commander.go
+++ b/commander/commander.go
@@ -21,10 +21,10 @@
 	exitUsage   = 2
 )
 
-// version is the product's version, as in the changelog.
+// version is the version of the program, as in the changelog.
 const version = "0.1.0"
 
-// usageError reports invalid arguments.
+// usageError reports invalid flags or arguments; the program exits with exitUsage.
 type usageError struct {
 	reason string
 }
@@ -42,17 +42,18 @@
 	name        string
 	description string
 	example     string
-	// flags declares flags and positional values.
+	// flags declares flags and positional values. It is nil if there are none.
 	flags func(s *flaggy.Subcommand)
-	// values receives the arguments of a command that takes one or more of them, and valuesHelp describes them. It is nil for
-	// other commands.
-	values      *[]string
-	valuesHelp  string
+	// values receives the arguments of a command that takes any number of them but at least one, and valuesHelp describes them.
+	// For other commands values is nil.
+	values     *[]string
+	valuesHelp string
+	// run runs the command. It is nil for a group that is not itself a command.
 	run         func(ctx context.Context, e env) error
 	subcommands []*command
 }
 
-// Main runs the command that args name and returns the exit code.
+// Main runs the command that args name and returns the exit code. SIGINT and SIGTERM cancel the command's context.
 func Main(args []string, out, errOut io.Writer) int {
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
@@ -68,7 +69,8 @@
 	return exitFailure
 }
 
-// dispatch finds the command that args name and runs it, or prints help.
+// dispatch finds the command that args name and runs it, or prints help. Errors other than a usageError get the command's path as
+// prefix.
 func dispatch(ctx context.Context, e env, args []string) error {
 	c, rest, path := findCommand(commands(), args)
 	if c == nil {
@@ -94,6 +96,8 @@
 	return errorx.Decorate(err, "%s", path)
 }
 
+// findCommand returns the command that the first of args name, the remaining arguments and the command's path, such as
+// "masticway budget show". The command is nil if the first of args names none.
 func findCommand(list []*command, args []string) (found *command, rest []string, path string) {
 	path = "masticway"
 	for len(args) > 0 {
@@ -135,8 +139,8 @@
 	return false
 }
 
-// parse parses a command's flags and arguments. flaggy's own handling of help and version is disabled, because it exits the
-// process.
+// parse parses a command's flags and arguments into the variables that the command declares. flaggy's own handling of help and
+// version is disabled, because it exits the process.
 func parse(c *command, path string, args []string) (err error) {
 	p := flaggy.NewParser(path)
 	p.ShowHelpWithHFlag = false
@@ -166,7 +170,7 @@
 	return nil
 }
 
-// splitValues separates the values from the flags and the flags' values.
+// splitValues separates a command's values from its flags; flags includes the flags' own values.
 func splitValues(p *flaggy.Parser, args []string) (values, flags []string) {
 	for i := 0; i < len(args); i++ {
 		name, isFlag := strings.CutPrefix(args[i], "--")
@@ -183,7 +187,7 @@
 	return values, flags
 }
 
-// consumesNextArg reports whether a flag's value is the next argument.
+// consumesNextArg reports whether a flag's value is the next argument: the flag is not boolean and is not written as NAME=VALUE.
 func consumesNextArg(p *flaggy.Parser, name string) bool {
 	if strings.Contains(name, "=") {
 		return false
--- a/commander/commands.go
+++ b/commander/commands.go
@@ -7,7 +7,7 @@
 	"github.com/integrii/flaggy"
 )
 
-// commands returns all commands.
+// commands returns the top-level commands, each with its subcommands.
 func commands() []*command {
 	return []*command{
 		devCommand(), gatewayCommand(), routerCommand(), sidecarCommand(), emulateCommand(), checkCommand(),
--- a/commander/dev.go
+++ b/commander/dev.go
@@ -17,8 +17,9 @@
 )
 
 const (
+	// devReadyTimeout limits the wait until all routers are ready.
 	devReadyTimeout = 20 * time.Second
-	// devPrepaid is the initial amount of each sample budget, in tokens.
+	// devPrepaid is the initial amount of each sample budget, in tokens of weight one.
 	devPrepaid = 1_000_000
 )
 
@@ -80,6 +81,7 @@
 	}
 }
 
+// runDev runs the fleet until ctx is done and then shuts it down gracefully.
 func runDev(ctx context.Context, e env, level string) error {
 	log, err := logger.New(level, e.err)
 	if err != nil {
@@ -123,7 +125,8 @@
 	return nil
 }
 
-// seedDev stores the sample catalog and contracts, each contract with one key, and the prepaid budgets.
+// seedDev writes the sample catalog, the sample contracts and the prepaid budgets to the fleet's platform. Each contract gets one
+// API key: the first gets key, the second key with a suffix.
 func seedDev(ctx context.Context, fleet *starter.Fleet, key string) error {
 	contracts := sampleContracts()
 	contracts[0] = contracts[0].WithKeyHashes(authenticator.HashKey(key))
--- a/commander/drive.go
+++ b/commander/drive.go
@@ -14,14 +14,14 @@
 
 // driveFlags are the flags of the load drive command.
 type driveFlags struct {
-	callers  string
+	callers  string // base URLs to which load is sent, separated by commas
 	key      string
 	model    string
-	rate     string
+	rate     string // requests per second
 	duration time.Duration
-	tokens   int
-	prompt   int
-	watch    string
+	tokens   int    // output tokens of each request
+	prompt   int    // bytes of each prompt
+	watch    string // processes to measure, separated by commas
 }
 
 func driveCommand() *command {
@@ -66,6 +66,7 @@
 	return nil
 }
 
+// parseWatch parses the watch flag: processes as NAME=PID or NAME=PID@METRICS_URL, separated by commas.
 func parseWatch(list string) ([]loader.Process, error) {
 	var watched []loader.Process
 	for part := range strings.SplitSeq(list, ",") {
--- a/commander/gateway.go
+++ b/commander/gateway.go
@@ -16,8 +16,8 @@
 	"github.com/masticway/masticway/validator"
 )
 
-// gcPercent is by how many percent a gateway's heap may grow before it is collected (GOGC). Its live heap is small, so collecting
-// more often than by default costs hardly any CPU time.
+// gcPercent is the percentage by which a gateway's heap may grow over its live heap before the next garbage collection (GOGC).
+// The live heap is small, so collecting more often than by default costs hardly any CPU time.
 const gcPercent = 25
 
 func gatewayCommand() *command {
--- a/commander/load.go
+++ b/commander/load.go
@@ -13,7 +13,7 @@
 	"github.com/masticway/masticway/logger"
 )
 
-// checkError reports that a run violated a guarantee or missed an expectation.
+// checkError reports that a load run or a soak violated a promise or that a load run missed an expectation.
 type checkError struct {
 	failures []string
 }
@@ -24,11 +24,11 @@
 
 // loadFlags are the flags of the load command.
 type loadFlags struct {
-	scenario string
-	out      string
-	seeds    int
-	router   string
-	level    string
+	scenario string // file
+	out      string // directory for the report; if it is empty, none is written
+	seeds    int    // the number of runs
+	router   string // router settings as JSON; if it is empty, those of the scenario apply
+	level    string // log level
 }
 
 func loadCommand() *command {
@@ -71,6 +71,7 @@
 	}
 }
 
+// runLoad runs a scenario once for each seed and prints and writes the reports. It returns a checkError if a report has failures.
 func runLoad(ctx context.Context, e env, f loadFlags) error {
 	if f.scenario == "" || f.seeds < 1 {
 		return &usageError{reason: "--scenario names a file, and --seeds is at least 1"}
@@ -111,6 +112,7 @@
 	return nil
 }
 
+// writeRuns writes reports to NAME.json in a directory, which it creates if needed. It does nothing if directory is empty.
 func writeRuns(directory, name string, runs loader.Runs) error {
 	if directory == "" {
 		return nil
--- a/commander/operators.go
+++ b/commander/operators.go
@@ -14,7 +14,7 @@
 	"github.com/masticway/masticway/router"
 )
 
-// anyRevision is the base of a change that applies to any revision.
+// anyRevision is the base of a change that is accepted whatever the current revision is.
 const anyRevision = "*"
 
 // formatTokens formats an amount as tokens at weight one.
@@ -24,10 +24,11 @@
 
 // changeFlags are the common flags of all commands that make a change.
 type changeFlags struct {
-	id   string
-	base string
+	id   string // idempotency key of the change
+	base string // the revision that the change is based on, or empty if the command has no such flag
 }
 
+// flags declares the flags; withBase is set for commands that have a base revision.
 func (f *changeFlags) flags(s *flaggy.Subcommand, withBase bool) {
 	s.String(&f.id, "", "change-id", "idempotency key of the change, so that a retry is not a second change")
 	if withBase {
--- a/commander/roles.go
+++ b/commander/roles.go
@@ -17,7 +17,7 @@
 	"github.com/masticway/masticway/validator"
 )
 
-// decodeFile reads and decodes a document. The error reports all faults of the document.
+// decodeFile reads and validates a document, adds the defaults of absent fields and decodes it.
 func decodeFile[T any](k validator.Kind, file string) (T, error) {
 	var zero T
 	data, err := os.ReadFile(file)
@@ -31,7 +31,7 @@
 	return v, nil
 }
 
-// drainTimeoutError reports that the drain timeout expired before all work was finished.
+// drainTimeoutError reports that a router, sidecar or gateway was shut down before all its work was finished.
 type drainTimeoutError struct{}
 
 func (drainTimeoutError) Error() string {
@@ -76,12 +76,13 @@
 	}
 }
 
-// daemon is a router, sidecar or gateway that runs until it is drained. Drain reports whether all work was finished in time.
+// daemon is a router, sidecar or gateway. Drain shuts it down gracefully and reports whether all work was finished in time.
 type daemon interface {
 	Start() error
 	Drain() bool
 }
 
+// runDaemon starts a daemon, waits until ctx is done and drains the daemon.
 func runDaemon(ctx context.Context, r daemon) error {
 	if err := r.Start(); err != nil {
 		return err
@@ -146,7 +147,7 @@
 	}
 }
 
-// guessKind guesses a document's kind from a field that only this kind has. The default is router settings.
+// guessKind guesses a document's kind from the fields that it has. The default is router settings.
 func guessKind(data []byte) validator.Kind {
 	var fields map[string]json.RawMessage
 	if json.Unmarshal(data, &fields) != nil {
