--- a/emulator/engine.go
+++ b/emulator/engine.go
@@ -32,7 +32,7 @@
 
 // EngineFaults are the faults that can be injected into an engine.
 type EngineFaults struct {
-	// Down rejects new requests and breaks those that run or wait.
+	// Down rejects new requests and breaks those that run. Requests that wait for a slot break when they get one.
 	Down bool `json:"down"`
 	// Stall pauses prefills and all output without ending the streams.
 	Stall bool `json:"stall"`
--- a/loader/client.go
+++ b/loader/client.go
@@ -258,8 +258,8 @@
 	}
 }
 
-// isCorrect reports whether an answer is the whole answer to the planned request or, for a model without MaxTokens, a beginning of
-// it of the length that the answer's usage says.
+// isCorrect reports whether an answer is the whole answer to the planned request or, for a model without MaxTokens, a beginning
+// of it of the length that the answer's usage says.
 func (p plannedRequest) isCorrect(a answer) bool {
 	if p.traffic.Service != "" {
 		var echo struct {
--- a/loader/report.go
+++ b/loader/report.go
@@ -20,7 +20,7 @@
 	Requests int `json:"requests"`
 	OK       int `json:"ok"`
 	Attempts int `json:"tries"`
-	// CutShort counts complete answers that are shorter than planned because the budget did not allow more.
+	// CutShort counts successful answers that are shorter than planned, which happens if the budget does not allow more.
 	CutShort int `json:"cut_short"`
 	// FalseRefusals counts requests that were refused for lack of money although the budget could have paid for them,
 	// TrueRefusals those for which it could not.
--- a/soaker/caller.go
+++ b/soaker/caller.go
@@ -36,7 +36,7 @@
 	maxPrompt, maxSpareOutput = 1500, 30
 	// The shortest and the longest time limit that a caller sets.
 	minTimeLimit, maxTimeLimit = time.Second, 8 * time.Second
-	// maxBodyBytes bounds the random part of a body; most bodies are far smaller.
+	// maxBodyBytes is the largest length of the filler in a body; most bodies are far smaller.
 	maxBodyBytes = 40 << 10
 	// maxThinkTime is the longest usual pause between a caller's requests, maxIdleTime the longest idle pause. A router may
 	// restart in an idle pause.
@@ -56,7 +56,7 @@
 	prompt, declared, router  int           // tokens of the prompt; declared maximum tokens of the answer; index of the router
 	timeLimit, waitTimeout    time.Duration // the time limit that the caller sends; how long it waits in fact
 	reusedConn                bool          // the connection had carried an earlier request
-	recurringName             string        // the name in path and body of all sends of a deadly request; empty for others, which use id
+	recurringName             string        // the name in path and body of all sends of a deadly request; others use id
 	resumeAfter               int           // number of the last event of an earlier answer; zero if the request resumes none
 	written                   atomic.Bool   // the whole request was written
 
@@ -133,8 +133,8 @@
 	return q.status
 }
 
-// canResume reports whether the caller may resume the answer: it broke off after some of its events, and the request is
-// repeatable. events is the number of events of a whole stream.
+// canResume reports whether the caller may resume the answer: it is a stream that broke off after some of its events, and the
+// request is repeatable. events is the number of events of a whole stream.
 func (q *request) canResume(events int) bool {
 	return q.metered && q.repeatable && q.outcome == outcomeBroken && q.status == http.StatusOK && q.events > 0 && q.resumeAfter+q.events < events
 }
--- a/soaker/checks.go
+++ b/soaker/checks.go
@@ -28,15 +28,15 @@
 	promiseOnce      = "once"      // a non-repeatable request runs at most once
 	promiseNotRun    = "not_run"   // a request that was reported as not run never ran
 	promiseWhole     = "whole"     // a caller gets the whole answer to its own request, and no partial answer looks complete
-	promiseUnchanged = "unchanged" // servers run what callers sent, for the caller's workspace, in the pool of its route
+	promiseUnchanged = "unchanged" // servers run what callers sent, for the caller's workspace, in the pool of the request's route
 	promiseAnswered  = "answered"  // an undisturbed router answers what it forwarded, also around its graceful shutdown
 	promiseInForce   = "in_force"  // an accepted configuration is applied in time by routers in contact with the store
 	promiseNoReturn  = "no_return" // a process never returns to an older configuration
 	promiseDrained   = "drained"   // a draining server gets no new requests after a while
 	promiseRecovered = "recovered" // requests are served again after all faults
 	promiseSpared    = "spared"    // a request that crashes servers is withheld from them in time, and no other is
-	promiseLimited   = "limited"   // a server that advertises a rate limit gets hardly more than that from all routers together
-	promiseRested    = "rested"    // a server that asks a router to back off gets hardly any requests from it meanwhile
+	promiseLimited   = "limited"   // all routers together keep to the rate limit that a server advertises, with a tolerance
+	promiseRested    = "rested"    // a router sends a server that asked it to back off at most maxSentInBackoff requests meanwhile
 	promiseAlive     = "alive"     // a router's process ends only when it is stopped
 )
 
@@ -60,7 +60,8 @@
 	s.violations = append(s.violations, v)
 }
 
-// beginDisturbance records that a target is disturbed, from a duration ago until the returned function is called.
+// beginDisturbance records that a target is disturbed, from a duration ago until the returned function is called or, if it is
+// never called, until the soak ends.
 func (s *soakRun) beginDisturbance(what, target string, ago time.Duration) (end func()) {
 	s.logf("%s of %s begins", what, target)
 	s.mu.Lock()
@@ -168,7 +169,8 @@
 	}
 }
 
-// checkFate compares what the answer says about whether the request ran with its runs.
+// checkFate checks that the status and the origin of an answer agree with the runs of its request, and that a non-repeatable
+// request ran at most once.
 func (s *soakRun) checkFate(q *request, runs []emulator.OpaqueRun) {
 	if len(runs) > 1 && !q.repeatable {
 		s.reportViolation(promiseOnce, "ran %d times: %s", len(runs), q)
@@ -186,8 +188,8 @@
 	}
 }
 
-// checkAnswered checks that a request was answered in time and completely, unless a disturbance, a fault of a server or a shutdown
-// excuses the router.
+// checkAnswered checks that a request was answered in time and completely, unless a disturbance, a fault of a server or a
+// shutdown excuses the router.
 func (s *soakRun) checkAnswered(q *request, runs []emulator.OpaqueRun) {
 	// A router that was disturbed by more than a planned restart need not answer. If the answer costs prepaid tokens, neither
 	// need a router whose store was disturbed.
--- a/soaker/deadly.go
+++ b/soaker/deadly.go
@@ -67,7 +67,7 @@
 }
 
 // checkDeadlyRequests checks that routers in contact with the store sent each deadly request at most maxDeadlySends times after
-// it had to be known, which is stabilityPeriod after the run that caused crash number minDeadlyCrashes started.
+// it had to be known. That is stabilityPeriod after the start of the run that caused the last of minDeadlyCrashes crashes.
 func (s *soakRun) checkDeadlyRequests() {
 	runs := map[string][]emulator.OpaqueRun{}
 	for _, r := range s.ledger.Runs() {
--- a/soaker/faults.go
+++ b/soaker/faults.go
@@ -156,8 +156,8 @@
 	}
 }
 
-// drain starts the next incarnation of a server and drains the old one, by marking its row as draining or by removing the row. The
-// old one still serves until extraServingTime after routers must have noticed.
+// drain starts the next incarnation of a server and drains the old one, by marking its row as draining or by removing the row.
+// The old one still serves until extraServingTime after routers must have noticed.
 func (s *soakRun) drain(e faultEvent) {
 	old, slot := s.targetServer(e)
 	s.startServer(slot)
--- a/soaker/limits.go
+++ b/soaker/limits.go
@@ -16,7 +16,7 @@
 	// Within any limitWindow, a server may get limitOvershoot times the requests that its limit allows, and limitSlack requests
 	// more, as in the users' deployments.
 	limitOvershoot, limitSlack = 1.5, 5
-	// limitDelay is how long after an answer that carries a limit the router's requests count towards it.
+	// The requests of a router count towards a limit from limitDelay after the router got an answer that carries the limit.
 	limitWindow, limitDelay = 4 * time.Second, 500 * time.Millisecond
 )
 
@@ -42,7 +42,7 @@
 	s.limits = append(s.limits, limitInterval{server.ID, rate, interval{from, time.Now()}})
 }
 
-// checkRateLimits checks that no server got more than its rate limit, with its tolerance, allows from the routers that had
+// checkRateLimits checks that no server got more requests than its rate limit and the tolerance allow from the routers that had
 // received the limit.
 func (s *soakRun) checkRateLimits() {
 	for _, l := range s.limits {
@@ -68,8 +68,8 @@
 	}
 }
 
-// countsForLimit reports whether a run counts towards a limit: the limit had been in effect for stabilityPeriod and had not ended,
-// and the router that sent the run had been in contact with the store and had received the limit with an earlier answer.
+// countsForLimit reports whether a run counts towards a limit: the limit had been in effect for stabilityPeriod and had not
+// ended, and the router that sent the run had been in contact with the store and had received the limit with an earlier answer.
 func (s *soakRun) countsForLimit(r emulator.OpaqueRun, l limitInterval) bool {
 	q := s.requests[r.ID]
 	if q == nil || r.StartedAt.Before(l.from.Add(stabilityPeriod)) || r.StartedAt.After(l.to) || !s.isUndisturbed(r.StartedAt.Add(-limitWindow-stabilityPeriod), r.StartedAt, contactTargets(q.router)...) {
--- a/soaker/prober.go
+++ b/soaker/prober.go
@@ -19,12 +19,12 @@
 	probeInterval, probeTimeout = 100 * time.Millisecond, time.Second
 )
 
-// prober sends probes to one router directly, without its proxy. A probe requests the path of a version: either the newest one, or
-// the newest one that the router must have applied.
+// prober sends probes to one router directly, without its proxy. A probe requests the path of a version: either the newest one,
+// or the newest one that the router must have applied.
 type prober struct {
 	*caller
 	process           *process
-	seen, incarnation int64 // the newest version that a probe found served by an incarnation of the router; that incarnation
+	seen, incarnation int64 // the newest version that the incarnation has served; the router's incarnation at the last probe
 	missed            int64 // the newest version for which a violation was reported because the router did not apply it in time
 }
 
--- a/soaker/soak.go
+++ b/soaker/soak.go
@@ -16,14 +16,15 @@
 )
 
 const (
-	// MaxRouters is the largest number of routers of a soak, each of which is a process.
+	// MaxRouters is the largest number of routers for which a soak is meant, because each router is a process. Run does not
+	// enforce it.
 	MaxRouters       = 200
 	callersPerRouter = 12
 	// recoveryTimeout is the time after all faults within which requests must be served again, as in the users' deployments.
 	// recoveryTokens are paid to each workspace before it starts.
 	recoveryTimeout, recoveryTokens = 12 * time.Second, 5_000_000
-	// narrowBandwidth is the bandwidth in bytes per second (10 Mbit/s) of each router's connections to the store in one of
-	// narrowEvery soaks, on average.
+	// narrowBandwidth is the bandwidth in bytes per second (10 Mbit/s) and direction of each router's connections to the store in
+	// one of narrowEvery soaks, on average.
 	narrowBandwidth, narrowEvery = 10e6 / 8, 3
 	// The largest number of events of a stream, and the longest pause between two events. Each soak draws its own values.
 	maxEvents, maxEventPause = 10, 250 * time.Millisecond
--- a/soaker/soaker_test.go
+++ b/soaker/soaker_test.go
@@ -73,8 +73,8 @@
 	return report
 }
 
-// assertPromisesKept runs a soak and fails the test on any violation, if too few requests were served or if no fault was injected.
-// The logs of a failed soak are kept.
+// assertPromisesKept runs a soak and fails the test on any violation, if too few requests were served or if no fault was
+// injected. The logs of a failed soak are kept.
 func assertPromisesKept(t *testing.T, s soaker.Soak) {
 	var err error
 	s.Program, err = program()
