--- a/biller/biller.go
+++ b/biller/biller.go
@@ -12,8 +12,8 @@
 const (
 	// journalPrefix is the prefix of the names of batches of bills in the object store.
 	journalPrefix = "journal/"
-	// identityTTL is how long the auditor keeps an identity after the time of its first bill, and a hold after its bill has
-	// been read.
+	// identityTTL is how long the auditor remembers an identity after the time (Bill.At) of its first final bill. It is also
+	// how long it remembers a hold after FindRefunds got the hold's first bill.
 	identityTTL = 30 * time.Minute
 	// batchTTL is how long the auditor keeps the name of a batch that it has read. It must exceed two hours, because the
 	// auditor lists the batches of the current and the previous hour.
@@ -29,7 +29,8 @@
 	KindFinal Kind = "final"
 	// KindPart is for work on a part of an answer that was then continued under another hold.
 	KindPart Kind = "part"
-	// KindSuperseded is for work whose answer was not used because the request was run again elsewhere. It is refunded.
+	// KindSuperseded is for work whose answer was not used because the request was run again elsewhere. The cost is
+	// refunded.
 	KindSuperseded Kind = "superseded"
 )
 
@@ -42,13 +43,14 @@
 	Payer    masticway.Incarnation `json:"payer"`
 	Kind     Kind                  `json:"kind"`
 	Cost     masticway.Amount      `json:"cost"`
-	// Presumed is the part of the cost that is charged because a lost sidecar may have run it.
+	// Presumed is the part of Cost for work that a lost sidecar may or may not have done.
 	Presumed masticway.Amount `json:"presumed,omitempty"`
 	Usage    masticway.Usage  `json:"usage"`
 	At       time.Time        `json:"at"`
 }
 
-// maxPendingBills limits the bills of one incarnation that wait to be written to the object store. A bill needs about 400 bytes.
+// maxPendingBills is the maximum number of bills of one incarnation that wait to be written to the object store. Further
+// bills are dropped. A bill needs about 400 bytes.
 const maxPendingBills = 65536
 
 // NewJournal returns a Batcher for the bills of an incarnation.
@@ -56,7 +58,8 @@
 	return batcher.New[Bill](journalPrefix, owner, maxPendingBills)
 }
 
-// Bucket returns the part of a batch's name for the hour of now. It lets auditors list only the batches of recent hours.
+// Bucket returns the part of a batch's object name that stands for the hour of now in UTC. With it, auditors can list only
+// the batches of recent hours.
 func Bucket(now time.Time) string { return now.UTC().Format("2006010215") + "/" }
 
 // Refund is money to return for a double or superseded bill.
@@ -67,15 +70,16 @@
 	Amount   masticway.Amount
 }
 
-// Auditor finds double and superseded bills. It is not safe for concurrent use.
+// Auditor finds superseded and double bills. A final bill is double if the auditor already knows a final bill of its
+// identity under another hold. An Auditor is not safe for concurrent use.
 type Auditor struct {
-	// first holds the first final bill of each identity.
+	// first holds the first final bill of each identity, until identityTTL after the bill's time.
 	first map[masticway.Identity]Bill
-	// seenHolds holds when the bill of each hold was considered.
+	// seenHolds holds, by hold, when FindRefunds got the hold's first bill that costs anything. It is kept for identityTTL.
 	seenHolds map[masticway.HoldID]time.Time
-	// readAt holds when each batch was read, by name.
+	// readAt holds, by the object name of a batch, when the batch was read. It is kept for batchTTL.
 	readAt map[string]time.Time
-	// retries holds the refunds to be returned again.
+	// retries holds the refunds that the next call of FindRefunds returns again.
 	retries []Refund
 }
 
@@ -84,8 +88,8 @@
 	return &Auditor{first: map[masticway.Identity]Bill{}, seenHolds: map[masticway.HoldID]time.Time{}, readAt: map[string]time.Time{}}
 }
 
-// FindRefunds returns the refunds that are due for bills, and those to be retried. It considers the first bill of each hold and
-// ignores others that it gets within identityTTL.
+// FindRefunds returns the refunds that are due for bills, and the refunds that were queued by RetryRefund since its last
+// call. It ignores bills without a cost. Of several bills for one hold it considers only the first, for identityTTL.
 func (a *Auditor) FindRefunds(now time.Time, bills []Bill) []Refund {
 	refunds := a.retries
 	a.retries = nil
@@ -111,14 +115,15 @@
 	return refunds
 }
 
-// RetryRefund queues a refund that could not be written to the table. The next call of FindRefunds returns it again.
+// RetryRefund queues a refund that the caller could not write to the table. The next call of FindRefunds returns it again.
 func (a *Auditor) RetryRefund(f Refund) { a.retries = append(a.retries, f) }
 
 func refundOf(b Bill) Refund {
 	return Refund{Budget: b.Budget, Identity: b.Identity, Hold: b.Hold, Amount: b.Cost}
 }
 
-// evict drops identities, holds and names of batches that have expired.
+// evict drops the identities and holds that are older than identityTTL, and the names of batches that are older than
+// batchTTL.
 func (a *Auditor) evict(now time.Time) {
 	for identity, b := range a.first {
 		if now.Sub(b.At) > identityTTL {
@@ -137,8 +142,9 @@
 	}
 }
 
-// ReadNewBills returns the bills of those batches of the current and the previous hour that this auditor has not read yet. After
-// an error it also returns the bills that it has read before, which the next call does not return again.
+// ReadNewBills returns the bills of the batches of the current and the previous hour that this auditor has not read yet. If
+// a batch cannot be read, it returns the error together with the bills that this call has read so far. The caller must
+// process them: no later call returns them again.
 func (a *Auditor) ReadNewBills(ctx context.Context, store masticway.ObjectStore, now time.Time) ([]Bill, error) {
 	var names []string
 	for _, hour := range []time.Time{now.Add(-time.Hour), now} {
