--- a/batcher/batcher.go
+++ b/batcher/batcher.go
@@ -9,7 +9,8 @@
 	"github.com/masticway/masticway"
 )
 
-// Batcher collects records of one owner. It is safe for concurrent use, but two calls of Flush must not overlap.
+// Batcher collects the records of one owner, which is an incarnation of a router. It is safe for concurrent use, but two
+// calls of Flush must not overlap.
 type Batcher[T any] struct {
 	prefix     string
 	owner      string
@@ -18,7 +19,9 @@
 	mu sync.Mutex
 	// pending holds the records that are not in a batch yet.
 	pending []T
-	// inFlight is the batch that is being written or is to be written again, and inFlightName is the name of its object.
+	// inFlight is the batch that Flush is writing, or that it failed to write and must write again. inFlightName is the name
+	// of the batch's object. The name is the prefix, the bucket that was passed to Flush, the owner, and the batch's number;
+	// nextNumber is the number of the batch that is in flight, or else of the next one.
 	inFlight     []T
 	nextNumber   int
 	inFlightName string
@@ -31,7 +34,7 @@
 	return &Batcher[T]{prefix: prefix, owner: string(owner), maxPending: limit}
 }
 
-// Add adds a record, or drops it if too many have not been written yet.
+// Add adds a record. It drops the record if limit records (see New) have not been written yet.
 func (b *Batcher[T]) Add(v T) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -42,10 +45,11 @@
 	b.pending = append(b.pending, v)
 }
 
-// Flush writes the pending records as one object, whose name consists of the prefix, bucket, the owner and the batch's number. It
-// writes nothing if no records are pending.
+// Flush writes the pending records as one object. The object's name consists of the prefix, the bucket, the owner and the
+// batch's number. Flush writes nothing if there are no records.
 //
-// After a failure the next call writes the same batch again under the same name, whatever its bucket.
+// After a failure, the next call writes only the batch that failed, under its first name. The next call ignores its own
+// bucket, and records added since then wait for the call after it.
 func (b *Batcher[T]) Flush(ctx context.Context, store masticway.ObjectStore, bucket string) error {
 	b.mu.Lock()
 	if len(b.inFlight) == 0 {
@@ -78,14 +82,14 @@
 	return len(b.pending) + len(b.inFlight)
 }
 
-// Dropped returns the number of records that have been dropped.
+// Dropped returns the number of records that Add has dropped.
 func (b *Batcher[T]) Dropped() int64 {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.dropped
 }
 
-// ReadBatch reads the batch in the object with a name.
+// ReadBatch reads and decodes the batch in the object with the given name.
 func ReadBatch[T any](ctx context.Context, store masticway.ObjectStore, name string) ([]T, error) {
 	data, err := store.Get(ctx, name)
 	if err != nil {
