--- a/lender/lender.go
+++ b/lender/lender.go
@@ -32,13 +32,14 @@
 	Accepted bool `cbor:"1,keyasint"`
 }
 
-// finalReportsRequest requests what an ended incarnation reported to a witness, both named by incarnation.
+// finalReportsRequest asks the router Witness for what the incarnation Ended reported to it. The router has no such record
+// if it has been restarted since then and is no longer the incarnation Witness.
 type finalReportsRequest struct {
 	Witness masticway.Incarnation `cbor:"1,keyasint"`
 	Ended   masticway.Incarnation `cbor:"2,keyasint"`
 }
 
-// Client calls other routers. It implements the interface treasurer.Lender.
+// Client calls other routers. It implements the interface treasurer.PeerClient.
 type Client struct {
 	messages *messenger.Client
 }
@@ -46,14 +47,14 @@
 // NewClient returns a client that sends its calls with m.
 func NewClient(m *messenger.Client) *Client { return &Client{messages: m} }
 
-// Borrow requests a loan of a workspace's money from the router at an address. The amount of the loan is at most the need in the
-// request, and zero if the router lends nothing.
+// Borrow requests a loan of a workspace's tokens from the router at an address. The amount of the loan is at most the need
+// in the request. It is zero if the router lends nothing.
 func (c *Client) Borrow(ctx context.Context, address string, request treasurer.LoanRequest) (treasurer.Loan, error) {
 	answer, err := messenger.Call[borrowResponse](ctx, c.messages, address, pathBorrow, request)
 	return treasurer.Loan{Lender: answer.Lender, Amount: min(request.Need, max(0, answer.Amount))}, err
 }
 
-// Repay returns money to the router at an address.
+// Repay sends a repayment, or the cancellation of a loan request, to the router at an address.
 func (c *Client) Repay(ctx context.Context, address string, r treasurer.Repayment) error {
 	_, err := messenger.Call[ack](ctx, c.messages, address, pathRepay, r)
 	return err
@@ -65,22 +66,26 @@
 	return answer.Accepted, err
 }
 
-// FinalReports requests from a witness what an ended incarnation reported to it.
+// FinalReports asks the incarnation witness, at an address, for what an ended incarnation reported to it. The witness then
+// refuses further reports of the ended incarnation.
 func (c *Client) FinalReports(ctx context.Context, address string, witness, ended masticway.Incarnation) (treasurer.WitnessRecord, error) {
 	return messenger.Call[treasurer.WitnessRecord](ctx, c.messages, address, pathFinalReports, finalReportsRequest{Witness: witness, Ended: ended})
 }
 
-// PeerServer handles the calls of other routers.
+// PeerServer handles the calls that other routers make to this router.
 type PeerServer interface {
-	// Self returns the incarnation that lends.
+	// Self returns the incarnation of this router, which is the lender of its loans.
 	Self() masticway.Incarnation
-	// Lend lends money to another router and returns the amount in tokens, which is zero if there is nothing to lend.
+	// Lend lends tokens to another router and returns how many. It returns zero if there is nothing to lend.
 	Lend(ctx context.Context, request treasurer.LoanRequest) int64
-	// AcceptRepayment accepts returned money.
+	// AcceptRepayment takes back tokens that another router has borrowed, or cancels its loan request.
 	AcceptRepayment(r treasurer.Repayment)
-	// AcceptReport accepts another router's report unless that router has ended, and reports whether it did.
+	// AcceptReport records another router's report and returns true. It returns false, without recording it, if the report
+	// is meant for another incarnation than this one, if FinalReports was called for the report's sender, or if this router
+	// no longer spends because it has itself been succeeded.
 	AcceptReport(s treasurer.SpendReport) bool
-	// FinalReports returns what an ended incarnation reported to a witness; later reports of that incarnation are refused.
+	// FinalReports returns what an ended incarnation reported to a witness. The record is empty if the witness is another
+	// incarnation than this one; otherwise AcceptReport refuses later reports of the ended incarnation.
 	FinalReports(witness, ended masticway.Incarnation) treasurer.WitnessRecord
 }
 
