--- a/treasurer/treasurer.go
+++ b/treasurer/treasurer.go
@@ -17,31 +17,35 @@
 
 // These constants are policy: how long a request may wait for a loan from another router.
 const (
-	// lendTimeout bounds one loan request to another router: a few times the latency between availability zones plus
-	// clearTimeout, which bounds how long the lender waits for clearance, usually by its next checkpoint.
+	// lendTimeout bounds one loan request to another router. It is clearTimeout plus a few times the latency between
+	// availability zones. clearTimeout bounds how long the lender waits until its spend limits cover the loan, usually
+	// because of its next checkpoint.
 	lendTimeout  = 60 * time.Millisecond
 	clearTimeout = 45 * time.Millisecond
 )
 
 // These constants are timeouts, intervals and bounds of the treasurer's calls.
 const (
-	// tickInterval is how often waiting requests are checked and calls are planned if no event occurs.
+	// tickInterval is how often Run checks waiting requests and plans calls if nothing wakes it up earlier. Close does so
+	// five times as often.
 	tickInterval = 50 * time.Millisecond
-	// callTimeout bounds one call to the store that reads or writes accounts or checkpoints, except for the watch and the
-	// reads before it; a takeover's read and write share it.
+	// callTimeout bounds one call to the store that reads or writes accounts or checkpoints. A takeover's read and write
+	// share it. It does not apply to the watch and to the reads that precede the watch.
 	callTimeout = 2 * time.Second
-	// callRetryInterval separates attempts of a call to the store or to another router that failed.
+	// callRetryInterval is the pause after a failed attempt before the next one, for calls that are repeated until they
+	// succeed or a maximum number of attempts is reached: takeover, closing of grants, repayments and calls to witnesses.
 	callRetryInterval = 100 * time.Millisecond
 	// maxConcurrentClosings bounds how many grants of predecessors are closed at the same time.
 	maxConcurrentClosings = 6
-	// closingInterval times the number of grants in a row is the longest random wait before another attempt to close one of
-	// them: 10 ms is the store's time for two writes to one part.
+	// closingInterval times the number of grants in a workspace's row is the upper bound of a random wait. The wait precedes
+	// each write that is tried again after a conflict, and also the first write if the row has contendedGrants or more. The
+	// write closes one grant. The store needs 10 ms for two writes to one part.
 	closingInterval = 10 * time.Millisecond
-	// contendedGrants is the number of grants in a row above which, or at which, writes to it conflict so often that the row
-	// returned with a conflict is probably outdated already.
+	// contendedGrants is the number of grants in a workspace's row from which on writes to it conflict so often that a row
+	// that was returned with a conflict is probably outdated already.
 	contendedGrants = 8
 	// watchWait is how long one call of the accounts' watch may wait for changes. After each call the watch pauses for
-	// watchInterval plus watchIntervalPerRouter for each router.
+	// watchInterval plus watchIntervalPerRouter times the number of routers.
 	watchWait              = 5 * time.Second
 	watchInterval          = 200 * time.Millisecond
 	watchIntervalPerRouter = 6 * time.Millisecond
@@ -69,7 +73,7 @@
 	histogramHold       = "money_wait"
 )
 
-// Treasurer keeps the prepaid budgets for one router: it carries out what its planner decides and answers requests for
+// Treasurer keeps the prepaid budgets for one router. It carries out what its Planner decides, and answers requests for
 // tokens.
 type Treasurer struct {
 	store   masticway.RowStore
@@ -79,7 +83,7 @@
 	self    masticway.Incarnation
 	// parts is Settings.Parts.
 	parts int
-	// address is where other routers reach this one; the process has listened there since listeningAt or longer.
+	// address is where other routers reach this one. The process has listened there since listeningAt at the latest.
 	address     string
 	zone        string
 	processors  float64
@@ -87,15 +91,15 @@
 
 	mu      sync.Mutex
 	planner *Planner
-	// waiting has the channels of the goroutines that wait for a verdict or a clearance.
+	// waiting has the channels of the goroutines that wait for a verdict in Hold or for a clearance in Clear.
 	waiting map[HoldID]chan Reply
-	// members is the number of running routers, including this one; zero until they were counted.
+	// members is the number of running routers at the last count, including this one. It is zero until the first count.
 	members int
-	// sealed is set once this incarnation must not spend any more.
+	// sealed is set once this incarnation must not spend any more (see seal).
 	sealed bool
 
-	// countedAt is when the routers were last counted, countedBytes the size of their presences, and presence this router's
-	// own.
+	// countedAt is when the routers were last counted. countedBytes is the size of all routers' presences then. presence is
+	// what is known of this router's own presence.
 	countedAt    time.Time
 	countedBytes int64
 	presence     presenceRow
@@ -108,22 +112,23 @@
 	tasks      sync.WaitGroup
 }
 
-// PeerClient calls other routers: to borrow and repay tokens, and to use them as witnesses of what is spent while the store
-// cannot be reached.
+// PeerClient calls other routers: to borrow tokens and repay them, and to use the routers as witnesses.
 type PeerClient interface {
-	// Borrow returns what the router at the address lends, which may be nothing, and the incarnation that lent it; an empty
-	// incarnation means the one that was expected there.
+	// Borrow asks the router at the address for a loan and returns the loan, which may be empty. If the loan names no
+	// lender, the lender is the incarnation that the caller expects at the address.
 	Borrow(ctx context.Context, address string, request LoanRequest) (Loan, error)
-	// Repay fails if the lender may not have received the repayment; a repayment may be sent again.
+	// Repay sends a repayment to a lender. It returns an error if the lender may not have received the repayment. The caller
+	// may then send the repayment again.
 	Repay(ctx context.Context, address string, r Repayment) error
 	// SendReport sends a report to a witness and reports whether the witness accepted it.
 	SendReport(ctx context.Context, address string, s SpendReport) (bool, error)
-	// FinalReports asks a witness what an ended incarnation has reported to it, and has it refuse further reports of that.
+	// FinalReports asks a witness what an ended incarnation has reported to it. The witness then refuses further reports of
+	// the ended incarnation.
 	FinalReports(ctx context.Context, address string, witness, ended masticway.Incarnation) (WitnessRecord, error)
 }
 
-// New returns a treasurer for a new incarnation on an instance; the settings' incarnation is ignored. The process must
-// already listen at the settings' address, where others reach it.
+// New returns a treasurer for a new incarnation on an instance. It ignores the incarnation in the settings. The process must
+// already listen at the settings' address.
 func New(store masticway.RowStore, peerClient PeerClient, clock masticway.Clock, log *logrus.Entry, metrics *measurer.Set, instance string, s Settings) *Treasurer {
 	s.Incarnation = masticway.NewIncarnation(instance, uuid.NewString()[:8])
 	return &Treasurer{
@@ -148,7 +153,8 @@
 	return all
 }
 
-// Members returns the number of routers that were running at the last count, including this one; zero until then.
+// Members returns the number of routers that were running at the last count, including this one. It returns zero until the
+// first count.
 func (t *Treasurer) Members() int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -163,9 +169,10 @@
 	return slices.DeleteFunc(slices.Clone(t.peers), func(o Peer) bool { return o.Zone != t.zone })
 }
 
-// ZoneReaders returns the addresses of the routers, at most limit, that read the given key for this router's availability
-// zone: those of the zone with the greatest rendezvous weights for the key, greatest first. If this router is one of them, it
-// returns true and no addresses. It returns false and no addresses while no other router of the zone is known.
+// ZoneReaders returns the addresses of the routers that read a key from its source on behalf of this router's availability
+// zone. They are the routers of the zone with the greatest rendezvous weights for the key, at most limit of them, greatest
+// first. If this router is one of them, ZoneReaders returns no addresses and true. While no other router of the zone is
+// known, it returns no addresses and false.
 func (t *Treasurer) ZoneReaders(key string, limit int) (addresses []string, isReader bool) {
 	zone := t.ZonePeers()
 	if len(zone) == 0 {
@@ -180,8 +187,8 @@
 	return addresses, false
 }
 
-// RankedAddresses returns the addresses of the routers, at most limit, with the greatest rendezvous weights for a key,
-// greatest first. This router's own may be among them. There are none until the routers were counted.
+// RankedAddresses returns the addresses of the routers with the greatest rendezvous weights for a key, at most limit of
+// them, greatest first. This router's own address may be among them. It returns none until the first count of routers.
 func (t *Treasurer) RankedAddresses(key string, limit int) (addresses []string) {
 	t.mu.Lock()
 	counted, peers := t.members > 0, slices.Clone(t.peers)
@@ -195,8 +202,8 @@
 	return addresses
 }
 
-// rankPeers returns the given peers and this router, at most limit of them, by their rendezvous weights for a key, greatest
-// first. A router's weight grows with its processors.
+// rankPeers ranks the given peers and this router by their rendezvous weights for a key, and returns the first limit of
+// them, greatest first. A router's weight grows with its number of processors.
 func (t *Treasurer) rankPeers(key string, peers []Peer, limit int) []Peer {
 	self := Peer{Witness: Witness{Incarnation: t.self, Address: t.address}, Zone: t.zone, Processors: t.processors}
 	weights := map[masticway.Incarnation]float64{}
@@ -208,8 +215,8 @@
 	return all[:min(limit, len(all))]
 }
 
-// OwnsKey reports whether this router is the one to which a key is assigned by rendezvous hash, whatever the routers'
-// processors. It returns false until the routers were counted.
+// OwnsKey reports whether this router has the greatest rendezvous weight for a key among all known routers. Unlike in
+// RankedAddresses, the routers' processors don't count. It returns false until the first count of routers.
 func (t *Treasurer) OwnsKey(key string) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -220,7 +227,7 @@
 	return !slices.ContainsFunc(t.peers, func(o Peer) bool { return weight(key, o.Incarnation.Instance()) > own })
 }
 
-// Configure sets what workspaces have prepaid, unless the deployment is older than the last one.
+// Configure sets what workspaces have prepaid. It ignores amounts that are older than those it knows.
 func (t *Treasurer) Configure(d masticway.Deployment) {
 	t.mu.Lock()
 	t.planner.Configure(d.Version, d.Accounts)
@@ -228,8 +235,8 @@
 	t.wakeUp()
 }
 
-// Hold reserves tokens for a request. It waits until there is a verdict, usually for no more than the given time, or until
-// the context is done. If the verdict is VerdictHeld, the hold must be ended by Settle.
+// Hold reserves tokens for a request. It waits until there is a verdict or the context is done. The verdict is usually there
+// after maxWait at the latest. If the verdict is VerdictHeld, the caller must end the hold with Settle.
 func (t *Treasurer) Hold(ctx context.Context, workspace string, need int64, maxWait time.Duration) Reply {
 	now := t.clock.Now()
 	answer := make(chan Reply, 1)
@@ -254,8 +261,8 @@
 	}
 }
 
-// Clear waits until the response covered by a hold may be sent to the caller. It returns false if the context was done first;
-// for a hold that does not exist it waits for that.
+// Clear waits until the response covered by a hold may be sent to the caller, and returns true. It returns false if the
+// context is done first. If there is no such hold, it waits until the context is done.
 func (t *Treasurer) Clear(ctx context.Context, id HoldID) bool {
 	answer := make(chan Reply, 1)
 	t.mu.Lock()
@@ -274,7 +281,7 @@
 	}
 }
 
-// Settle ends a hold of which the given amount was used.
+// Settle ends a hold. used is how many tokens of it were used; the others are free again.
 func (t *Treasurer) Settle(id HoldID, used int64) {
 	t.mu.Lock()
 	delete(t.waiting, id)
@@ -282,7 +289,7 @@
 	t.mu.Unlock()
 }
 
-// deliver passes replies to the goroutines that wait for them, and counts refusals; t.mu must be held.
+// deliver passes replies to the goroutines that wait for them, and counts the refusals among the replies. t.mu must be held.
 func (t *Treasurer) deliver(replies []Reply) {
 	for _, r := range replies {
 		if c, ok := t.waiting[r.ID]; ok {
@@ -314,14 +321,15 @@
 	}
 }
 
-// Run takes over the checkpoint and then makes the calls that requests need, until the context is done. A sealed incarnation
-// makes no more of them. Run returns after the context is done and its calls have ended.
+// Run takes over the instance's checkpoint, and then makes the calls to the store and to other routers that requests need.
+// It stops making calls for requests if the incarnation is sealed. It returns after the context is done and the calls that
+// it has started have ended.
 func (t *Treasurer) Run(ctx context.Context) {
 	if !t.takeOver(ctx) {
 		return
 	}
-	// The routers are counted before the first grant, so that a hundred routers that start at the same time don't all draw
-	// for every workspace.
+	// The routers are counted before the first grant. Otherwise a hundred routers that start at the same time would all draw
+	// grants of every workspace.
 	t.tryCount(ctx)
 	t.tasks.Go(func() { t.closePredecessors(ctx) })
 	t.tasks.Go(func() { t.watchAccounts(ctx) })
@@ -351,7 +359,7 @@
 	return t.sealed
 }
 
-// runOnce answers requests that need not wait any longer, and starts the calls that are due.
+// runOnce answers the waiting requests that can be answered now, and starts the calls that are due.
 func (t *Treasurer) runOnce(ctx context.Context) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -371,8 +379,8 @@
 	}
 }
 
-// runStoreCall makes one call to the store and passes the outcome to the planner. It also goes on if the context is done,
-// until callTimeout.
+// runStoreCall makes one call to the store and passes the outcome to the planner. It does not stop when the context is done,
+// only after callTimeout.
 func (t *Treasurer) runStoreCall(ctx context.Context, s StoreCall) error {
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), callTimeout)
 	defer cancel()
@@ -398,7 +406,7 @@
 	return err
 }
 
-// noteFailure counts a conflict, or counts and logs another failure.
+// noteFailure counts a failed call. It also logs the error unless the error is a conflict.
 func (t *Treasurer) noteFailure(s StoreCall, err error) {
 	if _, ok := errors.AsType[*masticway.RowConflictError](err); ok {
 		t.metrics.Add(metricConflicts, 1)
@@ -408,8 +416,9 @@
 	t.log.WithFields(logrus.Fields{"event": "money_step_failed", "part": s.Part, "workspace": s.Workspace, "error": err}).Debug("store call failed")
 }
 
-// seal stops serving requests, because another incarnation has taken over or a row cannot be decoded. A planner without
-// grants replaces the one in use, so that later requests are refused; those that wait get no reply. t.mu must be held.
+// seal makes this incarnation spend no more, because another incarnation has taken over its instance or because a row cannot
+// be decoded. It replaces the planner by one without grants, so that later requests are refused. Requests that wait already
+// get no reply. t.mu must be held.
 func (t *Treasurer) seal(err error) {
 	if t.sealed {
 		return
@@ -419,9 +428,9 @@
 	t.planner = NewPlanner(Settings{Incarnation: t.self, Parts: t.parts})
 }
 
-// Close returns what is free of the grants and the unused loans, and writes the final checkpoint; it gives up if the context
-// is done or the router is sealed. Nothing is free in the grants afterwards, but for what holds settled later leave, which is
-// not returned.
+// Close gives the free tokens of the grants back to the workspaces and starts to send unused loans back, and then writes the
+// final checkpoint. It gives up if the context is done or the router is sealed. If a hold is settled after Close, its unused
+// tokens are not given back; the next incarnation counts them as spent.
 func (t *Treasurer) Close(ctx context.Context) {
 	t.mu.Lock()
 	t.planner.Close()
