--- a/treasurer/holders.go
+++ b/treasurer/holders.go
@@ -14,22 +14,25 @@
 
 // These constants are policy: which routers keep a reserve of a workspace's tokens, and how much.
 const (
-	// minReserveRequests is how many typical requests each holder must be able to keep in reserve. If the budget has less
-	// left than that for each candidate, fewer of them are holders, down to one for all of it.
+	// minReserveRequests is how many typical requests each holder must be able to keep in reserve. If the unspent budget is
+	// less than that for each candidate, fewer candidates are holders, at least one.
 	minReserveRequests = 8
-	// soleHolderWindow is the total demand, as a duration, that the one holder of a low budget keeps in reserve.
+	// soleHolderWindow is the demand of the whole fleet, as a duration, that the only holder of a low budget keeps in
+	// reserve.
 	soleHolderWindow = 3 * time.Second
-	// lendBurstFactor is how many times the demand of other routers between two checkpoints a holder may lend in that time.
-	// All of it is lost if the holder crashes: with 0.3 s of demand for every size of fleet, a power loss of thirty routers
-	// cost 1% of all budgets.
+	// lendBurstFactor is how many times other routers' demand between two checkpoints the burst of a holder's spend limit
+	// covers. All of it is lost if the holder crashes. With 0.3 s of demand for every size of fleet instead, a power loss of
+	// thirty routers cost 1% of all budgets.
 	lendBurstFactor = 2.0
-	// initialReserveShare is the fraction of the tokens left that a holder keeps in reserve before it has seen any demand.
+	// initialReserveShare is the fraction of the ungranted tokens and its own free ones that a holder keeps in reserve even
+	// without demand.
 	initialReserveShare = 0.01
-	// unresponsiveTTL is how long a router that left a loan request unanswered is asked only after all others.
+	// unresponsiveTTL is how long a router that left a loan request unanswered is asked only after all other lenders of a
+	// round.
 	unresponsiveTTL = time.Second
 )
 
-// Peer is another router, as its presence describes it.
+// Peer describes another router, as far as its presence does.
 type Peer struct {
 	Witness
 	// Zone is the router's availability zone; empty if unknown.
@@ -38,10 +41,11 @@
 	Processors float64
 }
 
-// holderCandidates lists the routers that hold grants of a workspace unless its budget is low: in each availability zone the
-// one with the greatest rendezvous weight for the workspace, then the second of each zone, and so on until there are at least
-// Settings.Holders. All routers that know the same peers compute the same list, also after restarts. Where they differ the
-// budget is still safe, because tokens are only ever spent from a grant or a loan.
+// holderCandidates lists the routers that are holders of a workspace unless its budget is low. It takes from each
+// availability zone the router with the greatest rendezvous weight for the workspace, then the second of each zone, and so
+// on until there are at least Settings.Holders. All routers that know the same peers compute the same list, also after
+// restarts. If routers compute different lists the budget is still safe, because tokens are only ever spent from a grant or
+// a loan. It also sets a.rank.
 func (p *Planner) holderCandidates(a *account) []Peer {
 	if a.candidates != nil {
 		return a.candidates
@@ -50,7 +54,8 @@
 	for _, peer := range append(slices.Clone(p.peers), p.selfPeer()) {
 		zones[peer.Zone] = append(zones[peer.Zone], peer)
 	}
-	// Zones are ranked by a hash of the workspace and their names, so that workspaces differ in their order of zones.
+	// Zones are ranked by a hash of the workspace and the zone's name, so that the first zone is not the same for all
+	// workspaces.
 	names := slices.Sorted(maps.Keys(zones))
 	slices.SortStableFunc(names, func(x, y string) int { return cmp.Compare(weight(a.workspace, y), weight(a.workspace, x)) })
 	for _, members := range zones {
@@ -76,12 +81,12 @@
 	return a.candidates
 }
 
-// weight is the rendezvous weight of a name for a key, such as a workspace.
+// weight returns the rendezvous weight of a name (of a zone or an instance) for a key. The key need not be a workspace.
 func weight(workspace, name string) uint64 { return xxhash.Sum64String(workspace + "\x00" + name) }
 
-// weight is the router's rendezvous weight for a key, such as a workspace: of two routers, one with twice the processors has
-// the greater weight four times as often as the other. Other routers wait for a holder's loans, and a router with a seventh
-// of a processor is often busy for longer than they can wait.
+// weight returns the router's rendezvous weight for a key. The key need not be a workspace. Of two routers, one with twice
+// the processors has the greater weight four times as often as the other. Small routers should seldom be holders: other
+// routers wait for a holder's loans, and a router with a seventh of a processor is often busy for longer than they can wait.
 func (o Peer) weight(workspace string) float64 {
 	const steps = 1 << 53
 	uniform := (float64(weight(workspace, o.Incarnation.Instance())>>11) + 0.5) / steps
@@ -99,7 +104,8 @@
 	}
 }
 
-// holders lists the routers that should hold grants of a workspace now: fewer than all candidates if its budget is low.
+// holders lists the routers that should hold grants of a workspace now, so that others borrow from them. They are the first
+// candidates: all if the budget is not low, fewer if it is.
 func (p *Planner) holders(a *account) []Peer {
 	all := p.holderCandidates(a)
 	if !a.rowKnown || a.typicalNeed == 0 {
@@ -107,14 +113,15 @@
 	}
 	n := int(float64(a.unspent()) / (minReserveRequests * a.typicalNeed))
 	if a.rank == n && a.granted > a.taken {
-		// Avoid that a router with unused tokens returns them because of small fluctuations.
+		// A router that is just past the last holder stays a holder while it has unused tokens, so that it does not return
+		// them because of small fluctuations.
 		n++
 	}
 	return all[:min(len(all), max(1, n))]
 }
 
-// isHolder reports whether this router is one of a workspace's holders, from which others borrow. A router without peers is
-// not.
+// isHolder reports whether this router is one of a workspace's holders. It returns false for a router without peers, because
+// nobody borrows from it.
 func (p *Planner) isHolder(a *account) bool {
 	if len(p.peers) == 0 {
 		return false
@@ -123,20 +130,20 @@
 	return a.rank >= 0 && a.rank < len(holders)
 }
 
-// keepsReserve reports whether this router keeps a reserve of a workspace's tokens: if it is the only router, is one of the
-// holders, or has the demand concentrated at it.
+// keepsReserve reports whether this router keeps a reserve of a workspace's tokens. It does if it is the only router, is one
+// of the workspace's holders, or has the workspace's demand concentrated at it.
 func (p *Planner) keepsReserve(a *account) bool {
 	return len(p.peers) == 0 || p.isHolder(a) || a.concentrated
 }
 
-// borrowsFromHolders reports whether this router borrows a workspace's tokens from its holders instead of drawing a grant. A
-// router that keeps no reserve does, except for borrowBackoff after no lender has answered.
+// borrowsFromHolders reports whether this router borrows a workspace's tokens from the holders instead of drawing a grant.
+// It does if it keeps no reserve, but not within borrowBackoff after a round in which no lender answered.
 func (p *Planner) borrowsFromHolders(now time.Time, a *account) bool {
 	return !p.keepsReserve(a) && now.Sub(a.noAnswerAt) > borrowBackoff
 }
 
-// fleetDemand returns the demand at all routers that have a grant, and at this one; that at others is as of their last change
-// of their grants.
+// fleetDemand returns the demand for a workspace at this router and at all routers that have a grant of it, in tokens a
+// second. The demand at another router is the one that it wrote into the row when it last changed its grant.
 func (a *account) fleetDemand(self masticway.Incarnation) float64 {
 	all := a.demand.rate
 	for i, g := range a.row.Grants {
@@ -147,13 +154,12 @@
 	return all
 }
 
-// reserveShare is the fraction of the ungranted tokens and its own free ones that a router with the given share of all
-// demand keeps in reserve, so that all reserves together are reserveRatio times what is left in the store. A router does
-// not know what the others have unspent: with the share d of the demand it aims at reserveRatio times d of what is left,
-// which is this fraction of both.
+// reserveShare returns the fraction of its pool that a router with the share d of all demand keeps in reserve. The pool is
+// what is ungranted plus what is free in the router's own grant. The router aims at a reserve of reserveRatio times d of
+// what then remains ungranted. If all routers do, all reserves together are reserveRatio times what remains ungranted.
 func reserveShare(d float64) float64 { return reserveRatio * d / (1 + reserveRatio*d) }
 
-// reserve returns how much of a workspace the router should keep free in its grant beyond what it has taken.
+// reserve returns how many tokens of a workspace this router should keep free in its grant.
 func (p *Planner) reserve(now time.Time, a *account) int64 {
 	pool := a.ungranted() + max(0, a.free())
 	if pool <= 0 || !p.keepsReserve(a) {
@@ -161,12 +167,12 @@
 	}
 	want := int64(a.demand.rate * p.settings.Reserve.Seconds())
 	if a.demand.rate*demandWindow.Seconds() > a.typicalNeed/2 {
-		// However little traffic a workspace has, a request needs its whole amount at once.
+		// Even with little traffic, a request needs its whole amount at once.
 		want = max(want, int64(2*a.typicalNeed))
 	}
 	if p.isHolder(a) {
 		if a.demand.rate < 1 && now.Sub(p.startedAt) < startupGrace {
-			// Routers that start together do not know each other yet, and each would draw for all.
+			// Routers that start together do not know each other yet, and each of them would draw the reserves of all.
 			return 0
 		}
 		if len(p.holders(a)) == 1 {
@@ -177,14 +183,14 @@
 	}
 	share := int64(p.holderShare(a))
 	if share < int64(a.typicalNeed/minReserveDivisor) {
-		// A reserve this small serves no request, not even combined with others, and is missing elsewhere.
+		// A reserve this small serves no request, not even combined with others, and its tokens are missing elsewhere.
 		return 0
 	}
 	return min(want, share)
 }
 
-// holderShare returns how much of the ungranted tokens and its own free ones this router may keep in reserve, by its share of
-// all demand; zero if it keeps none.
+// holderShare returns the most that this router may keep in reserve of a workspace, by its share of all demand. It is a
+// fraction of what is ungranted plus what is free in its own grant. It is zero if the router keeps no reserve.
 func (p *Planner) holderShare(a *account) float64 {
 	pool := a.ungranted() + max(0, a.free())
 	if pool <= 0 || !p.keepsReserve(a) {
@@ -193,17 +199,19 @@
 	all := a.fleetDemand(p.settings.Incarnation) + 1
 	share := (a.demand.rate + 1) / all
 	if p.isHolder(a) {
-		// Traffic can shift between zones faster than tokens can, so half of a holder's share is the same for all.
+		// Traffic can shift between zones faster than tokens can. So a holder's share is the mean of its share of the demand
+		// and an equal share for each holder.
 		share = (share + 1/float64(len(p.holders(a)))) / 2
 	}
 	return float64(pool) * reserveShare(share)
 }
 
-// lenders returns the routers to ask for a loan, in this order and at most maxLenders: the workspace's holders, starting with
-// another one for each round, then others that had tokens free, then any others. Routers that left a request unanswered
-// lately come last. All callers of a workspace may use one router. If that router always asked the holder of its own
-// availability zone first, everything it borrowed was within that holder's spend limit: a crash of the holder cost 5.7% of a
-// budget, and during a partition the other holders' reserves were empty.
+// lenders returns the routers to ask for a loan, in the order in which to ask them, at most maxLenders. The workspace's
+// holders come first, starting with another one for each round. Then come other routers that had tokens free, and then any
+// others. Routers that left a request unanswered within unresponsiveTTL are moved to the end. The first holder must vary
+// because all callers of a workspace may use one router. If that router always asked the holder of its own availability zone
+// first, everything that it borrowed was within the spend limit of this holder: a crash of the holder cost 5.7% of a budget,
+// and during a partition the reserves of the other holders were empty.
 func (p *Planner) lenders(now time.Time, a *account) []Witness {
 	var all []Witness
 	add := func(o Peer) {
@@ -230,7 +238,8 @@
 	return all[:min(len(all), maxLenders)]
 }
 
-// peersByUnspent lists the other routers that had tokens of their grants free when they last changed these, most first.
+// peersByUnspent lists the other routers that had tokens of their grants free when they last changed their grants, those
+// with the most free tokens first.
 func (p *Planner) peersByUnspent(a *account) []Peer {
 	unspent := func(o Peer) int64 { return a.row.Grants[o.Incarnation].Granted - a.row.Grants[o.Incarnation].Taken }
 	var others []Peer
@@ -245,7 +254,7 @@
 	return others
 }
 
-// unresponsiveRank returns 1 for a router that left a loan request unanswered within unresponsiveTTL, else 0.
+// unresponsiveRank returns 1 if a router left a loan request unanswered within the last unresponsiveTTL, and 0 otherwise.
 func (p *Planner) unresponsiveRank(now time.Time, i masticway.Incarnation) int {
 	if at, ok := p.unansweredAt[i.Instance()]; ok && now.Sub(at) < unresponsiveTTL {
 		return 1
--- a/treasurer/loans.go
+++ b/treasurer/loans.go
@@ -8,25 +8,26 @@
 
 // These constants are policy: when and whom to ask for a loan, what to lend, and when to repay.
 const (
-	// borrowDelay is how long a request waits for the store before other routers are asked, at a router that draws its own
-	// grant and whose row shows enough. A healthy store answers the two calls that a request may need within 20 ms.
+	// borrowDelay is how long a request waits for the store before other routers are asked for a loan. It applies only at a
+	// router that draws its own grant, and only if the workspace's row shows enough tokens. A healthy store answers the two
+	// calls that a request may need within 20 ms.
 	borrowDelay = 30 * time.Millisecond
-	// borrowBackoff is how long a router that keeps a reserve asks no lender after a round that returned too little. It is
-	// also how long a router that keeps none draws its own grant after a round in which no lender answered.
+	// borrowBackoff is how long a router that keeps a reserve starts no borrow round after one that returned too little. It
+	// is also how long a router without a reserve draws its own grant after a round in which no lender answered.
 	borrowBackoff = 300 * time.Millisecond
-	// borrowerBackoff is how long a router that keeps no reserve asks no lender after a round that returned too little: the
-	// time of a holder's two calls to the store.
+	// borrowerBackoff is how long a router that keeps no reserve starts no borrow round after one that returned too little.
+	// A holder makes the two calls to the store that it needs for more tokens in about that time.
 	borrowerBackoff = 40 * time.Millisecond
 	// idleLoanTTL is how long a loan may remain unused before it is repaid.
 	idleLoanTTL = time.Second
-	// minLoanDivisor divides the requested amount to give the smallest loan.
+	// minLoanDivisor is the divisor of the requested amount for the smallest loan.
 	minLoanDivisor = 4
-	// maxLenders bounds the lenders of one round.
+	// maxLenders is the maximum number of lenders that one round asks.
 	maxLenders = 8
 )
 
-// Loan is an amount that another router has taken out of its own grant for this one. It counts as taken there, so that it is
-// not spent twice if either router crashes.
+// Loan is an amount that another router, the lender, has taken out of its own grant for this router. It remains counted as
+// taken at the lender, so that it is not spent twice if either router crashes.
 type Loan struct {
 	Lender masticway.Incarnation
 	// Address is where the lender was reached.
@@ -34,9 +35,10 @@
 	Amount  int64
 }
 
-// BorrowRound is one round of asking other routers for tokens of a workspace, one after the other, until the need is met.
+// BorrowRound is one round of asking other routers for tokens of a workspace. They are asked one after the other until the
+// need is met.
 type BorrowRound struct {
-	// Number identifies the round within the borrower.
+	// Number identifies the round among the rounds and repayments of the borrower.
 	Number    int64
 	Workspace string
 	Need      int64
@@ -44,8 +46,8 @@
 	Lenders []Witness
 }
 
-// LoanRequest asks one router of a round for a loan. The number is the round's; with the borrower it identifies the request
-// at the lender.
+// LoanRequest asks one router for a loan. Number is the number of the borrow round. A lender identifies the request by
+// Number and Borrower.
 type LoanRequest struct {
 	Number    int64                 `cbor:"1,keyasint"`
 	Borrower  masticway.Incarnation `cbor:"2,keyasint"`
@@ -53,17 +55,18 @@
 	Need      int64                 `cbor:"4,keyasint"`
 }
 
-// Repayment returns what was borrowed and not used, or cancels a request; the lender counts each number of a borrower once.
+// Repayment returns what was borrowed and not used, or cancels a loan request. Number identifies it among the rounds and
+// repayments of the borrower. The lender applies it only once even if it is sent several times.
 type Repayment struct {
 	Number    int64                 `cbor:"1,keyasint"`
 	Borrower  masticway.Incarnation `cbor:"2,keyasint"`
 	Lender    masticway.Incarnation `cbor:"3,keyasint"`
 	Workspace string                `cbor:"4,keyasint"`
 	Amount    int64                 `cbor:"5,keyasint"`
-	// CanceledRequest is the number of a request whose response did not arrive, zero if there is none: the lender takes back
-	// whatever it has lent for the request, and lends nothing more for it.
+	// CanceledRequest is the number of a loan request that got no response, or zero if the repayment cancels none. The
+	// lender takes back whatever it has lent for the request, and lends nothing more for it.
 	CanceledRequest int64 `cbor:"6,keyasint,omitempty"`
-	// Address is where the lender is reached; it is not sent.
+	// Address is where the lender is reached. It is not part of the message.
 	Address string `cbor:"-"`
 }
 
@@ -76,7 +79,8 @@
 	return sum
 }
 
-// takeLoans takes an amount out of the loans and returns the loans that it came from.
+// takeLoans takes an amount out of the unused loans, oldest lender first, and returns what it took from each lender. It
+// takes less if the loans have less.
 func (a *account) takeLoans(amount int64) []Loan {
 	var taken []Loan
 	for amount > 0 && len(a.loans) > 0 {
@@ -90,7 +94,7 @@
 	return taken
 }
 
-// addLoan adds a loan, unless it is empty.
+// addLoan adds a loan to the unused ones, unless its amount is zero.
 func (a *account) addLoan(l Loan) {
 	if l.Amount <= 0 {
 		return
@@ -104,8 +108,10 @@
 	a.loans = append(a.loans, l)
 }
 
-// DueBorrowRounds returns the rounds to start now, at most one at a time for each workspace: for requests at a router that
-// borrows from holders, requests whose need the budget's row cannot meet, and others that have waited for borrowDelay.
+// DueBorrowRounds returns the borrow rounds to start now, at most one at a time for each workspace. A round is due at once
+// for a waiting request if this router borrows from holders, or if the workspace's row shows too little. Otherwise it is due
+// when the request has waited for borrowDelay. After a round that returned too little, the next one waits for
+// borrowRetryInterval.
 func (p *Planner) DueBorrowRounds(now time.Time) []BorrowRound {
 	var rounds []BorrowRound
 	for _, a := range p.sortedAccounts {
@@ -128,7 +134,7 @@
 	return rounds
 }
 
-// borrowRetryInterval is how long after a round that returned too little the next one may start.
+// borrowRetryInterval returns how long no borrow round starts after one that returned too little.
 func (p *Planner) borrowRetryInterval(a *account) time.Duration {
 	if p.keepsReserve(a) {
 		return borrowBackoff
@@ -136,8 +142,8 @@
 	return borrowerBackoff
 }
 
-// CompleteBorrowRound adds the loans that a round returned; unanswered is how many of the lenders that were asked did not
-// answer.
+// CompleteBorrowRound adds the loans of a round to the unused ones. unanswered is how many of the lenders that were asked
+// did not answer. It returns the replies to requests that can be answered now.
 func (p *Planner) CompleteBorrowRound(now time.Time, r BorrowRound, loans []Loan, unanswered int) []Reply {
 	a, ok := p.accounts[r.Workspace]
 	if !ok {
@@ -160,7 +166,8 @@
 	return p.serveQueue(now, a)
 }
 
-// CancelRequest records that a lender did not answer, and returns the repayment that cancels the request there.
+// CancelRequest records that a lender did not answer, and returns the repayment that cancels the round's request at the
+// lender. The caller must send it.
 func (p *Planner) CancelRequest(now time.Time, r BorrowRound, lender Witness) Repayment {
 	p.unansweredAt[lender.Incarnation.Instance()] = now
 	p.lastMessage++
@@ -170,9 +177,9 @@
 	}
 }
 
-// Lend takes tokens for another router out of what may be taken, and counts the request as demand. It returns their hold,
-// which must be cleared before the tokens are handed over and is ended by CompleteLoan. If nothing is lent, the amount is
-// zero and there is no hold.
+// Lend holds tokens of this router's grant for a loan to another router, and counts the request as demand. It returns the
+// hold and its amount. The hold must be cleared before the tokens are handed over, and the caller must end it with
+// CompleteLoan or Settle. If nothing is lent, there is no hold and the amount is zero.
 func (p *Planner) Lend(now time.Time, request LoanRequest) (HoldID, int64) {
 	a, ok := p.accounts[request.Workspace]
 	if !ok || p.closing {
@@ -197,8 +204,8 @@
 	return p.lastHold, amount
 }
 
-// CompleteLoan ends a cleared hold because its tokens are handed to another router. It returns false if the hold is not
-// cleared or the borrower has canceled the request meanwhile; the caller must then settle the hold.
+// CompleteLoan ends the hold of a loan, because the caller hands its tokens to the borrower, and returns true. It returns
+// false if the hold is not cleared or the borrower has canceled the request. The caller must then settle the hold.
 func (p *Planner) CompleteLoan(id HoldID, request LoanRequest) bool {
 	h, ok := p.holds[id]
 	if !ok || !h.cleared {
@@ -214,8 +221,9 @@
 	return true
 }
 
-// AcceptRepayment takes back what another router did not use of a loan, or what was lent for a request that it cancels; once
-// for each number. It ignores repayments that are meant for another incarnation, except cancellations.
+// AcceptRepayment takes back what another router did not use of a loan, or what was lent for a request that it cancels. It
+// does so only once for each number of a borrower. It ignores repayments that are meant for another incarnation, except
+// cancellations.
 func (p *Planner) AcceptRepayment(now time.Time, r Repayment) []Reply {
 	a, ok := p.accounts[r.Workspace]
 	if !ok || r.Lender != p.settings.Incarnation && r.CanceledRequest == 0 || !p.borrower(r.Borrower).repayments.add(r.Number) {
@@ -232,8 +240,9 @@
 	return p.serveQueue(now, a)
 }
 
-// DueRepayments removes the loans to return now, and returns them as repayments: all while the router shuts down and after a
-// round that returned too little, and otherwise those of workspaces without waiting requests after idleLoanTTL.
+// DueRepayments removes unused loans that are due to be returned, and returns them as repayments. While the router shuts
+// down, or after a round that returned too little, all are due. Otherwise the loans of a workspace are due if no request
+// waits for its tokens and the last round ended idleLoanTTL ago.
 func (p *Planner) DueRepayments(now time.Time) []Repayment {
 	var due []Repayment
 	for _, a := range p.sortedAccounts {
--- a/treasurer/outcome.go
+++ b/treasurer/outcome.go
@@ -7,8 +7,9 @@
 	"github.com/masticway/masticway"
 )
 
-// CompleteStoreCall applies the outcome of a call and returns the replies that result. It fails with a masticway.SealedError
-// if another incarnation has taken over this instance's checkpoint, and with another error if a row cannot be decoded.
+// CompleteStoreCall applies the outcome of a call to the store. It returns the replies to requests that can be answered now.
+// The error is a masticway.SealedError if another incarnation has taken over this instance's checkpoint. It is another error
+// if a row cannot be decoded.
 func (p *Planner) CompleteStoreCall(now time.Time, s StoreCall, reading masticway.RowReading, err error) ([]Reply, error) {
 	if s.Part == "" {
 		return p.completeCheckpoint(now, s, reading, err)
@@ -32,7 +33,7 @@
 	return p.completeChange(now, s, reading)
 }
 
-// noteStoreSuccess records that the store has answered a call, if only with a conflict.
+// noteStoreSuccess records that the store has answered a call. A conflict is an answer too.
 func (p *Planner) noteStoreSuccess() {
 	p.failingSince = time.Time{}
 	p.changeInterval -= min(p.changeInterval, changeIntervalStep)
@@ -43,19 +44,20 @@
 	p.changeInterval = min(maxChangeInterval, max(initialChangeInterval, 2*p.changeInterval))
 }
 
-// RetryCheckpoint allows the checkpoint to be written at once instead of after probeInterval. Until the store has it, a crash
-// of this router costs its workspaces what the rate of the spend limits allowed for the whole outage.
+// RetryCheckpoint allows the checkpoint to be written at once instead of after probeInterval. It is urgent after an outage:
+// until the store has a new checkpoint, a crash of this router costs its workspaces what the rate of the spend limits
+// allowed for the whole outage.
 func (p *Planner) RetryCheckpoint() { p.checkpointRetryAt = time.Time{} }
 
-// noteStoreFailure records that the store failed a call sent at the given time.
+// noteStoreFailure records that the store failed a call that was sent at the given time.
 func (p *Planner) noteStoreFailure(sentAt time.Time) {
 	if p.failingSince.IsZero() {
 		p.failingSince = sentAt
 	}
 }
 
-// noteCallFailure records a failed call. It reports whether the call certainly changed nothing, and whether the store refused
-// it because of its rate limit.
+// noteCallFailure records a failed call. notRun is true if the call has certainly changed nothing. rateLimited is true if
+// the store refused the call because of its rate limit.
 func (p *Planner) noteCallFailure(s StoreCall, err error) (notRun, rateLimited bool) {
 	unavailable, notRun := errors.AsType[*masticway.UnavailableError](err)
 	rateLimited = notRun && unavailable.RateLimited
@@ -67,8 +69,8 @@
 	return notRun, rateLimited
 }
 
-// failChange records a failed read or change of accounts. A change of unknown outcome remains unconfirmed until applyRow gets
-// a newer row.
+// failChange records a failed read or a failed change of a grant. If the change may have been made, the account is
+// unconfirmed until applyRow gets a newer row.
 func (p *Planner) failChange(now time.Time, s StoreCall, err error) {
 	notRun, _ := p.noteCallFailure(s, err)
 	a, ok := p.accounts[s.Workspace]
@@ -85,14 +87,14 @@
 	a.changeInFlight, a.returning = false, 0
 }
 
-// endChange records that the change of a grant that a call made or attempted is no longer in flight.
+// endChange records that a workspace's change of the grant is no longer in flight. It does nothing for other calls.
 func (p *Planner) endChange(s StoreCall) {
 	if a, ok := p.accounts[s.Workspace]; ok {
 		a.changeInFlight, a.returning = false, 0
 	}
 }
 
-// completeChange applies a committed change.
+// completeChange applies a change that the store has made.
 func (p *Planner) completeChange(now time.Time, s StoreCall, reading masticway.RowReading) ([]Reply, error) {
 	p.endChange(s)
 	var rows []masticway.StoredRow
@@ -102,7 +104,7 @@
 	return p.applyRows(now, s, rows)
 }
 
-// completeRead applies a read of a whole part; a row that is missing there and was never read does not exist.
+// completeRead applies a read of all rows of a part. A row that is missing in the read, and was never seen, does not exist.
 func (p *Planner) completeRead(now time.Time, s StoreCall, reading masticway.RowReading) ([]Reply, error) {
 	found := map[string]bool{}
 	for _, r := range reading.Rows {
@@ -118,7 +120,8 @@
 	return p.applyRows(now, s, reading.Rows)
 }
 
-// applyRows applies rows as they were after the call was sent: read, written, or returned with a conflict.
+// applyRows applies rows that a call has read or written, or that were returned with a conflict. They were current at some
+// time after the call was sent.
 func (p *Planner) applyRows(now time.Time, s StoreCall, rows []masticway.StoredRow) ([]Reply, error) {
 	var replies []Reply
 	for _, r := range rows {
@@ -139,7 +142,7 @@
 
 // ApplyChanges applies the rows that a watch of the accounts returned.
 //
-// All other rows have not changed, so every known row is as fresh as the watch's answer.
+// Rows that the watch did not return have not changed, so every known row counts as current as of now.
 func (p *Planner) ApplyChanges(now time.Time, rows []masticway.StoredRow) ([]Reply, error) {
 	var replies []Reply
 	for _, a := range p.sortedAccounts {
@@ -149,7 +152,8 @@
 	}
 	for _, r := range rows {
 		a, ok := p.accounts[r.Key]
-		// The outcome of a change is found out by a read, which also finds that the change was not made.
+		// The watch returns nothing if an unconfirmed change was not made. Only a read can find that out, so the watch's row
+		// is ignored.
 		if !ok || !a.rowKnown && a.unconfirmed {
 			continue
 		}
@@ -161,8 +165,8 @@
 	return replies, nil
 }
 
-// applyRow applies a newer row of a workspace. Any newer row resolves changes of unknown outcome: either it includes them,
-// or the version that they expected is gone and they can never be made.
+// applyRow applies a row of a workspace, unless a newer one is known. A row newer than the known one resolves changes of
+// unknown outcome: either it includes them, or they expect a version that is gone and can never be made.
 func (p *Planner) applyRow(a *account, r masticway.StoredRow) error {
 	if r.Version < a.rowVersion {
 		return nil
@@ -213,7 +217,7 @@
 	return p.ServeQueues(now), nil
 }
 
-// keepOnlyLimits leaves only the spend limits of the given checkpoint in force.
+// keepOnlyLimits leaves only the spend limits of the checkpoint with the given sequence number in force.
 func (p *Planner) keepOnlyLimits(sequence int64) {
 	for _, f := range p.limitsInForce {
 		if f.sequence == sequence {
@@ -223,7 +227,8 @@
 	}
 }
 
-// dropLimits drops the spend limits of a checkpoint that the store certainly does not have.
+// dropLimits drops the spend limits of the checkpoint with the given sequence number. The caller must know that the store
+// does not have the checkpoint.
 func (p *Planner) dropLimits(sequence int64) {
 	for i, f := range p.limitsInForce {
 		if f.sequence == sequence {
@@ -233,7 +238,9 @@
 	}
 }
 
-// resolveCheckpoint finds out which of the checkpoints of unknown outcome the store has.
+// resolveCheckpoint handles a conflict at the write of a checkpoint. The conflict returns the row that the store has. If an
+// earlier write of this incarnation with unknown outcome wrote the row, the limits of that checkpoint are the only ones in
+// force. If another incarnation wrote it, the result is a masticway.SealedError.
 func (p *Planner) resolveCheckpoint(now time.Time, rows []masticway.StoredRow) ([]Reply, error) {
 	for _, r := range rows {
 		if r.Key != p.checkpointKey().Key {
@@ -247,15 +254,16 @@
 			return nil, &masticway.SealedError{Incarnation: p.settings.Incarnation}
 		}
 		p.checkpointVersion = r.Version
-		// The store's clock at that write is unknown; the older basis is safe.
+		// The store's clock at that write is unknown. The older checkpointBasis is kept, which only makes the limits count
+		// from an earlier time.
 		p.keepOnlyLimits(checkpoint.Sequence)
 	}
 	return p.ServeQueues(now), nil
 }
 
-// TakeOver returns the write that replaces the checkpoint row of the predecessor, which the caller must make before it calls
-// CompleteTakeOver. now is the store's clock when the row was read, listening an upper bound of the store's clock when this
-// process began to listen.
+// TakeOver returns the write that replaces the predecessor's checkpoint by this incarnation's first one. The caller must
+// make the write before it calls CompleteTakeOver. row is the predecessor's checkpoint, and now the store's clock when it
+// was read. listening is an upper bound of the store's clock at the time at which this process began to listen.
 func (p *Planner) TakeOver(row masticway.StoredRow, now, listening time.Duration) (masticway.RowWrite, error) {
 	old, err := decode[Checkpoint](row)
 	if err != nil {
@@ -270,8 +278,8 @@
 	}, nil
 }
 
-// CompleteTakeOver records that the store has this incarnation's first checkpoint, written with the given version when the
-// store's clock was at.
+// CompleteTakeOver records that the store has this incarnation's first checkpoint. version is the row's version, and at the
+// store's clock at the write.
 func (p *Planner) CompleteTakeOver(now time.Time, version int64, at time.Duration) {
 	p.started, p.startedAt = true, now
 	p.checkpointVersion = version
@@ -284,14 +292,15 @@
 // Predecessors lists the ended incarnations of this instance whose grants may still be open.
 func (p *Planner) Predecessors() []EndedIncarnation { return p.checkpoint.Ended }
 
-// ForgetPredecessors records that the grants of all predecessors are closed; the next checkpoint omits them.
+// ForgetPredecessors makes later checkpoints omit the predecessors. The caller must have closed all of their grants.
 func (p *Planner) ForgetPredecessors() { p.checkpoint.Ended = nil }
 
-// Close makes the planner return what is free of its grants and its unused loans, and lend nothing more.
+// Close makes the planner return the free tokens of its grants and the unused loans, and lend nothing more.
 func (p *Planner) Close() { p.closing = true }
 
-// FinalCheckpoint returns the write of the last checkpoint, whose limits are what was taken. It returns false until Close was
-// called, all that is free in the grants has been returned, and no other checkpoint is in flight.
+// FinalCheckpoint returns the write of the last checkpoint. Its limits allow nothing beyond what is taken. FinalCheckpoint
+// returns false until Close was called, all free tokens of the grants have been returned, and no other checkpoint is in
+// flight.
 func (p *Planner) FinalCheckpoint(now time.Time) (StoreCall, bool) {
 	if !p.started || p.checkpointInFlight || !p.closing {
 		return StoreCall{}, false
@@ -304,7 +313,7 @@
 	final := p.writeCheckpoint(now)
 	limits := p.limitsInForce[len(p.limitsInForce)-1].limits
 	for workspace := range limits {
-		// Responses still in progress may be sent after this checkpoint.
+		// Responses for holds that are not settled yet may be sent after this checkpoint, so it covers all that is taken.
 		limits[workspace] = SpendLimit{Taken: p.accounts[workspace].taken}
 	}
 	final.Write.Puts[0].Value = encode(p.checkpoint)
--- a/treasurer/plan.go
+++ b/treasurer/plan.go
@@ -10,11 +10,12 @@
 	"github.com/masticway/masticway"
 )
 
-// StoreCall is a call to the store; its outcome must be passed to the CompleteStoreCall of the planner that returned it.
+// StoreCall is a call to the store. The caller must make it and pass its outcome to CompleteStoreCall of the planner that
+// returned it.
 type StoreCall struct {
-	// Part is the part of the accounts that the call reads or changes; it is empty for a checkpoint.
+	// Part is the part of the accounts that the call reads or changes. It is empty for a checkpoint.
 	Part string
-	// Workspace is the workspace whose row the call changes; it is empty for a read and a checkpoint.
+	// Workspace is the workspace with the row that the call changes. It is empty for a read and for a checkpoint.
 	Workspace string
 	// Write is the change; nil means that the part is to be read.
 	Write *masticway.RowWrite
@@ -23,8 +24,9 @@
 	sentAt   time.Time
 }
 
-// Plan returns the calls to make to the store now, and counts them as in flight until CompleteStoreCall. It returns no
-// checkpoint, change of a workspace or read of a part while it counts an earlier one as in flight.
+// Plan returns the calls to make to the store now. It counts them as in flight until CompleteStoreCall is called for them.
+// While a checkpoint, a change of a workspace's grant or a read of a part is in flight, it returns no other checkpoint,
+// change of that grant or read of that part. While the store fails, it returns only checkpoints.
 func (p *Planner) Plan(now time.Time) []StoreCall {
 	if !p.started {
 		return nil
@@ -68,15 +70,16 @@
 	return calls
 }
 
-// accountsByQueue lists the accounts by the length of their queues, longest first, because a change of a grant may have to
-// wait for the next change interval.
+// accountsByQueue lists the accounts by the length of their queues of waiting requests, longest first. The order matters
+// because Plan may return only one change of a grant in each change interval.
 func (p *Planner) accountsByQueue() []*account {
 	all := slices.Clone(p.sortedAccounts)
 	slices.SortStableFunc(all, func(x, y *account) int { return cmp.Compare(len(y.waiting), len(x.waiting)) })
 	return all
 }
 
-// isCheckpointDue reports whether a checkpoint must be written now, given that the store does not fail.
+// isCheckpointDue reports whether a checkpoint must be written now. The caller must check that none is in flight and that
+// the store does not fail.
 func (p *Planner) isCheckpointDue(now time.Time) bool {
 	age := now.Sub(p.checkpointSentAt)
 	if age < checkpointPause || p.checkpointCredit(now) < 1 {
@@ -94,19 +97,20 @@
 	return age >= interval
 }
 
-// checkpointInterval returns how often a router with demand writes a checkpoint even if the last one covers all that is
-// taken.
+// checkpointInterval returns how often a router with demand writes a checkpoint even if its spend limits cover all that it
+// has taken.
 func (p *Planner) checkpointInterval() time.Duration {
 	return max(busyCheckpointInterval, time.Duration(p.members)*busyCheckpointIntervalPerRouter)
 }
 
-// needsFirstLimit reports whether a checkpoint must name a workspace before its grant can grow.
+// needsFirstLimit reports whether this router's grant of a workspace should grow now or soon, but cannot until a checkpoint
+// names the workspace.
 func (p *Planner) needsFirstLimit(now time.Time, a *account) bool {
 	return !p.hasLimit(a) && p.mayDraw(now, a) && (len(a.waiting) > 0 || p.isHolder(a) || a.concentrated)
 }
 
-// checkpointCredit returns how many checkpoints may be written now. One is gained each minCheckpointInterval, up to
-// maxCheckpointCredit, so that a router that is mostly idle can write one at once when a loan waits for it.
+// checkpointCredit returns how many checkpoints may be written now. It grows by one in each minCheckpointInterval, up to
+// maxCheckpointCredit. A router that is mostly idle can therefore write a checkpoint at once when a loan waits for it.
 func (p *Planner) checkpointCredit(now time.Time) float64 {
 	return min(maxCheckpointCredit, p.checkpointCreditLeft+float64(now.Sub(p.checkpointSentAt))/float64(p.minCheckpointInterval()))
 }
@@ -116,8 +120,9 @@
 	return checkpointPause + time.Duration(p.members)*checkpointPausePerRouter
 }
 
-// currentLimit returns how much of a workspace may be cleared in all now, whatever is granted: the lowest of the spend limits
-// in force, where what needs witnesses counts as far as a quorum has acknowledged it.
+// currentLimit returns the most that may be cleared of a workspace now, including what is cleared already. It is the lowest
+// of the bounds that the checkpoints in force set. If a checkpoint has witnesses, its bound counts what needs witnesses only
+// as far as a quorum of them has acknowledged it. The grant is not considered.
 func (p *Planner) currentLimit(now time.Time, a *account) int64 {
 	return p.minLimit(a, func(f checkpointLimits, limit SpendLimit) int64 {
 		elapsed := now.Sub(f.basis)
@@ -129,17 +134,19 @@
 	})
 }
 
-// expectedLimit is like currentLimit but assumes that the witnesses have acknowledged everything.
+// expectedLimit returns what currentLimit would return if the witnesses had acknowledged everything.
 func (p *Planner) expectedLimit(now time.Time, a *account) int64 {
 	return p.minLimit(a, func(f checkpointLimits, limit SpendLimit) int64 { return limit.bound(now.Sub(f.basis)) })
 }
 
-// baseLimit is like currentLimit without what the rate allows: only what was taken at the checkpoint and the burst.
+// baseLimit returns what may be cleared of a workspace at any time until the next checkpoint, whatever the rate:
+// SpendLimit.Taken plus SpendLimit.Burst, in the checkpoint in force for which the sum is lowest.
 func (p *Planner) baseLimit(a *account) int64 {
 	return p.minLimit(a, func(_ checkpointLimits, limit SpendLimit) int64 { return limit.unwitnessedBound(0) })
 }
 
-// minLimit returns the lowest bound of a workspace's spend limits in force, zero if a checkpoint in force does not name it.
+// minLimit returns the lowest result of bound for a workspace's spend limits in all checkpoints in force. It returns zero if
+// one of these checkpoints does not name the workspace.
 func (p *Planner) minLimit(a *account, bound func(checkpointLimits, SpendLimit) int64) int64 {
 	if len(p.limitsInForce) == 0 {
 		return 0
@@ -155,8 +162,8 @@
 	return lowest
 }
 
-// hasLimit reports whether every checkpoint that the store may have names the workspace. Its grant grows only then, so that a
-// successor finds every grant.
+// hasLimit reports whether every checkpoint that the store may have names the workspace. The grant grows only then: a
+// successor closes only the grants of workspaces that the checkpoint in the store names.
 func (p *Planner) hasLimit(a *account) bool {
 	for _, f := range p.limitsInForce {
 		if _, ok := f.limits[a.workspace]; !ok {
@@ -166,8 +173,9 @@
 	return len(p.limitsInForce) > 0
 }
 
-// burst returns how much of a workspace the next checkpoint lets be used before the one after it: earlyBurst, or more if
-// checkpoints are slow or far apart or other routers borrow, but no more than is free.
+// burst returns SpendLimit.Burst for the next checkpoint: how many of the workspace's free tokens may be cleared until the
+// checkpoint that follows it. It is the result of earlyBurst, or more if checkpoints are slow or far apart or if other
+// routers borrow. early is the result of earlyLimit.
 func (p *Planner) burst(a *account, early int64) int64 {
 	span := p.checkpointLatency
 	interval := p.minCheckpointInterval()
@@ -184,10 +192,11 @@
 	return min(burst, max(0, a.free()))
 }
 
-// earlyLimit returns how much of a workspace may be used until outageThreshold, before the full rate of its spend limit
-// applies; otherwise responses that are ready then would have to wait. It is a small part of the reserve, so that little is
-// lost when all routers crash. Just before a refill the grant has less than half of the reserve free, so holderShare stands
-// in for the reserve if it is more.
+// earlyLimit returns SpendLimit.MaxEarly for the next checkpoint: how much of a workspace its rate may let be cleared until
+// outageThreshold. From then on the full rate applies. Without an early limit, responses that are ready before
+// outageThreshold would have to wait. The limit is at most the fraction Settings.EarlyShare of the reserve, so that little
+// is lost when all routers crash. The reserve counts as what is free or as holderShare, whichever is more, because less than
+// half of the reserve is free just before the grant grows again.
 func (p *Planner) earlyLimit(a *account) int64 {
 	reserve := max(float64(a.free()), p.holderShare(a))
 	// Without demand, a fraction of the reserve is allowed.
@@ -195,8 +204,8 @@
 	return int64(min(span, p.settings.EarlyShare*reserve))
 }
 
-// earlyBurst returns the part of the early limit that may be used at once and without witnesses, so that not every response
-// needs a checkpoint of its own.
+// earlyBurst returns the part of the early limit that may be cleared at once and without witnesses, so that not every
+// response needs a checkpoint of its own. early is the result of earlyLimit.
 func (p *Planner) earlyBurst(a *account, early int64) int64 {
 	if len(p.peers) == 0 {
 		return early
@@ -204,19 +213,21 @@
 	return min(early, p.demandWithin(a, burstWindow))
 }
 
-// unwitnessedLimit returns the part of the early limit that needs no acknowledgement of witnesses. It is lost when the router
-// crashes, whichever other routers are up. It lets a router that cannot reach any other one serve its own callers, and
-// routers that are partitioned off together lend to each other.
+// unwitnessedLimit returns SpendLimit.MaxUnwitnessed for the next checkpoint: the part of the early limit that needs no
+// acknowledgement of witnesses. It counts as spent when the router crashes, even if other routers are up. It lets a router
+// that cannot reach any other one serve its own callers. It also lets routers that are partitioned off together lend to each
+// other. early is the result of earlyLimit.
 func (p *Planner) unwitnessedLimit(a *account, early int64) int64 {
 	if a.concentrated {
-		// All of the workspace's demand is at this router, and would be lost at once.
+		// All of the workspace's demand is at this router, so what it may clear without witnesses is lost at once when it
+		// crashes.
 		return min(early, p.demandWithin(a, burstWindow))
 	}
 	own := max(0, a.demand.rate-a.peerDemand.rate)
 	return min(early, max(p.demandWithin(a, unwitnessedWindow), int64(own*outageThreshold.Seconds())))
 }
 
-// demandWithin returns the demand of the given time, but at least the need of one typical request.
+// demandWithin returns the demand for a workspace within span, in tokens, but at least the need of one typical request.
 func (p *Planner) demandWithin(a *account, span time.Duration) int64 {
 	return max(int64(a.demand.rate*span.Seconds()), int64(a.typicalNeed))
 }
@@ -258,10 +269,11 @@
 	}
 }
 
-// limitRate returns the rate of a workspace's next spend limit: demand plus rateDeviations standard deviations. Holders lend
-// to each other during an outage of the store, so at a holder the deviation is that of the requests at all of them. With that
-// of each holder's own requests, two power losses in one outage cost 13.7 s of all demand at five routers, against 10.1 s;
-// 0.4% were refused in an outage of 7 s with either.
+// limitRate returns SpendLimit.Rate for the next checkpoint: the demand plus rateDeviations standard deviations of the
+// demand. Holders lend to each other during an outage of the store, so at a holder the deviation is computed for the
+// requests at all holders, which is smaller. With the deviation of each holder's own requests, two power losses in one
+// outage cost 13.7 s of all demand at five routers, against 10.1 s. Of all requests 0.4% were refused in an outage of 7 s
+// with either.
 func (p *Planner) limitRate(a *account) int64 {
 	requests := a.demand.rate * demandWindow.Seconds() / max(1, a.typicalNeed)
 	if p.isHolder(a) {
@@ -270,12 +282,14 @@
 	return int64(a.demand.rate * (1 + rateDeviations/math.Sqrt(max(1, requests))))
 }
 
-// needsLimit reports whether the checkpoint must name a workspace because it has a grant or may get one.
+// needsLimit reports whether the next checkpoint must name a workspace because this router has a grant of it, may have one,
+// or may draw one.
 func (p *Planner) needsLimit(now time.Time, a *account) bool {
 	return a.granted > 0 || !a.isGrantKnown() || a.taken > 0 || p.mayDraw(now, a)
 }
 
-// mayDraw reports whether this router may let its own grant of a workspace grow.
+// mayDraw reports whether this router draws a grant of a workspace for its requests instead of borrowing: as a holder,
+// because demand is concentrated at it, or because it has demand and does not borrow from holders now.
 func (p *Planner) mayDraw(now time.Time, a *account) bool {
 	return p.isHolder(a) || a.concentrated || (len(a.waiting) > 0 || a.demand.rate > 1) && !p.borrowsFromHolders(now, a)
 }
@@ -286,7 +300,7 @@
 	return masticway.RowKey{Table: tableCheckpoints, Part: PartOf(instance, p.settings.Parts), Key: instance}
 }
 
-// accountParts lists the parts of the store that the rows of the configured workspaces are in.
+// accountParts lists the parts of the accounts table that have the rows of the configured workspaces.
 func (p *Planner) accountParts() []string {
 	known := map[string]bool{}
 	for workspace := range p.accounts {
@@ -306,14 +320,14 @@
 	return slices.Sorted(maps.Keys(own))
 }
 
-// needsFreshRow reports whether a row that is older than rowTTL shows too little for the first waiting request, so that it
-// must be read again before the budget is found exhausted.
+// needsFreshRow reports whether the known row of a workspace shows too little for the first waiting request but is older
+// than rowTTL. The row must then be read again before the budget is found exhausted.
 func (p *Planner) needsFreshRow(now time.Time, a *account) bool {
 	return len(a.waiting) > 0 && a.rowKnown && p.exceedsBudget(a, a.waiting[0].need) && now.Sub(a.rowSeenAt) >= rowTTL
 }
 
-// changeGrant returns the write that changes one workspace's grant, and counts it as in flight. Each workspace has its own
-// write, so that a conflict on one row affects no other.
+// changeGrant returns the write that changes a workspace's grant by delta tokens, and counts the change as in flight. Each
+// workspace has its own write, so that a conflict on one row affects no other workspace.
 func (p *Planner) changeGrant(now time.Time, a *account, delta int64) StoreCall {
 	a.changeInFlight, a.returning = true, max(0, -delta)
 	next := a.newestRow().WithGrant(p.settings.Incarnation, Grant{Granted: a.granted + delta, Taken: a.taken, Demand: int64(a.demand.rate)})
@@ -327,15 +341,15 @@
 	}
 }
 
-// newestRow returns the known row with the prepaid amount of the newest configuration.
+// newestRow returns the known row with the prepaid amount of the newest configuration that this router or the row has.
 func (a *account) newestRow() Account {
 	row := a.row
 	row.Prepaid, row.Version = a.currentPrepaid(), max(a.configVersion, row.Version)
 	return row
 }
 
-// grantDelta returns by how much the grant should grow now; a negative result is an amount to return. It also keeps track of
-// since when there has been a surplus.
+// grantDelta returns by how many tokens the grant should grow now. If the result is negative, that many tokens should be
+// returned to the workspace. As a side effect it updates surplusSince.
 func (p *Planner) grantDelta(now time.Time, a *account) int64 {
 	free := a.free()
 	left := a.ungranted()
@@ -343,7 +357,7 @@
 		return -max(0, free)
 	}
 	if left < 0 {
-		// The budget was lowered below what is closed or granted: return what is not taken.
+		// The budget was lowered below the sum of what is closed and granted: return what is not taken.
 		return -max(0, min(free, -left))
 	}
 	need := a.queuedNeed()
@@ -362,7 +376,8 @@
 		return min(left, need-free+reserve)
 	}
 	if need == 0 && a.demand.rate < 1 && now.Sub(p.peersChangedAt) < startupGrace {
-		// While many routers start, each one that knows only a few peers computes that it holds most workspaces.
+		// While many routers start, each of them knows only a few peers and therefore finds that it is a holder of most
+		// workspaces.
 		return 0
 	}
 	if float64(free-need) < lowWatermark*float64(reserve) {
--- a/treasurer/planner.go
+++ b/treasurer/planner.go
@@ -11,91 +11,94 @@
 // These constants are policy: how tokens are spread over routers, what a router's crash may cost, and when a request is
 // refused or waits.
 const (
-	// outageThreshold is how long after a checkpoint's Basis its spend limits begin to allow more by their rate than
-	// MaxEarly. A router that crashes and is restarted within that time loses no more than the larger of MaxEarly and Burst.
-	// When all routers of a deployment lost power together, they had written their checkpoints again after 0.6 to 2.5 s, and
-	// no witness was left: with 2.2 s, a power loss of 2 s at 103 routers cost four seconds of all demand; with 3 s it cost
-	// one.
+	// outageThreshold is how long after a checkpoint's Basis MaxEarly bounds what the rate of its spend limits allows. A
+	// router that crashes and is restarted within that time loses no more than the larger of MaxEarly and Burst. When all
+	// routers of a deployment lost power together, they had written their checkpoints again after 0.6 to 2.5 s, and no
+	// witness was left. With a threshold of 2.2 s, a power loss of 2 s at 103 routers cost four seconds of all demand; with
+	// 3 s it cost one.
 	outageThreshold = 3 * time.Second
-	// burstWindow is the demand, as a duration, that a checkpoint allows to be used at once unless the store is slow or other
-	// routers borrow: three of a busy router's checkpoint intervals. unwitnessedWindow is the demand, as a duration, that at
-	// least may be used during an outage of the store before witnesses have acknowledged it. MaxEarly bounds both. With all
-	// of MaxEarly in the burst, a holder that crashed took 8% of a large budget with it and 9.2% of a day's requests were
-	// refused, against 0.5% with these windows.
+	// burstWindow is the demand, as a duration, that the burst of a spend limit covers unless the store is slow or other
+	// routers borrow. It is three of a busy router's checkpoint intervals. unwitnessedWindow is the demand, as a duration,
+	// that a router may clear at least without the acknowledgement of witnesses. MaxEarly bounds both. With all of MaxEarly
+	// in the burst, a holder that crashed took 8% of a large budget with it and 9.2% of a day's requests were refused,
+	// against 0.5% with these windows.
 	burstWindow       = 750 * time.Millisecond
 	unwitnessedWindow = 1500 * time.Millisecond
-	// rateDeviations is by how many standard deviations the rate of a spend limit exceeds the mean demand, which is bursty.
-	// With n requests in demandWindow (at all holders of the workspace, if this router is one), whose sizes spread as much as
-	// their mean, one standard deviation is 1/sqrt(n) of the mean: the rate is four times the demand for one request in the
-	// window, twice for nine. An excess is lost when a router crashes and its witnesses cannot be asked. With 1.5 times the
-	// demand at routers that saw five requests, 4.5% were refused on days with faults, against 3.7% with 4 times.
+	// rateDeviations is by how many standard deviations the rate of a spend limit exceeds the mean demand, because demand is
+	// bursty. One standard deviation is 1/sqrt(n) of the mean for n requests in demandWindow if their sizes spread as much
+	// as their mean. So the rate is four times the demand for one request in the window, and twice for nine. At a holder, n
+	// counts the requests at all holders of the workspace. What the rate allows beyond the demand is lost when a router
+	// crashes and its witnesses cannot be asked. With 1.5 times the demand at routers that saw five requests, 4.5% were
+	// refused on days with faults, against 3.7% with 4 times.
 	rateDeviations = 3
-	// slowStoreLatency is the latency of checkpoints from which on the burst of a spend limit covers twice the demand of that
-	// latency. A checkpoint that is in flight for longer is late: what waits for it is reported to witnesses.
+	// slowStoreLatency is the mean latency of checkpoints from which on the burst of a spend limit covers at least twice the
+	// demand of that latency. A checkpoint that is in flight for longer than slowStoreLatency is late: what waits for it is
+	// reported to witnesses.
 	slowStoreLatency = 60 * time.Millisecond
-	// timelyStoreLatency is how long a checkpoint may be in flight before requests are admitted only within the spend limits,
-	// as these will be after clearanceSlack: a hold may then be expected to wait that long for its clearance. With
-	// outageThreshold as clearanceSlack fewer requests are refused and more are late, which is worth less: a score of 0.69
-	// against 0.73 (higher is better) on a calm day with two network partitions.
+	// timelyStoreLatency is how long a checkpoint may be in flight before requests are held only within the spend limits.
+	// The limits then count as they will be after clearanceSlack, so a hold may have to wait that long for its clearance.
+	// With outageThreshold as clearanceSlack fewer requests are refused and more are late, which is worth less: a score of
+	// 0.69 against 0.73 (higher is better) on a calm day with two network partitions.
 	timelyStoreLatency = 400 * time.Millisecond
 	clearanceSlack     = 150 * time.Millisecond
-	// reserveRatio is the ratio of what all routers together keep in reserve to what remains ungranted in the store. What
-	// remains there cannot be reached during a network partition.
+	// reserveRatio is the target ratio of what all routers together keep in reserve to what remains ungranted in the store.
+	// What is ungranted cannot be reached during a network partition.
 	reserveRatio = 4.0
-	// minReserveDivisor divides the typical request's need to give the smallest reserve that a router keeps; several routers
-	// can combine such reserves.
+	// minReserveDivisor is the divisor of a typical request's need for the smallest reserve that a router keeps. Several
+	// routers can combine reserves of this size by lending.
 	minReserveDivisor = 3
-	// lowWatermark and highWatermark are multiples of a router's reserve of a workspace. If fewer tokens than lowWatermark
-	// times the reserve are free, the grant grows until the reserve is free. If more than highWatermark times the reserve are
-	// free for surplusTTL, what exceeds the reserve is returned.
+	// lowWatermark and highWatermark are multiples of a router's reserve of a workspace. If less than lowWatermark times the
+	// reserve is free, the grant grows until the whole reserve is free. If more than highWatermark times the reserve is free
+	// for surplusTTL, the router returns what exceeds the reserve.
 	lowWatermark  = 0.4
 	highWatermark = 2.5
-	// surplusTTL is how long a surplus must have remained unused before it is returned.
+	// surplusTTL is how long a surplus must have lasted before it is returned (see highWatermark).
 	surplusTTL = 250 * time.Millisecond
-	// unavailableAfter is how long the store must have failed before requests that neither the grant nor loans cover are
-	// refused at once. A router that borrows from holders lets them wait until their deadlines.
+	// unavailableAfter is how long the store must have failed before a router refuses requests at once if neither its grant
+	// nor its loans cover them. A router that borrows from holders does not: it lets requests wait until their deadlines.
 	unavailableAfter = 400 * time.Millisecond
-	// startupGrace is how long after its start a router reports no budget as exhausted: where many routers start together,
-	// the grants of their predecessors are still being closed. For the same time after its start, or after a change of its
-	// peers, it draws no reserve of a workspace without demand.
+	// startupGrace is how long after its start a router reports no budget as exhausted. If many routers start together, the
+	// grants of their predecessors are still being closed during this time. For as long after its start, or after a change
+	// of its peers, a router draws no reserve of a workspace without demand.
 	startupGrace = 2 * time.Second
-	// rowTTL is the maximum age of a workspace's row from which a budget is found exhausted, unless the row was read after
-	// the request arrived.
+	// rowTTL is the maximum age of a workspace's row for a verdict that the budget is exhausted. A row that was read after
+	// the request arrived may be older.
 	rowTTL = 300 * time.Millisecond
 )
 
 // These constants bound how often the store is called, given its rate limit and its failures.
 const (
-	// busyCheckpointInterval is how often a router with grants and demand for them writes its checkpoint even if it has taken
-	// no more than its spend limits cover, idleCheckpointInterval how often any other router does.
+	// busyCheckpointInterval is how often a router that has a grant and demand for it writes its checkpoint even if its
+	// spend limits cover all that it has taken. idleCheckpointInterval is how often any other router does.
 	busyCheckpointInterval = 250 * time.Millisecond
 	idleCheckpointInterval = 4 * time.Second
-	// busyCheckpointIntervalPerRouter times the number of routers replaces busyCheckpointInterval in a fleet for which it is
-	// longer, because all routers write to one store: such fleets write about 330 checkpoints a second, whatever their size.
+	// busyCheckpointIntervalPerRouter times the number of routers replaces busyCheckpointInterval if it is longer, because
+	// all routers write to one store. Fleets of such a size write about 330 checkpoints a second, whatever their size.
 	busyCheckpointIntervalPerRouter = 3 * time.Millisecond
-	// checkpointPause is the minimum time between two checkpoints of a router. checkpointPausePerRouter times the number of
-	// routers is added to it for the minimum average time, so that all of them together write about 3,300 checkpoints a
-	// second at most, and a loan that waits for a checkpoint in a fleet of a hundred routers still arrives in time.
+	// checkpointPause is the minimum time between two checkpoints of a router. The minimum average time is checkpointPause
+	// plus checkpointPausePerRouter times the number of routers. All routers together therefore write at most about 3,300
+	// checkpoints a second. In a fleet of a hundred routers, a loan that waits for a checkpoint still arrives in time.
 	checkpointPause          = 20 * time.Millisecond
 	checkpointPausePerRouter = 300 * time.Microsecond
-	// maxCheckpointCredit is how many checkpoints a router may write checkpointPause apart after a time in which it wrote
-	// none.
+	// maxCheckpointCredit is the maximum number of checkpoints that a router may write in a row only checkpointPause apart.
+	// It can do so after a time without checkpoints.
 	maxCheckpointCredit = 4.0
-	// changeRetryInterval is the minimum time between a change of a grant that failed, other than by a conflict, and the next
-	// attempt.
+	// changeRetryInterval is the minimum time after a failed change of a workspace's grant until the next change of that
+	// grant. It does not apply after a conflict.
 	changeRetryInterval = 60 * time.Millisecond
-	// probeInterval separates attempts to write the checkpoint while the store fails. The planner asks for no other store
-	// call then.
+	// probeInterval is the time after a failed write of the checkpoint until the next attempt. While the store fails, the
+	// planner makes no other store call.
 	probeInterval = 120 * time.Millisecond
-	// The minimum time between two changes of grants by one router is zero until the store refuses a call because of its rate
-	// limit. It is then initialChangeInterval, doubles with each further refusal up to maxChangeInterval, and shrinks by
-	// changeIntervalStep with each call that the store answers, so that routers share the rate without coordination.
+	// These constants govern the minimum time between two changes of grants by one router. It is zero until the store
+	// refuses a call because of its rate limit. Then it is initialChangeInterval, and each further refusal doubles it, up to
+	// maxChangeInterval. Each call that the store answers shortens it by changeIntervalStep. In this way the routers share
+	// the rate without coordination.
 	initialChangeInterval = 20 * time.Millisecond
 	maxChangeInterval     = 640 * time.Millisecond
 	changeIntervalStep    = 5 * time.Millisecond
 )
 
-// Verdict is the decision on a request for tokens, or VerdictCleared for a hold.
+// Verdict is the decision on a request for tokens. VerdictCleared is the only one that concerns a hold instead.
 type Verdict string
 
 const (
@@ -103,33 +106,35 @@
 	VerdictHeld Verdict = "held"
 	// VerdictExhausted means that too little of the budget is left for the request.
 	VerdictExhausted Verdict = "exhausted"
-	// VerdictUnreachable means that tokens may be left but cannot be obtained now, that the context was done before, or
-	// that the workspace has no budget.
+	// VerdictUnreachable means that tokens may be left but cannot be obtained in time, that the request's context is done,
+	// or that the workspace has no budget.
 	VerdictUnreachable Verdict = "unreachable"
 	// VerdictCleared means that the response covered by the hold may be sent to the caller.
 	VerdictCleared Verdict = "cleared"
 )
 
-// HoldID identifies a hold, or the request for one, within one incarnation.
+// HoldID identifies a request for tokens within one incarnation, and the hold that it gets.
 type HoldID int64
 
-// Reply reports a verdict on a hold. A reply with VerdictCleared, or for a workspace without a budget, has only the first two
-// fields.
+// Reply is the answer to a request for tokens or for clearance. A reply with VerdictCleared, or for a workspace without a
+// budget, has only ID and Verdict. If the context was done first, the reply also has Waited.
 type Reply struct {
 	ID      HoldID
 	Verdict Verdict
 	// Waited is how long the request waited for the verdict.
 	Waited time.Duration
-	// Prepaid and Ungranted are what was known of the workspace's budget: all of it, and what was not granted to any router.
+	// Prepaid is all of the workspace's budget, and Ungranted the part of it that was granted to no router, as far as this
+	// router knew.
 	Prepaid   int64
 	Ungranted int64
-	// Free is what was left of this router's grant after the verdict, Available what it could take at once of that and of
-	// its loans.
+	// Free is what was left of this router's grant after the verdict. Available is how much the next request could be held
+	// for at once from the grant and the loans.
 	Free      int64
 	Available int64
 	// RowAge is the age of the workspace's row that Ungranted came from.
 	RowAge time.Duration
-	// AskedPeers is set if other routers were asked for a loan after the request had arrived.
+	// AskedPeers is set if a round of asking other routers for a loan of the workspace's tokens ended after the request had
+	// arrived.
 	AskedPeers bool
 }
 
@@ -138,25 +143,26 @@
 	Incarnation masticway.Incarnation
 	// Address is where other routers reach this one; empty if they cannot.
 	Address string
-	// Parts is the number of parts (partitions) over which the rows of each table are spread, except for presences, which
-	// have one part. All routers must use the same number, and it must not change while there are rows.
+	// Parts is the number of parts (partitions) over which the rows of each table are spread. The table of presences has
+	// only one part. All routers must use the same number. It must not change while there are rows.
 	Parts int
-	// EarlyShare bounds SpendLimit.MaxEarly: it is the fraction of a router's reserve of a workspace that may be used before
-	// the store has not answered for outageThreshold. With 0.15 instead of 0.06, the score (higher is better) of five days
-	// with faults at thirty routers was 0.632 instead of 0.624, that of the calm day 0.598 instead of 0.565.
+	// EarlyShare bounds SpendLimit.MaxEarly: it is the fraction of a router's reserve of a workspace that may be cleared by
+	// rate until outageThreshold after the checkpoint's Basis. With 0.15 instead of 0.06, the score (higher is better) of
+	// five days with faults at thirty routers was 0.632 instead of 0.624. The score of the calm day was 0.598 instead of
+	// 0.565.
 	EarlyShare float64
-	// Holders is the minimum number of routers that hold a grant of a workspace whose budget is not low; zero means all
-	// routers. Each availability zone contributes equally many as far as it has them, so there are more if the number of
-	// zones does not divide it. When one of six crashes, a sixth of what is in reserve cannot be reached until its successor
-	// has closed its grant. With a reserve at each of 103 routers, more than half of a budget was in reserves, and keeping it
-	// there took four of five calls to the store and 0.2 of a heavy day's score.
+	// Holders is the minimum number of routers that hold grants of a workspace, unless its budget is low. Zero means all
+	// routers. Each availability zone contributes equally many as far as it has them, so there are more holders if the
+	// number of zones does not divide Holders. When one of six holders crashes, a sixth of what is in reserve cannot be
+	// reached until its successor has closed its grant. With a reserve at each of 103 routers, more than half of a budget
+	// was in reserves, and keeping it there took four of five calls to the store and 0.2 of a heavy day's score.
 	Holders int
 	// Zone is the availability zone of the router.
 	Zone string
 	// Processors is how many processors the router may use; routers with more are preferred as holders.
 	Processors float64
-	// Reserve is the demand, as a duration, for which a router keeps tokens in reserve if the budget allows, to serve
-	// requests while the store cannot be reached.
+	// Reserve is the demand, as a duration, for which a router keeps tokens in reserve if the budget allows. The reserve
+	// serves requests while the store cannot be reached.
 	Reserve time.Duration
 }
 
@@ -174,64 +180,64 @@
 	prepaid       int64
 	configVersion int64
 	row           Account
-	// allocated is the sum of the row's closed amount and all its grants; consumed is the sum of the closed amount and what
-	// each holder had taken of its grant when it last changed it.
+	// allocated is the sum of the row's closed amount and all its grants. consumed is the sum of the row's closed amount
+	// and, for each grant, what its router had taken of it when that router last changed the grant.
 	allocated int64
 	consumed  int64
-	// rowVersion is zero while there is no row. rowKnown is set while the row, or its absence, is known: it is cleared by a
-	// change of unknown outcome. rowSeenAt is when the row was last known to be current.
+	// rowVersion is the version of row, zero while the store has no row. rowKnown is set if row, or its absence, is known; a
+	// change of unknown outcome clears it. rowSeenAt is the last time at which row was known to be current.
 	rowVersion int64
 	rowKnown   bool
 	rowSeenAt  time.Time
 	// granted is this incarnation's grant according to the row.
 	granted int64
-	// changeInFlight is set while a change of the grant is in flight; returning is what that change returns.
+	// changeInFlight is set while a change of the grant is in flight. returning is how many tokens the change returns.
 	changeInFlight bool
 	returning      int64
 	// retryAt is when the grant may be changed again after a failure.
 	retryAt time.Time
-	// unconfirmed is set while the outcome of an earlier change is unknown; unconfirmedReturn is the most that any such
-	// change returns.
+	// unconfirmed is set while the outcome of an earlier change of the grant is unknown. unconfirmedReturn is the largest
+	// number of tokens that one of these changes returns.
 	unconfirmed       bool
 	unconfirmedReturn int64
-	// taken is the sum of what is held of the grant, was used of it, and is lent. cleared is the part of it whose responses
-	// may be sent, or that was lent. Only cleared tokens can have been used when this router crashes, and the spend limits
-	// bound them.
+	// taken is the sum of what is held of the grant, what was used of it, and what other routers have borrowed of it.
+	// cleared is the part of taken that may be used, because the responses may be sent or the loan was cleared. Only cleared
+	// tokens can have been used when this router crashes. The spend limits bound cleared.
 	taken             int64
 	cleared           int64
 	awaitingClearance []HoldID
-	// demand is the rate of requested tokens in tokens a second, peerDemand the part of it that other routers request as
-	// loans, and arrivals the rate of requests of this router's own callers in requests a second. typicalNeed is a moving
+	// demand is the rate of requested tokens, in tokens a second. peerDemand is the part of it that other routers request as
+	// loans. arrivals is the rate of requests of this router's own callers, in requests a second. typicalNeed is a moving
 	// average of the tokens that one request needs.
 	demand      average
 	peerDemand  average
 	arrivals    average
 	typicalNeed float64
-	// candidates lists the routers that may hold a grant of the workspace, nil until computed from the known peers; rank is
-	// this router's index in it, negative if it is not a candidate.
+	// candidates is the result of holderCandidates, nil until it is computed from the known peers. rank is this router's
+	// index in it, negative if it is not a candidate.
 	candidates []Peer
 	rank       int
-	// concentrated is set if the workspace's demand is concentrated at this router, which is no candidate
-	// (updateConcentration).
+	// concentrated is set if the workspace's demand is concentrated at this router although it is not a candidate (see
+	// updateConcentration).
 	concentrated bool
-	// waiting is the queue of requests.
+	// waiting is the queue of requests that wait for tokens.
 	waiting []waiter
-	// loans are borrowed and unused; lent is the part of this router's grant that other routers have borrowed and not repaid.
-	// borrowing is set during a borrow round, and borrowedAt is when the last one ended.
+	// loans are what this router has borrowed and not used. lent is the part of this router's grant that other routers have
+	// borrowed and not repaid. borrowing is set while a borrow round runs. borrowedAt is when the last borrow round ended.
 	loans      []Loan
 	lent       int64
 	borrowing  bool
 	borrowedAt time.Time
-	// shortfallAt is when a borrow round last returned too little, and noAnswerAt when a round last ended in which all
-	// lenders left the request unanswered. allAnswered is set if every router asked in the last round answered.
+	// shortfallAt is when a borrow round last returned less than it needed. allAnswered is set if every router that the last
+	// round asked has answered. noAnswerAt is when a round last ended in which no lender answered.
 	shortfallAt time.Time
 	allAnswered bool
 	noAnswerAt  time.Time
-	// surplusSince is since when more has been free than highWatermark allows; zero if it is not.
+	// surplusSince is since when more has been free than highWatermark allows. It is zero while there is no such surplus.
 	surplusSince time.Time
 }
 
-// setRow sets the row as the store has it, or as it will be when this router creates it.
+// setRow sets the row that the store has, or the row that this router would write if the store has none.
 func (a *account) setRow(row Account) {
 	a.row = row
 	a.allocated, a.consumed = row.Closed, row.Closed
@@ -241,11 +247,12 @@
 	}
 }
 
-// ungranted returns what is not granted to any router, by the newest configuration. It is negative after a budget was lowered
-// below that.
+// ungranted returns how many tokens are neither closed nor granted to any router, by the newest known configuration. It is
+// negative if the budget was lowered below what is closed and granted.
 func (a *account) ungranted() int64 { return a.currentPrepaid() - a.allocated }
 
-// unspent returns what is not granted plus what all holders had free when they last changed their grants.
+// unspent returns how many tokens are ungranted, plus what each router with a grant had free of it when that router last
+// changed the grant.
 func (a *account) unspent() int64 { return a.currentPrepaid() - a.consumed }
 
 // currentPrepaid returns the prepaid amount of the newest configuration that this router or the row has.
@@ -256,13 +263,13 @@
 	return a.row.Prepaid
 }
 
-// usableGrant returns the grant less what a change in flight or of unknown outcome may have returned.
+// usableGrant returns the grant less what may have been returned by a change that is in flight or of unknown outcome.
 func (a *account) usableGrant() int64 { return a.granted - max(a.returning, a.unconfirmedReturn) }
 
-// isGrantKnown reports whether the grant in the store is known.
+// isGrantKnown reports whether no change of the grant is in flight or of unknown outcome.
 func (a *account) isGrantKnown() bool { return !a.changeInFlight && !a.unconfirmed }
 
-// free returns what is not taken of the usable grant.
+// free returns the usable grant less what is taken.
 func (a *account) free() int64 { return a.usableGrant() - a.taken }
 
 // queuedNeed returns the sum of what the waiting requests need.
@@ -274,14 +281,15 @@
 	return sum
 }
 
-// checkpointLimits holds the spend limits of a checkpoint that the store has, or may have.
+// checkpointLimits holds the spend limits of a checkpoint in force, that is one that the store has, or may have because the
+// outcome of its write is not known.
 type checkpointLimits struct {
 	sequence int64
-	// basis is when this router learned of the write whose store time is the checkpoint's Basis.
+	// basis is when, by this router's clock, it learned of the write whose store time is the checkpoint's Basis.
 	basis  time.Time
 	limits map[string]SpendLimit
-	// witnesses are those that the checkpoint names; acked has, for each of them, the amounts that it has acknowledged, by
-	// workspace.
+	// witnesses are the routers that the checkpoint names as its witnesses. acked has the amounts that each witness has
+	// acknowledged, by workspace.
 	witnesses []Witness
 	acked     map[masticway.Incarnation]map[string]int64
 }
@@ -296,32 +304,34 @@
 	holds          map[HoldID]*hold
 	lastHold       HoldID
 
-	// limitsInForce has the spend limits of the last checkpoint that the store certainly has, then those of each later one
-	// that it may have.
+	// limitsInForce has the spend limits of all checkpoints in force, oldest first: the last one that the store certainly
+	// has, and all later ones that the store may have.
 	limitsInForce []checkpointLimits
-	// checkpoint is the last one sent; checkpointVersion and checkpointBasis belong to the last one that the store is known
-	// to have.
+	// checkpoint is the last checkpoint that was sent; its Basis is that of the next one once a write has succeeded.
+	// checkpointVersion is the row's version at the last write that the store is known to have made. checkpointBasis is when
+	// this router learned of the last successful write.
 	checkpoint         Checkpoint
 	checkpointVersion  int64
 	checkpointInFlight bool
 	checkpointBasis    time.Time
 	checkpointSentAt   time.Time
-	// checkpointCreditLeft is the checkpoint credit that was left when the last checkpoint was sent.
+	// checkpointCreditLeft is the checkpoint credit (see checkpointCredit) that was left after the last checkpoint was sent.
 	checkpointCreditLeft float64
-	// checkpointLatency is the moving average of the store's latency for checkpoints.
+	// checkpointLatency is the moving average of the latency of successful writes of checkpoints.
 	checkpointLatency time.Duration
 	members           int
 	peers             []Peer
-	// peersChanged is set if the set of peer instances has changed since the last plan; peersChangedAt is the time of the
-	// last plan that found it set.
+	// peersChanged is set if the set of peer instances has changed since the last call of Plan. peersChangedAt is when Plan
+	// last found it set.
 	peersChanged   bool
 	peersChangedAt time.Time
-	// unansweredAt is when each instance last left a loan request unanswered.
+	// unansweredAt is, by instance, when the instance's router last left a loan request unanswered.
 	unansweredAt map[string]time.Time
 	// readsInFlight is the set of parts that are being read.
 	readsInFlight     map[string]bool
 	checkpointRetryAt time.Time
-	// failingSince is when the first call was sent that the store has failed since it last answered; zero if none.
+	// failingSince is zero unless the store has failed calls since it last answered one. Then it is when the first of these
+	// calls was sent. Refusals because of the rate limit don't count as failures.
 	failingSince time.Time
 	// changeInterval is the minimum time between two changes of grants; lastChangeAt is when the last one was sent.
 	changeInterval time.Duration
@@ -329,17 +339,18 @@
 	// started is set once the store has a checkpoint of this incarnation.
 	started   bool
 	startedAt time.Time
-	// closing is set once Close was called: grants only shrink and nothing is lent any more.
+	// closing is set once Close was called. From then on grants only shrink and nothing is lent any more.
 	closing bool
-	// borrowers is the state kept for each router that has asked for a loan; lastMessage is the number of this router's last
-	// borrow round or repayment.
+	// borrowers is the state kept for each router that has asked this one for a loan or repaid one. lastMessage is the
+	// number of this router's last borrow round or repayment.
 	borrowers   map[masticway.Incarnation]*borrowerState
 	lastMessage int64
-	// peerReports is what other routers have reported to this one as a witness; reportsInFlight is the set of witnesses to
-	// which a report is in flight.
+	// peerReports has what each other router has reported to this one as its witness. reportsInFlight is the set of
+	// witnesses to which a report of this router is in flight.
 	peerReports     map[masticway.Incarnation]senderReports
 	reportsInFlight map[masticway.Incarnation]bool
-	// unackedSince is since when a needed report lacks the acknowledgement of a quorum of witnesses; zero if none does.
+	// unackedSince is since when reports have been due without the acknowledgement of a quorum of witnesses; zero if they
+	// are not.
 	unackedSince time.Time
 }
 
@@ -353,8 +364,8 @@
 	}
 }
 
-// Configure sets what workspaces have prepaid, as of a configuration's version. It ignores accounts without a limit, and
-// amounts that are older than the known ones.
+// Configure sets what workspaces have prepaid, as of a configuration's version. It ignores accounts without a limit. It also
+// ignores an amount if a newer configuration's amount is known.
 func (p *Planner) Configure(version int64, accounts map[string]masticway.Account) {
 	for workspace, paid := range accounts {
 		if !paid.HasLimit {
@@ -373,10 +384,10 @@
 	slices.SortFunc(p.sortedAccounts, func(x, y *account) int { return cmp.Compare(x.workspace, y.workspace) })
 }
 
-// maxTaken returns the most of its grant that the router may have taken now. While the store answers in time only the grant
-// bounds it, because a checkpoint that covers it is expected before the response is ready. Otherwise the spend limits bound
-// it as well: as they are expected to be after clearanceSlack, or as they are now if the witnesses do not acknowledge
-// reports.
+// maxTaken returns the maximum of the account's taken tokens now. While the store is timely it is the usable grant: a
+// checkpoint that covers a hold is then expected before the response is ready. Otherwise it is at most what the spend limits
+// are expected to clear after clearanceSlack. If the witnesses do not acknowledge reports, it is at most what the spend
+// limits clear now.
 func (p *Planner) maxTaken(now time.Time, a *account) int64 {
 	if p.isStoreTimely(now) {
 		return a.usableGrant()
@@ -387,18 +398,19 @@
 	return min(a.usableGrant(), p.expectedLimit(now.Add(clearanceSlack), a))
 }
 
-// isStoreTimely reports whether the store can be expected to write the next checkpoint soon.
+// isStoreTimely reports whether the store does not fail and has not left a checkpoint unanswered for timelyStoreLatency. It
+// can then be expected to write the next checkpoint soon.
 func (p *Planner) isStoreTimely(now time.Time) bool {
 	return p.failingSince.IsZero() && (!p.checkpointInFlight || now.Sub(p.checkpointSentAt) < timelyStoreLatency)
 }
 
-// available returns what may be taken now in addition to what is taken.
+// available returns how many more tokens of the grant may be taken now.
 func (p *Planner) available(now time.Time, a *account) int64 {
 	return max(0, p.maxTaken(now, a)-a.taken)
 }
 
-// SetPeers sets the number of routers and the other routers that can lend and be witnesses. Peers on this router's own
-// instance are left out.
+// SetPeers sets the number of running routers, and the other routers that can lend to this one and be its witnesses. It
+// leaves out peers on this router's own instance.
 func (p *Planner) SetPeers(members int, peers []Peer) {
 	p.members = members
 	others := slices.DeleteFunc(slices.Clone(peers), func(o Peer) bool { return o.Incarnation.Instance() == p.settings.Incarnation.Instance() })
@@ -413,8 +425,8 @@
 	}
 }
 
-// ServeQueues answers the requests of all workspaces that have the tokens they wait for or need not wait any longer, and
-// clears holds that the spend limits now cover.
+// ServeQueues answers the waiting requests of all workspaces that can be answered now, and clears the holds that wait for
+// clearance as far as the spend limits allow.
 func (p *Planner) ServeQueues(now time.Time) []Reply {
 	var replies []Reply
 	for _, a := range p.sortedAccounts {
--- a/treasurer/rows.go
+++ b/treasurer/rows.go
@@ -18,17 +18,18 @@
 	tableRouters     = "masticway_routers"
 )
 
-// routersPart is the one part that has the presences of all routers, so that one call reads them all.
+// routersPart is the only part of the table of presences, so that one call reads the presences of all routers.
 const routersPart = "routers"
 
-// Presence is the row of a running router; StoreTime is its estimate of the store's clock when it was written.
+// Presence is the row with which a running router makes itself known to the others. StoreTime is the router's estimate of
+// the store's clock when it wrote the row.
 type Presence struct {
 	Incarnation masticway.Incarnation `json:"incarnation"`
-	// Address is where other routers reach it; empty if they cannot.
+	// Address is where other routers reach the router. It is empty if they cannot.
 	Address string `json:"address,omitempty"`
 	// Zone is the availability zone of the router.
 	Zone string `json:"zone,omitempty"`
-	// Processors is how many processors it may use.
+	// Processors is how many processors the router may use, which may be a fraction.
 	Processors float64       `json:"processors,omitempty"`
 	StoreTime  time.Duration `json:"at_ns"`
 }
@@ -36,18 +37,19 @@
 // Grant is the part of a budget that one incarnation may spend, in tokens.
 type Grant struct {
 	Granted int64 `json:"granted"`
-	// Taken is what the incarnation had taken of the grant when it last changed it, so that other routers can estimate what
-	// it has free.
+	// Taken is what the incarnation had taken of the grant when it last changed the grant. Other routers estimate from it
+	// how much of the grant is free.
 	Taken int64 `json:"taken,omitempty"`
-	// Demand is the demand at the incarnation's router at that time, in tokens a second; routers size their reserves by their
-	// shares of the total.
+	// Demand is the demand at the incarnation's router when it last changed the grant, in tokens a second. Each router sizes
+	// its reserve by its share of the sum of all demands.
 	Demand int64 `json:"demand,omitempty"`
 }
 
-// Account is the row of one workspace; its amounts are in tokens. When a grant grows, the sum of Closed and all grants does
-// not exceed Prepaid.
+// Account is the row of one workspace. Its amounts are in tokens. A grant grows only if the sum of Closed and all grants
+// does not exceed Prepaid afterwards. The sum can exceed Prepaid only because Prepaid is lowered later.
 type Account struct {
-	// Prepaid and Version come from the newest configuration that any router has written here.
+	// Prepaid is what the workspace has paid for, and Version the version of the configuration that says so: the newest that
+	// a router has written to this row.
 	Prepaid int64 `json:"prepaid"`
 	Version int64 `json:"version"`
 	// Closed is what ended incarnations have spent or are presumed to have spent.
@@ -55,7 +57,8 @@
 	Grants map[masticway.Incarnation]Grant `json:"grants,omitempty"`
 }
 
-// Ungranted returns what is not granted to any router; it is negative after a budget was lowered below that.
+// Ungranted returns how many prepaid tokens are neither closed nor granted to any router. It is negative if the budget was
+// lowered below what is closed and granted.
 func (a Account) Ungranted() int64 {
 	left := a.Prepaid - a.Closed
 	for _, g := range a.Grants {
@@ -64,8 +67,8 @@
 	return left
 }
 
-// WithGrant returns the account with one incarnation's grant replaced. An empty grant is removed: every router reads each
-// row, and a row with a hundred empty grants takes ten times as long to read.
+// WithGrant returns the account with one incarnation's grant replaced. An empty grant is removed, because every router reads
+// each row, and a row with a hundred empty grants takes ten times as long to read.
 func (a Account) WithGrant(i masticway.Incarnation, g Grant) Account {
 	grants := maps.Clone(a.Grants)
 	if grants == nil {
@@ -80,8 +83,8 @@
 	return a
 }
 
-// WithClosed returns the account without an incarnation's grant, of which the given amount counts as spent, but no more than
-// the grant.
+// WithClosed returns the account without an incarnation's grant. It adds the amount spent to Closed, but at most the grant;
+// the rest of the grant is ungranted again.
 func (a Account) WithClosed(i masticway.Incarnation, spent int64) Account {
 	grants := maps.Clone(a.Grants)
 	delete(grants, i)
@@ -90,23 +93,23 @@
 	return a
 }
 
-// SpendLimit bounds what an incarnation clears, and so what can be used, of one workspace until its next checkpoint. What it
-// takes beyond the limit waits for clearance.
+// SpendLimit is a bound in a checkpoint on the tokens of one workspace that an incarnation may have cleared until it writes
+// its next checkpoint. Holds beyond the bound wait for clearance, so that no more than the bound can be used.
 type SpendLimit struct {
-	// Taken is what was taken of the grant when the checkpoint was sent, in tokens. Burst is how much may be cleared beyond
-	// it at once.
+	// Taken is what the incarnation had taken of its grant when it sent the checkpoint, in tokens. Burst is how many tokens
+	// may be cleared at once beyond Taken.
 	Taken int64 `json:"taken"`
 	Burst int64 `json:"burst"`
-	// Rate is in tokens a second since the checkpoint's Basis; it replaces Burst where it allows more. The longer the store
-	// does not answer, the larger is the part of it that counts, because routers that are killed are mostly restarted within
-	// a second, and what their limits allowed for a longer time would be lost. MaxUnwitnessed bounds, in tokens, what Rate
-	// allows before witnesses have acknowledged it, MaxEarly what it allows until outageThreshold after the Basis.
+	// Rate is how many tokens may be cleared beyond Taken for each second since the checkpoint's Basis, if that is more than
+	// Burst. Two bounds in tokens apply to what Rate allows: MaxEarly until outageThreshold after the Basis, and
+	// MaxUnwitnessed until witnesses have acknowledged more. MaxEarly exists because what a limit allowed is lost when the
+	// router crashes. Routers that crash are mostly restarted within a second, so little should be allowed within that time.
 	Rate           int64 `json:"rate"`
 	MaxUnwitnessed int64 `json:"alone,omitempty"`
 	MaxEarly       int64 `json:"ahead,omitempty"`
 }
 
-// bound returns the most that may have been cleared the given time after the Basis.
+// bound returns the most that may have been cleared at the time elapsed after the checkpoint's Basis, in tokens.
 func (l SpendLimit) bound(elapsed time.Duration) int64 {
 	byRate := l.rateBound(elapsed)
 	if elapsed < outageThreshold {
@@ -115,47 +118,52 @@
 	return l.Taken + max(l.Burst, byRate)
 }
 
-// unwitnessedBound returns the part of bound that needs no acknowledgement of witnesses.
+// unwitnessedBound returns the most that may have been cleared, at the time elapsed after the checkpoint's Basis, without
+// the acknowledgement of witnesses.
 func (l SpendLimit) unwitnessedBound(elapsed time.Duration) int64 {
 	return l.Taken + max(l.Burst, min(l.rateBound(elapsed), l.MaxUnwitnessed, l.MaxEarly))
 }
 
-// rateBound returns what the rate allows after the given time.
+// rateBound returns how many tokens Rate allows within the time elapsed.
 func (l SpendLimit) rateBound(elapsed time.Duration) int64 {
 	return int64(float64(l.Rate) * elapsed.Seconds())
 }
 
-// EndedIncarnation is an incarnation that has ended and whose grants may not all be closed yet.
+// EndedIncarnation is the entry in a checkpoint for an earlier incarnation of the instance. The earlier incarnation has
+// ended, and some of its grants may not be closed yet.
 type EndedIncarnation struct {
 	Incarnation masticway.Incarnation `json:"incarnation"`
-	// MaxSpent is the most that it may have spent, by workspace; MaxUnwitnessed is the part of that which needed no
-	// acknowledgement of witnesses.
+	// MaxSpent is the most that the incarnation may have spent, by workspace. MaxUnwitnessed is the most that it may have
+	// spent without the acknowledgement of witnesses.
 	MaxSpent       map[string]int64 `json:"spent"`
 	MaxUnwitnessed map[string]int64 `json:"written,omitempty"`
-	// Taken is what its last checkpoint has as taken, and SinceBasis the time from that checkpoint's Basis to the latest time
-	// at which the incarnation may have run. Both only explain in logs where a presumed amount comes from.
+	// Taken is the SpendLimit.Taken of each workspace in the incarnation's last checkpoint. SinceBasis is the time from that
+	// checkpoint's Basis to the latest time at which the incarnation may have run. Both are only used to log where a
+	// presumed amount comes from.
 	Taken      map[string]int64 `json:"taken,omitempty"`
 	SinceBasis time.Duration    `json:"silence_ns,omitempty"`
-	// Witnesses are those of its last checkpoint: they know what it spent beyond MaxUnwitnessed if enough of them answer.
-	// Sequence is that checkpoint's number.
+	// Witnesses are the witnesses that the incarnation's last checkpoint named. If enough of them answer, they know what it
+	// spent beyond MaxUnwitnessed. Sequence is the number of the incarnation's last checkpoint.
 	Witnesses []Witness `json:"witnesses,omitempty"`
 	Sequence  int64     `json:"sequence,omitempty"`
 }
 
-// Checkpoint is the row of one instance: it bounds what its incarnation may spend until it writes the next one.
+// Checkpoint is the row of one instance. It bounds what the instance's incarnation may spend until it writes the next one.
 type Checkpoint struct {
 	Incarnation masticway.Incarnation `json:"incarnation"`
-	// Sequence is the number of the checkpoint among those of its incarnation.
+	// Sequence numbers the checkpoints of one incarnation, in the order in which they are sent.
 	Sequence int64 `json:"sequence"`
 	// Address is where the incarnation listens; no other process on the machine can listen there at the same time.
 	Address string `json:"address,omitempty"`
-	// Basis is the store's clock at the incarnation's last earlier write of this row that it knew to be made, and knew the
-	// time of, when it sent this one.
+	// Basis is the time from which SpendLimit.Rate counts, by the store's clock. It is the time of the latest earlier write
+	// of this row by the incarnation for which the incarnation knew, when it sent this checkpoint, that the write was made
+	// and when. In an incarnation's first checkpoint, which has no limits, it is when the predecessor's checkpoint was read.
 	Basis  time.Duration         `json:"basis_ns"`
 	Limits map[string]SpendLimit `json:"promises,omitempty"`
-	// Witnesses remember what the incarnation spends beyond the unwitnessed part of its limits.
+	// Witnesses remember what the incarnation reports to them, which it must do before it clears tokens beyond the
+	// unwitnessed part of its limits.
 	Witnesses []Witness `json:"witnesses,omitempty"`
-	// Ended lists earlier incarnations of the instance.
+	// Ended lists the earlier incarnations of the instance whose grants may not all be closed yet.
 	Ended []EndedIncarnation `json:"ended,omitempty"`
 }
 
@@ -163,14 +171,15 @@
 type startInfo struct {
 	incarnation masticway.Incarnation
 	address     string
-	// now is the store's clock; listening is an upper bound of that clock when the incarnation began to listen at its
-	// address.
+	// now is the store's clock when the predecessor's checkpoint was read. listening is an upper bound of the store's clock
+	// at the time at which the incarnation began to listen at its address.
 	now       time.Duration
 	listening time.Duration
 }
 
-// endedBy returns the store's clock by which the incarnation that wrote the checkpoint had certainly ended: when the new one
-// began to listen at its address, or else, if the addresses differ or that is unknown, when its checkpoint was taken over.
+// endedBy returns a time, by the store's clock, at which the incarnation that wrote the checkpoint had certainly ended. If
+// the new incarnation has its address, that is when the new one began to listen there. Otherwise it is when the new one read
+// the checkpoint in order to take it over.
 func (c Checkpoint) endedBy(s startInfo) time.Duration {
 	if c.Address == "" || c.Address != s.address {
 		return s.now
@@ -178,7 +187,8 @@
 	return min(s.now, s.listening)
 }
 
-// successor returns the first checkpoint of a new incarnation, which lists the old one as ended if that had any spend limits.
+// successor returns the first checkpoint of a new incarnation. If the old checkpoint c has any spend limits, the new one
+// lists the incarnation of c as ended.
 func (c Checkpoint) successor(s startInfo) Checkpoint {
 	ended := append([]EndedIncarnation(nil), c.Ended...)
 	if len(c.Limits) > 0 {
@@ -199,8 +209,9 @@
 	return Checkpoint{Incarnation: s.incarnation, Address: s.address, Basis: s.now, Ended: ended}
 }
 
-// CloseGrant returns the write that removes an ended incarnation's grant from a workspace's row, and the grant. The write is
-// needed even without a grant, so that a late write of the ended incarnation conflicts with a newer version.
+// CloseGrant returns the write that removes an ended incarnation's grant from a workspace's row, and the grant. The caller
+// must make the write even if there is no grant: it gives the row a new version, so that a late write of the ended
+// incarnation conflicts.
 func CloseGrant(row masticway.StoredRow, ended masticway.Incarnation, spent int64) (masticway.RowWrite, Grant, error) {
 	account, err := decode[Account](row)
 	if err != nil {
@@ -217,7 +228,8 @@
 	return masticway.RowKey{Table: tableAccounts, Part: PartOf(workspace, parts), Key: workspace}
 }
 
-// PartOf returns the part that has the row of a workspace or an instance.
+// PartOf returns the part that has the row with the given key, which is a workspace or an instance, in a table of so many
+// parts.
 func PartOf(key string, parts int) string {
 	h := fnv.New32a()
 	_, _ = h.Write([]byte(key))
@@ -233,7 +245,7 @@
 	return data
 }
 
-// decode decodes the value of a row; it returns the zero value if the row does not exist.
+// decode decodes the value of a row. It returns the zero value if the row does not exist or is deleted.
 func decode[T any](row masticway.StoredRow) (T, error) {
 	var v T
 	if len(row.Value) == 0 || row.Deleted {
--- a/treasurer/witness.go
+++ b/treasurer/witness.go
@@ -10,30 +10,36 @@
 )
 
 const (
-	// maxWitnesses is how many other routers a checkpoint names as witnesses. While the store cannot be reached, a majority
-	// of them must accept a report before more is cleared than needs no witness, so that a successor needs answers from only
-	// some: two of three in both cases. With two witnesses, of which one had to accept and both had to answer, a router that
-	// was restarted during a partition at the same time as one of them cost its workspace 10% of a budget.
+	// maxWitnesses is the maximum number of other routers that a checkpoint names as witnesses. While the store cannot be
+	// reached, a majority of them must accept a report before tokens are cleared that need witnesses. A successor then needs
+	// the answers of only some: both numbers are two of three. With two witnesses, one had to accept and both had to answer.
+	// A router that was restarted during a partition at the same time as one of its two witnesses cost its workspace 10% of
+	// the budget.
 	maxWitnesses = 3
-	// unackedTimeout is how long a report may lack a quorum before requests are admitted only by what the witnesses have
-	// acknowledged: twice reportTimeout. Requests admitted after that would hold tokens that are not cleared in time.
+	// unackedTimeout is how long reports may lack a quorum, while the store is late, until requests are held only within
+	// what is already cleared or can be cleared now (currentLimit), and no longer within what acknowledgements are expected
+	// to clear soon (expectedLimit). Without this, requests would hold tokens that are not cleared in time. It is twice
+	// reportTimeout.
 	unackedTimeout = 300 * time.Millisecond
 )
 
-// Witness is a router that remembers what another router reports while the store cannot be reached.
+// Witness is a router that another router reports to while the store is late. It remembers the reports for the other
+// router's successor.
 type Witness struct {
 	Incarnation masticway.Incarnation `json:"incarnation"`
 	Address     string                `json:"address"`
 }
 
-// SpendReport reports how much its sender has taken in all, by workspace, where its spend limits do not clear that much
-// without the report. Amounts that no report can clear are left out.
+// SpendReport reports to a witness how many tokens of its grants the sender has taken, by workspace. It has only workspaces
+// with holds that wait for clearance and that the sender cannot clear without the witnesses. An amount is at most what the
+// spend limits let be cleared with acknowledgements.
 type SpendReport struct {
 	Sender masticway.Incarnation `cbor:"1,keyasint"`
-	// Witness is the recipient. Another incarnation on its instance lacks the earlier reports and must refuse this one.
+	// Witness is the recipient. If the instance has another incarnation by now, that has not got the earlier reports and
+	// must refuse this one.
 	Witness masticway.Incarnation `cbor:"2,keyasint"`
-	// OldestCheckpoint and NewestCheckpoint are the sequence numbers of the first and the last checkpoint that may be the
-	// sender's last one in the store if it crashes now.
+	// OldestCheckpoint and NewestCheckpoint are the first and the last sequence number of the checkpoints of the sender that
+	// the store may have. A successor finds one of these if the sender crashes now.
 	OldestCheckpoint int64            `cbor:"3,keyasint"`
 	NewestCheckpoint int64            `cbor:"4,keyasint"`
 	Taken            map[string]int64 `cbor:"5,keyasint"`
@@ -41,29 +47,31 @@
 	Address string `cbor:"-"`
 }
 
-// ReportedSpend is what was reported of one workspace. Checkpoint is the sequence number of the sender's newest checkpoint
-// when it made the report: later checkpoints cover the amount.
+// ReportedSpend is what was reported of one workspace. Checkpoint is the sequence number of the newest checkpoint that the
+// sender had sent when it made the report. If the store has a later checkpoint, that covers the amount.
 type ReportedSpend struct {
 	Taken      int64 `cbor:"1,keyasint"`
 	Checkpoint int64 `cbor:"2,keyasint"`
 }
 
-// WitnessRecord is a witness's record of what an ended incarnation has reported to it, by workspace. IsNamedWitness is set if
-// the incarnation that answers is the one named as the witness; another one of its instance has no record.
+// WitnessRecord is a witness's record of what an ended incarnation has reported to it, by workspace. IsNamedWitness is set
+// if the incarnation that answers is the one that the request names as the witness. A later incarnation on the witness's
+// instance has no record.
 type WitnessRecord struct {
 	IsNamedWitness bool                     `cbor:"1,keyasint"`
 	Reported       map[string]ReportedSpend `cbor:"2,keyasint"`
 }
 
-// senderReports is a witness's record of one sender.
+// senderReports is a witness's record of the reports of one sender.
 type senderReports struct {
 	reported map[string]ReportedSpend
-	// ended is set once a successor has asked for the record; further reports of the sender are refused.
+	// ended is set once a successor of the sender has asked for the record. Further reports of the sender are then refused.
 	ended bool
 }
 
-// AcceptReport records another router's report. It returns false if a successor of the sender has asked for the record or the
-// report is for another incarnation.
+// AcceptReport records another router's report and returns true. It returns false, without recording it, if a successor of
+// the sender has asked for the record or the report is meant for another incarnation than this one. Recorded amounts that
+// the sender's checkpoints cover by now are dropped.
 func (p *Planner) AcceptReport(s SpendReport) bool {
 	record := p.peerReports[s.Sender]
 	if s.Witness != p.settings.Incarnation || record.ended {
@@ -82,8 +90,8 @@
 	return true
 }
 
-// FinalReports returns what an ended incarnation has reported to a witness, and makes it refuse further reports of that
-// incarnation. The record is empty if the witness is another incarnation than this.
+// FinalReports returns what an ended incarnation has reported to this one, and makes this one refuse further reports of it.
+// If witness is another incarnation than this one, it does nothing and returns an empty record.
 func (p *Planner) FinalReports(witness, ended masticway.Incarnation) WitnessRecord {
 	if witness != p.settings.Incarnation {
 		return WitnessRecord{}
@@ -94,8 +102,8 @@
 	return WitnessRecord{IsNamedWitness: true, Reported: maps.Clone(record.reported)}
 }
 
-// chooseWitnesses returns the routers that follow this one in the circular order of incarnations, which spreads the load
-// evenly.
+// chooseWitnesses returns the witnesses for the next checkpoint: the routers that follow this one in the circular order of
+// incarnations. This spreads the reports evenly over the routers.
 func (p *Planner) chooseWitnesses() []Witness {
 	var others []Witness
 	for _, o := range p.peers {
@@ -105,7 +113,7 @@
 	return others[:min(len(others), maxWitnesses)]
 }
 
-// compareCircular compares incarnations in the circular order in which the one after begin is the first.
+// compareCircular compares x and y in the circular order of incarnations that starts right after begin.
 func compareCircular(begin, x, y masticway.Incarnation) int {
 	if (x > begin) != (y > begin) {
 		if x > begin {
@@ -116,14 +124,15 @@
 	return cmp.Compare(x, y)
 }
 
-// isCheckpointLate reports whether the store fails or has not answered a checkpoint for slowStoreLatency, so that what waits
-// for the checkpoint must be reported to witnesses.
+// isCheckpointLate reports whether the store fails, or has not answered a checkpoint for longer than slowStoreLatency. Holds
+// that wait for the checkpoint are then reported to witnesses.
 func (p *Planner) isCheckpointLate(now time.Time) bool {
 	return !p.failingSince.IsZero() || p.checkpointInFlight && now.Sub(p.checkpointSentAt) > slowStoreLatency
 }
 
-// unclearedTaken returns what to report, by workspace: the amount taken, as far as acknowledged reports can clear it, of each
-// workspace that has holds waiting for clearance and whose spend limits do not cover that amount now.
+// unclearedTaken returns what to report to witnesses, by workspace: the amount taken, but at most what acknowledgements can
+// clear now (expectedLimit). It leaves out workspaces without holds that wait for clearance, and those whose amount can be
+// cleared now without more acknowledgements.
 func (p *Planner) unclearedTaken(now time.Time) map[string]int64 {
 	taken := map[string]int64{}
 	for workspace, a := range p.accounts {
@@ -135,8 +144,8 @@
 	return taken
 }
 
-// DueReports returns the reports to send now, for holds that wait for clearance while the store is late, and counts them as
-// in flight until CompleteReport. Each witness gets one at a time.
+// DueReports returns the reports to send to witnesses now, and counts them as in flight until CompleteReport. Reports are
+// due if holds wait for clearance and a checkpoint is late. Each witness gets one report at a time.
 func (p *Planner) DueReports(now time.Time) []SpendReport {
 	var taken map[string]int64
 	if p.isCheckpointLate(now) {
@@ -163,7 +172,7 @@
 	return due
 }
 
-// currentWitnesses lists the witnesses of all checkpoints that the store may have.
+// currentWitnesses lists the witnesses of all checkpoints in force, each witness once.
 func (p *Planner) currentWitnesses() []Witness {
 	var all []Witness
 	for _, f := range p.limitsInForce {
@@ -176,14 +185,15 @@
 	return all
 }
 
-// CompleteReport records whether a witness has accepted a report, and returns the replies that result.
+// CompleteReport records whether a witness has accepted a report. It returns the replies to requests and holds that can be
+// answered now.
 func (p *Planner) CompleteReport(now time.Time, s SpendReport, accepted bool) []Reply {
 	delete(p.reportsInFlight, s.Witness)
 	if !accepted {
 		return nil
 	}
 	for _, f := range p.limitsInForce {
-		// The report says nothing about checkpoints that were sent after it was made.
+		// The report does not count for checkpoints that were sent after it was made.
 		if f.sequence <= s.NewestCheckpoint {
 			f.recordAck(s)
 		}
@@ -194,7 +204,8 @@
 	return p.ServeQueues(now)
 }
 
-// recordAck records what a router has acknowledged, if it is a witness of the checkpoint.
+// recordAck records that the recipient of an accepted report has acknowledged its amounts, if the recipient is a witness of
+// the checkpoint.
 func (f checkpointLimits) recordAck(s SpendReport) {
 	if !slices.ContainsFunc(f.witnesses, func(w Witness) bool { return w.Incarnation == s.Witness }) {
 		return
@@ -209,7 +220,8 @@
 	}
 }
 
-// quorumTaken returns the amount of a workspace that a quorum of the checkpoint's witnesses has acknowledged.
+// quorumTaken returns the largest amount of a workspace that a quorum of the checkpoint's witnesses has acknowledged; zero
+// if there is none.
 func (f checkpointLimits) quorumTaken(workspace string) int64 {
 	var amounts []int64
 	for _, acked := range f.acked {
@@ -226,7 +238,7 @@
 // quorum returns how many of a checkpoint's witnesses must acknowledge an amount before it is cleared.
 func quorum(witnesses int) int { return witnesses/2 + 1 }
 
-// isCovered reports whether the spend limits in force now let all amounts of a report be cleared.
+// isCovered reports whether all amounts of a report may be cleared now.
 func (p *Planner) isCovered(now time.Time, s SpendReport) bool {
 	for workspace, amount := range s.Taken {
 		if a, ok := p.accounts[workspace]; ok && p.currentLimit(now, a) < amount {
@@ -236,13 +248,14 @@
 	return true
 }
 
-// areReportsUnacked reports whether reports have lacked a quorum for longer than unackedTimeout.
+// areReportsUnacked reports whether reports that were due have lacked the acknowledgement of a quorum for longer than
+// unackedTimeout.
 func (p *Planner) areReportsUnacked(now time.Time) bool {
 	return !p.unackedSince.IsZero() && now.Sub(p.unackedSince) > unackedTimeout
 }
 
-// HasQuorum reports whether so many of the named witnesses have answered that for whatever was cleared by a quorum's
-// acknowledgement, at least one of them has acknowledged it.
+// HasQuorum reports whether enough of an ended incarnation's witnesses have answered. Enough means that any quorum of the
+// witnesses includes one that has answered: whatever a quorum has acknowledged, at least one of the records then has it.
 func (e EndedIncarnation) HasQuorum(records []WitnessRecord) bool {
 	answered := 0
 	for _, r := range records {
@@ -253,9 +266,10 @@
 	return answered > len(e.Witnesses)-quorum(len(e.Witnesses))
 }
 
-// PresumedSpent returns the most that an ended incarnation can have spent, by workspace. If it had witnesses and enough of
-// them have answered, that is what its last checkpoint allows without witnesses, or what they remember if that is more; else
-// it is all that its limits allow. Reports made before its last checkpoint are covered by that.
+// PresumedSpent returns the most that an ended incarnation can have spent, by workspace. If it had no witnesses or too few
+// of them have answered, that is all that its spend limits allowed (MaxSpent). Otherwise it is what the spend limits allowed
+// without witnesses (MaxUnwitnessed), or the amount in the records if that is more. Reports made before its last checkpoint
+// are ignored, because the checkpoint covers them.
 func (e EndedIncarnation) PresumedSpent(records []WitnessRecord) map[string]int64 {
 	if len(e.Witnesses) == 0 || !e.HasQuorum(records) {
 		return e.MaxSpent
