--- a/batcher/batcher.go
+++ b/batcher/batcher.go
@@ -28,8 +28,8 @@
 	dropped      int64
 }
 
-// New returns an empty Batcher. The names of its objects begin with prefix. While limit records have not been written yet,
-// further ones are dropped and counted.
+// New returns an empty Batcher for the records of owner. The names of its objects begin with prefix. While limit records
+// have not been written yet, Add drops further ones and counts them.
 func New[T any](prefix string, owner masticway.Incarnation, limit int) *Batcher[T] {
 	return &Batcher[T]{prefix: prefix, owner: string(owner), maxPending: limit}
 }
--- a/biller/biller.go
+++ b/biller/biller.go
@@ -27,7 +27,7 @@
 const (
 	// KindFinal is for a request that was answered.
 	KindFinal Kind = "final"
-	// KindPart is for work on a part of an answer that was then continued under another hold.
+	// KindPart is for the work on a part of an answer if the rest was produced under another hold.
 	KindPart Kind = "part"
 	// KindSuperseded is for work whose answer was not used because the request was run again elsewhere. The cost is
 	// refunded.
@@ -62,7 +62,7 @@
 // the batches of recent hours.
 func Bucket(now time.Time) string { return now.UTC().Format("2006010215") + "/" }
 
-// Refund is money to return for a double or superseded bill.
+// Refund is an amount to return to a budget for a double or superseded bill (see Auditor).
 type Refund struct {
 	Budget   string
 	Identity masticway.Identity
--- a/treasurer/borrowers.go
+++ b/treasurer/borrowers.go
@@ -8,30 +8,32 @@
 )
 
 const (
-	// loanRecordTTL is how long a lender remembers a loan request at least: longer than a borrower tries to cancel a request
-	// whose response was lost.
+	// loanRecordTTL is how long a lender remembers a loan request at least. It must be longer than a borrower tries to
+	// cancel a request without a response.
 	loanRecordTTL = 10 * time.Second
-	// messageNumberWindow is how far the number of a repayment may lag behind the borrower's newest and still be accepted;
-	// concurrent messages overtake each other by a few dozen.
+	// messageNumberWindow is how far the number of a repayment may lag behind the highest number from its borrower and still
+	// be accepted. Concurrent messages overtake each other by a few dozen.
 	messageNumberWindow = 1024
 )
 
-// loanRecord is a lender's record of one loan request; amount is what was held for it.
+// loanRecord is a lender's record of one loan request. at is when it arrived, or when its cancellation did if that came
+// first. amount is what was held for it.
 type loanRecord struct {
 	at     time.Time
 	amount int64
-	// lent is set once the tokens were handed over, canceled once the borrower has canceled the request.
+	// lent is set once the tokens were handed over. canceled is set once the borrower has canceled the request.
 	lent     bool
 	canceled bool
 }
 
-// borrowerState is what a lender remembers of one borrower: the numbers of its repayments, and its loan requests by number.
+// borrowerState is what a lender remembers of one borrower: the numbers of its repayments, and the records of its loan
+// requests by number.
 type borrowerState struct {
 	repayments numberSet
 	loans      map[int64]*loanRecord
 }
 
-// borrower returns the state of one borrower, which it creates for a new one.
+// borrower returns the state of one borrower. It creates the state if there is none.
 func (p *Planner) borrower(i masticway.Incarnation) *borrowerState {
 	m, ok := p.borrowers[i]
 	if !ok {
@@ -46,7 +48,8 @@
 	maps.DeleteFunc(m.loans, func(_ int64, loan *loanRecord) bool { return now.Sub(loan.at) > loanRecordTTL })
 }
 
-// cancel marks a loan request as canceled and returns what was handed over for it, zero if it was canceled before.
+// cancel marks a loan request as canceled. It returns how many tokens were handed over for the request, or zero if it was
+// canceled already.
 func (m *borrowerState) cancel(now time.Time, number int64) int64 {
 	loan, known := m.loans[number]
 	if !known {
@@ -62,13 +65,15 @@
 	return loan.amount
 }
 
-// numberSet is a set of message numbers, which may arrive in any order.
+// numberSet is a set of message numbers, which may arrive in any order. It may forget numbers that lag behind the highest by
+// messageNumberWindow or more.
 type numberSet struct {
 	newest int64
 	seen   map[int64]struct{}
 }
 
-// add adds a number and reports whether it is new; one that is too old to be remembered counts as not new.
+// add adds a number and reports whether it is new. A number that lags behind the highest by messageNumberWindow or more
+// counts as not new.
 func (n *numberSet) add(number int64) bool {
 	if _, again := n.seen[number]; again || number <= n.newest-messageNumberWindow {
 		return false
--- a/treasurer/concentration.go
+++ b/treasurer/concentration.go
@@ -2,28 +2,33 @@
 
 import "time"
 
-// These constants are policy: when a router that is not a holder of a workspace draws its own grant because demand is
-// concentrated there.
+// These constants are policy: when a router that is not a candidate for a holder of a workspace still draws its own grant,
+// because demand is concentrated at it.
 const (
-	// concentratedRate is how many requests a second of a workspace must arrive at a router before it draws a grant for them,
-	// so that a router with little traffic of many workspaces does not hold grants of all of them.
+	// concentratedRate is the minimum rate at which requests of a workspace must arrive at a router before it draws a grant
+	// for them, in requests a second. Without it, a router with little traffic of many workspaces would hold grants of all
+	// of them.
 	concentratedRate = 3.0
-	// dispersedFactor is the fraction of both thresholds (concentratedRate and the share of all demand that one of the
-	// candidates would have on average) below which the router stops drawing; it leaves a margin because demand is bursty.
+	// dispersedFactor is the fraction of both thresholds below which a router stops drawing the grant. The thresholds are
+	// concentratedRate, and the share of all demand that each candidate would have on average. The margin is needed because
+	// demand is bursty.
 	dispersedFactor = 0.5
 )
 
-// updateConcentration updates whether a workspace's demand is concentrated at this router: whether many of its requests, and
-// at least one candidate's average share of its demand, arrive here. Such a router holds a grant although it is not one of
-// the holders: what it would borrow arrives over the same network link as its callers' requests, and late if these saturate
-// it. Other routers need not know, because tokens are only ever spent from a grant or a loan.
+// updateConcentration updates whether a workspace's demand is concentrated at this router. It is if enough of its requests
+// arrive here (concentratedRate) and they are at least the average share that one candidate would have. The router must not
+// be a candidate itself, and the budget must not be low.
+//
+// A router with concentrated demand draws its own grant. If it borrowed, the loans would arrive over the network link of its
+// callers' requests, and late if these saturate the link. Other routers need not know, because tokens are only ever spent
+// from a grant or a loan.
 func (p *Planner) updateConcentration(now time.Time, a *account) {
 	if a.arrivals.sum == 0 {
 		return
 	}
 	p.holderCandidates(a)
 	if a.rank >= 0 || now.Sub(p.startedAt) < startupGrace {
-		// Where many routers start together, the first ones receive the traffic of all.
+		// If many routers start together, the first ones receive the traffic of all.
 		a.concentrated = false
 		return
 	}
@@ -37,7 +42,8 @@
 	a.concentrated = a.arrivals.rate >= minRate && own >= minShare*all && !p.isBudgetLow(a)
 }
 
-// isBudgetLow reports whether too little of a workspace's budget is left for all of its candidates to hold some.
+// isBudgetLow reports whether so little of a workspace's budget is left that not all of its candidates are holders. It
+// returns false while the row is not known.
 func (p *Planner) isBudgetLow(a *account) bool {
 	return a.rowKnown && len(p.holders(a)) < len(p.holderCandidates(a))
 }
--- a/treasurer/demand.go
+++ b/treasurer/demand.go
@@ -6,29 +6,30 @@
 )
 
 const (
-	// demandWindow is the time constant of the moving averages of demand.
+	// demandWindow is the time constant of the moving averages of rates: after it, an amount's weight has fallen to 1/e.
 	demandWindow = 4 * time.Second
-	// minObservedSpan is the minimum time over which the first demand is averaged.
+	// minObservedSpan is the minimum time over which the first amounts of an average are spread. Without it, the first
+	// request would count as a very high rate.
 	minObservedSpan = 1500 * time.Millisecond
 )
 
-// average is an exponentially decaying mean of amounts a second.
+// average is an exponentially decaying mean rate, of amounts that are added one by one.
 type average struct {
-	// rate is the mean a second as of the last update; sum is the sum of the amounts, each reduced by its age.
+	// rate is the mean amount in a second as of the last update. sum is the sum of the amounts, each weighted by its age.
 	rate      float64
 	sum       float64
 	updatedAt time.Time
-	// firstAt is when the first amount was added; it corrects the initial bias of the average.
+	// firstAt is when the first amount was added. With it, decay corrects the initial bias of the average.
 	firstAt time.Time
 }
 
-// decay reduces the weight of earlier amounts and updates the rate.
+// decay reduces the weight of the amounts by the time since the last update, and updates the rate.
 func (m *average) decay(now time.Time) {
 	if elapsed := now.Sub(m.updatedAt); elapsed > 0 {
 		m.sum *= math.Exp(-elapsed.Seconds() / demandWindow.Seconds())
 	}
 	m.updatedAt = now
-	// At first the sum covers less than the whole window.
+	// At first the sum covers less time than the whole window, so it is divided by less.
 	observed := max(minObservedSpan, now.Sub(m.firstAt))
 	m.rate = m.sum / (demandWindow.Seconds() * (1 - math.Exp(-observed.Seconds()/demandWindow.Seconds())))
 }
@@ -43,7 +44,7 @@
 	m.decay(now)
 }
 
-// observeDemand adds to the demand the most that a request may use.
+// observeDemand adds to the demand what a request needs, and updates the typical need.
 func (a *account) observeDemand(now time.Time, need int64) {
 	a.demand.add(now, float64(need))
 	if a.typicalNeed == 0 {
--- a/treasurer/holders.go
+++ b/treasurer/holders.go
@@ -25,7 +25,7 @@
 	// thirty routers cost 1% of all budgets.
 	lendBurstFactor = 2.0
 	// initialReserveShare is the fraction of the ungranted tokens and its own free ones that a holder keeps in reserve even
-	// without demand.
+	// without demand. It is also the fraction of a reserve that earlyLimit allows without demand.
 	initialReserveShare = 0.01
 	// unresponsiveTTL is how long a router that left a loan request unanswered is asked only after all other lenders of a
 	// round.
@@ -121,7 +121,7 @@
 }
 
 // isHolder reports whether this router is one of a workspace's holders. It returns false for a router without peers, because
-// nobody borrows from it.
+// there is no other router to borrow from it.
 func (p *Planner) isHolder(a *account) bool {
 	if len(p.peers) == 0 {
 		return false
--- a/treasurer/holds.go
+++ b/treasurer/holds.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// hold is what was reserved for one request, or for a loan to another router: an amount of the router's own grant, and loans.
-// It is cleared once the response may be sent or the loan handed over.
+// hold is what was reserved for a request, or for a loan to another router: an amount of this router's grant, and borrowed
+// loans. It is cleared once the response may be sent or the loan may be handed over.
 type hold struct {
 	account *account
 	amount  int64
@@ -14,8 +14,8 @@
 	cleared bool
 }
 
-// settle returns what was not used, where loans count as used first; what was used beyond the hold is ignored. Nothing can
-// have been used of a hold that is not cleared.
+// settle gives back to the account what was not used of the hold. Loans count as used first. The part of used that exceeds
+// the hold is ignored. If the hold is not cleared, nothing counts as used.
 func (h hold) settle(used int64) {
 	if !h.cleared {
 		used = 0
@@ -33,8 +33,8 @@
 	}
 }
 
-// Hold reserves tokens for one request, or queues it until its deadline. The replies may include others of the workspace. The
-// verdict is unreachable for a workspace without a budget.
+// Hold reserves tokens for a request, or queues the request until its deadline. The replies may include replies to other
+// requests and holds of the workspace. For a workspace without a budget the verdict is VerdictUnreachable.
 func (p *Planner) Hold(now time.Time, workspace string, need int64, deadline time.Time) (HoldID, []Reply) {
 	p.lastHold++
 	id := p.lastHold
@@ -48,7 +48,8 @@
 	return id, p.serveQueue(now, a)
 }
 
-// Settle ends a hold of which the given amount was used. If there is no such hold, it only drops the request if that waits.
+// Settle ends a hold. used is how many of its tokens were used; the others are free again. If there is no such hold but the
+// request still waits, the request is dropped.
 func (p *Planner) Settle(now time.Time, id HoldID, used int64) []Reply {
 	h, ok := p.holds[id]
 	if !ok {
@@ -61,8 +62,8 @@
 	return p.serveQueue(now, h.account)
 }
 
-// Clear asks for clearance of a hold, and gets no reply if there is no such hold. No part of the response may be sent before
-// a reply with VerdictCleared.
+// Clear asks for clearance of a hold. No part of the response may be sent before a reply with VerdictCleared, which a later
+// call of the planner may return. If there is no such hold, there is never a reply.
 func (p *Planner) Clear(now time.Time, id HoldID) []Reply {
 	h, ok := p.holds[id]
 	if !ok {
@@ -72,8 +73,8 @@
 	return p.clearHolds(now, h.account)
 }
 
-// clearHolds clears the holds that ask for it, as far as all spend limits in force allow; a small one does not wait behind a
-// large one.
+// clearHolds clears the holds of a workspace that wait for clearance, as far as currentLimit allows. A hold that does not
+// fit does not stop smaller ones behind it.
 func (p *Planner) clearHolds(now time.Time, a *account) []Reply {
 	var replies []Reply
 	var blocked []HoldID
@@ -93,14 +94,15 @@
 	return replies
 }
 
-// dropWaiter removes a request that has stopped waiting.
+// dropWaiter removes a request from its queue, if it is there.
 func (p *Planner) dropWaiter(id HoldID) {
 	for _, a := range p.accounts {
 		a.waiting = slices.DeleteFunc(a.waiting, func(w waiter) bool { return w.id == id })
 	}
 }
 
-// serveQueue clears holds, and answers waiting requests in order until one must go on waiting.
+// serveQueue clears the holds of a workspace that can be cleared. Then it answers the waiting requests in order, until it
+// meets one that must go on waiting.
 func (p *Planner) serveQueue(now time.Time, a *account) []Reply {
 	replies := p.clearHolds(now, a)
 	for len(a.waiting) > 0 {
@@ -123,7 +125,7 @@
 	return replies
 }
 
-// decide returns the verdict on a waiting request, and false if it must go on waiting.
+// decide returns the verdict on a waiting request and true. It returns false if the request must go on waiting.
 func (p *Planner) decide(now time.Time, a *account, w waiter) (Verdict, bool) {
 	if w.need <= p.available(now, a)+a.loanBalance() {
 		return VerdictHeld, true
@@ -143,8 +145,9 @@
 	return p.decideUnreachable(now, a, w)
 }
 
-// decideUnreachable ends a wait that is over or pointless. While the store is unavailable a router with its own grant has
-// nothing to wait for, but what holders may lend to others grows with time.
+// decideUnreachable returns VerdictUnreachable and true if the request's deadline has passed, or if waiting is pointless.
+// Waiting is pointless at a router that draws its own grant while the store is unavailable. It is not at a router that
+// borrows from holders: what they may lend grows with time.
 func (p *Planner) decideUnreachable(now time.Time, a *account, w waiter) (Verdict, bool) {
 	if p.isStoreUnavailable(now) && !p.borrowsFromHolders(now, a) || !now.Before(w.deadline) {
 		return VerdictUnreachable, true
@@ -152,8 +155,8 @@
 	return "", false
 }
 
-// exceedsBudget reports whether, by the known row, a need exceeds what is ungranted and what this router has free or
-// borrowed. It returns false while the outcome of a change of the grant is unknown.
+// exceedsBudget reports whether a need exceeds what is ungranted plus what this router has free in its grant or borrowed, as
+// far as the known row shows. It returns false while a change of the grant is in flight or of unknown outcome.
 func (p *Planner) exceedsBudget(a *account, need int64) bool {
 	return need > a.ungranted()+max(0, a.free())+a.loanBalance() && a.isGrantKnown()
 }
--- a/treasurer/lending.go
+++ b/treasurer/lending.go
@@ -6,8 +6,8 @@
 	"github.com/sirupsen/logrus"
 )
 
-// borrow asks the lenders of a round one after the other, until the need is met or all were asked, and passes the loans to
-// the planner. A lender that does not answer is told in the background to cancel the request.
+// borrow asks the lenders of a round one after the other, until the need is met or all were asked. It passes the loans to
+// the planner. If a lender does not answer, the request to it is canceled in the background.
 func (t *Treasurer) borrow(ctx context.Context, r BorrowRound) {
 	var loans []Loan
 	need := r.Need
@@ -42,7 +42,8 @@
 	t.deliver(t.planner.CompleteBorrowRound(t.clock.Now(), r, loans, unanswered))
 }
 
-// cancelRequest has a lender whose response did not arrive take back what it may have lent. It does not wait for that.
+// cancelRequest makes a lender take back what it may have lent for a request without a response. It does not wait until the
+// lender has done so.
 func (t *Treasurer) cancelRequest(ctx context.Context, r BorrowRound, l Witness) {
 	t.metrics.Add(metricUnanswered, 1)
 	t.mu.Lock()
@@ -51,8 +52,8 @@
 	t.tasks.Go(func() { t.repay(ctx, unanswered) })
 }
 
-// repay returns a loan or cancels a request. If the lender does not answer any of maxRepayAttempts attempts, the tokens
-// remain counted as taken there.
+// repay sends a repayment, which returns a loan or cancels a request, until the lender confirms it. It gives up after
+// maxRepayAttempts attempts or once the context is done; the tokens then remain counted as taken at the lender.
 func (t *Treasurer) repay(ctx context.Context, r Repayment) {
 	for range maxRepayAttempts {
 		callCtx, cancel := context.WithTimeout(ctx, repayTimeout)
@@ -70,8 +71,8 @@
 	t.log.WithFields(logrus.Fields{"event": "not_repaid", "lender": r.Lender, "workspace": r.Workspace, "amount": r.Amount}).Warn("loan not repaid")
 }
 
-// Lend takes tokens out of this router's grant for another router and returns how many, after it has waited until they are
-// cleared. It lends nothing and returns zero if too little may be taken, the borrower has canceled the request, or clearance
+// Lend lends tokens of this router's grant to another router, and returns how many. It waits until the tokens are cleared.
+// It lends nothing and returns zero if too little is available, if the borrower has canceled the request, or if clearance
 // takes longer than clearTimeout or the context allows.
 func (t *Treasurer) Lend(ctx context.Context, request LoanRequest) int64 {
 	t.mu.Lock()
@@ -99,7 +100,7 @@
 	return amount
 }
 
-// AcceptRepayment takes back what another router has not used of a loan.
+// AcceptRepayment takes back what another router has not used of a loan, or what was lent for a request that it cancels.
 func (t *Treasurer) AcceptRepayment(r Repayment) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/treasurer/loans.go
+++ b/treasurer/loans.go
@@ -18,7 +18,8 @@
 	// borrowerBackoff is how long a router that keeps no reserve starts no borrow round after one that returned too little.
 	// A holder makes the two calls to the store that it needs for more tokens in about that time.
 	borrowerBackoff = 40 * time.Millisecond
-	// idleLoanTTL is how long a loan may remain unused before it is repaid.
+	// idleLoanTTL is how long unused loans are kept after the last borrow round for the workspace ended. Then they are
+	// repaid, unless requests wait for tokens.
 	idleLoanTTL = time.Second
 	// minLoanDivisor is the divisor of the requested amount for the smallest loan.
 	minLoanDivisor = 4
@@ -187,7 +188,7 @@
 	}
 	borrower := p.borrower(request.Borrower)
 	if _, known := borrower.loans[request.Number]; known {
-		// The borrower has canceled the request, or this is a duplicate.
+		// The borrower has canceled the request already, or this is a duplicate of it.
 		return 0, 0
 	}
 	a.observeDemand(now, request.Need)
--- a/treasurer/plan.go
+++ b/treasurer/plan.go
@@ -199,7 +199,7 @@
 // half of the reserve is free just before the grant grows again.
 func (p *Planner) earlyLimit(a *account) int64 {
 	reserve := max(float64(a.free()), p.holderShare(a))
-	// Without demand, a fraction of the reserve is allowed.
+	// Without demand, the fraction initialReserveShare of the reserve is allowed.
 	span := max(a.demand.rate*outageThreshold.Seconds(), initialReserveShare*reserve)
 	return int64(min(span, p.settings.EarlyShare*reserve))
 }
--- a/treasurer/presence.go
+++ b/treasurer/presence.go
@@ -13,40 +13,44 @@
 	"github.com/masticway/masticway"
 )
 
-// These constants are policy: which routers count as running, among which budgets and retries are shared.
+// These constants are policy: which routers count as running. The budgets' reserves and the retries are shared among the
+// routers that count.
 const (
-	// presenceTTL plus the time since this router last counted is the maximum age of a presence that counts. After an outage
-	// all presences are old, and routers that believed to be the only ones would each use the retries meant for all. Where
-	// presences are written less often, presenceTTLIntervals times their interval replaces presenceTTL.
+	// presenceTTL plus the time since this router last counted is the maximum age of a presence for its router to count as
+	// running. That time is added because all presences are old after an outage: routers that count only themselves would
+	// each use the retries meant for all. presenceTTLIntervals times presenceInterval replaces presenceTTL if it is longer.
 	presenceTTL          = 12 * time.Second
 	presenceTTLIntervals = 4
 )
 
 // These constants bound how often presences are read and written.
 const (
-	// initialPresenceInterval is the interval between writes of a router's presence after its start, when most routers may be
-	// starting too; it doubles up to presenceInterval.
+	// initialPresenceInterval is the mean interval between writes of a router's presence right after its start, when most
+	// other routers may be starting too. It doubles with each attempt up to presenceInterval.
 	initialPresenceInterval = 300 * time.Millisecond
-	// basePresenceInterval is how often each router writes its presence in a small fleet, presenceIntervalPerRouter what each
-	// router contributes to the interval in a large one. All presences are in one part of the store, which takes 200 writes a
-	// second; with this interval they use half of that for any number of routers.
+	// basePresenceInterval is how often each router writes its presence in a small fleet. presenceIntervalPerRouter times
+	// the number of routers is how often in a fleet for which that is longer. All presences are in one part of the store,
+	// which takes 200 writes a second. In a large fleet the writes of presences use half of that, whatever the number of
+	// routers.
 	basePresenceInterval      = 3 * time.Second
 	presenceIntervalPerRouter = 10 * time.Millisecond
-	// maxCountRate bounds the mean rate at which a router reads all presences, in bytes a second.
+	// maxCountRate is the maximum mean rate at which a router reads all presences in order to count the routers, in bytes a
+	// second.
 	maxCountRate = 4 << 10
 )
 
-// presenceInterval returns how often each of the given number of routers writes its presence.
+// presenceInterval returns how often each router writes its presence in a fleet of the given number of routers.
 func presenceInterval(routers int) time.Duration {
 	return max(basePresenceInterval, time.Duration(routers)*presenceIntervalPerRouter)
 }
 
-// maintainPresence keeps this router's presence and the count of routers up to date until the context is done.
+// maintainPresence keeps this router's presence and its count of the routers up to date until the context is done. It also
+// logs the status.
 func (t *Treasurer) maintainPresence(ctx context.Context) {
 	interval := initialPresenceInterval
 	for ctx.Err() == nil {
 		t.logStatus()
-		// The jitter keeps routers that were refused at the same time from retrying at the same time.
+		// The jitter keeps routers that the store refused at the same time from trying again at the same time.
 		t.sleep(ctx, interval/2+rand.N(interval))
 		if t.refreshPresence(ctx) {
 			interval = min(2*interval, presenceInterval(t.Members()))
@@ -56,8 +60,8 @@
 	}
 }
 
-// refreshPresence writes this router's presence, and counts all routers first if that is due. It reports whether it
-// succeeded.
+// refreshPresence writes this router's presence. If a count is due, it counts all routers first. It reports whether all of
+// this succeeded.
 func (t *Treasurer) refreshPresence(ctx context.Context) bool {
 	if t.isCountDue() {
 		return t.tryCount(ctx)
@@ -69,7 +73,8 @@
 	return err == nil
 }
 
-// isCountDue reports whether all presences must be read again; the larger they are, the less often that is.
+// isCountDue reports whether the routers must be counted again. The interval between counts grows with the size of all
+// presences, so that reading them stays within maxCountRate.
 func (t *Treasurer) isCountDue() bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -77,7 +82,7 @@
 	return t.countedAt.IsZero() || t.clock.Now().Sub(t.countedAt) >= interval
 }
 
-// tryCount counts the routers and writes this one's presence. It reports whether both succeeded.
+// tryCount counts the routers and writes this router's presence. It reports whether both succeeded.
 func (t *Treasurer) tryCount(ctx context.Context) bool {
 	_, err := t.countRouters(ctx)
 	if err != nil {
@@ -86,8 +91,9 @@
 	return err == nil
 }
 
-// countRouters counts the routers whose presences are recent, including this one, passes them to the planner, and writes this
-// router's presence. Routers without an address count but are no peers. The count is valid even if the write fails.
+// countRouters counts the routers with recent presences, including this one, passes the count and the peers to the planner,
+// and writes this router's presence. A router without an address counts but is no peer. If only the write fails, the count
+// is valid although there is an error.
 func (t *Treasurer) countRouters(ctx context.Context) (int, error) {
 	reading, err := t.store.Read(ctx, tableRouters, routersPart)
 	if err != nil {
@@ -141,16 +147,16 @@
 	return t.clock.Now().Sub(t.countedAt)
 }
 
-// presenceRow is what is known of this router's own row.
+// presenceRow is what is known of the row of this router's own presence.
 type presenceRow struct {
 	version int64
-	// storeTime was the store's clock when this router's clock was readAt, or slightly before.
+	// storeTime is the store's clock at about the time readAt of this router's clock, or slightly before it.
 	storeTime time.Duration
 	readAt    time.Time
 }
 
-// writePresence writes this router's presence. It returns nil after a conflict too, although the presence is then written
-// only by the next call.
+// writePresence writes this router's presence. After a conflict it returns nil although it has written nothing: the next
+// call expects the right version.
 func (t *Treasurer) writePresence(ctx context.Context) error {
 	t.mu.Lock()
 	row := t.presence
@@ -162,8 +168,8 @@
 		Puts:     []masticway.RowPut{{RowKey: key, Value: encode(Presence{Incarnation: t.self, Address: t.address, Zone: t.zone, Processors: t.processors, StoreTime: storeTime})}},
 	})
 	if conflict, ok := errors.AsType[*masticway.RowConflictError](err); ok {
-		// Either an earlier write of unknown outcome was made, or a predecessor's row was not read. The next write expects
-		// the version that is there.
+		// Either an earlier write of unknown outcome was made, or the row was not seen at the last count. The next write
+		// expects the version that the store has.
 		t.setPresenceVersion(versionOf(conflict.Rows, key))
 		return nil
 	}
@@ -179,7 +185,8 @@
 	t.presence.version = version
 }
 
-// versionOf returns the version of a row among those returned with a conflict, zero if it is not among them.
+// versionOf returns the version of the row with the given key among rows that a conflict returned. It returns zero if the
+// row is missing or deleted.
 func versionOf(rows []masticway.StoredRow, key masticway.RowKey) int64 {
 	for _, r := range rows {
 		if r.RowKey == key && !r.Deleted {
--- a/treasurer/reports.go
+++ b/treasurer/reports.go
@@ -12,14 +12,14 @@
 const (
 	// reportTimeout bounds one report to a witness; it is many times the latency between availability zones.
 	reportTimeout = 150 * time.Millisecond
-	// witnessTimeout bounds one call to a witness for its record, maxWitnessAttempts the number of attempts. Until they are
-	// over the predecessor's grants stay open; a witness that is being restarted answers within about a second that it has
-	// no record.
+	// witnessTimeout bounds one call that asks a witness for its record. maxWitnessAttempts is the maximum number of these
+	// calls to one witness. The predecessor's grants stay open until they are over. A witness that is being restarted
+	// answers within about a second, by then without a record.
 	witnessTimeout     = 300 * time.Millisecond
 	maxWitnessAttempts = 3
 )
 
-// sendReport sends one report to one witness.
+// sendReport sends one report to one witness and passes the answer to the planner.
 func (t *Treasurer) sendReport(ctx context.Context, s SpendReport) {
 	callCtx, cancel := context.WithTimeout(ctx, reportTimeout)
 	defer cancel()
@@ -33,28 +33,29 @@
 	t.deliver(t.planner.CompleteReport(t.clock.Now(), s, accepted))
 }
 
-// AcceptReport records another router's report as its witness and returns true, unless a successor of the sender has asked
-// for its reports, the report is for another incarnation, or this router is sealed.
+// AcceptReport records another router's report, as its witness, and returns true. It returns false, without recording it, if
+// a successor of the sender has asked for the record, if the report is meant for another incarnation than this one, or if
+// this router is sealed.
 func (t *Treasurer) AcceptReport(s SpendReport) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return !t.sealed && t.planner.AcceptReport(s)
 }
 
-// FinalReports returns what an ended incarnation has reported to this router, which accepts no further reports of it. The
-// record is empty if the witness is another incarnation or this router is sealed.
+// FinalReports returns what an ended incarnation has reported to this one, and makes this one refuse further reports of it.
+// If witness is another incarnation than this one or this router is sealed, it returns an empty record.
 func (t *Treasurer) FinalReports(witness, ended masticway.Incarnation) WitnessRecord {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if t.sealed {
-		// The record went with the planner.
+		// The planner that had the record has been replaced.
 		return WitnessRecord{}
 	}
 	return t.planner.FinalReports(witness, ended)
 }
 
-// presumeSpent returns what a predecessor is presumed to have spent, by workspace: from what its witnesses remember if enough
-// of them answer, else from its spend limits alone.
+// presumeSpent asks a predecessor's witnesses and returns what the predecessor is presumed to have spent, by workspace (see
+// PresumedSpent). It logs and counts what the witnesses' answers saved compared with the spend limits alone.
 func (t *Treasurer) presumeSpent(ctx context.Context, e EndedIncarnation) map[string]int64 {
 	records := t.queryWitnesses(ctx, e)
 	presumedSpent := e.PresumedSpent(records)
@@ -71,8 +72,8 @@
 	return presumedSpent
 }
 
-// queryWitnesses asks the witnesses of an ended incarnation concurrently, until enough of them have answered or all were
-// tried.
+// queryWitnesses asks the witnesses of an ended incarnation concurrently. It returns the records of those that have
+// answered, once there are enough of them (see HasQuorum) or all witnesses were tried.
 func (t *Treasurer) queryWitnesses(ctx context.Context, e EndedIncarnation) []WitnessRecord {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -98,7 +99,7 @@
 	return records
 }
 
-// queryWitness asks one witness, up to maxWitnessAttempts times; it returns false if the witness did not answer.
+// queryWitness asks one witness for its record, up to maxWitnessAttempts times. It returns false if no attempt was answered.
 func (t *Treasurer) queryWitness(ctx context.Context, w Witness, ended masticway.Incarnation) (WitnessRecord, bool) {
 	for range maxWitnessAttempts {
 		callCtx, cancel := context.WithTimeout(ctx, witnessTimeout)
--- a/treasurer/takeover.go
+++ b/treasurer/takeover.go
@@ -13,7 +13,8 @@
 	"github.com/masticway/masticway"
 )
 
-// takeOver takes over the instance's checkpoint; it returns false if the context was done first.
+// takeOver replaces the checkpoint of the instance's previous incarnation, and tries until it succeeds. It returns false if
+// the context is done first.
 func (t *Treasurer) takeOver(ctx context.Context) bool {
 	for ctx.Err() == nil {
 		err := t.tryTakeOver(ctx)
@@ -26,15 +27,15 @@
 	return false
 }
 
-// tryTakeOver reads the instance's checkpoint and replaces it by the first one of this incarnation.
+// tryTakeOver reads the instance's checkpoint and replaces it by the first one of this incarnation. It tries once.
 func (t *Treasurer) tryTakeOver(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	t.mu.Lock()
 	key := t.planner.checkpointKey()
 	t.mu.Unlock()
-	// The store's clock is read after the call is sent, so the start of listening that is computed from it is never too
-	// early.
+	// The store reads its clock after the call is sent. So the time at which listening began, which is computed from that
+	// clock, is never too early.
 	listeningFor := t.clock.Now().Sub(t.listeningAt)
 	row, at, err := t.readRow(ctx, key)
 	if err != nil {
@@ -59,8 +60,8 @@
 	return nil
 }
 
-// closePredecessors closes the grants of this instance's earlier incarnations. Once all are closed, the next checkpoint omits
-// these incarnations.
+// closePredecessors closes the grants of this instance's earlier incarnations. Once all are closed, it makes the next
+// checkpoint omit these incarnations. It returns early if the context is done.
 func (t *Treasurer) closePredecessors(ctx context.Context) {
 	t.mu.Lock()
 	ended := t.planner.Predecessors()
@@ -85,8 +86,9 @@
 	t.mu.Unlock()
 }
 
-// closeGrant closes one grant, trying again after each failure until the context is done. A conflict with a change by another
-// router returns the row, so unless there are too many such changes it need not be read again.
+// closeGrant closes the grant that an ended incarnation has of a workspace. It tries again after each failure until the
+// context is done. A conflict returns the current row, which is used for the next attempt. If the row has contendedGrants or
+// more, it is read again instead, because other routers will have changed it by then.
 func (t *Treasurer) closeGrant(ctx context.Context, ended EndedIncarnation, workspace string, spent int64) {
 	key := accountKey(workspace, t.parts)
 	row, known := masticway.StoredRow{RowKey: key}, false
@@ -113,7 +115,7 @@
 		if conflict, ok := errors.AsType[*masticway.RowConflictError](err); ok && len(conflict.Rows) == 1 {
 			row = conflict.Rows[0]
 			t.sleepForContention(ctx, grants)
-			// With many writers the row will have changed again by now.
+			// Many writers will have changed the row again by now.
 			known = grants < contendedGrants
 			continue
 		}
@@ -122,15 +124,16 @@
 	}
 }
 
-// sleepForContention sleeps for a random part of the time in which the holders of that many grants of a row can each write it
-// twice. Where all of them close grants at once, conflicting writes would exhaust the store's rate.
+// sleepForContention sleeps for a random time of at most closingInterval times the number of grants in a row. In the
+// maximum, each router with a grant can write the row twice. Without the sleep, routers that close grants at the same time
+// would exhaust the store's rate with conflicting writes.
 func (t *Treasurer) sleepForContention(ctx context.Context, grants int) {
 	if span := time.Duration(grants) * closingInterval; span > 0 {
 		t.sleep(ctx, time.Duration(rand.Int64N(int64(span))))
 	}
 }
 
-// readRow reads one row, with version zero if it does not exist, and the store's clock.
+// readRow reads one row and the store's clock. If the row does not exist, it returns one with version zero.
 func (t *Treasurer) readRow(ctx context.Context, key masticway.RowKey) (masticway.StoredRow, time.Duration, error) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
@@ -143,7 +146,7 @@
 	return masticway.StoredRow{RowKey: key}, reading.StoreTime, err
 }
 
-// tryCloseGrant closes one grant in a row that was read.
+// tryCloseGrant writes the given row without the ended incarnation's grant. row must be the row as it was last read.
 func (t *Treasurer) tryCloseGrant(ctx context.Context, row masticway.StoredRow, ended EndedIncarnation, workspace string, spent int64) error {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
--- a/treasurer/treasurer.go
+++ b/treasurer/treasurer.go
@@ -49,7 +49,8 @@
 	watchWait              = 5 * time.Second
 	watchInterval          = 200 * time.Millisecond
 	watchIntervalPerRouter = 6 * time.Millisecond
-	// repayTimeout bounds one attempt to repay a loan or to cancel a loan request, maxRepayAttempts the number of attempts.
+	// repayTimeout bounds one attempt to repay a loan or to cancel a loan request. maxRepayAttempts is the maximum number of
+	// attempts.
 	repayTimeout     = 500 * time.Millisecond
 	maxRepayAttempts = 5
 )
@@ -161,7 +162,7 @@
 	return t.members
 }
 
-// ZonePeers returns the other routers in this one's availability zone that have an address and were running at the last
+// ZonePeers returns the other routers in this router's availability zone that have an address and were running at the last
 // count.
 func (t *Treasurer) ZonePeers() []Peer {
 	t.mu.Lock()
@@ -305,7 +306,8 @@
 	}
 }
 
-// NotifyStoreRecovered lets the treasurer retry a failed checkpoint at once because the store answers again.
+// NotifyStoreRecovered makes the treasurer write the checkpoint at once if an earlier write failed. It is to be called when
+// the store answers again after an outage.
 func (t *Treasurer) NotifyStoreRecovered() {
 	t.mu.Lock()
 	t.planner.RetryCheckpoint()
@@ -313,7 +315,7 @@
 	t.wakeUp()
 }
 
-// wakeUp makes the loop in Run check at once what is due.
+// wakeUp makes the loop in Run check at once which calls are due.
 func (t *Treasurer) wakeUp() {
 	select {
 	case t.wake <- struct{}{}:
--- a/treasurer/watch.go
+++ b/treasurer/watch.go
@@ -11,24 +11,24 @@
 )
 
 const (
-	// maxWatchRate bounds the rate at which a router reads the watch of all accounts, in bytes a second averaged over
+	// maxWatchRate is the maximum rate at which a router reads the watch of all accounts, in bytes a second averaged over
 	// demandWindow. The watch returns every change of every workspace, so in a large fleet each router would read what all
-	// others write. Above this rate a router only polls the parts that have its own workspaces.
+	// others write. A router that exceeds the rate polls only the parts with its own workspaces for watchRetryInterval.
 	maxWatchRate = 60 << 10
-	// maxInitialReads is the number of parts that all routers of a fleet together may read as they start; if there would be
-	// more, a router reads only those with its own workspaces if it has any. It is what the smallest stores answer in two
-	// seconds.
+	// maxInitialReads is the maximum number of reads of parts that all routers of a fleet together make if they start at the
+	// same time. If reading all parts would exceed it, a router reads only the parts with its own workspaces, if it has any.
+	// The smallest stores answer this number of reads in two seconds.
 	maxInitialReads = 4000
-	// partsInterval is how often each of these parts is read, or partsIntervalPerRouter times the number of routers if that
-	// is longer. Meanwhile a holder learns of other routers' changes from the conflicts of its own. watchRetryInterval is how
-	// long until the watch is tried again.
+	// partsInterval is how often a router that polls reads each part with its own workspaces. partsIntervalPerRouter times
+	// the number of routers replaces it if that is longer. Between polls a holder learns of other routers' changes from the
+	// conflicts of its own writes. watchRetryInterval is how long a router polls until it tries the watch again.
 	partsInterval          = 4 * time.Second
 	partsIntervalPerRouter = 30 * time.Millisecond
 	watchRetryInterval     = 2 * time.Minute
 )
 
-// watchAccounts keeps the accounts up to date with other routers' changes, so that reserves shrink in time and returned
-// tokens are found.
+// watchAccounts passes other routers' changes of the accounts to the planner, until the context is done. From them the
+// planner learns that less of a budget is left, or that tokens were returned.
 func (t *Treasurer) watchAccounts(ctx context.Context) {
 	for ctx.Err() == nil {
 		t.watchAllAccounts(ctx)
@@ -37,7 +37,8 @@
 	}
 }
 
-// watchAllAccounts applies the changes of all accounts until the context is done or they exceed maxWatchRate.
+// watchAllAccounts watches the changes of all accounts and applies them. It returns once the context is done or the watch
+// exceeds maxWatchRate.
 func (t *Treasurer) watchAllAccounts(ctx context.Context) {
 	since := int64(0)
 	traffic := average{}
@@ -64,14 +65,14 @@
 	}
 }
 
-// pollOwnParts reads the parts with this router's workspaces in turn, and returns after the first turn that ends at the given
-// time or later, or once the context is done.
+// pollOwnParts reads the parts with this router's workspaces one after the other, and then begins again with the first. It
+// returns once it has read all of them and the time until has come, or once the context is done.
 func (t *Treasurer) pollOwnParts(ctx context.Context, until time.Time) {
 	for ctx.Err() == nil && t.clock.Now().Before(until) {
 		parts := t.ownParts()
 		interval := max(partsInterval, time.Duration(t.Members())*partsIntervalPerRouter)
 		for _, part := range parts {
-			// A failure is logged at the debug level, and the part is read again in the next turn.
+			// runStoreCall logs a failure at the debug level. The part is read again in the next turn.
 			_ = t.runStoreCall(ctx, StoreCall{Part: part, sentAt: t.clock.Now()})
 			t.sleep(ctx, interval/time.Duration(len(parts)))
 		}
@@ -81,8 +82,8 @@
 	}
 }
 
-// initialParts lists the parts to read before the watch starts: all, unless the routers of a large fleet that start
-// together would exceed maxInitialReads.
+// initialParts lists the parts to read before the watch starts: all that have workspaces. If all routers together would
+// exceed maxInitialReads, it is only the parts with this router's own workspaces, if there are any.
 func (t *Treasurer) initialParts() []string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -93,14 +94,14 @@
 	return own
 }
 
-// ownParts lists the parts with workspaces of which this router has a grant or keeps a reserve.
+// ownParts lists the parts with this router's own workspaces: those of which it has a grant or keeps a reserve.
 func (t *Treasurer) ownParts() []string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.planner.ownParts()
 }
 
-// applyChanges passes changed rows to the planner, and seals the treasurer if one cannot be decoded.
+// applyChanges passes changed rows to the planner. It seals the treasurer if a row cannot be decoded.
 func (t *Treasurer) applyChanges(rows []masticway.StoredRow) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -112,8 +113,8 @@
 	t.wakeUp()
 }
 
-// readParts reads some parts of the accounts. The version to watch from is that of the first read, so that no change is
-// missed.
+// readParts reads the given parts of the accounts one after the other. The version that it returns, from which the watch
+// starts, is that of the first read, so that the watch misses no change made during the later reads.
 func (t *Treasurer) readParts(ctx context.Context, parts []string) (masticway.RowReading, error) {
 	var all masticway.RowReading
 	for i, part := range parts {
--- a/treasurer/witness.go
+++ b/treasurer/witness.go
@@ -43,7 +43,7 @@
 	OldestCheckpoint int64            `cbor:"3,keyasint"`
 	NewestCheckpoint int64            `cbor:"4,keyasint"`
 	Taken            map[string]int64 `cbor:"5,keyasint"`
-	// Address is where the witness is reached; it is not sent.
+	// Address is where the witness is reached. It is not part of the message.
 	Address string `cbor:"-"`
 }
 
@@ -82,7 +82,7 @@
 	}
 	maps.DeleteFunc(record.reported, func(_ string, old ReportedSpend) bool { return old.Checkpoint < s.OldestCheckpoint })
 	for workspace, taken := range s.Taken {
-		// Reports may arrive out of order: an older one must not lower the amount or the checkpoint of a newer one.
+		// Reports may arrive out of order: an older report must not lower what a newer one has recorded.
 		old := record.reported[workspace]
 		record.reported[workspace] = ReportedSpend{Taken: max(taken, old.Taken), Checkpoint: max(s.NewestCheckpoint, old.Checkpoint)}
 	}
