--- a/treasurer/planner.go
+++ b/treasurer/planner.go
@@ -174,7 +174,7 @@
 	deadline time.Time
 }
 
-// account is a router's state of one workspace. Amounts are in tokens.
+// account is a router's state of one workspace. Amounts are in tokens. The package comment in doc.go explains the terms.
 type account struct {
 	workspace     string
 	prepaid       int64
@@ -294,8 +294,8 @@
 	acked     map[masticway.Incarnation]map[string]int64
 }
 
-// Planner decides how one incarnation draws grants, holds, borrows, lends and returns tokens. It is not safe for concurrent
-// use.
+// Planner decides how one incarnation draws grants, holds, borrows, lends and returns tokens. The package comment explains
+// these terms. A Planner is not safe for concurrent use.
 type Planner struct {
 	settings Settings
 	accounts map[string]*account
