--- a/router/answers.go
+++ b/router/answers.go
@@ -11,7 +11,7 @@
 	"github.com/masticway/masticway"
 )
 
-// bufferedWriter buffers an answer until it is complete.
+// bufferedWriter collects the text of an answer and sends nothing.
 type bufferedWriter struct {
 	text strings.Builder
 }
@@ -79,7 +79,7 @@
 	w.writeEvent(w.newAnswer("chat.completion.chunk", chatChoice{Delta: delta}, nil))
 }
 
-// startStream writes the header of a streamed answer at its first call.
+// startStream writes the header of a streamed answer. Further calls have no effect.
 func (w *chatWriter) startStream() {
 	if w.started {
 		return
@@ -90,7 +90,8 @@
 	w.to.WriteHeader(http.StatusOK)
 }
 
-// writeEvent writes one event. It ignores write errors, because the request's context shows that the caller has disconnected.
+// writeEvent writes one event of a stream. It ignores write errors, because the end of the request's context shows that the
+// caller has disconnected.
 func (w *chatWriter) writeEvent(v any) {
 	data, err := json.Marshal(v)
 	if err != nil {
@@ -102,8 +103,8 @@
 	}
 }
 
-// finish writes the rest of the answer, or returns err if nothing has been written yet. A stream that was interrupted ends with
-// an error event and never as if it were complete. err is nil or a RefusalError.
+// finish writes the rest of the answer. If err is set and the stream has started, it writes an error event instead, so that the
+// stream does not look complete. If err is set and nothing has been written, it returns err. err must be nil or a RefusalError.
 func (w *chatWriter) finish(out result, err error) error {
 	if err != nil && !w.started {
 		return err
@@ -135,7 +136,7 @@
 	}
 	w.to.Header().Set("Content-Type", "application/json")
 	w.to.Header().Set("Date", time.Now().UTC().Format(http.TimeFormat))
-	// The caller notices a broken connection. The request itself has run.
+	// A write error is ignored: the request has run, and the caller notices the broken connection.
 	_, _ = w.to.Write(data)
 	return nil
 }
--- a/router/attempt.go
+++ b/router/attempt.go
@@ -15,10 +15,11 @@
 	"github.com/masticway/masticway/sealer"
 )
 
-// resolveInterval is the interval between queries to a sidecar whose link is broken.
+// resolveInterval is the interval between two queries to a sidecar for the fate of one run.
 const resolveInterval = 50 * time.Millisecond
 
-// newDispatch returns the dispatch of the next attempt, which covers what is left of the request.
+// newDispatch returns the message that asks a sidecar to run the current attempt. The run continues the answer after the output
+// of earlier attempts. Its cost is bounded by the part of the hold that is not spent.
 func (x *exchange) newDispatch() sealer.Dispatch {
 	q := x.q
 	call := q.call
@@ -37,8 +38,8 @@
 	}
 }
 
-// affordableOutput returns the maximum output of the whole answer in tokens, including that of earlier attempts, that the request
-// allows and the remaining hold covers.
+// affordableOutput returns the maximum length of the whole answer in tokens, including the output of earlier attempts. It is
+// limited by the request and by bound, the part of the hold that is not spent.
 func (x *exchange) affordableOutput(bound masticway.Amount) int {
 	prompt := x.q.maxPromptTokens
 	if x.promptTokens > 0 {
@@ -51,8 +52,8 @@
 	return min(x.q.call.MaxOutput, x.outputTokens+max(0, rest))
 }
 
-// runAttempt makes one attempt at an upstream with a slot, and waits until its fate is final or counts as unknown. It releases
-// the slot and charges the attempt to the hold.
+// runAttempt makes one attempt to run the request at the upstream of a slot. It waits until the attempt's fate is final or counts
+// as unknown. Then it releases the slot and charges the attempt to the hold.
 func (x *exchange) runAttempt(ctx context.Context, p slot, work chooser.Request) attemptResult {
 	x.attempt++
 	began := x.r.clock.Now()
@@ -75,7 +76,8 @@
 	return e
 }
 
-// newFeed starts to collect what a sidecar sends for the current attempt. The caller must remove the feed.
+// newFeed opens a feed, which collects what a sidecar sends about the current attempt. The caller must remove it from the
+// router's feeds.
 func (x *exchange) newFeed(at masticway.Peer) *feed {
 	run := masticway.RunKey{Identity: x.q.identity, Attempt: x.attempt}
 	f := newFeed(run, at.Instance, at.Incarnation, x.nextChunk)
@@ -83,8 +85,9 @@
 	return f
 }
 
-// chargeAttempt adds the attempt's true cost to the hold. If the attempt's sidecar is gone, it adds the bound as the presumed
-// cost and settles the hold. If the fate is unknown, it gives the hold to resolveLater, and the exchange has none afterwards.
+// chargeAttempt adds the cost of an ended attempt to the hold. If the attempt's sidecar is gone, the true cost is unknown. Then
+// it charges the bound of the dispatch as the presumed cost and settles the hold. If the attempt's fate is unknown, it passes the
+// hold to resolveLater. In these two cases, the exchange has no hold afterwards.
 func (x *exchange) chargeAttempt(f *feed, d sealer.Dispatch, e attemptResult) {
 	switch {
 	case e.final != nil:
@@ -94,7 +97,7 @@
 		x.hold.presumed += d.Bound
 		x.settleAs(biller.KindPart)
 	case e.fate == masticway.FateUnknown:
-		// The old attempt may still run, so its hold stays open until its fate is known.
+		// The attempt may still run, so its hold stays open until its fate is known.
 		h := x.hold
 		x.hold = nil
 		q := x.q
@@ -102,7 +105,7 @@
 	}
 }
 
-// traceAttempt adds the end of an attempt to the trace.
+// traceAttempt records in the trace how the last attempt ended.
 func (x *exchange) traceAttempt(e attemptResult, began, now time.Time) {
 	a := &x.trace.Attempts[len(x.trace.Attempts)-1]
 	a.Fate = e.fate
@@ -118,8 +121,9 @@
 	}
 }
 
-// relayRun relays a run's answer until its fate is final, or unknown because its sidecar cannot be reached or this router stops.
-// If accepted is not set, the sidecar must accept the run within AcceptTimeout, or its fate is queried.
+// relayRun relays the answer of a run until the run's fate is final or counts as unknown. The fate counts as unknown if the
+// sidecar cannot be reached, or if this router stops. accepted must be set if the sidecar has already accepted the run. Otherwise
+// relayRun queries the run's fate if the sidecar does not accept it within AcceptTimeout.
 func (x *exchange) relayRun(ctx context.Context, f *feed, accepted bool, work chooser.Request) attemptResult {
 	accept := time.NewTimer(x.r.settings.AcceptTimeout.Std())
 	defer accept.Stop()
@@ -157,7 +161,7 @@
 	}
 }
 
-// handleEvent handles one event of a run. It reports in done whether the attempt has ended.
+// handleEvent handles one event of a run. done is set if the attempt has ended, and end is then its result.
 func (x *exchange) handleEvent(ctx context.Context, f *feed, e runEvent, work chooser.Request) (end attemptResult, done bool) {
 	switch {
 	case e.chunk != nil:
@@ -177,7 +181,8 @@
 	return attemptResult{}, false
 }
 
-// handleChunk relays the next chunk. It drops a duplicate, and fetches the missing chunks if there is a gap.
+// handleChunk relays c if it is the next chunk of the answer. It drops a chunk that was already relayed. If chunks are missing
+// before c, it drops c and asks for all chunks from the first missing one on.
 func (x *exchange) handleChunk(f *feed, c masticway.Chunk, work chooser.Request) {
 	index := f.firstIndex + c.Index
 	if index < x.nextChunk {
@@ -201,7 +206,7 @@
 	x.relay(c)
 }
 
-// relay sends a chunk to the caller and counts it.
+// relay writes a chunk to the caller and adds it to the answer so far.
 func (x *exchange) relay(c masticway.Chunk) {
 	c.Index = x.nextChunk
 	x.nextChunk++
@@ -210,7 +215,7 @@
 	x.to.writeChunk(c)
 }
 
-// fetchMissing asks the sidecar for the chunks from the next one on.
+// fetchMissing asks the sidecar to send the run's chunks from x.nextChunk on. It does nothing if the sidecar is not linked.
 func (x *exchange) fetchMissing(f *feed) {
 	c := x.r.upstreams.conn(f.instance)
 	if c != nil && c.Peer().Incarnation == f.sidecar {
@@ -218,7 +223,9 @@
 	}
 }
 
-// handleCounted records the prompt's true token count, and shrinks the request's own hold to the bound that follows from it.
+// handleCounted records the prompt's token count as the engine counted it. If the upper bound of the cost that follows from the
+// count is below the amount of the hold, it shrinks the hold to this bound. It does not do so if the run was started by another
+// request.
 func (x *exchange) handleCounted(c sealer.PromptCount) {
 	x.promptTokens = c.Prompt
 	if x.hold == nil || x.found != nil {
@@ -265,8 +272,8 @@
 	return e
 }
 
-// handleFinal ends the attempt if every chunk before the end has been relayed. Otherwise it fetches the missing chunks, after
-// which the sidecar sends the result again.
+// handleFinal handles the result of a run. If all chunks of the run have been relayed, it returns the attempt's result and true.
+// Otherwise it asks for the missing chunks, after which the sidecar sends the result again.
 func (x *exchange) handleFinal(f *feed, m *sealer.RunResult) (attemptResult, bool) {
 	if x.nextChunk < f.firstIndex+m.Chunks {
 		x.fetchMissing(f)
@@ -280,8 +287,9 @@
 	return e, true
 }
 
-// handleCallerGone cancels the run after its caller has disconnected. The run continues if the caller can ask for the answer
-// again by its key, if the request is non-repeatable, or if another caller of this router follows the run.
+// handleCallerGone cancels a run whose caller has disconnected, unless its answer may still be needed. This is so if the caller
+// sent an idempotency key and can ask again, if the request is non-repeatable, or if another exchange of this router follows the
+// run.
 func (x *exchange) handleCallerGone(f *feed) {
 	if x.q.hasCallerKey || x.q.nonRepeatable || x.r.upstreams.feeds.hasOthers(f.run) {
 		return
@@ -291,10 +299,11 @@
 	}
 }
 
-// resolve finds a run's fate after its link broke or its acceptance did not arrive in time. If the sidecar has the run, resolve
-// asks for its chunks and the attempt continues. If the sidecar does not answer within LostAfter, the fate counts as unknown.
+// resolve queries a run's fate after the link to its sidecar broke or the sidecar did not accept it in time. If the sidecar has
+// the run, resolve asks for its chunks and returns false, because the attempt continues. Otherwise it returns the attempt's
+// result and true. If the sidecar does not answer within LostAfter, the fate counts as unknown.
 //
-// After a query, a sidecar refuses a run that it has not accepted, so the fate "not run" is final.
+// The fate "not run" is final, because a sidecar that does not have the run at the query refuses it from then on.
 func (x *exchange) resolve(ctx context.Context, f *feed) (attemptResult, bool) {
 	deadline := x.r.clock.Now().Add(x.r.settings.LostAfter.Std())
 	for x.r.clock.Now().Before(deadline) && x.r.ctx.Err() == nil {
@@ -315,8 +324,8 @@
 	return attemptResult{fate: masticway.FateUnknown, cause: retrier.CauseLinkLost, reason: "sidecar cannot be reached"}, true
 }
 
-// fateIfSidecarGone returns the fate of a run whose sidecar is gone: it ran if a part of the answer has arrived, or else its fate
-// is unknown.
+// fateIfSidecarGone returns the fate of a run whose sidecar is gone. It is FateRan if any chunk of the answer has been relayed,
+// also in an earlier attempt, and FateUnknown otherwise.
 func (x *exchange) fateIfSidecarGone() masticway.Fate {
 	if x.nextChunk > 0 {
 		return masticway.FateRan
@@ -324,7 +333,8 @@
 	return masticway.FateUnknown
 }
 
-// queryRun asks a sidecar for the status of a run. If there is no answer, sidecarGone reports whether its process has ended.
+// queryRun asks a sidecar for the status of a run. answered is set if the sidecar has answered. sidecarGone is set if the
+// sidecar's process is known to have ended; then it is not asked.
 func (r *Router) queryRun(ctx context.Context, run masticway.RunKey, instance string, sidecar masticway.Incarnation) (status sealer.RunStatus, answered, sidecarGone bool) {
 	if r.upstreams.isGone(instance, sidecar) {
 		return status, false, true
@@ -342,8 +352,8 @@
 	return *a.Status, true, false
 }
 
-// resolveLater queries the fate of a lost attempt until it is known, and then settles its hold. It cancels the run if the request
-// is repeatable. Meanwhile, the request has another attempt or has ended.
+// resolveLater settles the hold of an attempt whose fate is unknown. It queries the fate until it is known or this router stops.
+// If the run still runs and the request is repeatable, it cancels the run, because the request has another attempt or has ended.
 func (r *Router) resolveLater(q request, h *moneyHold, run masticway.RunKey, instance string, sidecar masticway.Incarnation, bound masticway.Amount) {
 	kind := biller.KindSuperseded
 	if q.nonRepeatable {
@@ -359,7 +369,7 @@
 			return
 		case answered && !status.Found:
 			if q.nonRepeatable {
-				// The run can no longer start, so a retry with the same key may run.
+				// The run can no longer start. Deleting the claim allows a request with the same idempotency key to run.
 				r.updateClaim(claimPrefix+string(q.identity), q.id, recordTimeout, nil)
 			}
 			r.settleHold(q, h, kind, masticway.Usage{})
--- a/router/bank.go
+++ b/router/bank.go
@@ -18,18 +18,22 @@
 )
 
 const (
-	// moveRetryInterval is the interval between attempts to find the outcome of a move.
+	// moveRetryInterval is the interval between two attempts at a move of money, or at adding sidecars to the links row.
 	moveRetryInterval = 200 * time.Millisecond
-	// moveTimeout limits one attempt at a move, and one access to the links row.
+	// moveTimeout limits the time of one attempt at a move of money, and of one read or write of the links row after its
+	// creation.
 	moveTimeout = 3 * time.Second
-	// tickInterval is the interval at which timeouts are checked, and at which the progress of a drain or a start is.
+	// tickInterval is the interval at which timeouts are checked. It is also the interval at which a drain or a start checks its
+	// progress, and the minimum interval between two checks for a challenge.
 	tickInterval = 20 * time.Millisecond
-	// memoryCompleteAfter is the time after a keeper's start from which its memory of identities counts as complete.
+	// memoryCompleteAfter is how long a keeper must have run until it counts as knowing the identities of all earlier requests,
+	// so that it detects every duplicate.
 	memoryCompleteAfter = 2 * time.Minute
 )
 
-// budgetManager runs this router's keeper: it moves money between budgets and grants in the table, and answers hold requests. It
-// also maintains this incarnation's links row, the list of sidecars at which the incarnation's money may be used.
+// budgetManager runs this router's keeper. It answers hold requests, and executes the moves that the keeper decides on: transfers
+// of money between a budget and this router's grant in the table. It also maintains this incarnation's links row, the list of
+// sidecars at which the incarnation's money may be used.
 type budgetManager struct {
 	self    masticway.Incarnation
 	clock   masticway.Clock
@@ -40,28 +44,29 @@
 	onSealed func()
 	// isKeeper reports whether this router is currently the keeper of a budget.
 	isKeeper func(budget string) bool
-	// linksOpened is closed once the links row has been written.
+	// linksOpened is closed once openLinks has written the links row.
 	linksOpened chan struct{}
 	openOnce    sync.Once
-	// requestReturn is called when a budget is short of money and other routers have open grants of it.
+	// requestReturn asks other routers to return money of a budget. It is called if the budget is short of money and the payers
+	// have open grants of it.
 	requestReturn func(budget string, payers []masticway.Incarnation)
 
 	mu     sync.Mutex
 	keeper *keeper.Keeper
 	limits *limiter.ContractLimiter
-	// waiting holds the replies of the hold requests that wait for money.
+	// waiting holds the functions that answer the hold requests that wait for money.
 	waiting map[masticway.HoldID]func(keeper.Reply)
-	// holdWorkspaces maps the holds that count as open in the contract limits to their workspaces.
+	// holdWorkspaces maps each hold that counts against its contract's limits to its workspace.
 	holdWorkspaces map[masticway.HoldID]string
 	// sealed is set if this incarnation is sealed, so that it can draw no more money.
 	sealed bool
-	// faultLogged is set once an event that a state chart does not allow has been logged.
+	// faultLogged is set once the keeper's chart error has been logged, so that it is not logged again.
 	faultLogged bool
 
 	linksMu      sync.Mutex
 	links        bookkeeper.Links
 	linksVersion int64
-	// goneAt holds the ended sidecars that are still in the links row, and when this router noticed their ends.
+	// goneAt maps each ended sidecar that is still in the links row to the time at which this router noticed its end.
 	goneAt map[masticway.Incarnation]time.Time
 
 	ctx context.Context
@@ -84,7 +89,8 @@
 	}
 }
 
-// openLinks writes the first links row. No money can be drawn and no sidecar can be registered before that.
+// openLinks creates this incarnation's links row. Until this has succeeded, no money can be drawn and no sidecar can be
+// registered.
 func (b *budgetManager) openLinks(ctx context.Context) error {
 	version, err := b.book.OpenLinks(ctx, b.self)
 	if err != nil {
@@ -97,8 +103,9 @@
 	return nil
 }
 
-// hold asks this router's keeper for money. It calls reply once, with the lock held, possibly before hold returns. If the router
-// stops first, it may never call reply.
+// hold checks the limits of contract c, and then asks this router's keeper for money. It calls reply once with the answer,
+// possibly before hold returns. b.mu is locked during this call. reply is not called if the hold is settled first, and may not be
+// called if the router stops.
 func (b *budgetManager) hold(r keeper.HoldRequest, c masticway.Contract, reply func(linker.HoldReply)) {
 	now := b.clock.Now()
 	b.mu.Lock()
@@ -123,7 +130,8 @@
 	b.apply(b.keeper.Hold(now, r))
 }
 
-// refuseAll refuses the waiting and all later hold requests, because this incarnation is sealed.
+// refuseAll refuses the waiting hold requests and makes hold refuse all later ones. It must be called once this incarnation is
+// sealed.
 func (b *budgetManager) refuseAll() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -135,14 +143,14 @@
 	}
 }
 
-// resize reduces the amount of a hold.
+// resize reduces a hold of this router's money to an amount.
 func (b *budgetManager) resize(id masticway.HoldID, amount masticway.Amount) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.apply(b.keeper.Resize(b.clock.Now(), id, amount))
 }
 
-// settle ends a hold and charges its grant.
+// settle ends a hold and charges its cost to the grant.
 func (b *budgetManager) settle(s linker.Settle) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -151,7 +159,7 @@
 	b.apply(b.keeper.Settle(b.clock.Now(), s.Hold, s.Charges))
 }
 
-// releaseLimit removes a hold from the contract limits. The caller must hold the lock.
+// releaseLimit stops counting a hold against its contract's limits. The caller must hold b.mu.
 func (b *budgetManager) releaseLimit(id masticway.HoldID) {
 	if workspace, ok := b.holdWorkspaces[id]; ok {
 		delete(b.holdWorkspaces, id)
@@ -159,14 +167,16 @@
 	}
 }
 
-// returnFree returns the money of a budget that no hold uses, because another router has asked for it.
+// returnFree asks the keeper to return money of a budget that no hold uses. It is called if another router needs money of the
+// budget. The keeper may return a part of it or nothing.
 func (b *budgetManager) returnFree(budget string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.apply(b.keeper.ReturnFree(b.clock.Now(), budget, !b.isKeeper(budget)))
 }
 
-// apply executes the keeper's effects. The caller must hold the lock.
+// apply executes the keeper's effects: it calls the waiting replies, and starts moves and messages to peers in the background.
+// The caller must hold b.mu.
 func (b *budgetManager) apply(effects []keeper.Effect) {
 	for _, e := range effects {
 		switch e := e.(type) {
@@ -183,8 +193,8 @@
 	}
 }
 
-// move executes a move and retries it until its outcome is known, this incarnation is sealed or the router stops. It gives the
-// move up as failed only if the table was unavailable and no earlier attempt can have succeeded.
+// move executes a move in the table. It retries the move until the outcome is known, this incarnation is sealed or the router
+// stops. It reports the move as failed to the keeper only if the table was unavailable and no earlier attempt can have succeeded.
 func (b *budgetManager) move(m keeper.Move) {
 	unknown := false
 	for b.ctx.Err() == nil {
@@ -238,14 +248,15 @@
 	}
 }
 
-// refreshLinks reads the links row again after a conflict.
+// refreshLinks reads the links row again after a move found another version of it.
 func (b *budgetManager) refreshLinks() {
 	b.linksMu.Lock()
 	defer b.linksMu.Unlock()
 	b.readLinks()
 }
 
-// readLinks reads the links row. The caller must hold linksMu.
+// readLinks reads the links row. It calls onSealed if the row is missing or sealed, and does nothing if the row cannot be read.
+// The caller must hold linksMu.
 func (b *budgetManager) readLinks() {
 	ctx, cancel := context.WithTimeout(b.ctx, moveTimeout)
 	defer cancel()
@@ -261,8 +272,8 @@
 	b.linksVersion = version
 }
 
-// register adds sidecars to the links row, which must be done before they are used. It retries until it succeeds, or ctx ends or
-// the router stops, and reports whether it succeeded.
+// register adds sidecars to the links row. Only then may this router's money be used at them. It retries until it succeeds, ctx
+// ends or the router stops, and returns true if it succeeded.
 func (b *budgetManager) register(ctx context.Context, sidecars ...masticway.Incarnation) bool {
 	for ctx.Err() == nil && b.ctx.Err() == nil {
 		if b.tryRegister(sidecars) {
@@ -273,12 +284,12 @@
 	return false
 }
 
-// tryRegister makes one attempt to add sidecars to the links row, and reports whether the row contains them.
+// tryRegister makes one attempt to add sidecars to the links row. It returns true if the row now contains them.
 func (b *budgetManager) tryRegister(sidecars []masticway.Incarnation) bool {
 	b.linksMu.Lock()
 	defer b.linksMu.Unlock()
 	if b.linksVersion == 0 {
-		// Only openLinks may write the first row: if it found a row that was written here, it would report this router as sealed.
+		// Only openLinks may create the row. If it found a row that was created here, it would report this router as sealed.
 		return false
 	}
 	next := b.links
@@ -294,7 +305,7 @@
 	return b.putLinks(next)
 }
 
-// putLinks replaces the links row, and reports whether it succeeded. If not, it reads the row again. The caller must hold
+// putLinks replaces the links row and returns true. If this fails, it reads the row again and returns false. The caller must hold
 // linksMu.
 func (b *budgetManager) putLinks(next bookkeeper.Links) bool {
 	ctx, cancel := context.WithTimeout(b.ctx, moveTimeout)
@@ -325,8 +336,8 @@
 	}
 }
 
-// removeGone removes ended sidecars from the links row once every hold that may have been used at them is settled. What they
-// spent is added to the row's SpentByRemoved.
+// removeGone removes ended sidecars from the links row once every hold that may have been used at them is settled. It adds what
+// they have spent of each open grant to the row's SpentByRemoved.
 func (b *budgetManager) removeGone() {
 	b.linksMu.Lock()
 	defer b.linksMu.Unlock()
@@ -353,7 +364,8 @@
 	}
 }
 
-// returnIdle returns the money of idle budgets, and hands over the budgets that have another keeper now.
+// returnIdle starts to return the money of budgets that have had no hold requests for IdleAfter, and of budgets that have another
+// keeper now.
 func (b *budgetManager) returnIdle() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -365,7 +377,7 @@
 	}
 }
 
-// tick ends the waits that have timed out and updates the metrics.
+// tick answers the waiting hold requests that have timed out or can now be served, and updates the metrics.
 func (b *budgetManager) tick() {
 	now := b.clock.Now()
 	b.mu.Lock()
@@ -381,7 +393,7 @@
 	}
 }
 
-// drain returns all money to the budgets. It returns false if ctx ended first.
+// drain returns all money to the budgets and waits until this is done. It returns false if ctx ends first.
 func (b *budgetManager) drain(ctx context.Context) bool {
 	for {
 		b.mu.Lock()
--- a/router/budgets.go
+++ b/router/budgets.go
@@ -11,11 +11,12 @@
 	"github.com/masticway/masticway/keeper"
 )
 
-// GrantStatus describes the grant of one router incarnation.
+// GrantStatus describes a grant: money of a budget that one router incarnation, the payer, has drawn.
 type GrantStatus struct {
 	Payer masticway.Incarnation `json:"payer"`
 	Open  masticway.Amount      `json:"open"`
-	// Stranded is set if the payer's lease has expired or is missing. Reason is the cause, or what the recovery waits for.
+	// Stranded is set if the payer's lease has expired or is missing. Reason then says which, or what the recovery of the payer
+	// waits for.
 	Stranded bool   `json:"stranded,omitempty"`
 	Reason   string `json:"why,omitempty"`
 }
@@ -25,15 +26,18 @@
 	Budget  string           `json:"budget"`
 	Prepaid masticway.Amount `json:"prepaid"`
 	Settled masticway.Amount `json:"settled"`
-	// Presumed is the part of Settled whose true cost is unknown. Refunded is the sum of refunds, already subtracted from Settled.
+	// Presumed is the part of Settled that was charged because a lost sidecar may have run it. Refunded is the sum of the
+	// refunds, which has already been subtracted from Settled.
 	Presumed masticway.Amount `json:"presumed"`
 	Refunded masticway.Amount `json:"given_back"`
-	// Granted is the sum of the open grants, Left what can still be granted, and Stranded the open amount of the stranded grants.
+	// Granted is the sum of the open amounts of all grants. Remaining is what can still be granted. Stranded is the sum of the
+	// open amounts of the stranded grants.
 	Granted   masticway.Amount `json:"granted"`
 	Remaining masticway.Amount `json:"left"`
 	Stranded  masticway.Amount `json:"stranded"`
 	Grants    []GrantStatus    `json:"grants"`
-	// Local is the answering router's position in the budget. It is nil if the router has none.
+	// Local describes the money of the budget that the answering router has drawn. It is nil if the router has no state for the
+	// budget.
 	Local *keeper.Position `json:"here,omitempty"`
 }
 
@@ -63,7 +67,7 @@
 	return status, nil
 }
 
-// grantStatus returns the status of a grant, given all lease rows.
+// grantStatus returns the status of a grant. leases must be all lease rows of the table.
 func (r *Router) grantStatus(g bookkeeper.Grant, leases []bookkeeper.RouterLease) GrantStatus {
 	s := GrantStatus{Payer: g.Payer, Open: g.OpenAmount(), Stranded: true, Reason: "no lease row"}
 	now := r.clock.Now()
--- a/router/callers.go
+++ b/router/callers.go
@@ -31,7 +31,7 @@
 	maxKeyBytes = 200
 )
 
-// CallerHandler returns the handler for callers.
+// CallerHandler returns the HTTP handler for the requests of callers.
 func (r *Router) CallerHandler() http.Handler {
 	ws := new(restful.WebService).Path("/v1").Consumes("*/*").Produces("*/*")
 	ws.Route(ws.POST("/chat/completions").To(r.handleCaller(r.chat)))
@@ -42,12 +42,12 @@
 	return r.newMux(ws)
 }
 
-// newRequestID returns a request ID that names this incarnation.
+// newRequestID returns a new request ID. It contains the identifier of this incarnation.
 func (r *Router) newRequestID() string {
 	return explainer.RequestID(r.self, strconv.FormatUint(r.lastRequestNumber.Add(1), 36))
 }
 
-// newMux returns a mux with a web service and the endpoints for health and readiness.
+// newMux returns a mux that serves ws and the endpoints for health and readiness.
 func (r *Router) newMux(ws *restful.WebService) *http.ServeMux {
 	container := restful.NewContainer()
 	container.Add(ws)
@@ -69,7 +69,7 @@
 	return mux
 }
 
-// callerRequest is the request of an authenticated caller.
+// callerRequest is the HTTP request of an authenticated caller.
 type callerRequest struct {
 	http     *http.Request
 	to       http.ResponseWriter
@@ -99,7 +99,8 @@
 	}
 }
 
-// authenticate calls f if the router is ready and the request has a known key. Otherwise it returns a refusal.
+// authenticate calls f and returns its error. If the router is not ready, or the request's access key is missing or unknown, it
+// returns a refusal instead.
 func (r *Router) authenticate(request *restful.Request, response *restful.Response, id string, f func(context.Context, callerRequest) error) error {
 	if !r.Ready() {
 		return refusal(http.StatusServiceUnavailable, "not_serving", "this router is starting or leaving", time.Second)
@@ -151,8 +152,8 @@
 	return data, nil
 }
 
-// newRequest returns a request with what all requests have: identity, class and contract. It returns a refusal if the headers are
-// invalid.
+// newRequest returns a request with the fields that chat and service requests have in common, such as the identity, the class and
+// the contract. It returns a refusal if the headers are invalid.
 func (r *Router) newRequest(c callerRequest) (request, error) {
 	q := request{id: c.id, contract: c.contract, revision: c.config.Revision(), receivedAt: r.clock.Now(), class: c.contract.Class}
 	key := c.http.Header.Get(headerKey)
--- a/router/claims.go
+++ b/router/claims.go
@@ -16,16 +16,17 @@
 	claimPrefix = "claim/"
 	// claimTimeout limits the time for inserting a claim row, after which the request is refused.
 	claimTimeout = 2 * time.Second
-	// recordTimeout limits the time for updating or deleting a claim row. The answer waits for it.
+	// recordTimeout limits the time for updating or deleting a claim row. The end of an answer waits until its outcome is
+	// recorded or this time has passed.
 	recordTimeout = 5 * time.Second
 	// claimRetryInterval is the interval between attempts to read or write a claim row.
 	claimRetryInterval = 100 * time.Millisecond
-	// maxRecordedBody is the maximum size in bytes of a recorded answer. A longer answer is recorded without its body, and a replay
-	// has none.
+	// maxRecordedBody is the maximum size in bytes of a recorded answer. A longer answer is recorded without its body, so its
+	// replay has no body.
 	maxRecordedBody = 256 << 10
 )
 
-// claimState is the state of a non-repeatable request in its row.
+// claimState is the state of a claim row: open until the outcome of its request is recorded.
 type claimState string
 
 const (
@@ -33,8 +34,8 @@
 	claimDone claimState = "done"
 )
 
-// claimRow is the table row by which a request claims a non-repeatable identity, so that no other request with the identity runs.
-// The outcome is recorded in it.
+// claimRow is the table row by which a non-repeatable request claims its identity, so that no other request with the identity
+// runs. The outcome of the request is recorded in the row.
 type claimRow struct {
 	Request     string                `json:"request"`
 	Sender      masticway.Incarnation `json:"sender"`
@@ -47,14 +48,15 @@
 	Usage       masticway.Usage       `json:"usage"`
 }
 
-// claim is the claim row of this exchange, and its key.
+// claim is the claim row of an exchange and the row's key in the table.
 type claim struct {
 	key string
 	row claimRow
 }
 
-// claimRun claims the identity before anything is dispatched. If another request has claimed it, claimRun replays the recorded
-// outcome or joins the run. It reports in done whether out and err are already the answer.
+// claimRun claims the request's identity by a claim row. It must be called before the first dispatch. If another request has
+// claimed the identity, it settles the hold, and replays the recorded outcome or joins the other run. done is set if out and err
+// are the final answer of this request.
 func (x *exchange) claimRun(ctx context.Context) (out result, done bool, err error) {
 	c := &claim{
 		key: claimPrefix + string(x.q.identity),
@@ -85,8 +87,8 @@
 	return result{}, true, unknownOutcome()
 }
 
-// findRecorded reads the recorded outcome of a non-repeatable identity into x.replay. It returns false if there is none or it
-// cannot be read.
+// findRecorded reads the recorded outcome of an earlier request with this identity into x.replay. It returns false if the request
+// is repeatable, or if no outcome is recorded or it cannot be read.
 func (x *exchange) findRecorded(ctx context.Context) bool {
 	if !x.q.nonRepeatable {
 		return false
@@ -99,7 +101,7 @@
 	return true
 }
 
-// replayClaim answers the caller with a recorded outcome.
+// replayClaim answers the caller with the recorded outcome in a claim row.
 func (x *exchange) replayClaim(row claimRow) result {
 	x.step(eventFinished)
 	x.relay(masticway.Chunk{Text: row.Body, Tokens: row.Usage.Completion})
@@ -109,8 +111,8 @@
 	}
 }
 
-// insertClaim writes the row if there is none, and returns the row that is in the table afterwards. It returns an error if this
-// is not known within claimTimeout.
+// insertClaim writes the claim row if the table has none for its key, and returns the row that is then in the table. It returns
+// an error if the table is unavailable, or if that row is not known within claimTimeout.
 func (r *Router) insertClaim(ctx context.Context, c *claim) (claimRow, error) {
 	ctx, cancel := context.WithTimeout(ctx, claimTimeout)
 	defer cancel()
@@ -136,8 +138,8 @@
 			return row, nil
 		}
 		if readErr == nil {
-			// The row is absent, but the write whose answer was lost may still arrive, so it is repeated under the same
-			// condition.
+			// The table has no row yet, but the write that failed with an unknown outcome may still arrive. It is repeated, on
+			// the condition that there is no row.
 			if err = r.platform.Table.Commit(ctx, tx); err == nil {
 				return c.row, nil
 			}
@@ -161,8 +163,8 @@
 	return c, row.Version, err
 }
 
-// completeClaim records the outcome before the answer ends, or frees the identity if nothing ran. If it is unknown whether the
-// request ran, the claim stays open.
+// completeClaim records the outcome of the exchange in its claim row, if it has one. It deletes the row if the request did not
+// run. It leaves the row open if it is unknown whether the request ran.
 func (x *exchange) completeClaim(_ context.Context, out result, err error) {
 	if x.claim == nil {
 		return
@@ -193,8 +195,8 @@
 	}
 }
 
-// recordClaim records an outcome in this request's own row. It retries until it succeeds or recordTimeout has passed, and reports
-// whether it succeeded.
+// recordClaim replaces a request's claim row by row, which must hold the outcome. It retries until it succeeds or recordTimeout
+// has passed, and returns true if an outcome is recorded.
 func (r *Router) recordClaim(key string, row claimRow) bool {
 	value, err := json.Marshal(row)
 	if err != nil {
@@ -203,11 +205,13 @@
 	return r.updateClaim(key, row.Request, recordTimeout, value)
 }
 
-// deleteClaim deletes this request's own row, because the request did not run. It gives up after recordTimeout.
+// deleteClaim deletes the claim row of a request. The caller must know that the request did not run. It gives up after
+// recordTimeout.
 func (r *Router) deleteClaim(c *claim) { r.updateClaim(c.key, c.row.Request, recordTimeout, nil) }
 
-// updateClaim replaces the row of a request by a value, or deletes it if value is nil. It does not replace an outcome that is
-// already recorded. It retries until it succeeds or the timeout has passed, and reports whether the row is as required.
+// updateClaim replaces the claim row of a request by value, or deletes it if value is nil. It does not replace an outcome that is
+// already recorded, and leaves the row of another request as it is. It retries until it succeeds or the timeout has passed. It
+// returns true if the request's row is then deleted, or holds an outcome.
 func (r *Router) updateClaim(key, request string, timeout time.Duration, value []byte) bool {
 	ctx, cancel := context.WithTimeout(r.ctx, timeout)
 	defer cancel()
--- a/router/configuration.go
+++ b/router/configuration.go
@@ -10,10 +10,10 @@
 	"github.com/masticway/masticway/linker"
 )
 
-// changeRequestInterval is the minimum interval between two requests for changes.
+// changeRequestInterval is the minimum interval between two requests of this router to other processes for configuration changes.
 const changeRequestInterval = 200 * time.Millisecond
 
-// loadConfig reads the whole configuration from the table, or from a peer if the table is unavailable.
+// loadConfig reads the whole configuration from the table, or from a peer if this fails, and applies it.
 func (r *Router) loadConfig(ctx context.Context) error {
 	readAt := r.clock.Now()
 	full, err := r.store.Configuration(ctx)
@@ -32,7 +32,8 @@
 	return nil
 }
 
-// confirm records that the applied revision was the newest accepted one at a point in time.
+// confirm records that the applied revision was the newest accepted one at the given time. It ignores a time that is not later
+// than the recorded one.
 func (r *Router) confirm(at time.Time) {
 	for {
 		seen := r.confirmedAt.Load()
@@ -42,19 +43,20 @@
 	}
 }
 
-// configAge returns the time since the applied revision was known to be the newest.
+// configAge returns the time since the applied revision was last known to be the newest.
 func (r *Router) configAge() time.Duration {
 	return max(0, time.Duration(r.clock.Now().UnixNano()-r.confirmedAt.Load()))
 }
 
-// isStale reports whether the configuration was last confirmed longer than StaleAfter ago. It returns false if StaleAfter is
-// zero.
+// isStale reports whether the applied revision was last known to be the newest longer than StaleAfter ago. It returns false if
+// StaleAfter is zero.
 func (r *Router) isStale() bool {
 	limit := r.settings.StaleAfter.Std()
 	return limit > 0 && r.configAge() > limit
 }
 
-// publish makes the applied configuration visible to readers, and wakes keepLease. The caller must hold configMu.
+// publish makes the applied configuration visible to readers of r.snapshot. It also wakes keepLease, which writes the revision to
+// the lease row. The caller must hold configMu.
 func (r *Router) publish() {
 	s := r.config.Snapshot()
 	r.snapshot.Store(&s)
@@ -66,7 +68,7 @@
 }
 
 // applyChanges applies changes that came from the table, a peer or a sidecar, and announces the new revision in heartbeats. If
-// changes are missing between them and the applied revision, it starts to read them from the table.
+// there is a gap between the applied revision and the given changes, it starts to read the missing ones from the table.
 func (r *Router) applyChanges(changes []masticway.Change) {
 	began := time.Now()
 	r.configMu.Lock()
@@ -78,7 +80,7 @@
 	if len(applied) > 0 {
 		r.metrics.Observe(histogramConfigApply, "change", time.Since(began))
 		r.log.WithFields(logrus.Fields{"event": "config_applied", "revision": applied[len(applied)-1].Revision}).Info("configuration applied")
-		// Processes that lack the changes see the revision in the heartbeat and ask one of their peers.
+		// A process that lacks the changes sees the revision in the heartbeat, and asks its sender or another process for them.
 		r.sendHeartbeats()
 	}
 	if gap {
@@ -86,8 +88,9 @@
 	}
 }
 
-// requestChanges asks a peer or sidecar for the changes after the applied revision if it has a newer one. It asks at most once
-// per changeRequestInterval, because many peers announce a revision at the same time.
+// requestChanges asks a peer or sidecar that has announced a revision for the changes after the applied one. It does nothing if
+// the announced revision is not newer. It asks at most once per changeRequestInterval, because many peers announce a revision at
+// the same time.
 func (r *Router) requestChanges(c *linker.Conn, revision masticway.Revision) {
 	applied := r.snapshot.Load().Revision()
 	now := r.clock.Now().UnixNano()
@@ -98,7 +101,7 @@
 	_ = c.Send(linker.Message{ChangesRequest: &linker.ChangesRequest{After: applied}})
 }
 
-// sendChanges sends a peer the changes that it lacks, as far as they are still kept here.
+// sendChanges sends a peer or sidecar the configuration changes after a revision, as far as this router still stores them.
 func (r *Router) sendChanges(c *linker.Conn, after masticway.Revision) {
 	r.configMu.Lock()
 	changes := r.config.ChangesAfter(after)
@@ -107,7 +110,8 @@
 	_ = c.Send(linker.Message{Changes: &linker.Changes{List: changes, Revision: upto}})
 }
 
-// pollConfig reads the head revision from the table and applies newer changes. If the table is unavailable, it does nothing.
+// pollConfig reads the newest revision from the table and applies the changes up to it. If the revision cannot be read, it does
+// nothing.
 func (r *Router) pollConfig() {
 	ctx, cancel := r.platformContext()
 	defer cancel()
--- a/router/exchange.go
+++ b/router/exchange.go
@@ -40,24 +40,26 @@
 const stateSent charter.State = "sent"
 
 const (
-	// defaultMaxOutput limits an answer in tokens if neither the caller nor the contract does.
+	// defaultMaxOutput is the maximum length of an answer in tokens if the contract sets none. A caller can only ask for less.
 	defaultMaxOutput = 1024
-	// defaultMinOutput is the minimum output in tokens that the money must cover for a request to start, if the contract sets none.
+	// defaultMinOutput is the number of output tokens that a hold must cover so that a request starts, if the contract sets no
+	// number. It applies only to requests that name no maximum output.
 	defaultMinOutput = 16
 	// defaultHoldTimeout is how long a request waits for money if the contract names no time.
 	defaultHoldTimeout = 300 * time.Millisecond
-	// messageOverhead is an upper bound on the tokens that surround one message of a prompt.
+	// messageOverhead is an upper bound on the number of tokens that an engine adds to each message of a prompt.
 	messageOverhead = 8
-	// duplicateTimeout is how long a repeated request looks for the run of the first one, and duplicateInterval the interval between
-	// its attempts.
+	// duplicateTimeout is how long a duplicate request looks for the run of the first request with its identity.
+	// duplicateInterval is the interval between two searches.
 	duplicateTimeout  = 10 * time.Second
 	duplicateInterval = 100 * time.Millisecond
-	// noUpstreamTimeout is how long a request waits while no upstream of its pool is usable.
+	// noUpstreamTimeout is the maximum wait of a request for a slot if no upstream of its pool is usable at the start of the
+	// wait.
 	noUpstreamTimeout = 2 * time.Second
 )
 
 // request is a caller's request after it was checked against the contract. It does not change, except that reacquireHold unsets
-// hasCallerKey for a time.
+// hasCallerKey while it runs.
 type request struct {
 	id       string
 	identity masticway.Identity
@@ -103,7 +105,7 @@
 	usage   masticway.Usage
 }
 
-// exchange processes one request, from its admission to its bill. It belongs to the goroutine of the request.
+// exchange processes one request, from its admission to its bill. Only the goroutine of the request may use it.
 type exchange struct {
 	r             *Router
 	q             request
@@ -115,29 +117,30 @@
 	hold          *moneyHold
 	promptCounted bool
 	attempt       int
-	// nextChunk is the index of the next chunk of the whole answer. attemptStart is the index of the first chunk of the current
-	// attempt.
+	// nextChunk is the index in the whole answer of the next chunk to relay. attemptStart was its value at the start of the
+	// current attempt.
 	nextChunk    int
 	attemptStart int
 	// text and outputTokens are the whole answer so far and its number of tokens.
 	text         strings.Builder
 	outputTokens int
-	// promptTokens is the prompt's true token count, or zero if it is not known. promptCounted is set if it was counted before the
-	// hold.
+	// promptTokens is the prompt's true token count, or zero if it is not known. promptCounted is set if it was counted before a
+	// hold was taken.
 	promptTokens int
 	history      retrier.History
-	// excluded holds the instances that the next attempt avoids.
+	// excluded holds the instances that the next attempt avoids if another usable instance is left.
 	excluded     map[string]bool
 	firstTokenAt time.Time
 	lastTokenAt  time.Time
 	claim        *claim
-	// replay is the recorded outcome of this identity, if no sidecar has its run in memory any more.
+	// replay is the recorded outcome of an earlier request with this identity. It is set if no linked sidecar has the run any
+	// more.
 	replay *claimRow
 	// fate combines the fates of the attempts so far; see mergeFate.
 	fate masticway.Fate
-	// endedEarly is set if the identity's last run ended without a complete answer.
+	// endedEarly is set if findRun found a run of this identity that has ended without a complete answer.
 	endedEarly bool
-	// searchIncomplete is set if a sidecar did not answer whether it has a run of the identity.
+	// searchIncomplete is set if a sidecar did not answer in the last findRun, so that it may have a run of this identity.
 	searchIncomplete bool
 	// found is the run that another request with this identity started.
 	found *foundRun
@@ -156,7 +159,7 @@
 	}
 }
 
-// step advances the request chart. An event that the chart does not allow is a defect and is logged.
+// step advances the request chart by an event. An event that the chart does not allow is a defect: it is logged and ignored.
 func (x *exchange) step(e charter.Event) {
 	next, err := x.chart.Next(x.state, e)
 	if err != nil {
@@ -188,7 +191,8 @@
 	return out, err
 }
 
-// serve gets the request's answer: from its own run, the run of another request with the same identity, or a record.
+// serve relays the request's answer. The answer comes from a run of this request, from the run of another request with its
+// identity, or from a recorded outcome.
 func (x *exchange) serve(ctx context.Context) (result, error) {
 	if err := x.acquireHold(ctx); err != nil {
 		x.step(eventRefused)
@@ -216,15 +220,16 @@
 	return &masticway.RefusalError{Status: status, Code: code, Message: message, Fate: masticway.FateNotRun, RetryAfter: retry}
 }
 
-// mergeFate combines the fate of one more attempt with the fates of those before. Once an attempt may have run, the request is no
-// longer reported as not run.
+// mergeFate combines the fate of one more attempt with x.fate. The result is FateRan if any attempt ran, or else FateUnknown if
+// any attempt may have run, or else FateNotRun.
 func (x *exchange) mergeFate(f masticway.Fate) {
 	if f == masticway.FateRan || (f == masticway.FateUnknown && x.fate == masticway.FateNotRun) {
 		x.fate = f
 	}
 }
 
-// withFate changes the fate and the status of a refusal according to the fate of the attempts before it.
+// withFate sets the fate and the status of a refusal if an attempt of this request has run or may have run. It returns any other
+// error unchanged.
 func (x *exchange) withFate(err error) error {
 	refused, ok := errors.AsType[*masticway.RefusalError](err)
 	if !ok || x.fate == masticway.FateNotRun {
@@ -238,7 +243,7 @@
 	return refused
 }
 
-// unknownOutcome returns the error for a request that may have run.
+// unknownOutcome returns the error for a request of which it is unknown whether it ran.
 func unknownOutcome() *masticway.RefusalError {
 	return &masticway.RefusalError{
 		Status: http.StatusGatewayTimeout, Code: "outcome_unknown", Fate: masticway.FateUnknown,
@@ -246,24 +251,25 @@
 	}
 }
 
-// attemptResult describes how one attempt ended. Its fate is final unless it is unknown.
+// attemptResult describes how one attempt ended. A fate other than FateUnknown is final.
 type attemptResult struct {
 	fate  masticway.Fate
 	cause retrier.Cause
 	final *sealer.RunResult
-	// existing is the run that already has the identity.
+	// existing is set if the sidecar refused the attempt because it already has a run of the identity. It is this run.
 	existing *masticway.RunKey
 	// needsNewHold is set if an incarnation that the dispatch names is sealed, so that another hold is needed.
 	needsNewHold bool
 	// sidecarGone is set if the sidecar's process has ended, so that nothing can report what it ran.
 	sidecarGone bool
-	// upstreamEnded is set if the upstream itself has ended, rather than only the run.
+	// upstreamEnded is set if the upstream's process has ended, and not only the run.
 	upstreamEnded bool
 	reason        string
 }
 
-// runAttempts tries upstreams until the answer is complete, the retry rules end the request, or another run with the same
-// identity is found, which it joins.
+// runAttempts makes attempts at upstreams until the answer is complete or the request must end with an error. If a sidecar
+// refuses an attempt because another request's run has the identity, runAttempts joins that run, or fails if a part of the answer
+// was already relayed.
 func (x *exchange) runAttempts(ctx context.Context) (result, error) {
 	for {
 		p, work, err := x.acquireSlot(ctx)
@@ -301,7 +307,7 @@
 	}
 }
 
-// usage returns the usage of the whole answer over all attempts.
+// usage returns the token usage of the whole answer, over all attempts. f must be the result of the last one.
 func (x *exchange) usage(f *sealer.RunResult) masticway.Usage {
 	u := f.Outcome.Usage
 	if x.promptTokens > 0 {
@@ -311,14 +317,15 @@
 	return u
 }
 
-// handleFailure applies the retry rules to a failed attempt. An error ends the request.
+// handleFailure applies the retry rules to a failed attempt. It returns nil if the caller must make another attempt, possibly
+// after a wait and with a new hold. Otherwise it returns the error with which the request ends.
 func (x *exchange) handleFailure(ctx context.Context, e attemptResult) error {
 	if e.fate == masticway.FateUnknown && x.q.nonRepeatable {
 		x.step(eventLost)
 		return unknownOutcome()
 	}
 	if e.fate == masticway.FateNotRun && x.r.isSealed() {
-		// A seal is permanent; the next incarnation serves the caller.
+		// A sealed incarnation can run nothing any more. The caller must try again at another one.
 		return x.giveUp(e)
 	}
 	resumable := (x.q.call.Service == "" || x.nextChunk == 0) && (e.final == nil || e.final.Disrupted)
@@ -353,7 +360,7 @@
 	return nil
 }
 
-// giveUp returns the caller's error for the last failure.
+// giveUp advances the request chart to its end, and returns the error for the caller after the last failed attempt.
 func (x *exchange) giveUp(e attemptResult) error {
 	switch {
 	case e.fate == masticway.FateNotRun:
@@ -371,8 +378,8 @@
 	}
 }
 
-// acquireSlot gets a slot at an upstream that the payer's links row contains. It may wait in the queue for as long as the
-// request's class may wait.
+// acquireSlot takes a slot at an upstream whose sidecar is in the links row of the hold's payer. It may wait in the queue, at
+// most for the time that the settings allow to the request's class.
 func (x *exchange) acquireSlot(_ context.Context) (slot, chooser.Request, error) {
 	q := x.q
 	work := chooser.Request{PromptBytes: len(q.call.Prompt), Zone: x.r.settings.Zone}
@@ -390,7 +397,7 @@
 	payer := x.hold.grant.Payer
 	excluded := x.excluded
 	if x.r.upstreams.allExcluded(q.pool(), excluded) {
-		// Trying the same upstream again is better than trying none.
+		// All usable upstreams are excluded. Trying one of them again is better than trying none.
 		excluded = nil
 	}
 	p, estimate, err := x.r.upstreams.acquire(x.callerDone, &slotRequest{
@@ -415,7 +422,7 @@
 	return p, work, x.withFate(refusal(http.StatusServiceUnavailable, "overloaded", "no upstream has room in time", max(estimate, 100*time.Millisecond)))
 }
 
-// finish settles the hold, records the outcome of a claimed request, and traces and logs the end of the exchange.
+// finish settles the hold, completes the claim, and traces and logs the end of the exchange.
 func (x *exchange) finish(ctx context.Context, out result, err error) {
 	x.settle()
 	x.completeClaim(ctx, out, err)
--- a/router/follow.go
+++ b/router/follow.go
@@ -7,8 +7,8 @@
 	"github.com/masticway/masticway/sealer"
 )
 
-// maxFeedEvents is the number of events waiting for a slow caller above which chunks are dropped, to be fetched later. Other
-// events are not dropped for this.
+// maxFeedEvents is the number of events in a feed from which on new chunks are dropped, because their caller is slow. The dropped
+// chunks are fetched later. Events of other kinds are added beyond this number.
 const maxFeedEvents = 256
 
 // runEvent is an event of a run; exactly one field is set.
@@ -20,11 +20,11 @@
 	final    *sealer.RunResult
 	// missing is set if the sidecar does not have the run.
 	missing bool
-	// linkDown is also set if the run was not accepted in time.
+	// linkDown is set if the link to the sidecar broke, or if the run was not accepted in time.
 	linkDown bool
 }
 
-// feed collects the events of one run. It is keyed by identity and attempt, so it gets no chunks of other runs.
+// feed collects the events of one run at one sidecar until an exchange handles them.
 type feed struct {
 	run      masticway.RunKey
 	instance string
@@ -44,7 +44,8 @@
 	return &feed{run: run, instance: instance, sidecar: sidecar, firstIndex: firstIndex, wake: make(chan struct{}, 1)}
 }
 
-// push adds an event without blocking. Chunks beyond maxFeedEvents are dropped and fetched later.
+// push adds an event without blocking. It drops a chunk if the feed holds maxFeedEvents events or more. After that it also drops
+// the result of the run, until pop has reported the loss.
 func (f *feed) push(e runEvent) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -53,7 +54,7 @@
 		return
 	}
 	if e.final != nil && f.dropped {
-		// The sidecar sends the result again after the missing chunks.
+		// The sidecar sends the result again after the dropped chunks were fetched.
 		return
 	}
 	f.events = append(f.events, e)
@@ -63,8 +64,8 @@
 	}
 }
 
-// pop removes and returns the next event; ok is false if there is none. Then needsFetch reports whether chunks were dropped since
-// its last report, and must be fetched now.
+// pop removes and returns the next event. If there is none, ok is false. needsFetch is then set if chunks have been dropped, and
+// the caller must fetch them. Each loss is reported once.
 func (f *feed) pop() (e runEvent, ok, needsFetch bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -104,7 +105,7 @@
 	}
 }
 
-// deliver adds an event to every feed of the run at that sidecar.
+// deliver adds an event to every feed of a run at a sidecar.
 func (s *feeds) deliver(run masticway.RunKey, sidecar masticway.Incarnation, e runEvent) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -115,7 +116,7 @@
 	}
 }
 
-// linkDown informs every feed of an instance's runs that the link is down.
+// linkDown adds a linkDown event to every feed of a run at an instance.
 func (s *feeds) linkDown(instance string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -128,7 +129,7 @@
 	}
 }
 
-// hasOthers reports whether more than one caller of this router follows a run.
+// hasOthers reports whether more than one exchange of this router has a feed of a run.
 func (s *feeds) hasOthers(run masticway.RunKey) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/router/join.go
+++ b/router/join.go
@@ -9,14 +9,15 @@
 	"github.com/masticway/masticway/sealer"
 )
 
-// foundRun is a run of the same identity and the link to its sidecar.
+// foundRun is a run that another request with the identity of this exchange's request has started, and the link to its sidecar.
 type foundRun struct {
 	conn   *linker.Conn
 	status sealer.RunStatus
 }
 
-// findRun looks for a run of the same identity at the sidecars, and reports whether there is one to join. A run that has ended
-// without a complete answer is not joined if the request is repeatable.
+// findRun asks the linked sidecars for a run of the request's identity. If it finds one to join, it sets x.found and returns
+// true. A run that has ended without a complete answer is not joined if the request is repeatable. The next attempt is then
+// numbered after this run.
 func (x *exchange) findRun(ctx context.Context) bool {
 	status, conn, complete := x.r.upstreams.findRun(ctx, x.q.identity)
 	x.searchIncomplete = !complete
@@ -35,12 +36,12 @@
 	return true
 }
 
-// joinRun relays the answer of a run that another request with the same identity started. If that run ends early and the request
-// is repeatable, it continues the answer with its own attempts.
+// joinRun relays the answer of the run x.found. If that run ends without a complete answer and the request is repeatable, it
+// continues the answer with attempts of its own.
 func (x *exchange) joinRun(ctx context.Context) (result, error) {
 	x.step(eventAttached)
 	if status := x.found.status; status.Resumed > 0 {
-		// The run resumes where an earlier attempt ended, so the output of that attempt comes first.
+		// The run continues the output of earlier attempts, so this output is relayed first.
 		x.relay(masticway.Chunk{Text: status.ResumedText, Tokens: status.Resumed})
 	}
 	f := x.newFeed(x.found.conn.Peer())
@@ -55,7 +56,7 @@
 		x.step(eventLost)
 		return result{}, unknownOutcome()
 	}
-	// The run ended early and the router that started it may have crashed, so this router continues the answer with its own hold.
+	// The router that started the run may have crashed, so this router continues the answer with its own hold.
 	x.step(eventDisrupted)
 	x.found = nil
 	if err := x.reacquireHold(ctx); err != nil {
--- a/router/money.go
+++ b/router/money.go
@@ -14,7 +14,7 @@
 	"github.com/masticway/masticway/linker"
 )
 
-// moneyHold is the money held for a request.
+// moneyHold is the money of a grant that is held for a request, and the charges for what its attempts have cost.
 type moneyHold struct {
 	id      masticway.HoldID
 	grant   masticway.GrantKey
@@ -34,7 +34,8 @@
 	return sum
 }
 
-// holdBounds returns the maximum cost of the rest of the request, and the minimum hold with which it can start.
+// holdBounds returns the bounds for a new hold: the maximum cost of the rest of the request, and the smallest amount with which
+// the rest may run.
 func (x *exchange) holdBounds() (maxCost, minCost masticway.Amount) {
 	q := x.q
 	prompt := q.maxPromptTokens
@@ -52,8 +53,9 @@
 	return maxCost, q.cost(prompt, min(rest, q.minOutput))
 }
 
-// acquireHold takes a hold, or sets x.found or x.replay if there is a run or a recorded outcome of the same identity. It may wait
-// for money, and up to duplicateTimeout for the run of a request with the same identity. Its error is a RefusalError.
+// acquireHold takes a hold for the request. If there is a run or a recorded outcome of an earlier request with its identity, it
+// sets x.found or x.replay instead. It may wait for money. If the request is a duplicate, it waits for the run of the first
+// request, for up to duplicateTimeout. Its error is a RefusalError.
 func (x *exchange) acquireHold(ctx context.Context) error {
 	deadline := x.r.clock.Now().Add(duplicateTimeout)
 	for x.r.ctx.Err() == nil {
@@ -95,7 +97,7 @@
 	return refusal(http.StatusServiceUnavailable, "budget_unreachable", "the budget cannot be reached now", time.Second)
 }
 
-// requestHold asks the budget's keeper for a hold with a new ID.
+// requestHold asks the budget's keeper for a hold. It returns the reply and the hold's ID, which is new.
 func (x *exchange) requestHold(ctx context.Context) (linker.HoldReply, masticway.HoldID) {
 	maxCost, minCost := x.holdBounds()
 	wait := x.q.contract.HoldWait.Std()
@@ -118,8 +120,9 @@
 	x.r.metrics.Observe(histogramHold, string(x.q.class), h.Waited)
 }
 
-// countPrompt gets the prompt's true token count, so that a request is not refused because the bound from its bytes exceeds a
-// small budget. It returns false if the settings do not allow this, the request is for a service, or no upstream answers.
+// countPrompt gets the prompt's true token count, so that a request is not refused because the upper bound computed from the
+// prompt's bytes exceeds a small budget. It returns false if the settings do not allow this, the request is for a service, or no
+// upstream answers.
 func (x *exchange) countPrompt(ctx context.Context) bool {
 	if !x.r.settings.Money.ExactCount || x.q.call.Service != "" {
 		return false
@@ -147,7 +150,8 @@
 	return x.withFate(err)
 }
 
-// settle reports the hold's charges to its payer and bills them. It does nothing without a hold.
+// settle reports the hold's charges to its payer and bills them. The exchange then has no hold. It does nothing if the exchange
+// has none.
 func (x *exchange) settle() { x.settleAs(biller.KindFinal) }
 
 func (x *exchange) settleAs(kind biller.Kind) {
@@ -160,7 +164,7 @@
 	x.r.settleHold(x.q, h, kind, masticway.Usage{Prompt: x.promptTokens, Completion: x.outputTokens})
 }
 
-// settleHold reports a hold's charges to its payer, and adds a bill to the journal if there are any.
+// settleHold reports a hold's charges to its payer. If their sum is not zero, it adds a bill to the journal.
 func (r *Router) settleHold(q request, h *moneyHold, kind biller.Kind, usage masticway.Usage) {
 	r.peers.settle(h.grant.Payer, linker.Settle{Hold: h.id, Charges: h.charges})
 	r.metrics.Observe(histogramSettle, string(q.class), r.clock.Now().Sub(h.takenAt))
--- a/router/operators.go
+++ b/router/operators.go
@@ -25,15 +25,15 @@
 )
 
 const (
-	// operatorTimeout limits one operator request, and maxOperatorBody its body in bytes.
+	// operatorTimeout limits the time for one operator request. maxOperatorBody is the maximum size of its body in bytes.
 	operatorTimeout = 5 * time.Second
 	maxOperatorBody = 1 << 20
-	// maxHistory is the maximum number of changes in one history answer.
+	// maxHistory is the maximum number of changes in the answer to a request for the configuration history.
 	maxHistory = 50
 )
 
-// OperatorHandler returns the handler for operators. It must be served on a listener of its own, and requires the operators'
-// token.
+// OperatorHandler returns the HTTP handler for the requests of operators. It must be served on a listener of its own. The
+// endpoints under /admin/v1 require the operators' token. Those for health, readiness and metrics do not.
 func (r *Router) OperatorHandler() http.Handler {
 	ws := new(restful.WebService).Path("/admin/v1").Consumes("*/*").Produces("*/*")
 	ws.Route(ws.GET("/contracts").To(r.handleOperator(r.listContracts)))
@@ -62,7 +62,7 @@
 	path func(name string) string
 }
 
-// changeID returns the operator's idempotency key, or a new one.
+// changeID returns the idempotency key that the operator sent, or a new one if there is none.
 func (o operatorRequest) changeID() string {
 	if id := o.http.Header.Get(headerKey); id != "" {
 		return id
@@ -103,7 +103,7 @@
 	}
 }
 
-// writeOperatorError writes the error body for a typed error.
+// writeOperatorError writes the status and the error body that correspond to the type of an error.
 func writeOperatorError(w http.ResponseWriter, err error) {
 	if e, ok := errors.AsType[*masticway.RefusalError](err); ok {
 		writeRefusal(w, e)
@@ -264,9 +264,10 @@
 // ConfigStatus reports which incarnations have applied the newest revision.
 type ConfigStatus struct {
 	Head masticway.Revision `json:"head"`
-	// InForce is set if every incarnation with a lease row has applied Head. Behind holds those that have not.
+	// InForce is set if every incarnation with a lease row has applied Head, the newest revision. Behind holds the incarnations
+	// that have not.
 	InForce bool `json:"in_force"`
-	// State is the newest change's state in the change chart.
+	// State is the state of the newest change in the change chart, the state machine of a change.
 	State  charter.State            `json:"state"`
 	Leases []bookkeeper.RouterLease `json:"daemons"`
 	Behind []string                 `json:"behind,omitempty"`
--- a/router/peer_money.go
+++ b/router/peer_money.go
@@ -10,34 +10,35 @@
 )
 
 const (
-	// settleRetryInterval is the interval between attempts to report a settlement or to resolve a lost attempt, and the pause after
-	// a failed step of a recovery.
+	// settleRetryInterval is the interval between two reports of one settlement, and between two queries of resolveLater. It is
+	// also the pause after a failed step of a recovery.
 	settleRetryInterval = 100 * time.Millisecond
 	// holdGrace is how long a remote keeper may take to reply beyond the request's maximum wait for money.
 	holdGrace = 700 * time.Millisecond
 )
 
-// pendingSettlement is a settlement that its payer has not acknowledged.
+// pendingSettlement is the settlement of a hold that its payer has not acknowledged.
 type pendingSettlement struct {
 	payer      masticway.Incarnation
 	settlement linker.Settle
 }
 
-// hold asks the budget's keeper for money, or this router's own if that one cannot be reached or does not act as the keeper. It
-// returns the reply and the ID of the hold, which is not that of the request if both were asked.
+// hold asks the budget's keeper for money. If that router cannot be reached or replies that it is not the keeper, hold asks this
+// router's own budgetManager. It returns the reply and the ID of the hold. If both were asked, this ID differs from request.ID.
 func (p *peers) hold(ctx context.Context, request keeper.HoldRequest, c masticway.Contract) (linker.HoldReply, masticway.HoldID) {
 	target := p.keeperFor(request.Budget)
 	if conn := p.conn(target); conn != nil {
 		callCtx, cancel := context.WithTimeout(ctx, request.MaxWait+holdGrace)
 		defer cancel()
-		// The link may still encode this copy after the call has timed out.
+		// The request is copied, because the link may still encode it after the call has timed out.
 		sent := request
 		answer, err := conn.Call(callCtx, linker.Message{Hold: &sent})
 		if err == nil && answer.HoldReply != nil && answer.HoldReply.Result != keeper.ResultNotKeeper {
 			return *answer.HoldReply, request.ID
 		}
 		if err != nil {
-			// The keeper may have taken the hold, so the hold is settled as soon as the keeper can be reached.
+			// The keeper may have granted the hold although its reply is missing. The hold is settled once the keeper can be
+			// reached.
 			p.settle(target, linker.Settle{Hold: request.ID})
 		}
 		request.ID += "-own"
@@ -57,7 +58,7 @@
 	return h, request.ID
 }
 
-// resize reports a smaller bound to the hold's payer. It is not reported again if this fails.
+// resize asks the payer of a hold to reduce the hold to an amount. It sends the message only once, even if this fails.
 func (p *peers) resize(payer masticway.Incarnation, id masticway.HoldID, amount masticway.Amount) {
 	if payer == p.router.self {
 		p.router.budgets.resize(id, amount)
@@ -68,8 +69,8 @@
 	}
 }
 
-// settle reports a hold's charges to its payer. For another router, this happens in the background, and is retried until the
-// payer acknowledges them or has been recovered.
+// settle reports a hold's charges to its payer. If the payer is another router, it does so in the background, and retries until
+// the payer has acknowledged the charges or has been recovered, or this router stops.
 func (p *peers) settle(payer masticway.Incarnation, s linker.Settle) {
 	if payer == p.router.self {
 		p.router.budgets.settle(s)
@@ -104,7 +105,7 @@
 	return err == nil
 }
 
-// waitForSettlements waits until all settlements are acknowledged or ctx ends.
+// waitForSettlements waits until no settlement with another router is pending, or ctx ends.
 func (p *peers) waitForSettlements(ctx context.Context) {
 	for {
 		p.mu.Lock()
@@ -121,7 +122,8 @@
 	}
 }
 
-// requestReturn asks the payers that have open grants of a budget, in any region, to return idle money.
+// requestReturn asks routers, in any region, to return money of a budget that they do not need. The payers must be those with
+// open grants of the budget.
 func (p *peers) requestReturn(budget string, payers []masticway.Incarnation) {
 	m := linker.Message{ReturnFree: &linker.ReturnFree{Budget: budget}}
 	for _, payer := range payers {
@@ -133,7 +135,7 @@
 	}
 }
 
-// requestReturnByDialing asks a router to which this one keeps no link to return idle money. It tries only once.
+// requestReturnByDialing sends a request for the return of money to a router to which this one keeps no link. It tries only once.
 func (p *peers) requestReturnByDialing(payer masticway.Incarnation, m linker.Message) {
 	ctx, cancel := context.WithTimeout(p.router.ctx, platformTimeout)
 	defer cancel()
@@ -151,7 +153,7 @@
 	}
 }
 
-// answerHold answers a hold request from another router, possibly after it has returned.
+// answerHold answers a hold request from another router. The answer may be sent after answerHold has returned.
 func (p *peers) answerHold(c *linker.Conn, m linker.Message) {
 	contract, ok := p.router.snapshot.Load().Contract(m.Hold.Identity.Workspace())
 	if !ok {
--- a/router/peer_reach.go
+++ b/router/peer_reach.go
@@ -9,7 +9,8 @@
 )
 
 // registerMissing asks a peer to register all sidecars to which this router is linked, except those that the peer is known to
-// have registered. Only then may the peer's money be used at them. It reports whether the peer did so.
+// have registered. To register a sidecar is to add it to the peer's links row; only then may the peer's money be used at it.
+// registerMissing returns true if the peer has done so.
 func (p *peers) registerMissing(c *linker.Conn) bool {
 	missing := []masticway.Incarnation{}
 	for _, s := range p.router.upstreams.allConns() {
@@ -20,8 +21,8 @@
 	return p.requestRegistration(c, missing)
 }
 
-// registerAll asks all peers in the background to register the sidecars that they lack. It is called with every round of
-// heartbeats, so sidecars that are linked later are included the next time.
+// registerAll asks all peers in the background to register the sidecars that they lack. It is called in every round of
+// heartbeats, so that sidecars linked since the last round are included.
 func (p *peers) registerAll() {
 	sidecars := p.router.upstreams.allConns()
 	for _, c := range p.unregisteredPeers(sidecars) {
@@ -29,7 +30,7 @@
 	}
 }
 
-// unregisteredPeers returns the peers that are not known to have registered every one of the sidecars.
+// unregisteredPeers returns the links to the peers that are not known to have registered all of the given sidecars.
 func (p *peers) unregisteredPeers(sidecars []*linker.Conn) []*linker.Conn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -43,7 +44,8 @@
 	return unregistered
 }
 
-// requestRegistration asks a peer to register sidecars, and records it and returns true if the peer has done so.
+// requestRegistration asks a peer to register sidecars. If the peer replies that it has done so, it records this and returns
+// true.
 func (p *peers) requestRegistration(c *linker.Conn, sidecars []masticway.Incarnation) bool {
 	ctx, cancel := context.WithTimeout(p.router.ctx, registerTimeout)
 	defer cancel()
@@ -73,7 +75,8 @@
 	return p.registered[payer][sidecar]
 }
 
-// answerRegistration registers the sidecars that a peer asks for, and replies when this is done.
+// answerRegistration registers the sidecars that a peer asks for, and replies when this is done. It does not reply if the link
+// breaks first.
 func (p *peers) answerRegistration(c *linker.Conn, m linker.Message) {
 	ctx, cancel := c.Bind(p.router.ctx)
 	defer cancel()
@@ -83,7 +86,8 @@
 	}
 }
 
-// addInbound records that this router has registered the sidecars that the peer at the other end of a link asked for.
+// addInbound records that this router has registered the sidecars that the peer at the other end of a link asked for. ctx must
+// end with the link; then addInbound does nothing.
 func (p *peers) addInbound(ctx context.Context, c *linker.Conn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/router/peers.go
+++ b/router/peers.go
@@ -20,19 +20,20 @@
 	// registerTimeout limits one request to a peer to register sidecars.
 	registerTimeout = 5 * time.Second
 	// configIdleTimeout is how long a peer that was asked for its configuration may send no data of it. The whole transfer has no
-	// timeout, because the next peer would send the same bytes over the same link.
+	// timeout: it may be slow, and a transfer from another peer would take as long.
 	configIdleTimeout = 5 * time.Second
 )
 
-// peers holds the links to the other routers of the region, and determines the keeper of each budget: the one router of the
-// region that holds the budget's money for all of them. The routers among which it chooses are the keepers.
+// peers holds the links to the other routers of the region, and determines the keeper of each budget: the router that draws and
+// holds the budget's money for all of them. The keepers are the routers that can be chosen: this one and the peers in conns that
+// are neither draining nor silent.
 type peers struct {
 	router   *Router
 	listener *linker.Listener
 
 	mu sync.Mutex
-	// conns holds the links that this router dialed and whose peers have registered its sidecars. cancels stops the dialing of each
-	// listed router, by instance.
+	// conns holds the links that this router dialed and whose peers have registered its sidecars. cancels holds, by instance, the
+	// functions that stop the dialing of each listed router.
 	conns   map[masticway.Incarnation]*linker.Conn
 	cancels map[string]context.CancelFunc
 	// registered holds the sidecars that each peer is known to have in its links row.
@@ -41,14 +42,14 @@
 	draining map[masticway.Incarnation]bool
 	// instancesRead is set once the instance list has been read.
 	instancesRead bool
-	// inbound holds the links that peers dialed and for which this router has registered the peer's sidecars. The value is true if a
-	// heartbeat has arrived since then. A peer sends one after it has added this router to its keepers.
+	// inbound holds the links that peers dialed and for which this router has registered the peer's sidecars. The value is true
+	// if a heartbeat has arrived since the registration. A peer sends one after it has added this router to its keepers.
 	inbound map[*linker.Conn]bool
 	// lastMessageAt is when the last message of each peer arrived. silent marks the peers whose last message arrived more than
 	// SuspectAfter ago.
 	lastMessageAt map[masticway.Incarnation]time.Time
 	silent        map[masticway.Incarnation]bool
-	// placement assigns budgets to the keepers. It is nil after these have changed, and is then computed again when needed.
+	// placement assigns budgets to the keepers. It is nil from a change of the keepers until the next lookup.
 	placement *rendezvous.Rendezvous
 	// unsettled holds the settlements that their payer has not acknowledged.
 	unsettled map[masticway.HoldID]pendingSettlement
@@ -70,7 +71,8 @@
 
 func (p *peers) close() { p.listener.Close() }
 
-// updateInstances links to the routers of the region that have not ended, and drops the links to those that have.
+// updateInstances applies a reading of the instance list. It links to the other routers of the region that have not ended, and
+// drops the links to those that have.
 func (p *peers) updateInstances(instances []masticway.Instance) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -91,7 +93,7 @@
 	}
 }
 
-// dial keeps a link to an instance. The caller must hold the lock.
+// dial starts to keep a link to an instance. The caller must hold the lock.
 func (p *peers) dial(i masticway.Instance) {
 	ctx, stop := context.WithCancel(p.router.ctx)
 	p.cancels[i.ID] = stop
@@ -103,7 +105,8 @@
 	_ = c.Send(p.heartbeatMessage())
 	p.router.wg.Go(func() {
 		if !p.registerMissing(c) {
-			// The peer's money can only be used at sidecars that it has registered. The link is dialed again, and the peer asked again.
+			// The peer's money can only be used at sidecars that the peer has registered. After Close, the link is dialed again
+			// and the peer is asked again.
 			c.Close()
 			return
 		}
@@ -123,7 +126,7 @@
 	p.placement = nil
 }
 
-// removeInbound removes a link that a peer dialed.
+// removeInbound forgets a link that a peer dialed. It is called when the link is down.
 func (p *peers) removeInbound(c *linker.Conn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -149,7 +152,7 @@
 	return p.instancesRead
 }
 
-// heartbeatMessage returns the heartbeat to a peer.
+// heartbeatMessage returns this router's current heartbeat for its peers.
 func (p *peers) heartbeatMessage() linker.Message {
 	r := p.router
 	return linker.Message{Heartbeat: &linker.Heartbeat{Revision: r.snapshot.Load().Revision(), Draining: r.draining.Load(), Staleness: r.configAge()}}
@@ -167,14 +170,14 @@
 	}
 }
 
-// allConns returns the links to peers that this router dialed.
+// allConns returns the links in conns.
 func (p *peers) allConns() []*linker.Conn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return slices.AppendSeq(make([]*linker.Conn, 0, len(p.conns)), maps.Values(p.conns))
 }
 
-// tick marks the peers that are silent. Other routers are the keepers of their budgets until a message arrives again.
+// tick marks the peers that are silent. Until a message of a silent peer arrives, other routers are the keepers of its budgets.
 func (p *peers) tick() {
 	now := p.router.clock.Now()
 	p.mu.Lock()
@@ -235,8 +238,8 @@
 	return masticway.Incarnation(p.placement.Lookup(budget))
 }
 
-// rank returns this router's position, from zero, in the order in which the region's routers perform a task. The time that it
-// takes grows with the number of routers.
+// rank returns this router's position, from zero, among the keepers in the order of their rendezvous weights for a task. Its
+// running time grows with the number of keepers.
 func (p *peers) rank(task string) int {
 	weight := func(name string) uint64 { return xxhash.Sum64String(task + "/" + name) }
 	own := weight(string(p.router.self))
@@ -249,7 +252,8 @@
 	return n
 }
 
-// fetchConfig asks the linked peers in turn for their configuration, until one has it. A peer that is starting has none yet.
+// fetchConfig asks the linked peers in turn for the whole configuration, until one sends it. It returns false if none does, for
+// example because all are starting.
 func (p *peers) fetchConfig(ctx context.Context) (configurer.Configuration, bool) {
 	for _, c := range p.allConns() {
 		if full, ok := p.requestConfig(ctx, c); ok {
@@ -270,8 +274,8 @@
 	return *a.Config, true
 }
 
-// keepAlive sends heartbeats to one peer until ctx ends, because the peer closes a silent link. The regular heartbeats start only
-// after the configuration is loaded.
+// keepAlive sends heartbeats to one peer until ctx ends, because the peer closes a silent link. It is needed while a router
+// starts, because the regular heartbeats begin only after the configuration is loaded.
 func (p *peers) keepAlive(ctx context.Context, c *linker.Conn) {
 	for {
 		select {
--- a/router/place.go
+++ b/router/place.go
@@ -19,7 +19,7 @@
 	granted chan slot
 }
 
-// slot is a concurrency slot at an upstream that is assigned to a request.
+// slot is a slot, the place for one request in flight at an upstream, that is assigned to a request.
 type slot struct {
 	upstream tracker.Upstream
 	scores   []chooser.Score
@@ -46,12 +46,12 @@
 	return true
 }
 
-// errNoSlot is returned if no upstream has a free slot in time, or none is expected to.
+// errNoSlot is returned if the queue is full, or if no slot becomes free, or is expected to, before the request's deadline.
 var errNoSlot = errors.New("no free slot at an upstream")
 
-// acquire gets a slot for a request. If none is free, it waits in the fair queue until the request's deadline. It returns
-// errNoSlot at once if the queue is full or the estimated wait is longer. It also returns the estimate, and context.Canceled if
-// done is closed first or the router stops.
+// acquire takes a slot for a request. If no slot is free, it waits in the fair queue until the request's deadline. It returns
+// errNoSlot after the deadline, or at once if the queue is full or the estimated wait is too long. It then also returns the
+// estimated wait. It returns context.Canceled if done is closed or the router stops during the wait.
 func (u *upstreams) acquire(done <-chan struct{}, w *slotRequest) (slot, time.Duration, error) {
 	u.mu.Lock()
 	if p, ok := u.tryAcquire(w); ok {
@@ -78,7 +78,7 @@
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	if !u.queue.Remove(w.entry) {
-		// A slot was granted at the same moment.
+		// The entry has left the queue, because a slot was granted or the deadline has passed.
 		if p, ok := <-w.granted; ok {
 			u.chooser.RecordDone(u.router.clock.Now(), p.upstream.Instance.ID, 0, false, w.work)
 		}
@@ -87,7 +87,8 @@
 	return slot{}, 0, context.Canceled
 }
 
-// estimateWait estimates how long a new entry waits in the queue. The caller must hold the lock.
+// estimateWait estimates how long a new entry waits in the queue. It returns zero if no upstream is usable. The caller must hold
+// the lock.
 func (u *upstreams) estimateWait(e limiter.Entry) time.Duration {
 	ahead := u.queue.Len(e.Pool, masticway.ClassInteractive)
 	if e.Class == masticway.ClassBatch {
@@ -108,8 +109,8 @@
 	return all
 }
 
-// tryAcquire chooses among the allowed upstreams with free slots and takes a slot there. It returns false if there are none. The
-// caller must hold the lock.
+// tryAcquire chooses one of the allowed upstreams with free slots, and takes a slot there. It returns false if there is no such
+// upstream. The caller must hold the lock.
 func (u *upstreams) tryAcquire(w *slotRequest) (slot, bool) {
 	var open []tracker.Upstream
 	for _, t := range u.usable(w.entry.Pool) {
@@ -159,7 +160,7 @@
 	}
 }
 
-// releaseSlot frees a slot and grants free slots to waiting requests.
+// releaseSlot frees a slot of an instance, and then grants free slots to waiting requests. took is how long the slot was used.
 func (u *upstreams) releaseSlot(instance string, took time.Duration, firstTokenSeen bool, w chooser.Request) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
--- a/router/recovery.go
+++ b/router/recovery.go
@@ -21,19 +21,21 @@
 const (
 	// recoveryInterval is the interval at which lease rows and recoveries are checked.
 	recoveryInterval = 250 * time.Millisecond
-	// minLeaseReadInterval is the minimum interval between two reads of all lease rows. If there are many rows, the interval is
+	// minLeaseReadInterval is the minimum interval between two reads of all lease rows. With many rows, the interval is longer:
 	// leaseReadIntervalPerRow times their number.
 	minLeaseReadInterval    = time.Second
 	leaseReadIntervalPerRow = 100 * time.Millisecond
-	// taskLeases is the task of reading all lease rows. leaseReaders is the number of a region's routers that perform it.
+	// taskLeases is the name of the task of reading all lease rows, as passed to peers.rank. leaseReaders is the number of a
+	// region's routers that perform it.
 	taskLeases   = "leases"
 	leaseReaders = 2
-	// recoveredTTL is how long a recovered incarnation is remembered, so that settlements for it are not retried.
+	// recoveredTTL is how long an incarnation is remembered after it was drained or recovered. Meanwhile, settlements with it are
+	// not retried.
 	recoveredTTL = 10 * time.Minute
 )
 
-// recovery watches the leases of other incarnations, and returns the money of those that have crashed, the victims, to its
-// budgets.
+// recovery watches the leases of other incarnations. It recovers those that have crashed, the victims: it returns their unspent
+// money to the budgets.
 type recovery struct {
 	router *Router
 
@@ -42,7 +44,7 @@
 	active    map[masticway.Incarnation]*recoverer.Recovery
 	recovered map[masticway.Incarnation]time.Time
 	instances map[string]masticway.Instance
-	// lastReadAt is when all lease rows were last read, and rowCount their number then.
+	// lastReadAt is when this router last began to read all lease rows. rowCount is their number at the last successful reading.
 	lastReadAt time.Time
 	rowCount   int
 }
@@ -64,8 +66,8 @@
 	}
 }
 
-// isRecovered reports whether an incarnation's rows are known to be gone, because it was drained or recovered within
-// recoveredTTL.
+// isRecovered reports whether this router has learned within the last recoveredTTL that an incarnation's rows are gone, because
+// it was drained or recovered.
 func (v *recovery) isRecovered(inc masticway.Incarnation) bool {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -110,8 +112,8 @@
 	}
 }
 
-// isReadDue reports whether this router must read all lease rows now, and if so records that it does. The interval grows with the
-// number of rows, which bounds the bytes read per second.
+// isReadDue decides whether this router must read all lease rows now. If so, it records the time of the reading and returns true.
+// The interval between readings grows with the number of rows, which bounds the bytes read per second.
 func (v *recovery) isReadDue(now time.Time) bool {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -119,7 +121,8 @@
 		return false
 	}
 	if v.router.peers.rank(taskLeases) >= leaseReaders {
-		// Other routers of the region look for crashed routers to which no router has a link. This one relies on its links.
+		// The first leaseReaders routers read the rows, to find crashed routers to which no router has a link. This router relies
+		// on its links.
 		return false
 	}
 	v.lastReadAt = now
@@ -144,7 +147,7 @@
 	}
 }
 
-// watchPeer starts to watch a router to which this one has a link.
+// watchPeer makes the detector watch a router to which this one has a link.
 func (v *recovery) watchPeer(p masticway.Peer) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -153,14 +156,16 @@
 	})
 }
 
-// markRecovered records that an incarnation's rows are gone, because it was drained or another router has recovered it.
+// markRecovered records that an incarnation's rows are gone, because it was drained or another router has recovered it. It does
+// nothing while this router is recovering the incarnation itself. The caller must hold the lock.
 func (v *recovery) markRecovered(now time.Time, inc masticway.Incarnation) {
 	if v.active[inc] == nil {
 		v.recovered[inc] = now
 	}
 }
 
-// observe returns what this router knows about whether another one is up. The caller must hold the lock.
+// observe returns what this router observes, apart from the lease row, about whether another router is up. The caller must hold
+// the lock.
 func (v *recovery) observe(d bookkeeper.RouterLease) recoverer.Observation {
 	r := v.router
 	return recoverer.Observation{
@@ -170,7 +175,8 @@
 	}
 }
 
-// responsibility returns whether this router holds money for another one, and its rank among the routers that may recover it.
+// responsibility returns whether this router holds money for requests of another router, and this router's rank among those that
+// may recover the other one.
 func (v *recovery) responsibility(d bookkeeper.RouterLease) recoverer.Responsibility {
 	return recoverer.Responsibility{
 		HoldsMoney: len(v.router.budgets.holdsOf(d.Incarnation)) > 0,
@@ -178,7 +184,8 @@
 	}
 }
 
-// applyDetection executes one effect of the detector. The caller must hold the lock.
+// applyDetection executes one effect of the detector: it starts a read or a challenge in the background, or begins a recovery.
+// The caller must hold the lock.
 func (v *recovery) applyDetection(now time.Time, e recoverer.DetectorEffect) {
 	switch e := e.(type) {
 	case recoverer.ReadRow:
@@ -193,7 +200,7 @@
 	}
 }
 
-// readRow reads the lease row of one router and gives it to the detector.
+// readRow reads the lease row of one router and gives the result to the detector.
 func (v *recovery) readRow(inc masticway.Incarnation) {
 	ctx, cancel := v.router.platformContext()
 	defer cancel()
@@ -207,7 +214,8 @@
 	}
 }
 
-// challenge writes a challenge to a router that seems to have crashed, which the router answers if it is up.
+// challenge writes a challenge to the table for a router that seems to have crashed. If that router is up, it answers by renewing
+// its lease.
 func (v *recovery) challenge(inc masticway.Incarnation) {
 	ctx, cancel := v.router.platformContext()
 	defer cancel()
@@ -222,8 +230,8 @@
 	r.loop(max(tickInterval, r.settings.Lease.Std()/challengeReadsPerLease), r.answerChallenge)
 }
 
-// answerChallenge renews the lease at once if another router suspects that this one has crashed, and has therefore written a new
-// challenge.
+// answerChallenge renews this router's lease at once if another router has written a new challenge, because it suspects that this
+// one has crashed.
 func (r *Router) answerChallenge() {
 	ctx, cancel := r.platformContext()
 	defer cancel()
@@ -236,7 +244,7 @@
 	}
 }
 
-// apply executes the effects of a recovery. The caller must hold the lock.
+// apply starts the effects of a recovery in the background. The caller must hold the lock.
 func (v *recovery) apply(victim masticway.Incarnation, rec *recoverer.Recovery, effects []recoverer.Effect) {
 	for _, e := range effects {
 		switch e := e.(type) {
@@ -250,7 +258,8 @@
 	}
 }
 
-// sealInTable seals the victim's rows, so that it can draw no more money, and reads the sidecars and grants to recover.
+// sealInTable seals the victim's rows in the table, so that it can draw no more money. It then reads which sidecars and grants
+// the victim has, and records the result in rec.
 func (v *recovery) sealInTable(victim masticway.Incarnation, rec *recoverer.Recovery) {
 	ctx, cancel := v.router.platformContext()
 	defer cancel()
@@ -267,8 +276,8 @@
 	rec.RecordSealed(links, grants, err == nil)
 }
 
-// collectReport seals the victim at one sidecar and takes its report. If the sidecar has ended, it takes the report that the
-// sidecar left in the table, if any.
+// collectReport seals the victim at one sidecar and records the sidecar's report in rec. If the sidecar has ended, it records the
+// report that the sidecar left in the table, if any.
 func (v *recovery) collectReport(rec *recoverer.Recovery, victim, sidecar masticway.Incarnation) {
 	report, sidecarGone, err := v.sealAt(victim, sidecar)
 	if err == nil && !sidecarGone {
@@ -291,7 +300,8 @@
 	rec.RecordLost(sidecar, lastReport, found)
 }
 
-// sealAt seals the victim at one sidecar, so that the sidecar starts no more runs for it, and returns the sidecar's report.
+// sealAt seals the victim at one sidecar, so that the sidecar starts no more runs for it. It returns the sidecar's report on the
+// victim's holds. sidecarGone is set if the sidecar's process has ended.
 func (v *recovery) sealAt(victim, sidecar masticway.Incarnation) (report sealer.SealReport, sidecarGone bool, err error) {
 	instance := sidecar.Instance()
 	v.mu.Lock()
@@ -310,7 +320,7 @@
 		defer c.Close()
 	}
 	if c.Peer().Incarnation != sidecar {
-		// An instance runs one process at a time, so the sidecar that is looked for has ended.
+		// An instance runs one process at a time, and it now runs a newer one, so the given sidecar has ended.
 		return report, true, nil
 	}
 	a, err := c.Call(ctx, linker.Message{Seal: &sealer.Seal{Incarnation: victim}})
@@ -320,7 +330,8 @@
 	return *a.Sealed, false, nil
 }
 
-// returnMoney closes the victim's grants, and finishes the recovery if it is done.
+// returnMoney closes grants of the victim, which returns their unspent money to the budgets, and settles the victim's holds. It
+// finishes the recovery if nothing is left to do.
 func (v *recovery) returnMoney(rec *recoverer.Recovery, victim masticway.Incarnation, closings []bookkeeper.GrantClosure) {
 	ctx, cancel := v.router.platformContext()
 	defer cancel()
@@ -347,8 +358,8 @@
 	}
 }
 
-// settleHolds settles and bills the holds that this router granted to the victim, except those whose runs still run. The caller
-// must hold the lock.
+// settleHolds settles and bills the holds of this router's money that the victim took for its requests. It leaves a hold if one
+// of its runs still runs. The caller must hold the lock.
 func (v *recovery) settleHolds(rec *recoverer.Recovery, victim masticway.Incarnation) {
 	fates, goneSidecar := rec.HoldReports()
 	byHold := map[masticway.HoldID][]recoverer.SidecarHold{}
@@ -369,7 +380,8 @@
 	}
 }
 
-// chargesOf returns the charges for one hold, or reports that one of its runs still runs.
+// chargesOf returns the charges for one hold, from the sidecars' reports on it. If one of its runs still runs, it returns no
+// charges and sets running.
 func chargesOf(fates []recoverer.SidecarHold) (charges []keeper.Charge, running bool) {
 	for _, f := range fates {
 		if f.Report.Running {
@@ -401,7 +413,7 @@
 	})
 }
 
-// finish deletes the victim's rows and ends the recovery.
+// finish deletes the victim's rows from the table and ends the recovery, even if the deletion fails.
 func (v *recovery) finish(rec *recoverer.Recovery, victim masticway.Incarnation) {
 	ctx, cancel := v.router.platformContext()
 	defer cancel()
--- a/router/router.go
+++ b/router/router.go
@@ -27,17 +27,17 @@
 const (
 	// flushInterval is the interval between two writes of bills and traces to the object store.
 	flushInterval = time.Second
-	// auditInterval is the interval between two searches for duplicate bills.
+	// auditInterval is the interval between two searches for bills to refund.
 	auditInterval = 5 * time.Second
-	// heartbeatsPerInbound is the number of rounds of heartbeats on dialed links for each round on the inbound links from the same
-	// peers.
+	// heartbeatsPerInbound is the number of rounds of heartbeats on links that this router dialed, for each round on the inbound
+	// links, which peers dialed.
 	heartbeatsPerInbound = 4
-	// challengeReadsPerLease is how many times per lease duration a router checks for a challenge. It must answer one within half
-	// a lease.
+	// challengeReadsPerLease is how many times a router checks for a challenge within the time Settings.Lease. It must answer a
+	// challenge within half of this time.
 	challengeReadsPerLease = 4
-	// startRetryInterval is the interval between two attempts to start.
+	// startRetryInterval is the interval between two attempts at one step of the start.
 	startRetryInterval = 100 * time.Millisecond
-	// platformTimeout limits one background call to the platform.
+	// platformTimeout limits the time of one piece of background work that calls the platform, such as reading the instance list.
 	platformTimeout = 3 * time.Second
 )
 
@@ -85,21 +85,22 @@
 
 	// listVersion is the version of the instance list that was last read; only the polling loop uses it.
 	listVersion string
-	// sentOpen and sentUpto are the open grants that the last heartbeat reported; heartbeatMu guards them.
+	// sentOpen and sentUpto are the numbers of the open grants and the highest number assigned, as of the last round of
+	// heartbeats. heartbeatMu guards them.
 	sentOpen []int64
 	sentUpto int64
 	// heartbeats is the number of rounds of heartbeats sent.
 	heartbeats int
 
 	draining atomic.Bool
-	// peersReady is set once this router and the other routers of the region have each other among their keepers, or LostAfter has
-	// passed.
+	// peersReady is set once this router and the other routers of the region have each other among their keepers, or the wait for
+	// this has taken LostAfter.
 	peersReady        atomic.Bool
 	openRequests      atomic.Int64
 	lastRequestNumber atomic.Uint64
 	// answeredChallenge is the version of the last challenge that was answered.
 	answeredChallenge atomic.Int64
-	// changesRequestedAt is when this router last asked a peer for changes, in Unix nanoseconds.
+	// changesRequestedAt is when this router last asked another process for configuration changes, in Unix nanoseconds.
 	changesRequestedAt atomic.Int64
 	heartbeatMu        sync.Mutex
 	// confirmedAt is the latest time at which the applied revision was known to be the newest, in Unix nanoseconds.
@@ -165,8 +166,9 @@
 	}
 }
 
-// Start writes the first rows, loads the configuration and starts the background work. It retries until ctx ends or the
-// incarnation is sealed. The router accepts callers' requests later, when Ready returns true.
+// Start writes this incarnation's first rows, loads the configuration and starts the background work. It retries each step until
+// the step succeeds, ctx ends, the incarnation is sealed or the router stops. After Start, the router accepts callers' requests
+// once Ready returns true.
 func (r *Router) Start(ctx context.Context) error {
 	r.wg.Go(func() { r.loop(r.settings.Poll.Std(), r.readInstances) })
 	if err := r.retryUntil(ctx, "opening the links row", func() error { return r.budgets.openLinks(ctx) }); err != nil {
@@ -192,7 +194,7 @@
 	return nil
 }
 
-// retryUntil calls f until it succeeds, the incarnation is found sealed, ctx ends or the router stops.
+// retryUntil calls f until f succeeds, f returns a SealedError, ctx ends or the router stops.
 func (r *Router) retryUntil(ctx context.Context, what string, f func() error) error {
 	for {
 		err := f()
@@ -236,16 +238,16 @@
 	r.peersReady.Store(true)
 }
 
-// Ready reports whether the router accepts requests from callers. Those that arrive while it does not are refused. Requests from
-// operators and other routers are accepted at any time.
+// Ready reports whether the router accepts requests from callers. If not, it refuses them. Requests from operators and other
+// routers do not depend on Ready.
 func (r *Router) Ready() bool {
 	return r.peersReady.Load() && r.snapshot.Load().Revision() > 0 && !r.draining.Load() && !r.isSealed() && !r.isStale()
 }
 
 // Drain stops accepting requests from callers, waits for those in progress and returns all money.
 //
-// It reports whether all requests ended before ctx. The number of those that did not is logged and counted, and then nothing is
-// returned. Money that is not returned is left for recovery.
+// It returns true if all requests ended before ctx. Otherwise it logs and counts the requests in progress, and returns no money.
+// Another router recovers the money that is not returned.
 func (r *Router) Drain(ctx context.Context) bool {
 	r.draining.Store(true)
 	for r.openRequests.Load() > 0 {
@@ -265,7 +267,8 @@
 	return true
 }
 
-// closeRows returns the money and removes this incarnation's rows, so that it needs no recovery.
+// closeRows returns all money and then deletes this incarnation's rows, so that it needs no recovery. If the money is not
+// returned before ctx ends, it leaves the rows for recovery.
 func (r *Router) closeRows(ctx context.Context) {
 	if !r.budgets.drain(ctx) {
 		r.log.WithField("event", "drain_money_left").Warn("money is left for recovery")
@@ -276,18 +279,19 @@
 	}
 }
 
-// Close stops all work without returning money, as a crash would, and waits until requests and goroutines have ended.
+// Close stops all work, and waits until requests and goroutines have ended. It returns no money, so it has the effect of a crash
+// unless Drain has succeeded.
 func (r *Router) Close() {
 	r.stop()
 	r.peers.close()
 	for r.openRequests.Load() > 0 {
-		// Handlers end because r.ctx has ended. They must not start goroutines after wg.Wait has returned.
+		// The handlers end because r.ctx has ended. Close must wait for them before wg.Wait, because they may start goroutines.
 		time.Sleep(time.Millisecond)
 	}
 	r.wg.Wait()
 }
 
-// identity returns what this process authenticates itself with on links.
+// identity returns the names and the key with which this process authenticates itself on links.
 func (r *Router) identity() linker.Identity {
 	return linker.Identity{
 		Self: masticway.Peer{Instance: r.settings.Instance, Incarnation: r.self, Role: masticway.RoleRouter},
@@ -299,7 +303,7 @@
 	return linker.Dialer{Identity: r.identity(), Dial: r.dial, Handler: h, OnUp: up, OnDown: down}
 }
 
-// dialOnce opens a link to a process to which this router keeps none. The caller must close it.
+// dialOnce opens a link to a process to which this router keeps no link. The caller must close it.
 func (r *Router) dialOnce(ctx context.Context, address string) (*linker.Conn, error) {
 	d := r.dialer(func(*linker.Conn, linker.Message) {}, func(*linker.Conn) {}, func(*linker.Conn) {})
 	c, err := d.Connect(ctx, address)
@@ -330,7 +334,7 @@
 	r.recovery.updateInstances(reading.Instances)
 }
 
-// renewLease writes the lease row, which is valid for two intervals of Heartbeat.
+// renewLease writes this incarnation's lease row. The lease expires after twice Settings.Heartbeat.
 func (r *Router) renewLease(ctx context.Context) error {
 	state := "serving"
 	if r.draining.Load() {
@@ -344,8 +348,8 @@
 	})
 }
 
-// keepLease renews the lease row once per heartbeat interval, and at once when a revision has been applied. It stops renewing
-// while the router is draining or sealed.
+// keepLease renews the lease row at the interval Settings.Heartbeat, and at once when a configuration revision has been applied.
+// It does not renew the row while the router is draining or sealed.
 func (r *Router) keepLease() {
 	for {
 		select {
@@ -365,15 +369,15 @@
 	}
 }
 
-// heartbeatMessage returns the heartbeat to a sidecar, including the open grants.
+// heartbeatMessage returns this router's current heartbeat for sidecars, including the open grants.
 func (r *Router) heartbeatMessage() linker.Message {
 	open, upto := r.budgets.openGrants()
 	return linker.Message{Heartbeat: &linker.Heartbeat{Revision: r.snapshot.Load().Revision(), OpenGrants: open, GrantsUpTo: upto, Draining: r.draining.Load()}}
 }
 
-// sendHeartbeats sends a heartbeat on every link that this router dialed, and in some rounds on the inbound links. Because there
-// are many links to sidecars, it includes the open grants only if they have changed since the last round. It also asks peers to
-// register sidecars that they lack.
+// sendHeartbeats sends a heartbeat on every link in use that this router dialed, and in some rounds also on the inbound links,
+// which peers dialed. The heartbeats to sidecars include the open grants only if these have changed since the last round, because
+// there are many sidecars. It also asks peers to register sidecars that they lack.
 func (r *Router) sendHeartbeats() {
 	r.heartbeatMu.Lock()
 	defer r.heartbeatMu.Unlock()
@@ -390,7 +394,7 @@
 	for _, c := range r.peers.allConns() {
 		_ = c.Send(peer)
 	}
-	// Inbound links from the same peers only need enough traffic to stay below the read timeout.
+	// Inbound links only need enough heartbeats that the peers' read timeouts do not expire.
 	r.heartbeats++
 	if r.heartbeats%heartbeatsPerInbound == 0 {
 		for _, c := range r.peers.listener.All() {
@@ -400,7 +404,7 @@
 	r.peers.registerAll()
 }
 
-// flush writes bills and traces to the object store, also while the router stops.
+// flush writes the collected bills and traces to the object store. It also works after r.ctx has ended.
 func (r *Router) flush() {
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(r.ctx), platformTimeout)
 	defer cancel()
@@ -412,7 +416,7 @@
 	}
 }
 
-// audit refunds bills that are duplicates or superseded, if this router is the one of its region that does so.
+// audit refunds bills that are duplicates or superseded. It does nothing if another router of the region is the one that audits.
 func (r *Router) audit() {
 	if r.peers.keeperFor("audit") != r.self {
 		return
@@ -428,7 +432,7 @@
 	}
 }
 
-// refund refunds one bill. If this fails, the refund is tried again later.
+// refund refunds one bill. If this fails, it makes a later audit try again.
 func (r *Router) refund(ctx context.Context, f biller.Refund) {
 	err := r.book.Refund(ctx, f.Budget, f.Hold, f.Amount)
 	if err != nil {
--- a/router/settings.go
+++ b/router/settings.go
@@ -7,29 +7,32 @@
 	"github.com/masticway/masticway/retrier"
 )
 
-// Settings holds a router's settings file.
+// Settings holds the contents of a router's settings file.
 type Settings struct {
 	masticway.ProcessSettings
 	CallerAddress  string `json:"caller_address"`
 	AdminAddress   string `json:"admin_address"`
 	LinkAddress    string `json:"link_address"`
 	AdminTokenFile string `json:"admin_token_file"`
-	// Lease is the time within which a crash of a router is detected, and within half of which a router must answer a challenge.
-	// Heartbeat is the interval at which a router writes its lease row.
+	// Lease is the time in which the crash of a router is detected. A router must answer a challenge, another router's question
+	// whether it is still up, within half of this time. Heartbeat is the interval at which a router writes its lease row.
 	Lease     masticway.Duration `json:"lease"`
 	Heartbeat masticway.Duration `json:"heartbeat"`
-	// Poll is the interval at which the configuration's head and the instance list are read.
+	// Poll is the interval at which a router reads the newest revision of the configuration and the instance list.
 	Poll masticway.Duration `json:"poll"`
-	// StaleAfter is the time since the configuration was last confirmed after which requests are refused; zero is no limit.
+	// StaleAfter is the maximum age of the configuration. Callers' requests are refused if the applied revision was last known to
+	// be the newest longer ago. Zero means no limit.
 	StaleAfter masticway.Duration `json:"stale_after"`
-	// LinksPerPool is the maximum number of sidecars to which a router links for each pool, a model or a service.
+	// LinksPerPool is the number of sidecars that a router chooses for its links in each pool. A pool is the upstreams of one
+	// model or service.
 	LinksPerPool int `json:"links_per_pool"`
-	// SuspectAfter is the silence after which a sidecar gets no new work and a router is not the keeper of budgets.
+	// SuspectAfter is how long a process may send no message until routers stop using it: a silent sidecar gets no new work, and
+	// a silent router is not the keeper of any budget.
 	SuspectAfter masticway.Duration `json:"suspect_after"`
-	// LostAfter is how long a router tries to reach a silent sidecar before the fate of a run there counts as unknown, and how long
-	// a starting router waits for its peers.
+	// LostAfter is how long a router queries a sidecar for a run until the run's fate counts as unknown. It is also how long a
+	// starting router waits for its peers.
 	LostAfter masticway.Duration `json:"lost_after"`
-	// AcceptTimeout is how long a router waits for a sidecar to accept a run before it queries the run's fate.
+	// AcceptTimeout is how long a router waits for a sidecar to accept a run until it asks the sidecar whether it has the run.
 	AcceptTimeout masticway.Duration `json:"accept_timeout"`
 	// BodyLimit is the maximum size of a caller's request body in bytes.
 	BodyLimit int64   `json:"body_limit"`
@@ -42,13 +45,16 @@
 // Money holds the settings for drawing and holding money.
 type Money struct {
 	Policy keeper.Policy `json:"policy"`
-	// Slices is the number of routers that share a budget under the slice policy.
+	// Slices is the number of routers that share a budget under keeper.PolicySlice, where each router draws one fixed share.
 	Slices int `json:"slices"`
-	// IdleAfter is the time without hold requests after which a budget's money is returned.
+	// IdleAfter is the time without hold requests for a budget after which a router returns its free money of the budget. While
+	// holds are open, it returns only what exceeds the forecast demand.
 	IdleAfter masticway.Duration `json:"idle_after"`
-	// ExactCount is set if the engine counts the tokens of a prompt before a request is refused for lack of money.
+	// ExactCount is set if a router asks an engine to count a prompt's tokens before it refuses the request for lack of money.
+	// Otherwise it uses only an upper bound of the number.
 	ExactCount bool `json:"exact_count"`
-	// Keepers is set if one router of the region holds the money of each budget. Otherwise each router draws for itself.
+	// Keepers is set if each budget has one router, its keeper, that draws the money for all routers of the region. Otherwise
+	// each router draws money for itself.
 	Keepers bool `json:"keepers"`
 }
 
@@ -60,21 +66,23 @@
 // Retry holds the settings for retries after a failed attempt.
 type Retry struct {
 	Policy retrier.Policy `json:"policy"`
-	// Limit is the maximum number of counted retries of a request.
+	// Limit is the maximum number of retries of a request that count (retrier.ActionRetryCounted).
 	Limit int `json:"limit"`
 }
 
-// Queue holds the settings of the queue for upstreams.
+// Queue holds the settings of the queue in which requests wait for slots at upstreams.
 type Queue struct {
-	// PerClass is the maximum number of requests of one class that wait for one pool, and PerWorkspace that of those from one
-	// workspace.
+	// PerClass is the maximum number of requests that wait in the queue per pool and class. PerWorkspace is the maximum per pool,
+	// class and workspace.
 	PerClass     int `json:"per_class"`
 	PerWorkspace int `json:"per_workspace"`
-	// InteractiveBurst is the number of interactive requests that go before one waiting batch request.
+	// InteractiveBurst is how many interactive requests of a pool leave the queue in a row while a batch request waits. Then the
+	// batch request leaves it.
 	InteractiveBurst int `json:"interactive_burst"`
-	// InteractiveWait and BatchWait are the maximum waits of a request of each class.
+	// InteractiveWait and BatchWait are how long a request of each class may wait for a slot at an upstream.
 	InteractiveWait masticway.Duration `json:"interactive_wait"`
 	BatchWait       masticway.Duration `json:"batch_wait"`
-	// Overcommit times an upstream's capacity is the maximum number of requests that one router may have in flight there.
+	// Overcommit is the maximum number of requests that one router may have in flight at an upstream, as a multiple of its
+	// capacity.
 	Overcommit float64 `json:"overcommit"`
 }
--- a/router/upstreams.go
+++ b/router/upstreams.go
@@ -15,11 +15,12 @@
 	"github.com/masticway/masticway/tracker"
 )
 
-// callTimeout limits one call to a sidecar or a peer.
+// callTimeout limits one query of a run, one report of a settlement and one count of a prompt's tokens. It is also the minimum
+// timeout of findRun.
 const callTimeout = 500 * time.Millisecond
 
-// upstreams keeps the links to sidecars and assigns the slots of their upstreams to requests, by a tracker, a chooser and a
-// queue.
+// upstreams keeps the links to sidecars and assigns the slots of their upstreams to requests. The tracker decides which upstreams
+// are usable, the chooser selects one, and the queue orders the waiting requests.
 type upstreams struct {
 	router *Router
 	feeds  *feeds
@@ -28,8 +29,8 @@
 	tracker *tracker.Tracker
 	chooser *chooser.Chooser
 	queue   *limiter.Queue
-	// conns, cancels and addresses hold the link to each sidecar, the function that ends its dialing, and the address that is
-	// dialed, by instance.
+	// These maps are by instance. conns holds the link to each sidecar, cancels the function that ends its dialing, and addresses
+	// the address that is dialed.
 	conns     map[string]*linker.Conn
 	cancels   map[string]context.CancelFunc
 	addresses map[string]string
@@ -75,7 +76,8 @@
 	}
 }
 
-// dropUnneeded closes the link to a sidecar that has ended, or that is idle and no longer in this router's subset.
+// dropUnneeded closes the link to a sidecar that has ended, and marks the sidecar as gone. It also closes the link if the sidecar
+// is no longer wanted, has no requests of this router in flight and is not draining. The caller must hold the lock.
 func (u *upstreams) dropUnneeded(t tracker.Upstream, wanted map[string]masticway.Instance) {
 	id := t.Instance.ID
 	ended := u.tracker.HasEnded(id)
@@ -93,7 +95,7 @@
 	}
 }
 
-// redialIfMoved dials an instance again if the list has another address for it.
+// redialIfMoved dials an instance again if the instance list has a new address for it. The caller must hold the lock.
 func (u *upstreams) redialIfMoved(i masticway.Instance) {
 	if u.addresses[i.ID] != i.Address {
 		u.cancels[i.ID]()
@@ -101,14 +103,14 @@
 	}
 }
 
-// dial keeps a link to an instance. The caller must hold the lock.
+// dial starts to keep a link to an instance. The caller must hold the lock.
 func (u *upstreams) dial(i masticway.Instance) {
 	ctx, stop := context.WithCancel(u.router.ctx)
 	u.cancels[i.ID] = stop
 	u.addresses[i.ID] = i.Address
 	d := u.router.dialer(u.handle, u.linkUp, u.linkDown)
 	u.router.wg.Go(func() {
-		// A sidecar reads a router's links row when they are linked, and considers the router ended if there is none.
+		// A sidecar reads the links row of a router that links to it, and considers the router ended if there is no row.
 		select {
 		case <-u.router.budgets.linksOpened:
 			d.KeepConnected(ctx, i.Address)
@@ -126,15 +128,15 @@
 	u.router.wg.Go(func() { u.activate(c) })
 }
 
-// activate adds a sidecar to this router's links row, and asks the peers to register it as well. It then makes the sidecar usable
-// if the link is still up.
+// activate adds a sidecar to this router's links row, and starts to ask the peers to register it too. If the link is still up, it
+// then makes the sidecar usable.
 func (u *upstreams) activate(c *linker.Conn) {
 	inc := c.Peer().Incarnation
 	instance := c.Peer().Instance
 	u.mu.Lock()
 	for _, t := range u.tracker.All() {
 		if t.Instance.ID == instance && t.Incarnation != "" && t.Incarnation != inc {
-			// An instance runs one process at a time, so the previous one has ended.
+			// An instance runs one process at a time, so the one that the tracker knows has ended.
 			u.router.budgets.markGone(t.Incarnation)
 		}
 	}
@@ -144,7 +146,7 @@
 	if !u.router.budgets.register(ctx, inc) {
 		return
 	}
-	// This heartbeat makes the sidecar verify this router, whose links row now contains it, before any work is sent.
+	// This heartbeat makes the sidecar verify, before any work is sent, that this router's links row contains it.
 	_ = c.Send(u.router.heartbeatMessage())
 	u.router.peers.registerAll()
 	u.mu.Lock()
@@ -223,7 +225,7 @@
 	u.router.requestChanges(c, b.Revision)
 }
 
-// usable returns the upstreams of a pool that may get new work. The caller must hold the lock.
+// usable returns the upstreams of a pool that may get new requests. The caller must hold the lock.
 func (u *upstreams) usable(pool string) []tracker.Upstream {
 	var usable []tracker.Upstream
 	for _, t := range u.tracker.Usable(u.router.clock.Now()) {
@@ -242,7 +244,7 @@
 	u.tracker.MarkLeaving(instance)
 }
 
-// isGone reports whether a sidecar's process has certainly ended.
+// isGone reports whether a sidecar's process is known to have ended.
 func (u *upstreams) isGone(instance string, sidecar masticway.Incarnation) bool {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -253,7 +255,7 @@
 	return ok && c.Peer().Incarnation != sidecar
 }
 
-// tick marks silent upstreams and ends the waits that have timed out.
+// tick marks silent upstreams, ends the waits for slots that have timed out, and grants free slots to waiting requests.
 func (u *upstreams) tick() {
 	now := u.router.clock.Now()
 	u.mu.Lock()
@@ -268,12 +270,12 @@
 	u.serveWaiting()
 }
 
-// findRun asks all linked sidecars for a run of an identity, and returns the run of the last attempt. conn is nil if there is
-// none. It reports in complete whether all sidecars answered.
+// findRun asks all linked sidecars for a run of an identity. It returns the run with the highest attempt number and the link to
+// its sidecar. conn is nil if no run was found. complete is set if all sidecars answered.
 //
-// It waits up to two thirds of SuspectAfter, the silence after which a sidecar gets no new work, but at least callTimeout,
-// because a slow sidecar may have the run. It must not wait longer, so that time is left to find that the fate is unknown if the
-// request is then dispatched to a sidecar that has been cut off.
+// Its timeout is two thirds of SuspectAfter, or callTimeout if that is longer, because a slow sidecar may have the run. The
+// timeout is no longer than this, because the request may next be dispatched to a sidecar that is cut off. The caller then also
+// has to wait until the fate of that attempt counts as unknown.
 func (u *upstreams) findRun(ctx context.Context, identity masticway.Identity) (status sealer.RunStatus, conn *linker.Conn, complete bool) {
 	conns := u.allConns()
 	type finding struct {
@@ -305,8 +307,8 @@
 	return best.status, best.conn, complete
 }
 
-// countTokens asks the usable upstreams of a pool in turn for a prompt's true token count. It returns -1 if none answers within
-// callTimeout.
+// countTokens asks the usable upstreams of a pool in turn for a prompt's token count. It returns -1 if none has answered when
+// callTimeout has passed.
 func (u *upstreams) countTokens(ctx context.Context, pool string, prompt []byte) int {
 	u.mu.Lock()
 	usable := u.usable(pool)
@@ -326,9 +328,9 @@
 	return -1
 }
 
-// HasUpstreams reports whether at least n sidecars are usable and all of them are registered by all linked routers, so that money
-// of any router may be used at them. It returns false until this router and the others of the region have each other among their
-// keepers.
+// HasUpstreams reports whether at least n sidecars are usable, and all usable sidecars are known to be in the links rows of all
+// linked routers. Then the money of any of these routers may be used at them. HasUpstreams returns false until this router and
+// the others of the region have each other among their keepers.
 func (r *Router) HasUpstreams(n int) bool {
 	u := r.upstreams
 	u.mu.Lock()
