--- a/chooser/chooser.go
+++ b/chooser/chooser.go
@@ -22,35 +22,39 @@
 const (
 	// blockBytes is the size of a prompt block in bytes. Each prefix hash covers one block more than the hash before it.
 	blockBytes = 256
-	// prefixTTL is how long a prefix is assumed to stay in an upstream's cache after its last use.
+	// prefixTTL is how long a prefix is assumed to stay in an upstream's cache after it was last sent to the upstream or reported
+	// by it.
 	prefixTTL = 60 * time.Second
-	// maxUpstreamPrefixes is the number of prefix hashes stored per upstream above which old ones are evicted. maxSentPrefixes is
-	// the same for the prefixes that this router has sent to any upstream.
+	// maxUpstreamPrefixes is the number of prefix hashes stored for one upstream above which old ones are evicted.
+	// maxSentPrefixes is the number above which old ones are evicted from Chooser.sentPrefixes.
 	maxUpstreamPrefixes = 4096
 	maxSentPrefixes     = 32768
 	// bytesPerToken is the assumed number of bytes per prompt token.
 	bytesPerToken = 4
-	// defaultPrefillTime is the prefill time per prompt token, in seconds, until the upstream has reported it.
+	// defaultPrefillTime is the assumed prefill time in seconds per prompt token, until the upstream has reported one.
 	defaultPrefillTime = 0.0002
-	// defaultCapacity is the assumed number of concurrent runs of an upstream until the upstream has reported it.
+	// defaultCapacity is the assumed number of requests that an upstream runs concurrently, until the upstream has reported one.
 	defaultCapacity = 8
-	// defaultServiceTime is the time in seconds that one run occupies a slot, until some runs have finished.
+	// defaultServiceTime is the initial value of an upstream's average service time: the time in seconds that a run occupies a
+	// slot.
 	defaultServiceTime = 1.0
-	// initialHitRate is the assumed hit rate of an upstream's cache hints until some have been checked. minHitRate is the lower
-	// bound of the hit rate.
+	// initialHitRate is the initial hit rate of an upstream: the share, from 0 to 1, of the prompt tokens predicted to be cached
+	// that were cached. minHitRate is the lower bound of the hit rate.
 	initialHitRate = 0.5
 	minHitRate     = 0.02
-	// hitRateWeight is the weight of the newest check in the average hit rate.
+	// hitRateWeight is the weight of the newest request in the moving average of an upstream's hit rate.
 	hitRateWeight = 0.2
-	// otherLoadWeight is the weight of the newest report in the average load from other routers.
+	// otherLoadWeight is the weight of the newest report in the moving average of an upstream's load from other routers.
 	otherLoadWeight = 0.5
-	// inFlightHistorySpan is how long the numbers of requests in flight are stored for the correction of delayed load reports.
+	// inFlightHistorySpan is how long the numbers of this router's requests in flight are stored. A delayed load report is
+	// compared with the number at the time of the report.
 	inFlightHistorySpan = 3 * time.Second
-	// maxUtilization limits the utilization in the queueing formula, whose result goes to infinity as the batch fills up.
+	// maxUtilization is the upper bound of the utilization in the formula of queueTime, whose result goes to infinity as the
+	// utilization approaches 1.
 	maxUtilization = 0.85
-	// serviceTimeWeight is the weight of the newest sample in the average service time.
+	// serviceTimeWeight is the weight of the newest run in the moving average of an upstream's service time.
 	serviceTimeWeight = 0.1
-	// zonePenalty is the cost in seconds of choosing an upstream outside the router's own availability zone.
+	// zonePenalty is the time in seconds added to the score of an upstream outside the router's availability zone.
 	zonePenalty = 0.002
 )
 
@@ -71,40 +75,41 @@
 	Zone     string
 }
 
-// Score is the assessment of a candidate. The candidate with the lowest Seconds is chosen.
+// Score is the result of scoring a candidate. The candidate with the lowest Seconds is chosen.
 type Score struct {
 	Instance string `json:"instance"`
 	// Seconds is the expected time to the first token: the sum of Queue, Prefill and the penalty for another availability zone. For
 	// policies other than PolicyForecast, it is the value that the policy compares.
 	Seconds float64 `json:"seconds"`
-	// Queue is the expected time in the upstream's queue, and Prefill that of the prefill, including the pending prefill of other
-	// requests. Both are in seconds.
+	// Queue is the expected time in the upstream's queue, in seconds. Prefill is the expected time of the prefill, in seconds,
+	// including the pending prefill of this router's other requests there.
 	Queue   float64 `json:"queue"`
 	Prefill float64 `json:"prefill"`
-	// Cached is the number of prompt tokens that are expected in the prefix cache.
+	// Cached is the number of prompt tokens that are expected in the upstream's prefix cache.
 	Cached   int `json:"cached"`
 	InFlight int `json:"in_flight"`
 }
 
 type upstream struct {
 	inFlight int
-	// pendingPrefill estimates the number of uncached prompt tokens in requests that have not yet produced a first token. It may be
-	// too low, because the first token of a request subtracts cached tokens too.
+	// pendingPrefill estimates the number of uncached prompt tokens in requests that have not yet produced a first token. It may
+	// be too low, because RecordFirstToken and RecordDone also subtract the cached tokens of a request.
 	pendingPrefill float64
 	report         masticway.LoadReport
-	// otherLoad is the average load from other routers, in requests: the reported load minus this router's requests in flight at the
-	// time of the report.
+	// otherLoad is the moving average of the load from other routers, in requests. The load at one report is the reported number
+	// of requests minus this router's requests in flight at the time of the report.
 	otherLoad float64
 	// inFlightHistory holds the numbers of this router's requests in flight over the last inFlightHistorySpan, oldest first.
 	inFlightHistory []inFlightSample
-	// serviceTime is the average time in seconds that a run occupies a slot.
+	// serviceTime is the moving average of the time in seconds that a run occupies a slot.
 	serviceTime float64
 	prefixes    prefixSet
-	// hitRate is the recent share of predicted prompt tokens that were actually in the cache.
+	// hitRate is the share, from 0 to 1, of the prompt tokens predicted to be cached that were cached, as a moving average over
+	// requests.
 	hitRate float64
 }
 
-// Chooser tracks the load of all upstreams and chooses among them. It is not safe for concurrent use.
+// Chooser tracks the load of upstreams with sidecars and chooses among them. It is not safe for concurrent use.
 type Chooser struct {
 	policy    Policy
 	upstreams map[string]*upstream
@@ -127,8 +132,8 @@
 	return u
 }
 
-// Choose returns the index of the candidate with the lowest score, or -1 if there are no candidates, and the scores of all
-// candidates.
+// Choose returns the index of the candidate with the lowest Score.Seconds, or -1 if there are no candidates. It also returns the
+// scores of all candidates.
 func (c *Chooser) Choose(now time.Time, req Request, candidates []Candidate) (int, []Score) {
 	scores := make([]Score, 0, len(candidates))
 	best := -1
@@ -155,13 +160,13 @@
 	return best, scores
 }
 
-// winsTie reports whether candidate i replaces an earlier candidate with an equal score. It alternates between calls, so that
-// ties do not always go to the same upstream.
+// winsTie reports whether candidate i replaces an earlier candidate with an equal score. The result alternates between calls of
+// Choose, so that ties do not always go to the same upstream.
 func (c *Chooser) winsTie(i int) bool { return (c.choices+i)%2 == 0 }
 
-// homeIndex returns the index of the prompt's home, or -1 if the prompt is shorter than one block. The home is the candidate with
-// the highest rendezvous weight for the prompt's first block. All routers with the same candidates compute the same home, and
-// prefer it if its load permits.
+// homeIndex returns the index of the prompt's home, or -1 if the request has no prefix hashes. The home is the candidate with the
+// highest rendezvous weight for the prompt's first block. Routers with equal candidates compute the same home, and prefer it if
+// its load permits.
 //
 // Without a common home, each router might send requests with one prefix to a different engine, and the engines' caches would
 // hold many copies of the prefix.
@@ -181,7 +186,7 @@
 // rendezvousWeight returns the rendezvous hashing weight of a name for a hash. All routers compute the same weight.
 func rendezvousWeight(hash uint64, name string) uint64 { return mix(xxhash.Sum64String(name) ^ hash) }
 
-// mix is the finalizer of MurmurHash3. It spreads the bits of a weight, which is only the exclusive or of two hashes.
+// mix is the finalizer of MurmurHash3. It spreads the bits of x, because an exclusive or of two hashes is not a good weight.
 func mix(x uint64) uint64 {
 	x ^= x >> 33
 	x *= 0xff51afd7ed558ccd
@@ -190,8 +195,8 @@
 	return x ^ x>>33
 }
 
-// score computes a candidate's expected time to the first token. homeDepth is the number of prefix blocks that are assumed to be
-// cached because the candidate is the home; it is zero for other candidates.
+// score computes the score of a candidate under PolicyForecast. homeDepth is the number of prefix blocks that are assumed to be
+// cached because the candidate is the home. It must be zero for other candidates.
 func (c *Chooser) score(now time.Time, req Request, k Candidate, homeDepth int) Score {
 	u := c.upstream(k.Instance)
 	prefillTime := u.report.PrefillTime
@@ -210,7 +215,7 @@
 	return s
 }
 
-// load estimates the upstream's current load: the load from other routers, as known from reports, plus this router's requests in
+// load estimates the upstream's current load in requests: the average load from other routers plus this router's requests in
 // flight.
 func (u *upstream) load() float64 {
 	return u.otherLoad + float64(u.inFlight)
@@ -219,7 +224,7 @@
 // queueTime estimates the wait for a slot in the upstream's batch, in seconds.
 //
 // The load is known only with a delay, so the estimate must grow before the batch is full. Otherwise all routers would fill the
-// best upstream completely at the same time. The soft part is Sakasegawa's approximation for a queue with several servers.
+// best upstream completely at the same time. The variable soft is Sakasegawa's approximation for a queue with several servers.
 func (u *upstream) queueTime(load float64) float64 {
 	capacity := float64(u.report.Capacity)
 	if capacity == 0 {
@@ -228,7 +233,7 @@
 	utilization := min(maxUtilization, (load+1)/capacity)
 	soft := u.serviceTime * math.Pow(utilization, math.Sqrt(2*(capacity+1))) / (capacity * (1 - utilization))
 	excess := max(0, load+1-capacity) * u.serviceTime / capacity
-	// A fuller batch also slows down each step. This breaks ties among upstreams with free slots.
+	// The last term is there because a fuller batch slows down each step. It breaks ties among upstreams with free slots.
 	return soft + excess + load/capacity*u.report.TokenTime
 }
 
@@ -237,7 +242,8 @@
 	return int(float64(u.predictedTokens(now, req, homeDepth)) * u.hitRate)
 }
 
-// predictedTokens returns the number of prompt tokens that the cache hints predict, without regard to the hit rate.
+// predictedTokens predicts the number of prompt tokens in the cache, without regard to the hit rate. It uses the prefixes that
+// the upstream has reported or this router has sent to it, and homeDepth.
 func (u *upstream) predictedTokens(now time.Time, req Request, homeDepth int) int {
 	return max(homeDepth, u.prefixes.depth(now, req.Prefixes)) * blockBytes / bytesPerToken
 }
@@ -245,8 +251,8 @@
 // RecordCacheHit updates an upstream's hit rate from the number of prompt tokens that were expected in its cache, as returned by
 // RecordSent, and the number that were cached. It does nothing if none were expected.
 //
-// Cache reports are delayed and incomplete, and an engine may have evicted prefixes that a router sent. The hit rate prevents
-// such hints from attracting requests to a busy upstream.
+// A prediction may be wrong: cache reports are delayed and incomplete, and an engine may have evicted prefixes that a router
+// sent. The hit rate prevents wrong predictions from attracting requests to a busy upstream.
 func (c *Chooser) RecordCacheHit(instance string, expected, cached int) {
 	if expected <= 0 {
 		return
@@ -256,9 +262,10 @@
 	u.hitRate = max(minHitRate, (1-hitRateWeight)*u.hitRate+hitRateWeight*share)
 }
 
-// RecordSent records a request sent to an upstream, whose prompt is now likely to be cached there.
+// RecordSent records that a request was sent to an upstream, and that its prompt is now likely to be cached there.
 //
-// It returns the number of prompt tokens that the cache hints predicted before this request, for a later call of RecordCacheHit.
+// It returns the number of prompt tokens that were predicted to be cached at the upstream before this request. The caller passes
+// it to RecordCacheHit later.
 func (c *Chooser) RecordSent(now time.Time, instance string, req Request) (expected int) {
 	u := c.upstream(instance)
 	expected = u.predictedTokens(now, req, 0)
@@ -269,7 +276,7 @@
 	return expected
 }
 
-// RecordFirstToken records that an upstream has finished the prefill of a request.
+// RecordFirstToken records that an upstream has sent the first token for a request, and so has finished its prefill.
 func (c *Chooser) RecordFirstToken(instance string, req Request) {
 	u := c.upstream(instance)
 	u.pendingPrefill = max(0, u.pendingPrefill-req.tokens())
@@ -278,7 +285,9 @@
 	}
 }
 
-// RecordDone records the end of a run and how long it occupied a slot of the upstream. If took is zero, it is not averaged.
+// RecordDone records the end of a request that was recorded by RecordSent. took is how long the request occupied a slot of the
+// upstream; zero does not count in the average service time. firstTokenSeen must be set if RecordFirstToken was called for the
+// request.
 func (c *Chooser) RecordDone(now time.Time, instance string, took time.Duration, firstTokenSeen bool, req Request) {
 	u := c.upstream(instance)
 	u.setInFlight(now, max(0, u.inFlight-1))
@@ -293,8 +302,8 @@
 	}
 }
 
-// RecordReport records an upstream's report on its load and its cache, which arrives with a delay. If the report is recorded
-// again, its load is not averaged again.
+// RecordReport records an upstream's report on its load and its cache. The report may be delayed. A report with the time of the
+// last one does not change the average load from other routers again.
 func (c *Chooser) RecordReport(now time.Time, instance string, r masticway.LoadReport) {
 	u := c.upstream(instance)
 	fresh := !r.ReportedAt.Equal(u.report.ReportedAt)
@@ -306,7 +315,7 @@
 	u.prefixes.add(now, r.Prefixes)
 }
 
-// inFlightSample is the number of this router's requests in flight from a time on.
+// inFlightSample is the number of this router's requests in flight at an upstream, from the time at until the next sample.
 type inFlightSample struct {
 	at       time.Time
 	inFlight int
@@ -320,8 +329,8 @@
 	}
 }
 
-// inFlightAt returns the number of this router's requests that were in flight at an earlier time. It returns zero if the history
-// does not reach back so far.
+// inFlightAt returns the number of this router's requests in flight at the given earlier time. It returns zero if the history
+// does not reach back to it.
 func (u *upstream) inFlightAt(at time.Time) int {
 	for i := len(u.inFlightHistory) - 1; i >= 0; i-- {
 		if !u.inFlightHistory[i].at.After(at) {
@@ -331,7 +340,7 @@
 	return 0
 }
 
-// Forget removes an upstream that no longer exists.
+// Forget removes all information about an upstream.
 func (c *Chooser) Forget(instance string) { delete(c.upstreams, instance) }
 
 // InFlight returns the number of this router's requests in flight at an upstream, and the upstream's capacity, which is
@@ -344,8 +353,8 @@
 	return u.inFlight, u.report.Capacity
 }
 
-// EstimateWait estimates how long a new request waits behind the given number of queued requests if all slots of the candidates
-// are occupied. It returns one second if there are no candidates.
+// EstimateWait estimates how long a new request waits for a slot at one of the candidates, behind the given number of queued
+// requests. It assumes that all slots are occupied. It returns one second if there are no candidates.
 func (c *Chooser) EstimateWait(queued int, candidates []Candidate) time.Duration {
 	rate := 0.0
 	for _, k := range candidates {
--- a/chooser/cost.go
+++ b/chooser/cost.go
@@ -7,31 +7,34 @@
 )
 
 const (
-	// tokensPerMillisecond is the assumed prefill speed of an engine. Deviations from it show in serverLoad.delay.
+	// tokensPerMillisecond is the assumed prefill speed of an engine, in tokens per millisecond. If an engine is slower, its
+	// serverLoad.delay grows.
 	tokensPerMillisecond = 35.0
-	// runningCost is the cost, in milliseconds, of each request in flight at an engine, because it slows down the engine's steps.
+	// runningCost is the cost, in milliseconds, of each request in flight at an engine. Each request slows down the engine's
+	// steps.
 	runningCost = 1.5
-	// zoneCost is the fixed cost, in milliseconds, of an answer from another availability zone.
+	// zoneCost is the fixed cost, in milliseconds, of a server in another availability zone than the router.
 	zoneCost = 3.0
-	// failureCost is the cost, in milliseconds, of a server that always fails. An unreachable server costs ten times as much in
-	// addition.
+	// failureCost is the cost, in milliseconds, of a failure rate of 1. Lower rates cost proportionally less. A server that is
+	// avoided because it was unreachable costs another ten times this amount.
 	failureCost = 600.0
 	// plainCost is the cost, in milliseconds, of each request in flight at a plain service.
 	plainCost = 15.0
 )
 
-// ServerPolicy configures the costs of a server that do not come from its load, and the limit for cold servers.
+// ServerPolicy configures the costs of a server for its rank and its availability zone, and the limit for cold servers.
 type ServerPolicy struct {
-	// RankShare is the share of the prefill time of a prompt's shared parts that is added to the cost of a server for each rank. A
-	// server's rank is its position by rendezvous weight for the prompt; the home has rank zero. Without ranks, each router would
-	// choose a different server when the home is overloaded, and the parts would be prefilled again at each of these servers. With
-	// five routers and 18 engines, a share of 0.8 reduced the number of tokens that were prefilled again by a third.
+	// RankShare is the share of the prefill time of a prompt's shared parts that each rank adds to the cost of a server. A
+	// server's rank is its position by rendezvous weight for the prompt. The home, the server that all routers prefer for the
+	// prompt, has rank zero. Without ranks, each router would choose a different server when the home is overloaded, and the
+	// parts would be prefilled again at each of these servers. With five routers and 18 engines, a share of 0.8 reduced the
+	// number of tokens that were prefilled again by a third.
 	RankShare float64
-	// ZoneTokenCost is the cost, in milliseconds, of each token that an answer from another availability zone may have. A long
-	// answer to a prompt with few shared tokens should come from the same zone. A prompt that is cached by an engine in another zone
-	// should go there. With 0.04, a sixth less traffic crosses zones.
+	// ZoneTokenCost is the cost, in milliseconds, of each output token that a request may have, if the server is in another
+	// availability zone. A long answer to a prompt with few shared tokens should come from the router's zone. A prompt that is
+	// cached by an engine in another zone should go there. With 0.04, a sixth less traffic crosses zones.
 	ZoneTokenCost float64
-	// Cold limits the requests to cold servers.
+	// Cold is the rate limit for requests to cold servers.
 	Cold ColdRateLimit
 }
 
@@ -52,8 +55,8 @@
 	return cost + (uncached+l.pendingPrefill)/tokensPerMillisecond + float64(l.inFlight)*runningCost + l.currentDelay(now)
 }
 
-// rankCost returns the cost that each rank adds to a server for a prompt, in milliseconds. The more tokens can be shared, the
-// more important it is that all routers fall back from the home to the same servers.
+// rankCost returns the cost, in milliseconds, that each rank adds to a server for a prompt. It grows with the number of tokens
+// that can be shared, because it is then more important that all routers fall back from the home to the same servers.
 func (s *Servers) rankCost(p Prompt) float64 {
 	return s.policy.RankShare * float64(p.sharedTokens()) / tokensPerMillisecond
 }
--- a/chooser/observations.go
+++ b/chooser/observations.go
@@ -10,15 +10,15 @@
 const (
 	// partTTL is how long a prompt part is assumed to stay in an engine's cache after its last use.
 	partTTL = 8 * time.Second
-	// delayDecay is the time constant by which an observed delay decays.
+	// delayDecay is the time constant of the exponential decay of serverLoad.delay.
 	delayDecay = 1500 * time.Millisecond
-	// failureWeight is the weight of the newest result in a server's failure rate.
+	// failureWeight is the weight of the newest result in the moving average of a server's failure rate.
 	failureWeight = 0.15
-	// minAvoidTime and maxAvoidTime bound the backoff during which an unreachable server is avoided.
+	// minAvoidTime and maxAvoidTime are the bounds of the backoff: how long a server is avoided after a connection to it failed.
 	minAvoidTime = 300 * time.Millisecond
 	maxAvoidTime = 2 * time.Second
-	// partsCleanupSize is the number of prompt parts stored for one server above which expired ones are removed. More are stored if
-	// none has expired.
+	// partsCleanupSize is the number of prompt parts stored for one server above which expired ones are removed. It is not an
+	// upper bound: parts that have not expired are kept.
 	partsCleanupSize = 2048
 )
 
@@ -27,20 +27,21 @@
 	// startedAt is the start time of the server's current incarnation. It is zero if the server has not reported it.
 	startedAt time.Time
 	inFlight  int
-	// pendingPrefill is the number of uncached prompt tokens in requests that have not yet produced a first event.
+	// pendingPrefill is the estimated number of uncached prompt tokens in requests that have not yet produced a first event.
 	pendingPrefill float64
-	// parts holds the last use of each prompt part at the server, by part ID.
+	// parts holds, by part ID, when a request with the prompt part was last sent to the server.
 	parts map[string]time.Time
-	// delay is how much later than expected recent first events were, in milliseconds, as of delayAt.
+	// delay is how much later than expected recent first events arrived, as a moving average in milliseconds at the time delayAt.
+	// It decays from then on.
 	delay   float64
 	delayAt time.Time
-	// failureRate is the average share of recent requests that failed, from 0 to 1.
+	// failureRate is the share of requests that failed, from 0 to 1, as a moving average.
 	failureRate float64
 	// avoidUntil is the time until which the server is avoided because a connection to it failed.
 	avoidUntil time.Time
 	// connectFailures is the number of failed connections since the last successful request.
 	connectFailures int
-	// sendTimes are the times of recently sent requests, oldest first.
+	// sendTimes are the times of recent requests to the server, oldest first. recentlySent drops times older than coldWindow.
 	sendTimes []time.Time
 }
 
@@ -57,8 +58,8 @@
 	return l
 }
 
-// cachedTokens estimates the number of leading prompt tokens in the engine's cache. At the home of the prompt, all shared parts
-// are assumed to be cached.
+// cachedTokens estimates the number of leading prompt tokens in the engine's cache. At the home of the prompt (isHome), all parts
+// but the last are assumed to be cached.
 func (l *serverLoad) cachedTokens(now time.Time, p Prompt, isHome bool) int {
 	tokens := 0
 	for i, part := range p.Parts {
@@ -71,18 +72,18 @@
 	return tokens
 }
 
-// Placement is one request at one server. It is passed back to Servers as the request progresses.
+// Placement is one request at one server. The caller passes it to the methods of Servers that record the progress of the request.
 type Placement struct {
-	// load is the information about the incarnation of the server that the request was sent to.
+	// load is the information about the server's incarnation at the time of sending.
 	load   *serverLoad
 	sentAt time.Time
-	// uncached is the estimated number of prompt tokens that were not cached.
+	// uncached is the estimated number of prompt tokens that were not cached at the server when the request was sent.
 	uncached       float64
 	firstEventSeen bool
 	ended          bool
 }
 
-// RecordSent records a request sent to a server.
+// RecordSent records that a request was sent to a server, and that its prompt parts are now likely to be cached there.
 func (s *Servers) RecordSent(now time.Time, p Prompt, server string) *Placement {
 	l := s.load(server)
 	uncached := float64(p.Tokens - l.cachedTokens(now, p, false))
@@ -106,7 +107,7 @@
 	}
 }
 
-// RecordFirstEvent records the first event of an answer. Further calls have no effect.
+// RecordFirstEvent records that the first event of a request's answer has arrived. Further calls for the request have no effect.
 func (s *Servers) RecordFirstEvent(now time.Time, p *Placement) {
 	if p.firstEventSeen {
 		return
@@ -120,7 +121,8 @@
 	l.delayAt = now
 }
 
-// usualFirstEvent is the time in milliseconds that an idle engine takes for a first event, excluding the prefill.
+// usualFirstEvent is the expected time in milliseconds from sending a request to the first event of its answer, without the
+// prefill.
 const usualFirstEvent = 60.0
 
 // Result is how a request ended, as far as it concerns the health of its server.
@@ -136,7 +138,7 @@
 	ResultUnreachable
 )
 
-// RecordEnd records the end of a request. Further calls have no effect.
+// RecordEnd records the end of a request and its result. Further calls for the request have no effect.
 func (s *Servers) RecordEnd(now time.Time, p *Placement, v Result) {
 	if p.ended {
 		return
@@ -163,8 +165,8 @@
 	}
 }
 
-// IsOutlier reports whether a server's failure rate exceeds the average of the other given servers, which are those of its pool,
-// by more than outlierMargin. It returns false for the only server of a pool.
+// IsOutlier reports whether a server's failure rate exceeds the average rate of the other servers of its pool by more than
+// outlierMargin. servers must be all servers of the pool. IsOutlier returns false if there is only one.
 func (s *Servers) IsOutlier(id string, servers []masticway.Server) bool {
 	if len(servers) < 2 {
 		return false
@@ -178,13 +180,14 @@
 	return s.load(id).failureRate > outlierMargin+others/float64(len(servers)-1)
 }
 
-// outlierMargin is the difference above which a failure rate is attributed to the server. Failures that are caused by requests
-// affect all servers, and the differences stay below it.
+// outlierMargin is the difference in failure rates above which failures are attributed to the server. Failures that are caused by
+// requests affect all servers alike, so the difference stays smaller.
 const outlierMargin = 0.2
 
-// SyncIncarnations updates the start times of the servers' current incarnations. It removes the servers that are not in the given
-// map and have no requests in flight. It also removes the information about earlier incarnations, because a restarted server has
-// an empty cache and no load. It returns the IDs of the servers with information about another incarnation.
+// SyncIncarnations sets the start times of the servers' current incarnations, by server ID. It removes the information about
+// servers that are not in the map and have no requests in flight. If a server's start time has changed, it also removes the
+// information about that server, because a restarted server has an empty cache and no load. It returns the IDs of these restarted
+// servers.
 func (s *Servers) SyncIncarnations(startTimes map[string]time.Time) (restarted []string) {
 	s.startTimes = startTimes
 	for id, l := range s.loads {
--- a/chooser/prefixes.go
+++ b/chooser/prefixes.go
@@ -18,8 +18,8 @@
 	return hashes
 }
 
-// prefixSet is a set of prefix hashes that expire. If it grows beyond limit, old hashes are evicted; a single prompt may exceed
-// it.
+// prefixSet is a set of prefix hashes, each of which expires prefixTTL after it was last added. If it would grow beyond limit,
+// old hashes are evicted. A single prompt may exceed limit.
 type prefixSet struct {
 	limit    int
 	lastSeen map[uint64]time.Time
@@ -29,8 +29,8 @@
 	return prefixSet{limit: limit, lastSeen: map[uint64]time.Time{}}
 }
 
-// depth returns the number of leading blocks that are in the set and have not expired. A hash in the set covers all blocks before
-// it.
+// depth returns the number of leading blocks of a prompt that the set contains. hashes must be the result of Prefixes. A hash
+// that is in the set and has not expired covers its block and all blocks before it.
 func (p prefixSet) depth(now time.Time, hashes []uint64) int {
 	for i := len(hashes) - 1; i >= 0; i-- {
 		if at, ok := p.lastSeen[hashes[i]]; ok && now.Sub(at) <= prefixTTL {
@@ -40,8 +40,8 @@
 	return 0
 }
 
-// add adds hashes to the set. If they do not fit, it first evicts the hashes older than half of prefixTTL, and then all others if
-// more than half of the limit is still in use.
+// add adds hashes to the set. If they do not fit, it first evicts the hashes that were last added more than half of prefixTTL
+// ago. If more than half of the limit is still in use then, it evicts all others.
 func (p prefixSet) add(now time.Time, hashes []uint64) {
 	if len(p.lastSeen)+len(hashes) > p.limit {
 		p.evict(now)
--- a/chooser/servers.go
+++ b/chooser/servers.go
@@ -10,7 +10,7 @@
 	"github.com/masticway/masticway"
 )
 
-// maxRank is the rank above which the cost of a server no longer grows.
+// maxRank is the rank above which a higher rank adds no cost to a server.
 const maxRank = 6
 
 // Prompt describes a request for which one of a pool's servers must be chosen.
@@ -18,15 +18,15 @@
 	Tokens int
 	// Output is the maximum number of tokens in the answer.
 	Output int
-	// Parts are the parts of the prompt in order, as far as they are known.
+	// Parts are the leading parts of the prompt in order, as far as the router knows them.
 	Parts []masticway.PromptPart
 	// Zone is the router's availability zone.
 	Zone string
 }
 
-// homePart returns the ID of the part that determines the home of the prompt, the engine that all routers prefer for it. It is
-// the last part that other requests may share: the one before the last, or the only part. It returns false if the prompt has no
-// parts.
+// homePart returns the ID of the part that determines the home of the prompt, the engine that all routers prefer for it. This is
+// the part before the last, because other requests may share all parts but the last. If there is only one part, it is this one.
+// homePart returns false if the prompt has no parts.
 func (p Prompt) homePart() (string, bool) {
 	switch len(p.Parts) {
 	case 0:
@@ -41,18 +41,18 @@
 type Servers struct {
 	policy ServerPolicy
 	loads  map[string]*serverLoad
-	// startTimes holds the start times of the known servers' current incarnations.
+	// startTimes holds the start time of each known server's current incarnation, by server ID.
 	startTimes map[string]time.Time
 	choices    int
 }
 
-// NewServers returns a Servers without observations.
+// NewServers returns a Servers that has no observations yet.
 func NewServers(p ServerPolicy) *Servers {
 	return &Servers{policy: p, loads: map[string]*serverLoad{}}
 }
 
-// Choose returns the index of the server with the lowest expected cost, and the cost in milliseconds. The index is -1 if there
-// are no servers.
+// Choose returns the index of the server with the lowest expected cost for a prompt, and this cost in milliseconds. isEngine must
+// be set if the servers are model engines rather than plain services. The index is -1 if there are no servers.
 func (s *Servers) Choose(now time.Time, isEngine bool, p Prompt, servers []masticway.Server) (int, float64) {
 	s.choices++
 	var ranks []int
@@ -62,7 +62,7 @@
 	rankCost := s.rankCost(p)
 	best, bestCost := -1, 0.0
 	for i := range servers {
-		// Servers with equal costs take turns.
+		// The search starts at another server in each call, so that servers with equal costs take turns.
 		k := (i + s.choices) % len(servers)
 		cost := s.cost(now, isEngine, p, servers[k], ranks != nil && ranks[k] == 0)
 		if ranks != nil {
@@ -75,8 +75,9 @@
 	return best, bestCost
 }
 
-// rankServers returns the ranks of servers by their rendezvous weights for a prompt part. All routers thus agree without
-// communication on the part's home, rank zero, and on the order in which other servers are used if the home is overloaded.
+// rankServers returns the ranks of servers by their rendezvous weights for a prompt part, starting with zero for the highest
+// weight. Routers with the same servers thus agree without communication on the part's home, which has rank zero, and on the
+// order in which other servers are used if the home is overloaded.
 func rankServers(part string, servers []masticway.Server) []int {
 	hash := xxhash.Sum64String(part)
 	weights := make([]uint64, len(servers))
