--- a/chooser/cold.go
+++ b/chooser/cold.go
@@ -7,8 +7,8 @@
 	"github.com/masticway/masticway"
 )
 
-// coldWindow is the time over which the requests sent to a cold server are counted. It is longer than the one second of
-// ColdRateLimit, because the network delay varies and requests may arrive closer together than they were sent.
+// coldWindow is the time over which the requests sent to a cold server are counted. It is longer than the one second for which
+// ColdRateLimit holds at the server. Because the network delay varies, requests may arrive closer together than they were sent.
 const coldWindow = 1200 * time.Millisecond
 
 // ColdRateLimit is the maximum number of requests that a cold server may get from all routers together in any second: Overshoot
--- a/chooser/observations.go
+++ b/chooser/observations.go
@@ -185,9 +185,9 @@
 const outlierMargin = 0.2
 
 // SyncIncarnations sets the start times of the servers' current incarnations, by server ID. It removes the information about
-// servers that are not in the map and have no requests in flight. If a server's start time has changed, it also removes the
-// information about that server, because a restarted server has an empty cache and no load. It returns the IDs of these restarted
-// servers.
+// servers that are not in the map and have no requests in flight. It also removes the information about a server's earlier
+// incarnation, with another start time, because a restarted server has an empty cache and no load. It returns the IDs of these
+// restarted servers.
 func (s *Servers) SyncIncarnations(startTimes map[string]time.Time) (restarted []string) {
 	s.startTimes = startTimes
 	for id, l := range s.loads {
