--- a/router/claims.go
+++ b/router/claims.go
@@ -211,7 +211,7 @@
 
 // updateClaim replaces the claim row of a request by value, or deletes it if value is nil. It does not replace an outcome that is
 // already recorded, and leaves the row of another request as it is. It retries until it succeeds or the timeout has passed. It
-// returns true if the request's row is then deleted, or holds an outcome.
+// returns true if the table then has no row of the request (after a deletion), or if the row holds an outcome.
 func (r *Router) updateClaim(key, request string, timeout time.Duration, value []byte) bool {
 	ctx, cancel := context.WithTimeout(r.ctx, timeout)
 	defer cancel()
--- a/router/doc.go
+++ b/router/doc.go
@@ -4,9 +4,9 @@
 //
 // The package does the input and output. Decisions are made by the packages
 // keeper, limiter, chooser, retrier, tracker, recoverer and configurer. A Router
-// is one incarnation: one process of a router from its start to its end. Another
-// router seals it if it seems to have crashed. A sealed incarnation can draw no
-// money, and its owner must start a new one.
+// is one incarnation of a router. Another router seals it if it seems to have
+// crashed. A sealed incarnation can draw no money, and its owner must start a new
+// incarnation.
 //
 // Terms for money:
 //
@@ -14,7 +14,7 @@
 //     from the table.
 //   - Move: a transfer of money between a budget and a grant in the table.
 //   - Hold: the part of a grant that is reserved for one request. Settling the
-//     hold charges the true cost of the request to the grant and frees the rest.
+//     hold charges the cost of the request to the grant and frees the rest.
 //   - Keeper of a budget: the router of a region that draws money of the budget
 //     and gives holds to all routers of the region.
 //   - Links row: the row in the table that lists the sidecars at which a router
--- a/router/exchange.go
+++ b/router/exchange.go
@@ -307,7 +307,7 @@
 	}
 }
 
-// usage returns the token usage of the whole answer, over all attempts. f must be the result of the last one.
+// usage returns the token usage of the whole answer, over all attempts. f must be the result of the last attempt.
 func (x *exchange) usage(f *sealer.RunResult) masticway.Usage {
 	u := f.Outcome.Usage
 	if x.promptTokens > 0 {
@@ -325,7 +325,7 @@
 		return unknownOutcome()
 	}
 	if e.fate == masticway.FateNotRun && x.r.isSealed() {
-		// A sealed incarnation can run nothing any more. The caller must try again at another one.
+		// A sealed incarnation can start no more runs. The caller must try again at another router or at the next incarnation.
 		return x.giveUp(e)
 	}
 	resumable := (x.q.call.Service == "" || x.nextChunk == 0) && (e.final == nil || e.final.Disrupted)
--- a/router/place.go
+++ b/router/place.go
@@ -19,7 +19,7 @@
 	granted chan slot
 }
 
-// slot is a slot, the place for one request in flight at an upstream, that is assigned to a request.
+// slot is the place for one request in flight at an upstream. It is assigned to the request that holds it.
 type slot struct {
 	upstream tracker.Upstream
 	scores   []chooser.Score
--- a/router/settings.go
+++ b/router/settings.go
@@ -20,19 +20,19 @@
 	Heartbeat masticway.Duration `json:"heartbeat"`
 	// Poll is the interval at which a router reads the newest revision of the configuration and the instance list.
 	Poll masticway.Duration `json:"poll"`
-	// StaleAfter is the maximum age of the configuration. Callers' requests are refused if the applied revision was last known to
-	// be the newest longer ago. Zero means no limit.
+	// StaleAfter is the maximum age of the configuration. The age is the time since the applied revision was last known to be the
+	// newest. At a higher age, callers' requests are refused. Zero means no limit.
 	StaleAfter masticway.Duration `json:"stale_after"`
 	// LinksPerPool is the number of sidecars that a router chooses for its links in each pool. A pool is the upstreams of one
 	// model or service.
 	LinksPerPool int `json:"links_per_pool"`
-	// SuspectAfter is how long a process may send no message until routers stop using it: a silent sidecar gets no new work, and
-	// a silent router is not the keeper of any budget.
+	// SuspectAfter is how long a process may be silent, sending no message, before routers stop using it. A silent sidecar gets
+	// no new work. A silent router is not the keeper of any budget.
 	SuspectAfter masticway.Duration `json:"suspect_after"`
-	// LostAfter is how long a router queries a sidecar for a run until the run's fate counts as unknown. It is also how long a
-	// starting router waits for its peers.
+	// LostAfter is how long a router tries to ask a sidecar for a run before the run's fate counts as unknown. It is also how
+	// long a starting router waits for its peers.
 	LostAfter masticway.Duration `json:"lost_after"`
-	// AcceptTimeout is how long a router waits for a sidecar to accept a run until it asks the sidecar whether it has the run.
+	// AcceptTimeout is how long a router waits for a sidecar to accept a run before it asks whether the sidecar has the run.
 	AcceptTimeout masticway.Duration `json:"accept_timeout"`
 	// BodyLimit is the maximum size of a caller's request body in bytes.
 	BodyLimit int64   `json:"body_limit"`
