--- a/clock.go
+++ b/clock.go
@@ -8,7 +8,7 @@
 	"golang.org/x/sys/unix"
 )
 
-// Clock provides the time, so that tests can replace it and need not wait.
+// Clock provides the time. Tests replace it, so that they need not wait.
 type Clock interface {
 	// Now returns the current time.
 	Now() time.Time
@@ -16,9 +16,9 @@
 	After(d time.Duration) <-chan time.Time
 }
 
-// SystemClock is the clock of the local machine. It does not jump when the time of day is set and, unlike Go's monotonic clock,
-// it includes the time for which the machine was suspended, if the kernel reports its uptime. Otherwise a suspension would extend
-// leases, timeouts and other agreed periods on this machine beyond what other machines expect.
+// SystemClock is the clock of the local machine. It does not jump when the time of day is set. Unlike Go's monotonic clock, it
+// also counts the time for which the machine was suspended, if the kernel reports that time. A clock that omitted suspensions
+// would extend leases and timeouts on this machine beyond what other machines expect.
 type SystemClock struct{}
 
 // Now returns the time of day at the start of the process plus the time elapsed since, including suspensions.
@@ -30,8 +30,8 @@
 	return time.Duration(systemClock.suspended.Load())
 }
 
-// After waits on the monotonic clock, so a suspension prolongs the wait. The value that the channel receives is the time of day,
-// which may differ from Now.
+// After returns a channel that receives the time of day once d has elapsed on Go's monotonic clock. A suspension of the machine
+// therefore prolongs the wait, and the received time may differ from Now.
 func (SystemClock) After(d time.Duration) <-chan time.Time { return time.After(d) }
 
 // systemClock is the clock behind SystemClock.
@@ -52,7 +52,7 @@
 	minDrift = 5 * time.Millisecond
 	// maxReadingGap is the maximum time between the readings of the monotonic clock before and after a reading of the uptime.
 	maxReadingGap = time.Millisecond
-	// maxReadings is the maximum number of attempts to get readings within maxReadingGap.
+	// maxReadings is the maximum number of attempts to read the uptime within maxReadingGap.
 	maxReadings = 5
 )
 
@@ -79,8 +79,8 @@
 	startOffset time.Duration
 	hasUptime   bool
 
-	// suspended is how long the machine has been suspended since the start. drift is the difference between the elapsed time
-	// of day and the elapsed monotonic time when suspended was last updated. Both are in nanoseconds.
+	// suspended is how long the machine has been suspended since the suspendClock was created. drift is the difference between
+	// the elapsed time of day and the elapsed monotonic time when suspended was last checked. Both are in nanoseconds.
 	suspended, drift atomic.Int64
 	mu               sync.Mutex
 }
@@ -92,7 +92,7 @@
 	return s
 }
 
-// now returns the time of day at the start plus the time elapsed since, including suspensions.
+// now returns the time of day at which the suspendClock was created plus the time elapsed since, including suspensions.
 func (s *suspendClock) now() time.Time {
 	day, steady := s.readClocks()
 	elapsed := steady - s.startSteady
@@ -103,8 +103,9 @@
 	return s.start.Add(elapsed + time.Duration(s.suspended.Load()))
 }
 
-// updateSuspended updates how long the machine has been suspended, if it has an uptime. It is called when the drift has changed
-// by minDrift.
+// updateSuspended records how long the machine has been suspended, if the kernel reports its uptime. drift is the new difference
+// between the elapsed time of day and the elapsed monotonic time. The caller must check that the difference has changed by at
+// least minDrift.
 func (s *suspendClock) updateSuspended(drift time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -114,7 +115,7 @@
 	}
 	offset, ok := s.uptimeOffset()
 	if !ok {
-		// drift is unchanged, so the next call of now tries again.
+		// s.drift is unchanged, so the next call of now tries again.
 		return
 	}
 	// If only the time of day was set, the suspended time has not grown.
@@ -124,8 +125,9 @@
 	s.drift.Store(int64(drift))
 }
 
-// uptimeOffset returns the uptime minus the monotonic clock. It returns false if the uptime is not available or if no readings of
-// the monotonic clock within maxReadingGap of each other were obtained.
+// uptimeOffset returns the uptime minus the monotonic clock. It returns false if the uptime is not available. It also returns
+// false if, in each of maxReadings attempts, more than maxReadingGap passed between the readings of the monotonic clock before
+// and after that of the uptime.
 func (s *suspendClock) uptimeOffset() (time.Duration, bool) {
 	for range maxReadings {
 		_, before := s.readClocks()
--- a/contract.go
+++ b/contract.go
@@ -5,7 +5,7 @@
 	"slices"
 )
 
-// Class distinguishes requests that a person waits for from batch work.
+// Class distinguishes requests for which a person waits from batch work.
 type Class string
 
 // The classes of a request. Queues prefer interactive requests, but also serve batch requests while interactive ones keep
@@ -50,8 +50,8 @@
 	Class    Class          `json:"class,omitempty"`
 	Models   []ModelTerms   `json:"models,omitempty"`
 	Services []ServiceTerms `json:"services,omitempty"`
-	// RequestsPerSecond is the rate at which a token bucket fills; zero means no rate limit. The size of the bucket is the
-	// largest of Burst, RequestsPerSecond and one.
+	// RequestsPerSecond is the maximum average rate of the workspace's requests; zero means no limit. It is the rate at which a
+	// token bucket fills. The size of the bucket is the largest of Burst, RequestsPerSecond and one.
 	RequestsPerSecond float64 `json:"requests_per_second,omitempty"`
 	Burst             int     `json:"burst,omitempty"`
 	// Concurrency is the maximum number of open requests of the workspace in a region; zero means no limit.
@@ -60,10 +60,11 @@
 	RequireIdempotencyKey bool `json:"require_idempotency_key,omitempty"`
 	// KeyHashes are the hexadecimal SHA-256 hashes of the caller keys.
 	KeyHashes []string `json:"key_hashes,omitempty"`
-	// Horizon is the period of forecast demand that one draw from the budget covers.
+	// Horizon is the period of forecast demand that one draw covers. A draw moves money from the budget to the router that holds
+	// the money of the region's requests. Zero means a default.
 	Horizon Duration `json:"horizon,omitempty"`
-	// HoldWait is how long a request that finds too little money waits for open holds to be released before it is refused; zero
-	// means a default.
+	// HoldWait is the maximum time for which a request waits if too little money is available. Meanwhile other requests may end
+	// and release money that was reserved for them. The request is refused if it is still too little. Zero means a default.
 	HoldWait Duration `json:"hold_wait,omitempty"`
 }
 
--- a/deployment.go
+++ b/deployment.go
@@ -15,11 +15,13 @@
 	RetryUnlimited RetryPolicy = "freely"
 	// RetryNever is for requests that may run at most once.
 	RetryNever RetryPolicy = "never"
-	// RetryByResuming is for event streams that another server may resume after the last event delivered.
+	// RetryByResuming is for event streams. If a server fails, another one may continue the stream after the last event that the
+	// caller has received.
 	RetryByResuming RetryPolicy = "by_resuming"
 )
 
-// TrafficShare is the share of a route's traffic that goes to one pool, in proportion to the weights of the route's shares.
+// TrafficShare determines the share of a route's traffic that goes to one pool: Weight divided by the sum of the weights of all
+// shares of the route.
 type TrafficShare struct {
 	Pool   string
 	Weight int
@@ -38,7 +40,8 @@
 	AllowsAnonymous bool
 	// MaxServers is the maximum number of servers that one request may run on.
 	MaxServers int
-	// Timeout is the maximum time that a caller waits.
+	// Timeout is the timeout of a request whose caller declares none or a longer one. If it is zero, the caller's applies or else
+	// a default.
 	Timeout time.Duration
 	// LatencyObjective is the longest time to the answer, or on event streams to its first event, that meets the objective.
 	LatencyObjective time.Duration
@@ -65,8 +68,8 @@
 	TokensPerEvent int
 	// TokenCapacity is the number of tokens that an engine can hold for running requests and cached prompt parts.
 	TokenCapacity int
-	// WarmUpTime is how long a server stays slow after it becomes cold. MaxColdRate is the maximum number of requests per second
-	// that it can handle while it is cold.
+	// WarmUpTime is how long a server stays slow after it becomes cold, for example by a restart. MaxColdRate is the maximum
+	// number of requests per second that a cold server can handle.
 	WarmUpTime  time.Duration
 	MaxColdRate float64
 }
@@ -77,7 +80,7 @@
 	// Keys are the caller keys.
 	Keys     []string
 	Priority int
-	// HasPriority is set if Priority, in which zero is the most urgent, overrides the priority of the route.
+	// HasPriority is set if Priority overrides the priority of the route. Zero is the most urgent priority.
 	HasPriority bool
 	// Prepaid is the total number of tokens that the workspace may consume.
 	Prepaid int64
@@ -177,7 +180,8 @@
 // IsCold reports whether the server is considered cold at a time. A cold server is slow, and too many requests crash it.
 func (s Server) IsCold(now time.Time) bool { return now.Before(s.ColdUntil) }
 
-// PromptPart is one of the leading parts of a prompt, which other requests may share.
+// PromptPart is one of the leading parts of a prompt. Other requests may share it, so a server may have it in its cache. ID
+// identifies its content, and Tokens is its length.
 type PromptPart struct {
 	ID     string
 	Tokens int
@@ -231,7 +235,7 @@
 	LimitInvalid bool
 	// Draining is set if this incarnation of the server accepts no new requests.
 	Draining bool
-	// Backoff is how long a server that refused the request wants no requests from this router; it is zero if the server does not
+	// Backoff is how long a server that refused the request wants no requests from this router. It is zero if the server does not
 	// report it.
 	Backoff time.Duration
 }
--- a/platform.go
+++ b/platform.go
@@ -86,13 +86,13 @@
 type InstanceReading struct {
 	Version   string     `json:"version"`
 	Instances []Instance `json:"instances"`
-	// Unchanged is set if the list still has the version that the reader knows. Instances is empty then.
+	// Unchanged is set if the list still has the version that the caller of Instances knows. Instances is empty then.
 	Unchanged bool `json:"same"`
 }
 
 // InstanceList is the platform's list of instances, which may be stale.
 type InstanceList interface {
-	// Instances reads the list, which is omitted from the result if it still has the known version.
+	// Instances reads the list. If the list still has the known version, the reading has Unchanged set and no instances.
 	Instances(ctx context.Context, knownVersion string) (InstanceReading, error)
 }
 
@@ -183,7 +183,8 @@
 
 // Order is a command to an upstream to load a model version or to change its role.
 type Order struct {
-	// Fence is the fencing number. An upstream that checks it refuses an order with a lower number than one before.
+	// Fence is the fencing number of the order. An upstream that checks fencing numbers refuses an order with a lower number than
+	// that of an earlier order.
 	Fence  int64  `json:"fence" cbor:"1,keyasint"`
 	Action string `json:"action" cbor:"2,keyasint"`
 	Target string `json:"target" cbor:"3,keyasint"`
--- a/request.go
+++ b/request.go
@@ -4,8 +4,8 @@
 	"strings"
 )
 
-// Incarnation identifies one run of a router or sidecar. A restart creates a new incarnation, and so does a router that finds
-// that it has been fenced.
+// Incarnation identifies one run of a router or sidecar. A process gets a new one when it restarts. A router also gets a new one
+// when it finds that its current one has been fenced, that is, that other routers treat it as ended.
 type Incarnation string
 
 // Instance returns the ID of the instance that the incarnation runs on.
@@ -19,7 +19,7 @@
 	return Incarnation(instance + "~" + suffix)
 }
 
-// Identity identifies a request by its workspace and idempotency key. Requests with the same identity are billed once together.
+// Identity identifies a request by its workspace and idempotency key. Requests with the same identity are billed only once.
 type Identity string
 
 // NewIdentity returns the identity with a workspace and an idempotency key.
--- a/rows.go
+++ b/rows.go
@@ -20,7 +20,7 @@
 	RowKey
 	Value   []byte
 	Version int64
-	// Deleted is set if the row has been deleted. It is used in changes only.
+	// Deleted is set if the row has been deleted. It is only set in the results of RowStore.Watch.
 	Deleted bool
 }
 
@@ -46,8 +46,8 @@
 // RowReading is the result of a read, a write or a watch.
 type RowReading struct {
 	Rows []StoredRow
-	// Version is the newest version of the store at that time; after a write, it is the version of the write. After a read of
-	// several pages it is the version at the first page, so that a watch from there misses no change.
+	// Version is the newest version of the store when it answered. After a write, it is the version of the write. After a read of
+	// several pages, it is the version at the first page, so that a watch from this version misses no change.
 	Version int64
 	// StoreTime is the reading of the store's monotonic clock when it answered.
 	StoreTime time.Duration `cbor:"At"`
@@ -83,9 +83,9 @@
 	// does not match, with UnavailableError if nothing was written, and with OutcomeUnknownError if the write may have been
 	// made or may still be made.
 	Write(ctx context.Context, w RowWrite) (RowReading, error)
-	// Watch returns the changes of a table, with all versions of each row. If there are none yet, it waits for the first one, and
-	// returns no rows after f.MaxWait. It fails with HistoryLostError if the changes are no longer stored or exceed MaxBytes, and
-	// with UnavailableError.
+	// Watch returns the changes of a table after version f.Since, with all versions of each row. If there are none yet, it waits
+	// for the first one, and returns no rows after f.MaxWait. It fails with HistoryLostError if the changes are no longer stored
+	// or exceed f.MaxBytes, and with UnavailableError if the store cannot be read.
 	Watch(ctx context.Context, f WatchRequest) (RowReading, error)
 }
 
@@ -118,8 +118,9 @@
 type DeploymentDecoder interface {
 	// ConfigurationKey returns the key of the row with the newest configuration.
 	ConfigurationKey() RowKey
-	// EvacuatedZone returns the availability zone that is evacuated while a row in the configuration's table and part exists: its
-	// servers must get no new requests. It returns false for other rows.
+	// EvacuatedZone returns the availability zone named in the key of a row by which an operator evacuates the zone. While such a
+	// row exists in the configuration's table and part, the servers of the zone must get no new requests. EvacuatedZone returns
+	// false for other keys.
 	EvacuatedZone(key RowKey) (zone string, ok bool)
 	// ServerTable returns the name of the table in which servers register, with their IDs as keys.
 	ServerTable() string
@@ -140,7 +141,7 @@
 	ParseAnswer(status int, h http.Header) ServerAnswer
 	// CallerHeaders returns the headers of a server's answer that are forwarded to the caller.
 	CallerHeaders(h http.Header) http.Header
-	// SetRefusal sets the headers of a refusal by the fleet for the caller's attempt. If wait is positive, they tell the caller
-	// to retry after it.
+	// SetRefusal sets the headers of an answer by which the fleet refuses a request. id is the ID of the request that the caller
+	// sent. If wait is positive, the headers ask the caller to retry after that time.
 	SetRefusal(h http.Header, id string, wait time.Duration)
 }
--- a/suspect.go
+++ b/suspect.go
@@ -9,8 +9,8 @@
 // RequestDigest identifies a request by everything that its caller repeats in a retry: the caller, method, host, target and body.
 type RequestDigest string
 
-// ServerIncarnation identifies one incarnation of a server. Incarnations with the same ID differ by their start times. They
-// cannot be distinguished if the server reports none.
+// ServerIncarnation identifies one incarnation of a server by the server's ID and start time. If the server reports no start
+// time, all its incarnations have the same identifier.
 type ServerIncarnation string
 
 // Incarnation returns the identifier of the server's incarnation.
@@ -24,9 +24,10 @@
 // ServerCrash records that a server crashed while it ran a request.
 type ServerCrash struct {
 	Server ServerIncarnation `json:"server" cbor:"1,keyasint"`
-	// Quarantined is set if the request ran in quarantine. Another router may still report another suspect on the server.
+	// Quarantined is set if the request ran in quarantine, that is, on a server where this router knew of no other suspect.
+	// Another router may have run another suspect there and may still report it.
 	Quarantined bool `json:"apart,omitempty" cbor:"2,keyasint,omitempty"`
-	// Answered is set if the server had sent a part of the answer.
+	// Answered is set if the server had sent a part of the answer before it crashed.
 	Answered bool `json:"answered,omitempty" cbor:"3,keyasint,omitempty"`
 }
 
@@ -43,30 +44,31 @@
 	SuspicionProven Suspicion = "proven"
 )
 
-// SuspectStatus is the status of a request at one point in time.
+// SuspectStatus is what a router knows about the suspicion of a request at one point in time.
 type SuspectStatus struct {
 	Suspicion Suspicion
 	// Crashes are the server crashes during the request.
 	Crashes []ServerCrash
-	// Remaining is how much longer the request is not sent to servers because of a proven suspicion.
+	// Remaining is how much longer a request with SuspicionProven is not sent to servers. It is zero for other requests.
 	Remaining time.Duration
-	// Running is set if the request is running in quarantine, or if its latest evidence is too recent for a decision: other
-	// routers may still report another suspect on the same server.
+	// Running is set if the request must not start another run in quarantine now. Either it is running in quarantine, or its
+	// latest server crash is so recent that other routers may still report another suspect on the same server.
 	Running bool
-	// UnreportedServer is the server of a run in quarantine whose result has not been reported in time; otherwise it is empty.
+	// UnreportedServer is the server of another router's run of the request in quarantine, if that router has not reported the
+	// result in time. Otherwise it is empty.
 	UnreportedServer ServerIncarnation
 }
 
 // Examiner determines, together with all other routers, which requests crash the servers that run them.
 type Examiner interface {
-	// HasNoSuspects reports whether there are no suspects, so that digests need not be computed.
+	// HasNoSuspects reports whether this router knows of no server crash during any request. Digests need not be computed then.
 	HasNoSuspects() bool
 	// Status returns the current status of a request.
 	Status(d RequestDigest) SuspectStatus
 	// Changed returns a channel that is closed when the status of any request may have changed.
 	Changed() <-chan struct{}
-	// QuarantineServers returns the servers on which suspects run in quarantine. The set serious contains those whose suspect has
-	// crashed more than one server.
+	// QuarantineServers returns the servers on which suspects run in quarantine. The set serious contains those that run a
+	// suspect during which more than one server has crashed.
 	QuarantineServers() (all, serious map[ServerIncarnation]bool)
 	// Claim reserves a run in quarantine for this router. It may block while it writes the claim to the store, and relies on this
 	// router's information if the store does not answer. It returns false if the request must not run in quarantine now, for
@@ -74,8 +76,9 @@
 	Claim(ctx context.Context, d RequestDigest, server ServerIncarnation) bool
 	// ReportCrash records a server crash during a request. The path is for diagnostics only.
 	ReportCrash(d RequestDigest, path string, crash ServerCrash)
-	// Clear records that a server has served a suspect without crashing, so that it is no longer a suspect.
+	// Clear records that a server has served a request without crashing, so that the request is no longer a suspect.
 	Clear(d RequestDigest)
-	// Release ends a run in quarantine that gave no evidence.
+	// Release records that this router's run of a request in quarantine is over and gave no evidence, neither a server crash nor
+	// a complete answer. The caller must check that.
 	Release(d RequestDigest)
 }
