--- a/contract.go
+++ b/contract.go
@@ -60,8 +60,8 @@
 	RequireIdempotencyKey bool `json:"require_idempotency_key,omitempty"`
 	// KeyHashes are the hexadecimal SHA-256 hashes of the caller keys.
 	KeyHashes []string `json:"key_hashes,omitempty"`
-	// Horizon is the period of forecast demand that one draw covers. A draw moves money from the budget to the router that holds
-	// the money of the region's requests. Zero means a default.
+	// Horizon is the period of forecast demand that one draw covers; zero means a default. A draw moves money from the budget to
+	// the router that keeps the budget's money in a region.
 	Horizon Duration `json:"horizon,omitempty"`
 	// HoldWait is the maximum time for which a request waits if too little money is available. Meanwhile other requests may end
 	// and release money that was reserved for them. The request is refused if it is still too little. Zero means a default.
