--- a/throttler/limits.go
+++ b/throttler/limits.go
@@ -8,21 +8,22 @@
 )
 
 const (
-	// permitTTL is how long a permit may be used.
+	// permitTTL is how long a router may use permits after it has received them.
 	permitTTL = 400 * time.Millisecond
-	// bucketPeriod is the time for which the owner accumulates unused permits. minBucketSize is the minimum size of the bucket, in
-	// permits.
+	// bucketPeriod is the time for which a token bucket accumulates unused permits. minBucketSize is the minimum size of a
+	// bucket, in permits.
 	bucketPeriod  = 250 * time.Millisecond
 	minBucketSize = 2
 	// minRate is the minimum rate of requests to a server, in requests per second, whatever its limit: only its answers show that
 	// the limit has ended.
 	minRate = 0.1
-	// minAskInterval times the number of routers is the minimum time from a refusal to the router's next permit request for the
-	// server. All refused routers together then ask at most once per minAskInterval on average.
+	// A refused router waits at least minAskInterval times the number of routers before its next permit request for the server.
+	// If all routers are refused, they then ask at most once per minAskInterval on average.
 	minAskInterval = 10 * time.Millisecond
-	// maxAskInterval bounds the wait time that a router accepts from a refusal.
+	// maxAskInterval is the maximum wait time that a router accepts from a refusal.
 	maxAskInterval = 2 * time.Second
-	// unansweredBackoff is how long a router sends a server no requests after no router has replied to a permit request for it.
+	// unansweredBackoff is how long a router sends a server no requests after neither the owner of its limit nor the backup has
+	// replied to a permit request.
 	unansweredBackoff = 250 * time.Millisecond
 	// unregisteredTTL is how long the limit of a server is kept after its registration has disappeared.
 	unregisteredTTL = time.Minute
@@ -30,14 +31,16 @@
 	maxRetryAfter = 10 * time.Second
 )
 
-// Observation is a server's report of its limit, or of having none, and its age.
+// Observation is what a server reported about its limit, and the age of that report. Limit is not set if the server reported
+// none.
 type Observation struct {
 	Limit masticway.RateLimit `cbor:"1,keyasint"`
 	// Age is the time since the server's report.
 	Age time.Duration `cbor:"2,keyasint"`
 }
 
-// PermitRequest asks the owner of a server's limit for permits. If Wanted is zero, it only passes on the observation.
+// PermitRequest asks the owner of a server's limit for permits, and passes on the sender's newest observation of the limit. If
+// Wanted is zero, it asks for none.
 type PermitRequest struct {
 	Server   masticway.ServerIncarnation `cbor:"1,keyasint"`
 	Observed Observation                 `cbor:"2,keyasint"`
@@ -52,7 +55,7 @@
 	Granted  int         `cbor:"2,keyasint,omitempty"`
 	// Wait is the time until the next permit is due. It is set if none was granted.
 	Wait time.Duration `cbor:"3,keyasint,omitempty"`
-	// NotOwner is set if the replying router does not grant permits for this limit.
+	// NotOwner is set if the replying router is neither the owner of the limit nor the backup, and so grants no permits.
 	NotOwner bool `cbor:"4,keyasint,omitempty"`
 }
 
@@ -71,15 +74,16 @@
 type limitState struct {
 	limit      masticway.RateLimit
 	observedAt time.Time
-	// permits is the number of permits that this router may use until permitsUntil. It requests no more until refusedUntil.
+	// permits is the number of permits that this router may use until permitsUntil. Until refusedUntil, it sends no further
+	// permit request and, without a permit, no request to the server.
 	permits      int
 	permitsUntil time.Time
 	refusedUntil time.Time
-	// askDone is closed when the current permit request has been answered or has failed. It is nil if there is none. waiters is the
-	// number of requests that wait for it, not counting the one that asks.
+	// askDone is closed when the current permit request has been answered or has failed. It is nil if there is none. waiters is
+	// the number of requests to the server that wait for it, not counting the one that sent it.
 	askDone chan struct{}
 	waiters int
-	// lastRetryAt is the latest time at which a caller was told to retry.
+	// lastRetryAt is when the caller that was refused last was told to retry.
 	lastRetryAt time.Time
 	// tokens is the number of permits that this router may grant to others and itself, as of tokensAt.
 	tokens   float64
@@ -88,7 +92,7 @@
 	unregisteredSince time.Time
 }
 
-// rate returns the rate of requests that the server gets, in requests per second.
+// rate returns the rate at which permits for the server are granted, in permits per second.
 func (l *limitState) rate() float64 { return max(minRate, l.limit.Rate) }
 
 // Limits holds one router's observations of limits, its permits, and the token buckets from which it grants permits. It is not
@@ -105,9 +109,9 @@
 // LimitedCount returns the number of servers that currently have a limit.
 func (s *Limits) LimitedCount() int { return s.limitedCount }
 
-// Observe records an observation and returns what has changed. It ignores an observation that is older than the recorded one, and
-// one with the recorded limit from another router. When a limit begins, earlier permits are dropped and the token bucket is
-// empty.
+// Observe records an observation and returns how it changes the limit. It ignores an observation that is older than the recorded
+// one. It also ignores one that reports the recorded limit and comes from another router, that is, has a positive age. When a
+// limit begins, the unused permits are dropped and the token bucket is empty.
 func (s *Limits) Observe(now time.Time, server masticway.ServerIncarnation, o Observation) Change {
 	l, ok := s.servers[server]
 	if !ok {
@@ -166,15 +170,15 @@
 const (
 	DecisionAdmitted Decision = "admitted"
 	DecisionRefused  Decision = "refused"
-	// DecisionAsk is for the request that must ask the owner for permits. It must be followed by a call of HandleReply.
+	// DecisionAsk is for the request that must ask the owner for permits. The caller must then call HandleReply with the reply.
 	DecisionAsk Decision = "ask"
 	// DecisionWait is for requests that must wait until the current permit request is answered, and then call Acquire again.
 	DecisionWait Decision = "asked"
 )
 
-// Acquire decides on one request. It uses a permit if it admits a request to a server with a limit. For DecisionAsk, it registers
-// the caller's permit request as the current one. For DecisionWait, it registers the caller as waiting, and answered is closed
-// when the current permit request ends.
+// Acquire decides on one request. If it admits a request to a server with a limit, it uses up a permit. For DecisionAsk, it
+// records that a permit request is in progress, which the caller must send. For DecisionWait, it counts the caller as waiting,
+// and answered is closed when the permit request in progress ends.
 func (s *Limits) Acquire(now time.Time, server masticway.ServerIncarnation) (d Decision, answered <-chan struct{}) {
 	l, ok := s.servers[server]
 	switch {
@@ -193,8 +197,8 @@
 	return DecisionAsk, nil
 }
 
-// PermitsWanted returns the number of permits that the requests waiting for the current permit request need, including the one
-// that asks.
+// PermitsWanted returns how many permits the permit request in progress asks for: one for the request that sends it and one for
+// each request that waits for it.
 func (s *Limits) PermitsWanted(server masticway.ServerIncarnation) int {
 	if l, ok := s.servers[server]; ok {
 		return l.waiters + 1
@@ -208,9 +212,9 @@
 	return ok && l.limit.IsSet && now.Before(l.refusedUntil) && (l.permits == 0 || !now.Before(l.permitsUntil))
 }
 
-// HandleReply ends the current permit request and wakes the requests that wait for it. It records the permits, or the refusal,
-// and the observation in the reply r, and returns the change that the observation causes. r is nil if no router replied. members
-// is the number of routers.
+// HandleReply ends the permit request in progress and wakes the requests that wait for it. It records the permits or the refusal
+// in the reply r, and its observation. It returns how the observation changes the limit. r is nil if no router granted or refused
+// permits. members is the number of routers.
 func (s *Limits) HandleReply(now time.Time, server masticway.ServerIncarnation, r *PermitReply, members int) Change {
 	l, ok := s.servers[server]
 	if !ok {
@@ -233,7 +237,7 @@
 	return change
 }
 
-// ReturnPermit returns an unused permit to this router's permits, and restarts the time during which they may be used. It does
+// ReturnPermit gives an unused permit back to this router's permits, all of which may then be used for another permitTTL. It does
 // nothing if the server has no limit.
 func (s *Limits) ReturnPermit(now time.Time, server masticway.ServerIncarnation) {
 	l, ok := s.servers[server]
@@ -247,8 +251,8 @@
 	l.permitsUntil = now.Add(permitTTL)
 }
 
-// Grant answers a permit request. It takes the granted permits, at most the number wanted, out of the token bucket, which is
-// filled at the given share of the limit.
+// Grant answers a permit request. It takes the granted permits, at most the number wanted, out of the token bucket. The bucket
+// fills at the rate of the limit times share.
 func (s *Limits) Grant(now time.Time, req PermitRequest, share float64) (r PermitReply) {
 	r.Observed = s.Observation(now, req.Server)
 	l, ok := s.servers[req.Server]
@@ -267,8 +271,8 @@
 	return r
 }
 
-// WaitTime returns how much longer a server gets no requests from this router because permits were refused or no router replied.
-// It returns zero if a request may be sent or a permit may be requested.
+// WaitTime returns how much longer a server gets no requests from this router because permits were refused or no router granted
+// or refused them. It returns zero if a request may be sent or a permit may be requested.
 func (s *Limits) WaitTime(now time.Time, server masticway.ServerIncarnation) time.Duration {
 	if !s.IsRefused(now, server) {
 		return 0
@@ -285,7 +289,8 @@
 }
 
 // RetryAfter returns the time after which one refused caller should retry, and records it. The retries of successive callers are
-// spaced by this router's part of the limit, but none is later than maxRetryAfter. members is the number of routers.
+// spaced by this router's part of the limit: the limit divided by members, the number of routers. None is later than
+// maxRetryAfter.
 func (s *Limits) RetryAfter(now time.Time, server masticway.ServerIncarnation, members int) time.Duration {
 	wait := s.WaitTime(now, server)
 	l, ok := s.servers[server]
@@ -304,8 +309,8 @@
 	return due.Sub(now)
 }
 
-// Prune removes the servers that have not been registered, that is, not been in the given set, for unregisteredTTL. It does not
-// remove them at once because an expired registration may be renewed.
+// Prune removes the servers that have not been in known, the set of registered servers, for unregisteredTTL. It keeps them until
+// then because an expired registration may be renewed. A server with a permit request in progress is not removed.
 func (s *Limits) Prune(now time.Time, known map[masticway.ServerIncarnation]bool) {
 	for server, l := range s.servers {
 		if known[server] {
--- a/throttler/rests.go
+++ b/throttler/rests.go
@@ -20,8 +20,8 @@
 // NewBackoffs returns an empty Backoffs.
 func NewBackoffs() *Backoffs { return &Backoffs{until: map[masticway.ServerIncarnation]time.Time{}} }
 
-// Start records that a server wants no requests for a time, and returns how long it gets none. An earlier request to back off
-// that lasts longer stays in effect.
+// Start records that a server has asked for no requests for the requested time, of which at most maxBackoff is accepted. It
+// returns how much longer the server gets none. An earlier backoff that ends later stays in effect.
 func (r *Backoffs) Start(now time.Time, server masticway.ServerIncarnation, requested time.Duration) time.Duration {
 	if until := now.Add(min(requested, maxBackoff)); until.After(r.until[server]) {
 		r.until[server] = until
--- a/throttler/tell.go
+++ b/throttler/tell.go
@@ -75,8 +75,8 @@
 	return t.limits.Observations(t.Clock.Now())
 }
 
-// NotifyPeers notifies other routers of the limits whose changes they must know and have not been notified of: all other routers
-// if this router owns the limit, or else the owner and the backup.
+// NotifyPeers notifies other routers of the changed limits in pendingNotify, and empties it. It notifies all other routers of the
+// limits that this router owns, and only the owner and the backup of other limits.
 func (t *Throttler) NotifyPeers(ctx context.Context) {
 	t.mu.Lock()
 	pending := t.pendingNotify
--- a/throttler/throttler.go
+++ b/throttler/throttler.go
@@ -17,17 +17,19 @@
 const (
 	// askTimeout is the timeout of a request to another router, a few times the round-trip time between availability zones.
 	askTimeout = 120 * time.Millisecond
-	// forwardTimeout is the timeout of a forwarded permit request, short enough that the router that sent it still gets a reply.
+	// forwardTimeout is the timeout of a permit request that the owner forwards to the backup. It is short enough that the router
+	// that sent the request still gets a reply within askTimeout.
 	forwardTimeout = 50 * time.Millisecond
 	// unresponsiveTime is how long a router is not asked after a request to it has failed.
 	unresponsiveTime = time.Second
 	// maxOwners is the number of routers that may grant permits for one limit: the owner, and the backup if the owner does not
 	// reply.
 	maxOwners = 2
-	// backupShare is the part of a limit that the backup grants. It keeps the requests admitted by the permits of the owner and the
-	// backup, some of them used late, within 1.5 times the limit in any 4 s.
+	// backupShare is the share of a limit that the backup grants. It is so small that the owner and the backup together admit at
+	// most 1.5 times the limit in any 4 s, even though some permits are used late.
 	backupShare = 0.2
-	// forwardPeriod is how long after its start an owner forwards permit requests to the backup. By then all other routers know it.
+	// forwardPeriod is how long after its start an owner forwards permit requests to the backup. By then all other routers know
+	// the owner.
 	forwardPeriod = 20 * time.Second
 )
 
@@ -79,7 +81,7 @@
 	backoffs *Backoffs
 	// unresponsiveUntil holds the routers to which a request has failed, and the times until which they are not asked.
 	unresponsiveUntil map[string]time.Time
-	// pendingNotify holds the servers of whose limits other routers must be notified.
+	// pendingNotify holds the servers about whose limits other routers have yet to be notified.
 	pendingNotify map[masticway.ServerIncarnation]bool
 }
 
@@ -93,8 +95,8 @@
 	}
 }
 
-// Observe records the rate limit and the requested backoff in the headers of a server's answer. An answer without a limit ends
-// the recorded one if the server signed it or reported that it did not run the request.
+// Observe records the rate limit and the requested backoff in the headers of a server's answer. If the answer has no limit, it
+// ends the recorded limit, provided that the server signed the answer or reported that it did not run the request.
 func (t *Throttler) Observe(server masticway.ServerIncarnation, a masticway.ServerAnswer) {
 	if a.Backoff > 0 {
 		t.startBackoff(server, a.Backoff)
@@ -135,8 +137,9 @@
 	t.handleChange(server, t.limits.Observe(t.Clock.Now(), server, o), o.Age, source)
 }
 
-// handleChange logs a change. It schedules the notification of other routers if this router observed the change in a server's
-// answer, or if it owns the limit and the limit has begun or ended. The caller must hold the lock.
+// handleChange logs a change of a server's limit. It schedules the notification of other routers in two cases: if this router
+// observed the change in a server's answer, or if it owns the limit and the limit has begun or ended. The caller must hold the
+// lock.
 func (t *Throttler) handleChange(server masticway.ServerIncarnation, change Change, age time.Duration, source string) {
 	if change == ChangeNone {
 		return
@@ -169,7 +172,7 @@
 	})
 }
 
-// Unlimited returns the servers that report no rate limit and have not asked this router to back off.
+// Unlimited returns the servers that have no rate limit and from which no requested backoff is in effect.
 func (t *Throttler) Unlimited(servers []masticway.Server) []masticway.Server {
 	now := t.Clock.Now()
 	return t.exclude(servers, func(s masticway.ServerIncarnation) bool {
@@ -193,9 +196,10 @@
 	return kept
 }
 
-// Admit takes a permit for one request to a server. It returns true without one if the server has no limit, and false if no
-// permit is available, the server has asked for backoff, or the context ends while another request asks for permits. It may block
-// until another router has replied to a permit request. If the request is not sent, the caller must call ReturnPermit.
+// Admit takes a permit for one request to a server. It returns true without a permit if the server has no limit. It returns false
+// if a backoff is in effect, if no permit is available, or if the context ends while another request of this router asks for
+// permits. It may block until another router has replied to a permit request. If the request is not sent, the caller must call
+// ReturnPermit.
 func (t *Throttler) Admit(ctx context.Context, server masticway.ServerIncarnation) bool {
 	if t.constrained.Load() == 0 {
 		return true
@@ -220,7 +224,7 @@
 	}
 }
 
-// acquire decides on one request. Unless the server has asked for backoff, it has the effects of Limits.Acquire.
+// acquire decides on one request. It refuses the request if a backoff is in effect, and otherwise does what Limits.Acquire does.
 func (t *Throttler) acquire(server masticway.ServerIncarnation) (d Decision, answered <-chan struct{}) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -252,8 +256,8 @@
 	}
 }
 
-// askOwners sends a permit request to the owner and the backup in turn. It returns the first reply of a router that grants
-// permits for the limit and the router's address, or nil if there is none.
+// askOwners sends a permit request to the owner and, if it gets no usable reply, to the backup. It returns the first reply in
+// which NotOwner is not set, and the address of the router that sent it. It returns nil if there is none.
 func (t *Throttler) askOwners(ctx context.Context, req PermitRequest) (*PermitReply, string) {
 	for _, address := range t.Members.RankedAddresses(string(req.Server), maxOwners) {
 		reply, err := t.askRouter(ctx, address, askTimeout, req)
@@ -309,9 +313,9 @@
 	return nil
 }
 
-// Answer answers a permit request of another router or of this one. It records the observation in the request. If this router
-// owns the limit or is its backup, it grants permits from its token bucket; an owner that has just started first forwards the
-// request to the backup.
+// Answer answers a permit request of another router or of this one. It records the observation in the request. If the request
+// wants permits, the owner of the limit grants them at the full limit, and its backup at backupShare of it. An owner that has
+// just started first forwards the request to the backup, which grants forwarded requests at the full limit.
 func (t *Throttler) Answer(ctx context.Context, req PermitRequest) PermitReply {
 	t.recordPeerObservation(req)
 	if req.Wanted <= 0 {
@@ -352,7 +356,7 @@
 	return t.limits.Observation(t.Clock.Now(), server)
 }
 
-// grant answers a permit request from this router's token bucket.
+// grant answers a permit request from this router's token bucket, which fills at the given share of the limit.
 func (t *Throttler) grant(req PermitRequest, share float64) PermitReply {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -361,7 +365,7 @@
 	return r
 }
 
-// ReturnPermit returns the permit of an admitted request that was not sent.
+// ReturnPermit gives back the permit of an admitted request that was not sent.
 func (t *Throttler) ReturnPermit(server masticway.ServerIncarnation) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -393,8 +397,8 @@
 	return t.limits.RetryAfter(now, server, t.Members.Members())
 }
 
-// Prune removes backoffs that have ended, and the limits of servers that have not been in the given set of registered servers for
-// unregisteredTTL.
+// Prune removes the backoffs that have ended. It also removes the limits of the servers that have not been in known, the set of
+// registered servers, for unregisteredTTL.
 func (t *Throttler) Prune(known map[masticway.ServerIncarnation]bool) {
 	if t.constrained.Load() == 0 {
 		return
