--- a/examiner/examiner.go
+++ b/examiner/examiner.go
@@ -16,14 +16,14 @@
 )
 
 const (
-	// claimTimeout is the timeout of the store's reservation of a quarantined run. A slower store is considered unavailable, and the
-	// router acts on its own information.
+	// claimTimeout is the timeout of the write that reserves a quarantined run in the store. If it passes, the store is
+	// considered unavailable, and the router acts on its own information.
 	claimTimeout = 250 * time.Millisecond
-	// writeTimeout is the timeout of one write of evidence, and maxWriteRows the maximum number of rows in it.
+	// writeTimeout is the timeout of one write of evidence, and maxWriteRows the maximum number of rows in one write.
 	writeTimeout = 600 * time.Millisecond
 	maxWriteRows = 50
-	// writeInterval is the pause after a failed write, and the maximum pause while evidence may be left to write. idleInterval is
-	// the maximum time between two checks for other work, such as expired suspects.
+	// writeInterval is the pause after a failed write, and the maximum pause after a round in which there was evidence to write.
+	// idleInterval is the maximum pause after other rounds; expired suspects, for example, are found only in a round.
 	writeInterval = 100 * time.Millisecond
 	idleInterval  = time.Second
 )
@@ -71,9 +71,10 @@
 	mu       sync.Mutex
 	registry *Registry
 	changed  chan struct{}
-	// provenSince holds the requests that were logged as proven, and when.
+	// provenSince holds the requests that have been logged as proven to crash servers, and when each was logged.
 	provenSince map[masticway.RequestDigest]time.Time
-	// tableRead is set once the store's table has been read. nextPeer is the index of the peer to which evidence is sent next.
+	// tableRead is set once the store's table has been read. nextPeer is the index, in the list of peers, of the peer that is
+	// contacted next.
 	tableRead bool
 	nextPeer  int
 }
@@ -106,16 +107,16 @@
 	return e.changed
 }
 
-// QuarantineServers returns the servers on which suspects run in quarantine. The set serious contains those whose suspect has had
-// more than one server crash.
+// QuarantineServers returns the servers on which suspects run in quarantine. The set serious contains those that run a suspect
+// during which more than one server has crashed.
 func (e *Examiner) QuarantineServers() (all, serious map[masticway.ServerIncarnation]bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.registry.QuarantineServers(e.Clock.Now())
 }
 
-// update changes the registry, logs the requests that become proven or cease to be, and wakes Run and the goroutines that wait
-// for a change.
+// update calls change, which may modify the registry, with the lock held. It logs the requests that become proven or cease to be,
+// and wakes Run and the goroutines that wait for the channel of Changed.
 func (e *Examiner) update(change func(now time.Time)) {
 	e.mu.Lock()
 	now := e.Clock.Now()
@@ -168,20 +169,21 @@
 	e.update(func(now time.Time) { e.registry.RecordCrash(now, d, path, crash) })
 }
 
-// Clear records that a server has served a suspect without crashing. The suspect's row is deleted later, by Run.
+// Clear records that a server has served a request without crashing. If the request has a row in the store, Run deletes it later.
 func (e *Examiner) Clear(d masticway.RequestDigest) {
 	e.Metrics.Add(metricCleared, 1)
 	e.update(func(time.Time) { e.registry.Clear(d) })
 }
 
-// Release ends this router's run in quarantine of a suspect if the run gave no evidence.
+// Release records that this router's quarantined run of a suspect is over and gave no evidence, neither a crash nor a complete
+// answer. The caller must check that.
 func (e *Examiner) Release(d masticway.RequestDigest) {
 	e.update(func(time.Time) { e.registry.Release(d) })
 }
 
 // Claim reserves a run in quarantine for this router. It writes the reservation to the store, and may block up to claimTimeout.
 // If the store fails or does not reply in time, the router acts on its own information. Claim returns false if the request must
-// not run in quarantine now, or if another router has changed its row.
+// not run in quarantine now, or if another router has changed the request's row in the store.
 func (e *Examiner) Claim(ctx context.Context, d masticway.RequestDigest, server masticway.ServerIncarnation) bool {
 	var c change
 	var ok bool
@@ -264,8 +266,8 @@
 	}
 }
 
-// Run fetches the evidence of another router. It then writes evidence to the store, sends other routers what the store has not
-// accepted in time, and removes expired suspects, until the context ends.
+// Run first fetches the evidence that another router has. Until the context ends, it then writes evidence to the store, sends
+// other routers the evidence that the store has not accepted in time, and removes expired suspects.
 func (e *Examiner) Run(ctx context.Context) {
 	e.fetchFromPeers(ctx)
 	for ctx.Err() == nil {
--- a/examiner/record.go
+++ b/examiner/record.go
@@ -12,15 +12,16 @@
 const (
 	// Table is the name of the table.
 	Table = "masticway_suspects"
-	// Part is its only part.
+	// Part is the only part of the table.
 	Part = "suspects"
 )
 
 const (
-	// minCrashesToProve is the minimum number of servers that must have crashed during a request to prove the suspicion. Those
-	// during which it was the only suspect on the server must have a total weight of at least minWeightToProve. A crash before the
-	// answer has weightUnanswered, one during the answer weightAnswered. Two crashes before the answer have enough weight. One has
-	// not, because a server may also crash by chance or because of a request that is not a suspect yet.
+	// minCrashesToProve is the minimum number of servers that must have crashed during a request to prove the suspicion.
+	// minWeightToProve is the minimum total weight of those crashes that happened in quarantine while the request was the only
+	// suspect on the server. A crash before the answer has weightUnanswered, one during the answer weightAnswered. Two crashes
+	// before the answer have enough weight. One has not, because a server may also crash by chance or because of a request that
+	// is not a suspect yet.
 	minCrashesToProve = 3
 	minWeightToProve  = 4
 	weightAnswered    = 1
@@ -35,7 +36,8 @@
 	Server masticway.ServerIncarnation `json:"server"`
 }
 
-// Record is the evidence on one request, as stored in the store if the request is a suspect. It is immutable.
+// Record is the evidence on one request. If the request is a suspect, the record is stored in a row of the store. A Record is
+// immutable.
 type Record struct {
 	// Path is the request's path, for diagnostics only.
 	Path    string                  `json:"path,omitempty"`
@@ -99,14 +101,15 @@
 	return slices.ContainsFunc(r.Crashes, func(c masticway.ServerCrash) bool { return c.Server == server })
 }
 
-// isSuspect reports whether the request must run in quarantine. Two servers rarely crash during one request by chance, and a
-// request that crashes servers as soon as it begins has received nothing of its answer.
+// isSuspect reports whether the request must run in quarantine: if more than one server crashed during it, or if one crashed
+// before the answer began. Two servers rarely crash during the same request by chance. A request that crashes servers usually
+// does so before any part of its answer is sent.
 func (r Record) isSuspect() bool {
 	return r.hasRepeatedCrashes() || slices.ContainsFunc(r.Crashes, func(c masticway.ServerCrash) bool { return !c.Answered })
 }
 
-// crashWeight returns the weight of the crash of a server as evidence against the only suspect on it. A crash before the answer
-// has more, because requests that crash servers usually do so as soon as they begin.
+// crashWeight returns the weight of a server crash as evidence against the only suspect on the server. A crash before the answer
+// weighs more, because requests that crash servers usually do so as soon as they begin.
 func crashWeight(crash masticway.ServerCrash) int {
 	if crash.Answered {
 		return weightAnswered
--- a/examiner/register.go
+++ b/examiner/register.go
@@ -15,14 +15,15 @@
 	firstBlockTime  = 30 * time.Second
 	repeatBlockTime = 10 * time.Minute
 	maxBlockTime    = 6 * time.Hour
-	// maxDoublings bounds the number of times that the block time is doubled before it is limited to maxBlockTime, so that it does
-	// not overflow.
+	// maxDoublings is the maximum number of times that repeatBlockTime is doubled before the result is limited to maxBlockTime.
+	// It prevents an overflow.
 	maxDoublings = 10
 	// suspectTTL is how long the evidence on a request is kept after its last change. Evidence that proves the suspicion is kept for
 	// longer, see ExpiredChanges.
 	suspectTTL = 2 * time.Minute
-	// runLease is how long a quarantined run prevents other runs of the request if nothing is reported about it. A server that
-	// crashes because of a request does so soon after the start of the run, and the router may have crashed too.
+	// runLease is how long a quarantined run of one router keeps other routers from running the request, if no result is
+	// reported. It is short, because a server that crashes because of a request does so soon after the start of the run. The
+	// router may have crashed too, so that it never reports a result.
 	runLease = 1500 * time.Millisecond
 	// maxEvidenceDelay is how long after a crash a router waits for evidence that another suspect ran on the same server. This
 	// happens if two routers choose the server at the same time, because both consider it free. The time is a few times the
@@ -31,8 +32,8 @@
 	// maxSuspects is the maximum number of requests in the registry. A further one replaces one with at most one crash, or is not
 	// recorded if there is none.
 	maxSuspects = 1000
-	// minWriteDelay is the minimum time for which evidence from another router is left to that router to write. writeDelaySpread
-	// is the range of the random time added to it.
+	// minWriteDelay is the minimum time for which a router waits before it writes evidence that it received from another router.
+	// Usually the other router has written it by then. writeDelaySpread is the range of the random time that is added.
 	minWriteDelay    = 500 * time.Millisecond
 	writeDelaySpread = time.Second
 )
@@ -67,8 +68,8 @@
 	return record
 }
 
-// runStatus reports whether the request is running in quarantine. If another router has not reported the result of such a run
-// within runLease, the request no longer counts as running, and unreported is the run's server.
+// runStatus reports whether the request is running in quarantine. A run of another router counts for runLease, unless a crash of
+// its server is known. If the other router has not reported a result by then, unreported is the run's server.
 func (s *suspectState) runStatus(now time.Time) (running bool, unreported masticway.ServerIncarnation) {
 	if s.run != nil {
 		return true, ""
@@ -133,8 +134,8 @@
 	return min(maxBlockTime, repeatBlockTime<<min(maxDoublings, record.Retried-1))
 }
 
-// isProven reports whether a request is proven to crash servers: enough servers crashed during it while it was the only suspect
-// on them. A crash that involved two suspects proves nothing about either.
+// isProven reports whether a request is proven to crash servers: enough servers crashed during it, and the crashes while it was
+// the only suspect on the server have enough weight. A crash that involved two suspects proves nothing about either.
 func (r *Registry) isProven(d masticway.RequestDigest, record Record) bool {
 	if len(record.Crashes) < minCrashesToProve {
 		return false
@@ -161,8 +162,8 @@
 	return false
 }
 
-// QuarantineServers returns the servers on which suspects run in quarantine. The set serious contains those whose suspect has had
-// more than one server crash.
+// QuarantineServers returns the servers on which suspects run in quarantine. The set serious contains those that run a suspect
+// during which more than one server has crashed.
 func (r *Registry) QuarantineServers(now time.Time) (all, serious map[masticway.ServerIncarnation]bool) {
 	all, serious = map[masticway.ServerIncarnation]bool{}, map[masticway.ServerIncarnation]bool{}
 	for _, state := range r.suspects {
@@ -220,7 +221,8 @@
 	return true
 }
 
-// addCrashes adds crashes that the store may not have. This router writes them from writeAt on.
+// addCrashes adds those crashes that are not recorded yet, as ones that the store may not have. From writeAt on, this router
+// writes them to the store.
 func (s *suspectState) addCrashes(now, writeAt time.Time, crashes ...masticway.ServerCrash) {
 	for _, crash := range crashes {
 		if s.record().hasCrash(crash) {
@@ -269,8 +271,8 @@
 	return true
 }
 
-// Claim starts a quarantined run. It returns the record that reserves the run for this router and the version that the record
-// replaces. It returns false if another run is in progress or if the request must not run in quarantine.
+// Claim starts a quarantined run. It returns the record by which the caller must reserve the run in the store, and the version of
+// the row that the record replaces. It returns false if a run is in progress or if the request must not run in quarantine.
 func (r *Registry) Claim(now time.Time, d masticway.RequestDigest, server masticway.ServerIncarnation) (record Record, version int64, ok bool) {
 	s := r.Status(now, d)
 	if s.Suspicion != masticway.SuspicionQuarantined || s.Running {
@@ -286,7 +288,7 @@
 	return record, state.version, true
 }
 
-// Release ends this router's quarantined run of a request without evidence.
+// Release records that this router's quarantined run of a request is over and gave no evidence. The caller must check that.
 func (r *Registry) Release(d masticway.RequestDigest) {
 	if state, ok := r.suspects[d]; ok {
 		state.run = nil
@@ -307,7 +309,7 @@
 	state.run, state.pending, state.cleared = nil, nil, true
 }
 
-// ApplyRow applies a row of the store, which may be deleted, unless a newer version is known.
+// ApplyRow applies a row of the store, which may be deleted. It ignores a row whose version is not newer than the known one.
 func (r *Registry) ApplyRow(now time.Time, row masticway.StoredRow) error {
 	d := masticway.RequestDigest(row.Key)
 	state, known := r.suspects[d]
@@ -337,7 +339,8 @@
 	s.pending = slices.DeleteFunc(slices.Clone(s.pending), record.hasCrash)
 }
 
-// dropRow records that the store has no row for a request.
+// dropRow records that the store has no row for a request. It removes the request from the registry, unless this router has a run
+// of it or crashes that the store may not have.
 func (r *Registry) dropRow(d masticway.RequestDigest) {
 	state, ok := r.suspects[d]
 	if !ok {
@@ -350,8 +353,8 @@
 	state.stored, state.version, state.cleared = Record{Path: state.stored.Path}, 0, false
 }
 
-// ApplyTable applies a reading of the whole table. Rows that are missing in it have been deleted. It returns the errors of rows
-// that cannot be decoded.
+// ApplyTable applies a reading of the whole table. A known row that is missing in it has been deleted, unless it is newer than
+// the reading. ApplyTable returns the errors of rows that cannot be decoded.
 func (r *Registry) ApplyTable(now time.Time, reading masticway.RowReading) (errs []error) {
 	present := map[masticway.RequestDigest]bool{}
 	for _, row := range reading.Rows {
--- a/examiner/tell.go
+++ b/examiner/tell.go
@@ -17,8 +17,8 @@
 const (
 	// sendTimeout is the timeout of one message to another router.
 	sendTimeout = 400 * time.Millisecond
-	// maxSharePeers is the maximum number of routers to which evidence is sent at a time. Each of them sends it on to as many others
-	// if the store has not accepted it by then.
+	// maxSharePeers is the maximum number of routers to which evidence is sent at a time. If the store still does not accept the
+	// evidence, each of them later sends it on to as many others.
 	maxSharePeers = 16
 	// maxFetchPeers is the number of routers that a starting router asks in each round, and fetchRetryInterval the time between
 	// two rounds.
@@ -33,7 +33,7 @@
 	FetchAll bool `cbor:"2,keyasint,omitempty"`
 }
 
-// share sends evidence to up to maxSharePeers other routers concurrently, and waits until this has succeeded or failed.
+// share sends evidence to up to maxSharePeers other routers concurrently. It waits until all have replied or failed.
 func (e *Examiner) share(ctx context.Context, evidence []Evidence) {
 	var wg sync.WaitGroup
 	for _, address := range e.pickPeers(maxSharePeers) {
--- a/examiner/writes.go
+++ b/examiner/writes.go
@@ -6,8 +6,8 @@
 	"github.com/masticway/masticway"
 )
 
-// change is a change of one row: a write of the record, or a deletion. It applies only if the row still has the given version;
-// zero is no row.
+// change is a change of one row: a write of the record or, if deleted is set, a deletion. It applies only if the row still has
+// the given version; version zero means that there is no row.
 type change struct {
 	digest  masticway.RequestDigest
 	record  Record
@@ -36,8 +36,8 @@
 	return due
 }
 
-// remainingRun returns the quarantined run to keep in a row that is written: that of another router unless its server has
-// crashed, or else this router's current one. It returns nil if there is none.
+// remainingRun returns the quarantined run that a row must keep when it is written. This is the run of another router in the
+// stored row, unless the run's server has crashed. Otherwise it is this router's current run, or nil if there is none.
 func (r *Registry) remainingRun(state *suspectState) *Run {
 	if state.stored.Run != nil && state.stored.Run.Router != r.self && !state.record().hasCrashOf(state.stored.Run.Server) {
 		return state.stored.Run
@@ -60,8 +60,8 @@
 	state.setStored(now, c.record, version)
 }
 
-// ApplyConflict applies the rows that conflict with some changes. A row that is missing among them has been deleted. It returns
-// the errors of rows that cannot be decoded.
+// ApplyConflict applies the current rows that the store returned because some changes conflicted with them. A row that is
+// expected by a change but missing among them has been deleted. ApplyConflict returns the errors of rows that cannot be decoded.
 func (r *Registry) ApplyConflict(now time.Time, changes []change, rows []masticway.StoredRow) (errs []error) {
 	present := map[masticway.RequestDigest]bool{}
 	for _, row := range rows {
@@ -78,8 +78,9 @@
 	return errs
 }
 
-// ExpiredChanges returns the deletions of the rows of expired suspects that this router owns. It removes expired suspects from
-// the registry if they have no row, or if the owner has not deleted the row for twice the time after which it should.
+// ExpiredChanges returns the deletions of the rows of expired suspects whose keys this router owns. It also removes expired
+// suspects from the registry: those without a row, and those that are twice as old as when the owner of the key should have
+// deleted the row.
 func (r *Registry) ExpiredChanges(now time.Time, owns func(key string) bool) []change {
 	var expired []change
 	for d, state := range r.suspects {
@@ -119,13 +120,14 @@
 }
 
 const (
-	// shareDelay is how long the store may take to accept evidence. It is a multiple of the usual time. Evidence that the store has
-	// not accepted by then is sent to other routers directly, and again after each reshareInterval.
+	// shareDelay is how long the store may take to accept evidence, a multiple of the usual time. Evidence that the store has not
+	// accepted by then is sent to other routers directly, and again after each reshareInterval.
 	shareDelay      = 100 * time.Millisecond
 	reshareInterval = time.Second
 )
 
-// Unshared returns the evidence that the store should have accepted by now, and records that it is sent to other routers now.
+// Unshared returns the evidence that must now be sent to other routers because the store has not accepted it in time. It records
+// that the evidence is sent now, so the caller must send it.
 func (r *Registry) Unshared(now time.Time) []Evidence {
 	var evidence []Evidence
 	for d, state := range r.suspects {
