--- a/rotator/absence.go
+++ b/rotator/absence.go
@@ -11,11 +11,12 @@
 	endedAt time.Time
 	// pending delivers the result of the current election. It is nil if there is none.
 	pending chan election
-	// retryAt is the earliest time of the next election after a lost one.
+	// retryAt is the earliest time of the next election after the last lost one.
 	retryAt time.Time
 }
 
-// nextSpan returns the duration of the next absence.
+// nextSpan returns the duration of the next absence. It is twice that of the last one, up to maxOutTime, if the router has been
+// back in rotation for no longer than the last one took. Otherwise it is minOutTime.
 func (s absence) nextSpan(now time.Time) time.Duration {
 	if s.span == 0 || now.Sub(s.endedAt) > s.span {
 		return minOutTime
--- a/rotator/admission.go
+++ b/rotator/admission.go
@@ -11,19 +11,19 @@
 	// handle.
 	minLimit = 4
 	// rankShare is the share of the limit that is withheld from a request for each rank below the most urgent. largeShare is the
-	// share that is withheld from requests that are larger than the average. Withholding it from large requests lets more requests
-	// be served.
+	// share that is withheld from requests that are larger than the average. It lets many small requests be served instead of a
+	// few large ones.
 	rankShare  = 0.03
 	largeShare = 0.3
 	// bodyMemoryShare is the share of the router's memory that request bodies may use. The rest is for answers, connections,
 	// information about servers and budgets, and the program.
 	bodyMemoryShare = 0.25
-	// sizeSamples is the number of requests over which the size is averaged. The newest has a weight of 1/sizeSamples.
+	// sizeSamples determines how quickly the average size of requests changes: the newest request has a weight of 1/sizeSamples.
 	sizeSamples = 64
 )
 
 // admission limits the number of unanswered requests while the router is overloaded. A request is unanswered until the first part
-// of its answer has arrived. Whether overloaded or not, admission also limits the total size of all requests that have not ended.
+// of its answer has arrived. At all times, admission also limits the total size of the requests that have not ended.
 type admission struct {
 	unanswered int
 	// limit is the maximum number of unanswered requests; zero is no limit.
@@ -34,7 +34,8 @@
 	heldBytes, maxHeldBytes int64
 }
 
-// admit admits and counts a request, or returns false if the request must be refused. The most urgent requests have rank zero.
+// admit admits and counts a request, or returns false if the request must be refused. rank is zero for the most urgent requests,
+// and bytes is the size of the request.
 func (a *admission) admit(rank int, bytes int64) bool {
 	bytes = max(0, bytes)
 	if a.maxHeldBytes > 0 && a.heldBytes+bytes > a.maxHeldBytes {
@@ -57,11 +58,12 @@
 	return true
 }
 
-// markAnswered removes a request from the unanswered ones, and release removes its bytes from those held.
+// markAnswered stops counting a request as unanswered. release subtracts the size of a request that has ended from heldBytes.
 func (a *admission) markAnswered()       { a.unanswered-- }
 func (a *admission) release(bytes int64) { a.heldBytes -= max(0, bytes) }
 
-// adjust updates the limit at a check. It removes the limit if the router is not overloaded.
+// adjust updates the limit on unanswered requests, and must be called at each check of the load. It removes the limit if the
+// router is not overloaded. delayed is set if the router's own calls are currently delayed.
 func (a *admission) adjust(overloaded, delayed bool) {
 	switch {
 	case !overloaded:
--- a/rotator/ballot.go
+++ b/rotator/ballot.go
@@ -25,7 +25,8 @@
 
 // Voters sends lease requests to the other routers that vote on leases.
 type Voters interface {
-	// Ask sends a request to the voter at an address. It reports whether the voter granted the lease or took it back.
+	// Ask sends a request to the voter at an address. It reports whether the voter granted the lease or, if the request returns a
+	// lease, accepted that.
 	Ask(ctx context.Context, address string, req LeaseRequest) (bool, error)
 }
 
@@ -50,8 +51,9 @@
 	})
 }
 
-// Vote grants a lease to this or another router, or takes it back. It returns false if other routers hold all leases, or if the
-// request is from another router and this router is overloaded itself, because the other router's callers would come to it.
+// Vote decides on a lease request of this or another router as a voter. It grants the lease or, if the request returns a lease,
+// ends it. It returns false if other routers hold all leases. It also returns false if another router asks for a lease while this
+// router is overloaded, because the other router's callers would come to this one.
 func (r *Rotator) Vote(req LeaseRequest) bool {
 	all := r.zoneRouters()
 	r.mu.Lock()
@@ -71,10 +73,11 @@
 	return append(r.deps.Neighbours(), Neighbour{Instance: r.settings.Instance})
 }
 
-// election is the result of asking the voters for a lease: the numbers of routers in the zone, of voters and of granted votes.
+// election is the result of asking the voters for a lease. routers is the number of routers in the zone, voters the number of
+// voters, and votes the number of voters that granted the lease. began is when the election began.
 type election struct {
 	began time.Time
-	// span is the duration of the lease.
+	// span is the planned duration of the absence.
 	span                   time.Duration
 	routers, voters, votes int
 }
@@ -82,17 +85,18 @@
 // isWon reports whether a majority of the voters granted the lease.
 func (e election) isWon() bool { return e.votes > e.voters/2 }
 
-// elect asks the voters for a lease. It may block up to leaseTimeout.
+// elect asks the voters for a lease that allows an absence of span. It may block up to leaseTimeout.
 func (r *Rotator) elect(ctx context.Context, began time.Time, span time.Duration) election {
 	all := r.zoneRouters()
 	zoneVoters := selectVoters(r.settings.Zone, all)
-	// A vote is valid for longer than the absence that it allows, no matter when the request arrives.
+	// The lease lasts leaseTimeout longer than the absence, so it does not expire earlier, whenever the request arrives.
 	votes := r.collectVotes(ctx, zoneVoters, LeaseRequest{Instance: r.settings.Instance, Duration: span + leaseTimeout})
 	return election{began: began, span: span, routers: len(all), voters: len(zoneVoters), votes: votes}
 }
 
-// collectVotes sends a request to the voters and returns how many granted it. If it asks for a lease, it returns as soon as a
-// majority has granted it. Otherwise it returns when all voters have replied, leaseTimeout has passed or the context has ended.
+// collectVotes sends a request to the voters and returns how many accepted it. If the request asks for a lease, collectVotes
+// returns as soon as a majority has granted it. Otherwise it returns when all voters have replied, leaseTimeout has passed or the
+// context has ended.
 func (r *Rotator) collectVotes(ctx context.Context, voters []Neighbour, req LeaseRequest) int {
 	ctx, cancel := context.WithTimeout(ctx, leaseTimeout)
 	defer cancel()
@@ -107,7 +111,7 @@
 			n++
 		}
 		if n > len(voters)/2 && req.Duration > 0 {
-			// Voters that have not replied yet may still grant their lease, which then expires.
+			// The canceled requests may still reach voters, which then grant leases that expire.
 			break
 		}
 	}
--- a/rotator/delays.go
+++ b/rotator/delays.go
@@ -3,17 +3,19 @@
 import "time"
 
 const (
-	// bucketSpan is the duration of a bucket, and buckets the number of buckets. Calls that ended earlier do not count.
+	// bucketSpan is the period whose calls one bucket summarizes. buckets is the number of buckets for one kind of call. Only the
+	// calls in these buckets are recent.
 	bucketSpan = 100 * time.Millisecond
 	buckets    = 6
-	// minCalls is the minimum number of recent calls that is needed to compute their excess over the baseline.
+	// minCalls is the minimum number of recent calls of one kind that is needed to compute their excess over the baseline.
 	minCalls = 3
-	// baselineGrowth is how much the baseline may grow per second, so that it adapts to a network path that has become longer
-	// permanently.
+	// baselineGrowth is how much the baseline grows per second until a faster call resets it. The baseline thereby adapts to a
+	// network path that has become longer permanently.
 	baselineGrowth = time.Millisecond
 )
 
-// callTimes tracks the durations of one kind of call.
+// callTimes tracks the durations of one kind of call. baseline is the usual duration of a call without congestion, as of
+// baselineAt: the duration of the last call that was faster than currentBaseline.
 type callTimes struct {
 	baseline   time.Duration
 	baselineAt time.Time
@@ -43,14 +45,14 @@
 	b.min = min(b.min, took)
 }
 
-// currentBaseline returns the baseline plus its growth. The baseline is the duration of the last call that was faster than the
-// baseline had grown to by then.
+// currentBaseline returns the baseline plus its growth since baselineAt.
 func (d *callTimes) currentBaseline(now time.Time) time.Duration {
 	return d.baseline + time.Duration(now.Sub(d.baselineAt).Seconds()*float64(baselineGrowth))
 }
 
-// excess returns by how much the minimum duration of the recent calls exceeds the baseline. It returns false if there were too
-// few calls. The minimum is used because a burst delays only some calls, but a saturated link delays all of them.
+// excess returns by how much the duration of the fastest recent call exceeds the baseline. It returns false if there were fewer
+// than minCalls recent calls. It uses the fastest call because a burst delays only some calls, but a saturated link delays all of
+// them.
 func (d *callTimes) excess(now time.Time) (time.Duration, bool) {
 	n := bucketIndex(now)
 	count, fastest := 0, time.Duration(0)
--- a/rotator/load.go
+++ b/rotator/load.go
@@ -3,16 +3,18 @@
 import "time"
 
 const (
-	// overloadDelay is the delay at which a kind of call counts as delayed. With a longer delay, another router's reply arrives too
-	// late for the request of the caller that waits for it. recoveryDelay is the delay below which the kind no longer counts as
-	// delayed.
+	// A kind of call counts as delayed from when its recent calls exceed the baseline by overloadDelay until they exceed it by
+	// less than recoveryDelay. With a delay longer than overloadDelay, another router's reply arrives too late for the request of
+	// the caller that waits for it.
 	overloadDelay = 60 * time.Millisecond
 	recoveryDelay = 30 * time.Millisecond
 	// minUnansweredTime is the minimum duration recorded for a call that got no reply, however soon it was canceled.
 	minUnansweredTime = 250 * time.Millisecond
-	// minDelayedKinds is the minimum number of kinds of calls that must be delayed. One kind alone may be slow at the remote end.
+	// minDelayedKinds is the minimum number of kinds of calls that must be delayed for the router to be overloaded. One kind
+	// alone may be slow at the remote end.
 	minDelayedKinds = 2
-	// overloadAfter and recoveryAfter are how long the delay must persist, or be gone, before the state changes.
+	// overloadAfter is how long the calls must be delayed until the router counts as overloaded. recoveryAfter is how long they
+	// must not be delayed until it no longer does.
 	overloadAfter = 200 * time.Millisecond
 	recoveryAfter = 1500 * time.Millisecond
 )
@@ -30,7 +32,8 @@
 // Load determines from the durations of a router's own calls whether its network link or CPU is saturated.
 type Load struct {
 	kinds map[Kind]*callTimes
-	// changingSince is when the calls began to contradict the current state. It is zero if they agree with it.
+	// changingSince is since when the delays of the calls have contradicted the field overloaded. It is zero if they agree with
+	// it.
 	changingSince time.Time
 	overloaded    bool
 }
@@ -48,7 +51,7 @@
 	l.kinds[k].record(now, took)
 }
 
-// Delays returns by how much recent calls exceed the baseline, for each kind with enough of them.
+// Delays returns, for each kind with enough recent calls, by how much the fastest of them exceeds the baseline.
 func (l *Load) Delays(now time.Time) map[Kind]time.Duration {
 	all := map[Kind]time.Duration{}
 	for k, d := range l.kinds {
@@ -59,7 +62,8 @@
 	return all
 }
 
-// Update updates the state and reports whether the router is overloaded. It must be called several times per second.
+// Update updates the load from the recent calls and reports whether the router is overloaded. The caller must call it several
+// times per second.
 func (l *Load) Update(now time.Time) bool {
 	threshold, minDuration := overloadDelay, overloadAfter
 	if l.overloaded {
--- a/rotator/rotator.go
+++ b/rotator/rotator.go
@@ -19,15 +19,15 @@
 	// checkInterval is the interval at which the load is checked.
 	checkInterval = 100 * time.Millisecond
 	// minOutTime is how long a router stays out of rotation the first time, and maxOutTime the maximum. The time doubles if the
-	// router leaves the rotation again before it has been back for as long as it was out, because the same callers have returned to
-	// it.
+	// router leaves the rotation again soon, before it has been back for as long as it was out. The same callers have then
+	// returned to it.
 	minOutTime = 20 * time.Second
 	maxOutTime = 160 * time.Second
 	// leaseTimeout is the timeout of an election. It is long enough for a saturated link.
 	leaseTimeout = 3 * time.Second
 	// leaseRetryInterval is the minimum time from a lost election to the next. A random time of up to the same length is added.
 	leaseRetryInterval = 500 * time.Millisecond
-	// maxPauseWithoutLease is how long after the start of an overload the listener may be paused without a lease.
+	// maxPauseWithoutLease is how long after the start of an overload the listener may be paused while the router has no lease.
 	maxPauseWithoutLease = 1500 * time.Millisecond
 )
 
@@ -42,8 +42,8 @@
 	Instance string
 	// Zone is the availability zone whose routers share the leases.
 	Zone string
-	// Memory is the router's memory in bytes, of which request bodies may use bodyMemoryShare. It is zero if unknown, and then they
-	// are not limited.
+	// Memory is the memory of the router in bytes; zero means unknown. Request bodies may use the share bodyMemoryShare of it.
+	// They are not limited if it is unknown.
 	Memory int64
 }
 
@@ -51,14 +51,14 @@
 type Listener interface {
 	// Pause makes the listener refuse connections immediately.
 	Pause()
-	// Resume makes the listener accept connections again. It returns false if it must be called again.
+	// Resume makes the listener accept connections again. It returns false if this has failed and the caller must try again.
 	Resume() bool
 }
 
 // Dependencies holds the dependencies of a rotator.
 type Dependencies struct {
 	Listener Listener
-	// Voters must also work over a saturated link.
+	// Voters reaches the other routers that vote on leases. It must also work over a saturated link.
 	Voters  Voters
 	Clock   masticway.Clock
 	Log     *logrus.Entry
@@ -94,9 +94,9 @@
 // IsOut reports whether the router is out of rotation.
 func (r *Rotator) IsOut() bool { return r.out.Load() }
 
-// Admit admits a request and counts it, or returns false if the request must be refused because the router is overloaded or the
-// request does not fit into memory. The caller must call MarkAnswered and Release once for each admitted request. The most urgent
-// requests have rank zero.
+// Admit admits and counts a request. It returns false if the request must be refused because the router is overloaded or because
+// the request does not fit into memory. The caller must call MarkAnswered and Release once for each admitted request. rank is
+// zero for the most urgent requests.
 func (r *Rotator) Admit(rank int, bytes int64) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -124,8 +124,8 @@
 	r.load.Record(r.deps.Clock.Now(), k, took, answered)
 }
 
-// MeasureDial wraps a dial function so that the durations of its calls are recorded, unless they fail before the context's
-// deadline.
+// MeasureDial wraps a dial function so that the durations of successful calls are recorded, and those of calls that fail after
+// the deadline of their context. Other failed calls are not recorded.
 func (r *Rotator) MeasureDial(dial func(ctx context.Context, network, address string) (net.Conn, error)) func(ctx context.Context, network, address string) (net.Conn, error) {
 	return func(ctx context.Context, network, address string) (net.Conn, error) {
 		began := r.deps.Clock.Now()
@@ -157,9 +157,9 @@
 	r.wg.Wait()
 }
 
-// updateListener pauses the listener while more traffic arrives than the router can handle. Without a lease, it resumes the
-// listener after maxPauseWithoutLease. If all routers of the zone remained paused, callers would not even receive a refusal with
-// a time to retry.
+// updateListener pauses the listener while overloaded is set, that is, while more traffic arrives than the router can handle. If
+// the router is not out of rotation, it resumes the listener at the latest maxPauseWithoutLease after the start of the overload.
+// Otherwise all routers of the zone could remain paused, and callers would not even receive a refusal with a time to retry.
 func (r *Rotator) updateListener(overloaded bool) {
 	pause := overloaded && (r.absence.out || r.deps.Clock.Now().Sub(r.stateSince) < maxPauseWithoutLease)
 	switch {
@@ -198,7 +198,7 @@
 	r.deps.Log.WithFields(fields).Warn("the overload of this router has begun or ended")
 }
 
-// updateRotation starts or finishes an election, or ends the absence, as required.
+// updateRotation does what is due: it starts an election, handles the result of one, or ends the absence.
 func (r *Rotator) updateRotation(ctx context.Context, overloaded bool) {
 	now := r.deps.Clock.Now()
 	switch {
@@ -211,7 +211,7 @@
 	}
 }
 
-// requestLease starts an election in a goroutine, whose result checkElection receives.
+// requestLease starts an election in a goroutine. checkElection receives the result.
 func (r *Rotator) requestLease(ctx context.Context) {
 	pending := make(chan election, 1)
 	r.absence.pending = pending
@@ -220,8 +220,8 @@
 	r.wg.Go(func() { pending <- r.elect(ctx, now, span) })
 }
 
-// checkElection returns if the current election has not ended. It leaves the rotation if the election is won. Otherwise it
-// returns the granted leases and sets the time of the next election.
+// checkElection handles the result of the current election, if the election has ended. If it is won, the router leaves the
+// rotation. Otherwise checkElection gives the granted leases back and sets the time of the next election.
 func (r *Rotator) checkElection(ctx context.Context) {
 	var e election
 	select {
@@ -237,7 +237,7 @@
 	})
 	if !e.isWon() {
 		r.returnLease(ctx)
-		// Routers that ask at the same time split the votes.
+		// A random delay keeps routers that asked at the same time from splitting the votes again.
 		r.absence.retryAt = now.Add(leaseRetryInterval + rand.N(leaseRetryInterval))
 		line.Info("cannot get a lease to leave the rotation")
 		return
@@ -248,7 +248,8 @@
 	line.Warn("leaving the rotation")
 }
 
-// rejoin returns to the rotation and returns the lease. Voters that do not receive the request let the lease expire.
+// rejoin puts the router back into rotation and gives the lease back. Voters that do not receive that request let the lease
+// expire.
 func (r *Rotator) rejoin(ctx context.Context) {
 	r.absence.end(r.deps.Clock.Now())
 	r.out.Store(false)
@@ -257,7 +258,7 @@
 	r.returnLease(ctx)
 }
 
-// returnLease starts a goroutine that returns this router's lease to the voters.
+// returnLease starts a goroutine that gives this router's lease back to the voters.
 func (r *Rotator) returnLease(ctx context.Context) {
 	r.wg.Go(func() {
 		r.collectVotes(ctx, selectVoters(r.settings.Zone, r.zoneRouters()), LeaseRequest{Instance: r.settings.Instance})
--- a/rotator/votes.go
+++ b/rotator/votes.go
@@ -12,25 +12,25 @@
 // maxVoters is the maximum number of routers of an availability zone that vote on leases.
 const maxVoters = 7
 
-// Neighbour is a router of the same availability zone.
+// Neighbour is a router of this router's availability zone. It may be this router, and then has no Address.
 type Neighbour struct {
 	Instance string
-	// Address is the address at which other routers reach it.
+	// Address is the address at which other routers reach the router.
 	Address string
 }
 
-// selectVoters returns the routers of a zone that vote on leases: those with the highest rendezvous weights, so that all routers
-// with the same membership choose the same voters.
+// selectVoters returns the routers of a zone that vote on leases. These are the ones with the highest rendezvous weights, so that
+// all routers with the same membership choose the same voters.
 func selectVoters(zone string, all []Neighbour) []Neighbour {
 	weight := func(o Neighbour) uint64 { return xxhash.Sum64String(zone + "\x00" + o.Instance) }
 	sorted := slices.SortedFunc(slices.Values(all), func(x, y Neighbour) int { return cmp.Compare(weight(y), weight(x)) })
 	return sorted[:min(maxVoters, len(sorted))]
 }
 
-// leasesPerVoter returns how many leases each voter may grant in a zone with the given number of routers. A router that is out of
-// rotation has leases from a majority of the voters, so the maximum number of routers that are out is the number of leases of all
-// voters divided by the majority. At least half of the routers must stay in rotation, because with fewer the load balancer would
-// use all of them.
+// leasesPerVoter returns how many leases each voter may grant in a zone with the given number of routers. At least half of the
+// routers must stay in rotation, because with fewer the load balancer would use all of them. A router that is out of rotation has
+// leases from a majority of the voters. So the maximum number of routers that are out is the number of leases that all voters
+// together may grant, divided by the majority.
 func leasesPerVoter(routers, voters int) int {
 	majority := voters/2 + 1
 	maxOut := (routers - 1) / 2
