--- a/sharer/ask.go
+++ b/sharer/ask.go
@@ -16,8 +16,8 @@
 type Request struct {
 	Table string `cbor:"1,keyasint"`
 	Part  string `cbor:"2,keyasint,omitempty"`
-	// Whole requests all rows. Otherwise the request is for the changes since the version Since. If there are none yet, the reader
-	// waits for one up to Wait, but not longer than maxRequestWait.
+	// Whole requests all rows. Otherwise the request is for the changes since the version Since. If there are none yet, the
+	// reader waits for one, for at most Wait and maxRequestWait.
 	Whole bool          `cbor:"3,keyasint,omitempty"`
 	Since int64         `cbor:"4,keyasint,omitempty"`
 	Wait  time.Duration `cbor:"5,keyasint,omitempty"`
@@ -29,16 +29,16 @@
 	Reading masticway.RowReading `cbor:"2,keyasint"`
 	// Age is the time since the reader last read from the store.
 	Age time.Duration `cbor:"3,keyasint"`
-	// Rate is the average traffic, in bytes per second, that watching the table causes at the reader.
+	// Rate is the average traffic, in bytes per second, that watching the table in the store causes at the reader.
 	Rate float64 `cbor:"4,keyasint"`
 }
 
 // Status is the result of a request to a reader.
 type Status string
 
-// The results of a request. StatusHistoryLost is returned if the changes since the version are no longer known, and
-// StatusUnavailable if the router does not share the table, does not watch it itself or has not read from the store within
-// maxReaderAge.
+// The results of a request. StatusHistoryLost is for changes since a version from which on the reader no longer knows all
+// changes. StatusUnavailable is for a router that does not share the table, does not watch it itself, or has not read from the
+// store within maxReaderAge.
 const (
 	StatusOK          Status = "known"
 	StatusHistoryLost Status = "lost"
--- a/sharer/cost.go
+++ b/sharer/cost.go
@@ -23,7 +23,7 @@
 	c.at = now
 }
 
-// rate returns the current average, in bytes per second.
+// rate returns the average as of now, in bytes per second.
 func (c *byteRate) rate(now time.Time) float64 {
 	c.decay(now)
 	return c.sum / rateSpan.Seconds()
--- a/sharer/store.go
+++ b/sharer/store.go
@@ -12,17 +12,18 @@
 )
 
 const (
-	// maxDirectRate is the maximum traffic, in bytes per second, that watching a table may cause at a router before it asks readers
-	// instead. It is a large share of the bandwidth for control traffic. The router watches the table directly again when the
-	// traffic at the reader is below half of it.
+	// maxDirectRate is the traffic, in bytes per second, above which a router stops watching a table itself and asks readers
+	// instead. It is a large share of the bandwidth for control traffic. The router watches the table itself again when the
+	// traffic that a reader reports is below half of maxDirectRate.
 	maxDirectRate = 32 << 10
-	// rateSpan is the time constant of the average traffic.
+	// rateSpan is the time constant of the average traffic: older traffic counts less, by a factor of e for each rateSpan.
 	rateSpan = 5 * time.Second
-	// maxRequestWait is the maximum time that a reader waits for a change before it replies. replyMargin is the additional time that
-	// the reply may take. A request to a reader fails after their sum.
+	// maxRequestWait is the maximum time for which a reader waits for a change before it replies. replyMargin is the additional
+	// time that the reply may take to arrive.
 	maxRequestWait = 400 * time.Millisecond
 	replyMargin    = 300 * time.Millisecond
-	// maxReaderAge is the maximum time since a reader's last reading of the store with which its replies are used.
+	// maxReaderAge is the maximum age of a reader's last reading of the store. The replies of a reader with an older one are not
+	// used.
 	maxReaderAge = time.Second
 	// readerBackoff is how long a router does not ask a reader after a failed request to it.
 	readerBackoff = 5 * time.Second
@@ -67,8 +68,8 @@
 	mu         sync.Mutex
 	view       *view
 	directRate byteRate
-	// viaReaders is set if the table is read through readers. retryAt holds the readers that failed and the times until which
-	// they are not asked.
+	// viaReaders is set if this router reads the table through readers. retryAt holds the readers that failed and the times until
+	// which they are not asked.
 	viaReaders bool
 	retryAt    map[string]time.Time
 }
@@ -84,7 +85,8 @@
 	return s
 }
 
-// Read returns the rows of one part of a table. The rows of a shared table may come from a reader and be up to maxReaderAge old.
+// Read returns the rows of one part of a table. The rows of a shared table may come from a reader. They may then be up to
+// maxReaderAge old, and each is as of its last relevant change.
 func (s *Store) Read(ctx context.Context, table, part string) (masticway.RowReading, error) {
 	t, ok := s.tables[table]
 	if !ok || part != t.Part {
@@ -100,8 +102,8 @@
 	return reading, err
 }
 
-// Watch returns the changes of a table. For a shared table, it may return only the relevant changes, as of up to maxReaderAge
-// ago, and wait only up to maxRequestWait for one.
+// Watch returns the changes of a table. If the table is shared, they may come from a reader. Then they are only the relevant
+// changes, may be up to maxReaderAge old, and Watch waits for them only up to maxRequestWait.
 func (s *Store) Watch(ctx context.Context, req masticway.WatchRequest) (masticway.RowReading, error) {
 	t, ok := s.tables[req.Table]
 	if !ok {
@@ -120,8 +122,8 @@
 	return reading, err
 }
 
-// askReaders asks the zone's readers in turn until one replies with recent data. It returns false if the table must be read
-// directly.
+// askReaders asks the zone's readers in turn until one replies with recent data. It returns false if this router must read the
+// table from the store itself.
 func (s *Store) askReaders(ctx context.Context, t *sharedTable, req Request) (Reply, bool) {
 	addresses, own := s.deps.Choose()
 	if own {
@@ -153,7 +155,8 @@
 	return Reply{}, false
 }
 
-// HandleRequest handles a request of another router. It may wait up to maxRequestWait for a relevant change.
+// HandleRequest handles a request of another router, to which this router is a reader. It may wait up to maxRequestWait for a
+// relevant change.
 func (s *Store) HandleRequest(ctx context.Context, req Request) Reply {
 	t, ok := s.tables[req.Table]
 	if !ok || req.Part != t.Part {
@@ -173,7 +176,7 @@
 	return reply
 }
 
-// reply returns the reply from the current view, and a channel that is closed at the next relevant change.
+// reply returns the reply according to the current view, and a channel that is closed at the next relevant change.
 func (t *sharedTable) reply(now time.Time, req Request) (Reply, <-chan struct{}) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -196,7 +199,8 @@
 	return reply, t.view.changed
 }
 
-// recordReading updates the view from a direct reading of the store.
+// recordReading updates the view from a reading that this router has made of the store. whole is set if the reading contains all
+// rows.
 func (t *sharedTable) recordReading(now time.Time, whole bool, reading masticway.RowReading) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -226,7 +230,8 @@
 	return t.viaReaders
 }
 
-// updateReaderRate switches back to watching the table directly if the traffic that it causes at a reader has become low.
+// updateReaderRate records the traffic that watching the table causes at a reader, in bytes per second. If it has become low,
+// this router switches back to watching the table itself.
 func (t *sharedTable) updateReaderRate(rate float64) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -243,7 +248,7 @@
 	return !now.Before(t.retryAt[reader])
 }
 
-// backOff records that a request to a reader has failed.
+// backOff records that a request to a reader has failed, so that the reader is not asked for readerBackoff.
 func (t *sharedTable) backOff(now time.Time, reader string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/sharer/view.go
+++ b/sharer/view.go
@@ -11,16 +11,16 @@
 // maxDeleted is the maximum number of deletions that a view stores.
 const maxDeleted = 2000
 
-// Projection computes the part of a row's value that is relevant to other routers. A change of the row is relevant only if the
-// result changes. Results must be comparable with ==.
+// Projection computes what is relevant to other routers in a row's value. A change of the row is relevant only if the result
+// changes. Results must be comparable with ==.
 type Projection func(key string, value []byte) any
 
-// view is a router's copy of one part of a table. It holds each row as of the last relevant change.
+// view is a router's copy of one part of a table. It holds each row as of the row's last relevant change.
 type view struct {
 	project Projection
 	rows    map[masticway.RowKey]viewRow
-	// deleted are the deleted rows, oldest first. If a reader of the view knows only a version below floor, deletions since may be
-	// missing, so it must read all rows again.
+	// deleted holds the latest deletions, oldest first, at most maxDeleted. Deletions at or before version floor are no longer
+	// all in it. A router that asks for the changes since a version below floor must therefore read all rows instead.
 	deleted []masticway.StoredRow
 	floor   int64
 	// version is the store's version that the view reflects, and readAt is when it was read. version is zero before the first
@@ -40,13 +40,13 @@
 	return &view{project: s, rows: map[masticway.RowKey]viewRow{}, changed: make(chan struct{})}
 }
 
-// replace applies a reading of all rows, unless the view is newer.
+// replace applies a reading of all rows, unless the view has a newer version.
 func (v *view) replace(now time.Time, reading masticway.RowReading) {
 	if reading.Version < v.version {
 		return
 	}
 	if v.version == 0 {
-		// Earlier deletions are unknown.
+		// The deletions before the first reading are unknown.
 		v.floor = reading.Version
 	}
 	present := map[masticway.RowKey]bool{}
@@ -62,7 +62,7 @@
 	v.update(now, masticway.RowReading{Rows: rows, Version: reading.Version})
 }
 
-// update applies a reading of the changes since the view's version, unless the view is newer.
+// update applies a reading of the changes since the view's version, unless the view has a newer version.
 func (v *view) update(now time.Time, reading masticway.RowReading) {
 	if reading.Version < v.version {
 		return
@@ -111,7 +111,8 @@
 	return reading
 }
 
-// changesSince returns the relevant changes since a version. It returns false if they are no longer known.
+// changesSince returns the relevant changes since a version. It returns false if the deletions since then are no longer all
+// known.
 func (v *view) changesSince(version int64) (masticway.RowReading, bool) {
 	if version < v.floor {
 		return masticway.RowReading{}, false
