--- a/rotator/load.go
+++ b/rotator/load.go
@@ -3,9 +3,9 @@
 import "time"
 
 const (
-	// A kind of call counts as delayed from when its recent calls exceed the baseline by overloadDelay until they exceed it by
-	// less than recoveryDelay. With a delay longer than overloadDelay, another router's reply arrives too late for the request of
-	// the caller that waits for it.
+	// overloadDelay is the excess over the baseline at which a kind of call counts as delayed. With a longer delay, another
+	// router's reply arrives too late for the request of the caller that waits for it. While the router is overloaded,
+	// recoveryDelay replaces overloadDelay in the decision whether the overload continues.
 	overloadDelay = 60 * time.Millisecond
 	recoveryDelay = 30 * time.Millisecond
 	// minUnansweredTime is the minimum duration recorded for a call that got no reply, however soon it was canceled.
