--- a/sharer/ask.go
+++ b/sharer/ask.go
@@ -36,9 +36,9 @@
 // Status is the result of a request to a reader.
 type Status string
 
-// The results of a request. StatusHistoryLost is for changes since a version from which on the reader no longer knows all
-// changes. StatusUnavailable is for a router that does not share the table, does not watch it itself, or has not read from the
-// store within maxReaderAge.
+// The results of a request. StatusHistoryLost is returned if the reader no longer knows all changes since the requested version.
+// StatusUnavailable is returned if the router does not share the table, does not watch it itself, or has not read from the store
+// within maxReaderAge.
 const (
 	StatusOK          Status = "known"
 	StatusHistoryLost Status = "lost"
