--- a/follower/beliefs.go
+++ b/follower/beliefs.go
@@ -10,14 +10,15 @@
 )
 
 const (
-	// outageThreshold is the time without an answer about the servers that counts as an outage of the store. It is shorter than
-	// the time in which registrations of live servers can expire: three heartbeats, sent at least a second apart.
+	// outageThreshold is how long the store must not have answered about the servers for this to count as an outage. It is
+	// shorter than the time in which the registrations of live servers can expire: three heartbeats, sent at least a second
+	// apart.
 	outageThreshold = 1500 * time.Millisecond
-	// recoveryGrace is how long after an outage registrations that expired during it may take to reappear.
+	// recoveryGrace is the grace period: how long after an outage the registrations that expired during it may take to reappear.
 	recoveryGrace = 2 * time.Second
 )
 
-// Snapshot is a router's view of its deployment at one moment; it is immutable.
+// Snapshot is a router's view of its deployment at one moment. It is immutable.
 type Snapshot struct {
 	// ConfigurationLoaded is set once a valid configuration has been read, ServersLoaded once the registered servers have been
 	// read in full.
@@ -49,22 +50,24 @@
 	server  masticway.Server
 	version int64
 	// missingSince is when the row was found missing after an outage, and missingVersion the store version at which it was
-	// missing. Both are zero unless the server is in its grace period.
+	// missing. Both are zero unless the server is in the grace period, recoveryGrace.
 	missingSince   time.Time
 	missingVersion int64
-	// coldUntil is when the warm-up that the server reported with its registration ends; it is zero if it reported none.
+	// coldUntil is when the warm-up ends that the server reported with its registration. It is zero if the server reported none.
 	coldUntil time.Time
 }
 
-// Registry derives snapshots from rows; it is not safe for concurrent use.
+// Registry holds the decoded rows of the store and derives snapshots from them. It is not safe for concurrent use.
 type Registry struct {
 	decoder    masticway.DeploymentDecoder
 	deployment masticway.Deployment
-	// rowVersion is the version of the configuration's row that was decoded last.
+	// rowVersion is the version of the row of the configuration that was decoded last. It may contain a configuration that was
+	// ignored.
 	rowVersion    int64
 	configured    bool
 	serversLoaded bool
-	// entries holds the registrations by server ID, and removed the store versions at which registrations were removed.
+	// entries holds the registrations by server ID. removed holds, by server ID, the store versions at which registrations were
+	// last removed.
 	entries map[string]entry
 	removed map[string]int64
 	// invalid holds the versions of rows that are not valid registrations, by key.
@@ -72,11 +75,11 @@
 	// lastContact is when the store last answered about the servers, and recoveredAt when the last outage ended.
 	lastContact time.Time
 	recoveredAt time.Time
-	// evacuations holds the row versions of the evacuation orders in force, by zone, and reopenings the ends of earlier
-	// orders.
+	// evacuations holds, by zone, the row versions of the evacuation orders in force. reopenings holds, by zone, when the last
+	// order ended.
 	evacuations map[string]int64
 	reopenings  map[string]zoneReopening
-	// departures holds the incarnations that announced that they are draining, by server ID.
+	// departures holds, by server ID, the incarnations that announced in an answer that they are draining.
 	departures map[string]departure
 }
 
@@ -88,8 +91,8 @@
 	}
 }
 
-// ApplyConfiguration applies the configuration's row and reports whether the configuration has changed. It ignores a deleted row,
-// and a row or a configuration that is not newer than the current one. It fails if the row cannot be decoded.
+// ApplyConfiguration applies the row of the configuration and reports whether the configuration has changed. It ignores a deleted
+// row, and a row or a configuration that is not newer than the current one. It fails if the row cannot be decoded.
 func (r *Registry) ApplyConfiguration(row masticway.StoredRow) (changed bool, err error) {
 	if row.Deleted || row.Version <= r.rowVersion {
 		return false, nil
@@ -107,7 +110,7 @@
 }
 
 // RecordContact records that the store answered about the servers, and reports whether that ends an outage. If it does, the grace
-// period of expired registrations begins.
+// period for the registrations that expired during the outage begins.
 func (r *Registry) RecordContact(now time.Time) (recovered bool) {
 	if !r.lastContact.IsZero() && now.Sub(r.lastContact) > outageThreshold {
 		r.recoveredAt = now
@@ -149,9 +152,9 @@
 	return changed, regErrs
 }
 
-// Replace applies a full read of the server table and removes the servers that are not in it, unless they were registered after
-// it. Like Update, it returns an error for each invalid row. After an outage, a ready server that is missing is kept for the
-// grace period.
+// Replace applies a full read of the server table. It removes the servers that are not in it, except those registered after the
+// read. Soon after an outage, a ready server that is missing is kept for the grace period. Like Update, Replace returns an error
+// for each invalid row.
 func (r *Registry) Replace(now time.Time, reading masticway.RowReading) (changed bool, regErrs []*RegistrationError) {
 	changed, regErrs = r.Update(now, reading.Rows)
 	present := map[string]bool{}
@@ -177,13 +180,13 @@
 	}
 	s, err := r.decoder.Server(row.Key, row.Value)
 	if err != nil {
-		// The row no longer registers a server, even if another writer has corrupted it.
+		// An invalid row registers no server, even if another writer has overwritten a valid registration with it.
 		r.invalid[row.Key] = row.Version
 		delete(r.entries, row.Key)
 		return ok, &RegistrationError{Key: row.Key, Version: row.Version, Cause: err}
 	}
 	if ok && s.StartedAt.Before(previous.server.StartedAt) {
-		// A late heartbeat of an earlier incarnation.
+		// The row is a late heartbeat of an earlier incarnation.
 		return false, nil
 	}
 	if ok && previous.server.State == masticway.ServerDraining && s.StartedAt.Equal(previous.server.StartedAt) {
@@ -195,15 +198,15 @@
 	}
 	e := entry{server: s, version: row.Version}
 	if s.RemainingWarmUp > 0 {
-		// The server measured the remaining time before the row arrived here, so it is warm at this time or earlier.
+		// The server measured the remaining time before the row arrived here, so it is warm at this time at the latest.
 		e.coldUntil = now.Add(s.RemainingWarmUp)
 	}
 	r.entries[row.Key] = e
 	return !ok || previous.server != s || !previous.missingSince.IsZero(), nil
 }
 
-// remove removes a server and reports whether it did. After an outage, it keeps a ready server for the grace period and only
-// records that its row is missing.
+// remove removes a server, unless its registration is newer than version, and reports whether it did. During the grace period
+// after an outage, it keeps a ready server and only records that its row is missing.
 func (r *Registry) remove(now time.Time, id string, version int64) bool {
 	e, ok := r.entries[id]
 	if !ok || version < e.version {
@@ -221,8 +224,8 @@
 	return true
 }
 
-// Expire removes the servers that did not reappear within the grace period, and forgets old departures of unregistered servers.
-// It reports whether it removed a server.
+// Expire does nothing during the grace period after an outage. Otherwise it removes the servers that have not reappeared within
+// it, and forgets old departures of unregistered servers. It reports whether it removed a server.
 func (r *Registry) Expire(now time.Time) (changed bool) {
 	if now.Sub(r.recoveredAt) < recoveryGrace {
 		return false
--- a/follower/cold.go
+++ b/follower/cold.go
@@ -6,16 +6,16 @@
 	"github.com/sirupsen/logrus"
 )
 
-// Sources of the information that a server is cold, as logged.
+// Sources of the information that a server is cold, that is, slow after its start. They are logged.
 const (
 	coldSourceRegistration = "registration"
 	coldSourceZone         = "zone_back"
 )
 
-// coldUntil returns the time from which a server counts as warm, and the source of that time: the server's own registration or,
-// if its zone was reopened after that registration was written, the pool's full warm-up time counted from the reopening, if that
-// ends later. Servers of an evacuated zone may have been restarted or have lost their caches, and report that only with their
-// next heartbeat.
+// coldUntil returns the time from which a server counts as warm, and the source of that time. Usually it is the time in the
+// server's registration. If the server's zone was reopened after the registration was written, the server counts as cold for the
+// pool's full warm-up time from the reopening, or longer if its registration says so. The servers of an evacuated zone may have
+// been restarted or have lost their caches, and report this only with their next heartbeat.
 func (r *Registry) coldUntil(e entry) (until time.Time, source string) {
 	reopening, ok := r.reopenings[e.server.Zone]
 	if !ok || e.version > reopening.version {
@@ -28,8 +28,8 @@
 	return e.coldUntil, coldSourceRegistration
 }
 
-// reportCold logs the servers that became cold or warm since its last call, and updates the metric of cold servers. The caller
-// must hold f.mu.
+// reportCold logs the servers that have become cold or warm since the last call of reportCold, and updates the metric of cold
+// servers. The caller must hold f.mu.
 func (f *Follower) reportCold(now time.Time) {
 	for id, e := range f.registry.entries {
 		until, source := f.registry.coldUntil(e)
--- a/follower/departures.go
+++ b/follower/departures.go
@@ -8,19 +8,19 @@
 	"github.com/masticway/masticway"
 )
 
-// departureTTL is how long after its announcement the departure of a server without a row is remembered at least, because the row
-// may reappear late.
+// departureTTL is how long a router remembers that a server announced that it is draining, if the server has no row. The row may
+// reappear late.
 const departureTTL = time.Hour
 
-// departure records that one incarnation of a server announced that it is draining.
+// departure records that an incarnation of a server announced that it is draining, and when.
 type departure struct {
 	incarnation masticway.ServerIncarnation
 	at          time.Time
 }
 
 // MarkDraining records that an incarnation of a server announced that it is draining, and reports whether that makes the
-// registered server draining. If the server has no row, its registration may only have expired, so the departure is recorded for
-// the case that the row reappears. An incarnation other than the registered one has already ended and is ignored.
+// registered server draining. If the server has no row, its registration may only have expired. The announcement is then kept in
+// case the row reappears. If another incarnation is registered, the announcing one has already ended and is ignored.
 func (r *Registry) MarkDraining(now time.Time, id string, incarnation masticway.ServerIncarnation) bool {
 	e, registered := r.entries[id]
 	if registered && e.server.Incarnation() != incarnation {
@@ -35,8 +35,8 @@
 	return true
 }
 
-// isDeparted reports whether an incarnation of a server has announced that it is draining. It forgets the announcement of another
-// incarnation with the same ID, because a new incarnation takes new work again.
+// isDeparted reports whether this incarnation of the server has announced that it is draining. It forgets the announcement of
+// another incarnation with the same ID, because a new incarnation takes new work again.
 func (r *Registry) isDeparted(s masticway.Server) bool {
 	d, ok := r.departures[s.ID]
 	if ok && d.incarnation != s.Incarnation() {
@@ -55,9 +55,9 @@
 	}
 }
 
-// MarkDraining records that a server announced in an answer that this incarnation takes no new work. This applies at once, even
-// if the store is unreachable or does not have that information yet, and holds whatever the store later reports about that
-// incarnation.
+// MarkDraining records that the server s announced in an answer that it takes no new work. This applies at once, even if the
+// store is unreachable or still reports the server as ready. It applies to this incarnation of the server whatever the store
+// reports later.
 func (f *Follower) MarkDraining(s masticway.Server) {
 	f.update(func(now time.Time) bool {
 		if !f.registry.MarkDraining(now, s.ID, s.Incarnation()) {
--- a/follower/evacuations.go
+++ b/follower/evacuations.go
@@ -10,14 +10,14 @@
 
 // zoneReopening is the end of an operator's order to evacuate an availability zone.
 type zoneReopening struct {
-	// at is when this router learned of the reopening, and version the store version at which the order's row was gone.
+	// at is when this router learned of the reopening. version is the store version at which the row of the order was gone.
 	at      time.Time
 	version int64
 }
 
-// UpdateEvacuations applies the evacuation orders among rows of the operator's table. If the read is full, it also ends the
-// orders that are not in it. It returns the zones that became evacuated and those that were reopened by that. A zone can be in
-// both.
+// UpdateEvacuations applies the evacuation orders in a reading of the operator's table. If full is set, the reading holds all
+// rows, and the orders that are not in it end. UpdateEvacuations returns the zones that became evacuated and those that were
+// reopened. A zone can be in both.
 func (r *Registry) UpdateEvacuations(now time.Time, full bool, reading masticway.RowReading) (evacuated, reopened []string) {
 	present := map[string]bool{}
 	for _, row := range reading.Rows {
--- a/follower/follower.go
+++ b/follower/follower.go
@@ -14,15 +14,16 @@
 
 const (
 	// maxWatchWait is how long a watch call for the configuration or the servers may wait for changes. A dead connection is
-	// noticed after that time and the timeout of the call.
+	// noticed after maxWatchWait plus the timeout of the call.
 	maxWatchWait = 900 * time.Millisecond
-	// serverPollInterval is the pause between two calls for the servers, whose rows change with every heartbeat.
+	// serverPollInterval is the pause between two watch calls for the servers, whose rows change with every heartbeat.
 	serverPollInterval = 150 * time.Millisecond
-	// configurationPollInterval is the pause between two calls for the configuration, and for the tables of AddTable.
+	// configurationPollInterval is the pause between two watch calls for the configuration or for a table of AddTable.
 	configurationPollInterval = 20 * time.Millisecond
 	// retryInterval is the pause after a call that failed.
 	retryInterval = 120 * time.Millisecond
-	// fallbackInterval is the pause between two reads with the long timeout while those with the usual timeout fail.
+	// fallbackInterval is the pause between two reads with the long timeout, which are made while reads with the usual timeout
+	// fail.
 	fallbackInterval = 400 * time.Millisecond
 	// expireInterval is the pause between two removals of expired servers.
 	expireInterval = 100 * time.Millisecond
@@ -55,29 +56,31 @@
 	mu       sync.Mutex
 	registry *Registry
 	snapshot atomic.Pointer[Snapshot]
-	// reportedCold holds the times at which servers were logged as cold, by server ID, until they are logged as warm.
+	// reportedCold holds, by server ID, when the servers were logged as cold. A server is in it until it is logged as warm.
 	reportedCold map[string]time.Time
-	// tables are the tables that are watched for other parts of the router.
+	// tables are the tables that are watched for other components of the router.
 	tables []Table
 }
 
-// Table describes one part of a table of the store that is watched for another part of the router.
+// Table describes one part, that is, partition, of a table of the store. The follower watches it for another component of the
+// router.
 type Table struct {
 	Name, Part string
-	// MaxWait is how long one watch call may wait for changes. RelistInterval is the usual time between full reads, which is
-	// longer for large tables and shorter if changes are lost.
+	// MaxWait is how long one watch call may wait for changes. RelistInterval is the usual time between full reads. The time is
+	// longer for large tables, and shorter after changes were lost.
 	MaxWait, RelistInterval time.Duration
-	// Apply is called with each read result. A full one holds all rows of the part; another holds changes of the whole table.
+	// Apply is called with the result of each read. If full is set, the reading holds all rows of the part. Otherwise it holds
+	// changes of all parts of the table.
 	Apply func(full bool, reading masticway.RowReading)
 }
 
 // AddTable adds a table to watch; it must be called before Run.
 func (f *Follower) AddTable(t Table) { f.tables = append(f.tables, t) }
 
-// New returns a follower that calls onChange, from one goroutine at a time, whenever the snapshot changes. onChange must not call
-// MarkDraining. The fallback is the same store with a longer timeout. It is needed when a router's link is so congested that
-// calls exceed the usual timeout, which is no longer than money operations can wait. Configuration changes must still take effect
-// in time, and draining servers must still be avoided then.
+// New returns a follower that calls onChange whenever the snapshot changes, from one goroutine at a time. onChange must not call
+// MarkDraining. fallback is the same store with a longer timeout. The usual timeout is short, because money operations cannot
+// wait longer. Calls exceed it when the router's link is congested, but configuration changes must take effect and draining
+// servers must be avoided then too.
 func New(store, fallback masticway.RowStore, d masticway.DeploymentDecoder, clock masticway.Clock, log *logrus.Entry, metrics *measurer.Set, onChange func(Snapshot)) *Follower {
 	f := &Follower{store: store, fallback: fallback, decoder: d, clock: clock, log: log, metrics: metrics, onChange: onChange, registry: NewRegistry(d), reportedCold: map[string]time.Time{}}
 	f.snapshot.Store(&Snapshot{})
@@ -99,7 +102,7 @@
 			f.applyConfiguration(key, reading)
 		},
 	}
-	// Registrations can expire while the store is unreachable, so this table is read in full after an outage.
+	// Registrations can expire while the store is unreachable, so the server table is read in full after an outage.
 	servers := &tableWatcher{Follower: f, table: f.decoder.ServerTable(), interval: serverPollInterval, maxWait: maxWatchWait, relistInterval: relistInterval, rowsExpire: true, apply: f.applyServers}
 	watchers := []*tableWatcher{configuration, servers}
 	for _, t := range f.tables {
--- a/follower/mirror.go
+++ b/follower/mirror.go
@@ -13,8 +13,8 @@
 )
 
 const (
-	// relistInterval is the usual time between full reads of the configuration and of the servers, which correct for changes that
-	// the watch missed.
+	// relistInterval is the usual time between full reads of the configuration and of the servers. Full reads correct for changes
+	// that the watch missed.
 	relistInterval = 2500 * time.Millisecond
 	// maxRelistRate bounds the bandwidth that regular full reads of a table take on a router's link, in bytes per second: half of
 	// the 8 KB per second allowed for control traffic at the target fleet size. Reading a configuration of 0.8 MB every 2.5 s
@@ -36,7 +36,8 @@
 	interval, maxWait, relistInterval time.Duration
 	// rowsExpire is set if rows can expire while the store is unreachable, so that the table is read in full after an outage.
 	rowsExpire bool
-	// apply is called with each read result. A full one holds all rows of the part; another holds changes of the whole table.
+	// apply is called with the result of each read. If full is set, the reading holds all rows of the part. Otherwise it holds
+	// changes of all parts of the table.
 	apply func(full bool, reading masticway.RowReading)
 
 	// failing is set when a read with the usual timeout fails, until one succeeds.
@@ -45,8 +46,8 @@
 	gate readGate
 
 	mu sync.Mutex
-	// version is the store version up to which changes have been applied. It is zero before the first read, and after changes
-	// have been lost until the next full read.
+	// version is the store version up to which changes have been applied. It is zero before the first read. It is also zero from
+	// when changes were lost until the next full read.
 	version int64
 	// listedAt is the time of the last full read, and size its size in bytes. After failures, listedAt is moved to make the next
 	// full read due earlier or later (see handleFailure).
@@ -95,8 +96,8 @@
 	return m.version == 0 || m.clock.Now().Sub(m.listedAt) > interval
 }
 
-// read waits for the gate, then reads the table in full if that is due, or else its next changes, and applies the result. The
-// result full is set if it tried a full read.
+// read waits for the gate. It then reads the table in full if isRelistDue returns true, or else the next changes of the table,
+// and applies the result. It returns full if it tried a full read.
 func (m *tableWatcher) read(ctx context.Context, store masticway.RowStore, isRelistDue func() bool) (full bool, err error) {
 	ctx, end := m.gate.begin(ctx, m.sleep)
 	defer end()
@@ -121,8 +122,8 @@
 	return full, nil
 }
 
-// accept applies a read result. It drops a full read that is older than changes that have been applied already, because rows
-// missing from it or present in it may have changed meanwhile.
+// accept applies the result of a read. It drops a full read that is older than the changes that have already been applied,
+// because it would undo them.
 func (m *tableWatcher) accept(full bool, reading masticway.RowReading) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -136,7 +137,8 @@
 	}
 }
 
-// restart makes the next read a full one, unless another read has changed the version meanwhile.
+// restart makes the next read a full one, because changes since m.version are lost. If another read has changed m.version
+// meanwhile, it does nothing.
 func (m *tableWatcher) restart(historyLost *masticway.HistoryLostError) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/follower/turns.go
+++ b/follower/turns.go
@@ -12,7 +12,8 @@
 // gatePollInterval is how often a waiting read checks whether the gate is free.
 const gatePollInterval = 50 * time.Millisecond
 
-// errSuperseded cancels a read because the response to another read of the same table is already arriving.
+// errSuperseded is the cause with which a read is canceled because the response to another read of the same table is already
+// arriving.
 var errSuperseded = errors.New("another read of the table is already arriving")
 
 // readGate lets only one response of more than 16 KB to the reads of a table arrive at a time. On a congested link, the read with
@@ -51,7 +52,7 @@
 	return t.receiving != 0
 }
 
-// startReceiving gives the gate to a read, if it is free, and cancels the other reads.
+// startReceiving gives the gate to an active read, if the gate is free, and cancels the other reads.
 func (t *readGate) startReceiving(id int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
