--- a/tracker/subset.go
+++ b/tracker/subset.go
@@ -9,8 +9,8 @@
 	"github.com/masticway/masticway"
 )
 
-// otherZonesDivisor is the inverse of the minimum share of a router's links for a pool that goes to other availability zones, so
-// that the router can still serve if its own zone has lost every upstream of the pool.
+// otherZonesDivisor determines how many sidecars of a pool a router links to in other availability zones: at least a share of
+// 1/otherZonesDivisor, if there are enough. The router can then still serve if its own zone has lost every upstream of the pool.
 const otherZonesDivisor = 4
 
 // Pools returns the names of the pools of the models and services that an instance offers.
@@ -31,8 +31,8 @@
 // ServicePool returns the name of a plain service's pool.
 func ServicePool(name string) string { return "service:" + name }
 
-// Subset chooses the sidecars that a router links to, among those listed as live: perPool for each pool, or all if there are
-// fewer. It returns them by instance ID.
+// Subset chooses the sidecars that a router links to, from those in the list that are live. It chooses perPool sidecars for each
+// pool, or all if there are fewer. The result maps their instance IDs to them.
 //
 // The choice is by rendezvous hashing, so that the routers spread over all sidecars and the loss of one sidecar replaces at most
 // one choice for each pool.
--- a/tracker/tracker.go
+++ b/tracker/tracker.go
@@ -11,7 +11,7 @@
 	"github.com/masticway/masticway/charter"
 )
 
-// Events of the upstream state chart.
+// Events of the state chart of an upstream (charter.Upstream).
 const (
 	eventLinkUp   charter.Event = "link_up"
 	eventLinkDown charter.Event = "link_down"
@@ -21,7 +21,7 @@
 	eventEnded    charter.Event = "ended"
 )
 
-// States of the upstream state chart that the code refers to.
+// Those states of the state chart of an upstream to which the code refers.
 const (
 	stateLive    charter.State = "live"
 	stateLeaving charter.State = "leaving"
@@ -68,8 +68,8 @@
 	return &Tracker{settings: s, chart: charter.MustLoad(charter.Upstream), entries: map[string]*entry{}}
 }
 
-// UpdateInstances applies the sidecars in a read of the instance list and returns those that were added. Instances that are
-// missing from the list are kept.
+// UpdateInstances applies the sidecars in a reading of the instance list and returns those that were added. Known instances that
+// are missing in the list are kept.
 func (t *Tracker) UpdateInstances(list []masticway.Instance) []masticway.Instance {
 	var added []masticway.Instance
 	for _, i := range list {
@@ -96,7 +96,7 @@
 	return added
 }
 
-// step applies an event to the state chart; events without a transition from the current state change nothing.
+// step applies an event to the state of an upstream. An event without a transition from the current state changes nothing.
 func (t *Tracker) step(e *entry, event charter.Event) {
 	next, err := t.chart.Next(e.view.State, event)
 	if err == nil {
@@ -119,7 +119,7 @@
 	t.step(e, eventLinkUp)
 }
 
-// LinkDown records that a link is lost and adds the flap penalty.
+// LinkDown records that the link to an instance is lost, and adds flapPenalty to the upstream's penalty.
 func (t *Tracker) LinkDown(now time.Time, instance string) {
 	e, ok := t.entries[instance]
 	if !ok {
@@ -134,7 +134,7 @@
 	return e.penalty * math.Exp2(-now.Sub(e.penaltyAt).Seconds()/flapHalfLife.Seconds())
 }
 
-// ObserveMessage records a message from the upstream's sidecar, which ends a silence.
+// ObserveMessage records that a message from the sidecar on an instance has arrived. A silent upstream is then no longer silent.
 func (t *Tracker) ObserveMessage(now time.Time, instance string) {
 	e, ok := t.entries[instance]
 	if !ok {
@@ -151,7 +151,8 @@
 	}
 }
 
-// Tick marks silent upstreams, and forgets ended ones whose last message is over a minute old.
+// Tick marks the upstreams that have been silent for SilenceTimeout. It forgets ended ones whose last message is over a minute
+// old.
 func (t *Tracker) Tick(now time.Time) {
 	for id, e := range t.entries {
 		if now.Sub(e.view.LastMessageAt) > t.settings.SilenceTimeout {
