--- a/connector/client.go
+++ b/connector/client.go
@@ -53,7 +53,8 @@
 
 // postJSON sends a JSON body and decodes a JSON answer; sent reports whether the server may have acted on the request.
 //
-// The limits bound the time until the answer begins and its pauses rather than the total time, which grows with its size.
+// The limits bound the time until the answer begins and the pauses within it. They do not bound the total time, which grows with
+// the size of the answer.
 func postJSON(ctx context.Context, client *http.Client, url string, limits receiver.Limits, body, answer any) (sent bool, err error) {
 	data, err := json.Marshal(body)
 	if err != nil {
@@ -80,13 +81,13 @@
 	return true, nil
 }
 
-// isDialError reports whether an error is that of a failed dial, so that nothing was sent.
+// isDialError reports whether the error is that of a failed dial. Nothing was sent then.
 func isDialError(err error) bool {
 	op, ok := errors.AsType[*net.OpError](err)
 	return ok && op.Op == "dial"
 }
 
-// Platform is a client of the platform's table and instance list. Objects returns one of its object store.
+// Platform is a client of the platform's table and instance list. Its method Objects returns a client of the object store.
 type Platform struct {
 	base    string
 	client  *http.Client
--- a/connector/upstream.go
+++ b/connector/upstream.go
@@ -20,16 +20,16 @@
 )
 
 const (
-	// lineLimit is the longest line of an event stream, in bytes.
+	// lineLimit is the maximum length of a line of an event stream, in bytes.
 	lineLimit = 1 << 20
 	// noTimeout is longer than any process runs. It is for calls such as orders, which may take as long as loading a model.
 	noTimeout = 100 * 365 * 24 * time.Hour
-	// probeTimeout bounds the connection attempt that checks, after a run broke off, whether the upstream next to this
-	// sidecar still listens.
+	// probeTimeout is the timeout of the connection attempt by which a sidecar checks, after a run broke off, whether its
+	// upstream still listens.
 	probeTimeout = 100 * time.Millisecond
 )
 
-// noTimeouts are the limits of calls whose duration only the caller's context bounds.
+// noTimeouts are the limits of calls that only the context of the caller ends. They still limit the size of the answer.
 var noTimeouts = receiver.Limits{HeaderTimeout: noTimeout, IdleTimeout: noTimeout, MaxBytes: bodyLimit}
 
 // Upstream is a client of a model engine or a plain service over HTTP.
@@ -41,8 +41,8 @@
 	address string
 	// noRetry sends service calls, which must never be sent twice.
 	noRetry *http.Client
-	// idleTimeout is the longest time until the first piece of a run's answer and between two pieces; the total time is not
-	// bounded.
+	// idleTimeout is the maximum time until the first piece of the answer to a run, and between two pieces. The total time is not
+	// limited.
 	idleTimeout time.Duration
 }
 
@@ -61,8 +61,8 @@
 	return u
 }
 
-// Run performs a call and passes the answer to the sink. If a run fails that may have started, it checks whether the upstream
-// still listens.
+// Run performs a call and passes the answer to the sink. If a run fails that may have started, Run checks whether the upstream
+// still listens, and sets the error's NotListening if not.
 func (u Upstream) Run(ctx context.Context, c masticway.Call, s masticway.Sink) (masticway.Outcome, error) {
 	run := u.runModel
 	if c.Service != "" {
@@ -86,8 +86,8 @@
 	return errors.Is(err, syscall.ECONNREFUSED)
 }
 
-// withIdleTimeout returns a context that is canceled if the upstream is silent for too long. Each call of reset restarts the
-// timeout. stop ends it and cancels the context.
+// withIdleTimeout returns a context that is canceled if the upstream sends nothing for idleTimeout. Each call of reset restarts
+// the timeout. stop ends it and cancels the context.
 func (u Upstream) withIdleTimeout(ctx context.Context) (watched context.Context, reset func(), stop func()) {
 	watched, cancel := context.WithCancelCause(ctx)
 	timer := time.AfterFunc(u.idleTimeout, func() {
@@ -213,7 +213,7 @@
 	return masticway.Outcome{Status: response.StatusCode, ContentType: response.Header.Get("Content-Type")}, nil
 }
 
-// readAll reads a body and calls reset for each piece of it; it fails with TooLargeError instead of truncating.
+// readAll reads a body, and calls reset after each read. It fails with TooLargeError if the body is larger than bodyLimit.
 func readAll(body io.Reader, reset func()) ([]byte, error) {
 	content, err := io.ReadAll(io.LimitReader(resettingReader{Reader: body, reset: reset}, bodyLimit+1))
 	if err == nil && len(content) > bodyLimit {
