--- a/configurer/snapshot.go
+++ b/configurer/snapshot.go
@@ -7,7 +7,7 @@
 	"github.com/masticway/masticway"
 )
 
-// Snapshot is the configuration at one revision; it is immutable.
+// Snapshot is the configuration at one revision. It is immutable.
 type Snapshot struct {
 	revision  masticway.Revision
 	catalog   masticway.Catalog
@@ -45,7 +45,7 @@
 	return list
 }
 
-// With returns the snapshot after a change, which must have the next revision. It does not modify s.
+// With returns the snapshot after a change. The caller must check that the change has the next revision. With does not modify s.
 func (s Snapshot) With(c masticway.Change) Snapshot {
 	next := Snapshot{revision: c.Revision, catalog: s.catalog, contracts: s.contracts, byKey: s.byKey}
 	if c.Catalog != nil {
@@ -107,7 +107,7 @@
 // maxRecentChanges is the maximum number of applied changes that are kept for peers that are behind.
 const maxRecentChanges = 64
 
-// State applies changes in order; it is not safe for concurrent use.
+// State holds the newest applied configuration, and applies changes to it in order. It is not safe for concurrent use.
 type State struct {
 	snapshot Snapshot
 	recent   []masticway.Change
@@ -120,8 +120,8 @@
 // IsReady reports whether a complete configuration has been loaded.
 func (s *State) IsReady() bool { return s.ready }
 
-// Load replaces the whole configuration and reports whether it did. It ignores one that is not newer than a configuration loaded
-// before.
+// Load replaces the whole configuration and reports whether it did. After the first one, it ignores a configuration that is not
+// newer than the current one.
 func (s *State) Load(f Configuration) bool {
 	if s.ready && f.Revision <= s.snapshot.revision {
 		return false
@@ -154,7 +154,8 @@
 	return applied, false
 }
 
-// ChangesAfter returns the changes after a revision, as far as they are still kept: the first ones may be missing.
+// ChangesAfter returns the applied changes after a revision that are still kept. The first ones after the revision may be
+// missing.
 func (s *State) ChangesAfter(r masticway.Revision) []masticway.Change {
 	i := slices.IndexFunc(s.recent, func(c masticway.Change) bool { return c.Revision > r })
 	if i < 0 {
--- a/configurer/store.go
+++ b/configurer/store.go
@@ -41,7 +41,8 @@
 	Value    T                  `json:"value"`
 }
 
-// RevisionConflictError reports that the contract or catalog has changed since the revision that a change is based on.
+// RevisionConflictError reports that the revision on which a change is based is not that of the last change of its contract or of
+// the catalog.
 type RevisionConflictError struct {
 	Expected masticway.Revision
 	Current  masticway.Revision
@@ -78,8 +79,9 @@
 	eventAppliedEverywhere charter.Event = "everywhere"
 )
 
-// ChangeState returns the state of a change in the change state chart, given the error of Put and whether all daemons apply the
-// change. The error must be nil, a RevisionConflictError or an OutcomeUnknownError: any other counts as success.
+// ChangeState returns the state of a change in its state chart (charter.Change). err is the error of Put, and appliedEverywhere
+// is set if all daemons apply the change. The caller must check that err is nil, a RevisionConflictError or an
+// OutcomeUnknownError: any other error counts as success.
 func ChangeState(err error, appliedEverywhere bool) charter.State {
 	event := eventCommitted
 	if _, ok := errors.AsType[*RevisionConflictError](err); ok {
@@ -104,15 +106,15 @@
 	return h.Revision, err
 }
 
-// AnyRevision as the base of a change skips the check whether its contract or the catalog has changed.
+// AnyRevision, passed to Put as base, makes Put skip the check whether the contract or catalog has changed.
 const AnyRevision masticway.Revision = -1
 
-// Put commits a change to a contract or to the catalog, unless that has changed since the revision base. Changes with the same ID
-// are accepted only once: if one has been accepted before, Put returns that one.
+// Put commits a change of a contract or of the catalog, unless that contract, or the catalog, has changed since revision base. A
+// change ID is accepted only once: if a change with the ID of c has already been accepted, Put returns the accepted change.
 //
-// It fails with RevisionConflictError if the contract or catalog has changed since base, with UnavailableError if the table is
-// unavailable, and with OutcomeUnknownError if the table's answer was lost and the outcome cannot be read back. After maxAttempts
-// it fails with the error of the last one.
+// Put fails with RevisionConflictError if base is not the revision of the last change of the contract or catalog. It fails with
+// UnavailableError if the table is unavailable, and with OutcomeUnknownError if the table's answer was lost and the outcome
+// cannot be read back. After maxAttempts attempts it fails with the error of the last one.
 func (s *Store) Put(ctx context.Context, c masticway.Change, base masticway.Revision) (masticway.Change, error) {
 	var lastErr error
 	for range maxAttempts {
@@ -137,7 +139,8 @@
 	return c, fmt.Errorf("changing the configuration, %d tries: %w", maxAttempts, lastErr)
 }
 
-// readBackError returns the error of Put after err. A commit before it with an unknown outcome makes the outcome of Put unknown.
+// readBackError returns the error with which Put fails after err. commitErr is the error of the last commit, or nil. If the
+// outcome of that commit is unknown, so is the outcome of Put.
 func readBackError(commitErr, err error, id string) error {
 	if _, ok := errors.AsType[*masticway.OutcomeUnknownError](commitErr); ok {
 		return &masticway.OutcomeUnknownError{Service: "table", ID: id, Reason: err.Error()}
@@ -146,7 +149,7 @@
 }
 
 // prepareTransaction returns the transaction that commits a change, and the change with its revision. If a change with the same
-// ID has been accepted already, it returns that one instead.
+// ID has already been accepted, it returns the accepted change and no transaction.
 func (s *Store) prepareTransaction(ctx context.Context, c masticway.Change, base masticway.Revision) (alreadyAccepted bool, tx masticway.Transaction, next masticway.Change, err error) {
 	idKey := prefixID + c.ID
 	accepted, idVersion, err := read[masticway.Change](ctx, s.table, idKey)
@@ -178,7 +181,8 @@
 	return false, tx, c, nil
 }
 
-// subjectRow returns the key and value of the row that a change replaces, after checking its base revision.
+// subjectRow returns the key and the new value of the row that a change replaces. It fails with RevisionConflictError if base is
+// not the revision of the last change of that row.
 func (s *Store) subjectRow(ctx context.Context, c masticway.Change, base masticway.Revision) (string, []byte, error) {
 	if c.Catalog != nil {
 		current, _, err := read[stored[masticway.Catalog]](ctx, s.table, keyCatalog)
@@ -229,8 +233,8 @@
 	return c.Value, c.Revision, err
 }
 
-// Configuration reads the complete configuration. It reads the head revision first, so the result may contain changes after its
-// revision but misses none up to it.
+// Configuration reads the complete configuration. It reads the newest accepted revision first. The result has this revision and
+// contains all changes up to it, and may contain later ones.
 func (s *Store) Configuration(ctx context.Context) (Configuration, error) {
 	revision, err := s.Head(ctx)
 	if err != nil {
@@ -264,8 +268,8 @@
 	return c, err
 }
 
-// Changes reads the accepted changes of a range of revisions, both ends included. If one cannot be read, it returns those before
-// it and an error.
+// Changes reads the accepted changes with the revisions from to to, both included. If one cannot be read, it returns the changes
+// with lower revisions and an error.
 func (s *Store) Changes(ctx context.Context, from, to masticway.Revision) ([]masticway.Change, error) {
 	var changes []masticway.Change
 	for r := from; r <= to; r++ {
@@ -281,7 +285,7 @@
 func encode(v any) []byte {
 	data, err := json.Marshal(v)
 	if err != nil {
-		// Every stored type can be encoded as JSON.
+		// Every type that is stored can be encoded as JSON.
 		panic(err)
 	}
 	return data
