--- a/messenger/messenger.go
+++ b/messenger/messenger.go
@@ -16,21 +16,24 @@
 )
 
 const (
-	// maxMessageBytes bounds a message that is received; the largest is a write to the row store, 1 MB of rows and their keys.
+	// maxMessageBytes is the maximum size of a received message. The largest one is a write to the row store: 1 MB of rows and
+	// their keys.
 	maxMessageBytes = 4 << 20
-	// maxAnswerBytes bounds an answer; the largest is the row store's, which may contain rows written by operators.
+	// maxAnswerBytes is the maximum size of an answer. The largest one is an answer with rows of the row store, which operators
+	// may have written.
 	maxAnswerBytes = 16 << 20
-	// beginTimeout is how long an answer may take to begin if the caller's context does not end before. It is a multiple of
-	// what any caller waits.
+	// beginTimeout is how long an answer may take to begin if the context of the call does not end earlier. It is a multiple of
+	// the time that any caller waits.
 	beginTimeout = 10 * time.Second
 	// idleTimeout is how long an idle connection is kept.
 	idleTimeout = 20 * time.Second
-	// maxIdleConnsPerRouter bounds the idle connections to one router: enough for a few concurrent calls.
+	// maxIdleConnsPerRouter is the maximum number of idle connections to one router, enough for a few concurrent calls.
 	maxIdleConnsPerRouter = 4
-	// dialTimeout bounds a connection attempt. The kernel retransmits a SYN that was lost in a network partition only after
-	// a second, so a new attempt reaches a recovered router sooner.
+	// dialTimeout is the timeout of a connection attempt. If a SYN is lost in a network partition, the kernel retransmits it only
+	// after a second, so a new attempt reaches a recovered router sooner.
 	dialTimeout = 350 * time.Millisecond
-	// slowLinkDialTimeout is the dial timeout for calls over a congested link; it allows for one retransmission of the SYN.
+	// slowLinkDialTimeout is the timeout of a connection attempt over a congested link. It allows for one retransmission of the
+	// SYN.
 	slowLinkDialTimeout = 2500 * time.Millisecond
 	contentType         = "application/cbor"
 )
@@ -67,9 +70,9 @@
 	}}}
 }
 
-// ObserveCalls sets a function that is called with the duration of each Call that succeeded, or that failed because its context's
-// deadline or the dial timeout passed; answered is set if it succeeded. Calls that failed for other reasons are not observed, and
-// neither is Fetch by itself. ObserveCalls must be called before the first call.
+// ObserveCalls sets a function that is called with the duration of each Call that succeeded, and of each Call that failed because
+// the deadline of its context or the dial timeout passed. answered is set if the Call succeeded. Other failed calls, and calls of
+// Fetch, are not observed. ObserveCalls must be called before the first call.
 func (c *Client) ObserveCalls(observe func(took time.Duration, answered bool)) { c.observe = observe }
 
 // Call sends a message to the router at an address and decodes its answer. It fails with StatusError if the router answers with a
@@ -83,8 +86,8 @@
 	return answer, err
 }
 
-// Fetch is like Call, but with a given limit on the time until the answer begins, and it is not observed. It is for answers that
-// may be large, with a context that allows for their transfer.
+// Fetch is like Call, but beginTimeout limits the time until the answer begins, and the call is not observed. It is for answers
+// that may be large. The caller's context must allow for their transfer.
 func Fetch[A any](ctx context.Context, c *Client, address, path string, beginTimeout time.Duration, message any) (A, error) {
 	var answer A
 	data, err := cbor.Marshal(message)
@@ -109,7 +112,8 @@
 	return answer, nil
 }
 
-// Handle serves calls at a path. A message that is too large or cannot be decoded is answered with status 400.
+// Handle registers serve for the messages that arrive at a path. A message that is too large or cannot be decoded is answered
+// with status 400.
 func Handle[M, A any](mux *http.ServeMux, path string, serve func(ctx context.Context, message M) A) {
 	mux.HandleFunc("POST "+path, func(w http.ResponseWriter, r *http.Request) {
 		var message M
