--- a/configurer/store.go
+++ b/configurer/store.go
@@ -106,7 +106,7 @@
 	return h.Revision, err
 }
 
-// AnyRevision, passed to Put as base, makes Put skip the check whether the contract or catalog has changed.
+// AnyRevision is a base revision with which Put skips the check whether the contract or catalog has changed.
 const AnyRevision masticway.Revision = -1
 
 // Put commits a change of a contract or of the catalog, unless that contract, or the catalog, has changed since revision base. A
