--- a/estimator/estimator.go
+++ b/estimator/estimator.go
@@ -10,7 +10,7 @@
 //go:embed slopes.json
 var files embed.FS
 
-// measuredText is the hand-written part of the page on the users' platform.
+// measuredText is the hand-written first part of the page. It is about the fleet on the users' platform.
 //
 //go:embed measured.md
 var measuredText string
@@ -20,9 +20,9 @@
 	Name  string  `json:"name"`
 	Value float64 `json:"value"`
 	Unit  string  `json:"unit"`
-	// Sizes are the sizes at which it was measured.
+	// Sizes says at which sizes, for example numbers of links, the quantity was measured.
 	Sizes string `json:"sizes"`
-	// Command is the command that measures it.
+	// Command is the command that measures the quantity.
 	Command string `json:"command"`
 }
 
@@ -51,7 +51,8 @@
 	return s
 }
 
-// The size of the fleet to design for, with the rates at its peak. Counts are for the whole fleet.
+// The fleet for which the page is computed. Counts are for the whole fleet, and rates are those at its peak. Changes are those of
+// the configuration. Failures and replacements are those of instances.
 const (
 	routers            = 350.0
 	sidecars           = 2100.0
@@ -67,21 +68,29 @@
 	secondsPerDay      = 86_400.0
 )
 
-// Settings at that size, some of which differ from the defaults. Durations are in seconds, and rates are those of one router.
-// linksPerPool is the number of sidecars of one pool that a router links to.
+// Settings of the fleet for which the page is computed. Some of them differ from the defaults.
 const (
-	// heartbeatScale converts slopes measured with a heartbeat of 500 ms to the 1.5 s used at that size.
-	heartbeatScale      = 1.0 / 3
-	linksPerPool        = 12.0
-	leaseInterval       = 15.0
-	horizon             = 60.0
-	pollsPerSecond      = 2.0
+	// heartbeatScale converts slopes measured with a heartbeat every 500 ms to the heartbeat every 1.5 s of this fleet.
+	heartbeatScale = 1.0 / 3
+	// linksPerPool is the number of sidecars of one pool to which a router links.
+	linksPerPool = 12.0
+	// leaseInterval is the time between two writes of a router's lease row in the table, in seconds. horizon is the period of
+	// forecast demand that one draw of money from a budget covers, in seconds; no formula uses it.
+	leaseInterval = 15.0
+	horizon       = 60.0
+	// pollsPerSecond is how many times per second a router reads the newest revision of the configuration, and how many times per
+	// second it reads the instance list.
+	pollsPerSecond = 2.0
+	// challengesPerSecond is how many times per second a router reads its challenge row, in which other routers ask it to renew
+	// its lease.
 	challengesPerSecond = 1.0
 )
 
-// Limits of the platform's table, and of what one router or sidecar may use for control, that is for all but relaying answers.
+// Limits of the platform's table, and of what one router or sidecar may use for control. Control is everything except relaying
+// answers.
 const (
-	// maxControlCores is a share of one processor core. maxMemoryMB applies to the whole process, in units of bytesPerMB.
+	// maxControlCores is a share of one processor core. maxMemoryMB is the memory of the whole process, in units of bytesPerMB
+	// bytes.
 	maxControlCores          = 0.042
 	maxMemoryMB              = 32.0
 	maxControlBytesPerSecond = 8192.0
@@ -90,8 +99,8 @@
 	bytesPerMB               = 1 << 20
 )
 
-// Line is one sum of the page: how much of a resource one process of a role, or the table, needs at the fleet's size. Value and
-// Limit are in Unit; a Limit of zero means no limit. Formula and Mechanism are texts of the page.
+// Line is one sum of the page: how much of a resource the fleet's load needs at one process of a role, or at the table. Value and
+// Limit are in Unit. A Limit of zero means no limit. Formula and Mechanism are texts of the page.
 type Line struct {
 	Role      string
 	Quantity  string
@@ -104,7 +113,7 @@
 	Remedy string
 }
 
-// FitsLimit reports whether the sum is within its limit; a line without a limit always is.
+// FitsLimit reports whether the sum is within its limit. A line without a limit always is.
 func (l Line) FitsLimit() bool { return l.Limit == 0 || l.Value <= l.Limit }
 
 // Compute returns all lines of the page for the given slopes, in the page's order.
