--- a/errors.go
+++ b/errors.go
@@ -64,7 +64,8 @@
 // Error returns the reason.
 func (e *UpstreamError) Error() string { return "upstream failed: " + e.Reason }
 
-// SealedError reports that this incarnation of a router has been fenced. Another incarnation must be started in its place.
+// SealedError reports that this incarnation of a router has been fenced: the other processes treat it as ended. The router must
+// start a new incarnation.
 type SealedError struct {
 	Incarnation Incarnation
 }
