--- a/throttler/limits.go
+++ b/throttler/limits.go
@@ -70,7 +70,7 @@
 	ChangeEnded Change = "ended"
 )
 
-// limitState is the state of one server that has reported a limit.
+// limitState is the state of one server that has reported a limit. limit is the newest known limit, as observed at observedAt.
 type limitState struct {
 	limit      masticway.RateLimit
 	observedAt time.Time
@@ -85,7 +85,8 @@
 	waiters int
 	// lastRetryAt is when the caller that was refused last was told to retry.
 	lastRetryAt time.Time
-	// tokens is the number of permits that this router may grant to others and itself, as of tokensAt.
+	// tokens is the number of permits in the token bucket, as of tokensAt. This router grants them to others and itself if it is
+	// the owner or the backup.
 	tokens   float64
 	tokensAt time.Time
 	// unregisteredSince is the time since which the server has not been registered. It is zero if the server is registered.
