--- a/examiner/examiner.go
+++ b/examiner/examiner.go
@@ -22,8 +22,8 @@
 	// writeTimeout is the timeout of one write of evidence, and maxWriteRows the maximum number of rows in one write.
 	writeTimeout = 600 * time.Millisecond
 	maxWriteRows = 50
-	// writeInterval is the pause after a failed write, and the maximum pause after a round in which there was evidence to write.
-	// idleInterval is the maximum pause after other rounds; expired suspects, for example, are found only in a round.
+	// writeInterval is the pause after a failed write. It is also the maximum pause between two calls of runOnce if the first of
+	// them had evidence to write. Otherwise the maximum pause is idleInterval.
 	writeInterval = 100 * time.Millisecond
 	idleInterval  = time.Second
 )
--- a/examiner/writes.go
+++ b/examiner/writes.go
@@ -79,8 +79,8 @@
 }
 
 // ExpiredChanges returns the deletions of the rows of expired suspects whose keys this router owns. It also removes expired
-// suspects from the registry: those without a row, and those that are twice as old as when the owner of the key should have
-// deleted the row.
+// suspects from the registry: those without a row, and those that have reached twice the age at which the owner of the key should
+// have deleted the row.
 func (r *Registry) ExpiredChanges(now time.Time, owns func(key string) bool) []change {
 	var expired []change
 	for d, state := range r.suspects {
