--- a/rotator/absence.go
+++ b/rotator/absence.go
@@ -2,7 +2,8 @@
 
 import "time"
 
-// absence is the state of a router's absence from the rotation.
+// absence is the state of a router's absence from the rotation. out is set while the router is out of rotation, until is when it
+// may return.
 type absence struct {
 	out   bool
 	until time.Time
