--- a/sharer/ask.go
+++ b/sharer/ask.go
@@ -17,7 +17,7 @@
 	Table string `cbor:"1,keyasint"`
 	Part  string `cbor:"2,keyasint,omitempty"`
 	// Whole requests all rows. Otherwise the request is for the changes since the version Since. If there are none yet, the
-	// reader waits for one, for at most Wait and maxRequestWait.
+	// reader waits for one, for at most the smaller of Wait and maxRequestWait.
 	Whole bool          `cbor:"3,keyasint,omitempty"`
 	Since int64         `cbor:"4,keyasint,omitempty"`
 	Wait  time.Duration `cbor:"5,keyasint,omitempty"`
--- a/sharer/store.go
+++ b/sharer/store.go
@@ -230,8 +230,8 @@
 	return t.viaReaders
 }
 
-// updateReaderRate records the traffic that watching the table causes at a reader, in bytes per second. If it has become low,
-// this router switches back to watching the table itself.
+// updateReaderRate switches back to watching the table directly if rate is low. rate is the traffic, in bytes per second, that
+// watching the table causes at a reader.
 func (t *sharedTable) updateReaderRate(rate float64) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
