--- a/follower/beliefs.go
+++ b/follower/beliefs.go
@@ -66,8 +66,8 @@
 	rowVersion    int64
 	configured    bool
 	serversLoaded bool
-	// entries holds the registrations by server ID. removed holds, by server ID, the store versions at which registrations were
-	// last removed.
+	// entries holds the registrations by server ID. removed holds, by server ID, the store version at which the server's row was
+	// last found deleted or missing.
 	entries map[string]entry
 	removed map[string]int64
 	// invalid holds the versions of rows that are not valid registrations, by key.
--- a/follower/departures.go
+++ b/follower/departures.go
@@ -8,8 +8,8 @@
 	"github.com/masticway/masticway"
 )
 
-// departureTTL is how long a router remembers that a server announced that it is draining, if the server has no row. The row may
-// reappear late.
+// departureTTL is the minimum time for which a router remembers that a server without a row announced that it is draining. The
+// row may reappear late.
 const departureTTL = time.Hour
 
 // departure records that an incarnation of a server announced that it is draining, and when.
--- a/follower/follower.go
+++ b/follower/follower.go
@@ -36,7 +36,8 @@
 	metricBytes    = "follow_bytes"
 	metricVersion  = "configuration_version"
 	metricServers  = "servers_ready"
-	// metricEvacuated counts the zones whose servers get no new work, metricCold the servers that count as cold.
+	// metricEvacuated counts the zones whose servers get no new work, and metricCold the servers that count as cold, that is,
+	// slow after a start.
 	metricEvacuated = "zones_evacuated"
 	metricCold      = "servers_cold"
 )
--- a/follower/mirror.go
+++ b/follower/mirror.go
@@ -137,8 +137,8 @@
 	}
 }
 
-// restart makes the next read a full one, because changes since m.version are lost. If another read has changed m.version
-// meanwhile, it does nothing.
+// restart makes the next read a full one, because the changes since m.version are lost or too large. If another read has changed
+// m.version meanwhile, it leaves the next read as it is.
 func (m *tableWatcher) restart(historyLost *masticway.HistoryLostError) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
