--- a/tracker/tracker.go
+++ b/tracker/tracker.go
@@ -38,7 +38,7 @@
 
 // Settings configures a tracker.
 type Settings struct {
-	// SilenceTimeout is how long a link may be silent before its upstream gets no new work.
+	// SilenceTimeout is how long no message may arrive from an upstream's sidecar before the upstream gets no new work.
 	SilenceTimeout time.Duration
 }
 
@@ -104,8 +104,8 @@
 	}
 }
 
-// LinkUp records that a link to an incarnation of a sidecar is established. A new incarnation on an instance first returns to the
-// initial state, unless the instance has ended.
+// LinkUp records that a link to an incarnation of a sidecar is established. If the incarnation is a new one, the upstream first
+// returns to the initial state, unless its instance has ended.
 func (t *Tracker) LinkUp(now time.Time, instance string, inc masticway.Incarnation) {
 	e, ok := t.entries[instance]
 	if !ok {
