--- a/connector/upstream.go
+++ b/connector/upstream.go
@@ -36,7 +36,7 @@
 type Upstream struct {
 	base   string
 	client *http.Client
-	// dial and address are used to check whether the upstream still listens.
+	// dial and address are used to check whether the upstream still listens after a run that failed.
 	dial    DialFunc
 	address string
 	// noRetry sends service calls, which must never be sent twice.
