--- a/configurer/store.go
+++ b/configurer/store.go
@@ -19,7 +19,8 @@
 	prefixID       = "config/id/"
 )
 
-// maxAttempts is the maximum number of attempts at one change while other changes are committed or outcomes are unknown.
+// maxAttempts is the maximum number of attempts at one change. An attempt is repeated if another change was committed first or if
+// its outcome is unknown.
 const maxAttempts = 20
 
 // Store reads and changes the configuration in the table.
@@ -30,7 +31,7 @@
 // NewStore returns a store that uses the platform's table.
 func NewStore(t masticway.Table) *Store { return &Store{table: t} }
 
-// head is the row with the newest accepted revision.
+// head is the content of the row keyHead: the newest accepted revision.
 type head struct {
 	Revision masticway.Revision `json:"revision"`
 }
