--- a/configurer/store.go
+++ b/configurer/store.go
@@ -269,8 +269,8 @@
 	return c, err
 }
 
-// Changes reads the accepted changes with the revisions from to to, both included. If one cannot be read, it returns the changes
-// with lower revisions and an error.
+// Changes reads the accepted changes with revisions in the range [from, to]. If one cannot be read, it returns the changes with
+// lower revisions and an error.
 func (s *Store) Changes(ctx context.Context, from, to masticway.Revision) ([]masticway.Change, error) {
 	var changes []masticway.Change
 	for r := from; r <= to; r++ {
--- a/doc.go
+++ b/doc.go
@@ -14,7 +14,7 @@
 //   - instance: a machine of the fleet, as listed by the platform
 //   - incarnation: one run of a router, a sidecar or a server, from its start to its end
 //   - workspace: a customer, with a contract or account that says what its requests may use
-//   - budget: the money or tokens for which a workspace has paid in advance
+//   - budget: prepaid money or tokens, from which the requests of one or more workspaces are paid
 //   - grant: a part of a budget that one incarnation of a router may spend
 //   - draw: the move of money from a budget into a grant
 //   - hold: a part of a grant that is reserved for the cost of one request, until that cost is known
