--- a/forwarder/abandoned.go
+++ b/forwarder/abandoned.go
@@ -21,15 +21,17 @@
 	abandonedAt time.Time
 }
 
-// abandonedRuns holds runs that this router gave up before their answers had lasted for innocentAfter, because the caller left,
-// the deadline passed, or another server took the request. The router has closed their connections, so no connection breaks if
-// the server crashes. The request may still crash it.
+// abandonedRuns holds runs that this router gave up because the caller left, the deadline passed, or another server took the
+// request. Only runs whose answers had lasted for less than innocentAfter are added; the caller of add must check this. The
+// router has closed their connections, so no broken connection would show it a crash of the server. The request may still crash
+// the server.
 type abandonedRuns struct {
 	mu   sync.Mutex
 	runs []serverRun
 }
 
-// add adds a run. It drops the runs that can no longer be at fault for a crash, and the oldest ones above maxAbandonedRuns.
+// add adds a run. It drops the runs that can no longer be at fault for a crash (see mayCauseCrash). If more than maxAbandonedRuns
+// are left, it also drops the oldest ones.
 func (a *abandonedRuns) add(r serverRun) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -69,5 +71,5 @@
 	return len(a.runs) < before
 }
 
-// mayCauseCrash reports whether an abandoned run may be at fault if its server crashes now.
+// mayCauseCrash reports whether an abandoned run may be at fault if its server crashes at the given time.
 func mayCauseCrash(r serverRun, now time.Time) bool { return now.Sub(r.abandonedAt) < innocentAfter }
--- a/forwarder/admit.go
+++ b/forwarder/admit.go
@@ -23,7 +23,7 @@
 	defaultMaxBodyBytes = 4 << 20
 	// defaultTimeout is the timeout of a request if neither the caller nor the route sets one.
 	defaultTimeout = 30 * time.Second
-	// maxRank is the least urgent rank that servers support.
+	// maxRank is the highest rank that servers support, which is the least urgent.
 	maxRank = 9
 )
 
@@ -72,8 +72,8 @@
 // hasBudget reports whether the request consumes a prepaid budget: it declares its tokens, and its workspace has a budget.
 func (q request) hasBudget() bool { return q.Metered && q.account.HasLimit }
 
-// rank returns the request's urgency from 0, the most urgent, to maxRank. A priority of the workspace takes precedence over that
-// of the route.
+// rank returns the request's urgency from 0, the most urgent, to maxRank. The workspace's priority, if it has one, takes
+// precedence over the route's.
 func (q request) rank() int {
 	if q.account.HasPriority {
 		return min(maxRank, max(0, q.account.Priority))
@@ -133,8 +133,8 @@
 	return refusal(http.StatusServiceUnavailable, codeShuttingDown, "this router ends before the answer would", retryAfterReconnect)
 }
 
-// admitLoad reserves capacity of the router for the request, or refuses it. It is called before the body is read, because the
-// link to the callers may be saturated.
+// admitLoad reserves capacity of the router for the request, or refuses it. It must be called before the body is read: reading
+// takes capacity of the link to the callers, which may be saturated.
 func (x *exchange) admitLoad(r *http.Request, limits masticway.CallerLimits) *masticway.RefusalError {
 	bytes := r.ContentLength
 	if bytes < 0 {
@@ -149,7 +149,8 @@
 	return refusal(http.StatusServiceUnavailable, codeOverloaded, "this router has more to carry than it can", retryAfterReconnect)
 }
 
-// markAnswered reports to the rotation, once, that the request no longer waits for its answer.
+// markAnswered reports to the rotation that an admitted request no longer waits for its answer. Only the first call has an
+// effect.
 func (x *exchange) markAnswered() {
 	if x.awaitingAnswer.Swap(false) {
 		x.f.rotation.MarkAnswered()
@@ -172,8 +173,8 @@
 	return limits.MaxBodyBytes
 }
 
-// resolveRoute sets the route, the workspace, the pool and the deadline of the request. It refuses a request without a route, and
-// one without a valid key unless the route allows anonymous callers.
+// resolveRoute sets the route, the workspace, the pool and the deadline of the request. It refuses a request that no route
+// matches. It also refuses one without a valid key, unless the route allows anonymous callers.
 func (x *exchange) resolveRoute(snapshot follower.Snapshot, r *http.Request) *masticway.RefusalError {
 	d := snapshot.Deployment
 	x.q.configurationVersion = d.Version
@@ -217,8 +218,8 @@
 	return ""
 }
 
-// setDeadline applies the caller's time limit or the route's timeout, whichever is shorter. If neither is set, the deadline stays
-// as it is.
+// setDeadline applies the caller's time limit or the route's timeout, whichever is shorter. If neither is set, the deadline set
+// by admit stays.
 func (x *exchange) setDeadline() {
 	left := x.q.TimeLeft
 	if t := x.q.route.Timeout; t > 0 && (left <= 0 || t < left) {
@@ -229,7 +230,8 @@
 	}
 }
 
-// readBody reads the whole body, so that it can be sent more than once. It refuses a body that is too large or ends early.
+// readBody reads the whole body, so that it can be sent more than once. It refuses the request if the body is too large or cannot
+// be read to its end.
 func (x *exchange) readBody(w http.ResponseWriter, r *http.Request, limits masticway.CallerLimits) *masticway.RefusalError {
 	limit := maxBodyBytes(limits)
 	if r.ContentLength == 0 {
--- a/forwarder/attempt.go
+++ b/forwarder/attempt.go
@@ -37,13 +37,14 @@
 	// sendResults delivers the result of sending the request if the attempt began as a handover candidate (see handoverState). It
 	// is nil for other attempts.
 	sendResults chan sendResult
-	// excluded holds the IDs of the servers that had been tried before the attempt began.
+	// excluded holds the IDs of the servers at which earlier attempts of the exchange failed.
 	excluded map[string]bool
 	handover handoverState
-	// quarantined is set if the request runs as a suspect and this router still has to report the result to the examiner.
+	// quarantined is set if the attempt runs a suspect in quarantine. It is unset by clearSuspect or, when the attempt has ended,
+	// by reportToExaminer.
 	quarantined bool
-	// firstAt is when the first events of a stream, or the whole of another answer, arrived from this server. It is zero until
-	// then.
+	// firstAt is when the first events of a stream arrived from this server or, for other answers, the whole answer. It is zero
+	// until then.
 	firstAt time.Time
 }
 
@@ -60,7 +61,8 @@
 }
 
 // nextAttempt returns the attempt to which the previous one was handed over, if any. Otherwise it returns a new attempt at a
-// server that has not been tried. If there is none, it returns nil and an outcome with the reason. It may block, see choose.
+// server that has not been tried. If no server can be chosen, it returns nil and an outcome with the reason. It may block (see
+// choose).
 func (x *exchange) nextAttempt(ctx context.Context) (*attempt, outcome) {
 	a := x.next.Swap(nil)
 	if a == nil {
@@ -87,7 +89,7 @@
 	return a
 }
 
-// recordResult records what the end of the attempt says about its server.
+// recordResult records that the attempt has ended, and what its result shows about the server's health.
 func (a *attempt) recordResult(r chooser.Result) {
 	f := a.x.f
 	f.mu.Lock()
@@ -113,8 +115,8 @@
 	return a.handleAnswer(answer, head)
 }
 
-// awaitAnswer returns the head of the answer. It sends the request unless that was done when the attempt was a handover
-// candidate.
+// awaitAnswer sends the request and returns the head of the answer. If the attempt began as a handover candidate, its request has
+// been sent already; awaitAnswer then only waits for the result.
 func (a *attempt) awaitAnswer() (*sender.Answer, error) {
 	if a.sendResults != nil {
 		r := <-a.sendResults
@@ -123,8 +125,8 @@
 	return a.send(a.x.lastEvent)
 }
 
-// send sends the request to the attempt's server, waits for the head of the answer and records what it says about the server. A
-// stream resumes after lastEvent.
+// send sends the request to the attempt's server, waits for the head of the answer and records what the head reports about the
+// server. A stream resumes after lastEvent (see serverRequest).
 func (a *attempt) send(lastEvent string) (*sender.Answer, error) {
 	answer, err := a.x.f.sender.Send(a.ctx, a.server.Address, a.x.maxConnections(), a.x.serverRequest(a.server, lastEvent))
 	if err == nil {
@@ -133,7 +135,8 @@
 	return answer, err
 }
 
-// observeServer records the rate limit, the backoff and the drain that the head of an answer reports.
+// observeServer evaluates what the head of an answer reports about its server. It passes the rate limit and backoff to the
+// throttler, and calls onDraining if the server drains.
 func (a *attempt) observeServer(answer *sender.Answer) {
 	if answer.Status == http.StatusMisdirectedRequest {
 		// The answer comes from another server at this address, so it does not describe the expected one.
@@ -146,8 +149,8 @@
 	}
 }
 
-// firstAnswerTimeout returns how long to wait for the first event of a stream, or for the whole of another answer, before the
-// request is handed over. Zero means that it is not handed over.
+// firstAnswerTimeout returns how long to wait for the first event of a stream before the request is handed over. For other
+// answers, it is how long to wait for the whole answer. Zero means that it is not handed over.
 func (x *exchange) firstAnswerTimeout() time.Duration {
 	if x.possibleRuns()+1 >= x.q.route.MaxServers {
 		return 0
@@ -195,16 +198,17 @@
 	return outcome{fate: masticway.FateUnknown, result: chooser.ResultFailure, reason: err.Error(), abandoned: cause != nil}
 }
 
-// connectionFailure is like failure, but for a connection that ended before the answer did. The connection counts as broken
-// unless the attempt was abandoned.
+// connectionFailure returns the outcome of an attempt whose connection ended before the answer did. The request may have run. The
+// connection counts as broken unless the attempt's context has ended.
 func (a *attempt) connectionFailure(err error) outcome {
 	out := a.failure(err)
 	out.connectionBroken = !out.abandoned
 	return out
 }
 
-// skipForeignAnswers returns the first answer that belongs to this request or names none. It skips answers to other requests: a
-// faulty server may send such an answer twice. It fails after maxForeignAnswers of them.
+// skipForeignAnswers returns the first answer that has this request's ID or no ID. It skips answers to other requests: a faulty
+// server may send an answer twice, and the copy then precedes the answer to the next request on the connection. It fails after
+// maxForeignAnswers skipped answers.
 func (a *attempt) skipForeignAnswers(answer *sender.Answer) (masticway.ServerAnswer, *sender.Answer, error) {
 	for range maxForeignAnswers {
 		head := a.x.f.codec.ParseAnswer(answer.Status, answer.Header)
@@ -251,9 +255,9 @@
 }
 
 // relayWhole reads the whole answer, waits until its hold is cleared and writes it to the caller. Bytes after the first
-// maxAnswerBytes are dropped. It writes nothing in three cases: if the server is an outlier that answered with a status of 500 or
-// above and the request may run at another server, if a part of a stream has already been written, or if the hold is not cleared
-// in time.
+// maxAnswerBytes are dropped. It writes nothing if the answer cannot be read to its end, if the exchange has already written part
+// of a stream, or if the hold is not cleared in time. It also writes nothing if the status is 500 or above, the server is an
+// outlier (see isOutlier) and the request may run at another server.
 func (a *attempt) relayWhole(answer *sender.Answer) outcome {
 	x := a.x
 	body, err := io.ReadAll(io.LimitReader(answer, maxAnswerBytes))
@@ -284,8 +288,8 @@
 	return outcome{done: true, fate: masticway.FateRan, result: result}
 }
 
-// beginAnswer prepares the headers of the caller's answer, which must be written next. From then on the answer of another server
-// can only continue this one as a resumed stream.
+// beginAnswer prepares the headers of the caller's answer. The caller of beginAnswer must write the head next. From then on,
+// another server's answer can reach the caller only as the continuation of this stream.
 func (x *exchange) beginAnswer(answer *sender.Answer) {
 	x.headWritten = true
 	x.chargeable = answer.Status < http.StatusMultipleChoices
@@ -302,7 +306,7 @@
 	}
 }
 
-// recordFirstPart records that a part of the answer has arrived. Only the first call for an attempt has an effect.
+// recordFirstPart records that the first part of the attempt's answer has arrived. Further calls for the attempt have no effect.
 func (a *attempt) recordFirstPart() {
 	now := a.x.f.clock.Now()
 	a.x.markAnswered()
--- a/forwarder/candidates.go
+++ b/forwarder/candidates.go
@@ -9,7 +9,8 @@
 	"github.com/masticway/masticway/chooser"
 )
 
-// candidates returns the known servers of the request's pool in whose regions it may run, except those whose IDs are excluded.
+// candidates returns the servers of the request's pool in the snapshot, without those whose IDs are excluded. It leaves out
+// servers in regions where the request may not run.
 func (x *exchange) candidates(excluded map[string]bool) []masticway.Server {
 	known := x.f.snapshot().Servers[x.q.pool.Name]
 	servers := make([]masticway.Server, 0, len(known))
@@ -33,13 +34,13 @@
 	return true
 }
 
-// maxAdmissionTries is the maximum number of servers for which selectServer requests a permit, because each may need a call to
-// another router.
+// maxAdmissionTries is the maximum number of servers for which selectServer requests a permit. Each request for a permit may need
+// a call to other routers.
 const maxAdmissionTries = 3
 
-// selectServer chooses a server and takes a permit for one request to it, which the caller must return if it does not send the
-// request. It may block while the throttler asks other routers for a permit. After maxAdmissionTries servers without a permit, it
-// considers only servers without a rate limit. It returns false if it finds no server.
+// selectServer chooses a server and takes a permit for one request to it. The caller must return the permit if it does not send
+// the request. selectServer may block while the throttler asks other routers for a permit. If it gets none for maxAdmissionTries
+// servers, it considers only servers without a rate limit. It returns false if it finds no server.
 func (x *exchange) selectServer(ctx context.Context, servers []masticway.Server) (masticway.Server, bool) {
 	servers = x.f.throttler.Available(servers)
 	for range maxAdmissionTries {
@@ -52,8 +53,8 @@
 	return x.cheapestServer(x.f.throttler.Unlimited(servers))
 }
 
-// cheapestServer returns the warm server with the least expected cost or, if there is no warm one, the cheapest cold server to
-// which this router may send. It returns false if there is none.
+// cheapestServer returns the warm server with the least expected cost. If there is no warm one, it returns the cheapest of the
+// cold servers to which this router may send now. It returns false if there is neither.
 func (x *exchange) cheapestServer(servers []masticway.Server) (masticway.Server, bool) {
 	x.f.mu.Lock()
 	defer x.f.mu.Unlock()
@@ -68,8 +69,8 @@
 	return masticway.Server{}, false
 }
 
-// noServerOutcome returns the outcome of a request that no server can take now. If a server is known to take requests later, the
-// outcome has the time until then.
+// noServerOutcome returns the outcome of a request that no server can take now. If it is known when a server will take requests
+// again, the outcome's retryAfter is the time until then.
 func (x *exchange) noServerOutcome() outcome {
 	out := outcome{fate: masticway.FateNotRun, result: chooser.ResultNeutral, reason: "no server is known or left to ask"}
 	if throttled, ok := x.throttledOutcome(); ok {
@@ -88,9 +89,9 @@
 	return out
 }
 
-// throttledOutcome returns the outcome of a request if all its servers, including those already tried, are at their rate limits
-// or have asked for backoff. It returns false otherwise. It may reserve a time at which this caller should retry, see
-// masticway.Throttler.RetryAfter.
+// throttledOutcome returns the outcome of a request if all its candidate servers, including those already tried, are at their
+// rate limits or have asked for backoff. It returns false if any of them may get a request, or if there are none. If it returns
+// true, it may also reserve a time at which this caller should retry (see masticway.Throttler.RetryAfter).
 func (x *exchange) throttledOutcome() (out outcome, ok bool) {
 	var soonest masticway.Server
 	var shortest masticway.Throttling
--- a/forwarder/ends.go
+++ b/forwarder/ends.go
@@ -35,16 +35,16 @@
 	conditionUnreachable condition = "unreachable"
 )
 
-// check is a connection attempt that determines whether one incarnation of a server has ended. The result is valid after done has
-// been closed.
+// check is a connection attempt that determines whether one incarnation of a server has ended. The other fields are valid after
+// done has been closed.
 type check struct {
 	done       chan struct{}
 	result     condition
 	finishedAt time.Time
 }
 
-// checks holds the latest check of each server. A check shows whether a server has ended or only a connection to it has broken.
-// All connections to a server break when it ends, so they share one check.
+// checks holds the latest check of each server incarnation. A check shows whether a server has ended or only a connection to it
+// has broken. All connections to a server break when it ends, so they share one check.
 type checks struct {
 	dial  func(ctx context.Context, network, address string) (net.Conn, error)
 	clock masticway.Clock
@@ -56,7 +56,7 @@
 	byServer map[masticway.ServerIncarnation]*check
 }
 
-// start returns the check of a server that is in progress or recent, or starts a new one. It does not block.
+// start returns the server's latest check if it is current (see isCurrent). Otherwise it starts a new one. It does not block.
 func (c *checks) start(s masticway.Server) *check {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -70,7 +70,7 @@
 	return k
 }
 
-// isCurrent reports whether the check is in progress or its result is not older than checkTTL.
+// isCurrent reports whether the check is in progress or its result is younger than checkTTL.
 func (k *check) isCurrent(now time.Time) bool {
 	select {
 	case <-k.done:
@@ -103,7 +103,7 @@
 	}
 }
 
-// retain drops the checks of servers that are not in the snapshot.
+// retain drops the checks of server incarnations that are not in the snapshot.
 func (c *checks) retain(snapshot follower.Snapshot) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/forwarder/exchange.go
+++ b/forwarder/exchange.go
@@ -24,16 +24,16 @@
 	// retryAfterBudget is the retry hint if the budget cannot be reached. A network partition lasts for seconds, and the amount
 	// that this router may hold grows meanwhile.
 	retryAfterBudget = 3000 * time.Millisecond
-	// holdWaitFraction is the part of the route's latency objective, from the arrival of a request, until which the request may
-	// wait for its hold. A refusal after a quarter of the objective counts as late.
+	// holdWaitFraction limits how long a request may wait for its hold: until this fraction of the route's latency objective has
+	// passed since the request arrived, but at least minHoldWait. A refusal after a quarter of the objective counts as late.
 	holdWaitFraction = 0.22
 	// minHoldWait is the minimum time for which a request may wait for its hold, even if the objective is tight or reading the
 	// body took long. It allows for a few calls to the store.
 	minHoldWait = 60 * time.Millisecond
 	// connectTimeout is the timeout for connecting to a server; it is a few times the round trip between availability zones.
 	connectTimeout = 250 * time.Millisecond
-	// maxIdleNonRepeatable is the longest idle time of a connection that is reused for a non-repeatable request. If the server
-	// has just closed the connection, the outcome of the request is unknown.
+	// maxIdleNonRepeatable is how long a connection may have been idle if it is reused for a non-repeatable request. A server may
+	// close an idle connection while a request is being sent on it; the request's fate is then unknown.
 	maxIdleNonRepeatable = 400 * time.Millisecond
 	// ackTimeout is how long a server's kernel may take to acknowledge a repeatable request before the connection counts as
 	// broken. It allows for three retransmissions, so that a link that loses 3% of its packets breaks 3 requests in 100,000.
@@ -42,8 +42,8 @@
 	// maxTries is the maximum number of attempts for one request, including those that did not run it. Handover candidates that
 	// did not become the next attempt are not counted.
 	maxTries = 5
-	// handoverFraction is the part of the latency objective after which a request that may run again is handed over if its answer
-	// is not complete, or if its stream has no event yet.
+	// handoverFraction is the fraction of the latency objective after which a request that may run again is handed over: if its
+	// stream has no event yet or, for other answers, if the answer is not complete.
 	handoverFraction = 0.7
 	// streamHandoverFactor is the multiple of the latency objective after which a resumable stream without any event is handed
 	// over.
@@ -97,7 +97,7 @@
 	cause string
 	// awaitingAnswer is set while the rotation counts the request as waiting for its answer.
 	awaitingAnswer atomic.Bool
-	// admitted is set if the rotation admitted the request with admittedBytes.
+	// admitted is set if the rotation admitted the request. admittedBytes is the size for which it was admitted.
 	admitted      bool
 	admittedBytes int64
 	// headWritten is set when the head of an answer is about to be written to the caller.
@@ -113,7 +113,7 @@
 	// digestOnce guards the computation of the digest, which few requests need.
 	digestOnce  sync.Once
 	digestValue masticway.RequestDigest
-	// suspected is set once the examiner has reported the request as a suspect, until a run of it is cleared.
+	// suspected is set once this exchange has learned from the examiner that the request is a suspect. clearSuspect unsets it.
 	suspected bool
 }
 
@@ -163,8 +163,8 @@
 	x.finish(ctx, refused)
 }
 
-// holdBudget holds budget for the most that the request may consume, or returns a refusal. It waits for the hold. It does nothing
-// for a request that consumes no budget.
+// holdBudget takes a hold of maxTokens, or returns a refusal. It may block until the wait limited by holdWaitFraction is over. It
+// does nothing for a request that consumes no budget.
 func (x *exchange) holdBudget(ctx context.Context) *masticway.RefusalError {
 	if !x.q.hasBudget() {
 		return nil
@@ -181,7 +181,7 @@
 	return refusal(http.StatusServiceUnavailable, codeUnreachable, "the prepaid budget cannot be reached now", retryAfterBudget)
 }
 
-// settle ends the hold, if one is open, and charges the used tokens. Work whose answer was lost is not charged to the workspace.
+// settle ends the hold, if one is open, and charges usedTokens to the workspace.
 func (x *exchange) settle() {
 	if !x.holdOpen {
 		return
@@ -190,13 +190,14 @@
 	x.f.budgets.Settle(x.holdReply.ID, x.usedTokens())
 }
 
-// maxTokens returns the maximum number of tokens that the request may consume.
+// maxTokens returns the maximum number of tokens that may be charged for the request.
 func (x *exchange) maxTokens() int64 { return int64(x.unchargedPrompt() + x.q.MaxOutput) }
 
 // unchargedPrompt returns the tokens of the prompt, or zero if the workspace has already been charged for them. A caller that
 // resumes an answer was charged for the whole prompt with the earlier events. If the router that relayed these events crashed,
-// the router that closed its grants has charged the most that they can have cost. Charging the prompt again exhausted budgets
-// after power losses: over 25 days with failures of five routers, 8.5% of the requests were refused instead of 5.9%.
+// the router that closed the crashed router's grants has charged the most that these events can have cost. Charging the prompt
+// again exhausted budgets after power losses: over 25 days with failures of five routers, 8.5% of the requests were refused
+// instead of 5.9%.
 func (x *exchange) unchargedPrompt() int {
 	if x.q.LastEvent != "" && x.q.route.RetryPolicy == masticway.RetryByResuming {
 		return 0
@@ -279,11 +280,12 @@
 	}
 }
 
-// possibleRuns returns the number of servers on which the request may have run, without that of the current attempt.
+// possibleRuns returns the number of servers on which the request may have run, not counting the current attempt's server.
 func (x *exchange) possibleRuns() int { return x.attemptRuns + int(x.otherRuns.Load()) }
 
-// canRetry counts a failed attempt and reports whether another one may be made. It uses the retry reserved for a handover, or
-// takes one from the allowance, unless the failed attempt could not reach its server.
+// canRetry counts a failed attempt and reports whether another one may be made. For the next attempt it uses the retry that was
+// reserved for a handover, or else takes one from the allowance. No retry is needed if the failed attempt could not reach its
+// server.
 func (x *exchange) canRetry(ctx context.Context, out outcome) bool {
 	x.tries++
 	if ctx.Err() != nil || x.tries >= maxTries {
@@ -308,8 +310,8 @@
 	return true
 }
 
-// reserveRetry takes a retry from the allowance before the current attempt is handed over, and returns false if there is none. It
-// is called concurrently with the exchange.
+// reserveRetry takes a retry from the allowance for a handover of the current attempt. It returns false if there is none. It is
+// called by the silence timer's goroutine while the exchange runs the attempt.
 func (x *exchange) reserveRetry() bool {
 	if !x.takeRetry() {
 		return false
@@ -341,8 +343,8 @@
 	return false
 }
 
-// refusalFor returns the refusal of a request after the outcome of its last attempt, or the outcome for which no attempt could be
-// started. If the answer has begun, the caller does not get the refusal.
+// refusalFor returns the refusal of a request. The outcome is that of its last attempt or, if no attempt could be started, the
+// reason for that. If an answer has begun, the refusal is only recorded and not written to the caller.
 func (x *exchange) refusalFor(ctx context.Context, out outcome) *masticway.RefusalError {
 	expired := errors.Is(ctx.Err(), context.DeadlineExceeded) || x.isExpired()
 	if out.isFull {
@@ -403,8 +405,8 @@
 	panic(http.ErrAbortHandler)
 }
 
-// serverRequest returns the request for a server. A stream resumes after lastEvent. If lastEvent is empty, the stream resumes
-// after the event that the caller named, if any.
+// serverRequest returns the request to send to a server. A stream resumes after the event with the ID lastEvent. If lastEvent is
+// empty, the stream resumes after the event that the caller named, if any.
 func (x *exchange) serverRequest(server masticway.Server, lastEvent string) sender.Request {
 	q := x.q
 	if lastEvent == "" {
@@ -425,8 +427,8 @@
 	return r
 }
 
-// maxConnections returns how many connections this router may have to a server: its share of the pool's limit, at most half of
-// it, but at least two. Zero means no limit.
+// maxConnections returns how many connections this router may have to one server: the pool's limit divided by the number of
+// routers, at most half of the limit, but at least two. Zero means no limit.
 func (x *exchange) maxConnections() int {
 	if x.q.pool.MaxConnections == 0 {
 		return 0
--- a/forwarder/forwarder.go
+++ b/forwarder/forwarder.go
@@ -35,8 +35,8 @@
 	OwnsKey(key string) bool
 }
 
-// drainNotice is how long a draining router still accepts any request, unless StopForwarding is called earlier. The load balancer
-// needs two failed checks, a second apart, to send new connections elsewhere.
+// drainNotice is how long a draining router still accepts requests with any deadline, unless StopForwarding is called earlier.
+// The load balancer needs two failed checks, a second apart, to send new connections elsewhere.
 const drainNotice = 2500 * time.Millisecond
 
 // Forwarder serves the requests of callers.
@@ -56,7 +56,7 @@
 	throttler masticway.Throttler
 	// onDraining is called for each answer with which a server announces that it drains.
 	onDraining func(masticway.Server)
-	// abandoned holds the runs that this router gave up, so that no connection breaks if their server crashes.
+	// abandoned holds runs that this router gave up. Their requests may still crash their servers.
 	abandoned abandonedRuns
 
 	mu      sync.Mutex
@@ -80,8 +80,8 @@
 	Snapshot func() follower.Snapshot
 	// Examiner identifies the requests under which servers crash.
 	Examiner masticway.Examiner
-	// Rotation admits requests as long as this router is not overloaded, and reports whether this router is in the load
-	// balancer's rotation.
+	// Rotation admits requests unless this router is overloaded. It also reports whether this router is in the load balancer's
+	// rotation.
 	Rotation masticway.Rotation
 	// Throttler enforces the rate limits and backoff that servers announce.
 	Throttler masticway.Throttler
@@ -103,8 +103,8 @@
 	return f
 }
 
-// Update applies a new snapshot of the configuration and the servers. It drops what was known about restarted servers and about
-// removed ones without requests in flight, and closes idle connections to all of these.
+// Update applies a new snapshot of the configuration and the servers. It drops what was known about restarted servers, and about
+// removed servers without requests in flight. It closes the idle connections to restarted and removed servers.
 func (f *Forwarder) Update(snapshot follower.Snapshot) {
 	startedAt, addresses := map[string]time.Time{}, map[string]bool{}
 	addressOf := map[string]string{}
@@ -141,8 +141,8 @@
 	closing atomic.Bool
 }
 
-// wouldCutOff reports whether a request is likely to be cut off by the shutdown. It is if connections are being closed, or if
-// drainNotice has passed and the request's deadline is after the end of the shutdown. A nil drain cuts off nothing.
+// wouldCutOff reports whether the shutdown is likely to cut off a new request. This is the case if connections are being closed,
+// or if drainNotice has passed and the request's deadline is after the end of the shutdown. A nil drain cuts off nothing.
 func (d *drain) wouldCutOff(now, deadline time.Time) bool {
 	return d != nil && (d.closing.Load() || now.Sub(d.since) > drainNotice && deadline.After(d.until))
 }
--- a/forwarder/handover.go
+++ b/forwarder/handover.go
@@ -15,11 +15,12 @@
 )
 
 // handoverTimeout is how long a candidate may take to refuse the request before the silent server is given up for it. A server
-// without capacity refuses within a few ms. The timeout is a quarter of the time for which two servers may work on one request.
+// without capacity refuses within a few ms. The timeout is a quarter of the longest time for which two servers are allowed to
+// work on one request.
 const handoverTimeout = 100 * time.Millisecond
 
-// maxHandovers is the number of dropped candidates of an attempt from which the silence timeout is not started again until the
-// server makes progress, because each candidate takes a retry from the allowance.
+// maxHandovers is how many candidates an attempt may drop until it no longer restarts an expired silence timeout. From then on,
+// only progress of the server starts the timeout. The number is small because each candidate takes a retry from the allowance.
 const maxHandovers = 2
 
 // errSilent is the cancellation cause of an attempt that was handed over because its server was silent for too long.
@@ -79,8 +80,8 @@
 	})
 }
 
-// rearmSilenceTimeout starts the same timeout again, unless the server has made progress in the meantime or maxHandovers
-// candidates have been dropped.
+// rearmSilenceTimeout starts the expired silence timeout again, unless the server has made progress in the meantime or
+// maxHandovers candidates have been dropped.
 func (a *attempt) rearmSilenceTimeout(generation int, timeout time.Duration) {
 	h := &a.handover
 	h.mu.Lock()
@@ -90,8 +91,8 @@
 	}
 }
 
-// recordProgress records that the server delivered something, which aborts a handover in progress. It returns false if the
-// request was already handed over.
+// recordProgress records that the server delivered something. This makes a handover in progress fail. It returns false if the
+// request has already been handed over.
 func (a *attempt) recordProgress() bool {
 	h := &a.handover
 	h.mu.Lock()
@@ -100,9 +101,10 @@
 	return !h.handedOver
 }
 
-// tryHandover sends the request to a candidate and hands it over, unless the candidate refuses it or fails within handoverTimeout
-// or the current server makes progress. Giving up the silent server earlier could lose an answer in progress to a candidate
-// without capacity. It returns false if the current server is kept, also if there is no candidate or no retry left.
+// tryHandover sends the request to a candidate and waits, up to handoverTimeout, until the candidate takes or refuses the request
+// or fails. It then hands the request over, unless the candidate refused or failed, or the current server has made progress. The
+// wait avoids losing an answer in progress to a candidate without capacity. tryHandover returns false if the current server is
+// kept, also because there is no candidate or no retry left.
 func (a *attempt) tryHandover(generation int, lastEvent string) bool {
 	x := a.x
 	if x.suspectStatus().Suspicion != masticway.SuspicionNone {
@@ -152,7 +154,8 @@
 	return false
 }
 
-// beginHandover records that a candidate is being asked. It returns false if the current server has made progress.
+// beginHandover records that a candidate is being asked. It returns false if the generation has changed, for example because the
+// current server has made progress.
 func (a *attempt) beginHandover(generation int, cancel context.CancelCauseFunc) bool {
 	h := &a.handover
 	h.mu.Lock()
@@ -164,8 +167,8 @@
 	return true
 }
 
-// commitHandover makes the candidate the next attempt and ends the current one. It returns false if the current server has made
-// progress.
+// commitHandover makes the candidate the next attempt and cancels the current one. It does nothing and returns false if the
+// generation has changed, for example because the current server has made progress.
 func (a *attempt) commitHandover(generation int, next *attempt) bool {
 	h := &a.handover
 	h.mu.Lock()
@@ -195,7 +198,8 @@
 	}).Info("handover aborted")
 }
 
-// askedServers returns the IDs of the servers that must not be candidates of this attempt.
+// askedServers returns the IDs of the servers that must not be candidates of this attempt: its own server, those tried earlier
+// and those dropped as candidates.
 func (a *attempt) askedServers() map[string]bool {
 	h := &a.handover
 	h.mu.Lock()
@@ -208,7 +212,7 @@
 	return asked
 }
 
-// sendAsync sends the request and delivers the result to sendResults. A stream resumes after lastEvent.
+// sendAsync sends the request and delivers the result to sendResults. A stream resumes after lastEvent (see serverRequest).
 func (a *attempt) sendAsync(lastEvent string) {
 	answer, err := a.send(lastEvent)
 	a.sendResults <- sendResult{answer: answer, err: err}
@@ -227,7 +231,7 @@
 	}()
 }
 
-// discardNext discards the next attempt if the exchange ends before running it.
+// discardNext discards the next attempt, if there is one. It is called when the exchange ends, so that attempt will not be run.
 func (x *exchange) discardNext() {
 	if a := x.next.Swap(nil); a != nil {
 		a.discard()
--- a/forwarder/relay.go
+++ b/forwarder/relay.go
@@ -13,7 +13,7 @@
 	"github.com/masticway/masticway/sender"
 )
 
-// maxEventBytes is the maximum size of one event in bytes. A stream with a larger event is broken off.
+// maxEventBytes is the maximum size of one event in bytes. An attempt fails if its stream contains a larger event.
 const maxEventBytes = 1 << 20
 
 // relayStream relays an event stream as it arrives, in whole events, until the stream ends, fails or is handed over.
@@ -92,9 +92,10 @@
 // errHoldNotCleared ends an answer whose hold was not cleared before the attempt's context ended.
 var errHoldNotCleared = errors.New("the store did not take the promise for this answer's money in time")
 
-// awaitClearance waits until the answer that the hold pays for may go to the caller (see Budgets). Before that, the tokens would
-// be unaccounted for if this router crashed. It returns false if the attempt's context ends first. It turns the silence timeout
-// off: the server has answered, and the answer of another server would wait for the same clearance.
+// awaitClearance waits until the answer that the hold pays for may go to the caller (see Budgets). If the answer were written
+// earlier and this router then crashed, its tokens would be unaccounted for. It returns false if the attempt's context ends
+// first. It turns the silence timeout off: the server has answered, and another server's answer would have to wait for the
+// clearance as well.
 func (a *attempt) awaitClearance() bool {
 	a.setSilenceTimeout(0)
 	x := a.x
@@ -105,8 +106,8 @@
 	return x.cleared
 }
 
-// isLaterID reports whether the event with the first ID follows the one with the second. It returns true if either ID is not a
-// number.
+// isLaterID reports whether an event's ID comes after the ID last: whether it is the larger number. It returns true if either ID
+// is not a number.
 func isLaterID(id, last string) bool {
 	a, err := strconv.ParseInt(id, 10, 64)
 	if err != nil {
--- a/forwarder/settings.go
+++ b/forwarder/settings.go
@@ -10,8 +10,8 @@
 	Instance string `json:"instance"`
 	Zone     string `json:"zone"`
 	LogLevel string `json:"log_level"`
-	// LogEvery is n if one of every n served requests is logged; zero logs none of them. Requests that are not served are always
-	// logged.
+	// LogEvery makes the router log one of every LogEvery served requests; zero logs none of them. Requests that are not served
+	// are always logged.
 	LogEvery         int    `json:"log_every"`
 	CallerAddress    string `json:"caller_address"`
 	ReadinessAddress string `json:"readiness_address"`
@@ -38,7 +38,8 @@
 
 // PolicySettings configures optional policies; zero disables a policy.
 type PolicySettings struct {
-	// BurstShare is the fraction of a workspace's reserve that may be taken before the next checkpoint (see treasurer.Settings).
+	// BurstShare sets treasurer.Settings.EarlyShare: the fraction of a workspace's reserve that may be taken early, before the
+	// next checkpoint.
 	BurstShare float64 `json:"burst_share"`
 	// Holders is how many routers hold granted tokens of a workspace whose budget is not low; zero means all routers.
 	Holders int `json:"holders"`
@@ -53,22 +54,23 @@
 type BudgetSettings struct {
 	// Parts is the number of partitions of the store's tables over which budgets are spread. It must be the same for all routers.
 	Parts int `json:"parts"`
-	// Reserve is the demand, as a duration, for which a router keeps tokens in reserve to serve requests while the store cannot
-	// be reached.
+	// Reserve is how long the tokens that a router keeps in reserve last at its usual demand. The router serves requests from
+	// them while the store cannot be reached.
 	Reserve masticway.Duration `json:"reserve"`
 }
 
 // RetriesSettings limits the retries of requests to a pool that all routers together make within any time window of the given
 // length.
 type RetriesSettings struct {
-	// Ratio is the number of retries that are allowed for each request.
+	// Ratio is the number of retries that are allowed for each request in the window.
 	Ratio float64 `json:"ratio"`
-	// FixedRetries is the number of retries that are allowed in addition, also without requests.
+	// FixedRetries is the number of retries in the window that are allowed in addition, even if there were no requests.
 	FixedRetries  float64 `json:"slack"`
 	WindowSeconds float64 `json:"window_seconds"`
 }
 
-// ColdSettings limits the requests per second that a cold server gets from all routers together.
+// ColdSettings limits the requests per second that a cold server gets from all routers together. A cold server is slow, and too
+// many requests crash it (see masticway.Server.IsCold).
 type ColdSettings struct {
 	// Overshoot is the factor by which the pool's configured rate for cold servers is multiplied.
 	Overshoot float64 `json:"overshoot"`
--- a/forwarder/suspects.go
+++ b/forwarder/suspects.go
@@ -12,14 +12,14 @@
 )
 
 const (
-	// innocentAfter is how long an answer must last, or how long ago a run must have been abandoned, until its request is no
-	// longer considered the cause of a crash. A request that crashes servers does so early.
+	// innocentAfter is how long after the first part of its answer a request is still considered a possible cause of a server's
+	// crash. If this router gave up the run, the time starts when it did. A request that crashes servers does so early.
 	innocentAfter = time.Second
-	// crashCheckTimeout is how long a request waits for the check whether its server has ended, a few round trips between
-	// availability zones. A result that comes later takes effect on later requests.
+	// crashCheckTimeout is how long a request waits for the result of a check of a server. It allows for a few round trips
+	// between availability zones. A result that comes later takes effect on later requests.
 	crashCheckTimeout = 50 * time.Millisecond
-	// maxAbandonedChecks is how often the server of an abandoned quarantined run is checked. The checks are checkTTL apart, and
-	// all begin before innocentAfter has passed unless checks take long.
+	// maxAbandonedChecks is the number of checks of the server of an abandoned quarantined run. The checks are checkTTL apart,
+	// and all begin before innocentAfter has passed unless checks take long.
 	maxAbandonedChecks = int(innocentAfter/checkTTL) - 1
 	// quarantineTimeout is how long a suspect may wait for its turn to run.
 	quarantineTimeout = 2 * time.Second
@@ -51,15 +51,15 @@
 	return outcome{fate: masticway.FateNotRun, result: chooser.ResultNeutral, reason: reason, suspect: s}
 }
 
-// choice is the server of an attempt. quarantined is set if the examiner has granted this router a run of the request in
-// quarantine there.
+// choice is the server of an attempt. quarantined is set if this router has claimed a run of the request in quarantine there (see
+// masticway.Examiner.Claim).
 type choice struct {
 	server      masticway.Server
 	quarantined bool
 }
 
-// choose returns the server for the next attempt and takes a permit for it. It waits up to quarantineTimeout if the request is a
-// suspect that may not run yet. If there is no server, it returns an outcome with the reason.
+// choose chooses the server for the next attempt and takes a permit for it. If the request is a suspect that may not run yet,
+// choose waits up to quarantineTimeout. If there is no server, it returns an outcome with the reason.
 func (x *exchange) choose(ctx context.Context) (c choice, none outcome, ok bool) {
 	if x.f.examiner.HasNoSuspects() {
 		return x.chooseRegular(ctx)
@@ -91,9 +91,10 @@
 	}
 }
 
-// chooseForSuspect chooses a server at which no other suspect runs and claims the run in quarantine. If suspects run at all
-// servers, a request under which only one server has ended runs like any other. found reports whether there is any server, and ok
-// whether the request may run there now. If ok is set, the server's permit has been taken.
+// chooseForSuspect chooses a server at which no suspect runs and claims a run in quarantine there. If it finds no such server, it
+// chooses any server; the request may run there without quarantine if only one server has ended under it and it is not running in
+// quarantine elsewhere. found reports whether a server was found, and ok whether the request may run there now. If ok is set, a
+// permit for the server has been taken.
 func (x *exchange) chooseForSuspect(ctx context.Context, s masticway.SuspectStatus) (c choice, found, ok bool) {
 	servers := x.candidates(x.tried)
 	occupied, _ := x.f.examiner.QuarantineServers()
@@ -143,8 +144,8 @@
 	return remaining
 }
 
-// resolveUnreported checks the server of a quarantined run that was not reported on, and reports a crash if the server has ended.
-// The router that ran the request may have crashed.
+// resolveUnreported checks the server of a quarantined run whose result was not reported in time, if there is one, and reports a
+// crash if the server has ended. The router that had claimed the run may have crashed.
 func (x *exchange) resolveUnreported(ctx context.Context, s masticway.SuspectStatus) {
 	if s.UnreportedServer == "" {
 		return
@@ -169,8 +170,9 @@
 	}
 }
 
-// reportToExaminer reports the end of an attempt to the examiner. If the connection broke, a repeatable request waits up to
-// crashCheckTimeout for the report, so that its next attempt runs as a suspect if the server has ended.
+// reportToExaminer reports the end of an attempt to the examiner if it matters for suspects. If the connection broke and the
+// request is repeatable, it waits up to crashCheckTimeout for the check of the server. If the server has ended, the next attempt
+// then runs as a suspect.
 func (a *attempt) reportToExaminer(ctx context.Context, out outcome) {
 	x := a.x
 	switch {
@@ -220,8 +222,8 @@
 	return serverRun{request: a.x.q.ID, digest: a.x.digest(), path: a.x.q.path(), crash: crash}
 }
 
-// reportIfEnded checks the attempt's server and reports a crash if it has ended. Otherwise it releases a quarantined run. It does
-// not block: the returned channel is closed when that is done.
+// reportIfEnded starts a check of the attempt's server. If the server has ended, it reports a crash; otherwise it releases the
+// run if it was quarantined. It does not block: the returned channel is closed after the report or release.
 func (a *attempt) reportIfEnded() <-chan struct{} {
 	f, r := a.x.f, a.serverRun()
 	k := f.checks.start(a.server)
@@ -240,7 +242,7 @@
 }
 
 // abandon remembers an attempt that this router gives up, so that it is reported if its server ends soon. A quarantined run stays
-// claimed until the server has ended or survived.
+// claimed until the server has ended or has survived all checks of watchServer.
 func (a *attempt) abandon() {
 	f, r := a.x.f, a.serverRun()
 	r.abandonedAt = f.clock.Now()
@@ -250,8 +252,8 @@
 	}
 }
 
-// watchServer checks the server of an abandoned quarantined run several times. It ends the quarantine when the server has ended,
-// or has survived all checks.
+// watchServer checks the server of an abandoned quarantined run several times. If the server has ended, it reports a crash for
+// each run that was recently abandoned there. If the server has survived all checks, it releases the run.
 func (f *Forwarder) watchServer(s masticway.Server, r serverRun) {
 	for range maxAbandonedChecks {
 		<-f.clock.After(checkTTL)
@@ -295,7 +297,8 @@
 	f.log.WithFields(fields).Warn("a server ended while it ran a request")
 }
 
-// clearSuspect reports a quarantined request as innocent once its answer has lasted for innocentAfter.
+// clearSuspect reports to the examiner that a request running in quarantine is innocent, once innocentAfter has passed since the
+// first part of its answer.
 func (a *attempt) clearSuspect() {
 	if !a.quarantined || a.x.f.clock.Now().Sub(a.firstAt) < innocentAfter {
 		return
