--- a/retrier/allowance.go
+++ b/retrier/allowance.go
@@ -5,27 +5,28 @@
 const (
 	// bucketCount is the number of buckets into which an allowance's window is divided.
 	bucketCount = 20
-	// usableFraction is the part of the allowance that a router uses. The rest is a margin, because the routers' windows are not
-	// aligned.
+	// usableFraction is the fraction of an allowance's bound that a router uses. The rest is a margin, because the windows of the
+	// routers are not aligned.
 	usableFraction = 0.8
 )
 
-// Allowance is a retry budget: it bounds the retries that a router makes to one pool within a sliding window. The bound is a
-// ratio of the requests that this router got for the pool within the window, plus this router's share of a fixed number of
-// retries for all routers together. It is not safe for concurrent use.
+// Allowance bounds the retries that a router makes to one pool within a sliding window. The bound is the number of requests that
+// this router got for the pool within the window, times a ratio, plus this router's share of a fixed number of retries for all
+// routers together. Of this bound, usableFraction is used. An Allowance is not safe for concurrent use.
 type Allowance struct {
 	ratio        float64
 	fixedRetries float64
 	window       time.Duration
-	// requests and retries are rings of the counts of each bucket of time. They cover two windows, so that a bucket is cleared
+	// requests and retries are rings with a count for each bucket of time. They cover two windows, so that a bucket is cleared
 	// before it is counted again.
 	requests [2 * bucketCount]int
 	retries  [2 * bucketCount]int
-	// bucket is the number of the current bucket since the Unix epoch.
+	// bucket is the number of the bucket, counted from the Unix epoch, that was current at the last call.
 	bucket int64
 }
 
-// NewAllowance returns an allowance over a window. The fixed retries are shared by all routers.
+// NewAllowance returns an allowance over a window. The ratio is the number of retries for each request. The fixed retries are
+// shared by all routers.
 func NewAllowance(ratio, fixedRetries float64, window time.Duration) *Allowance {
 	return &Allowance{ratio: ratio, fixedRetries: fixedRetries, window: window}
 }
@@ -46,8 +47,8 @@
 // RecordRequest counts a request for the pool, which raises the bound on retries.
 func (a *Allowance) RecordRequest(now time.Time) { a.requests[a.advance(now)]++ }
 
-// TryTake counts one more retry and returns true, or returns false if the window does not allow it. The fixed retries are divided
-// by the number of routers. Zero means that this number is unknown; then there are no fixed retries.
+// TryTake counts one more retry and returns true. If that would exceed the bound, it counts nothing and returns false. The fixed
+// retries are divided by the number of routers. If this number is zero, it is unknown, and there are no fixed retries.
 func (a *Allowance) TryTake(now time.Time, routers int) bool {
 	current := a.advance(now)
 	requests, retries := 0, 0
--- a/retrier/retrier.go
+++ b/retrier/retrier.go
@@ -11,22 +11,24 @@
 
 // The causes of a failed attempt.
 const (
-	// CauseRefused is a refusal for a reason that has no cause of its own.
+	// CauseRefused is a refusal for a reason other than those of the causes below.
 	CauseRefused Cause = "refused"
 	// CauseDraining is a refusal because the upstream drains.
 	CauseDraining Cause = "leaving"
 	// CauseStale is a refusal because the router's configuration is outdated.
 	CauseStale Cause = "stale"
-	// CauseFenced is a refusal because the sidecar has sealed (fenced off) the incarnation of the router or of the payer of the
-	// hold, or cannot verify that it is not sealed.
+	// CauseFenced is a refusal because the sidecar has sealed (fenced off) an incarnation of a router: the one that sent the
+	// request, or the hold's payer, whose grant pays for the request. The sidecar also refuses if it cannot verify that neither
+	// is sealed.
 	CauseFenced Cause = "fenced"
 	// CauseFull is a refusal because the upstream has no capacity.
 	CauseFull Cause = "full"
-	// CauseDisrupted is a run that was ended by its environment, such as the end of the upstream or its sidecar.
+	// CauseDisrupted is a run that did not end by itself, for example because the upstream or its sidecar ended.
 	CauseDisrupted Cause = "disrupted"
 	// CauseFailed is a run that ended by itself and failed.
 	CauseFailed Cause = "failed"
-	// CauseLinkLost is an attempt whose result was lost with the link to the sidecar, or that did not reach the sidecar.
+	// CauseLinkLost is an attempt that did not reach the sidecar, or whose result was lost with the link (the router's connection
+	// to the sidecar).
 	CauseLinkLost Cause = "link_lost"
 )
 
@@ -40,7 +42,7 @@
 	ActionFail         Action = "fail"
 )
 
-// Failure is a failed attempt whose fate is final: not run, ran, or unknown for good.
+// Failure describes a failed attempt. Its fate must be final: not run, ran, or unknown for good.
 type Failure struct {
 	Cause Cause
 	Fate  masticway.Fate
@@ -77,7 +79,7 @@
 	{Action: ActionFail},
 }
 
-// plainRules are the baseline: each retry counts.
+// plainRules are a baseline for comparison with disruptionRules: each retry is counted.
 var plainRules = []Rule{
 	{Action: ActionRetryCounted},
 }
@@ -92,19 +94,19 @@
 )
 
 const (
-	// maxFreeRetries is the maximum number of free retries of one request, so that it does not circulate forever.
+	// maxFreeRetries is the maximum number of free retries of one request. Without it, a request could be retried forever.
 	maxFreeRetries = 16
-	// maxFruitlessRetries is the maximum number of retries of one request after upstreams that ended before they delivered any
-	// part of the answer, because the request may be the cause. If an upstream delivered a part, the cause of its end was more
-	// likely another one.
+	// maxFruitlessRetries is the maximum number of free retries of one request after upstreams that ended before they delivered
+	// any part of the answer. The number is small because the request may be the cause. If an upstream delivered a part of the
+	// answer, the request is less likely to be the cause.
 	maxFruitlessRetries = 2
 	// baseBudget is the initial retry budget, in counted retries. The maximum is ten times as much.
 	baseBudget = 10.0
-	// budgetPerRequest is what each request adds to the retry budget.
+	// budgetPerRequest is what each request adds to the retry budget, in counted retries.
 	budgetPerRequest = 0.2
 	// budgetRefillTime is the time in which the retry budget gains baseBudget. A longer gap between two requests gains no more.
 	budgetRefillTime = 10 * time.Second
-	// minBackoff and maxBackoff bound the delay before a retry, unless there is none.
+	// minBackoff and maxBackoff bound the delay before a retry. The first free retry has no delay.
 	minBackoff = 10 * time.Millisecond
 	maxBackoff = 500 * time.Millisecond
 )
@@ -113,7 +115,7 @@
 type History struct {
 	Free    int
 	Counted int
-	// Fruitless is how often an upstream ended before it delivered any part of the answer.
+	// Fruitless is the number of free retries after an upstream ended before it delivered any part of the answer.
 	Fruitless int
 }
 
@@ -143,7 +145,7 @@
 }
 
 // RecordRequest records the arrival of a request, which adds to the retry budget. The time since the last request adds to it as
-// well.
+// well (see budgetRefillTime).
 func (r *Retrier) RecordRequest(now time.Time) {
 	if passed := now.Sub(r.refilledAt); passed > 0 {
 		r.budget += baseBudget * min(1, passed.Seconds()/budgetRefillTime.Seconds())
@@ -152,8 +154,8 @@
 	r.budget = min(r.budget+budgetPerRequest, 10*baseBudget)
 }
 
-// Decide returns the action for a failure, the updated history, and the delay before the next attempt. A counted retry is taken
-// from the retry budget.
+// Decide returns the action for a failure, the updated history, and the delay before the next attempt. If the action is
+// ActionRetryCounted, Decide also takes one retry from the retry budget.
 func (r *Retrier) Decide(f Failure, h History) (Action, History, time.Duration) {
 	action := r.match(f)
 	if f.Fate != masticway.FateNotRun && (f.NonRepeatable || !f.Resumable) {
@@ -192,7 +194,7 @@
 }
 
 // backoff returns the delay before the n-th retry: none for the first, minBackoff for the second, then twice the previous delay
-// up to maxBackoff. The first counted retry passes n = 2, so that it is delayed.
+// up to maxBackoff. For the first counted retry, Decide passes n = 2, so that this retry is delayed.
 func backoff(n int) time.Duration {
 	if n <= 1 {
 		return 0
