--- a/limiter/contract.go
+++ b/limiter/contract.go
@@ -6,7 +6,7 @@
 	"github.com/masticway/masticway"
 )
 
-// Limit names the contract limit that a request exceeds. It is LimitNone if there is none.
+// Limit names the contract limit that a request exceeds. It is LimitNone if the request exceeds none.
 type Limit string
 
 // The limits of a contract.
@@ -16,11 +16,11 @@
 	LimitConcurrency Limit = "concurrency"
 )
 
-// concurrencyRetryAfter is the retry hint for a workspace with too many requests in flight.
+// concurrencyRetryAfter is how long a caller should wait before a retry if its workspace has too many requests in flight.
 const concurrencyRetryAfter = 250 * time.Millisecond
 
 // workspaceUsage holds the token bucket of a workspace and the number of its requests in flight. refilledAt is when the bucket
-// was last refilled; without a rate limit, it is when the workspace was first seen.
+// was last refilled. Without a rate limit, it is when the workspaceUsage was created.
 type workspaceUsage struct {
 	tokens     float64
 	refilledAt time.Time
@@ -37,8 +37,9 @@
 	return &ContractLimiter{usage: map[string]*workspaceUsage{}}
 }
 
-// Admit counts a request as in flight and takes a token from the rate limit's bucket, or returns the limit that the request
-// exceeds and how long to wait before a retry. The caller must call Done for an admitted request.
+// Admit counts a request of the contract's workspace as in flight and, if there is a rate limit, takes a token from the bucket.
+// If the request exceeds a limit, it does neither, and returns the limit and how long to wait before a retry. The caller must
+// call Done when an admitted request has ended.
 func (l *ContractLimiter) Admit(now time.Time, c masticway.Contract) (Limit, time.Duration) {
 	u, ok := l.usage[c.Workspace]
 	if !ok {
--- a/limiter/queue.go
+++ b/limiter/queue.go
@@ -14,7 +14,7 @@
 	Class     masticway.Class
 	// Priority orders the entries of a workspace and class; higher ones are popped first.
 	Priority int
-	// Pool names the pool of upstreams, by model or service, that the request waits for.
+	// Pool is the name of the pool of upstreams that the request waits for: the name of their model or service.
 	Pool     string
 	Deadline time.Time
 }
@@ -25,13 +25,13 @@
 	MaxPerClass int
 	// MaxPerWorkspace is the maximum number of entries of one workspace in a pool and class.
 	MaxPerWorkspace int
-	// InteractiveBurst is the number of interactive entries of a pool, popped in a row, after which a waiting batch entry is
-	// popped.
+	// InteractiveBurst limits how many interactive entries of a pool are popped in a row. After that many, a batch entry is
+	// popped next if one is waiting.
 	InteractiveBurst int
 }
 
-// classQueue holds the entries of one pool and class by workspace. workspaces lists those with entries in the order of their
-// turns.
+// classQueue holds the entries of one pool and class by workspace. workspaces lists the workspaces that have entries, in the
+// order of their turns.
 type classQueue struct {
 	workspaces []string
 	entries    map[string][]Entry
@@ -42,7 +42,7 @@
 type Queue struct {
 	settings    QueueSettings
 	classQueues map[string]map[masticway.Class]*classQueue
-	// interactiveStreak counts the interactive entries of each pool that were popped since the last batch entry.
+	// interactiveStreak holds, for each pool, the number of interactive entries popped since the last batch entry was popped.
 	interactiveStreak map[string]int
 }
 
@@ -63,8 +63,8 @@
 	return l
 }
 
-// Push adds an entry behind those of its workspace with the same or a higher priority. It returns false if the class or the
-// workspace has as many entries as allowed.
+// Push adds an entry to the queue of its pool and class, behind the entries of its workspace with the same or a higher priority.
+// It returns false if the queue is full, or if the workspace has the maximum number of entries in it.
 func (q *Queue) Push(e Entry) bool {
 	l := q.classQueue(e.Pool, e.Class)
 	waiting := l.entries[e.Workspace]
@@ -85,8 +85,9 @@
 	return true
 }
 
-// Pop removes and returns the next entry of a pool. Interactive entries precede batch entries, except that a batch entry follows
-// InteractiveBurst interactive ones. Within a class, workspaces take turns. Pop returns false if there is no entry.
+// Pop removes and returns the next entry of a pool. Interactive entries precede batch entries. However, if InteractiveBurst or
+// more interactive entries have been popped since the last batch entry, a batch entry is next. Within a class, workspaces take
+// turns. Pop returns false if there is no entry.
 func (q *Queue) Pop(pool string) (Entry, bool) {
 	interactive := q.classQueue(pool, masticway.ClassInteractive)
 	batch := q.classQueue(pool, masticway.ClassBatch)
@@ -129,8 +130,8 @@
 	return e, true
 }
 
-// PutBack puts a popped entry for which there was no capacity in front of all entries of its pool and class. It does not undo the
-// count of interactive entries in a row.
+// PutBack returns a popped entry to the front of its pool and class, for example if no upstream had capacity for it. It does not
+// check the maximum numbers of entries. The entry still counts as popped for InteractiveBurst.
 func (q *Queue) PutBack(e Entry) {
 	l := q.classQueue(e.Pool, e.Class)
 	l.workspaces = slices.DeleteFunc(l.workspaces, func(w string) bool { return w == e.Workspace })
@@ -139,7 +140,8 @@
 	l.size++
 }
 
-// Remove removes an entry, for example if its caller has left. It returns false if no entry with its ID is queued.
+// Remove removes the entry with the ID of e, for example if its caller has left. It returns false if no such entry is in the
+// queue of e's workspace, pool and class.
 func (q *Queue) Remove(e Entry) bool {
 	l := q.classQueue(e.Pool, e.Class)
 	waiting := l.entries[e.Workspace]
@@ -161,7 +163,7 @@
 	l.workspaces = slices.DeleteFunc(l.workspaces, func(w string) bool { return w == workspace })
 }
 
-// Expire removes and returns the entries whose deadline has passed.
+// Expire removes the entries whose deadlines have passed and returns them in no particular order.
 func (q *Queue) Expire(now time.Time) []Entry {
 	var expired []Entry
 	for _, classes := range q.classQueues {
