--- a/relayer/relay.go
+++ b/relayer/relay.go
@@ -45,19 +45,19 @@
 const (
 	// statusDone means that the call succeeded.
 	statusDone relayStatus = "done"
-	// statusConflict means that a write expected another version of a row.
+	// statusConflict means that a write expected a version of a row other than the current one.
 	statusConflict relayStatus = "conflict"
 	// statusHistoryLost means that the store no longer has the changes that a watch asked for.
 	statusHistoryLost relayStatus = "history_lost"
-	// statusUnavailable means that the call was certainly not made.
+	// statusUnavailable means that the call was certainly not carried out.
 	statusUnavailable relayStatus = "unavailable"
 	// statusRateLimited means that the store rejected the call because its rate limit was exceeded.
 	statusRateLimited relayStatus = "busy"
-	// statusUnknown means that the call may have been made.
+	// statusUnknown means that the call may have been carried out.
 	statusUnknown relayStatus = "unknown"
 )
 
-// relayReply is the reply to a router that relayed a call.
+// relayReply is the reply of a router that was asked to make a call for another one.
 type relayReply struct {
 	Status  relayStatus          `cbor:"1,keyasint"`
 	Reading masticway.RowReading `cbor:"2,keyasint"`
@@ -79,8 +79,8 @@
 	return result{err: &masticway.OutcomeUnknownError{Service: serviceName, Reason: reply.Reason}}
 }
 
-// relay asks up to maxPeersAsked other routers to make a call, one after the other, until one gets a definite result (see
-// isDefinite). If none does, it returns the worst result.
+// relay asks up to maxPeersAsked other routers, one after the other, to make a call. It returns the first definite result (see
+// isDefinite). If there is none, or ctx ends, it returns the worst result so far (see worseOf).
 func (s *Store) relay(ctx context.Context, call storeCall) result {
 	worst := result{err: &masticway.UnavailableError{Service: serviceName, Reason: "no other router is known"}}
 	for _, address := range s.peersToAsk() {
@@ -107,8 +107,8 @@
 	return worst
 }
 
-// peersToAsk returns the addresses of the routers to ask. They are the same as the last time, unless none of those could help or
-// the known routers have changed.
+// peersToAsk returns the addresses of up to maxPeersAsked routers to ask. It returns the same addresses each time until relay
+// gets no definite result from any of them, or the known routers change.
 func (s *Store) peersToAsk() []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -121,7 +121,7 @@
 }
 
 // Serve registers the handler that makes calls to the store for other routers. The handler makes only direct calls, so that a
-// call is relayed at most once, and refuses them while the direct path is down.
+// call is relayed at most once. It refuses all calls while this router's direct path is down.
 func (s *Store) Serve(mux *http.ServeMux) {
 	messenger.Handle(mux, pathStore, func(peerCtx context.Context, call storeCall) relayReply {
 		if s.isDirectDown() {
--- a/relayer/relayer.go
+++ b/relayer/relayer.go
@@ -17,32 +17,34 @@
 const (
 	serviceName = "row store"
 
-	// minHedgeDelay and maxHedgeDelay bound how long the store may take before another router is asked as well. They are many
-	// times the store's typical latency of 4 ms and a fraction of the time that a request waits for its budget. Between these
-	// bounds the delay is hedgeLatencyFactor times the mean latency of direct calls: if the store is slow for all routers,
-	// hedging makes it even slower.
+	// minHedgeDelay and maxHedgeDelay bound the hedge delay: how long the store may take before another router is asked as well.
+	// They are many times the store's typical latency of 4 ms, and a fraction of the time for which a request may wait for its
+	// budget. Between these bounds, the delay is hedgeLatencyFactor times the mean latency of direct calls. It grows with the
+	// latency because hedging slows down a store that is already slow for all routers.
 	minHedgeDelay      = 60 * time.Millisecond
 	maxHedgeDelay      = 400 * time.Millisecond
 	hedgeLatencyFactor = 3
 	// watchHedgeDelay is added to the maximum wait of a watch to get its hedge delay.
 	watchHedgeDelay = 250 * time.Millisecond
-	// directDownAfter is how long all direct calls must have failed, other than by rate limiting, before the direct path counts
-	// as down and calls are relayed at once. A single failure does not predict the result of the next call.
+	// directDownAfter is how long all direct calls must have failed before the direct path counts as down. Rate-limited calls are
+	// not counted (see rateLimitedCalls). While the path is down, calls are relayed at once. A single failure does not predict
+	// the result of the next call.
 	directDownAfter = 100 * time.Millisecond
-	// The direct path also counts as down if the store has rejected all of at least rateLimitedCalls calls over at least
-	// rateLimitedAfter because its rate limit was exceeded. A store that rejects every second call rejects that many in a row
-	// once in 250 times. Relaying the calls to a store that is over its rate doubles its load.
+	// rateLimitedAfter and rateLimitedCalls determine when rate limiting makes the direct path count as down: the store has
+	// rejected at least rateLimitedCalls calls because of its rate limit, over at least rateLimitedAfter, without a definite
+	// result in between. Both are large because relaying calls to a store that is over its rate doubles its load. A store that
+	// rejects half of the calls at random rejects eight in a row only about once in 250 times.
 	rateLimitedAfter = 400 * time.Millisecond
 	rateLimitedCalls = 8
-	// probeInterval is the minimum time between two direct calls while the direct path is down. None is made while maxProbes
-	// direct calls are in progress. More than one may be, because a call that is lost in a partition must not keep the next one
-	// from finding that the store is reachable again.
+	// probeInterval is the minimum time between two direct calls while the direct path is down. In this state, no direct call is
+	// started while maxProbes or more are in progress. maxProbes is larger than one because a call that is lost in a network
+	// partition must not delay the call that finds that the store is reachable again.
 	probeInterval = 120 * time.Millisecond
 	maxProbes     = 4
 	// relayTimeout is how long the answer of each router that is asked may take to begin, in addition to the maximum wait of a
 	// watch. It allows for the store's answer and two round trips between availability zones.
 	relayTimeout = 400 * time.Millisecond
-	// directGrace is how long a direct call may still take after no other router could help.
+	// directGrace is how long a direct call may still take after the relayed attempt has failed.
 	directGrace = 200 * time.Millisecond
 	// maxPeersAsked is the maximum number of routers that are asked each time a call is relayed.
 	maxPeersAsked = 2
@@ -75,8 +77,8 @@
 	onRestored func()
 	// observeLatency is called with the duration of direct calls, see OnDirectCall.
 	observeLatency func(took time.Duration, answered bool)
-	// lastSuccess is when a direct call last got a definite result. failingSince is when the first direct call that failed after
-	// that was sent, but not before lastSuccess. It is zero if none failed.
+	// lastSuccess is when a direct call last got a definite result. failingSince is zero if no direct call has failed after
+	// lastSuccess. Otherwise it is when the first of the failed calls was sent, or lastSuccess if that is later.
 	lastSuccess  time.Time
 	failingSince time.Time
 	// rateLimitedCount is the number of rate-limited direct calls since the last definite result. rateLimitedSince is when the
@@ -97,7 +99,7 @@
 
 var _ masticway.RowStore = (*Store)(nil)
 
-// New returns a Store that makes direct calls to the given one. It relays no calls until SetPeers is called.
+// New returns a Store whose direct calls go to the store direct. It relays no calls until SetPeers is called.
 func New(direct masticway.RowStore, m *messenger.Client, clock masticway.Clock, log *logrus.Entry, metrics *measurer.Set) *Store {
 	s := &Store{direct: direct, client: m, clock: clock, log: log, metrics: metrics, peers: func() []string { return nil }, onRestored: func() {}, observeLatency: func(time.Duration, bool) {}}
 	s.ctx, s.cancel = context.WithCancel(context.Background())
@@ -139,12 +141,14 @@
 	return readOutcome(s.call(ctx, storeCall{Table: table, Part: part}))
 }
 
-// Write commits a write. The write must expect the version of a row that it puts; otherwise it could be made twice.
+// Write commits a write. The write must expect the version of a row that it changes. Otherwise its two copies, direct and
+// relayed, could both take effect.
 func (s *Store) Write(ctx context.Context, w masticway.RowWrite) (masticway.RowReading, error) {
 	return s.call(ctx, storeCall{Write: &w})
 }
 
-// Watch returns the changes of a table. It waits for changes up to the request's maximum wait.
+// Watch returns the changes of a table since the request's version. If there are none yet, it waits for them, at most for the
+// request's maximum wait.
 func (s *Store) Watch(ctx context.Context, f masticway.WatchRequest) (masticway.RowReading, error) {
 	return readOutcome(s.call(ctx, storeCall{Table: f.Table, Watch: true, Since: f.Since, MaxWait: f.MaxWait, MaxBytes: f.MaxBytes}))
 }
@@ -183,16 +187,17 @@
 	return ok && refused.RateLimited
 }
 
-// call makes a call directly and, if it takes long, through another router as well. While the direct path is down, the call is
-// relayed at once. A call that fails directly while the path is not down is not relayed.
+// call makes a call directly. If the direct call gets no result within the hedge delay, it makes the call through another router
+// as well. While the direct path is down, it relays the call at once. If the direct call fails earlier and the path is not down,
+// the call is not relayed.
 func (s *Store) call(ctx context.Context, c storeCall) (masticway.RowReading, error) {
 	p := startCall(ctx, s, c)
 	defer p.cancelRelay()
 	return p.wait()
 }
 
-// worseOf returns the result whose outcome is unknown, if there is one, because the failure of the other attempt does not make
-// that outcome certain. Otherwise it returns b.
+// worseOf returns the worse of two results that are not definite: the one with an unknown outcome, because the other attempt's
+// failure does not make that outcome certain. If neither is unknown, it returns b.
 func worseOf(a, b result) result {
 	if _, ok := errors.AsType[*masticway.OutcomeUnknownError](a.err); ok {
 		return a
@@ -200,8 +205,9 @@
 	return b
 }
 
-// plan decides whether to make a call directly and whether to relay it at once, and records the time of the direct call. While
-// the direct path is down, calls are relayed at once and a direct call is made only as a probe.
+// plan decides whether to make a call directly and whether to relay it at once. If it allows the direct call, it records the time
+// in lastProbe. While the direct path is down, calls are relayed at once, and direct calls are made only as probes (see
+// probeInterval).
 func (s *Store) plan(call storeCall) (direct, relayNow bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -213,9 +219,9 @@
 	return true, s.directDown
 }
 
-// callDirect makes a direct call and records its result for the state of the direct path. The call may continue after its caller
-// has got a result from another router, because it still shows whether the store serves this router. It ends early only if ctx
-// does. It calls progress whenever more of a large answer arrives.
+// callDirect makes a direct call and records its result for the state of the direct path. The call continues even if a relayed
+// attempt has got a result first, because it still shows whether the store serves this router. It is canceled only if ctx ends.
+// It calls progress whenever more of a large answer has arrived.
 func (s *Store) callDirect(ctx context.Context, call storeCall, progress func()) result {
 	sentAt := s.clock.Now()
 	s.addInFlight(1)
@@ -276,8 +282,8 @@
 	return min(maxHedgeDelay, max(minHedgeDelay, hedgeLatencyFactor*s.meanLatency))
 }
 
-// recordRateLimited records a direct call that the store rejected because its rate limit was exceeded. Enough of them in a row
-// count as failures.
+// recordRateLimited records a direct call that the store rejected because its rate limit was exceeded. Enough of them count as a
+// failure (see rateLimitedCalls).
 func (s *Store) recordRateLimited(sentAt time.Time, cause error) {
 	s.metrics.Add(metricRateLimited, 1)
 	s.mu.Lock()
--- a/relayer/ways.go
+++ b/relayer/ways.go
@@ -8,8 +8,8 @@
 	"github.com/masticway/masticway/receiver"
 )
 
-// progressTimeout is how long a large answer may pause before the call is hedged. It is several times the round trip between
-// availability zones. A hedge during the transfer would only halve the capacity of a slow link.
+// progressTimeout is how long a large answer may pause before the call is hedged (relayed as well). It is several times the round
+// trip between availability zones. A hedge during the transfer would only halve the capacity of a slow link.
 const progressTimeout = 300 * time.Millisecond
 
 // callPaths tracks the direct and the relayed attempt of one call. Except for signalProgress, it is used by a single goroutine.
@@ -18,13 +18,13 @@
 	store *Store
 	call  storeCall
 
-	// direct and relayed deliver the results of the attempts; each is nil while that attempt is not in progress. progress signals
+	// direct and relayed deliver the results of the two attempts. Each is nil if its attempt is not in progress. progress signals
 	// that more of a large answer of the direct attempt has arrived.
 	direct, relayed chan result
 	progress        chan struct{}
 	stopRelay       context.CancelFunc
-	// hedgeTimer fires when the call is to be relayed as well, and graceTimer when the direct attempt is to be given up after the
-	// relayed one failed. worst is the worst result so far that is not definite.
+	// hedgeTimer fires when the call must be relayed as well. graceTimer is set when the relayed attempt has failed; it fires
+	// when the direct attempt must be given up. worst is the worst result so far that is not definite (see worseOf).
 	hedgeTimer, graceTimer <-chan time.Time
 	worst                  result
 }
@@ -72,8 +72,10 @@
 	p.relayed = nil
 }
 
-// wait returns the first definite result (see isDefinite). It returns the worst result if no attempt is left. It returns an
-// unknown outcome if the direct attempt gets no result within directGrace after the relayed one failed, or if the context ends.
+// wait waits for the first definite result (see isDefinite) and returns it. If all attempts have ended without one, it returns
+// the worst result. It returns an unknown outcome if the direct attempt gets no result within directGrace after the relayed one
+// failed, or if the context ends. If more of a large answer arrives, it cancels the relayed attempt and postpones the hedge by
+// progressTimeout.
 func (p *callPaths) wait() (masticway.RowReading, error) {
 	for p.direct != nil || p.relayed != nil {
 		select {
