--- a/sender/sender.go
+++ b/sender/sender.go
@@ -20,14 +20,14 @@
 	// readBufferSize is the size in bytes of a connection's read buffer. It fits the head and body of a typical answer.
 	readBufferSize = 4 << 10
 	// maxInlineBody is the maximum size in bytes of a body that is written before the answer is read. A larger body is written
-	// concurrently, because the links' windows are small.
+	// concurrently, because the write may block: the TCP windows of the links are small.
 	maxInlineBody = 2 << 10
 	// defaultIdleTimeout is how long an idle connection is kept if its server does not announce a timeout.
 	defaultIdleTimeout = 4 * time.Second
 	// idleFraction is the part of a server's idle timeout after which a connection is no longer reused.
 	idleFraction = 0.7
-	// sweepThreshold is the number of idle connections above which acquireIdle also checks whether the one that has been idle for
-	// longest has expired.
+	// sweepThreshold is the number of idle connections to a server above which acquireIdle also checks the one that has been idle
+	// for longest, and closes it if it has expired.
 	sweepThreshold = 4
 )
 
@@ -48,7 +48,7 @@
 	AckTimeout time.Duration
 }
 
-// Error reports that a request got no answer, or no further one.
+// Error reports that connecting failed, that a request got no answer, or that Answer.Next found no further one.
 type Error struct {
 	// Sent is set if the server may have received the request.
 	Sent bool
@@ -114,9 +114,9 @@
 	a.conn.release(a.complete && a.Framed)
 }
 
-// Next discards the answer and reads the next one on the same connection, which is not reused afterwards. A faulty server may
-// send the answer to another request twice, so that the copy precedes the expected answer. If Next succeeds, Close must be called
-// on the new answer only.
+// Next discards the answer, reads the next one on the connection and returns it. It is for faulty servers that send an answer
+// twice, so that the copy precedes the answer to the next request. The connection is not reused afterwards. If Next succeeds, the
+// caller must close the new answer and not the old one; otherwise it must close the old one.
 func (a *Answer) Next() (*Answer, error) {
 	a.conn.tainted = true
 	if _, err := io.Copy(io.Discard, a); err != nil || !a.Framed {
@@ -168,8 +168,8 @@
 	idleTimeout time.Duration
 	// ackTimeout is the acknowledgement timeout that is set on the socket.
 	ackTimeout time.Duration
-	// stop keeps the end of the current request's context from closing the connection. method is the method of the current
-	// request.
+	// stop cancels the function that closes the connection when the current request's context ends. It returns false if that
+	// function has already been started. method is the method of the current request.
 	stop   func() bool
 	method string
 	// willClose is set if the server announced that it closes the connection.
@@ -183,15 +183,16 @@
 	return &Sender{dial: dial, now: now, pools: map[string]*connPool{}}
 }
 
-// Dials returns the number of connections that were dialed, including failed attempts.
+// Dials returns the number of attempts to open a connection since New, including failed ones.
 func (s *Sender) Dials() int64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.dials
 }
 
-// Send sends a request and returns the head of the answer, which the caller must close. It opens a new connection only while
-// fewer than limit connections to the server are open; zero means no limit. It fails with Error or ConnectionLimitError. If the
+// Send sends a request, waits for the head of the answer and returns the answer. The caller must close the answer. Send opens a
+// new connection only if it finds fewer than limit connections to the server open; zero means no limit. Concurrent calls may
+// exceed the limit, because they check it before they open connections. Send fails with Error or ConnectionLimitError. If the
 // context ends before the answer is closed, the connection is closed.
 func (s *Sender) Send(ctx context.Context, address string, limit int, r Request) (*Answer, error) {
 	c, err := s.acquire(ctx, address, limit, r)
@@ -214,8 +215,8 @@
 	return a, nil
 }
 
-// acquire returns a usable idle connection or a new one. It fails with ConnectionLimitError if a new one is needed and limit
-// connections are open.
+// acquire returns a usable idle connection or, if there is none, a new one. It fails with ConnectionLimitError if a new one is
+// needed and limit or more connections are open.
 func (s *Sender) acquire(ctx context.Context, address string, limit int, r Request) (*conn, error) {
 	for {
 		c, open := s.acquireIdle(address, r.MaxIdle)
@@ -232,8 +233,9 @@
 	}
 }
 
-// acquireIdle removes and returns the connection that was used last, if it has not expired and has been idle no longer than
-// maxIdle. Otherwise it returns nil. It also returns the number of open connections.
+// acquireIdle removes the connection that was used last from the idle ones and returns it. It returns nil if there is none, if
+// that connection has expired (see conn.maxIdle), or if it has been idle for longer than maxIdle. If maxIdle is zero, only expiry
+// counts. acquireIdle also closes expired connections, and returns the number of open ones.
 func (s *Sender) acquireIdle(address string, maxIdle time.Duration) (*conn, int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -294,7 +296,7 @@
 	return &conn{sender: s, address: address, net: n, reader: bufio.NewReaderSize(n, readBufferSize)}, nil
 }
 
-// Retain closes the idle connections to all servers except those at the given addresses. Connections in use stay open.
+// Retain closes the idle connections to all servers except those at the addresses in keep. Connections in use stay open.
 func (s *Sender) Retain(keep map[string]bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -319,8 +321,8 @@
 	return time.Duration(float64(keep) * idleFraction)
 }
 
-// hasNoInput reports whether nothing has arrived on an idle connection: neither EOF nor bytes that belong to no request. It
-// cannot check a connection other than TCP and then returns true.
+// hasNoInput reports whether nothing has arrived on an idle connection, neither the end of the connection nor unexpected bytes.
+// It can check only TCP connections; for others it returns true unless bytes are buffered.
 func (c *conn) hasNoInput() bool {
 	if c.reader.Buffered() > 0 {
 		return false
@@ -414,7 +416,8 @@
 	}
 }
 
-// release returns a connection to the pool, or closes it if it must not be reused.
+// release ends a request. It returns the connection to the pool if the caller and the connection's state allow its reuse, and
+// closes it otherwise.
 func (c *conn) release(reusable bool) {
 	stopped := c.stop()
 	if c.writeDone != nil {
