--- a/starter/callers.go
+++ b/starter/callers.go
@@ -12,14 +12,14 @@
 var pastDeadline = time.Unix(1, 0)
 
 // callerListener accepts the connections of a gateway's callers and counts their open requests. A request is open from when its
-// first byte is read until net/http has written the end of its response. The states that net/http reports are not enough for
-// that: it treats a connection as idle until the next request's header is parsed, and writes the end of a response after the
-// handler has returned.
+// first byte is read until net/http has written the end of its response. The connection states that net/http reports do not show
+// this. It reports a connection as idle until the next request's header has been parsed. It also writes the end of a response
+// after the handler has returned.
 type callerListener struct {
 	net.Listener
 	openRequests atomic.Int64
-	// closingIdle is set if connections that are idle after a response must be closed. shuttingDown is set if connections on
-	// which no request has arrived yet must be closed too.
+	// closingIdle is set if connections that have answered a request and have no open one must be closed. shuttingDown is set if
+	// connections on which no request has arrived yet must be closed too.
 	closingIdle, shuttingDown atomic.Bool
 
 	mu    sync.Mutex
@@ -30,7 +30,7 @@
 	return &callerListener{Listener: l, conns: map[*callerConn]bool{}}
 }
 
-// Accept waits for the next connection and returns it.
+// Accept waits for the next connection and returns it. After shutdown it returns http.ErrServerClosed.
 func (s *callerListener) Accept() (net.Conn, error) {
 	n, err := s.Listener.Accept()
 	switch {
@@ -69,15 +69,16 @@
 	}
 }
 
-// closeIdle closes the connections that are idle after a response, now or later. It does so by setting their read deadlines to
-// the past: net/http closes a connection whose read times out, but still answers a request that has been read, which Close would
-// cut off.
+// closeIdle closes the connections that have answered a request and have no open one, now or later. It sets their read deadlines
+// to the past, so that net/http closes them when its next read times out. Close would cut off a request that has just been read;
+// with the deadline, net/http still answers it.
 func (s *callerListener) closeIdle() {
 	s.closingIdle.Store(true)
 	s.expireDeadlines()
 }
 
-// shutdown stops accepting connections and closes, in the same way as closeIdle, all that have no open request.
+// shutdown stops accepting connections. Like closeIdle, it closes connections by their read deadlines, but all that have no open
+// request now or later.
 func (s *callerListener) shutdown() {
 	s.shuttingDown.Store(true)
 	// An error means that the listener is closed already.
@@ -85,7 +86,7 @@
 	s.closeIdle()
 }
 
-// isDrained reports whether no connection is left.
+// isDrained reports whether no accepted connection is left.
 func (s *callerListener) isDrained() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -107,8 +108,8 @@
 	listener *callerListener
 
 	mu sync.Mutex
-	// hasRequest is set while a request is open, hasAnswered once one has been answered, and closed once the connection has been
-	// closed or hijacked.
+	// hasRequest is set while a request is open. hasAnswered is set once a request has been answered. closed is set once the
+	// connection has been closed or hijacked.
 	hasRequest, hasAnswered, closed bool
 }
 
@@ -121,7 +122,7 @@
 	return n, err
 }
 
-// SetReadDeadline sets the read deadline, unless the connection must be closed: then the deadline stays in the past.
+// SetReadDeadline sets the read deadline. If the connection must be closed, it sets a deadline in the past instead.
 func (c *callerConn) SetReadDeadline(t time.Time) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/starter/emulator.go
+++ b/starter/emulator.go
@@ -37,7 +37,7 @@
 	Address string `json:"address"`
 }
 
-// EmulatorDaemon runs an emulated platform and emulated upstreams.
+// EmulatorDaemon runs an emulated platform and emulated upstreams (model engines and plain services).
 type EmulatorDaemon struct {
 	servers serverGroup
 }
@@ -90,7 +90,8 @@
 // Close stops all emulated servers.
 func (d *EmulatorDaemon) Close() { d.servers.close() }
 
-// mergeSettings returns the settings document base with the top-level fields of overrides replacing its own.
+// mergeSettings returns a copy of the JSON object base in which the fields of the JSON object overrides replace or extend the
+// top-level fields.
 func mergeSettings(base, overrides json.RawMessage) (json.RawMessage, error) {
 	if len(overrides) == 0 {
 		return base, nil
--- a/starter/fleet.go
+++ b/starter/fleet.go
@@ -22,12 +22,13 @@
 )
 
 const (
-	// PlatformProcess is the platform's process name in network faults.
+	// PlatformProcess is the name by which network faults refer to the platform's process.
 	PlatformProcess = "platform"
 	loopbackAddress = "127.0.0.1:0"
 	// readyPollInterval is the pause between two checks by AwaitReady.
 	readyPollInterval = 10 * time.Millisecond
-	// placeholder fills required address fields that aren't used, because a fleet opens the sockets itself.
+	// placeholder is the value of address settings that are required but not used. They are not used because a fleet opens the
+	// sockets itself.
 	placeholder = "127.0.0.1:1"
 )
 
@@ -36,12 +37,13 @@
 	Regions  []RegionSpec
 	Engines  []EngineGroup
 	Services []ServiceGroup
-	// Delay returns the one-way latency between two zones, written region/zone; the empty string is the platform's zone. If Delay
-	// is nil, there is no latency.
+	// Delay returns the one-way latency between two zones. A zone is given as "region/zone", and the platform's zone as the empty
+	// string. If Delay is nil, there is no latency.
 	Delay func(from, to string) time.Duration
-	// InstanceLag is how long the instance list lags behind.
+	// InstanceLag is how long it takes until a change of an instance appears in the platform's instance list.
 	InstanceLag time.Duration
-	// Router and Sidecar hold the settings that differ from the defaults.
+	// Router and Sidecar are JSON objects with settings of all routers and all sidecars. Their fields replace those that the
+	// fleet sets. Settings that are in neither have their defaults.
 	Router  json.RawMessage
 	Sidecar json.RawMessage
 	Log     *logrus.Logger
@@ -59,7 +61,7 @@
 	Model    string
 	Count    int
 	Settings emulator.EngineSettings
-	// HideCache leaves cached prefixes out of load reports.
+	// HideCache makes the engines leave cached prefixes out of their load reports.
 	HideCache bool
 }
 
@@ -158,7 +160,7 @@
 	return nil
 }
 
-// serve opens a socket for a process of the fleet, as listen does, serves HTTP on it and returns its address.
+// serve opens a socket for a process of the fleet (see listen), starts to serve HTTP on it and returns its address.
 func (f *Fleet) serve(process, zone string, h http.Handler) (string, error) {
 	l, err := f.listen(process, zone)
 	if err != nil {
@@ -168,7 +170,8 @@
 	return l.Addr().String(), nil
 }
 
-// listen opens a socket for a process of the fleet, and registers its address and zone in the emulated network.
+// listen opens a socket for a process of the fleet. It registers the address in the emulated network and records the zone, which
+// determines the latency.
 func (f *Fleet) listen(process, zone string) (net.Listener, error) {
 	l, err := Listen(loopbackAddress)
 	if err != nil {
@@ -335,7 +338,7 @@
 // AdminToken returns the bearer token of the operators' API.
 func (f *Fleet) AdminToken() string { return f.adminToken }
 
-// PlatformURL returns the base URL of the emulated platform, which also serves the switches for its faults.
+// PlatformURL returns the base URL of the emulated platform. The platform's faults can be switched on and off there as well.
 func (f *Fleet) PlatformURL() string { return f.platformURL }
 
 // NotReadyError reports that a router of a fleet did not become ready in time.
@@ -344,8 +347,8 @@
 // Error returns a message with the router's name.
 func (e *NotReadyError) Error() string { return "router " + e.Router + " is not ready" }
 
-// AwaitReady waits until all routers are ready, know the other routers of their region, and can use all upstreams of it. It fails
-// with NotReadyError if ctx ends before.
+// AwaitReady waits until each router is ready, is linked to the other routers of its region, and can use all upstreams of the
+// region. It fails with NotReadyError if ctx ends first.
 func (f *Fleet) AwaitReady(ctx context.Context) error {
 	for _, r := range f.Routers() {
 		for !r.Daemon.IsReady() || !r.Daemon.current.Load().router.HasUpstreams(f.sidecarCount(r.Region)) {
@@ -370,7 +373,7 @@
 	return n
 }
 
-// Stop kills all routers and sidecars and closes the emulated servers.
+// Stop kills all routers and then all sidecars, and closes the servers of the emulated platform and upstreams.
 func (f *Fleet) Stop() {
 	var wg sync.WaitGroup
 	for _, r := range f.Routers() {
--- a/starter/gateway.go
+++ b/starter/gateway.go
@@ -32,35 +32,39 @@
 const (
 	// maxGatewayHeaderBytes limits the size of a request's header; net/http allows a little more.
 	maxGatewayHeaderBytes = 16 << 10
-	// callerIdleTimeout is how long a caller's connection may be idle. It is longer than deployments allow, so that connections
-	// are closed by the callers, who know that limit. If the router closed one, a request could be on its way at that moment.
+	// callerIdleTimeout is how long a caller's connection may be idle before the router closes it. Deployments prescribe a
+	// shorter limit to callers, so that callers close connections first. If the router closed a connection, a request could be on
+	// its way at that moment.
 	callerIdleTimeout = 60 * time.Second
 	// storeTimeout is how long the answer to a call to the row store may take to begin. It is twice what a call takes if the
 	// store is 60 times slower than usual, and less than a connection that a network fault has stalled needs to recover.
 	storeTimeout = 600 * time.Millisecond
-	// slowLinkTimeout is the same for the reads of a table while reads with storeTimeout fail. It allows for a congested link, on
-	// which packets are queued for up to half a second in each direction, and for the store's own time.
+	// slowLinkTimeout is how long the answer to a read of a table may take to begin if reads with storeTimeout have failed. It
+	// allows for a congested link, on which packets are queued for up to half a second in each direction, and for the store's own
+	// time.
 	slowLinkTimeout = 2 * time.Second
-	// suspectsMaxWait is how long one call may wait for changes of the table of suspects: requests under which servers crashed. It
-	// is within the shortest time in which deployments require all routers to learn of a suspect. A watch that no longer gets
-	// answers is noticed after that wait and the timeout of the call. suspectsRelistInterval is the usual interval at which the
-	// table is read in full. Longer times cost the store fewer calls.
+	// suspectsMaxWait is how long one call that watches the table of suspects (requests under which servers crashed) may wait for
+	// changes. It is shorter than the shortest time in which deployments require all routers to learn of a suspect. A watch that
+	// gets no answer is noticed when this wait and the call's timeout have passed. suspectsRelistInterval is the usual interval
+	// at which the table is read in full. Longer times cost the store fewer calls.
 	suspectsMaxWait        = 2500 * time.Millisecond
 	suspectsRelistInterval = 30 * time.Second
-	// maxReadersPerZone limits how many routers of an availability zone watch the server table in the store, on behalf of the
-	// zone's other routers too, because watching that table is expensive.
+	// maxReadersPerZone limits how many routers of an availability zone watch the server table in the store. They pass the
+	// changes on to the zone's other routers, because watching this table is expensive for the store.
 	maxReadersPerZone = 2
-	// suspensionCheckInterval is the interval at which the gateway checks whether the machine has been suspended. It only reports
-	// suspensions.
+	// suspensionCheckInterval is the interval at which the gateway checks whether the machine has been suspended. Suspensions are
+	// only logged and counted.
 	suspensionCheckInterval = time.Second
-	// minUnreadyTime is the minimum time for which a router that shuts down still accepts connections and forwards requests. The
-	// load balancer checks its readiness once a second and takes it out of rotation after two failed checks.
+	// minUnreadyTime is how long a router that shuts down, and reports that it is not ready, still accepts connections and
+	// forwards requests. The load balancer checks its readiness once a second and takes it out of rotation after two failed
+	// checks.
 	minUnreadyTime = 3200 * time.Millisecond
-	// closeBudgetsBefore and exitBefore are how long before the end of the grace period a router gives its granted money back,
-	// and how long before it a router exits.
+	// closeBudgetsBefore is how long before the end of the grace period a router gives its granted tokens back at the latest.
+	// exitBefore is how long before the end of the grace period a router exits at the latest.
 	closeBudgetsBefore = 1500 * time.Millisecond
 	exitBefore         = 300 * time.Millisecond
-	// drainPollInterval is the interval at which a router that shuts down checks whether it can go on with the next step.
+	// drainPollInterval is the interval at which a router that shuts down checks whether it can proceed to the next step of the
+	// shutdown.
 	drainPollInterval = 20 * time.Millisecond
 )
 
@@ -120,8 +124,8 @@
 	wg             sync.WaitGroup
 }
 
-// NewGateway returns a gateway that keeps its state in a row store; Start starts it. The slowLinkStore is the same store with a
-// longer timeout. The log is written to out.
+// NewGateway returns a gateway that keeps its durable state in a row store; Start starts it. The slowLinkStore must be a client
+// of the same row store as store, with a longer timeout. The log is written to out.
 func NewGateway(s forwarder.Settings, l GatewayListeners, store, slowLinkStore masticway.RowStore, decoder masticway.DeploymentDecoder, codec masticway.HeaderCodec, clock masticway.Clock, out io.Writer) (*GatewayDaemon, error) {
 	queue := logger.NewQueue(out)
 	log, err := logger.New(s.LogLevel, queue)
@@ -172,7 +176,8 @@
 	return d, nil
 }
 
-// BuildGateway returns a gateway for the users' platform with the given settings. It opens the sockets.
+// BuildGateway opens a gateway's sockets and returns the gateway. It uses the wire formats of the users' platform (see package
+// platform).
 func BuildGateway(s forwarder.Settings, out io.Writer) (*GatewayDaemon, error) {
 	l, err := ListenGateway(s)
 	if err != nil {
@@ -181,14 +186,15 @@
 	return NewPlatformGateway(s, l, out)
 }
 
-// NewPlatformGateway returns a gateway for the users' platform that serves on sockets which are open already.
+// NewPlatformGateway returns a gateway that serves on the open sockets l. It uses the wire formats of the users' platform (see
+// package platform).
 func NewPlatformGateway(s forwarder.Settings, l GatewayListeners, out io.Writer) (*GatewayDaemon, error) {
 	return NewGateway(s, l, platform.NewStore(s.StoreAddress, storeTimeout), platform.NewStore(s.StoreAddress, slowLinkTimeout), platform.Decoder{}, platform.HeaderCodec{}, masticway.SystemClock{}, out)
 }
 
-// serverContent returns a function that decodes a server's row to a value for comparison. A row that is written again with the
-// same registration compares equal to the one before, so that it isn't passed on to other routers. The value of a row that can't
-// be decoded is its text.
+// serverContent returns a function that decodes a server's row to a value for comparison. If a row is rewritten with an unchanged
+// registration, its value stays equal, so that the row isn't passed on to other routers. The value of a row that can't be decoded
+// is its text.
 func serverContent(decoder masticway.DeploymentDecoder) sharer.Projection {
 	return func(key string, value []byte) any {
 		s, err := decoder.Server(key, value)
@@ -229,8 +235,8 @@
 	return nil
 }
 
-// watchSuspensions logs each suspension of the machine and updates the gauge until the context ends. It does nothing if the clock
-// doesn't measure suspensions.
+// watchSuspensions logs suspensions of the machine and updates the gauge metricSuspended until the context ends. It does nothing
+// if the clock doesn't measure suspensions.
 func (d *GatewayDaemon) watchSuspensions(ctx context.Context) {
 	c, ok := d.clock.(interface{ SuspendedTime() time.Duration })
 	if !ok {
@@ -249,7 +255,8 @@
 	}
 }
 
-// peers returns the addresses of the other routers: those of the current members or, while there are none, the configured seeds.
+// peers returns the addresses of the other routers. While none is known, it returns the configured seeds without this router's
+// address.
 func (d *GatewayDaemon) peers() []string {
 	known := d.treasurer.PeerAddresses()
 	if len(known) > 0 {
@@ -288,8 +295,8 @@
 	w.WriteHeader(http.StatusServiceUnavailable)
 }
 
-// Reload applies new settings. Only the log level can change while the gateway runs. If another setting has changed, the log line
-// says that a restart is needed. If the log level is invalid, nothing changes.
+// Reload applies new settings. Only the log level can change while the gateway runs. The log reports whether another setting has
+// changed, so that a restart is needed. If the log level is invalid, nothing changes.
 func (d *GatewayDaemon) Reload(s forwarder.Settings) {
 	level, err := logrus.ParseLevel(s.LogLevel)
 	if err != nil {
@@ -312,7 +319,8 @@
 	d.forwarder.Drain(began.Add(grace - exitBefore))
 	d.log.WithFields(logrus.Fields{"event": "stopping", "open": d.callerListener.OpenRequests(), "grace": grace}).Info("gateway stopping")
 	d.wait(began.Add(minUnreadyTime), began.Add(minUnreadyTime), d.isIdle)
-	// Later requests on connections that are idle now would be cut off by the shutdown. Their callers connect to another router.
+	// Requests that arrive later on connections that are idle now would be cut off by the shutdown. The callers should connect to
+	// another router.
 	d.forwarder.StopForwarding()
 	d.callerListener.closeIdle()
 	d.wait(began, began.Add(grace-closeBudgetsBefore), d.isIdle)
@@ -320,7 +328,7 @@
 	defer cancel()
 	d.treasurer.Close(ctx)
 	d.wait(began, began.Add(grace-exitBefore), d.isIdle)
-	// A request may have been read since the last check; its connection stays open until it is answered.
+	// If a request has been read since the last check, its connection stays open until the request is answered.
 	d.callerListener.shutdown()
 	d.wait(began, began.Add(grace-exitBefore), d.callerListener.isDrained)
 	clean := d.callerListener.OpenRequests() == 0
@@ -332,8 +340,8 @@
 // isIdle reports whether no request is open.
 func (d *GatewayDaemon) isIdle() bool { return d.callerListener.OpenRequests() == 0 }
 
-// wait checks done every drainPollInterval and returns when it returns true, but no earlier than notBefore. It also returns when
-// the deadline has passed.
+// wait calls done every drainPollInterval from notBefore on, and returns once done has returned true. It also returns when the
+// deadline has passed.
 func (d *GatewayDaemon) wait(notBefore, deadline time.Time, done func() bool) {
 	for {
 		now := d.clock.Now()
--- a/starter/listener.go
+++ b/starter/listener.go
@@ -49,7 +49,7 @@
 	}
 }
 
-// state returns the fields that mu guards.
+// state returns the fields listener, changed and closed.
 func (p *pausableListener) state() (l net.Listener, changed chan struct{}, closed bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -59,7 +59,7 @@
 // Addr returns the address, also while the listener is paused.
 func (p *pausableListener) Addr() net.Addr { return p.address }
 
-// Close closes the listener, which can't be resumed then.
+// Close closes the listener. It can't be resumed afterwards.
 func (p *pausableListener) Close() error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/starter/members.go
+++ b/starter/members.go
@@ -24,8 +24,8 @@
 	return list
 }
 
-// removeProcess removes a process of one kind from the fleet's list, without stopping it, and returns it. It returns false if
-// there is none of that name.
+// removeProcess removes a process from the given map of the fleet and returns it. It does not stop the process. It returns false
+// if there is no process with the name.
 func removeProcess[P any](f *Fleet, processes map[string]P, name string) (P, bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -55,8 +55,8 @@
 	return clean
 }
 
-// KillSidecar stops a sidecar as a crash would; if endInstance is set, it also marks its instance as ended at the platform. It
-// returns nil if there is no such sidecar.
+// KillSidecar stops a sidecar as a crash would. If endInstance is set, it also marks the sidecar's instance as ended at the
+// platform. It returns nil if there is no such sidecar.
 func (f *Fleet) KillSidecar(name string, endInstance bool) *FleetSidecar {
 	s, ok := removeProcess(f, f.sidecars, name)
 	if !ok {
--- a/starter/router.go
+++ b/starter/router.go
@@ -31,7 +31,7 @@
 	wg        sync.WaitGroup
 }
 
-// incarnation is one incarnation of a router with its handlers, which are created only once for it.
+// incarnation is one incarnation of a router with its handlers. The handlers must be created only once for an incarnation.
 type incarnation struct {
 	router        *router.Router
 	callerHandler http.Handler
@@ -56,7 +56,7 @@
 	return &incarnation{router: r, callerHandler: r.CallerHandler(), adminHandler: r.OperatorHandler(), linkHandler: r.LinkHandler()}
 }
 
-// Start starts the daemon and returns. The daemon serves at once, but refuses requests as not_serving until the first
+// Start starts the daemon and returns. The daemon serves at once, but refuses requests with the code not_serving until the first
 // incarnation is ready.
 func (d *RouterDaemon) Start() error {
 	if err := charter.Check(); err != nil {
@@ -70,7 +70,8 @@
 	return nil
 }
 
-// serve passes requests on to the handlers of the current incarnation.
+// serve starts servers on the listeners. They pass each request on to a handler of the incarnation that is current when the
+// request arrives.
 func (d *RouterDaemon) serve(l Listeners) {
 	d.servers.serve(l.Caller, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		d.current.Load().callerHandler.ServeHTTP(w, r)
@@ -83,8 +84,8 @@
 	}))
 }
 
-// runIncarnations runs the current incarnation, and starts the next one whenever one has been fenced, until the context ends. It
-// also returns if an incarnation can't start for another reason.
+// runIncarnations runs incarnations, one after the other, until the context ends. It starts the next one when the current one has
+// been fenced, also if that happens during its start. It returns early if an incarnation can't start for another reason.
 func (d *RouterDaemon) runIncarnations(ctx context.Context) {
 	for ctx.Err() == nil {
 		i := d.current.Load()
--- a/starter/server.go
+++ b/starter/server.go
@@ -13,16 +13,19 @@
 )
 
 const (
-	// readHeaderTimeout bounds the time for reading a request's header, against clients that send it too slowly.
+	// readHeaderTimeout bounds the time for reading a request's header, so that clients that send it slowly do not hold
+	// connections.
 	readHeaderTimeout = 5 * time.Second
-	// maxHeaderBytes limits the size of a request's header, and idleTimeout how long a connection may be idle between requests.
+	// maxHeaderBytes limits the size of a request's header. idleTimeout limits how long a connection may be idle between
+	// requests.
 	maxHeaderBytes = 64 << 10
 	idleTimeout    = 2 * time.Minute
-	// shutdownTimeout bounds the time for writing the rest of the responses after the drain, for all servers of a group together.
+	// shutdownTimeout bounds the time for writing the rest of the responses after a drain. It applies to all servers of a
+	// serverGroup together.
 	shutdownTimeout = 5 * time.Second
 )
 
-// Listeners holds the open sockets of a router or sidecar. Each field is named for the address in the settings; a sidecar has
+// Listeners holds the open sockets of a router or sidecar. Each field is named after the setting of its address; a sidecar has
 // only Link.
 type Listeners struct {
 	Caller net.Listener
@@ -47,7 +50,8 @@
 	wg   sync.WaitGroup
 }
 
-// serve serves HTTP on a listener with the default limits.
+// serve starts to serve HTTP on a listener and returns at once. The server has the limits maxHeaderBytes, readHeaderTimeout and
+// idleTimeout.
 func (s *serverGroup) serve(l net.Listener, h http.Handler) {
 	s.serveWith(l, &http.Server{
 		Handler: h, ReadHeaderTimeout: readHeaderTimeout, MaxHeaderBytes: maxHeaderBytes, IdleTimeout: idleTimeout,
@@ -55,7 +59,7 @@
 	})
 }
 
-// serveWith serves HTTP on a listener with a given server and returns at once.
+// serveWith starts to serve HTTP on a listener with a given server, and returns at once.
 func (s *serverGroup) serveWith(l net.Listener, server *http.Server) {
 	s.mu.Lock()
 	s.list = append(s.list, server)
@@ -68,7 +72,8 @@
 	})
 }
 
-// shutdown stops the servers gracefully, one after the other: it waits for open requests for up to shutdownTimeout in all.
+// shutdown stops the servers gracefully, one after the other. It waits for open requests, for up to shutdownTimeout for all
+// servers together.
 func (s *serverGroup) shutdown() {
 	ctx, cancel := context.WithTimeout(context.Background(), shutdownTimeout)
 	defer cancel()
