--- a/forwarder/admit.go
+++ b/forwarder/admit.go
@@ -125,7 +125,7 @@
 	return x, x.checkDrain()
 }
 
-// checkDrain refuses a request that the shutdown of this router is likely to cut off.
+// checkDrain returns a refusal if the shutdown of this router is likely to cut off the request.
 func (x *exchange) checkDrain() *masticway.RefusalError {
 	if !x.f.drainState.Load().wouldCutOff(x.f.clock.Now(), x.q.deadline) {
 		return nil
--- a/forwarder/attempt.go
+++ b/forwarder/attempt.go
@@ -48,7 +48,8 @@
 	firstAt time.Time
 }
 
-// runAttempt runs an attempt to its end and records its result in the load and health of its server.
+// runAttempt runs an attempt to its end and records its result in the load and health of its server. If the caller has left, the
+// result does not count for the health.
 func (x *exchange) runAttempt(ctx context.Context, a *attempt) outcome {
 	defer a.cancel(nil)
 	x.server = a.server.ID
--- a/forwarder/exchange.go
+++ b/forwarder/exchange.go
@@ -21,8 +21,8 @@
 const (
 	// retryAfterDefault is the retry hint of most refusals. Usually a router, a server or the configuration is available by then.
 	retryAfterDefault = 250 * time.Millisecond
-	// retryAfterBudget is the retry hint if the budget cannot be reached. A network partition lasts for seconds, and the amount
-	// that this router may hold grows meanwhile.
+	// retryAfterBudget is the retry hint if the budget cannot be reached. A network partition lasts for seconds, and the number
+	// of tokens that this router may reserve for requests grows meanwhile.
 	retryAfterBudget = 3000 * time.Millisecond
 	// holdWaitFraction limits how long a request may wait for its hold: until this fraction of the route's latency objective has
 	// passed since the request arrived, but at least minHoldWait. A refusal after a quarter of the objective counts as late.
--- a/forwarder/relay.go
+++ b/forwarder/relay.go
@@ -27,7 +27,7 @@
 		complete := lastEventEnd(pending)
 		if complete > 0 {
 			if !a.recordProgress() {
-				// The next server was asked to resume before these events, so it sends them.
+				// The next server was asked to resume before these events, so it will send them.
 				return a.streamFailure(errSilent, len(pending))
 			}
 			if fault := a.writeEvents(answer, pending[:complete]); fault != nil {
--- a/forwarder/settings.go
+++ b/forwarder/settings.go
@@ -38,8 +38,8 @@
 
 // PolicySettings configures optional policies; zero disables a policy.
 type PolicySettings struct {
-	// BurstShare sets treasurer.Settings.EarlyShare: the fraction of a workspace's reserve that may be taken early, before the
-	// next checkpoint.
+	// BurstShare is the fraction of a router's reserve of a workspace that may be used early, while the store is not yet
+	// considered to be out of service (see treasurer.Settings.EarlyShare).
 	BurstShare float64 `json:"burst_share"`
 	// Holders is how many routers hold granted tokens of a workspace whose budget is not low; zero means all routers.
 	Holders int `json:"holders"`
--- a/forwarder/suspects.go
+++ b/forwarder/suspects.go
@@ -200,8 +200,8 @@
 	}
 }
 
-// mayBeAtFault reports whether the request may be the cause if the server ends now. It may be if the answer has not lasted for
-// innocentAfter and the server is still in the snapshot.
+// mayBeAtFault reports whether the request may be the cause if the server ends now. It may be unless innocentAfter has passed
+// since the first part of its answer, or the server is no longer in the snapshot.
 func (a *attempt) mayBeAtFault() bool {
 	x := a.x
 	if !a.firstAt.IsZero() && x.f.clock.Now().Sub(a.firstAt) >= innocentAfter {
