--- a/retrier/doc.go
+++ b/retrier/doc.go
@@ -1,8 +1,8 @@
 // Package retrier decides what follows a failed attempt.
 //
 // A Retrier maps a classified failure to an action by ordered rules. The caller must wait until the fate of the attempt is final:
-// not run, ran, or unknown for good. Retries after failures that the environment caused, for example a drain of the upstream, are
-// free: they are counted separately, so that a drain does not use up the request's other retries.
+// not run, ran, or unknown for good. With PolicyDisruptions, most retries after failures that the environment caused, for example
+// a drain of the upstream, are free. They are counted separately, so that a drain does not use up the request's counted retries.
 //
 // An Allowance limits the retries of a router to a pool in proportion to the requests that the router gets for the pool.
 package retrier
