--- a/starter/callers.go
+++ b/starter/callers.go
@@ -12,9 +12,9 @@
 var pastDeadline = time.Unix(1, 0)
 
 // callerListener accepts the connections of a gateway's callers and counts their open requests. A request is open from when its
-// first byte is read until net/http has written the end of its response. The connection states that net/http reports do not show
-// this. It reports a connection as idle until the next request's header has been parsed. It also writes the end of a response
-// after the handler has returned.
+// first byte is read until net/http has written the end of its response. Neither the connection states that net/http reports nor
+// the running handlers show this: net/http reports a connection as idle until the next request's header has been parsed, and
+// writes the end of a response after the handler has returned.
 type callerListener struct {
 	net.Listener
 	openRequests atomic.Int64
@@ -77,8 +77,8 @@
 	s.expireDeadlines()
 }
 
-// shutdown stops accepting connections. Like closeIdle, it closes connections by their read deadlines, but all that have no open
-// request now or later.
+// shutdown stops accepting connections. It also closes each connection as soon as it has no open request, in the way in which
+// closeIdle does.
 func (s *callerListener) shutdown() {
 	s.shuttingDown.Store(true)
 	// An error means that the listener is closed already.
