--- a/keeper/account.go
+++ b/keeper/account.go
@@ -8,10 +8,11 @@
 )
 
 const (
-	// defaultHorizon is how far into the future the demand that a draw covers extends, unless the latest hold request sets
-	// another horizon. With it, a busy budget draws about once a minute; see docs/MEASUREMENTS.md.
+	// defaultHorizon is the horizon of an account if its latest hold request sets none: the time over which the forecast
+	// demand is summed. With it, a busy budget draws about once a minute; see docs/MEASUREMENTS.md.
 	defaultHorizon = 60 * time.Second
-	// rateWindow is the time over which demand is averaged. After that time without an update the measured rate is zero.
+	// rateWindow is the time over which the demand rate is averaged. If an account is not updated for this time, its rate is
+	// zero.
 	rateWindow = 10 * time.Second
 )
 
@@ -34,46 +35,52 @@
 // account is the state of one budget at this router and of the router's grant from it.
 type account struct {
 	budget string
-	// grant has number zero until the first move.
+	// grant is the key of the grant. Its number is zero until the first move (see the terms in doc.go).
 	grant masticway.GrantKey
+	// drawn is the total that the grant has drawn from the budget.
 	drawn masticway.Amount
+	// spent is the total of the charges of settled holds.
 	spent masticway.Amount
-	// presumed is the part of spent that is charged because a lost sidecar may have run it.
+	// presumed is the part of spent that was charged at maximum cost because the sidecar was lost and the true cost is
+	// unknown.
 	presumed masticway.Amount
-	// returned includes the money that a move in progress returns.
-	returned  masticway.Amount
+	// returned is the total that the grant has returned to the budget. It includes what a move in progress returns.
+	returned masticway.Amount
+	// held is the sum of the open holds, and holdCount is their number.
 	held      masticway.Amount
 	holdCount int
 	waiters   []waiter
 	state     charter.State
-	// seq is the sequence number of the grant's last move.
+	// seq is the sequence number of the latest move of the grant. It is zero before the first.
 	seq int64
-	// demandRate is the measured demand in units of money per second.
+	// demandRate is the measured demand in units of money per second, as of rateUpdatedAt.
 	demandRate    float64
 	rateUpdatedAt time.Time
 	// lastHoldAt is when the last hold request arrived.
 	lastHoldAt time.Time
-	horizon    time.Duration
-	// nextMoveAt is the earliest time of the next draw or return of idle money.
+	// horizon is the time over which forecast sums the expected demand. It comes with each hold request.
+	horizon time.Duration
+	// nextMoveAt is the earliest time at which drawIfShort or ReleaseIdle starts a move. Other moves do not wait for it.
 	nextMoveAt time.Time
-	// tableRead is set after a move has succeeded; readAt is when the last successful move began, and remaining,
+	// tableRead is set after a move of the grant has succeeded. readAt is when the last successful move began; remaining,
 	// othersOpen and otherPayers are what it found in the budget's row. Under PolicySlice, remaining and othersOpen are
 	// zero.
-	tableRead      bool
-	moveStartedAt  time.Time
-	readAt         time.Time
-	remaining      masticway.Amount
-	othersOpen     masticway.Amount
-	otherPayers    []masticway.Incarnation
+	tableRead     bool
+	moveStartedAt time.Time
+	readAt        time.Time
+	remaining     masticway.Amount
+	othersOpen    masticway.Amount
+	otherPayers   []masticway.Incarnation
+	// lastMoveFailed is set if the table could not be reached for the last finished move.
 	lastMoveFailed bool
-	// bySidecar is the part of spent that each sidecar ran.
+	// bySidecar holds the total charged for the runs of each sidecar.
 	bySidecar map[masticway.Incarnation]masticway.Amount
 }
 
 // free returns the part of the grant that is neither spent, returned nor held.
 func (a *account) free() masticway.Amount { return a.drawn - a.spent - a.returned - a.held }
 
-// recordDemand adds a request to the measured demand and records its horizon.
+// recordDemand adds the maximum cost of a hold request to the demand rate and takes over the horizon of the request.
 func (a *account) recordDemand(now time.Time, r HoldRequest) {
 	a.decayRate(now)
 	a.demandRate += float64(r.MaxAmount) / rateWindow.Seconds()
@@ -84,7 +91,7 @@
 	}
 }
 
-// decayRate reduces the demand rate according to the time since its last update.
+// decayRate lowers the demand rate for the time that has passed since its last update.
 func (a *account) decayRate(now time.Time) {
 	passed := now.Sub(a.rateUpdatedAt)
 	a.rateUpdatedAt = now
@@ -94,7 +101,7 @@
 	a.demandRate *= max(0, 1-passed.Seconds()/rateWindow.Seconds())
 }
 
-// forecast returns the demand expected within the horizon.
+// forecast returns the demand that is expected within the horizon at the current rate.
 func (a *account) forecast() masticway.Amount {
 	return masticway.Amount(a.demandRate * a.horizon.Seconds())
 }
--- a/keeper/doc.go
+++ b/keeper/doc.go
@@ -11,4 +11,16 @@
 // on the table and passes their results back. No timing of these calls can lead
 // to overspending, because a hold is taken only from a grant that the table has
 // already recorded for this incarnation.
+//
+// Terms of this package:
+//   - Table: the table of the row store with a row for each budget and grant.
+//   - Payer: the router incarnation that a grant belongs to.
+//   - Move: one write to the table that draws money into a grant, returns money
+//     to the budget, closes the grant, or does several of these.
+//   - Free money: money in a grant that is neither spent, held nor returned.
+//   - Horizon: how far ahead a draw covers the forecast demand.
+//   - Tracked identity: the identity of a request that must not run twice. The
+//     keeper answers a later request with the same identity as a duplicate.
+//   - PolicySlice: the policy that draws one fixed share of a budget per router.
+//     It is the baseline to which the forecast is compared.
 package keeper
--- a/keeper/draw.go
+++ b/keeper/draw.go
@@ -7,17 +7,20 @@
 )
 
 const (
-	// lowWatermark is a share of the forecast demand. When free money falls below it, a draw starts even if no request
-	// waits yet.
+	// lowWatermark is a share of the forecast demand. If free money is below it, drawIfShort starts a draw even if no
+	// request waits.
 	lowWatermark = 0.25
-	// moveRetryDelay is the minimum time from the start of a move to the next draw or return of idle money, unless the move
-	// drew something.
+	// moveRetryDelay is the minimum time from the start of a move to the next move by drawIfShort or ReleaseIdle. It does
+	// not apply after a move that drew money.
 	moveRetryDelay = 100 * time.Millisecond
 )
 
-// drawIfShort starts a draw if requests wait for money or free money is below the low watermark, unless a move is in
-// progress or the last one is too recent (nextMoveAt). If requests wait and only other routers have money of the budget, it also
-// asks them to return some.
+// drawIfShort starts a draw if requests wait for money. It also starts one if free money is below the low watermark and the
+// budget had money left at the last move, but not under PolicySlice. It does nothing while a move is in progress or before
+// nextMoveAt.
+//
+// If requests wait and at the last move all the budget's money was in the grants of other routers, it also asks those
+// routers to return some.
 func (k *Keeper) drawIfShort(now time.Time, a *account) []Effect {
 	if a.isMoving() || now.Before(a.nextMoveAt) {
 		return nil
@@ -45,8 +48,8 @@
 	return append(effects, k.startMove(now, a, m))
 }
 
-// startMove puts the account's totals and the next sequence number into m and records that the move is in progress. If the
-// account has no grant, it assigns the number of a new one.
+// startMove fills in the fields of m that describe the grant, records that a move is in progress and returns m. If the
+// account has no grant, it assigns the key of a new one. The caller must check that no move is in progress.
 func (k *Keeper) startMove(now time.Time, a *account, m Move) Move {
 	if a.grant.Number == 0 {
 		k.lastGrantNumber++
@@ -70,8 +73,8 @@
 	return m
 }
 
-// ApplyMoveResult applies the result of a move and answers the waiting requests that it can answer now. It may start the
-// next move. The result of a grant that is no longer in memory is ignored.
+// ApplyMoveResult applies the result of a move and answers the waiting requests that can be answered now. It may start the
+// next move. It ignores the result if the grant is no longer in memory.
 func (k *Keeper) ApplyMoveResult(now time.Time, r MoveResult) []Effect {
 	a, ok := k.accounts[r.Move.Grant.Budget]
 	if !ok || a.grant != r.Move.Grant {
@@ -102,8 +105,8 @@
 	return k.serveWaiters(now, a)
 }
 
-// removeClosedGrant drops the account of a grant that the table has closed. If requests wait, they move to a new account,
-// which draws a new grant.
+// removeClosedGrant drops the account of a grant that the table has closed. If requests wait, it puts them into a new
+// account without a grant and starts a draw for it.
 func (k *Keeper) removeClosedGrant(now time.Time, a *account) []Effect {
 	fresh := &account{
 		budget: a.budget, state: grantChart.Initial(), waiters: a.waiters, demandRate: a.demandRate, rateUpdatedAt: a.rateUpdatedAt,
--- a/keeper/effects.go
+++ b/keeper/effects.go
@@ -11,44 +11,48 @@
 
 // Reply answers a hold request.
 type Reply struct {
+	// ID is the id of the hold request.
 	ID     masticway.HoldID
 	Result HoldResult
+	// Grant and Amount describe the hold. They are set if Result is ResultHeld.
 	Grant  masticway.GrantKey
 	Amount masticway.Amount
-	// Sender is set on a duplicate: the sender of the first request.
+	// Sender is set if Result is ResultDuplicate: the sender of the earlier request.
 	Sender masticway.Incarnation
-	// InProgress is set on a duplicate if the first request is still in progress.
+	// InProgress is set if Result is ResultDuplicate and the earlier request waits or has an open hold.
 	InProgress bool
-	// Waited is how long the request waited for money.
+	// Waited is how long the request waited for money. It is zero for a duplicate and for a repeated request.
 	Waited time.Duration
 }
 
-// Move asks the caller to move money between a budget and this router's grant in the table.
-// The caller passes the MoveResult back.
+// Move asks the caller to move money between a budget and this router's grant in the table. The caller must pass the result
+// to ApplyMoveResult.
 type Move struct {
 	Grant masticway.GrantKey
-	// Spent is the total cost charged to the grant so far.
+	// Spent is the total cost charged to the grant.
 	Spent masticway.Amount
-	// Presumed is the part of Spent that is charged because a lost sidecar may have run it.
+	// Presumed is the part of Spent that was charged at maximum cost because the sidecar was lost and the true cost is
+	// unknown.
 	Presumed masticway.Amount
-	// Need is what waiting requests need at least, beyond the grant's free money. Want is what they need at most, together
-	// with the forecast demand, beyond the free money. If both are zero, nothing is drawn.
+	// Need is the sum of the smallest holds that the waiting requests can run with, less the grant's free money. Want is the
+	// sum of their maximum costs and the forecast demand, less the free money. Neither is negative. If both are zero,
+	// nothing is drawn.
 	Need masticway.Amount
 	Want masticway.Amount
-	// Slices is set under PolicySlice. Then the grant's first draw takes the budget's prepaid sum divided by Slices, and
-	// later ones take nothing, whatever Need and Want are.
+	// Slices is set under PolicySlice. The grant's first draw then takes the budget's prepaid sum divided by Slices. Later
+	// draws take nothing, regardless of Need and Want.
 	Slices int
-	// Return is the amount to return to the budget, and Close is set if the grant ends.
+	// Return is the amount to return to the budget. Close is set if the move also closes the grant.
 	Return masticway.Amount
 	Close  bool
-	// Seq is the number of the move among the moves of the grant.
+	// Seq is the sequence number of the move among the moves of the grant, from 1.
 	Seq int64
-	// DrawnBefore is what the grant had drawn before the move. If the answer to the move is lost, the difference between
-	// the total in the row and DrawnBefore is what the move drew.
+	// DrawnBefore is what the grant had drawn when the move started. If the table's answer to the move is lost, the total in
+	// the grant's row less DrawnBefore is what the move drew.
 	DrawnBefore masticway.Amount
 }
 
-// AskPeers asks the routers that have open grants from a budget to return free money.
+// AskPeers asks the routers in Payers, which have open grants from a budget, to return free money.
 type AskPeers struct {
 	Budget string
 	Payers []masticway.Incarnation
@@ -67,7 +71,7 @@
 	Remaining masticway.Amount
 	// OthersOpen is the sum of other payers' open grants.
 	OthersOpen masticway.Amount
-	// OtherPayers lists the payers of those open grants.
+	// OtherPayers lists the payers of the open grants that OthersOpen sums up.
 	OtherPayers []masticway.Incarnation
 	// Failed is set if nothing was moved because the table could not be reached.
 	Failed bool
--- a/keeper/keeper.go
+++ b/keeper/keeper.go
@@ -26,10 +26,11 @@
 type Settings struct {
 	Incarnation masticway.Incarnation
 	Policy      Policy
-	// Slices is the number of routers that share a budget under PolicySlice.
+	// Slices is the number of routers that share a budget under PolicySlice. Other policies ignore it.
 	Slices int
-	// IdleTimeout is the time without hold requests after which a budget's money is returned and its state dropped. While
-	// holds are open, only the free money beyond surplusFactor times the forecast demand is returned.
+	// IdleTimeout is the time without hold requests after which ReleaseIdle returns a budget's free money and closes its
+	// grant. While holds are open, it keeps the grant and returns only the free money beyond surplusFactor times the
+	// forecast demand (under PolicySlice nothing).
 	IdleTimeout time.Duration
 }
 
@@ -43,13 +44,15 @@
 	Sender   masticway.Incarnation
 	// MaxAmount is the maximum cost of the attempt.
 	MaxAmount masticway.Amount `cbor:"Most"`
-	// MinAmount is the smallest hold with which the attempt can run.
+	// MinAmount is the smallest hold that the attempt can run with.
 	MinAmount masticway.Amount `cbor:"Least"`
 	// Tracked is set if the keeper must recognize a later request with the same identity as a duplicate.
 	Tracked bool
-	// FirstIncomplete is set if the first request's run ended early, so that it has no complete answer to share.
+	// FirstIncomplete is set by a sender that knows that an earlier run with the same Identity ended without a complete
+	// answer. The keeper then does not treat the request as a duplicate of one that has been settled.
 	FirstIncomplete bool `cbor:"Again"`
-	// Horizon is how far into the future the demand that the next draws cover extends. If it is zero, it is defaultHorizon.
+	// Horizon is the time over which the forecast demand is summed for the next draws of the budget. If it is zero,
+	// defaultHorizon applies.
 	Horizon time.Duration
 	// MaxWait is how long the request may wait for money.
 	MaxWait time.Duration `cbor:"Wait"`
@@ -58,15 +61,16 @@
 // HoldResult is the result of a hold request.
 type HoldResult string
 
-// The results of a hold request. ResultDuplicate means that an earlier request had the same identity, ResultExhausted that
-// the budget has too little money left, and ResultUnreachable that there may be enough but that it could not be obtained in
-// time.
+// The results of a hold request. ResultDuplicate means that an earlier request had the same identity. ResultExhausted means
+// that the budget has too little money left. ResultUnreachable means that the budget may have enough, but that it could not
+// be obtained in time.
 const (
 	ResultHeld        HoldResult = "held"
 	ResultDuplicate   HoldResult = "duplicate"
 	ResultExhausted   HoldResult = "exhausted"
 	ResultUnreachable HoldResult = "unreachable"
-	// ResultNotKeeper is the answer of a router that is draining or sealed and no longer keeps budgets.
+	// ResultNotKeeper is the answer of a router that is draining or sealed and therefore keeps no budgets. Type Keeper never
+	// returns it.
 	ResultNotKeeper HoldResult = "elsewhere"
 )
 
@@ -74,7 +78,8 @@
 type Charge struct {
 	Sidecar masticway.Incarnation `cbor:"1,keyasint"`
 	Amount  masticway.Amount      `cbor:"2,keyasint"`
-	// Presumed is set if the sidecar is lost. Amount is then the maximum cost of what it may have run.
+	// Presumed is set if the sidecar was lost, so that the true cost is unknown. Amount is then the maximum cost of what the
+	// sidecar may have run.
 	Presumed bool `cbor:"3,keyasint,omitempty"`
 }
 
@@ -86,19 +91,20 @@
 	holds    map[masticway.HoldID]*hold
 	// waitingAccounts holds the account of each request that waits for money.
 	waitingAccounts map[masticway.HoldID]*account
-	// tracked holds, for each identity that must not run twice, the id of the request's hold.
+	// tracked holds the hold id of the latest request with each identity that must not run twice.
 	tracked map[masticway.Identity]masticway.HoldID
-	// senders holds the senders of the tracked requests.
+	// senders holds the sender of each tracked request, by hold id.
 	senders map[masticway.HoldID]masticway.Incarnation
-	// recent lists tracked identities, the oldest first; untracked ones stay in it until maxRecent later ones have come.
+	// recent lists the identities that were tracked last, oldest first, at most maxRecent. It may hold an identity twice and
+	// identities that are no longer tracked.
 	recent          []masticway.Identity
 	lastGrantNumber int64
 	started         time.Time
-	// chartError reports the first event that a state chart did not allow; it shows a bug in this package.
+	// chartError describes the first event that a state chart did not allow. If it is set, this package has a bug.
 	chartError error
 }
 
-// New returns a keeper that has no grants.
+// New returns a keeper that has no grants and has tracked identities since now.
 func New(s Settings, now time.Time) *Keeper {
 	return &Keeper{
 		settings:        s,
@@ -114,11 +120,12 @@
 // Started returns when the keeper began to track identities.
 func (k *Keeper) Started() time.Time { return k.started }
 
-// Hold reserves money for one attempt. If that is not possible yet, it queues the request until there is money, the budget is
-// known to be exhausted, or the request's maximum wait is over.
+// Hold reserves money for one attempt. If that is not possible yet, it queues the request until there is money, the budget
+// is known to be exhausted, or the request's MaxWait is over.
 //
-// A request that already has a hold is answered with that hold. A tracked request is answered as a duplicate if an earlier one
-// with the same identity has a hold or waits, or if it has run and the new one does not have FirstIncomplete set.
+// If the request already has a hold, Hold answers with that hold again. A tracked request is a duplicate if an earlier
+// request with its identity waits or has an open hold. It is also a duplicate if the earlier request has been settled and is
+// still tracked, unless FirstIncomplete is set.
 func (k *Keeper) Hold(now time.Time, r HoldRequest) []Effect {
 	if held, ok := k.holds[r.ID]; ok {
 		return []Effect{Reply{ID: r.ID, Result: ResultHeld, Grant: held.account.grant, Amount: held.amount}}
@@ -139,7 +146,8 @@
 	return k.serveWaiters(now, a)
 }
 
-// track records a request's identity. If more than maxRecent are listed, it removes the oldest one from the list.
+// track records a request's identity. If the list of recent identities then has more than maxRecent entries, it removes the
+// oldest one and stops to track that identity, unless its hold is open or the list holds it again.
 func (k *Keeper) track(r HoldRequest) {
 	k.tracked[r.Identity] = r.ID
 	k.senders[r.ID] = r.Sender
@@ -156,7 +164,8 @@
 	}
 }
 
-// untrack drops a request's identity, so that a later request with the same identity is not a duplicate.
+// untrack drops a request's identity, so that a later request with this identity is no duplicate. It does nothing if a later
+// request has already taken over the identity.
 func (k *Keeper) untrack(r HoldRequest) {
 	if k.tracked[r.Identity] != r.ID {
 		return
@@ -165,7 +174,7 @@
 	delete(k.senders, r.ID)
 }
 
-// account returns the account of a budget, which it creates if there is none.
+// account returns the account of a budget. It creates the account if there is none.
 func (k *Keeper) account(budget string) *account {
 	a, ok := k.accounts[budget]
 	if !ok {
@@ -175,7 +184,7 @@
 	return a
 }
 
-// Resize reduces a hold when a smaller maximum cost has become known. A larger amount is ignored.
+// Resize reduces a hold after a smaller maximum cost has become known. It ignores a larger amount and an unknown hold.
 func (k *Keeper) Resize(now time.Time, id masticway.HoldID, amount masticway.Amount) []Effect {
 	h, ok := k.holds[id]
 	if !ok || amount >= h.amount {
@@ -187,8 +196,8 @@
 	return k.serveWaiters(now, h.account)
 }
 
-// Settle ends a hold and charges its cost. Settling it again has no effect. If the request still waits for a hold, it is
-// canceled without a reply.
+// Settle ends a hold and charges its cost to the grant. A second call for the hold has no effect. If the request still waits
+// for money, Settle cancels it without a reply.
 func (k *Keeper) Settle(now time.Time, id masticway.HoldID, charges []Charge) []Effect {
 	h, ok := k.holds[id]
 	if !ok {
@@ -220,7 +229,7 @@
 	return k.serveWaiters(now, a)
 }
 
-// cancelWait drops a request that still waits for money, after its sender has canceled it.
+// cancelWait drops a request that still waits for money. It sends no reply. It does nothing if the request does not wait.
 func (k *Keeper) cancelWait(id masticway.HoldID) {
 	a, ok := k.waitingAccounts[id]
 	if !ok {
@@ -235,7 +244,8 @@
 	})
 }
 
-// serveWaiters answers waiting requests in order, until one must go on waiting, and starts a draw if money is short.
+// serveWaiters answers the waiting requests of an account in order, up to the first that must go on waiting. It then starts
+// a draw if money is short (drawIfShort).
 func (k *Keeper) serveWaiters(now time.Time, a *account) []Effect {
 	var effects []Effect
 	for len(a.waiters) > 0 {
@@ -254,8 +264,8 @@
 // decide takes a hold for a waiting request or refuses it, and returns the reply. It returns false if the request must go on
 // waiting.
 //
-// ResultExhausted requires a read of the table that began after the request
-// arrived, so that a recent top-up is never missed.
+// It refuses with ResultExhausted only if the last read of the table began at or after the arrival of the request, so that
+// it does not miss a recent top-up.
 func (k *Keeper) decide(now time.Time, a *account, w waiter) (Reply, bool) {
 	free := a.free()
 	r := w.request
@@ -295,9 +305,9 @@
 	return Reply{ID: w.request.ID, Result: result, Waited: now.Sub(w.since)}
 }
 
-// Tick answers the waiting requests that can be answered now, for example because their deadline has passed, and starts draws
-// for the others. The requests for a budget are answered in order, so an answer can be later than the deadline. Tick visits
-// only budgets for which requests wait.
+// Tick answers the waiting requests that can be answered now, for example because their deadline has passed, and starts
+// draws for the others. The requests for a budget are answered in order, so a reply may come later than the deadline. Tick
+// visits only budgets for which requests wait.
 func (k *Keeper) Tick(now time.Time) []Effect {
 	if len(k.waitingAccounts) == 0 {
 		return nil
--- a/keeper/return.go
+++ b/keeper/return.go
@@ -5,16 +5,17 @@
 )
 
 const (
-	// surplusFactor is the multiple of the forecast demand that an idle budget keeps as free money while it has open holds.
+	// surplusFactor is a multiple of the forecast demand: how much free money ReleaseIdle leaves in the grant of an idle
+	// budget that has open holds.
 	surplusFactor = 3
-	// handOverDelay is the time without hold requests after which a budget that another router now keeps is handed
-	// over. While that router is unreachable for a short time, requests still arrive here, and the delay avoids a move
-	// for each.
+	// handOverDelay is the time without hold requests after which HandOver returns the money of a budget that another router
+	// now keeps. While that router is briefly unreachable, requests still arrive here. The delay avoids a move for each of
+	// them.
 	handOverDelay = 2 * time.Second
 )
 
-// ReleaseIdle starts moves that return the money of idle budgets, and drops budgets without a grant. It leaves budgets for
-// which requests wait as they are. It visits every budget, so it should be called rarely.
+// ReleaseIdle starts moves that return the free money of idle budgets (see Settings.IdleTimeout), and drops accounts without
+// a grant. It skips budgets for which requests wait. It visits every budget, so it should be called rarely.
 func (k *Keeper) ReleaseIdle(now time.Time) []Effect {
 	var effects []Effect
 	for _, budget := range k.sortedBudgets() {
@@ -49,9 +50,11 @@
 	return nil
 }
 
-// ReturnFree starts a move that returns free money for which a peer has asked: half of it, or all of it if another router now
-// keeps the budget (keptElsewhere) or no hold request has arrived within the horizon. It does nothing under PolicySlice, while
-// requests wait, or while a move is in progress.
+// ReturnFree starts a move that returns free money to the budget after another router has asked for it (AskPeers). It
+// returns half of the free money. It returns all of it if another router now keeps the budget (keptElsewhere), or if no hold
+// request has arrived for as long as the account's horizon.
+//
+// It does nothing under PolicySlice, while requests wait, or while a move is in progress.
 func (k *Keeper) ReturnFree(now time.Time, budget string, keptElsewhere bool) []Effect {
 	a, ok := k.accounts[budget]
 	if !ok || a.isMoving() || a.grant.Number == 0 || len(a.waiters) > 0 || k.settings.Policy == PolicySlice {
@@ -67,9 +70,10 @@
 	return []Effect{k.startMove(now, a, Move{Return: free})}
 }
 
-// HandOver starts a move that returns the free money of a budget that another router now keeps, and that closes the grant if
-// no hold is open. It must be called repeatedly until the grant is closed. It does nothing while requests wait, while a move is
-// in progress, or within handOverDelay of the last hold request.
+// HandOver starts a move that returns the free money of a budget, and closes the grant if no hold is open. The caller must
+// check that another router now keeps the budget, and call HandOver repeatedly until the grant is closed.
+//
+// It does nothing while requests wait, while a move is in progress, or until handOverDelay after the last hold request.
 func (k *Keeper) HandOver(now time.Time, budget string) []Effect {
 	a, ok := k.accounts[budget]
 	if !ok || a.isMoving() || a.grant.Number == 0 || len(a.waiters) > 0 || now.Sub(a.lastHoldAt) < handOverDelay {
@@ -84,8 +88,8 @@
 	return []Effect{k.startMove(now, a, Move{Return: a.free()})}
 }
 
-// Drain starts moves that return all money that is not held and close the grants without open holds. It must be called
-// repeatedly until IsEmpty returns true.
+// Drain starts moves that return all money that is not held, and that close the grants without open holds. It does so even
+// for budgets for which requests wait. The caller must call it repeatedly until IsEmpty returns true.
 func (k *Keeper) Drain(now time.Time) []Effect {
 	var effects []Effect
 	for _, budget := range k.sortedBudgets() {
