--- a/bookkeeper/bookkeeper.go
+++ b/bookkeeper/bookkeeper.go
@@ -32,13 +32,15 @@
 // New returns a ledger that uses the given table.
 func New(t masticway.Table) *Ledger { return &Ledger{table: t} }
 
-// errAlreadyDone ends an update that has nothing to change, usually because it is already committed.
+// errAlreadyDone is what change returns to update if there is nothing to write, usually because an earlier attempt was
+// committed.
 var errAlreadyDone = errors.New("nothing to commit")
 
-// update reads the row key, calls change to compute a transaction from it, and commits that. It starts again after a conflict
-// on this row and after a commit whose outcome is unknown. It returns the error of a conflict on another row.
+// update reads the row key, calls change to compute a transaction from it, and commits that on condition that the row is
+// unchanged. After a conflict on this row, and if the outcome of a commit is unknown, it starts again, up to
+// maxCommitAttempts times. It returns any other error, also that of a conflict on another row.
 //
-// Because change sees each new reading of the row, it can recognize its own write after a lost answer; it then returns
+// After a lost answer, change sees the row that its own write may have changed. If it recognizes that write, it returns
 // errAlreadyDone, and update returns nil.
 func update[T any](ctx context.Context, t masticway.Table, key, id string, change func(v T, version int64) ([]masticway.Condition, []masticway.Put, error)) error {
 	var commitErr error
@@ -90,8 +92,8 @@
 	}
 }
 
-// keepUnknown returns the error of an update whose next attempt failed with err before it committed anything. That is err, or
-// an OutcomeUnknownError if the outcome of the last commit is unknown.
+// keepUnknown returns the error of an update that ends with err. commitErr is the error of its last commit, or nil if it had
+// none. If the outcome of that commit is unknown, the result is an OutcomeUnknownError, otherwise err.
 func keepUnknown(commitErr, err error, id string) error {
 	unknown, ok := errors.AsType[*masticway.OutcomeUnknownError](commitErr)
 	if !ok {
@@ -100,10 +102,11 @@
 	return &masticway.OutcomeUnknownError{Service: unknown.Service, ID: id, Reason: err.Error()}
 }
 
-// DrawSize returns how much of the remaining money a draw takes, which is at most want unless need is larger.
+// DrawSize returns how much of a budget's remaining money a draw takes. It takes need, or all that remains if that is less.
+// Beyond need it takes up to want.
 //
-// Unless the payer is the only one with an open grant, the draw takes, beyond its need, at most extraDrawShare of what its need
-// leaves.
+// Unless the payer is the only one with an open grant (onlyPayer), the part beyond need is at most extraDrawShare of what
+// remains after need.
 func DrawSize(remaining, need, want masticway.Amount, onlyPayer bool) masticway.Amount {
 	if remaining <= 0 {
 		return 0
@@ -118,10 +121,12 @@
 	return min(remaining, max(need, min(want, need+extra)))
 }
 
-// ApplyMove carries out a keeper's move. linksVersion is the version of the payer's links row as the payer knows it.
+// ApplyMove carries out a keeper's move, on condition that the payer's links row has the version linksVersion. A repeated
+// move changes nothing and gets the result of the first. If the budget does not exist, ApplyMove only sets BudgetMissing in
+// the result.
 //
-// It fails with a SealedError if the payer has been fenced or its links row is gone, and with a ConflictError if the links row
-// has another version for a different reason. If the budget does not exist, it only sets BudgetMissing in the result.
+// It fails with a SealedError if the payer has been fenced or its links row is gone. It fails with a ConflictError if the
+// links row has another version for a different reason.
 func (b *Ledger) ApplyMove(ctx context.Context, m keeper.Move, linksVersion int64) (keeper.MoveResult, error) {
 	key := prefixBudget + m.Grant.Budget
 	id := fmt.Sprintf("move/%s/%d/%d", m.Grant.Payer, m.Grant.Number, m.Seq)
@@ -150,8 +155,8 @@
 	return result, b.explainMoveError(ctx, m, linksVersion, err)
 }
 
-// explainMoveError returns a SealedError if the payer of a failed move has been fenced or its links row is gone, and otherwise
-// the cause.
+// explainMoveError returns the error of a move that failed with cause: a SealedError if the payer has been fenced or its
+// links row is gone, and otherwise one that wraps cause.
 func (b *Ledger) explainMoveError(ctx context.Context, m keeper.Move, linksVersion int64, cause error) error {
 	row, err := b.table.Get(ctx, prefixLinks+string(m.Grant.Payer))
 	if err != nil {
@@ -186,8 +191,8 @@
 	return 0
 }
 
-// applyMove returns the budget after a move and how much the move drew. done is set if nothing needs to be written, because the
-// row already contains the move or the move would change no amount.
+// applyMove returns the budget after a move and how much the move drew. done is set if nothing needs to be written: the row
+// already contains the move, the move would change no amount, or it closes a grant that the row does not contain.
 func applyMove(row Budget, m keeper.Move) (next Budget, drawn masticway.Amount, done bool) {
 	next = row.clone()
 	i := next.grantIndex(m.Grant)
@@ -220,12 +225,12 @@
 	return next, drawn, idle
 }
 
-// recordedDraw returns how much a move drew that the row already contains.
+// recordedDraw returns how much money a move drew. The caller must check that the grant's row already contains the move.
 func recordedDraw(g Grant, m keeper.Move) masticway.Amount {
 	return g.Drawn - m.DrawnBefore
 }
 
-// drawAmount returns how much a move draws.
+// drawAmount returns how much a move draws from a budget to which its return has already been applied.
 func drawAmount(b Budget, m keeper.Move) masticway.Amount {
 	if m.Slices > 0 {
 		if m.DrawnBefore > 0 {
@@ -251,8 +256,9 @@
 	return puts
 }
 
-// TopUp adds prepaid money to a budget, once for each change id, and creates the budget if it does not exist. It returns the
-// budget's row, and fails with an AmountError if the amount is not positive.
+// TopUp adds prepaid money to a budget and returns the budget's row. It creates the budget if it does not exist. If the
+// budget has already been topped up with this change id, it changes nothing. It fails with an AmountError if the amount is
+// not positive.
 func (b *Ledger) TopUp(ctx context.Context, budget, changeID string, amount masticway.Amount) (Budget, error) {
 	if amount <= 0 {
 		return Budget{}, &AmountError{Amount: amount}
@@ -288,8 +294,8 @@
 // Error names the amount.
 func (e *AmountError) Error() string { return fmt.Sprintf("amount %d is not positive", e.Amount) }
 
-// Refund subtracts the amount of a double or superseded bill from the budget's settled amount, once for each hold. It does
-// nothing if the budget does not exist, and fails with an InvariantError if less than the amount is settled.
+// Refund subtracts the amount of a double or superseded bill from the budget's settled amount. It does nothing if the budget
+// does not exist or the hold has already been refunded. It fails with an InvariantError if less than the amount is settled.
 func (b *Ledger) Refund(ctx context.Context, budget string, hold masticway.HoldID, amount masticway.Amount) error {
 	marker := prefixRefund + string(hold)
 	return update(ctx, b.table, prefixBudget+budget, marker, func(row Budget, version int64) ([]masticway.Condition, []masticway.Put, error) {
@@ -330,11 +336,11 @@
 	return b.PutLinks(ctx, Links{Incarnation: inc, State: LinksOpen}, 0)
 }
 
-// PutLinks replaces a links row if its version is still the given one, and returns the new version. If the row already has the
-// new value, PutLinks only returns the row's version.
+// PutLinks replaces a links row if its version is still the given one, and returns the new version. If the row already has
+// the new value, PutLinks only returns the row's version.
 //
-// Otherwise it fails with a SealedError. Usually the row has been sealed or deleted; it may also be that an earlier write of the
-// caller with another value succeeded and its answer was lost, so the caller should read the row.
+// Otherwise it fails with a SealedError. Usually the row has then been sealed or deleted. But it may also hold another value
+// that the caller wrote earlier and whose acknowledgement was lost, so the caller should read the row.
 func (b *Ledger) PutLinks(ctx context.Context, links Links, version int64) (int64, error) {
 	key := prefixLinks + string(links.Incarnation)
 	value := encode(links)
@@ -372,8 +378,8 @@
 	return links, row.Version, err
 }
 
-// PutLease writes a lease row. It needs no condition, because other incarnations never write the row and delete it only after
-// the recovery of this one.
+// PutLease writes the lease row of a router. It needs no condition, because other incarnations never write the row. They
+// delete it only after they have recovered the router's incarnation.
 func (b *Ledger) PutLease(ctx context.Context, d RouterLease) error {
 	key := prefixDaemon + string(d.Incarnation)
 	return b.table.Commit(ctx, masticway.Transaction{ID: key, Puts: []masticway.Put{{Key: key, Value: encode(d)}}})
@@ -391,7 +397,8 @@
 	return decode[RouterLease](row)
 }
 
-// Challenge asks an incarnation that seems to have failed to renew its lease at once.
+// Challenge writes a row that asks an incarnation to renew its lease at once. by is the incarnation that suspects it of
+// having failed.
 func (b *Ledger) Challenge(ctx context.Context, inc, by masticway.Incarnation) error {
 	key := prefixChallenge + string(inc)
 	return b.table.Commit(ctx, masticway.Transaction{ID: key, Puts: []masticway.Put{{Key: key, Value: encode(by)}}})
@@ -420,13 +427,13 @@
 	return leases, nil
 }
 
-// PutReport stores a sidecar's totals for later recoveries.
+// PutReport stores the totals of a sidecar that shuts down, for later recoveries of routers.
 func (b *Ledger) PutReport(ctx context.Context, r Report) error {
 	key := prefixReport + string(r.Sidecar)
 	return b.table.Commit(ctx, masticway.Transaction{ID: key, Puts: []masticway.Put{{Key: key, Value: encode(r)}}})
 }
 
-// Report reads the totals that a sidecar stored. It returns false if the sidecar has stored none.
+// Report reads the totals that a sidecar stored at its shutdown. It returns false if there are none.
 func (b *Ledger) Report(ctx context.Context, sidecar masticway.Incarnation) (Report, bool, error) {
 	row, err := b.table.Get(ctx, prefixReport+string(sidecar))
 	if err != nil {
--- a/bookkeeper/fence.go
+++ b/bookkeeper/fence.go
@@ -7,7 +7,8 @@
 	"github.com/masticway/masticway"
 )
 
-// prefixFence is the key prefix of the rows that hold the latest order to each upstream and its fencing number.
+// prefixFence is the key prefix of the rows with the latest order to each upstream instance. Each order has a fencing
+// number, which is higher than that of the order before it.
 const prefixFence = "fence/"
 
 type fenceRow struct {
@@ -16,7 +17,7 @@
 	ID     string          `json:"id"`
 }
 
-// LatestFence returns the latest fencing number assigned to an order for an upstream instance, or zero if there is none.
+// LatestFence returns the fencing number of the latest order to an upstream instance, or zero if there is none.
 func LatestFence(ctx context.Context, t masticway.Table, instance string) (int64, error) {
 	row, err := t.Get(ctx, prefixFence+instance)
 	if err != nil {
@@ -27,7 +28,7 @@
 }
 
 // AssignFence assigns the next fencing number of an upstream instance to an order, stores the order and returns it. id
-// identifies the order: if the instance's latest order has this id, AssignFence only returns that order.
+// identifies the order. If the instance's latest order already has this id, AssignFence only returns that order.
 func (b *Ledger) AssignFence(ctx context.Context, instance, id string, o masticway.Order) (masticway.Order, error) {
 	key := prefixFence + instance
 	err := update(ctx, b.table, key, "order/"+id, func(row fenceRow, _ int64) ([]masticway.Condition, []masticway.Put, error) {
--- a/bookkeeper/recovery.go
+++ b/bookkeeper/recovery.go
@@ -7,8 +7,8 @@
 	"github.com/masticway/masticway"
 )
 
-// Seal fences an incarnation in the table, so that it can no longer draw money or link to another sidecar. It returns the
-// sealed links row, or an empty one if there is none.
+// Seal fences an incarnation in the table, so that it can no longer draw money or add a sidecar to its links row. It returns
+// the sealed links row, or an empty one if there is none.
 func (b *Ledger) Seal(ctx context.Context, inc masticway.Incarnation) (Links, error) {
 	key := prefixLinks + string(inc)
 	var sealed Links
@@ -46,19 +46,21 @@
 // GrantClosure is what the recovery of an incarnation has found out about one of its grants.
 type GrantClosure struct {
 	Grant masticway.GrantKey
-	// Spent is the true cost that the sidecars reported.
+	// Spent is the cost of the finished runs, as far as the sidecars reported it.
 	Spent masticway.Amount
-	// Running is the maximum cost of the runs that are still in progress. This amount stays granted.
+	// Running is the maximum cost of the runs that are still in progress.
 	Running masticway.Amount
-	// SidecarLost is set if a sidecar is gone without a final report. The rest of the grant is then presumed spent as soon as
-	// nothing runs.
+	// SidecarLost is set if a sidecar is gone without a final report.
 	SidecarLost bool
 }
 
-// Recover settles what a sealed incarnation has spent from a grant and returns the rest to the budget. While runs are in progress
-// it keeps their maximum cost granted; afterwards it closes the grant. If a sidecar is lost, it returns nothing.
+// Recover settles what a sealed incarnation has spent from a grant and returns the rest to the budget. It then closes the
+// grant. While runs are in progress, it keeps the grant open with their maximum cost.
 //
-// Recover is idempotent and safe to call concurrently. It returns the amount returned to the budget by this call.
+// If a sidecar is lost, it does nothing while runs are in progress at other sidecars. Afterwards it closes the grant and
+// settles all of it as presumed spent.
+//
+// Recover is idempotent and safe to call concurrently. It returns the amount that this call returned to the budget.
 func (b *Ledger) Recover(ctx context.Context, c GrantClosure) (returned masticway.Amount, err error) {
 	key := prefixBudget + c.Grant.Budget
 	id := fmt.Sprintf("recover/%s/%d", c.Grant.Payer, c.Grant.Number)
@@ -83,8 +85,8 @@
 	return returned, nil
 }
 
-// applyClosure returns the budget after one call of Recover, the amount returned to it and whether the grant is closed.
-// done is set if there is nothing to change.
+// applyClosure returns the budget after one call of Recover, the amount returned to it and whether the grant is closed. done
+// is set if there is nothing to write.
 func applyClosure(row Budget, c GrantClosure) (next Budget, returned masticway.Amount, closed, done bool) {
 	next = row.clone()
 	i := next.grantIndex(c.Grant)
@@ -116,7 +118,8 @@
 	return next, refund, false, false
 }
 
-// DeleteIncarnation deletes the links, lease and challenge rows of an incarnation. All of its grants must be closed.
+// DeleteIncarnation deletes the links, lease and challenge rows of an incarnation. The caller must have closed all of its
+// grants.
 func (b *Ledger) DeleteIncarnation(ctx context.Context, inc masticway.Incarnation) error {
 	return b.table.Commit(ctx, masticway.Transaction{
 		ID: "forget/" + string(inc),
--- a/bookkeeper/rows.go
+++ b/bookkeeper/rows.go
@@ -16,10 +16,11 @@
 	Drawn    masticway.Amount      `json:"drawn"`
 	Settled  masticway.Amount      `json:"settled"`
 	Returned masticway.Amount      `json:"returned"`
-	// Presumed is the part of Settled that is charged because a lost sidecar may have run it.
+	// Presumed is the part of Settled that was charged at maximum cost because a sidecar was lost and the true cost is
+	// unknown.
 	Presumed masticway.Amount `json:"presumed,omitempty"`
-	// Seq is the sequence number of the last committed move of the grant. It shows whether a move succeeded whose answer was
-	// lost.
+	// Seq is the sequence number of the latest committed move of the grant. After a lost answer it shows whether the move
+	// was committed.
 	Seq int64 `json:"seq"`
 }
 
@@ -31,9 +32,10 @@
 	ID      string           `json:"id"`
 	Prepaid masticway.Amount `json:"prepaid"`
 	Settled masticway.Amount `json:"settled"`
-	// Presumed is the part of Settled that is charged because a lost sidecar may have run it.
+	// Presumed is the part of Settled that was charged at maximum cost because a sidecar was lost and the true cost is
+	// unknown.
 	Presumed masticway.Amount `json:"presumed,omitempty"`
-	// Refunded is the sum of the refunds for double and superseded bills, which has already been subtracted from Settled.
+	// Refunded is the sum of the refunds for double and superseded bills. It has already been subtracted from Settled.
 	Refunded masticway.Amount `json:"given_back,omitempty"`
 	Grants   []Grant          `json:"grants,omitempty"`
 }
@@ -47,7 +49,7 @@
 	return sum
 }
 
-// Remaining returns the amount that can still be granted.
+// Remaining returns the prepaid money that is neither settled nor in an open grant.
 func (b Budget) Remaining() masticway.Amount { return b.Prepaid - b.Settled - b.OpenAmount() }
 
 // Check returns an InvariantError if the row breaks an invariant.
@@ -63,7 +65,8 @@
 	return nil
 }
 
-// InvariantError reports a budget row that breaks an invariant: the prepaid amount is too small, or an amount is negative.
+// InvariantError reports a budget row in which an amount is negative, or in which more than the prepaid amount is settled
+// and granted.
 type InvariantError struct {
 	Budget  string
 	Prepaid masticway.Amount
@@ -77,7 +80,7 @@
 	return fmt.Sprintf("budget %s breaks prepaid %d >= settled %d + open %d", e.Budget, e.Prepaid, e.Settled, e.Open)
 }
 
-// grantIndex returns the index of a payer's grant, or -1.
+// grantIndex returns the index of a grant in Grants, or -1 if there is none.
 func (b Budget) grantIndex(k masticway.GrantKey) int {
 	return slices.IndexFunc(b.Grants, func(g Grant) bool { return g.Payer == k.Payer && g.Number == k.Number })
 }
@@ -88,7 +91,7 @@
 	return b
 }
 
-// LinksState determines whether an incarnation may still use sidecars and money.
+// LinksState determines whether an incarnation may still use money and sidecars.
 type LinksState string
 
 // The states of a links row.
@@ -97,12 +100,12 @@
 	LinksSealed LinksState = "sealed"
 )
 
-// Links is the row with the durable set of sidecars that may have run work for an incarnation's money.
+// Links is the row with the sidecars that may have run work for an incarnation's money.
 type Links struct {
 	Incarnation masticway.Incarnation   `json:"incarnation"`
 	State       LinksState              `json:"state"`
 	Sidecars    []masticway.Incarnation `json:"sidecars"`
-	// SpentByRemoved is, by grant number, the cost of what was run by sidecars that have since been removed from the set.
+	// SpentByRemoved holds, by grant number, the cost of what was run by sidecars that have been removed from Sidecars.
 	SpentByRemoved map[int64]masticway.Amount `json:"absorbed,omitempty"`
 }
 
@@ -119,17 +122,17 @@
 	ExpiresAt       time.Time             `json:"lease"`
 	AppliedRevision masticway.Revision    `json:"applied"`
 	State           string                `json:"state"`
-	// BlockedRecoveries names the recoveries that this router carries out and what blocks them.
+	// BlockedRecoveries names the recoveries that this router carries out and cannot finish, and what blocks them.
 	BlockedRecoveries string `json:"stranded,omitempty"`
 }
 
-// Report is the row that a sidecar writes at a graceful shutdown.
+// Report is the row that a sidecar writes when it shuts down gracefully.
 type Report struct {
 	Sidecar masticway.Incarnation `json:"sidecar"`
 	Totals  []Total               `json:"totals"`
 }
 
-// Total is the cost of what one sidecar has run for one grant, and the maximum cost of what is still running.
+// Total is the cost of a sidecar's finished runs for one grant, and the maximum cost of its runs still in progress.
 type Total struct {
 	Grant   masticway.GrantKey `json:"grant" cbor:"1,keyasint"`
 	Spent   masticway.Amount   `json:"spent" cbor:"2,keyasint"`
@@ -145,7 +148,7 @@
 	prefixTopUp  = "topup/"
 	prefixReport = "report/"
 	prefixRefund = "refund/"
-	// prefixChallenge is for the challenges to routers that seem to have failed.
+	// prefixChallenge is for challenges, each of which asks a router that seems to have failed to renew its lease.
 	prefixChallenge = "challenge/"
 )
 
