--- a/sealer/answer.go
+++ b/sealer/answer.go
@@ -7,8 +7,8 @@
 	"github.com/masticway/masticway"
 )
 
-// Attach makes a router a reader of a run: the router gets the answer from the chunk with index from on, later chunks as they
-// arrive, and the result. If this sidecar does not have the run, the router gets a RunStatus that says so.
+// Attach makes a router a reader of a run. The router is sent the chunks of the answer from index from on, later chunks as
+// they arrive, and the result. If this sidecar does not have the run, the router is sent a RunStatus with Found unset.
 func (s *Sealer) Attach(k masticway.RunKey, from int, to masticway.Incarnation) []Effect {
 	r, ok := s.runs[k]
 	if !ok {
@@ -29,8 +29,8 @@
 	return effects
 }
 
-// Query returns the status of a run. If this sidecar does not have the run, a later dispatch of it is refused for AnswerTTL, so
-// that the caller can rely on the status.
+// Query returns the status of a run. If this sidecar does not have the run, it refuses all dispatches of the run for the
+// next AnswerTTL, so that a run reported as not found cannot start later.
 func (s *Sealer) Query(now time.Time, k masticway.RunKey) RunStatus {
 	r, ok := s.runs[k]
 	if !ok {
@@ -46,14 +46,15 @@
 	return RunStatus{Run: k, Found: true, Result: r.final, Resumed: c.Resumed, ResumedText: c.ResumedText}
 }
 
-// dropWaiting drops the dispatches of a run that wait for a verification, without answering them.
+// dropWaiting drops the dispatches of a run that wait for the verification of their payer or sender. It does not answer
+// them.
 func (s *Sealer) dropWaiting(k masticway.RunKey) {
 	for inc, list := range s.waiting {
 		s.waiting[inc] = slices.DeleteFunc(list, func(p pending) bool { return p.dispatch.Run == k })
 	}
 }
 
-// Find returns the status of the newest run with an identity at this sidecar.
+// Find returns the status of the newest run with an identity that this sidecar has. Unlike Query it has no side effects.
 func (s *Sealer) Find(identity masticway.Identity) RunStatus {
 	k, ok := s.byID[identity]
 	if !ok {
@@ -62,8 +63,8 @@
 	return s.runs[k].status(k)
 }
 
-// Cancel stops a run at the request of one of its readers. If the run has other readers, it only removes that reader. A
-// non-repeatable run goes on and keeps the reader.
+// Cancel stops a run at the request of its only reader. If the run has other readers, Cancel only removes the one that
+// asked. It does nothing if the run is non-repeatable or has ended.
 func (s *Sealer) Cancel(k masticway.RunKey, from masticway.Incarnation) []Effect {
 	r, ok := s.runs[k]
 	if !ok || r.final != nil || r.dispatch.NonRepeatable {
@@ -79,8 +80,8 @@
 	return []Effect{Stop{Run: k}}
 }
 
-// Detach removes a router from the readers of all runs. The runs go on, so that other routers can attach to them; see
-// OrphanTimeout.
+// Detach removes a router from the readers of all runs. The runs go on, so that other routers can attach to them. Tick stops
+// those that have had no reader for OrphanTimeout.
 func (s *Sealer) Detach(now time.Time, router masticway.Incarnation) {
 	for _, r := range s.runs {
 		if !r.readers[router] {
@@ -114,7 +115,8 @@
 	return effects
 }
 
-// evict drops the oldest finished runs while they have expired or the answers take more memory than allowed.
+// evict drops finished runs, oldest first, until the oldest has not expired and the kept answers take at most
+// MaxAnswerBytes.
 func (s *Sealer) evict(now time.Time) {
 	for len(s.ended) > 0 {
 		k := s.ended[0]
--- a/sealer/message.go
+++ b/sealer/message.go
@@ -5,7 +5,7 @@
 	"github.com/masticway/masticway/bookkeeper"
 )
 
-// Dispatch requests that a sidecar run one attempt.
+// Dispatch asks a sidecar to run one attempt.
 type Dispatch struct {
 	Run     masticway.RunKey      `cbor:"1,keyasint"`
 	Request string                `cbor:"2,keyasint"`
@@ -27,8 +27,8 @@
 	Call          masticway.Call `cbor:"12,keyasint"`
 }
 
-// cost returns the cost of what a run used: the price of a call of a plain service, or the weighted tokens of a model run. A
-// resumed run is not charged for the prompt again.
+// cost returns the cost of a run with the given usage. For a plain service it is the price of a call. For a model it is the
+// weighted number of tokens, without the prompt if the run is resumed, because an earlier attempt has paid for that.
 func (d Dispatch) cost(u masticway.Usage) masticway.Amount {
 	if d.Call.Service != "" {
 		return d.Price
@@ -54,15 +54,17 @@
 	ReasonDraining Reason = "leaving"
 	// ReasonStale means that the sender has an older configuration revision than the sidecar.
 	ReasonStale Reason = "stale_revision"
-	// ReasonDuplicate means that another dispatch with the same identity is running, or has run and may not be repeated.
+	// ReasonDuplicate means that another run with the identity is in progress, has a complete answer, or must not be
+	// repeated.
 	ReasonDuplicate Reason = "duplicate"
-	// ReasonCancelled means that the run has been refused before or reported as not found.
+	// ReasonCancelled means that this sidecar has already refused the run or reported it as not found.
 	ReasonCancelled Reason = "cancelled"
-	// ReasonFull means that the maximum number of runs is in progress.
+	// ReasonFull means that Settings.MaxRuns runs are in progress.
 	ReasonFull Reason = "full"
 )
 
-// Accepted confirms to a run's sender that the run has been accepted and will start, or to a router that it has been attached.
+// Accepted confirms to the sender of a dispatch that the run will start. It also confirms to a router that it has been
+// attached.
 type Accepted struct {
 	Run masticway.RunKey `cbor:"1,keyasint"`
 }
@@ -71,11 +73,12 @@
 type Refused struct {
 	Run    masticway.RunKey `cbor:"1,keyasint"`
 	Reason Reason           `cbor:"2,keyasint"`
-	// Existing is set for ReasonDuplicate: the run that already has this identity.
+	// Existing is the run that already has the identity. It is set for ReasonDuplicate.
 	Existing *masticway.RunKey `cbor:"3,keyasint,omitempty"`
-	// Changes are set for ReasonStale: the configuration changes that the sender has not applied. Older ones may be missing.
+	// Changes are the configuration changes that the sender has not applied. They are set for ReasonStale. Old ones may be
+	// missing.
 	Changes []masticway.Change `cbor:"4,keyasint,omitempty"`
-	// Fenced is the incarnation that is sealed, unverified or unlinked.
+	// Fenced is the incarnation that is sealed, unverified or unlinked, for the reasons of those names.
 	Fenced masticway.Incarnation `cbor:"5,keyasint,omitempty"`
 }
 
@@ -105,7 +108,7 @@
 	Hold     masticway.HoldID  `cbor:"6,keyasint"`
 	// Chunks is the number of chunks of the answer.
 	Chunks int `cbor:"7,keyasint"`
-	// Disrupted is set if the upstream or its environment failed, and not the request.
+	// Disrupted is set if the run failed because of the upstream or its environment, not because of the request.
 	Disrupted bool `cbor:"8,keyasint,omitempty"`
 	// UpstreamEnded is set if the upstream's process no longer listens.
 	UpstreamEnded bool `cbor:"9,keyasint,omitempty"`
@@ -117,13 +120,13 @@
 	From int              `cbor:"2,keyasint"`
 }
 
-// Query requests the status of a run. If the sidecar does not have the run, a later dispatch of it is refused for
-// Settings.AnswerTTL.
+// Query asks for the status of a run. If the sidecar does not have the run, it refuses all dispatches of the run for the
+// next Settings.AnswerTTL.
 type Query struct {
 	Run masticway.RunKey `cbor:"1,keyasint"`
 }
 
-// Find requests the status of the newest run with an identity. Unlike Query it has no side effects.
+// Find asks for the status of the newest run with an identity. Unlike Query it has no side effects.
 type Find struct {
 	Identity masticway.Identity `cbor:"1,keyasint"`
 }
@@ -135,17 +138,17 @@
 	Found bool `cbor:"2,keyasint"`
 	// Result is nil while the run is in progress.
 	Result *RunResult `cbor:"3,keyasint,omitempty"`
-	// Resumed and ResumedText are the tokens and the text that earlier attempts had produced when this run began.
+	// Resumed and ResumedText are the number of tokens and the text that earlier attempts had produced when this run began.
 	Resumed     int    `cbor:"4,keyasint,omitempty"`
 	ResumedText string `cbor:"5,keyasint,omitempty"`
 }
 
-// Cancel requests that a run be stopped because its caller has disconnected. See Sealer.Cancel for the exceptions.
+// Cancel asks a sidecar to stop a run because its caller has disconnected. See Sealer.Cancel for the exceptions.
 type Cancel struct {
 	Run masticway.RunKey `cbor:"1,keyasint"`
 }
 
-// Seal fences an incarnation at this sidecar and requests a report of what was run for it.
+// Seal asks a sidecar to fence an incarnation and to report what was run for it.
 type Seal struct {
 	Incarnation masticway.Incarnation `cbor:"1,keyasint"`
 }
@@ -157,8 +160,8 @@
 	Running bool             `cbor:"3,keyasint,omitempty"`
 }
 
-// SealReport reports what a sidecar ran for a sealed incarnation: the totals of the incarnation's grants, and the holds of those
-// runs dispatched by it that the sidecar still has in memory.
+// SealReport reports what a sidecar ran for a sealed incarnation. Totals covers the grants of the incarnation. Holds covers
+// the runs that the incarnation dispatched, as far as the sidecar still has them in memory.
 type SealReport struct {
 	Incarnation masticway.Incarnation `cbor:"1,keyasint"`
 	// Sidecar is the incarnation of the reporting sidecar.
--- a/sealer/seal.go
+++ b/sealer/seal.go
@@ -9,7 +9,8 @@
 	"github.com/masticway/masticway/bookkeeper"
 )
 
-// Seal fences an incarnation and refuses its waiting dispatches. It returns a report of what was run for the incarnation.
+// Seal fences an incarnation and refuses the dispatches that wait for its verification. It returns a report of what was run
+// for it.
 func (s *Sealer) Seal(now time.Time, inc masticway.Incarnation) (SealReport, []Effect) {
 	s.statuses[inc] = StatusSealed
 	waiting := s.waiting[inc]
@@ -36,7 +37,8 @@
 	return HoldReport{Hold: r.dispatch.Hold, Cost: r.final.Cost}
 }
 
-// Totals returns what this sidecar ran and is still running for the grants of a payer, or of all payers if payer is empty.
+// Totals returns the cost of finished runs and the maximum cost of runs in progress, for each grant of a payer. If payer is
+// empty, it covers the grants of all payers.
 func (s *Sealer) Totals(payer masticway.Incarnation) []bookkeeper.Total {
 	byGrant := map[masticway.GrantKey]bookkeeper.Total{}
 	for k, spent := range s.totals {
@@ -69,9 +71,9 @@
 	return int(a.Grant.Number - b.Grant.Number)
 }
 
-// DropClosedGrants drops the totals of those of a payer's grants that are not in open, because they have been closed.
-//
-// Totals of grants with numbers above maxNumber are kept, because these grants were opened after the payer made the list.
+// DropClosedGrants drops the totals of the grants that a payer has closed. open is the payer's list of its open grants, and
+// maxNumber is the highest grant number that it had assigned when it made the list. Grants with higher numbers were opened
+// later, so their totals are kept.
 func (s *Sealer) DropClosedGrants(payer masticway.Incarnation, open []int64, maxNumber int64) {
 	for k := range s.totals {
 		if k.Payer == payer && k.Number <= maxNumber && !slices.Contains(open, k.Number) {
--- a/sealer/sealer.go
+++ b/sealer/sealer.go
@@ -10,23 +10,22 @@
 // Settings configure a sealer.
 type Settings struct {
 	Self masticway.Incarnation
-	// AnswerTTL is the time for which a finished run with its answer is kept, so that routers can attach to it, unless
-	// MaxAnswerBytes is exceeded. It is also the time for which a refused run is remembered.
+	// AnswerTTL is the time for which a finished run with its answer is kept, so that routers can attach to it. The run is
+	// dropped earlier if MaxAnswerBytes is exceeded. AnswerTTL is also the time for which a refused run is remembered.
 	AnswerTTL time.Duration
-	// MaxAnswerBytes limits the total size of the texts of finished answers that are kept.
+	// MaxAnswerBytes limits the total text size of the answers of the finished runs that are kept.
 	MaxAnswerBytes int
-	// OrphanTimeout is the time without readers after which a run is stopped. A non-repeatable run is not stopped.
+	// OrphanTimeout is the time without readers after which a run is stopped. It does not apply to non-repeatable runs.
 	OrphanTimeout time.Duration
 	// MaxRuns limits the number of runs in progress.
 	MaxRuns int
 }
 
-// verifyAheadInterval is the minimum time between two verifications of one router by VerifyAhead. They are repeated until the
-// router's links row contains this sidecar or is sealed.
+// verifyAheadInterval is the minimum time between two verifications of one router that VerifyAhead requests.
 const verifyAheadInterval = 200 * time.Millisecond
 
-// maxKeptChanges limits the number of configuration changes that are kept for routers with an older revision. Those routers get
-// earlier changes from the table.
+// maxKeptChanges limits the number of configuration changes that are kept for routers with an older revision. Those routers
+// must read still earlier changes from the table.
 const maxKeptChanges = 64
 
 // Effect is an action that the caller must carry out: a Send, a Start, a Stop or a Verify.
@@ -47,7 +46,7 @@
 // Stop cancels a run at the upstream. The caller must still call RecordEnd when the run has ended.
 type Stop struct{ Run masticway.RunKey }
 
-// Verify reads an incarnation's links row. The caller passes the resulting status to ApplyVerification.
+// Verify asks the caller to read an incarnation's links row. The caller must pass the resulting status to ApplyVerification.
 type Verify struct{ Incarnation masticway.Incarnation }
 
 func (Send) effect()   {}
@@ -58,8 +57,8 @@
 // IncarnationStatus is the status of an incarnation according to its links row in the table.
 type IncarnationStatus string
 
-// The statuses of an incarnation. StatusSealed means that the row is sealed or does not exist, StatusUnlinked that the row does
-// not contain this sidecar, and StatusUnknown that the row could not be read.
+// The statuses of an incarnation. StatusSealed means that the row is sealed or does not exist. StatusUnlinked means that the
+// row does not contain this sidecar. StatusUnknown means that the row could not be read.
 const (
 	StatusOpen     IncarnationStatus = "open"
 	StatusSealed   IncarnationStatus = "sealed"
@@ -75,7 +74,7 @@
 	tokens int
 	// bytes is the size of the answer's text so far.
 	bytes int
-	// bound is the maximum cost, which is reduced when the prompt has been counted.
+	// bound is the maximum cost. It is reduced when the prompt has been counted.
 	bound  masticway.Amount
 	chunks []masticway.Chunk
 	// final is nil while the run is in progress.
@@ -84,7 +83,7 @@
 	// orphanedAt is when the run lost its last reader. It is zero if the run has a reader.
 	orphanedAt time.Time
 	readers    map[masticway.Incarnation]bool
-	// boundReached is set if the run has been stopped because it would have exceeded its maximum cost.
+	// boundReached is set if the run has been stopped because its cost would have exceeded Dispatch.Bound.
 	boundReached bool
 	cancelled    bool
 }
@@ -102,13 +101,14 @@
 	runs map[masticway.RunKey]*run
 	// byID holds the newest run of each identity.
 	byID map[masticway.Identity]masticway.RunKey
-	// refused holds the runs that must not start because they have been reported as not run, and since when.
+	// refused holds the runs that must not start, because this sidecar has refused them or reported them as not found, and
+	// since when.
 	refused map[masticway.RunKey]time.Time
-	// statuses holds the verified statuses, which are StatusOpen or StatusSealed.
+	// statuses holds the statuses of the verified and sealed incarnations: StatusOpen or StatusSealed.
 	statuses map[masticway.Incarnation]IncarnationStatus
-	// verifiedAheadAt is when VerifyAhead last requested the verification of a router that is not verified yet.
+	// verifiedAheadAt is when VerifyAhead last requested the verification of each router that is not verified yet.
 	verifiedAheadAt map[masticway.Incarnation]time.Time
-	// waiting holds the dispatches that wait for the verification of an incarnation.
+	// waiting holds the dispatches that wait for a verification, by the incarnation to verify.
 	waiting map[masticway.Incarnation][]pending
 	// totals holds the cost of the finished runs by grant.
 	totals map[masticway.GrantKey]masticway.Amount
@@ -118,7 +118,8 @@
 	ended     []masticway.RunKey
 	keptBytes int
 	draining  bool
-	// revision is the newest configuration revision known; changes are the latest changes up to it.
+	// revision is the newest known configuration revision. changes holds the latest changes up to it, at most
+	// maxKeptChanges.
 	revision masticway.Revision
 	changes  []masticway.Change
 }
@@ -137,8 +138,8 @@
 	}
 }
 
-// Dispatch accepts or refuses a run, or queues the dispatch until its payer and its sender have been verified. A repeated
-// dispatch is confirmed again.
+// Dispatch accepts or refuses a run. If the payer or the sender has not been verified, it queues the dispatch and requests
+// the verification. It confirms a repeated dispatch again without starting another run.
 func (s *Sealer) Dispatch(now time.Time, d Dispatch, from masticway.Incarnation) []Effect {
 	if r, ok := s.runs[d.Run]; ok {
 		if r.dispatch.Hold != d.Hold {
@@ -169,7 +170,7 @@
 	return s.start(d, from)
 }
 
-// refuse returns a refusal and true if the run cannot be accepted, whatever the status of its payer and sender.
+// refuse returns a refusal and true if the run cannot be accepted for a reason other than the status of its payer or sender.
 func (s *Sealer) refuse(d Dispatch) (Refused, bool) {
 	if _, ok := s.refused[d.Run]; ok {
 		return Refused{Run: d.Run, Reason: ReasonCancelled}, true
@@ -205,8 +206,9 @@
 	return []Effect{Send{To: from, Message: Accepted{Run: d.Run}}, Start{Run: d.Run, Call: d.Call}}
 }
 
-// VerifyAhead requests the verification of a linked router before its first dispatch, so that a later outage of the table does
-// not block it. It does nothing if the router has been verified, a dispatch waits for that, or the last request is recent.
+// VerifyAhead requests the verification of a linked router before its first dispatch, so that a later outage of the table
+// does not block that dispatch. It does nothing if the router has been verified or sealed, if a dispatch already waits for
+// its verification, or within verifyAheadInterval of the last request.
 func (s *Sealer) VerifyAhead(now time.Time, inc masticway.Incarnation) []Effect {
 	st := s.statuses[inc]
 	if st == StatusOpen || st == StatusSealed || now.Sub(s.verifiedAheadAt[inc]) < verifyAheadInterval || len(s.waiting[inc]) > 0 {
@@ -216,8 +218,8 @@
 	return []Effect{Verify{Incarnation: inc}}
 }
 
-// ApplyVerification applies the status read from the table, and decides on the dispatches that waited for it. An incarnation that
-// has been sealed stays sealed.
+// ApplyVerification applies the status of an incarnation that was read from the table, and decides on the dispatches that
+// waited for it. An incarnation that has been sealed at this sidecar stays sealed.
 func (s *Sealer) ApplyVerification(now time.Time, inc masticway.Incarnation, st IncarnationStatus) []Effect {
 	waiting := s.waiting[inc]
 	delete(s.waiting, inc)
@@ -244,8 +246,8 @@
 	return effects
 }
 
-// RecordPromptCount records the prompt's true token count and reduces the maximum cost accordingly. It sends both and the number
-// of cached tokens to the run's readers.
+// RecordPromptCount records the prompt's true token count and lowers the run's maximum cost accordingly. It sends the counts
+// of prompt and cached tokens and the new maximum to the run's readers.
 func (s *Sealer) RecordPromptCount(k masticway.RunKey, prompt, cached int) []Effect {
 	r, ok := s.runs[k]
 	if !ok || r.final != nil {
@@ -258,8 +260,8 @@
 	return s.sendToReaders(r, PromptCount{Run: k, Prompt: prompt, Bound: r.bound, Cached: cached})
 }
 
-// RecordChunk records the next chunk of an answer and sends it to the run's readers. If the chunk of a model run would exceed the
-// run's maximum cost, it and all later chunks are dropped and the run is stopped.
+// RecordChunk records the next chunk of an answer and sends it to the run's readers. If a model run with this chunk would
+// cost more than Dispatch.Bound, it stops the run instead, and drops this chunk and all later ones.
 func (s *Sealer) RecordChunk(k masticway.RunKey, c masticway.Chunk) []Effect {
 	r, ok := s.runs[k]
 	if !ok || r.final != nil || r.boundReached {
@@ -277,8 +279,8 @@
 	return s.sendToReaders(r, Frame{Run: k, Chunk: c})
 }
 
-// RecordEnd ends a run with the upstream's outcome, or with a failure if that is not nil. It adds the run's cost, which is at
-// most its bound, to the grant's total and sends the result to the run's readers.
+// RecordEnd ends a run. It adds the run's cost, at most Dispatch.Bound, to the grant's total and sends the result to the
+// run's readers. If failure is not nil, the run has failed, unless this sidecar stopped it because of its bound.
 func (s *Sealer) RecordEnd(now time.Time, k masticway.RunKey, o masticway.Outcome, failure *masticway.UpstreamError) []Effect {
 	r, ok := s.runs[k]
 	if !ok || r.final != nil {
@@ -367,8 +369,8 @@
 	}
 }
 
-// AdvanceRevision advances to a newer revision whose changes are not available. Routers with an older revision are refused
-// without getting the changes.
+// AdvanceRevision advances to a newer revision without its changes, which are not available. From then on, routers with an
+// older revision are refused without getting the changes up to it.
 func (s *Sealer) AdvanceRevision(r masticway.Revision) {
 	if r <= s.revision {
 		return
