--- a/recoverer/recoverer.go
+++ b/recoverer/recoverer.go
@@ -32,13 +32,15 @@
 // Effect is an action that the caller must carry out. It is one of the types below.
 type Effect interface{ effect() }
 
-// SealInTable fences the incarnation in the table. The caller passes the sealed row and the incarnation's grants back.
+// SealInTable asks the caller to fence the incarnation in the table. The caller must pass the sealed row and the
+// incarnation's grants to RecordSealed.
 type SealInTable struct{}
 
-// SealAtSidecar seals the incarnation at a sidecar. The caller passes the sidecar's report back, or that the sidecar is gone.
+// SealAtSidecar asks the caller to seal the incarnation at a sidecar. The caller must pass the sidecar's report to
+// RecordReport, or call RecordLost if the sidecar is gone.
 type SealAtSidecar struct{ Sidecar masticway.Incarnation }
 
-// CloseGrants closes grants in the table. The caller reports back whether this succeeded.
+// CloseGrants asks the caller to close grants in the table. The caller must pass to RecordClosed whether this succeeded.
 type CloseGrants struct{ Closures []bookkeeper.GrantClosure }
 
 func (SealInTable) effect()   {}
@@ -48,7 +50,7 @@
 // sidecarReport is what is known of one sidecar.
 type sidecarReport struct {
 	report sealer.SealReport
-	// received is set if report is current. It is reset when the sidecar is to be asked again.
+	// received is set if report is current. It is reset if the sidecar must be asked again.
 	received bool
 	// lost is set if the sidecar is gone without a final report.
 	lost    bool
@@ -69,7 +71,7 @@
 	closing bool
 }
 
-// New returns a recovery that has not taken its first step. The calls of Tick advance it.
+// New returns a recovery that has taken no step yet. Calls of Tick advance it.
 func New(now time.Time, inc masticway.Incarnation) *Recovery {
 	c := charter.MustLoad(charter.Recovery)
 	return &Recovery{incarnation: inc, chart: c, state: c.Initial(), started: now, reports: map[masticway.Incarnation]*sidecarReport{}}
@@ -92,7 +94,8 @@
 	}
 }
 
-// RecordSealed records the sealed links row and the failed incarnation's grants. ok is false if the table did not answer.
+// RecordSealed records the sealed links row and the grants of the failed incarnation. ok is false if the table did not
+// answer; Tick then asks again.
 func (r *Recovery) RecordSealed(links bookkeeper.Links, grants []masticway.GrantKey, ok bool) {
 	r.sealing = false
 	if !ok {
@@ -106,7 +109,7 @@
 	r.step(eventMarked)
 }
 
-// RecordReport records a sidecar's report, which replaces an earlier one. The report of a lost sidecar is ignored, and so is that
+// RecordReport records a sidecar's report, which replaces an earlier one. It ignores the report of a lost sidecar and that
 // of a sidecar that is not in the sealed links row.
 func (r *Recovery) RecordReport(report sealer.SealReport) {
 	w, ok := r.reports[report.Sidecar]
@@ -117,10 +120,11 @@
 	w.received = true
 }
 
-// RecordLost records that a sidecar is known to be gone. found is set if the sidecar wrote the report final to the table.
+// RecordLost records that a sidecar is known to be gone. found is set if the sidecar wrote a report to the table at its
+// shutdown; final is that report.
 //
-// If the sidecar has already reported that nothing runs, that report stays. Otherwise final replaces its report. If there is no
-// final report either, the sidecar is lost.
+// If the sidecar has already reported to this recovery that nothing runs, RecordLost changes nothing. Otherwise final
+// replaces its report. If there is no final report either, the sidecar is lost.
 func (r *Recovery) RecordLost(sidecar masticway.Incarnation, final bookkeeper.Report, found bool) {
 	w, ok := r.reports[sidecar]
 	if !ok {
@@ -149,14 +153,14 @@
 	return totals
 }
 
-// hasRunning reports whether a report names runs in progress.
+// hasRunning reports whether a sidecar's report names runs in progress.
 func hasRunning(s sealer.SealReport) bool {
 	return slices.ContainsFunc(s.Totals, func(t bookkeeper.Total) bool { return t.Running > 0 }) ||
 		slices.ContainsFunc(s.Holds, func(h sealer.HoldReport) bool { return h.Running })
 }
 
-// RecordClosed records whether CloseGrants has succeeded. If it has and runs are still in progress, their sidecars are asked
-// again.
+// RecordClosed records whether CloseGrants has succeeded. If it has and runs are still in progress, the recovery asks their
+// sidecars again.
 func (r *Recovery) RecordClosed(ok bool) {
 	r.closing = false
 	if !ok {
@@ -205,8 +209,8 @@
 	return nil
 }
 
-// askSidecars returns requests to the sidecars that have not reported. If none is missing, it returns the effects of the next
-// step.
+// askSidecars returns requests to the sidecars with missing reports, to each at most one per askInterval. If no report is
+// missing, it takes the next step and returns its effects.
 func (r *Recovery) askSidecars(now time.Time) []Effect {
 	var effects []Effect
 	for _, s := range r.sidecars() {
@@ -228,7 +232,7 @@
 	return slices.Sorted(maps.Keys(r.reports))
 }
 
-// Missing returns the sidecars whose reports the recovery waits for.
+// Missing returns the sidecars that are not lost and whose current reports the recovery waits for.
 func (r *Recovery) Missing() []masticway.Incarnation {
 	var missing []masticway.Incarnation
 	for _, s := range r.sidecars() {
@@ -239,7 +243,7 @@
 	return missing
 }
 
-// closures returns what the reports say about each grant.
+// closures returns what is known about each grant from the sidecars' reports and the links row.
 func (r *Recovery) closures() []bookkeeper.GrantClosure {
 	closures := make([]bookkeeper.GrantClosure, 0, len(r.grants))
 	for _, g := range r.grants {
@@ -262,11 +266,12 @@
 	return closures
 }
 
-// HoldReports returns the reports on holds that the failed incarnation dispatched, and a lost sidecar if there is one. It must
-// be called when all sidecars have reported or are lost.
+// HoldReports returns the sidecars' reports on the holds of runs that the failed incarnation dispatched. It also returns a
+// lost sidecar if there is one. The caller must wait until no report is missing.
 //
-// If a sidecar is lost, the outcome of a hold without a report is unknown. If none is lost, the hold did not run at a sidecar
-// that still has its latest runs in memory. The report that a sidecar wrote to the table at its shutdown names no holds.
+// If a sidecar is lost, the outcome of a hold without a report is unknown. If none is lost, the hold did not run, or its run
+// is no longer in the memory of a sidecar. The latter holds for all runs at a sidecar that shut down gracefully, because the
+// report that it wrote to the table names no holds.
 func (r *Recovery) HoldReports() (reports []SidecarHold, lost masticway.Incarnation) {
 	for _, s := range r.sidecars() {
 		w := r.reports[s]
--- a/recoverer/watch.go
+++ b/recoverer/watch.go
@@ -9,18 +9,19 @@
 	"github.com/masticway/masticway/bookkeeper"
 )
 
-// rankDelay is the delay of a recovery per rank of the router that starts it, so that routers do not all start the same one.
+// rankDelay is the time by which each router starts a recovery later than the router of the next lower rank, so that usually
+// only one starts it.
 const rankDelay = 3 * time.Second
 
 // DetectorSettings configure the detection of failures.
 type DetectorSettings struct {
 	Self   masticway.Incarnation
 	Region string
-	// DetectionTime is the time to detect a failure, apart from the delay by rank: for half of it a router must be silent before
-	// it is suspected, and for the other half it can answer a challenge. A router of another region is suspected later; see
-	// suspicionTimeout.
+	// DetectionTime is the time to detect a failure, without the delay by rank. A router is suspected after it has been
+	// silent for the first half, and can answer a challenge during the second half. A router of another region is suspected
+	// later; see suspicionTimeout.
 	DetectionTime time.Duration
-	// HeartbeatInterval is the time between two writes of a lease row.
+	// HeartbeatInterval is the time between two renewals of a lease row by its router.
 	HeartbeatInterval time.Duration
 }
 
@@ -34,26 +35,26 @@
 	SelfDraining bool
 }
 
-// Responsibility determines how soon this router recovers another one. Check does not ask for it if the other router is alive
-// and not suspected.
+// Responsibility determines how soon this router recovers another one.
 type Responsibility struct {
 	// HoldsMoney is set if this router has open holds that the other router requested.
 	HoldsMoney bool
-	// Rank is this router's position in the order in which routers would recover the other one.
+	// Rank is this router's position, from zero, in the order in which routers start the recovery of the other one.
 	Rank int
 }
 
 // DetectorEffect is an action that the caller must carry out. It is one of the types below.
 type DetectorEffect interface{ detectorEffect() }
 
-// ReadRow reads one lease row. The caller passes the row back.
+// ReadRow asks the caller to read one lease row. The caller must pass the row to ApplyRow.
 type ReadRow struct{ Incarnation masticway.Incarnation }
 
-// Challenge asks a router through the table to renew its lease. The caller reports back whether the challenge was written.
+// Challenge asks the caller to write a challenge to the table, which asks a router to renew its lease. The caller must pass
+// to RecordChallenge whether it was written.
 type Challenge struct{ Incarnation masticway.Incarnation }
 
-// Recover starts a recovery. It is repeated at each Check until Remove is called or the incarnation's row is gone, so the caller
-// must ignore it while the recovery is in progress.
+// Recover asks the caller to start a recovery. Check repeats it until Remove is called or the incarnation's row is gone. The
+// caller must ignore it while the recovery is in progress.
 type Recover struct{ Incarnation masticway.Incarnation }
 
 func (ReadRow) detectorEffect()   {}
@@ -78,7 +79,7 @@
 // routerState is what is known of one other router.
 type routerState struct {
 	row bookkeeper.RouterLease
-	// lastSeenAt is when the router last sent a message or was found to have renewed its lease.
+	// lastSeenAt is when the router was last observed to be alive, or when this router first learned of its current lease.
 	lastSeenAt   time.Time
 	challengedAt time.Time
 	phase        phase
@@ -140,7 +141,7 @@
 	}
 }
 
-// ApplyRow applies the result of ReadRow and reports whether the row is gone. failed is set if the table did not answer.
+// ApplyRow applies the result of ReadRow. It returns true if the row is gone. failed is set if the table did not answer.
 func (w *FailureDetector) ApplyRow(now time.Time, inc masticway.Incarnation, d bookkeeper.RouterLease, found, failed bool) (gone bool) {
 	s, ok := w.routers[inc]
 	if !ok {
@@ -188,7 +189,8 @@
 	s.challengedAt = now
 }
 
-// Check checks all known routers and returns the next effects. observe and responsibilityFor get the row of the router to judge.
+// Check checks all known routers and returns the next effects. It passes the lease row of the router to be checked to
+// observe and to responsibilityFor. It does not call responsibilityFor for a router that is alive and not suspected.
 func (w *FailureDetector) Check(now time.Time, observe func(bookkeeper.RouterLease) Observation, responsibilityFor func(bookkeeper.RouterLease) Responsibility) []DetectorEffect {
 	var effects []DetectorEffect
 	for _, inc := range w.incarnations() {
@@ -262,7 +264,8 @@
 	return w.settings.DetectionTime / 2
 }
 
-// recoveryDelay returns how long this router waits for others to start the same recovery first.
+// recoveryDelay returns how long this router waits for routers of lower rank to start the recovery. It is zero for a router
+// that holds money for the failed one.
 func recoveryDelay(r Responsibility) time.Duration {
 	if r.HoldsMoney {
 		return 0
