--- a/accountant/account.go
+++ b/accountant/account.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// listedEvents maps the events that a report lists in the table of changes to the fields by which they are grouped.
+// listedEvents maps each event that the table of changes lists to the fields by which its lines are grouped.
 var listedEvents = map[string][]string{
 	"started": nil, "stopping": nil, "stopped": {"cut_off"}, "reloaded": {"needs_restart"}, "reload_refused": nil, "server_ended": nil,
 	"configuration_in_force": {"version"}, "configuration_unreadable": {"row_version"}, "registration_unreadable": nil,
@@ -33,8 +33,8 @@
 	trace    trace
 }
 
-// New returns an analyzer with time buckets of the given length. If request is not empty, the analyzer only makes the trace
-// of the request with that id.
+// New returns an analyzer that sums up lines by time buckets of length bucket. If request is not empty, the analyzer instead
+// collects the lines about the request with that id; see Trace.
 func New(bucket time.Duration, request string) *Analyzer {
 	return &Analyzer{
 		bucket: bucket, reader: reader{newest: map[string]time.Time{}},
@@ -46,10 +46,11 @@
 	}
 }
 
-// Read adds all lines of a source. Lines before the first one that names a router are assigned to a router called name.
+// Read adds all lines of a source. Lines before the first one that names a router are assigned to a router with the name of
+// the source.
 func (a *Analyzer) Read(name string, r io.Reader) error { return a.reader.read(name, r, a.addLine) }
 
-// addLine adds one event, to the trace or to the tables.
+// addLine adds one event to the trace or to the tables.
 func (a *Analyzer) addLine(l Line) {
 	outageMS := a.outages.add(l)
 	switch {
@@ -68,7 +69,7 @@
 	}
 }
 
-// addRequestEnd adds the end of a request.
+// addRequestEnd adds the end of a request to the tables.
 func (a *Analyzer) addRequestEnd(l Line) {
 	key, ms := causeOf(l, a.outages.state(l.Router)), l.Number("ms")
 	a.joined.add(l, key.Family)
@@ -87,7 +88,8 @@
 	a.times.add(Key{At: a.bucketStart(l)}, l, ms, key.Family)
 }
 
-// addEvent adds any other event. outageMS is the duration of the outage that the event ends, or zero.
+// addEvent adds an event that is neither the end of a request, a failed attempt nor a money_status. outageMS is the duration
+// in milliseconds of the outage of the store that the event ends, or zero if it ends none.
 func (a *Analyzer) addEvent(l Line, outageMS int64) {
 	a.versions.add(l)
 	a.money.add(l)
@@ -106,8 +108,8 @@
 // bucketStart returns the start of a line's time bucket.
 func (a *Analyzer) bucketStart(l Line) time.Time { return l.Time.UTC().Truncate(a.bucket) }
 
-// Report returns the summary, or a NotFoundError if no line was an event. It ends the outages that are still open, so no
-// lines may be added afterwards.
+// Report returns the summary, or a NotFoundError if no line was an event. It ends the outages that are still open, so the
+// caller must not add lines afterwards.
 func (a *Analyzer) Report() (Report, error) {
 	if a.reader.input.Events == 0 {
 		return Report{}, &NotFoundError{What: "an event of key=value pairs", Lines: a.reader.input.Lines}
--- a/accountant/cause.go
+++ b/accountant/cause.go
@@ -26,7 +26,7 @@
 	"router_overloaded": "router_overloaded",
 }
 
-// FamilyOf returns the family of a request's outcome.
+// FamilyOf returns the family of a request's outcome, which is "other" if the outcome is unknown.
 func FamilyOf(outcome string) string {
 	if f, ok := families[outcome]; ok {
 		return f
@@ -34,8 +34,8 @@
 	return familyOther
 }
 
-// reasons maps substrings of the logged cause of a failure to reasons. The first substring that the cause contains determines the
-// reason. The substrings are taken from the error messages of other packages and of the standard library.
+// reasons maps substrings of a failure's logged cause to reasons. The first entry that matches counts. The substrings are
+// taken from the error messages of other packages and of the standard library.
 var reasons = []struct{ substring, reason string }{
 	{"waits for its turn to run alone", "waits_to_run_apart"},
 	{"ended under this request", "servers_ended"},
@@ -63,7 +63,8 @@
 	{"EOF", "connection_lost"},
 }
 
-// reasonOf returns the reason for a failure with a logged cause. It is empty if the cause is.
+// reasonOf returns the reason for a failure with a logged cause. It is "other" if the cause has no known substring, and
+// empty if the cause is empty.
 func reasonOf(cause string) string {
 	for _, r := range reasons {
 		if strings.Contains(cause, r.substring) {
@@ -101,8 +102,8 @@
 	return reasonNothing
 }
 
-// causeOf returns the key for the cause of a request's end. The key contains store, the state of the store, only if the
-// request was refused for lack of money.
+// causeOf returns the key of the row in which the end of a request, line l, is counted. store describes how the router
+// reached the store then (outages.state). The key contains it only if the request was refused for lack of money.
 func causeOf(l Line, store string) Key {
 	outcome := l.Text("outcome")
 	k := Key{Family: FamilyOf(outcome), Outcome: outcome, Reason: reasonOf(l.Text("cause"))}
--- a/accountant/joined.go
+++ b/accountant/joined.go
@@ -10,9 +10,9 @@
 
 // joinedRequest is what the lines of all routers say about one request.
 type joinedRequest struct {
-	// failures and ends are the numbers of its failed attempts and of its ends.
+	// failures is the number of the request's failed attempts, and ends is how often its end was logged.
 	failures, ends int
-	// router is the router of the first line, and last is the family of the latest end.
+	// router is the router of the first line. last is the family of the latest end, or "no_end_line" if there is none.
 	router, last   string
 	severalRouters bool
 	// at is the time of the latest end.
@@ -50,8 +50,10 @@
 }
 
 // list returns the numbers of requests with failed attempts, with several ends and with several routers, by the family of
-// the last end. If there is no line for the end of a request, it was served and not sampled, it was still in progress, or its
-// router crashed or dropped the line.
+// the last end.
+//
+// A request without a line for its end was served but not sampled, or was still in progress, or its router crashed or
+// dropped the line.
 func (j *joinedRequests) list() []Row {
 	all := rows{}
 	for _, r := range j.ids {
--- a/accountant/money.go
+++ b/accountant/money.go
@@ -23,7 +23,7 @@
 	kinds["left_most"] = max(kinds["left_most"], l.Number("left"))
 }
 
-// add adds an event; events that do not concern money are ignored.
+// add adds an event. It ignores events that do not concern money.
 func (m money) add(l Line) {
 	workspace, router := Key{Name: l.Text("workspace")}, Key{Name: l.Router}
 	switch l.Event {
--- a/accountant/outages.go
+++ b/accountant/outages.go
@@ -2,20 +2,22 @@
 
 import "time"
 
-// outageKey identifies an open outage of the store by its router, the event with which it began and the table, if any.
+// outageKey identifies an open outage of the store by its router, the event with which it began, and the table if the event
+// names one.
 type outageKey struct{ router, beginEvent, table string }
 
-// beginOf maps an event that ends an outage to the event with which that outage began.
+// beginOf maps each event that ends an outage to the event that begins such an outage.
 var beginOf = map[string]string{"store_direct": "store_turned_away", "store_regained": "store_lost"}
 
-// outages holds the open outages of each router and sums up those that have ended.
+// outages holds the open outages of each router and sums up those that have ended. An outage is a time in which a router
+// could not reach a table of the store (store_lost), or reached the store only through other routers (store_turned_away).
 type outages struct {
 	open map[outageKey]Line
 	done rows
 }
 
-// add adds an event. If the event ends an outage, add returns its duration in milliseconds, and otherwise zero. The events of a
-// router must be added in chronological order.
+// add adds an event. If the event ends an outage, add returns the duration of the outage in milliseconds, and otherwise
+// zero. The caller must add the events of each router in chronological order.
 func (o outages) add(l Line) int64 {
 	switch l.Event {
 	case "store_turned_away", "store_lost":
@@ -31,7 +33,7 @@
 	return 0
 }
 
-// end ends an outage and returns its duration in milliseconds, which is zero if there is no such outage.
+// end ends an outage and returns its duration in milliseconds. It returns zero if the outage is not open.
 func (o outages) end(key outageKey, at time.Time, reason string) int64 {
 	begin, ok := o.open[key]
 	if !ok {
@@ -43,7 +45,7 @@
 	return took
 }
 
-// endAll ends all outages of a router.
+// endAll ends all open outages of a router at a given time.
 func (o outages) endAll(router string, at time.Time, reason string) {
 	for key := range o.open {
 		if key.router == router {
@@ -52,8 +54,8 @@
 	}
 }
 
-// state returns how a router currently reaches the store: "direct", "through_others", or "lost:" with the name of a table that it
-// cannot reach. If there are several such tables, the alphabetically last one is named.
+// state returns how a router currently reaches the store: "direct", "through_others", or "lost:" with the name of a table
+// that it cannot reach. If it cannot reach several tables, the alphabetically last one is named.
 func (o outages) state(router string) string {
 	state, lost := "direct", ""
 	for key := range o.open {
--- a/accountant/reader.go
+++ b/accountant/reader.go
@@ -9,10 +9,10 @@
 )
 
 const (
-	// maxLineBytes limits the length of a line. A longer one ends the reading of its source with a ReadError.
+	// maxLineBytes limits the length of a line. A longer line ends the reading of its source with a ReadError.
 	maxLineBytes = 1 << 20
-	// maxDisorder is how much earlier than the router's newest line another line may be. An even earlier one counts as out of
-	// order.
+	// maxDisorder is the time by which a line may be older than the newest line of its router. A line that is still older
+	// counts as out of order.
 	maxDisorder = time.Second
 	// eventDropped is the event that a router logs, without a time, when it has dropped log lines because its log could not
 	// keep up.
@@ -31,8 +31,8 @@
 
 func (e *ReadError) Unwrap() error { return e.Cause }
 
-// Input describes what was read. Skipped is the number of lines that are not events. Dropped is the number of lines that routers
-// did not write, according to their own reports.
+// Input describes what was read. Skipped is the number of lines that are not events or have no time. Dropped is the number
+// of lines that routers reported to have dropped instead of writing them.
 type Input struct {
 	Sources    int       `json:"sources"`
 	Lines      int64     `json:"lines"`
@@ -50,8 +50,8 @@
 		i.Sources, i.Lines, i.First.Format(time.RFC3339), i.Last.Format(time.RFC3339), i.Events, i.Skipped, i.Dropped, i.OutOfOrder)
 }
 
-// reader reads sources line by line. A line that names no router is assigned to the router of the line before it. The first line
-// of a source is assigned to the name of the source then.
+// reader reads sources line by line. A line that names no router is assigned to the router of the previous line, or at the
+// start of a source to a router with the name of the source.
 type reader struct {
 	input Input
 	// router is the router of the previous line.
@@ -60,7 +60,7 @@
 	newest map[string]time.Time
 }
 
-// read calls handle for each event of a source, other than reports of dropped lines.
+// read calls handle for each event of a source, except for reports of dropped lines.
 func (r *reader) read(name string, from io.Reader, handle func(Line)) error {
 	r.input.Sources++
 	r.router = name
@@ -77,7 +77,7 @@
 	return nil
 }
 
-// handleLine counts a line, and calls handle if it is an event other than a report of dropped lines.
+// handleLine counts a line. It calls handle if the line is an event, except for a report of dropped lines.
 func (r *reader) handleLine(text string, handle func(Line)) {
 	l, ok := ParseLine(text)
 	if !ok || l.Time.IsZero() && l.Event != eventDropped {
--- a/accountant/report.go
+++ b/accountant/report.go
@@ -10,7 +10,7 @@
 	"time"
 )
 
-// NotFoundError reports that none of the lines is what was searched for. Lines is the number of lines.
+// NotFoundError reports that none of the lines that were read is What. Lines is their number.
 type NotFoundError struct {
 	What  string
 	Lines int64
@@ -25,14 +25,15 @@
 	chronological bool
 }
 
-// Report is the summary of a fleet's lines. It contains all requests that were not served, unless routers dropped lines, because
-// each of them has a line. Served requests are logged in samples only.
+// Report is the summary of a fleet's lines. Routers log the end of each request that was not served, so the report counts
+// all of these unless routers dropped lines. Served requests are logged in samples only.
 type Report struct {
 	Input  Input   `json:"input"`
 	Tables []Table `json:"tables"`
 }
 
-// Print writes the report as text, with at most maxRows rows of each table that is not chronological, or all if maxRows is zero.
+// Print writes the report as text. It prints at most maxRows rows of each table that is not chronological, or all rows if
+// maxRows is zero.
 func (r Report) Print(w io.Writer, maxRows int) error {
 	fmt.Fprintf(w, "%s\nserved requests are logged in samples only (log_every): no total of them is known\n", r.Input)
 	for _, t := range r.Tables {
@@ -74,7 +75,8 @@
 	{"example", func(r Row) string { return r.Example }},
 }
 
-// share formats a row's share. It returns "" for rows of the table of changes, because these rows are not parts of a whole.
+// share formats a row's share. It returns "" if the share is zero, and for the rows of the table of changes, because these
+// are not parts of a whole.
 func share(r Row) string {
 	if r.Share == 0 || !r.At.IsZero() && r.Name != "" {
 		return ""
--- a/accountant/rows.go
+++ b/accountant/rows.go
@@ -45,21 +45,23 @@
 	Key
 	Count int64 `json:"count"`
 	// Share is Count divided by the sum of the counts of all rows in the table.
-	Share       float64 `json:"share"`
-	TokensAsked int64   `json:"tokens_asked,omitempty"`
-	TokensUsed  int64   `json:"tokens_used,omitempty"`
-	TotalMS     int64   `json:"total_ms,omitempty"`
-	MeanMS      int64   `json:"mean_ms,omitempty"`
-	MaxMS       int64   `json:"most_ms,omitempty"`
+	Share float64 `json:"share"`
+	// TokensAsked and TokensUsed are the sums of the fields hold and used.
+	TokensAsked int64 `json:"tokens_asked,omitempty"`
+	TokensUsed  int64 `json:"tokens_used,omitempty"`
+	// TotalMS, MeanMS and MaxMS are the sum, the mean and the maximum of the duration that is added with each line.
+	TotalMS int64 `json:"total_ms,omitempty"`
+	MeanMS  int64 `json:"mean_ms,omitempty"`
+	MaxMS   int64 `json:"most_ms,omitempty"`
 	// MoneyMS is the mean of the field money_ms. While lines are added, it is the sum.
 	MoneyMS int64 `json:"mean_money_ms,omitempty"`
-	// Kinds counts the lines by properties that depend on the table.
+	// Kinds holds numbers of lines and sums of fields by name. The names depend on the table.
 	Kinds Counts `json:"kinds,omitempty"`
 	// Routers counts the lines by router.
 	Routers Counts    `json:"routers,omitempty"`
 	First   time.Time `json:"first,omitzero"`
 	Last    time.Time `json:"last,omitzero"`
-	// Example is the id of one of the requests.
+	// Example is the id of the first request that was added, if any.
 	Example string `json:"example,omitempty"`
 }
 
@@ -74,7 +76,8 @@
 	return r[k]
 }
 
-// add adds a line with a duration in milliseconds to the row of a key, and counts it once for each kind.
+// add adds a line to the row of a key. ms is the duration of what the line reports, in milliseconds. The line is counted
+// once for each of kinds.
 func (r rows) add(k Key, l Line, ms int64, kinds ...string) *Row {
 	row := r.at(k)
 	row.Count++
@@ -94,8 +97,8 @@
 	return row
 }
 
-// list returns the rows with their shares and means. Rows with a time bucket are in chronological order, and others are
-// ordered by descending number of lines.
+// list returns the rows with their shares and means. Rows with a time bucket are in chronological order. Other rows are
+// ordered by their number of lines, the highest first.
 func (r rows) list() []Row {
 	all, total := make([]Row, 0, len(r)), int64(0)
 	for _, row := range r {
--- a/accountant/story.go
+++ b/accountant/story.go
@@ -10,8 +10,8 @@
 // TraceEntry is one line of a trace.
 type TraceEntry struct {
 	Line
-	// IsEarlierState is set if the line is not about the request. It is then the last one with its event that the router logged
-	// before its next line about the request.
+	// IsEarlierState is set if the line is not about the request but shows the state of its router. Of each listed event,
+	// the trace has the last line that the router logged before a line about the request.
 	IsEarlierState bool `json:"before"`
 }
 
@@ -32,8 +32,8 @@
 	states map[string]map[string]Line
 }
 
-// add adds a line if it is about the request, and otherwise records it if it is a listed event. store is how its router
-// reaches the store.
+// add adds a line about the request to the entries. It keeps another line as a state of its router if its event is in
+// listedEvents. store describes how the router reaches the store (outages.state).
 func (t *trace) add(l Line, store string) {
 	if l.Text("request") == t.request {
 		t.addEntry(l, store)
@@ -48,7 +48,7 @@
 	t.states[l.Router][l.Event] = l
 }
 
-// addEntry adds a line about the request, preceded by the lines about its router's state.
+// addEntry adds a line about the request. Before it, it adds the kept lines about the state of the router.
 func (t *trace) addEntry(l Line, store string) {
 	for _, before := range t.states[l.Router] {
 		t.entries = append(t.entries, TraceEntry{Line: before, IsEarlierState: true})
--- a/accountant/versions.go
+++ b/accountant/versions.go
@@ -60,9 +60,10 @@
 	return all
 }
 
-// row returns the row of the version with a number. It sums up when this version or a later one first came into force at each
-// router. MaxMS is the time between the first and the last router to change to it, without those that started with it. row
-// removes the routers that it counts from missing, which must hold all of them.
+// row returns the row of one version. It counts the routers at which this version or a later one came into force. MaxMS is
+// the time from the first of them to the last, without those that started with it.
+//
+// missing must hold all routers. row removes from it those that it counts.
 func (v *versions) row(number int64, missing map[string]bool) Row {
 	row, followed := Row{Kinds: Counts{}}, ""
 	for _, l := range v.lines {
