--- a/linker/conn.go
+++ b/linker/conn.go
@@ -19,7 +19,7 @@
 )
 
 const (
-	// maxQueuedMessages bounds the number of messages in a link's queue.
+	// maxQueuedMessages bounds the number of messages that wait to be written to a link.
 	maxQueuedMessages = 8192
 	// maxBatchMessages bounds the number of messages that are packed into one WebSocket message.
 	maxBatchMessages = 128
@@ -32,10 +32,10 @@
 	// be too short for a large one on a slow connection. If a link is closed in the middle of a message, the message has to be
 	// sent again from the start.
 	pieceBytes = 16 << 10
-	// writeTimeout is the time for the peer to accept the next piece. After it the link is closed.
+	// writeTimeout is the time within which the peer must accept the next piece. Otherwise the link is closed.
 	writeTimeout = 5 * time.Second
-	// readTimeout is the time for the next message to begin and for each piece of it to arrive. After it the link is closed. It
-	// is longer than several heartbeat intervals.
+	// readTimeout is the time within which the next message must begin and each piece of it must arrive. Otherwise the link
+	// is closed. It is longer than several heartbeat intervals.
 	readTimeout = 5 * time.Second
 )
 
@@ -48,8 +48,8 @@
 // Error returns a text that names the peer and the reason.
 func (e *DownError) Error() string { return fmt.Sprintf("link to %s is down: %s", e.Peer, e.Reason) }
 
-// IdleTimeoutError reports a call that was canceled because neither its reply nor a whole piece of a large message arrived
-// for the idle timeout.
+// IdleTimeoutError reports that CallLarge gave up, because for the idle timeout neither the reply nor a whole piece of any
+// message had arrived.
 type IdleTimeoutError struct {
 	Peer    string
 	Timeout time.Duration
@@ -83,9 +83,10 @@
 
 	mu      sync.Mutex
 	pending map[uint64]pendingCall
-	// queue grows as needed instead of having a fixed size, because most of the many links are idle.
+	// queue holds the messages to be written, at most maxQueuedMessages. It is a slice and not a channel, because most of
+	// the many links are idle and need no space.
 	queue []Message
-	// wake receives a value when messages have been queued.
+	// wake has room for one value, which Send puts in after it has queued a message.
 	wake chan struct{}
 }
 
@@ -120,7 +121,7 @@
 	return bound, cancel
 }
 
-// Close closes the link.
+// Close closes the link. Messages that have not been written are lost.
 func (c *Conn) Close() {
 	c.once.Do(func() {
 		close(c.done)
@@ -128,7 +129,8 @@
 	})
 }
 
-// Send queues a message. It fails with DownError if the link is closed or the queue is full. A full queue also closes the link.
+// Send queues a message to be written in the background. It fails with a DownError if the link is closed or the queue is
+// full. A full queue also closes the link.
 func (c *Conn) Send(m Message) error {
 	select {
 	case <-c.done:
@@ -159,11 +161,11 @@
 	return c.call(ctx, m, pendingCall{})
 }
 
-// CallLarge sends a request whose reply may have any size, and waits for the reply. It fails with an IdleTimeoutError if neither
-// the reply nor a whole piece of any message arrives for idleTimeout.
+// CallLarge sends a request with a reply that may be large, up to maxMessageBytes, and waits for the reply. It fails with an
+// IdleTimeoutError if neither the reply nor a whole piece of any message arrives for idleTimeout.
 //
-// A fixed timeout would not be suitable: the time that a large reply takes grows with its size, and the reply also has to wait
-// for large messages that precede it on the link.
+// A fixed timeout would not be suitable, because the time for a reply grows with its size and with that of the messages
+// before it on the link.
 func (c *Conn) CallLarge(ctx context.Context, m Message, idleTimeout time.Duration) (Message, error) {
 	callCtx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
@@ -213,8 +215,8 @@
 	return c.Send(reply)
 }
 
-// run reads messages and passes them on until the link fails or is closed. Messages are written in another goroutine, for which
-// run waits before it returns.
+// run reads messages and passes them to h until the link fails or is closed. It starts a goroutine that writes the queued
+// messages, and waits for it before it returns.
 func (c *Conn) run(h Handler) {
 	var writer sync.WaitGroup
 	writer.Go(c.writeLoop)
@@ -292,7 +294,7 @@
 	}
 }
 
-// writeBatch writes messages as one WebSocket message, or as several if they are large.
+// writeBatch writes messages as one WebSocket message. If this would exceed maxBatchBytes, it writes several.
 func (c *Conn) writeBatch(batch []Message) error {
 	data, err := cbor.Marshal(batch)
 	if err != nil {
--- a/linker/handshake.go
+++ b/linker/handshake.go
@@ -22,7 +22,8 @@
 	Path             = "/link"
 	nonceBytes       = 16
 	handshakeTimeout = 2 * time.Second
-	// minBackoff and maxBackoff bound the backoff before its jitter, which makes a wait half to one and a half times as long.
+	// minBackoff and maxBackoff bound the time between two attempts of KeepConnected to connect, before jitter. The jitter
+	// makes each time half to one and a half times as long.
 	minBackoff = 50 * time.Millisecond
 	maxBackoff = time.Second
 	// bufferBytes is the size of a link's read buffer and of its write buffer. It is small because most of the many links are
@@ -133,7 +134,8 @@
 	}
 }
 
-// ServeHTTP upgrades a request to a link and returns when the link is closed. It refuses a peer that cannot be authenticated.
+// ServeHTTP upgrades a request to a link, and returns after the link has been closed. It refuses a peer that cannot be
+// authenticated, and every peer after Close.
 func (l *Listener) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	socket, err := l.upgrader.Upgrade(w, r, nil)
 	if err != nil {
@@ -182,8 +184,8 @@
 	return h.Peer, nil
 }
 
-// add registers a link, and closes an older link of the same incarnation so that no further messages of it are read. It returns
-// false if the listener is closed.
+// add registers a link. It closes an older link of the peer's incarnation, so that no further messages are read from that
+// one. It returns false if the listener is closed.
 func (l *Listener) add(c *Conn) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -246,7 +248,8 @@
 	OnDown func(*Conn)
 }
 
-// Connect opens a link and authenticates both ends. No message is read or written before the caller passes the link to Serve.
+// Connect opens a link and authenticates both ends. The caller must pass the link to Serve. Until then, no messages are read
+// or written.
 func (d Dialer) Connect(ctx context.Context, address string) (*Conn, error) {
 	w := websocket.Dialer{
 		NetDialContext: d.Dial, HandshakeTimeout: handshakeTimeout,
@@ -283,7 +286,8 @@
 	return w.Peer, writeHandshake(socket, proof{MAC: mac})
 }
 
-// KeepConnected maintains a link to an address until ctx is done. It reconnects with jittered exponential backoff.
+// KeepConnected connects to an address and serves the link until ctx is done. It reconnects with jittered exponential
+// backoff.
 func (d Dialer) KeepConnected(ctx context.Context, address string) {
 	wait := minBackoff
 	for ctx.Err() == nil {
@@ -300,7 +304,7 @@
 	}
 }
 
-// Serve calls OnUp, runs a link until it fails, is closed or ctx is done, and calls OnDown.
+// Serve calls OnUp, runs a link and then calls OnDown. The link runs until it fails, it is closed or ctx is done.
 func (d Dialer) Serve(ctx context.Context, c *Conn) {
 	stop := context.AfterFunc(ctx, c.Close)
 	defer stop()
--- a/linker/message.go
+++ b/linker/message.go
@@ -9,10 +9,10 @@
 	"github.com/masticway/masticway/sealer"
 )
 
-// Version is the version of the protocol on links. Both ends must have the same.
+// Version is the version of the protocol on links. Both ends must have the same version.
 const Version = 1
 
-// Message is one message on a link. Exactly one of the pointers is set.
+// Message is one message on a link. Exactly one of its pointers is set.
 type Message struct {
 	// CallID is the number of a request that expects a reply, and otherwise zero.
 	CallID uint64 `cbor:"1,keyasint,omitempty"`
@@ -54,7 +54,8 @@
 	Explained        *Explained                `cbor:"51,keyasint,omitempty"`
 }
 
-// Heartbeat is sent periodically by each end. It shows that the sender is up, and carries state that the other end needs.
+// Heartbeat is sent periodically by each end of a link. It shows that the sender is up, and carries state that the other end
+// needs.
 type Heartbeat struct {
 	// Revision is the sender's configuration revision.
 	Revision masticway.Revision `cbor:"1,keyasint"`
@@ -62,12 +63,13 @@
 	Draining bool `cbor:"2,keyasint,omitempty"`
 	// Staleness is the time since the sender's revision was last confirmed to be the newest.
 	Staleness time.Duration `cbor:"6,keyasint,omitempty"`
-	// Load is the load of a sidecar's upstream. It is nil if the load has not changed or the sender is a router.
+	// Load is the load of a sidecar's upstream. It is nil if the load has not changed since the sidecar's previous
+	// heartbeat, and if the sender is a router.
 	Load *masticway.LoadReport `cbor:"3,keyasint,omitempty"`
-	// OpenGrants lists the numbers of the sending router's open grants. A sidecar drops the totals of the router's other
-	// grants up to GrantsUpTo.
+	// OpenGrants lists the numbers of the sending router's open grants up to GrantsUpTo. Its other grants up to that number
+	// are closed, so a sidecar drops their totals.
 	OpenGrants []int64 `cbor:"4,keyasint,omitempty"`
-	// GrantsUpTo is the highest grant number that the list covers. Grants with higher numbers may be open too.
+	// GrantsUpTo is the highest grant number that OpenGrants covers. Grants with higher numbers may be open too.
 	GrantsUpTo int64 `cbor:"5,keyasint,omitempty"`
 }
 
@@ -91,12 +93,13 @@
 type Changes struct {
 	// List may lack older changes that the sender no longer keeps.
 	List []masticway.Change `cbor:"1,keyasint"`
-	// Revision is the sender's revision, or zero if the receiver must rely on the list alone.
+	// Revision is the sender's revision, to which the receiver advances even if List is incomplete. If it is zero, the
+	// receiver only applies List.
 	Revision masticway.Revision `cbor:"2,keyasint,omitempty"`
 }
 
-// ChangesRequest asks a peer for the configuration changes after a revision. It is sent when the peer's heartbeat has a newer
-// revision.
+// ChangesRequest asks a peer for the configuration changes after a revision. It is sent after the peer's heartbeat has shown
+// a newer revision.
 type ChangesRequest struct {
 	After masticway.Revision `cbor:"1,keyasint"`
 }
@@ -106,16 +109,16 @@
 	Result keeper.HoldResult  `cbor:"1,keyasint"`
 	Grant  masticway.GrantKey `cbor:"2,keyasint"`
 	Amount masticway.Amount   `cbor:"3,keyasint"`
-	// DetectsDuplicates is set if the answering router is the budget's keeper and has run for long enough to recognize every
-	// earlier request with the same identity.
+	// DetectsDuplicates is set if the answering router is the budget's keeper, the router that keeps its grants, and has run
+	// for long enough to recognize every earlier request with the request's identity.
 	DetectsDuplicates bool `cbor:"4,keyasint"`
 	// Waited is how long the request waited for money.
 	Waited time.Duration `cbor:"5,keyasint"`
-	// FirstInProgress is set on a duplicate whose first request is still in progress.
+	// FirstInProgress is set if Result is keeper.ResultDuplicate and the earlier request is still in progress.
 	FirstInProgress bool `cbor:"8,keyasint,omitempty"`
-	// Limit names the limit of the contract that refused the request. If it is set, Verdict is empty.
+	// Limit names the limit of the contract that refused the request. If it is set, Result is empty.
 	Limit string `cbor:"6,keyasint,omitempty"`
-	// RetryAfter is the time after which a request refused by a limit may be retried.
+	// RetryAfter is the time after which the request may be retried. It is set if Limit is.
 	RetryAfter time.Duration `cbor:"7,keyasint,omitempty"`
 }
 
@@ -134,7 +137,8 @@
 // Settled acknowledges a settlement.
 type Settled struct{}
 
-// ReturnFree asks a peer to return money of a budget that it does not need. See keeper.Keeper.ReturnFree.
+// ReturnFree asks a peer to return free money of a budget: money in its grant that is neither spent nor held. See
+// keeper.Keeper.ReturnFree.
 type ReturnFree struct {
 	Budget string `cbor:"1,keyasint"`
 }
