--- a/sidecar/beats.go
+++ b/sidecar/beats.go
@@ -23,8 +23,8 @@
 	}
 }
 
-// sendHeartbeats sends a heartbeat on each link. The heartbeat contains the load only if it has changed since the last one,
-// because a sidecar has many links.
+// sendHeartbeats sends a heartbeat on each link. Because a sidecar has many links, the heartbeat contains the upstream's
+// load only if the load has changed since the previous call.
 func (c *Sidecar) sendHeartbeats() {
 	m := c.heartbeatMessage()
 	c.mu.Lock()
--- a/sidecar/drain.go
+++ b/sidecar/drain.go
@@ -9,13 +9,14 @@
 	"github.com/masticway/masticway/bookkeeper"
 )
 
-// maxReportAttempts bounds the number of attempts to write the totals at shutdown.
+// maxReportAttempts bounds the number of attempts of one Drain to write the totals to the table.
 const maxReportAttempts = 20
 
-// Drain refuses new work, waits for the runs in progress, and tries to write the totals to the table.
+// Drain refuses new work, waits for the runs in progress, and then tries to write the totals to the table. The totals are
+// the cost of what the sidecar ran for each grant.
 //
-// It returns false if ctx is done before all runs have finished; then it writes no totals. It returns true even if the totals
-// could not be written.
+// It returns false if ctx is done before all runs have finished. Then it writes no totals. It returns true even if the
+// totals could not be written.
 func (c *Sidecar) Drain(ctx context.Context) bool {
 	c.mu.Lock()
 	c.core.Drain()
--- a/sidecar/orders.go
+++ b/sidecar/orders.go
@@ -8,8 +8,8 @@
 	"github.com/masticway/masticway/linker"
 )
 
-// handleOrder passes an order to the upstream and replies whether it was carried out. An order whose fencing number is older than
-// the newest one is refused, and so is every order while the newest number cannot be read from the table.
+// handleOrder passes an order to the upstream and replies whether it was carried out. It refuses an order with a fencing
+// number below the newest one. It refuses every order if the newest number cannot be read from the table.
 func (c *Sidecar) handleOrder(conn *linker.Conn, m linker.Message) {
 	err := c.executeOrder(*m.Order)
 	answer := linker.OrderReply{Done: err == nil}
@@ -19,7 +19,7 @@
 	_ = conn.Reply(m, linker.Message{OrderReply: &answer})
 }
 
-// StaleFenceError reports an order with an old fencing number.
+// StaleFenceError reports an order with a fencing number below the newest one for the upstream.
 type StaleFenceError struct {
 	Fence  int64
 	Newest int64
--- a/sidecar/sidecar.go
+++ b/sidecar/sidecar.go
@@ -15,7 +15,7 @@
 	"github.com/masticway/masticway/sealer"
 )
 
-// Settings are the contents of a sidecar's settings file. The settings page describes the fields.
+// Settings are the contents of a sidecar's settings file. docs/SETTINGS.md describes the fields.
 type Settings struct {
 	masticway.ProcessSettings
 	LinkAddress         string             `json:"link_address"`
@@ -38,7 +38,8 @@
 	metricRunSeconds = "run"
 )
 
-// changesRequestInterval is the minimum time between two requests for configuration changes to any router.
+// changesRequestInterval is the minimum time between two requests of a sidecar for configuration changes, whichever routers
+// it asks.
 const changesRequestInterval = 200 * time.Millisecond
 
 // Sidecar is the process beside one upstream.
@@ -56,14 +57,14 @@
 	mu      sync.Mutex
 	core    *sealer.Sealer
 	cancels map[masticway.RunKey]context.CancelFunc
-	// load is the upstream's last load report, or nil if there is none yet.
+	// load is the upstream's latest load report, or nil before the first.
 	load *masticway.LoadReport
-	// reportedLoad is the load that was last sent to all routers.
+	// reportedLoad is the load as of the latest heartbeat to all routers.
 	reportedLoad *masticway.LoadReport
 	// newestFence is the newest fencing number known for the upstream.
 	newestFence int64
-	// changesRequestedAt is when a router was last asked for changes. Many routers announce a new revision at once, and it is
-	// enough to ask one of them.
+	// changesRequestedAt is when the sidecar last asked a router for configuration changes. Many routers announce a new
+	// revision at once, and it is enough to ask one of them.
 	changesRequestedAt time.Time
 
 	ctx  context.Context
@@ -109,14 +110,14 @@
 	return c.core.IsDraining()
 }
 
-// Start starts the goroutines that send heartbeats, remove old runs and poll the upstream's load.
+// Start starts the goroutines that send heartbeats, remove expired answers and poll the upstream's load.
 func (c *Sidecar) Start() {
 	c.wg.Go(c.heartbeatLoop)
 	c.wg.Go(c.pollLoad)
 }
 
-// Close cancels all runs and closes all links without a drain, so that routers see the same as after a crash. It waits for the
-// goroutines to end.
+// Close cancels all runs and closes all links without a drain. Routers see this as a crash. Close waits for the goroutines
+// to end.
 func (c *Sidecar) Close() {
 	c.stop()
 	c.listener.Close()
