--- a/receiver/receiver.go
+++ b/receiver/receiver.go
@@ -18,8 +18,8 @@
 // network path a packet may be queued for up to half a second in each direction, and one packet may be lost.
 const DefaultIdleTimeout = 2 * time.Second
 
-// minRate is the lowest average rate, in bytes per second, at which a body may arrive: an eightieth of the rate of a router's
-// slowest network path. A body that falls a whole idle timeout behind this rate is canceled.
+// minRate is the lowest average rate, in bytes per second, at which a body may arrive. It is an eightieth of the rate of a
+// router's slowest network path. If a body falls behind this rate by a whole idle timeout, Do cancels the call.
 const minRate = 16 << 10
 
 // errTimeout is the cause with which a call is canceled because of a timeout of its Limits or because of minRate.
@@ -71,15 +71,16 @@
 // progressKey is the context key of the function passed to WithProgress.
 type progressKey struct{}
 
-// WithProgress returns a context for requests. If a response with status 200 has a body of more than 16 KB, Do calls progress
-// when the body begins to arrive and after each piece. Smaller responses are complete almost as soon as they begin, so for them
-// progress is not called.
+// WithProgress returns a context for requests with which Do reports that a body is arriving. It does so only for a response
+// with status 200 and a body of more than 16 KB (pieceBytes): it calls progress when the body begins to arrive and after
+// each piece. Smaller bodies are complete almost as soon as they begin.
 func WithProgress(ctx context.Context, progress func()) context.Context {
 	return context.WithValue(ctx, progressKey{}, progress)
 }
 
-// Do sends a request and returns its complete response. It fails with an Error, which wraps a TooLargeError, the transport's
-// error, or an error that reports a timeout of the Limits. The request's context bounds the call too.
+// Do sends a request and returns its complete response, whatever its status is. It fails with an Error, which wraps a
+// TooLargeError, the transport's error, or an error that reports a timeout of the Limits. The request's context bounds the
+// call too.
 func Do(client *http.Client, request *http.Request, l Limits) (Response, error) {
 	start := time.Now()
 	ctx, cancel := context.WithCancelCause(request.Context())
@@ -101,7 +102,7 @@
 	return Response{Status: response.StatusCode, Body: body}, nil
 }
 
-// ReportProgress calls the function that was passed to WithProgress, if there is one in ctx. It is for callers that receive a
+// ReportProgress calls the function that was passed to WithProgress, if ctx has one. Callers use it if they receive a
 // response under another context.
 func ReportProgress(ctx context.Context) {
 	if progress, ok := ctx.Value(progressKey{}).(func()); ok {
