--- a/authenticator/authenticator.go
+++ b/authenticator/authenticator.go
@@ -12,11 +12,11 @@
 )
 
 const (
-	// keyPrefix is the prefix of caller keys, by which a leaked key can be recognized.
+	// keyPrefix is the prefix of caller keys. It makes a leaked key recognizable.
 	keyPrefix = "mw_"
 	// keyBytes is the number of random bytes in a caller key.
 	keyBytes = 24
-	// minSecretBytes is the minimum length of a secret in a file.
+	// minSecretBytes is the minimum length that ReadSecret requires of a secret.
 	minSecretBytes = 16
 )
 
@@ -33,7 +33,7 @@
 	return hex.EncodeToString(sum[:])
 }
 
-// Equal reports whether two secrets are equal. How long it takes does not depend on where they differ.
+// Equal reports whether two secrets are equal. Its duration does not reveal where they differ.
 func Equal(a, b string) bool {
 	x := sha256.Sum256([]byte(a))
 	y := sha256.Sum256([]byte(b))
@@ -58,7 +58,8 @@
 // Error returns a text that names the file and the reason.
 func (e *SecretError) Error() string { return fmt.Sprintf("secret file %s: %s", e.File, e.Reason) }
 
-// ReadSecret reads a secret from a file and trims white space around it. It fails with a SecretError.
+// ReadSecret reads a secret from a file and trims white space around it. It fails with a SecretError if the file cannot be
+// read or the secret is too short.
 func ReadSecret(file string) (string, error) {
 	data, err := os.ReadFile(file)
 	if err != nil {
