--- a/validator/validator.go
+++ b/validator/validator.go
@@ -37,7 +37,7 @@
 
 // Fault is one error in a document.
 type Fault struct {
-	// Path is the JSON path of the invalid value, such as "/money/policy".
+	// Path is the JSON pointer to the invalid value, such as "/money/policy".
 	Path    string
 	Message string
 }
@@ -82,7 +82,8 @@
 	return schemas, nil
 })
 
-// Check validates a document against the schema of its kind. It reports all errors in the document as one FaultsError.
+// Check validates a document against the schema of its kind. If the document is invalid, it returns all faults as one
+// FaultsError.
 func Check(k Kind, data []byte) error {
 	schemas, err := compileSchemas()
 	if err != nil {
@@ -158,7 +159,7 @@
 	Pattern     string              `json:"pattern"`
 }
 
-// Schema returns the schema of a kind.
+// Schema returns the schema of a kind, decoded as a Property.
 func Schema(k Kind) (Property, error) {
 	var p Property
 	data, err := schemaFiles.ReadFile("schemas/" + string(k) + ".json")
@@ -171,8 +172,8 @@
 	return p, nil
 }
 
-// applyDefaults adds the defaults of absent fields to an object, or to the objects in a list. Other values are returned as
-// they are.
+// applyDefaults adds the defaults of absent fields to an object, or to each object in a list. It returns other values
+// unchanged.
 func applyDefaults(p Property, data json.RawMessage) (json.RawMessage, error) {
 	switch {
 	case p.Type == "object" && p.Properties != nil:
