--- a/charter/charter.go
+++ b/charter/charter.go
@@ -11,7 +11,7 @@
 // State is a state of a chart.
 type State string
 
-// Event triggers a transition from one state to another or to the same one.
+// Event triggers a transition from one state to another, or back to the same state.
 type Event string
 
 //go:embed charts/*.json
@@ -28,7 +28,7 @@
 	Delivery = "delivery"
 )
 
-// Chart is a valid state chart. It is immutable.
+// Chart is a state chart that has been validated. It is immutable.
 type Chart struct {
 	name    string
 	initial State
@@ -38,12 +38,12 @@
 type chartFile struct {
 	Name    string `json:"name"`
 	Initial State  `json:"initial"`
-	// Events lists all events that the code may send.
+	// Events lists all events that the code may send. Each must occur in States.
 	Events []Event                   `json:"events"`
 	States map[State]map[Event]State `json:"states"`
 }
 
-// FaultError reports an invalid chart. Fault says what is wrong with it.
+// FaultError reports an invalid chart. Fault describes the error.
 type FaultError struct {
 	Chart string
 	Fault string
@@ -64,7 +64,7 @@
 	return fmt.Sprintf("chart %s: no step from %s on %s", e.Chart, e.State, e.Event)
 }
 
-// Load returns an embedded chart. It fails with a FaultError if the chart is invalid.
+// Load returns the embedded chart with a name. It fails with a FaultError if the chart is invalid.
 func Load(name string) (Chart, error) {
 	data, err := chartFiles.ReadFile("charts/" + name + ".json")
 	if err != nil {
@@ -153,7 +153,7 @@
 // Initial returns the initial state.
 func (c Chart) Initial() State { return c.initial }
 
-// Next returns the state after an event. If the state has no transition for it, Next returns the same state and a
+// Next returns the state that follows s after an event. If s has no transition for the event, it returns s and a
 // TransitionError.
 func (c Chart) Next(s State, e Event) (State, error) {
 	next, ok := c.states[s][e]
