--- a/explainer/explainer.go
+++ b/explainer/explainer.go
@@ -15,21 +15,22 @@
 )
 
 const (
-	// maxTraces bounds the number of traces that can be read from memory.
+	// maxTraces bounds the number of traces that are kept in memory for Get.
 	maxTraces = 1024
-	// maxCandidates bounds the number of candidates in the trace of one attempt. Those with the shortest expected times are
-	// kept.
+	// maxCandidates bounds the number of candidates in the trace of one attempt. The ones with the shortest expected times
+	// are kept.
 	maxCandidates = 6
-	// maxPending bounds the number of traces that wait to be written to the object store. Further ones are not written.
+	// maxPending bounds the number of traces that wait to be written to the object store. Traces beyond it are not written.
 	maxPending = 4096
-	// objectPrefix is the prefix of the batches' names in the object store.
+	// objectPrefix is the prefix of the names that batches of traces have in the object store.
 	objectPrefix = "explain/"
 )
 
 // Attempt is one attempt to run the request at an upstream.
 type Attempt struct {
-	Number     int                `json:"number"`
-	Sidecar    string             `json:"sidecar"`
+	Number  int    `json:"number"`
+	Sidecar string `json:"sidecar"`
+	// Candidates are the upstreams that were considered, with their scores.
 	Candidates []chooser.Score    `json:"candidates,omitempty"`
 	Queued     masticway.Duration `json:"queued"`
 	FirstToken masticway.Duration `json:"first_token"`
@@ -43,7 +44,7 @@
 type Hold struct {
 	ID    masticway.HoldID `json:"id"`
 	Payer string           `json:"payer"`
-	// Bound is the maximum cost of the attempt, and Amount is how much was held for it.
+	// Bound is the maximum cost of the attempt. Amount is how much was held for it.
 	Bound  masticway.Amount `json:"bound"`
 	Amount masticway.Amount `json:"amount"`
 	// Exact is set if Bound is based on an exact token count of the prompt.
@@ -64,15 +65,16 @@
 	State     string             `json:"state"`
 	Holds     []Hold             `json:"holds,omitempty"`
 	Attempts  []Attempt          `json:"attempts,omitempty"`
-	Attached  bool               `json:"attached,omitempty"`
-	Refusal   string             `json:"refusal,omitempty"`
-	Bill      masticway.Amount   `json:"bill"`
-	Usage     masticway.Usage    `json:"usage"`
-	Took      masticway.Duration `json:"took"`
+	// Attached is set if the answer came from a run that an earlier request had started.
+	Attached bool               `json:"attached,omitempty"`
+	Refusal  string             `json:"refusal,omitempty"`
+	Bill     masticway.Amount   `json:"bill"`
+	Usage    masticway.Usage    `json:"usage"`
+	Took     masticway.Duration `json:"took"`
 }
 
-// TraceCache holds recent traces, and those that wait to be written to the object store. It is safe for concurrent use, but two
-// calls of Flush must not overlap.
+// TraceCache holds recent traces and the traces that wait to be written to the object store. It is safe for concurrent use,
+// but calls of Flush must not overlap.
 type TraceCache struct {
 	batches *batcher.Batcher[Trace]
 
@@ -86,8 +88,8 @@
 	return &TraceCache{batches: batcher.New[Trace](objectPrefix, owner, maxPending), traces: map[string]Trace{}}
 }
 
-// Add adds a trace, from which it removes candidates beyond maxCandidates. The caller must not use the trace's attempts
-// afterwards.
+// Add adds a trace. It keeps at most maxCandidates candidates of each attempt. The caller must not use the trace's attempts
+// afterwards, because Add changes them.
 func (m *TraceCache) Add(t Trace) {
 	for i, a := range t.Attempts {
 		slices.SortFunc(a.Candidates, func(x, y chooser.Score) int { return cmp.Compare(x.Seconds, y.Seconds) })
@@ -104,12 +106,12 @@
 	}
 }
 
-// Flush writes the pending traces to the store as one object. After a failure, the next Flush writes the same batch again.
+// Flush writes the waiting traces to the store as one object. After a failure, the next Flush writes the same batch again.
 func (m *TraceCache) Flush(ctx context.Context, store masticway.ObjectStore) error {
 	return m.batches.Flush(ctx, store, "")
 }
 
-// Get returns the trace of a request and true if it is still in memory.
+// Get returns the trace of a request. It returns false if the trace is not in memory.
 func (m *TraceCache) Get(request string) (Trace, bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -117,14 +119,14 @@
 	return t, ok
 }
 
-// RequestID returns a request ID that consists of the incarnation that records the trace and a serial number. FindTrace uses the
-// incarnation to find the trace.
+// RequestID returns a request id: the incarnation of the router that records the request's trace, a dot, and serial.
+// FindTrace takes the incarnation from the id.
 func RequestID(owner masticway.Incarnation, serial string) string {
 	return string(owner) + "." + serial
 }
 
-// FindTrace searches the object store for the trace of a request, whose ID must be one that RequestID returned. It fails with a
-// NotFoundError if there is none.
+// FindTrace searches the object store for the trace of a request. The id must be one that RequestID returned. If there is no
+// trace, it fails with a NotFoundError.
 func FindTrace(ctx context.Context, store masticway.ObjectStore, request string) (Trace, error) {
 	owner, _, _ := strings.Cut(request, ".")
 	names, err := store.List(ctx, objectPrefix+owner+"/")
