--- a/logger/logger.go
+++ b/logger/logger.go
@@ -8,8 +8,8 @@
 	"github.com/sirupsen/logrus"
 )
 
-// New returns a logger that writes a line of key=value pairs to out for each event that is at least as severe as level. level is
-// the name of a logrus level.
+// New returns a logger that writes one line of key=value pairs to out for each event. It omits events that are less severe
+// than level, which is the name of a logrus level.
 func New(level string, out io.Writer) (*logrus.Logger, error) {
 	l, err := logrus.ParseLevel(level)
 	if err != nil {
--- a/logger/queue.go
+++ b/logger/queue.go
@@ -8,24 +8,27 @@
 )
 
 const (
-	// maxQueuedLines bounds the number of lines that wait to be written. It is what a busy router logs in a few seconds.
+	// maxQueuedLines bounds the number of lines that wait to be written. A busy router logs about this many in a few
+	// seconds.
 	maxQueuedLines = 4096
 	// dropReportInterval is the minimum time between two reports of dropped lines.
 	dropReportInterval = time.Second
 )
 
-// Queue writes lines in the background, so that a slow reader of the log does not delay requests. Lines that do not fit into the
-// queue are dropped and counted. Their number is reported in a line of its own after a later line has been written.
+// Queue writes lines in the background, so that slow output of the log does not delay requests. It drops and counts lines
+// that do not fit into the queue. After it has written a later line, it reports the number of dropped lines in a line of its
+// own.
 type Queue struct {
 	out     io.Writer
 	lines   chan []byte
 	dropped atomic.Int64
-	// closing is closed to stop the writer after it has written the queued lines. done is closed when it has stopped.
+	// closing is closed to stop the writing goroutine after it has written the queued lines. done is closed when that
+	// goroutine has ended.
 	closing chan struct{}
 	done    chan struct{}
 }
 
-// NewQueue returns a queue that writes to out. It must be closed to stop its goroutine.
+// NewQueue returns a queue that writes to out. The caller must close it to end its goroutine.
 func NewQueue(out io.Writer) *Queue {
 	q := &Queue{out: out, lines: make(chan []byte, maxQueuedLines), closing: make(chan struct{}), done: make(chan struct{})}
 	go q.run()
@@ -45,8 +48,7 @@
 // Dropped returns the number of dropped lines that have not been reported yet.
 func (q *Queue) Dropped() int64 { return q.dropped.Load() }
 
-// Close writes the queued lines and stops the queue. Later calls of Write still succeed, but their lines are never written. Close
-// must be called only once.
+// Close writes the queued lines and stops the queue. Later calls of Write have no effect. Close must be called only once.
 func (q *Queue) Close() {
 	close(q.closing)
 	<-q.done
