--- a/measurer/measurer.go
+++ b/measurer/measurer.go
@@ -13,11 +13,12 @@
 )
 
 const (
-	// maxLabels bounds the number of labels of one histogram. Values with further labels are recorded under otherLabel.
+	// maxLabels bounds the number of labels of one histogram, apart from otherLabel. Values with further labels are recorded
+	// under otherLabel.
 	maxLabels  = 32
 	otherLabel = "other"
-	// Histograms cover 1 µs to 10 minutes with two significant decimal digits. Values outside this range are recorded as its
-	// nearest end.
+	// Histograms record durations from minMicros to maxMicros in microseconds (1 µs to 10 minutes), with digits significant
+	// decimal digits. A duration outside this range is recorded as the nearest end of the range.
 	minMicros = 1
 	maxMicros = int64(10 * time.Minute / time.Microsecond)
 	digits    = 2
@@ -55,7 +56,8 @@
 	return v.Value()
 }
 
-// Observe records a duration in a histogram under a label, or under otherLabel if the histogram has too many labels.
+// Observe records a duration in a histogram under a label. If the label is new and the histogram already has maxLabels
+// labels, it uses otherLabel instead.
 func (s *Set) Observe(name, label string, d time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -97,7 +99,7 @@
 // NewHistogram returns a histogram of microseconds for use with Summarize.
 func NewHistogram() *hdrhistogram.Histogram { return hdrhistogram.New(minMicros, maxMicros, digits) }
 
-// Summaries returns the summaries of all histograms by name and label.
+// Summaries returns the summaries of all histograms, by name of the histogram and then by label.
 func (s *Set) Summaries() map[string]map[string]Summary {
 	s.mu.Lock()
 	defer s.mu.Unlock()
