--- a/soaker/caller.go
+++ b/soaker/caller.go
@@ -27,25 +27,27 @@
 )
 
 const (
-	// answerSlack is how long a caller waits beyond its time limit, or beyond the route's timeout if that is shorter; it is
-	// twice what the rules allow a router.
+	// answerSlack is how long a caller waits beyond its time limit, or beyond the route's timeout if that is shorter. It is
+	// twice as long as a router may be late.
 	answerSlack = time.Second
-	// abandonShare is the share of requests whose caller gives up early; maxAbandonDelay is the longest time that it waits.
+	// abandonShare is the share of requests whose caller gives up early. maxAbandonDelay is the longest time that such a
+	// caller waits.
 	abandonShare, maxAbandonDelay = 0.03, 300 * time.Millisecond
-	// maxPrompt bounds the tokens of a prompt, maxSpareOutput the tokens that are declared beyond the length of a stream.
+	// maxPrompt bounds the tokens of a prompt. maxSpareOutput bounds the tokens that a request declares beyond the length of
+	// a stream.
 	maxPrompt, maxSpareOutput = 1500, 30
-	// The shortest and the longest time limit that a caller sets.
+	// minTimeLimit and maxTimeLimit bound the time limit that a caller sets for a request.
 	minTimeLimit, maxTimeLimit = time.Second, 8 * time.Second
-	// maxBodyBytes is the largest length of the filler in a body; most bodies are far smaller.
+	// maxBodyBytes is the largest length of the filler in a body. Most bodies are far smaller.
 	maxBodyBytes = 40 << 10
-	// maxThinkTime is the longest usual pause between a caller's requests, maxIdleTime the longest idle pause. A router may
-	// restart in an idle pause.
+	// maxThinkTime is the longest usual pause between two requests of a caller. maxIdleTime is the longest idle pause, in
+	// which a router may restart.
 	maxThinkTime, maxIdleTime = 120 * time.Millisecond, 8 * time.Second
-	// idleShare is the share of idle pauses.
+	// idleShare is the share of pauses that are idle pauses.
 	idleShare = 0.04
 	// connectTimeout is the timeout for opening a caller's connection.
 	connectTimeout = time.Second
-	// statusWrongBody replaces the status of a success whose body is not the request's own answer.
+	// statusWrongBody replaces the status of a success if its body is not the request's own answer.
 	statusWrongBody = -http.StatusOK
 )
 
@@ -72,7 +74,7 @@
 		q.sentAt.UTC().Format(clockFormat), q.reusedConn, q.timeLimit, q.outcome, q.status, q.events, q.endedAt.Sub(q.sentAt).Round(time.Millisecond), q.err)
 }
 
-// caller sends requests one after the other and, unless keep-alive is disabled, reuses its connection while it is open.
+// caller sends requests one after the other. It reuses its connection while that is open, unless keep-alive is disabled.
 type caller struct {
 	soak      *soakRun
 	random    *rand.Rand
@@ -81,8 +83,8 @@
 	transport http.Transport
 }
 
-// newCaller returns a caller that opens each connection to a random one of the addresses. Its other random choices come from
-// a stream of the seed.
+// newCaller returns a caller that opens each connection to one of the addresses at random. Its other random choices come
+// from the seed and the number stream.
 func (s *soakRun) newCaller(name string, stream int, addresses ...string) *caller {
 	c := &caller{soak: s, name: fmt.Sprintf("%s%d", name, stream), random: rand.New(rand.NewPCG(s.Seed, uint64(stream)))}
 	c.transport.DialContext = func(ctx context.Context, network, _ string) (net.Conn, error) {
@@ -112,7 +114,8 @@
 	return 1 + time.Duration(random.Int64N(int64(max)))
 }
 
-// sendToRoute sends a random request to a route, resumes its answer where possible, and returns the status of the first answer.
+// sendToRoute sends a random request to a route and resumes its answer if that breaks off and may be resumed. It returns the
+// status of the first answer.
 func (c *caller) sendToRoute(r route) int {
 	q := &request{route: r, prompt: c.random.IntN(maxPrompt), declared: c.soak.events*emulator.DeploymentTokensPerEvent + c.random.IntN(maxSpareOutput)}
 	q.body = strings.Repeat("x", int(math.Pow(maxBodyBytes, c.random.Float64())))
@@ -133,13 +136,13 @@
 	return q.status
 }
 
-// canResume reports whether the caller may resume the answer: it is a stream that broke off after some of its events, and the
-// request is repeatable. events is the number of events of a whole stream.
+// canResume reports whether the caller may resume the answer: the request is repeatable, and its answer is a stream that
+// broke off after some of its events. events is the number of events of a whole stream.
 func (q *request) canResume(events int) bool {
 	return q.metered && q.repeatable && q.outcome == outcomeBroken && q.status == http.StatusOK && q.events > 0 && q.resumeAfter+q.events < events
 }
 
-// remainder returns the request for the events that are missing from a broken answer; its prompt has been paid for.
+// remainder returns the request for the events that are missing from a broken answer. Its prompt has already been paid for.
 func (q *request) remainder() *request {
 	return &request{
 		route: q.route, workspace: q.workspace, declared: q.declared, timeLimit: q.timeLimit, waitTimeout: min(q.timeLimit, emulator.DeploymentTimeout) + answerSlack,
@@ -147,7 +150,7 @@
 	}
 }
 
-// sendUntilServed sends requests to a route until one is served, and reports a violation if none is by a deadline.
+// sendUntilServed sends requests to a route until one is served. It reports a violation if none is served by the time until.
 func (c *caller) sendUntilServed(ctx context.Context, r route, until time.Time) {
 	for c.sendToRoute(r) != http.StatusOK && ctx.Err() == nil {
 		if time.Now().After(until) {
@@ -219,8 +222,9 @@
 	return err
 }
 
-// checkBody compares the body of a success with the answer of a server without faults, and sets the status to statusWrongBody if
-// it differs. If err says that the body ended early, it may be any prefix of the answer. It returns the error of the request.
+// checkBody compares the body of a success with the answer of a server without faults. If the body differs, it sets the
+// status to statusWrongBody and returns an error. Otherwise it returns err. If err is not nil, the body ended early and may
+// be any prefix of the answer.
 func (q *request) checkBody(body string, events int, err error) error {
 	want := "ok " + q.id + " " + q.body
 	if q.metered {
--- a/soaker/checks.go
+++ b/soaker/checks.go
@@ -10,15 +10,15 @@
 )
 
 const (
-	// timingSlack allows for a busy machine and the proxies. It is added to the time in which draining servers may get work
-	// and to the remaining time that a server is given. A connection may stay open for timingSlack after a request that is not
-	// read; the rules allow 200 ms (loss_slack_ms). Starvation also excuses a router if it ended within timingSlack before the
-	// request.
+	// timingSlack is a tolerance for a busy machine and the proxies. It is added to the time in which draining servers may
+	// still get requests, and to the remaining time that a server is told. It is also how long the connection of a request
+	// that the router did not read may stay open (routers need at most 200 ms, loss_slack_ms). A router that was starved
+	// within timingSlack before a request is excused.
 	timingSlack = 500 * time.Millisecond
 	storeTarget = "store"
 	clockFormat = "15:04:05.000" // as within the timestamps of the routers' logs, so that lines can be matched
-	// A router that shuts down may cut off a request that was sent less than lateSendWindow after SIGTERM and still runs in
-	// the last sixth of the grace period.
+	// A router that shuts down may cut off a request if the request was sent before lateSendWindow after SIGTERM and still
+	// runs in the last part of the grace period. That part is the grace period divided by lateGraceDivisor.
 	lateSendWindow, lateGraceDivisor = 3 * time.Second, 6
 )
 
@@ -43,7 +43,7 @@
 // Violation is a promise that was not kept, with a description.
 type Violation struct{ Promise, Text string }
 
-// interval is the time between two points; its end is zero while it lasts.
+// interval is the time between two points. to is zero while the interval lasts.
 type interval struct{ from, to time.Time }
 
 // logf writes a line with the current time to soak.log.
@@ -60,8 +60,8 @@
 	s.violations = append(s.violations, v)
 }
 
-// beginDisturbance records that a target is disturbed, from a duration ago until the returned function is called or, if it is
-// never called, until the soak ends.
+// beginDisturbance records that a target is disturbed. The disturbance lasts from the duration ago before now until the
+// returned function is called. If that is never called, it lasts until the soak ends. what names its kind in the log.
 func (s *soakRun) beginDisturbance(what, target string, ago time.Duration) (end func()) {
 	s.logf("%s of %s begins", what, target)
 	s.mu.Lock()
@@ -88,12 +88,13 @@
 	return true
 }
 
-// routerTarget and plannedTarget are names of a router in the record of disturbances. Planned restarts, which begin with SIGTERM,
-// are recorded under plannedTarget, all other faults of the router under routerTarget.
+// routerTarget and plannedTarget return the two names of a router in the record of disturbances. Planned restarts, which
+// begin with SIGTERM, are recorded under plannedTarget. All other faults of the router are recorded under routerTarget.
 func routerTarget(i int) string  { return fmt.Sprintf("router-%d", i) }
 func plannedTarget(i int) string { return "planned-" + routerTarget(i) }
 
-// starvedTarget is the name under which it is recorded that the router or the soak itself waited too long for a processor.
+// starvedTarget returns the name under which starvation of a router is recorded: the router or the soak itself waited too
+// long for a processor.
 func starvedTarget(i int) string { return "starved-" + routerTarget(i) }
 
 // contactTargets returns the targets that must be undisturbed for a router to be in contact with the store.
@@ -219,8 +220,8 @@
 	}
 }
 
-// mayBeCutOff reports whether a planned shutdown of the router may cut off a request, because it was sent within
-// lateSendWindow after SIGTERM and still ran in the last part of the grace period.
+// mayBeCutOff reports whether a planned shutdown of the router may cut off a request: the request was sent before
+// lateSendWindow after SIGTERM and still ran in the last part of the grace period (see lateGraceDivisor).
 func (s *soakRun) mayBeCutOff(q *request) bool {
 	return slices.ContainsFunc(s.disturbances[plannedTarget(q.router)], func(d interval) bool {
 		return q.sentAt.Before(d.from.Add(lateSendWindow)) && q.endedAt.After(d.from.Add(s.grace-s.grace/lateGraceDivisor))
--- a/soaker/deadly.go
+++ b/soaker/deadly.go
@@ -10,25 +10,28 @@
 )
 
 const (
-	// deadlyMark marks deadly requests: a request whose body contains it crashes the servers that run it.
+	// deadlyMark marks deadly requests. A request with this text in its body crashes each server that runs it.
 	deadlyMark = "deadly"
-	// After minDeadlyCrashes crashes routers must know that a request is deadly, and after that they may send it to servers at
-	// most maxDeadlySends times, as in the users' deployments.
+	// minDeadlyCrashes is the number of crashes after which routers must know that a request is deadly. maxDeadlySends is
+	// how often they may send it to servers after that, as in the users' deployments.
 	minDeadlyCrashes, maxDeadlySends = 3, 3
-	// maxDeadlyPause is the longest pause of a caller between two sends. maxDeadlyDuration is the longest time for which it
-	// repeats the request, beyond minDuration.
+	// maxDeadlyPause is the longest pause between two sends of a deadly request. maxDeadlyDuration is the longest time for
+	// which it is repeated, beyond minDuration.
 	maxDeadlyPause, maxDeadlyDuration = 400 * time.Millisecond, 8 * time.Second
-	// deadlyStreamBase is the first stream of random numbers for the callers that send deadly requests.
+	// deadlyStreamBase is the lowest number of the random streams (newCaller) of callers that send deadly requests.
 	deadlyStreamBase = 1 << 20
-	// impatientShare is the share of these faults whose caller gives up at about the time when the server crashes.
+	// impatientShare is the share of deadly_request faults in which the caller gives up at about the time at which the
+	// server crashes.
 	impatientShare = 0.4
-	// maxImpatientWait is the longest wait of such a caller, twice the time that a server takes to crash.
+	// maxImpatientWait is the longest wait of a caller that gives up early. It is twice the time that a server takes to
+	// crash.
 	maxImpatientWait = 40 * time.Millisecond
 	// codeCrashesServers is the code with which a router refuses a request that crashes servers.
 	codeCrashesServers = "request_ends_servers"
 )
 
-// deadlyRequest sends a request that crashes every server that runs it, again and again for the duration of the fault.
+// deadlyRequest sends a request that crashes every server that runs it. It repeats the request for the duration of the
+// fault.
 func (s *soakRun) deadlyRequest(e faultEvent) {
 	s.mu.Lock()
 	name := fmt.Sprintf("%s-%d-%d", deadlyMark, e.target, len(s.requests))
@@ -53,8 +56,9 @@
 	}
 }
 
-// crashHandler returns the function that handles a crash of the server in a slot. It records the crash and returns; after
-// silenceTimeout, when missing heartbeats would be noticed, the server's row is removed and a new server takes the slot.
+// crashHandler returns a function that handles a crash of the server in a slot. The function records the crash and returns
+// at once. After silenceTimeout, when missing heartbeats would be noticed, the server's row is removed and a new server
+// takes the slot.
 func (s *soakRun) crashHandler(slot int) func(*emulator.OpaqueServer) {
 	return func(old *emulator.OpaqueServer) {
 		s.beginDisturbance("crash", old.ID, 0)
@@ -66,8 +70,9 @@
 	}
 }
 
-// checkDeadlyRequests checks that routers in contact with the store sent each deadly request at most maxDeadlySends times after
-// it had to be known. That is stabilityPeriod after the start of the run that caused the last of minDeadlyCrashes crashes.
+// checkDeadlyRequests checks how often each deadly request was sent after routers had to know it. Routers in contact with
+// the store may then send it at most maxDeadlySends times. They have to know it from stabilityPeriod after the start of the
+// run that caused the last of the first minDeadlyCrashes crashes.
 func (s *soakRun) checkDeadlyRequests() {
 	runs := map[string][]emulator.OpaqueRun{}
 	for _, r := range s.ledger.Runs() {
--- a/soaker/deployment.go
+++ b/soaker/deployment.go
@@ -9,16 +9,16 @@
 )
 
 const (
-	// maxDrainDelay is the time after the store accepted that a server drains, or after a router received an answer that
-	// announces it, until the server must get no new requests, as in the users' deployments. extraServingTime is how much longer
-	// it serves.
+	// maxDrainDelay is the time after which a draining server must get no new requests, as in the users' deployments. It
+	// counts from when the store accepted that the server drains, or from when a router received an answer that announces
+	// it. extraServingTime is how much longer the server serves.
 	maxDrainDelay, extraServingTime = 2 * time.Second, 1500 * time.Millisecond
-	// silenceTimeout is the time until the row of a crashed server is removed: three missed heartbeats, each of which would have
-	// come within less than a second.
+	// silenceTimeout is the time after which the row of a crashed server is removed. In this time three heartbeats would
+	// have come, which are less than a second apart.
 	silenceTimeout = 2 * time.Second
 )
 
-// route is a route that every configuration has. Answers to metered requests are streams, which cost prepaid tokens.
+// route is a route that every configuration has. Answers to metered requests are streams and cost prepaid tokens.
 type route struct {
 	name, pool                     string
 	metered, repeatable, anonymous bool
@@ -32,10 +32,11 @@
 	{name: "book", pool: "plain"},
 }
 
-// pools has the pool of the server in each slot.
+// pools holds the name of the pool of each server slot. In each slot one server runs at a time; after a crash or drain,
+// another server takes the slot.
 var pools = []string{"engine", "engine", "engine", "engine", "plain", "plain", "plain", "plain"}
 
-// workspaces are the callers' workspaces: the budget of the first is used up within seconds, that of the last never.
+// workspaces are the callers' workspaces. The budget of the first is used up within seconds, and that of the last never.
 var workspaces = []string{"thin", "middle", "wide"}
 
 // version is an accepted version of the configuration.
@@ -44,11 +45,11 @@
 	acceptedAt          time.Time
 }
 
-// versionPath returns the path that a version and all later ones serve.
+// versionPath returns the path that a version adds. That version and all later ones serve it.
 func versionPath(number int64) string { return fmt.Sprintf("version-%d", number) }
 
-// configure writes the next version, with a number of further routes that no caller requests (fewer if there would be more than
-// maxRoutes paths), and pays a number of tokens to each of some workspaces.
+// configure writes the next version of the configuration and pays the number paid of tokens to each workspace in to. The
+// version has more further routes that no caller requests, but never more than maxRoutes paths in total.
 func (s *soakRun) configure(more, paid int, to ...string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -72,7 +73,8 @@
 	s.logf("version %d accepted, %d bytes, %d routes added, %d tokens paid to %v", v.Number, size, more, paid, to)
 }
 
-// newestVersion returns the newest version that was accepted before a time, or one with number zero if there is none.
+// newestVersion returns the newest version that was accepted before a time. If there is none, it returns a version with
+// number zero.
 func (s *soakRun) newestVersion(before time.Time) (found version) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -84,7 +86,7 @@
 	return found
 }
 
-// startServer starts the next incarnation of the server in a slot and registers it as ready. It does not stop the current one.
+// startServer starts a new server in a slot and registers it as ready. It does not stop the server that the slot had.
 func (s *soakRun) startServer(slot int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/soaker/faults.go
+++ b/soaker/faults.go
@@ -9,7 +9,8 @@
 	"github.com/masticway/masticway/emulator"
 )
 
-// faultEvent is a drawn fault: the number from which its target follows, its severity from 0 to 1, and its duration.
+// faultEvent is a fault that has been drawn. Its target, such as a router or a server slot, follows from the number target.
+// severity is from 0 to 1.
 type faultEvent struct {
 	kind     string
 	target   int
@@ -20,8 +21,8 @@
 // scaled returns a number from 1 to max that grows with the fault's severity.
 func (e faultEvent) scaled(max int) int { return 1 + int(e.severity*float64(max)) }
 
-// fault is a kind of fault: its weight in the draw (a kind without weight is drawn only if Soak.Kinds names it), its longest
-// duration beyond minDuration, and the function that injects it. What is not over when the function returns runs in
+// fault is a kind of fault. weight is its weight in the draw; a kind with weight zero is drawn only if Soak.Kinds names it.
+// maxDuration is its longest duration beyond minDuration. inject injects it. What still lasts when inject returns runs in
 // soakRun.faults.
 type fault struct {
 	weight      int
@@ -30,14 +31,15 @@
 }
 
 const (
-	// maxGap is the longest time between the starts of two faults, minDuration the shortest duration of a fault that lasts.
+	// maxGap is the longest time between the starts of two faults. minDuration is the shortest duration of a fault that has
+	// one.
 	maxGap, minDuration = 1400 * time.Millisecond, 150 * time.Millisecond
 	// maxRestartPause is the longest pause, in milliseconds, before a process is started again.
 	maxRestartPause = 1000
-	// maxFailures bounds the number of requests for which one fault makes a server fail; the largest number is one less.
+	// maxFailures is above the largest number of requests for which one server_fails fault makes a server fail.
 	maxFailures = 20
-	// maxRoutes is the largest number of extra paths of a configuration, so that one call to the store can carry it; maxTopUp is
-	// the largest number of tokens of one top-up.
+	// maxRoutes is the largest number of extra paths of a configuration, so that one call to the store can carry it.
+	// maxTopUp is the largest number of tokens of one top-up.
 	maxRoutes, maxTopUp = 4000, 30_000
 	// allRoutersSeverity is the severity above which a fault of routers affects all of them.
 	allRoutersSeverity = 0.8
@@ -45,7 +47,7 @@
 	removedRowShare = 0.3
 )
 
-// Conditions of a proxy. reset is only a marker for proxyFault, which then resets the proxy's connections.
+// slow, cut and reset are conditions of a proxy. reset is only a marker: for it, proxyFault resets the proxy's connections.
 var slow, cut, reset = condition{delay: 200 * time.Millisecond, rate: 256 << 10}, condition{cut: true}, condition{}
 
 // kinds has all kinds of faults by name.
@@ -81,7 +83,8 @@
 // Kinds returns the sorted names of all kinds of faults.
 func Kinds() []string { return slices.Sorted(maps.Keys(kinds)) }
 
-// forTargets starts do, in a goroutine of s.faults, for each router that a fault affects: one router, or all.
+// forTargets starts do in a goroutine of s.faults for each router that a fault affects. That is one router, or all routers
+// if the fault's severity is above allRoutersSeverity.
 func (s *soakRun) forTargets(e faultEvent, do func(i int, p *process)) {
 	for i, p := range s.processes {
 		if i == e.target%s.Routers || e.severity > allRoutersSeverity {
@@ -90,8 +93,8 @@
 	}
 }
 
-// restart ends each affected router and starts it again, unless another fault is restarting or reloading it. The disturbance is
-// recorded under the name that target returns.
+// restart ends each affected router with the function end and starts it again. It skips a router that another fault is
+// restarting or reloading. The disturbance is recorded under the name that target returns for the router.
 func (s *soakRun) restart(e faultEvent, target func(int) string, end func(*process)) {
 	s.forTargets(e, func(i int, p *process) {
 		if !p.lifecycleMu.TryLock() {
@@ -118,7 +121,7 @@
 	})
 }
 
-// hangup makes each affected router reload its settings, unless it is being restarted.
+// hangup makes each affected router reload its settings. It skips a router that another fault is restarting or reloading.
 func (s *soakRun) hangup(e faultEvent) {
 	s.forTargets(e, func(_ int, p *process) {
 		if p.lifecycleMu.TryLock() {
@@ -128,8 +131,8 @@
 	})
 }
 
-// proxyFault returns a fault that changes the condition of one of a router's proxies. A later fault of the same proxy replaces an
-// earlier one, and the end of either ends both.
+// proxyFault returns a fault that changes the condition of one proxy (callerProxy or storeProxy) of each affected router. If
+// two such faults of a proxy overlap, the later replaces the earlier, and the first to end ends both.
 func proxyFault(which int, c condition) func(s *soakRun, e faultEvent) {
 	return func(s *soakRun, e faultEvent) {
 		s.forTargets(e, func(i int, p *process) {
@@ -146,7 +149,8 @@
 	}
 }
 
-// storeFault returns a fault of the store. A later fault replaces an earlier one, and the end of either ends both.
+// storeFault returns a fault of the store. If two of them overlap, the later replaces the earlier, and the first to end ends
+// both.
 func storeFault(f emulator.RowFaults) func(s *soakRun, e faultEvent) {
 	return func(s *soakRun, e faultEvent) {
 		defer s.beginDisturbance(e.kind, storeTarget, 0)()
@@ -156,8 +160,8 @@
 	}
 }
 
-// drain starts the next incarnation of a server and drains the old one, by marking its row as draining or by removing the row.
-// The old one still serves until extraServingTime after routers must have noticed.
+// drain starts a new server in a slot and drains the old one, by marking its row as draining or by removing the row. The old
+// server serves until extraServingTime after the time at which routers must have noticed.
 func (s *soakRun) drain(e faultEvent) {
 	old, slot := s.targetServer(e)
 	s.startServer(slot)
@@ -175,8 +179,8 @@
 	old.Deregister(s.rows)
 }
 
-// crash ends a server at once. Its row stays for silenceTimeout, as if until missing heartbeats are noticed; then a new server
-// takes its slot.
+// crash ends a server at once. Its row stays for silenceTimeout, as if missing heartbeats were noticed only then. After that
+// a new server takes its slot.
 func (s *soakRun) crash(e faultEvent) {
 	old, slot := s.targetServer(e)
 	s.beginDisturbance(e.kind, old.ID, 0)
@@ -186,14 +190,15 @@
 	s.startServer(slot)
 }
 
-// failures are the ways in which a server can fail a request without crashing, and once no failure.
+// failures are the faults that failServer injects in turn. Each is a way to fail a request without a crash, but for
+// OpaqueNoFault.
 var failures = []emulator.OpaqueFault{
 	emulator.OpaqueReset, emulator.OpaqueOverloaded, emulator.OpaqueTruncated, emulator.OpaqueWrongServer, emulator.OpaqueError, emulator.OpaqueNoFault,
 	emulator.OpaqueHang, emulator.OpaqueUnsigned, emulator.OpaqueWrongRequest, emulator.OpaqueStrayAnswer,
 }
 
-// failServer makes a server fail its next requests, one after the other in different ways. Every len(failures)th is answered
-// properly.
+// failServer makes a server fail its next requests, each in the next way of failures. Among them, one of len(failures)
+// requests is answered properly.
 func (s *soakRun) failServer(e faultEvent) {
 	server, _ := s.targetServer(e)
 	server.InjectFaults(slices.Repeat(failures, 1+maxFailures/len(failures)+1)[e.target%len(failures):][:e.scaled(maxFailures-1)]...)
--- a/soaker/limits.go
+++ b/soaker/limits.go
@@ -13,14 +13,15 @@
 	maxLimitDuration = 8 * time.Second
 	// maxRateLimit is the largest advertised rate limit in requests per second.
 	maxRateLimit = 4.0
-	// Within any limitWindow, a server may get limitOvershoot times the requests that its limit allows, and limitSlack requests
-	// more, as in the users' deployments.
+	// Within any time of length limitWindow, a server may get at most limitOvershoot times the requests that its limit
+	// allows, plus limitSlack requests, as in the users' deployments.
 	limitOvershoot, limitSlack = 1.5, 5
-	// The requests of a router count towards a limit from limitDelay after the router got an answer that carries the limit.
+	// limitWindow is the time over which requests are counted. The requests of a router count from limitDelay after it got
+	// an answer that carries the limit.
 	limitWindow, limitDelay = 4 * time.Second, 500 * time.Millisecond
 )
 
-// limitInterval is an interval in which a server advertises a rate limit.
+// limitInterval is an interval in which a server advertised a rate limit, in requests per second.
 type limitInterval struct {
 	server string
 	rate   float64
@@ -42,8 +43,8 @@
 	s.limits = append(s.limits, limitInterval{server.ID, rate, interval{from, time.Now()}})
 }
 
-// checkRateLimits checks that no server got more requests than its rate limit and the tolerance allow from the routers that had
-// received the limit.
+// checkRateLimits checks for each rate limit that the server got no more requests than the limit and the tolerance allow. It
+// counts only requests from routers that had received the limit.
 func (s *soakRun) checkRateLimits() {
 	for _, l := range s.limits {
 		// Of two limits of one server that overlap, the later replaced the earlier, and the end of one removed the other. Neither
@@ -68,8 +69,9 @@
 	}
 }
 
-// countsForLimit reports whether a run counts towards a limit: the limit had been in effect for stabilityPeriod and had not
-// ended, and the router that sent the run had been in contact with the store and had received the limit with an earlier answer.
+// countsForLimit reports whether a run counts towards a limit. The limit must have been in effect for stabilityPeriod and
+// must not have ended. The router that sent the run must have been in contact with the store and must have received the
+// limit with an earlier answer.
 func (s *soakRun) countsForLimit(r emulator.OpaqueRun, l limitInterval) bool {
 	q := s.requests[r.ID]
 	if q == nil || r.StartedAt.Before(l.from.Add(stabilityPeriod)) || r.StartedAt.After(l.to) || !s.isUndisturbed(r.StartedAt.Add(-limitWindow-stabilityPeriod), r.StartedAt, contactTargets(q.router)...) {
@@ -81,7 +83,7 @@
 	})
 }
 
-// maxWithin returns the largest number of times within any window of a length. The times must be sorted.
+// maxWithin returns the largest number of the given times within any window. The times must be sorted.
 func maxWithin(times []time.Time, window time.Duration) (count int) {
 	for i, first := range times {
 		n := 0
--- a/soaker/prober.go
+++ b/soaker/prober.go
@@ -7,20 +7,22 @@
 )
 
 const (
-	// applyTimeout and narrowApplyTimeout are the times within which routers in contact with the store apply an accepted
-	// configuration, as in the users' deployments: the first if all network links are fast, the second if some have 10 Mbit/s.
-	// Such a link carries the largest configuration in 0.93 s, and carries it twice if it has changed meanwhile. applySlack
-	// is added for a busy machine.
+	// applyTimeout and narrowApplyTimeout are the times within which routers in contact with the store must apply an
+	// accepted configuration, as in the users' deployments. The first holds if all network links are fast, the second if
+	// some have 10 Mbit/s. Such a link carries the largest configuration in 0.93 s, and carries it twice if the
+	// configuration changes meanwhile.
 	applyTimeout, narrowApplyTimeout = 2 * time.Second, 3 * time.Second
-	applySlack                       = 500 * time.Millisecond
-	// stabilityPeriod is how long a router's targets must have been undisturbed for it to count as in contact with the store.
+	// applySlack is added to these times for a busy machine.
+	applySlack = 500 * time.Millisecond
+	// stabilityPeriod is how long a router and the store must have been undisturbed (contactTargets) for the router to count
+	// as in contact with the store.
 	stabilityPeriod = 3 * time.Second
-	// probeInterval is the pause after each pair of probes of a router; probeTimeout limits one probe.
+	// probeInterval is the pause after each pair of probes of a router. probeTimeout limits one probe.
 	probeInterval, probeTimeout = 100 * time.Millisecond, time.Second
 )
 
-// prober sends probes to one router directly, without its proxy. A probe requests the path of a version: either the newest one,
-// or the newest one that the router must have applied.
+// prober sends probes to one router directly, without its proxy. A probe requests the path of a version of the
+// configuration: the newest version, or the newest one that the router must have applied.
 type prober struct {
 	*caller
 	process           *process
@@ -81,7 +83,7 @@
 	}
 }
 
-// requestVersion requests the path of a version; it sends nothing if the version's number is zero.
+// requestVersion requests the path of a version. It sends nothing if the version's number is zero.
 func (c *caller) requestVersion(v version) *request {
 	q := &request{timeLimit: probeTimeout, waitTimeout: probeTimeout + answerSlack, route: route{pool: "plain", repeatable: true}}
 	if v.Number > 0 {
@@ -90,8 +92,9 @@
 	return q
 }
 
-// awaitVersion sends requests until a router knows a version's path, and reports a violation if it does not by the deadline, even
-// if it was starved. So a router that never applies a configuration is found also on a machine on which routers often starve.
+// awaitVersion sends requests until a router knows a version's path. It reports a violation if the router does not know it
+// by the time until, even if the router was starved. This finds a router that never applies a configuration also on a
+// machine on which routers often starve.
 func (c *caller) awaitVersion(ctx context.Context, v version, until time.Time) {
 	for ctx.Err() == nil {
 		q := c.requestVersion(v)
--- a/soaker/process.go
+++ b/soaker/process.go
@@ -19,12 +19,14 @@
 
 const (
 	zoneName = "zone"
-	// startTimeout is how long a router may take until it is ready; it is longer than any fault lasts. readyPollInterval is the
-	// time between two checks.
+	// startTimeout is the time within which a router must be ready after its start. It is longer than any fault lasts.
+	// readyPollInterval is the time between two checks.
 	startTimeout, readyPollInterval = 20 * time.Second, 50 * time.Millisecond
-	// Ports of a router. Each router has its own IP address, so no connection of another program uses them.
+	// callerPort, readinessPort and peerPort are ports of a router. Each router has its own IP address, so no connection of
+	// another program uses them.
 	callerPort, readinessPort, peerPort = 7101, 7102, 7103
-	// Indices of a router's proxies: the one between its callers and it, and the one between it and the store.
+	// callerProxy and storeProxy are the indices of a router's proxies: the one between its callers and it, and the one
+	// between it and the store.
 	callerProxy, storeProxy = 0, 1
 )
 
@@ -97,7 +99,7 @@
 	}
 }
 
-// signal sends a signal to the current incarnation; it has no effect if that has ended.
+// signal sends a signal to the current incarnation. It has no effect if the incarnation has ended.
 func (p *process) signal(s syscall.Signal) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -105,7 +107,7 @@
 	_ = p.command.Process.Signal(s)
 }
 
-// stop ends the current incarnation with SIGTERM, and with SIGKILL after the grace period.
+// stop ends the current incarnation with SIGTERM, or with SIGKILL if it still runs after the grace period.
 func (p *process) stop() {
 	p.signal(syscall.SIGTERM)
 	select {
--- a/soaker/proxy.go
+++ b/soaker/proxy.go
@@ -8,15 +8,15 @@
 )
 
 const (
-	// chunkBytes is the largest number of bytes that a proxy forwards at once; it is small, so that a slow proxy forwards
+	// chunkBytes is the largest number of bytes that a proxy forwards at once. It is small, so that a slow proxy forwards
 	// evenly.
 	chunkBytes = 16 << 10
 	// cutPollInterval is the time between two checks whether a cut has ended.
 	cutPollInterval = 5 * time.Millisecond
 )
 
-// condition is how a proxy impairs its traffic: cut holds back all bytes, delay delays each chunk, and rate, unless it is zero,
-// limits the bytes per second that all connections together get in each direction.
+// condition is how a proxy impairs its traffic. cut holds back all bytes, and delay delays each chunk. rate limits the bytes
+// per second in each direction, of all connections together; zero means no limit.
 type condition struct {
 	cut   bool
 	delay time.Duration
@@ -77,7 +77,7 @@
 	}
 }
 
-// relay forwards bytes in both directions until both have ended, and closes both connections.
+// relay forwards bytes in both directions. When both directions have ended, it closes both connections.
 func (p *proxy) relay(near, far *net.TCPConn) {
 	p.mu.Lock()
 	p.conns = append(p.conns, near, far)
@@ -89,8 +89,8 @@
 	_, _ = near.Close(), far.Close()
 }
 
-// forward forwards bytes in one direction until reading or writing fails. It then closes the write side of to, so a reset of from
-// reaches the other end as a normal end of the data.
+// forward forwards bytes in one direction until reading or writing fails. It then closes the write side of to, so that the
+// other end sees a reset of from as a normal end of the data.
 func (p *proxy) forward(direction int, to, from *net.TCPConn) {
 	defer to.CloseWrite()
 	buffer := make([]byte, chunkBytes)
--- a/soaker/signals.go
+++ b/soaker/signals.go
@@ -11,15 +11,16 @@
 const (
 	// maxBackoff is the longest backoff that a server asks for, beyond minDuration.
 	maxBackoff = 3 * time.Second
-	// From backoffDelay after a server asked a router to back off until the backoff ends, the router may send it at most
-	// maxSentInBackoff requests, as in the users' deployments.
+	// backoffDelay is the time after a server's request to back off from which the router must comply, until the backoff
+	// ends. maxSentInBackoff is the number of requests that the router may still send it in this time, as in the users'
+	// deployments.
 	backoffDelay, maxSentInBackoff = 500 * time.Millisecond, 2
-	// refusalsPerBackoff is the number of requests that a server refuses with the same backoff.
+	// refusalsPerBackoff is the number of requests that a server refuses with one backoff.
 	refusalsPerBackoff = 6
 )
 
-// announceDrain starts the next incarnation of a server and drains the old one, which announces this only in its answers. The old
-// one's row stays unchanged until it closes.
+// announceDrain starts a new server in a slot and drains the old one, which announces this only in its answers. The row of
+// the old server stays unchanged until the server closes.
 func (s *soakRun) announceDrain(e faultEvent) {
 	old, slot := s.targetServer(e)
 	s.startServer(slot)
@@ -43,13 +44,14 @@
 	s.logf("%s refuses requests and asks for a backoff of %s s", server.ID, seconds)
 }
 
-// isRouterUndisturbed reports whether a router itself was undisturbed in an interval, whether or not its store was.
+// isRouterUndisturbed reports whether a router itself was undisturbed in an interval. Disturbances of the store do not
+// count.
 func (s *soakRun) isRouterUndisturbed(router int, from, to time.Time) bool {
 	return s.isUndisturbed(from, to, routerTarget(router), plannedTarget(router), starvedTarget(router))
 }
 
-// checkBackoff checks that each router that a server asked to back off sent it no more than maxSentInBackoff requests during the
-// backoff.
+// checkBackoff checks each router that a server asked to back off: from backoffDelay on, it must have sent the server at
+// most maxSentInBackoff requests during the backoff.
 func (s *soakRun) checkBackoff(server *emulator.OpaqueServer) {
 	arrivals := server.Arrivals()
 	for _, refused := range arrivals {
@@ -71,8 +73,9 @@
 	}
 }
 
-// checkAnnouncedDrain checks that a run does not come from a router that, more than maxDrainDelay before, had forwarded an answer
-// in which the server announced that it drains. This must hold even for routers without contact with the store.
+// checkAnnouncedDrain checks a run at a server that announced in its answers that it drains. The router that sent the run
+// must not have forwarded such an answer more than maxDrainDelay earlier. This must hold even for routers without contact
+// with the store.
 func (s *soakRun) checkAnnouncedDrain(r emulator.OpaqueRun, q *request) {
 	announcedAt, ok := s.drainAnnouncedAt[r.Server]
 	if !ok || r.StartedAt.Sub(announcedAt) <= maxDrainDelay+timingSlack {
--- a/soaker/soak.go
+++ b/soaker/soak.go
@@ -21,19 +21,20 @@
 	MaxRouters       = 200
 	callersPerRouter = 12
 	// recoveryTimeout is the time after all faults within which requests must be served again, as in the users' deployments.
-	// recoveryTokens are paid to each workspace before it starts.
+	// recoveryTokens is how many tokens are paid to each workspace at its start.
 	recoveryTimeout, recoveryTokens = 12 * time.Second, 5_000_000
-	// narrowBandwidth is the bandwidth in bytes per second (10 Mbit/s) and direction of each router's connections to the store in
-	// one of narrowEvery soaks, on average.
+	// narrowBandwidth is the bandwidth (10 Mbit/s, in bytes per second) of each router's connections to the store, in each
+	// direction, in soaks with narrow links. On average, one of narrowEvery soaks has them.
 	narrowBandwidth, narrowEvery = 10e6 / 8, 3
-	// The largest number of events of a stream, and the longest pause between two events. Each soak draws its own values.
+	// maxEvents is the largest number of events of a stream, and maxEventPause the longest pause between two events. Each
+	// soak draws its own values.
 	maxEvents, maxEventPause = 10, 250 * time.Millisecond
 	// minGrace is the grace period of routers after SIGTERM. Half of the soaks add extraGrace, which makes it the usual one.
 	minGrace, extraGrace = 5 * time.Second, 3 * time.Second
-	// maxWork is the longest time that servers take for answers that are not streams. It is far shorter than the time that a
-	// router waits before it tries another server.
+	// maxWork is the longest time that servers usually take for answers that are not streams. It is far shorter than the
+	// time that a router waits before it tries another server.
 	maxWork = 250 * time.Millisecond
-	// slowWork is a longer time for these answers, used in one of slowEvery soaks, on average.
+	// slowWork is the time that servers take for answers that are not streams in one of slowEvery soaks, on average.
 	slowWork, slowEvery = time.Second, 8
 )
 
@@ -48,12 +49,13 @@
 
 // Report is the result of a soak.
 type Report struct {
-	// Requests counts the requests that were made, probes and resumed requests included, Served the complete answers with status
-	// 200, Resumed the requests that resumed an answer and got events, Versions the accepted versions of the configuration, and
-	// Faults the faults that were drawn.
+	// Requests counts the requests that were made, including probes and resumed requests. Served counts the complete answers
+	// with status 200. Resumed counts the requests that resumed an answer and got events. Versions counts the accepted
+	// versions of the configuration. Faults counts the faults that were drawn.
 	Requests, Served, Resumed, Versions, Faults int
 	// Starved counts the polls at which a router or the soak had waited too long for a processor, once for each router
-	// concerned. What is late or missing at these times is no violation, except after all faults.
+	// concerned. If something is late or missing at these times, it is no violation. The exception is the check after all
+	// faults.
 	Starved    int
 	Violations []Violation
 }
@@ -92,7 +94,7 @@
 	faultsDrawn      int
 }
 
-// Run runs the soak and returns its report. The error is not nil if the soak could not be carried out or ctx ended.
+// Run runs the soak and returns its report. It returns an error if the soak could not be carried out or ctx is done.
 func (o Soak) Run(ctx context.Context) (Report, error) {
 	// If this fails, so does creating the log.
 	_ = os.MkdirAll(o.Directory, 0o755)
@@ -157,7 +159,7 @@
 	return nil
 }
 
-// startLoad starts the callers, the probers and the watch for starvation, all of which end after done is closed.
+// startLoad starts the callers, the probers and the watch for starvation in load. All of them end after done is closed.
 func (s *soakRun) startLoad(load *sync.WaitGroup, done <-chan struct{}) {
 	load.Go(func() { s.watchStarvation(done) })
 	var addresses []string
@@ -172,8 +174,8 @@
 	}
 }
 
-// injectFaults draws faults and starts each at its time until the duration of the soak is over or ctx ends. Faults run
-// concurrently and may still last when it returns.
+// injectFaults draws faults and starts each at its time, until the duration of the soak is over or ctx is done. Faults run
+// concurrently. Some may still last when injectFaults returns.
 func (s *soakRun) injectFaults(ctx context.Context) {
 	var weightedKinds []string
 	for _, name := range Kinds() {
--- a/soaker/starvation.go
+++ b/soaker/starvation.go
@@ -10,7 +10,8 @@
 )
 
 const (
-	// maxSchedulingDelay is the longest wait for a processor, of any thread in one poll interval, that is not starvation.
+	// maxSchedulingDelay is the longest time that a thread may wait for a processor in one poll interval. If a thread waits
+	// longer, its process is starved.
 	maxSchedulingDelay = 300 * time.Millisecond
 	// starvationPollInterval is the pause between two polls.
 	starvationPollInterval = 200 * time.Millisecond
@@ -48,8 +49,8 @@
 	return n
 }
 
-// schedulingDelay is the longest wait for a processor of a router's threads plus that of the soak's threads, in the poll interval
-// that ended at a time.
+// schedulingDelay is the delay of a router in the poll interval that ended at a time: the longest wait of one of its threads
+// for a processor plus the longest wait of one of the soak's threads.
 type schedulingDelay struct {
 	at     time.Time
 	length time.Duration
@@ -62,8 +63,8 @@
 	s.delays[router] = append(s.delays[router], schedulingDelay{at: time.Now(), length: delay})
 }
 
-// delaySince returns the sum of the scheduling delays of a router since a time, because many short waits delay a router as one
-// long wait does.
+// delaySince returns the sum of the scheduling delays of a router since a time. Many short waits delay a router as much as
+// one long wait does.
 func (s *soakRun) delaySince(router int, from time.Time) (d time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -75,11 +76,12 @@
 	return d
 }
 
-// threadWaits has the total time that each thread had waited for a processor at the last poll, by the path of the thread's
-// schedstat file.
+// threadWaits holds the total time that each thread had waited for a processor by the last poll. The keys are the paths of
+// the threads' schedstat files.
 type threadWaits map[string]time.Duration
 
-// longest returns the longest wait of any of a process's threads since the last poll, or since its start for a new thread.
+// longest returns the longest time that one of a process's threads has waited for a processor since the last poll. For a new
+// thread it is the time since the thread's start.
 func (w threadWaits) longest(pid int) (d time.Duration) {
 	files, _ := filepath.Glob(fmt.Sprintf("/proc/%d/task/*/schedstat", pid))
 	for _, file := range files {
