--- a/explainer/explainer.go
+++ b/explainer/explainer.go
@@ -65,7 +65,7 @@
 	State     string             `json:"state"`
 	Holds     []Hold             `json:"holds,omitempty"`
 	Attempts  []Attempt          `json:"attempts,omitempty"`
-	// Attached is set if the answer came from a run that an earlier request had started.
+	// Attached is set if the request attached to a run that an earlier request with its identity had started.
 	Attached bool               `json:"attached,omitempty"`
 	Refusal  string             `json:"refusal,omitempty"`
 	Bill     masticway.Amount   `json:"bill"`
