--- a/loader/client.go
+++ b/loader/client.go
@@ -19,8 +19,8 @@
 // outcome is the outcome of a request as its client sees it.
 type outcome string
 
-// The outcomes: a whole answer; an error with a code from the router, also in the middle of a stream; anything else, such as a
-// broken connection.
+// The outcomes of a request. outcomeOK is a complete answer. outcomeRefused is an error with a code from the router, also in
+// the middle of a stream. outcomeBroken is anything else, such as a broken connection.
 const (
 	outcomeOK      outcome = "ok"
 	outcomeRefused outcome = "refused"
@@ -30,33 +30,33 @@
 // answer is what the client got for the last attempt of a request.
 type answer struct {
 	outcome outcome
-	// status is the HTTP status, zero if there was no answer, or 502 if a stream ended with an error.
+	// status is the HTTP status. It is zero if there was no answer, and 502 if a stream ended with an error.
 	status int
 	code   string
 	fate   masticway.Fate
 	text   string
 	usage  masticway.Usage
-	// id is the request id in the answer, for the explain command.
+	// id is the request id in the answer, which the explain command takes.
 	id         string
 	attempts   int
 	retryAfter time.Duration
-	// firstToken and whole are the times from the planned arrival to the first token and to the end of the answer. For an
-	// answer that is not a stream, firstToken is the time to its end.
+	// firstToken is the time from the planned arrival of the request to the first token, and whole the time to the end of
+	// the answer. If the answer is not a stream, firstToken is the time until it has been read.
 	firstToken time.Duration
 	whole      time.Duration
-	// tokenGaps has the times between the tokens of a stream.
+	// tokenGaps holds the times between successive tokens of a stream.
 	tokenGaps []time.Duration
 	ended     time.Time
 }
 
 const (
-	// maxRetryPause limits the pause before a retry if the answer names its length.
+	// maxRetryPause limits the pause before a retry that a refusal asks for (retry_after_ms).
 	maxRetryPause = 2 * time.Second
-	// brokenPause is the pause before a retry if the answer names no length, such as after a broken connection.
+	// brokenPause is the pause before a retry if no refusal asks for one, such as after a broken connection.
 	brokenPause = 50 * time.Millisecond
 )
 
-// client sends the requests of a region to its ready routers at random, like a load balancer.
+// client sends the requests of one region to the region's ready routers at random, like a load balancer.
 type client struct {
 	fleet  *starter.Fleet
 	region string
@@ -64,8 +64,8 @@
 	keys   map[string]string
 }
 
-// send sends a planned request. It retries with the same idempotency key, as often as the traffic allows, until shouldRetry is
-// false or ctx is done.
+// send sends a planned request and retries it with the same idempotency key. It stops after an answer that shouldRetry does
+// not allow to retry, after the retries that the traffic allows, or when ctx is done.
 func (c *client) send(ctx context.Context, p plannedRequest, arrival time.Time) answer {
 	var a answer
 	for retries := 0; ; retries++ {
@@ -99,7 +99,7 @@
 	return a.status == http.StatusServiceUnavailable || a.status == http.StatusGatewayTimeout || a.status == http.StatusConflict || a.status == http.StatusBadGateway
 }
 
-// sendOnce sends one attempt of a request to a random ready router. The outcome is outcomeBroken if there is none.
+// sendOnce sends one attempt of a request to a random ready router. If no router is ready, the outcome is outcomeBroken.
 func (c *client) sendOnce(ctx context.Context, p plannedRequest, arrival time.Time) answer {
 	routers := c.routers()
 	if len(routers) == 0 {
@@ -146,7 +146,7 @@
 	return list
 }
 
-// errorBody is the body of a refusal, and of an event that ends a stream with an error.
+// errorBody is the body of a refusal, and the data of an event that ends a stream with an error.
 type errorBody struct {
 	Error *struct {
 		Code       string         `json:"code"`
@@ -176,8 +176,8 @@
 	Usage *masticway.Usage `json:"usage"`
 }
 
-// readEvents reads a stream of events into an answer. The outcome is outcomeBroken unless the stream is complete or ends with an
-// error event.
+// readEvents reads a stream of events into an answer. If the stream neither is complete nor ends with an error event, the
+// outcome is outcomeBroken.
 func readEvents(body io.Reader, a *answer, arrival time.Time) {
 	a.outcome = outcomeBroken
 	a.code = "stream"
@@ -239,7 +239,7 @@
 	}
 }
 
-// readErrorOrService reads a refusal or the answer of a service into an answer.
+// readErrorOrService reads a refusal, or the answer of a service, into an answer.
 func readErrorOrService(response *http.Response, a *answer, p plannedRequest) {
 	data, err := io.ReadAll(response.Body)
 	if err != nil {
@@ -258,8 +258,8 @@
 	}
 }
 
-// isCorrect reports whether an answer is the whole answer to the planned request or, for a model without MaxTokens, a beginning
-// of it of the length that the answer's usage says.
+// isCorrect reports whether an answer is the whole answer to the planned request. If the request is to a model and sets no
+// MaxTokens, a beginning of the whole answer is correct too, if it is as long as the answer's usage says.
 func (p plannedRequest) isCorrect(a answer) bool {
 	if p.traffic.Service != "" {
 		var echo struct {
--- a/loader/driver.go
+++ b/loader/driver.go
@@ -21,17 +21,19 @@
 	"github.com/masticway/masticway/measurer"
 )
 
-// Drive sends load at a constant mean rate to processes that are already running, and measures the resources that processes use.
+// Drive sends load at a constant mean rate to processes that are already running, and measures the resource usage of
+// processes.
 type Drive struct {
-	// BaseURLs has the base URLs of routers, or of model engines for comparison, which get requests in turn.
+	// BaseURLs are the base URLs to which requests are sent in turn. They belong to routers or, for comparison, to model
+	// engines.
 	BaseURLs []string
 	// Key is the caller's API key.
 	Key   string
 	Model string
-	// Rate is the mean number of requests per second; if it is zero, no request is sent.
+	// Rate is the mean number of requests per second. If it is zero, no request is sent.
 	Rate     float64
 	Duration time.Duration
-	// Tokens is the length of each answer.
+	// Tokens is the length of each answer in tokens.
 	Tokens int
 	// PromptBytes is the approximate size of each prompt.
 	PromptBytes int
@@ -44,13 +46,13 @@
 type Process struct {
 	Name string
 	PID  int
-	// MetricsURL is the URL of the process's expvar metrics; if it is empty, link bytes are not measured.
+	// MetricsURL is the URL of the process's expvar metrics. If it is empty, link bytes are not measured.
 	MetricsURL string
 }
 
 // ResourceUsage is the resource usage of a process during a drive.
 type ResourceUsage struct {
-	// CoreShare is the processor time per wall time, so 1 is one whole core.
+	// CoreShare is the processor time divided by the wall time. It is 1 for one whole core.
 	CoreShare float64 `json:"core_share"`
 	// ResidentMB is the resident memory at the end, in units of 2^20 bytes.
 	ResidentMB float64 `json:"resident_mb"`
@@ -68,10 +70,10 @@
 	Usage         map[string]ResourceUsage `json:"uses"`
 }
 
-// ticksPerSecond is the number of units of processor time in /proc per second.
+// ticksPerSecond is the number of clock ticks per second. /proc gives processor time in ticks.
 const ticksPerSecond = 100
 
-// sample is the resource usage of a process from its start to a time, and its resident memory at that time.
+// sample is the resource usage of a process from its start to a point in time, and its resident memory at that time.
 type sample struct {
 	cpuSeconds float64
 	residentMB float64
@@ -108,7 +110,8 @@
 	return s, err
 }
 
-// linkBytes reads the number of bytes that the process's links have sent and received so far.
+// linkBytes returns the number of bytes that the process's links have sent and received since its start. It returns zero
+// without a MetricsURL.
 func (w Process) linkBytes(ctx context.Context) (float64, error) {
 	if w.MetricsURL == "" {
 		return 0, nil
@@ -168,8 +171,8 @@
 	return all, nil
 }
 
-// offerLoad sends requests at random times, independent of the answers to earlier requests. It returns when the duration is over
-// and all requests have ended.
+// offerLoad sends requests at random times, regardless of the answers to earlier ones. It returns when the duration is over
+// and all requests have ended. If ctx is done, it sends no more.
 func (d Drive) offerLoad(ctx context.Context, start time.Time) DriveReport {
 	random := rand.New(rand.NewPCG(uint64(d.Seed), 1))
 	client := connector.NewHTTPClient(nil)
@@ -204,7 +207,8 @@
 	return report
 }
 
-// recordAnswer records the times of an answer; took is the time from the planned arrival to its end.
+// recordAnswer records the times of an answer. took is the time from the planned arrival of the request to the end of the
+// answer.
 func recordAnswer(first, between, whole *hdrhistogram.Histogram, a answer, took time.Duration) {
 	_ = first.RecordValue(max(1, a.firstToken.Microseconds()))
 	_ = whole.RecordValue(max(1, took.Microseconds()))
--- a/loader/faults.go
+++ b/loader/faults.go
@@ -18,12 +18,12 @@
 )
 
 const (
-	// drainWatchTime is how long the upstream of a draining sidecar is watched for new work.
+	// drainWatchTime is how long drain watches the upstream of a draining sidecar for new work.
 	drainWatchTime = 8 * time.Second
-	// applyTimeout limits the wait until all ready routers have applied a configuration change.
+	// applyTimeout limits the wait of configChange until all ready routers have applied the change.
 	applyTimeout = 10 * time.Second
 	pollInterval = 10 * time.Millisecond
-	// recoveryTimeout limits the wait until the money of a killed router is returned.
+	// recoveryTimeout limits the wait of awaitRecovery until the money of a killed router is returned.
 	recoveryTimeout = 40 * time.Second
 )
 
@@ -32,15 +32,16 @@
 	fleet  *starter.Fleet
 	ledger *ledger
 	mu     sync.Mutex
-	// cutOff counts graceful shutdowns that cut off requests.
+	// cutOff counts the graceful shutdowns of routers and sidecars that cut off requests.
 	cutOff int
-	// drainTimes has the time for which the upstream of each draining sidecar still got new work.
+	// drainTimes holds, for each draining sidecar, the time for which its upstream still got new work.
 	drainTimes []time.Duration
-	// applyTimes has the time until each configuration change was applied by all ready routers, or applyTimeout.
+	// applyTimes holds, for each configuration change, the time until all ready routers had applied it, or at least
+	// applyTimeout.
 	applyTimes []time.Duration
-	// removed has the drained sidecars, which the fleet no longer lists.
+	// removed holds the sidecars that have been drained. The fleet no longer lists them.
 	removed []*starter.FleetSidecar
-	// recoveryTimes has the time until each killed router's money was returned, or recoveryTimeout.
+	// recoveryTimes holds, for each killed router, the time until its money was returned, or at least recoveryTimeout.
 	recoveryTimes []time.Duration
 	errs          []error
 	wg            sync.WaitGroup
@@ -50,8 +51,8 @@
 	return &faultInjector{fleet: f, ledger: l}
 }
 
-// run injects all faults at their times and returns when all have ended and been measured. If ctx ends, it injects no more faults
-// and ends those that last.
+// run injects each fault at its time, and returns when all faults have ended and been measured. If ctx is done, it injects
+// no more faults and ends those that last.
 func (f *faultInjector) run(ctx context.Context, faults []Fault, start time.Time) {
 	for _, fault := range faults {
 		f.wg.Go(func() {
@@ -75,7 +76,7 @@
 	f.wg.Wait()
 }
 
-// sleepUntil sleeps until a time, and reports false if ctx ends before it.
+// sleepUntil sleeps until a time. It returns false if ctx is done earlier.
 func sleepUntil(ctx context.Context, at time.Time) bool {
 	select {
 	case <-ctx.Done():
@@ -85,8 +86,8 @@
 	}
 }
 
-// inject injects a fault and returns the function that ends it, or nil if there is nothing to end. For some kinds it blocks until
-// the fault is over.
+// inject injects a fault and returns a function that ends it, or nil if there is nothing to end. For some kinds of faults it
+// blocks until the fault is over.
 func (f *faultInjector) inject(ctx context.Context, fault Fault) (heal func(), err error) {
 	table := f.fleet.Platform.Table
 	healTable := func() { table.SetFaults(emulator.TableFaults{}) }
@@ -118,7 +119,7 @@
 	return f.injectSidecarFault(fault)
 }
 
-// topUp adds to a prepaid budget, as an operator does.
+// topUp adds the amount of a fault to a prepaid budget, as an operator does.
 func (f *faultInjector) topUp(ctx context.Context, fault Fault) error {
 	amount := masticway.Amount(fault.Value)
 	if _, err := bookkeeper.New(f.fleet.Platform.Table).TopUp(ctx, fault.Target, uuid.NewString(), amount); err != nil {
@@ -128,8 +129,8 @@
 	return nil
 }
 
-// configChange changes the priority in a workspace's contract, waits until all ready routers have applied the change, for at most
-// applyTimeout, and records how long that took.
+// configChange changes the priority in a workspace's contract. It waits until all ready routers have applied the change, at
+// most for applyTimeout, and records how long that took.
 func (f *faultInjector) configChange(ctx context.Context, fault Fault) error {
 	store := configurer.NewStore(f.fleet.Platform.Table)
 	c, _, err := store.Contract(ctx, fault.Target)
@@ -200,7 +201,8 @@
 // Error names the kind of fault and the target.
 func (e *NoTargetError) Error() string { return fmt.Sprintf("%s: no target %q", e.Kind, e.Target) }
 
-// pick returns the element of a list with an index or with a prefix of its name; an empty target picks the first.
+// pick returns the element of a list that target names, by its index or by a prefix of its name. An empty target names the
+// first element.
 func pick[T any](list []T, target string, name func(T) string) (T, bool) {
 	var none T
 	if n, err := strconv.Atoi(target); err == nil && n < len(list) {
@@ -214,8 +216,8 @@
 	return none, false
 }
 
-// injectRouterFault injects a fault of a router and returns the function that ends it, which starts a new router in place of a
-// killed or drained one.
+// injectRouterFault injects a fault of a router and returns a function that ends it. For a router that was killed or
+// drained, that function starts a new router in its place.
 func (f *faultInjector) injectRouterFault(fault Fault) (func(), error) {
 	r, ok := pick(f.fleet.Routers(), fault.Target, func(r *starter.FleetRouter) string { return r.Name })
 	if !ok {
@@ -247,7 +249,7 @@
 	return replace, nil
 }
 
-// awaitRecovery waits until a killed incarnation has no grants any more, for at most recoveryTimeout, and records how long that
+// awaitRecovery waits until a killed incarnation has no grants left, at most for recoveryTimeout, and records how long that
 // took.
 func (f *faultInjector) awaitRecovery(inc masticway.Incarnation, killedAt time.Time) {
 	book := bookkeeper.New(f.fleet.Platform.Table)
@@ -263,8 +265,9 @@
 	f.recoveryTimes = append(f.recoveryTimes, time.Since(killedAt))
 }
 
-// injectSidecarFault injects a fault of a sidecar or its upstream and returns the function that ends it. The function is nil for
-// FaultSidecarDrained, which blocks until the drain is over; the sidecar is not replaced.
+// injectSidecarFault injects a fault of a sidecar or of its upstream and returns a function that ends it. If the fault
+// drains the sidecar, it blocks until the drain is over, and the sidecar is not replaced. For FaultSidecarDrained the
+// function is nil.
 func (f *faultInjector) injectSidecarFault(fault Fault) (func(), error) {
 	s, ok := pick(f.fleet.Sidecars(), fault.Target, func(s *starter.FleetSidecar) string { return s.Name })
 	if !ok {
@@ -298,8 +301,8 @@
 	return func() { s.Engine.SetFaults(emulator.EngineFaults{}) }, nil
 }
 
-// drain shuts a sidecar down gracefully and records for how long its upstream still got new work. It blocks for at least
-// drainWatchTime.
+// drain shuts a sidecar down gracefully and records for how long the sidecar's upstream still got new work. It blocks for at
+// least drainWatchTime.
 func (f *faultInjector) drain(s *starter.FleetSidecar) {
 	start := time.Now()
 	lastRunAt := start
--- a/loader/oracle.go
+++ b/loader/oracle.go
@@ -11,8 +11,8 @@
 	"github.com/masticway/masticway/starter"
 )
 
-// ledger tracks, by budget, the prepaid amount and the cost of the whole answers to all requests that clients have sent, without
-// those that were refused as not run. No router knows this for the whole fleet.
+// ledger tracks, for each budget, the prepaid amount and the demand on it. The demand is the cost of the whole answers to
+// all requests that clients have sent, except those that were refused as not run. No router knows this for the whole fleet.
 type ledger struct {
 	mu       sync.Mutex
 	prepaid  map[string]masticway.Amount
@@ -38,8 +38,8 @@
 	l.demanded[l.budgetOf[p.traffic.Workspace]] += p.cost
 }
 
-// withdrawDemand subtracts the cost of a refused request from the demand on its budget, and reports whether the budget could have
-// paid for it beside the remaining demand.
+// withdrawDemand subtracts the cost of a refused request from the demand on its budget. It returns true if the budget could
+// have paid for the request in addition to the remaining demand.
 func (l *ledger) withdrawDemand(p plannedRequest) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -54,13 +54,14 @@
 	l.prepaid[budget] += amount
 }
 
-// Promises counts violations of promises; all must be zero.
+// Promises counts violations of promises. All counts must be zero.
 type Promises struct {
-	// Overspend is the cost of what upstreams ran beyond the prepaid amounts, in tokens of weight one.
+	// Overspend is by how much the cost of what upstreams ran exceeded the prepaid amounts, in tokens of weight one.
 	Overspend float64 `json:"overspend_tokens"`
-	// Overbilled is what budgets were charged beyond the cost of what upstreams ran, without presumed charges.
+	// Overbilled is by how much the charges to budgets, without presumed charges, exceeded the cost of what upstreams ran,
+	// in tokens of weight one.
 	Overbilled float64 `json:"overbilled_tokens"`
-	// Crossed counts answers that were not the whole answer to their own request.
+	// Crossed counts answers that were wrong: not the answer to their own request (plannedRequest.isCorrect).
 	Crossed int `json:"crossed_answers"`
 	// Doubled counts non-repeatable requests to services that ran more than once.
 	Doubled int `json:"doubled_runs"`
@@ -70,25 +71,26 @@
 	CutOff int `json:"cut_off"`
 	// BrokenRows counts budget rows that are inconsistent or whose prepaid amount differs from what was paid.
 	BrokenRows int `json:"broken_rows"`
-	// LostAnswers counts non-repeatable requests to services that ran but whose client got neither a whole answer nor a refusal.
+	// LostAnswers counts non-repeatable requests to services that ran, but got neither a whole answer nor a refusal.
 	LostAnswers int `json:"lost_answers"`
 }
 
 // Kept reports whether all promises were kept.
 func (p Promises) Kept() bool { return p == Promises{} }
 
-// Money has the totals of all budgets, in tokens of weight one.
+// Money holds the totals of all budgets, in tokens of weight one.
 type Money struct {
 	// Ran is the cost of what upstreams ran.
 	Ran float64 `json:"ran"`
-	// Settled is what was charged, Presumed the part of it of which it is unknown whether a lost sidecar ran it.
+	// Settled is what was charged. Presumed is the part of Settled that was charged because a sidecar was lost and the true
+	// cost is unknown.
 	Settled  float64 `json:"settled"`
 	Presumed float64 `json:"presumed"`
-	// GivenBack is what was refunded because it had been charged twice; Settled does not contain it.
+	// GivenBack is what was refunded because it had been charged twice. Settled does not include it.
 	GivenBack float64 `json:"given_back"`
-	// Underbilled is what upstreams ran beyond what was charged.
+	// Underbilled is by how much the cost of what upstreams ran exceeded the charges.
 	Underbilled float64 `json:"underbilled"`
-	// Stranded is what routers still hold in grants after their shutdown.
+	// Stranded is what is still in open grants after the shutdown of the routers.
 	Stranded float64 `json:"stranded_at_end"`
 }
 
@@ -114,8 +116,8 @@
 	return ran
 }
 
-// checkMoney compares the cost of what ran with the prepaid amounts and with the charges in the table. It adds broken promises to
-// p and returns the totals.
+// checkMoney compares the cost of what ran with the prepaid amounts and with the charges in the table. It counts violations
+// in p and returns the totals.
 func checkMoney(ctx context.Context, fleet *starter.Fleet, l *ledger, ran map[string]masticway.Amount, p *Promises) (Money, error) {
 	var m Money
 	book := bookkeeper.New(fleet.Platform.Table)
--- a/loader/plan.go
+++ b/loader/plan.go
@@ -15,7 +15,7 @@
 
 // plannedRequest is a request of the plan. For a scenario, the plan depends only on the seed.
 type plannedRequest struct {
-	// arrival is the time from the start of the load until the request is sent.
+	// arrival is the time from the start of the load at which the request is sent.
 	arrival time.Duration
 	traffic Traffic
 	// key is the idempotency key.
@@ -24,7 +24,7 @@
 	region   int
 	messages []emulator.Message
 	body     string
-	// tokens is the length of a model's whole answer.
+	// tokens is the length of a model's whole answer in tokens.
 	tokens int
 	// cost is what the whole answer costs.
 	cost masticway.Amount
@@ -32,10 +32,10 @@
 	nonRepeatable bool
 }
 
-// words are the words of prompts.
+// words holds the words that prompts are made of.
 const words = "chest waist sleeve inseam lapel vent cuff drape canvas dart seam hem yoke collar button lining "
 
-// plan draws all requests of a scenario, ordered by their arrivals.
+// plan draws all requests of a scenario. It returns them in the order of their arrivals.
 func plan(s Scenario, catalog masticway.Catalog, contracts []masticway.Contract) []plannedRequest {
 	contractOf := map[string]masticway.Contract{}
 	for _, c := range contracts {
@@ -60,7 +60,7 @@
 	return all
 }
 
-// planRequest draws a request of a stream of traffic that arrives at a time after the start.
+// planRequest draws one request of a stream of traffic. at is its arrival, as the time from the start of the load.
 func planRequest(s Scenario, catalog masticway.Catalog, t Traffic, random *rand.Rand, at time.Duration, key string) plannedRequest {
 	p := plannedRequest{arrival: at, traffic: t, key: key, region: random.IntN(len(s.Regions))}
 	if t.Service != "" {
--- a/loader/report.go
+++ b/loader/report.go
@@ -20,18 +20,18 @@
 	Requests int `json:"requests"`
 	OK       int `json:"ok"`
 	Attempts int `json:"tries"`
-	// CutShort counts successful answers that are shorter than planned, which happens if the budget does not allow more.
+	// CutShort counts successful answers that are shorter than planned. A small budget can cause this.
 	CutShort int `json:"cut_short"`
-	// FalseRefusals counts requests that were refused for lack of money although the budget could have paid for them,
-	// TrueRefusals those for which it could not.
+	// FalseRefusals counts requests that were refused for lack of money although the budget could have paid for them.
+	// TrueRefusals counts those that the budget could not have paid for.
 	FalseRefusals int `json:"false_refusals"`
 	TrueRefusals  int `json:"true_refusals"`
-	// Limited counts refusals because of limits or overload, Unknown other refusals that report an unknown outcome, and Failed
-	// all other requests without success.
+	// Limited counts refusals because of limits or overload. Unknown counts other requests without success whose answer
+	// reports an unknown outcome. Failed counts all other requests without success.
 	Limited int `json:"limited"`
 	Unknown int `json:"unknown"`
 	Failed  int `json:"failed"`
-	// Codes counts the error codes of requests without success, by the last attempt.
+	// Codes counts the requests without success by the error code of their last attempt.
 	Codes map[string]int `json:"codes,omitempty"`
 }
 
@@ -50,26 +50,32 @@
 	Promises Promises                 `json:"promises"`
 	Money    Money                    `json:"money"`
 	Traffic  map[string]TrafficReport `json:"traffic"`
-	// The shares are fractions of all planned requests. FailedShare is the share of Outcomes.Failed and Outcomes.Unknown.
+	// FalseRefusalShare and FailedShare are fractions of all planned requests. FailedShare is the share of Outcomes.Failed
+	// and Outcomes.Unknown together.
 	FalseRefusalShare float64 `json:"false_refusal_share"`
 	FailedShare       float64 `json:"failed_share"`
-	// TableWrites and TableReads are committed transactions and reads of the table per 1,000 requests.
+	// TableWrites is the number of committed transactions of the table per 1,000 requests, and TableReads the number of its
+	// reads.
 	TableWrites float64 `json:"table_writes_per_1000"`
 	TableReads  float64 `json:"table_reads_per_1000"`
-	// WritesByKind has TableWrites by the kind of the first row that a transaction puts.
+	// WritesByKind splits TableWrites by the kind of the first row that a transaction puts. The kind is the key's prefix,
+	// such as "budget".
 	WritesByKind map[string]float64 `json:"writes_by_kind_per_1000"`
-	// RecoveryMS has, for each killed router, the time until its money was returned, at most recoveryTimeout.
+	// RecoveryMS holds, for each killed router, the time until its money was returned. If that did not happen within
+	// recoveryTimeout, it is about recoveryTimeout.
 	RecoveryMS []int64 `json:"recovery_ms,omitempty"`
-	// QuietMS has, for each draining sidecar, the time for which its upstream still got new work.
+	// QuietMS holds, for each draining sidecar, the time for which its upstream still got new work.
 	QuietMS []int64 `json:"quiet_ms,omitempty"`
-	// InForceMS has, for each configuration change, the time until all ready routers had applied it, at most applyTimeout.
+	// InForceMS holds, for each configuration change, the time until all ready routers had applied it. If that did not
+	// happen within applyTimeout, it is about applyTimeout.
 	InForceMS []int64  `json:"in_force_ms,omitempty"`
 	Examples  []string `json:"examples,omitempty"`
 	// Failures describes broken promises and missed expectations.
 	Failures []string `json:"failures,omitempty"`
 }
 
-// buildReport makes the report from the tally, the injected faults and the use of the table.
+// buildReport makes the report of a run. requests is the number of planned requests. reads and writes are the uses of the
+// table during the load.
 func (e *experiment) buildReport(requests int, reads int64, writes map[string]int64, money Money) Report {
 	t := e.tally
 	s := e.runner.Scenario
@@ -169,7 +175,7 @@
 	fmt.Fprintf(w, "    %-15s p50 %8.2f  p95 %8.2f  p99 %8.2f  max %8.2f ms\n", name, s.P50, s.P95, s.P99, s.Max)
 }
 
-// Runs has the reports of a scenario under several seeds, as stored in a file.
+// Runs holds the reports of one scenario under several seeds, in the form in which they are stored in a file.
 type Runs struct {
 	Runs []Report `json:"runs"`
 }
@@ -222,7 +228,8 @@
 	return float64(slices.Max(list))
 }
 
-// Compare writes the medians of two sets of runs with their minima and maxima, and the ratio of the medians.
+// Compare writes, for each figure of two sets of runs, the medians with their minima and maxima, and the ratio of the
+// medians.
 func Compare(w io.Writer, a, b Runs) {
 	fmt.Fprintf(w, "%-40s %28s %28s %8s\n", "figure", "A median (min to max)", "B median (min to max)", "B/A")
 	inA, inB := collectFigures(a), collectFigures(b)
@@ -261,7 +268,7 @@
 	}, " ")
 }
 
-// summarize summarizes a histogram; it returns nil if there is none.
+// summarize summarizes a histogram. It returns nil if h is nil.
 func summarize(h *hdrhistogram.Histogram) *measurer.Summary {
 	if h == nil {
 		return nil
--- a/loader/runner.go
+++ b/loader/runner.go
@@ -24,9 +24,9 @@
 	readyTimeout = 30 * time.Second
 	// answerTimeout limits the wait for answers after the end of the scenario's duration.
 	answerTimeout = 90 * time.Second
-	// instanceLag is how far the instance list lags behind in experiments.
+	// instanceLag is the time after which the instance list of an experiment shows a change.
 	instanceLag = 500 * time.Millisecond
-	// progressInterval is the shortest time between two lines of progress.
+	// progressInterval is the minimum time between two lines of progress.
 	progressInterval = 5 * time.Second
 	// clientProcess is the prefix of the clients' names and locations in the network.
 	clientProcess = "client"
@@ -38,12 +38,12 @@
 	// Progress gets a line every few seconds while requests are sent.
 	Progress io.Writer
 	Log      *logrus.Logger
-	// InjectViolation is nil except in tests. It is called after the load and before the checks, and changes what the emulated
-	// upstreams report as run, so that a promise appears broken.
+	// InjectViolation is nil except in tests. It is called after the load and before the checks. It changes what the
+	// emulated upstreams report as run, so that a promise seems to be broken.
 	InjectViolation func(*starter.Fleet)
 }
 
-// tally collects the outcomes that clients saw, by the name of the traffic, and counts broken promises.
+// tally collects the outcomes that clients saw, by the name of the traffic, and counts violations of promises.
 type tally struct {
 	mu           sync.Mutex
 	firstTokens  map[string]*hdrhistogram.Histogram
@@ -51,7 +51,7 @@
 	wholeAnswers map[string]*hdrhistogram.Histogram
 	outcomes     map[string]*Outcomes
 	promises     Promises
-	// examples describes requests for which a promise was broken, for use with the explain command.
+	// examples describes requests for which a promise was broken. It contains their ids for the explain command.
 	examples []string
 	services []serviceOutcome
 }
@@ -79,7 +79,8 @@
 	_ = h.RecordValue(max(1, d.Microseconds()))
 }
 
-// add counts the outcome of a request, and a broken promise if its answer is wrong.
+// add counts the outcome of a request. If the answer is wrong, it also counts a violation. falseRefusal is set if the budget
+// could have paid for a refused request.
 func (t *tally) add(p plannedRequest, a answer, falseRefusal bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -133,8 +134,8 @@
 	}
 }
 
-// checkServiceRuns compares the outcome of each request to a service with how often it ran, and counts broken promises. runs has
-// the number of runs by request body.
+// checkServiceRuns compares the outcome of each request to a service with how often the request ran, and counts violations.
+// runs holds the number of runs by request body.
 func (t *tally) checkServiceRuns(runs map[string]int) {
 	for _, s := range t.services {
 		n := runs[s.planned.body]
@@ -154,8 +155,8 @@
 	}
 }
 
-// Run runs the scenario and returns its report. The error is not nil if the experiment itself failed; broken promises and missed
-// expectations are only in the report.
+// Run runs the scenario and returns its report. It returns an error only if the experiment itself failed. Broken promises
+// and missed expectations are only in the report.
 func (r Runner) Run(ctx context.Context) (Report, error) {
 	s := r.Scenario
 	catalog, err := s.catalog()
@@ -211,7 +212,8 @@
 	return spec
 }
 
-// delay returns the one-way network delay between two locations, which are written region/zone. The platform's location is empty.
+// delay returns the one-way network delay between two locations. A location is written as region/zone. The location of the
+// platform is empty, and those of clients begin with clientProcess.
 func (s Scenario) delay(from, to string) time.Duration {
 	fromRegion, _, _ := strings.Cut(from, "/")
 	toRegion, _, _ := strings.Cut(to, "/")
@@ -226,7 +228,8 @@
 	return s.RegionDelay.Std()
 }
 
-// seed writes catalog, contracts and budgets to the fleet's platform, and returns a new API key for each workspace.
+// seed writes the catalog, the contracts and the budgets to the fleet's platform. It returns a new API key for each
+// workspace.
 func seed(ctx context.Context, fleet *starter.Fleet, s Scenario, catalog masticway.Catalog, contracts []masticway.Contract) (map[string]string, error) {
 	keys := map[string]string{}
 	withKeys := make([]masticway.Contract, 0, len(contracts))
@@ -255,7 +258,7 @@
 	clients   []*client
 }
 
-// run offers the planned load, injects the faults and returns the report.
+// run sends the planned load, injects the faults and returns the report.
 func (e *experiment) run(ctx context.Context) (Report, error) {
 	s := e.runner.Scenario
 	all := plan(s, e.catalog, e.contracts)
@@ -287,7 +290,8 @@
 	return e.finish(ctx, len(all), readsAfter-reads, written)
 }
 
-// offerLoad sends all planned requests at their times and waits for their outcomes. After answerTimeout it gives up.
+// offerLoad sends all planned requests at their times and waits for their outcomes. It cancels the requests that are still
+// open answerTimeout after the end of the scenario's duration.
 func (e *experiment) offerLoad(ctx context.Context, all []plannedRequest, start time.Time) {
 	ctx, cancel := context.WithTimeout(ctx, e.runner.Scenario.Duration.Std()+answerTimeout)
 	defer cancel()
@@ -306,7 +310,7 @@
 	wg.Wait()
 }
 
-// sendOne sends a planned request and counts its outcome.
+// sendOne sends a planned request, with retries, and counts its outcome.
 func (e *experiment) sendOne(ctx context.Context, p plannedRequest, arrival time.Time) {
 	e.ledger.addDemand(p)
 	a := e.clients[p.region].send(ctx, p, arrival)
--- a/loader/scenario.go
+++ b/loader/scenario.go
@@ -12,10 +12,11 @@
 type Scenario struct {
 	Name string `json:"name"`
 	Seed int64  `json:"seed"`
-	// Duration is the time in which requests arrive.
+	// Duration is the time from the start of the load in which requests arrive.
 	Duration masticway.Duration `json:"duration"`
 	Regions  []Region           `json:"regions"`
-	// The one-way network delays: between two zones of a region (and to the platform), between regions, and to and from clients.
+	// ZoneDelay, RegionDelay and ClientDelay are one-way network delays. ZoneDelay applies between zones of a region and to
+	// the platform, RegionDelay between regions, and ClientDelay to and from clients.
 	ZoneDelay   masticway.Duration `json:"zone_delay"`
 	RegionDelay masticway.Duration `json:"region_delay"`
 	ClientDelay masticway.Duration `json:"client_delay"`
@@ -26,7 +27,7 @@
 	Budgets     []Budget           `json:"budgets"`
 	Traffic     []Traffic          `json:"traffic"`
 	Faults      []Fault            `json:"faults"`
-	// Router and Sidecar have the settings that differ from the defaults.
+	// Router and Sidecar hold the settings that differ from the defaults.
 	Router  json.RawMessage `json:"router"`
 	Sidecar json.RawMessage `json:"sidecar"`
 	Expect  Expect          `json:"expect"`
@@ -76,12 +77,13 @@
 	Service string          `json:"service"`
 	Path    string          `json:"path"`
 	Class   masticway.Class `json:"class"`
-	// PromptBytes is the approximate size of a prompt. SharedBytes of it are the same in all requests of a group, and each
-	// request belongs to one of this many Groups.
+	// PromptBytes is the approximate size of a prompt. Each request belongs to one of Groups groups, and the first
+	// SharedBytes bytes of a prompt are equal in all requests of its group.
 	PromptBytes int `json:"prompt_bytes"`
 	SharedBytes int `json:"shared_bytes"`
 	Groups      int `json:"groups"`
-	// OutputTokens is the mean length of an answer; MaxTokens, unless it is zero, is the limit that the request sets.
+	// OutputTokens is the mean length of an answer in tokens. MaxTokens is the limit that each request sets, or zero if
+	// requests set none.
 	OutputTokens int  `json:"output_tokens"`
 	MaxTokens    int  `json:"max_tokens"`
 	Stream       bool `json:"stream"`
@@ -92,8 +94,9 @@
 // FaultKind is a kind of fault.
 type FaultKind string
 
-// The kinds of faults. Cut means cut off from all other processes, or a region from other regions and the platform. Drained means
-// shut down gracefully; FaultListHidesDraining drains a sidecar while the instance list is down.
+// The kinds of faults. "Cut" is a process that is cut off from all others, or a region that is cut off from the other
+// regions and the platform. "Drained" is a graceful shutdown. FaultListHidesDraining drains a sidecar while the instance
+// list is down.
 const (
 	FaultTableDown           FaultKind = "table_down"
 	FaultTableSlow           FaultKind = "table_slow"
@@ -119,18 +122,19 @@
 type Fault struct {
 	// At is the time from the start of the load until the fault begins.
 	At masticway.Duration `json:"at"`
-	// Duration is the time after At until the fault ends or, if it stopped a process, until that process is replaced or restarted.
-	// Kinds of faults that end by themselves ignore it.
+	// Duration is the time after At at which the fault ends. If the fault stopped a process, the process is then replaced or
+	// started again. Faults of kinds that end by themselves ignore Duration.
 	Duration masticway.Duration `json:"for"`
 	Kind     FaultKind          `json:"kind"`
-	// Target is an index or name prefix of a router or sidecar, or the name of a region, budget or workspace.
+	// Target names what the fault affects: the index or a prefix of the name of a router or sidecar, or the name of a
+	// region, budget or workspace.
 	Target string `json:"target"`
 	// Value is the delay in milliseconds for FaultTableSlow, the number of answers for FaultTableLosesAnswers and
 	// FaultServiceDropsAnswers, and the amount for FaultTopUp. Other kinds ignore it.
 	Value int64 `json:"value"`
 }
 
-// Expect has upper limits for figures of the report. A figure whose limit is zero is not checked. Promises are always checked.
+// Expect holds upper limits for figures of the report. A zero limit is not checked. Promises are always checked.
 type Expect struct {
 	FalseRefusalShare float64 `json:"false_refusal_share"`
 	FailedShare       float64 `json:"failed_share"`
