--- a/emulator/caller.go
+++ b/emulator/caller.go
@@ -15,10 +15,12 @@
 	TimeLeft time.Duration
 	// Key is the caller's API key. It is empty for routes that do not require one.
 	Key string
-	// Metered is set if the request declares its tokens: the number in Prompt and the maximum of its answer, MaxOutput.
+	// Metered is set if the request declares its tokens: Prompt is the number in the prompt, and MaxOutput the maximum of
+	// the answer.
 	Metered           bool
 	Prompt, MaxOutput int
-	// LastEvent is the ID of the last event that the caller received of an interrupted answer, or zero if it resumes none.
+	// LastEvent is the ID of the last event that the caller received of an interrupted answer. It is zero if the request
+	// resumes no answer.
 	LastEvent int
 }
 
@@ -37,8 +39,8 @@
 	return h
 }
 
-// AnswerOrigin returns the ID of the request that an answer's headers name, and the ID of the opaque server whose signature they
-// carry. An ID is empty if its header is missing.
+// AnswerOrigin returns the IDs that an answer's headers name: that of the request, and that of the opaque server that signed
+// the answer. An ID is empty if its header is missing.
 func AnswerOrigin(h http.Header) (request, server string) {
 	return h.Get("X-Attempt-Id"), strings.TrimPrefix(h.Get("X-Server-Signature"), signaturePrefix)
 }
--- a/emulator/clock.go
+++ b/emulator/clock.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// MonotonicClock reads only the time package, so that it follows the fake clock inside a synctest bubble.
+// MonotonicClock is a clock that uses only package time. In a synctest bubble it therefore follows the fake clock.
 type MonotonicClock struct{}
 
 // Now returns the current time.
--- a/emulator/deployment.go
+++ b/emulator/deployment.go
@@ -27,15 +27,16 @@
 	DeploymentTokensPerEvent = 3
 )
 
-// Deployment is a deployment configuration in the operator's format, with one route of each kind and one more for each path.
+// Deployment is a deployment configuration in the operator's format. It has one route of each kind and one more for each of
+// Paths.
 type Deployment struct {
 	Number  int64            // the version of the configuration
 	Paths   []string         // the paths of further routes
 	Prepaid map[string]int64 // prepaid tokens by workspace
 }
 
-// Put writes the configuration to its row, regardless of the store's faults, and returns its size in bytes. It returns an error
-// if the template cannot be executed.
+// Put writes the configuration to its row in the store, regardless of the store's faults, and returns its size in bytes. It
+// returns an error if the template cannot be executed.
 func (d Deployment) Put(rows *RowStore) (int, error) {
 	var document bytes.Buffer
 	if err := deploymentTemplate.Execute(&document, d); err != nil {
--- a/emulator/engine.go
+++ b/emulator/engine.go
@@ -19,12 +19,13 @@
 type EngineSettings struct {
 	// Capacity is the maximum number of requests in the batch.
 	Capacity int
-	// PrefillTime is the time to process one prompt token, and TokenTime the time to generate one output token.
+	// PrefillTime is the time to process one prompt token. TokenTime is the time to generate one output token.
 	PrefillTime time.Duration
 	TokenTime   time.Duration
 	// CacheBlocks is the maximum number of blocks in the prefix cache.
 	CacheBlocks int
-	// ReportLag is the least age of the load reports that the engine returns, as soon as it has one of that age.
+	// ReportLag is the minimum age of the load reports that the engine returns. Until a report has this age, the engine
+	// returns the oldest one that it has.
 	ReportLag time.Duration
 	// IgnoreFences makes the engine execute orders even if their fencing numbers are outdated.
 	IgnoreFences bool
@@ -32,29 +33,30 @@
 
 // EngineFaults are the faults that can be injected into an engine.
 type EngineFaults struct {
-	// Down rejects new requests and breaks those that run. Requests that wait for a slot break when they get one.
+	// Down makes the engine reject new requests and break running ones. Requests that wait for a slot in the batch break
+	// when they get one.
 	Down bool `json:"down"`
 	// Stall pauses prefills and all output without ending the streams.
 	Stall bool `json:"stall"`
-	// BreakBeforeFirstToken is the number of streams to break after the prompt's token count has been sent and before the
-	// first token.
+	// BreakBeforeFirstToken is the number of streams that break before their first token, after the prompt's token count has
+	// been sent.
 	BreakBeforeFirstToken int `json:"break_after_count"`
-	// HideCache omits cached prefixes from load reports.
+	// HideCache omits the cached prefixes from load reports.
 	HideCache bool `json:"hide_cache"`
 }
 
 // EngineCounts counts the work that an engine did.
 type EngineCounts struct {
-	// Runs counts the requests that got a slot in the batch, resumed ones included.
+	// Runs counts the requests that got a slot in the batch, including resumed ones.
 	Runs int64 `json:"runs"`
-	// Prompt counts prompt tokens, without those of resumed requests, and Completion the tokens that were generated.
+	// Prompt counts prompt tokens, except those of resumed requests. Completion counts the tokens that were generated.
 	Prompt     int64 `json:"prompt_tokens"`
 	Completion int64 `json:"completion_tokens"`
-	// CacheHits counts the prompt tokens that were in the prefix cache.
+	// CacheHits counts the prompt tokens that were found in the prefix cache.
 	CacheHits int64 `json:"cache_hit_tokens"`
 	// Orders counts the orders that were executed.
 	Orders int64 `json:"orders"`
-	// Owners splits Prompt and Completion by the owner that the prompt names.
+	// Owners splits Prompt and Completion by owner, the workspace that the prompt names (OwnerPrefix).
 	Owners map[string]OwnerCounts `json:"owners"`
 }
 
@@ -87,13 +89,13 @@
 	running    int
 	waiting    admissionQueue
 	lastTicket int64
-	// cache has the tick of each cached block's last use, by the block's hash.
+	// cache holds, by the hash of a block, the value of cacheTick at the block's last use.
 	cache map[uint64]int64
 	// cacheTick is a logical clock for uses of the cache.
 	cacheTick int64
-	// reports has the load reports that may still be returned, oldest first.
+	// reports holds the load reports that may still be returned, oldest first.
 	reports []masticway.LoadReport
-	// fence is the highest fencing number of the orders so far.
+	// fence is the highest fencing number of the orders that have been executed.
 	fence int64
 	// down is closed when the engine goes down, and replaced when it is up again.
 	down chan struct{}
@@ -104,7 +106,7 @@
 // admission is a request that waits for a slot in the batch.
 type admission struct {
 	priority int
-	// ticket increases with the arrival.
+	// ticket is a number that increases with each arrival.
 	ticket int64
 	// admitted is closed when the request has got a slot.
 	admitted chan struct{}
@@ -112,7 +114,7 @@
 	index int
 }
 
-// admissionQueue is a heap of waiting requests: the highest priority first, then the earliest arrival.
+// admissionQueue is a heap of waiting requests. The first has the highest priority and, among those, the earliest arrival.
 type admissionQueue []*admission
 
 func (q admissionQueue) Len() int { return len(q) }
@@ -170,7 +172,7 @@
 	return counts
 }
 
-// Record counts tokens of an owner that no request asked for, so that tests can verify that the checks detect it.
+// Record counts tokens of an owner that no request asked for. Tests use it to verify that checks detect this.
 func (e *Engine) Record(owner string, prompt, completion int64) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -216,10 +218,10 @@
 	return nil
 }
 
-// report makes a new load report and returns the newest one that is at least ReportLag old, or the oldest kept one if none is.
+// report makes a new load report and returns the newest one that is at least ReportLag old. If no report is that old, it
+// returns the oldest one. It discards the reports older than the returned one.
 //
-// Reports older than the returned one are discarded. Reports are made only by calls, so the returned one can be much older than
-// ReportLag.
+// Reports are made only by calls of report, so the returned one can be much older than ReportLag.
 func (e *Engine) report() masticway.LoadReport {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -240,7 +242,8 @@
 	return reported
 }
 
-// maxReportedPrefixes is the maximum number of prefixes, each the hash of a block and all blocks before it, in one load report.
+// maxReportedPrefixes is the maximum number of prefixes in one load report. A prefix is the hash of a block of a prompt and
+// of all blocks before it.
 const maxReportedPrefixes = 16
 
 // recentPrefixes returns the sorted hashes of the most recently used blocks.
@@ -290,8 +293,8 @@
 	e.streamAnswer(r.Context(), w, in, down)
 }
 
-// admit takes a slot in the batch, and waits for it if the batch is full. It returns false, without a slot, if ctx is done first.
-// Higher priorities go first.
+// admit takes a slot in the batch. If the batch is full, it waits for a slot, and requests with a higher priority go first.
+// If ctx is done first, it returns false and takes no slot.
 func (e *Engine) admit(ctx context.Context, priority int) bool {
 	e.mu.Lock()
 	if e.running < e.settings.Capacity {
@@ -333,9 +336,9 @@
 	close(a.admitted)
 }
 
-// lookUpPrompt counts the run, looks the prompt up in the prefix cache and adds it to the cache. It returns the number of tokens
-// to prefill, which include those of the answer that the caller of a resumed request already has, and the number of cached
-// tokens.
+// lookUpPrompt counts the run, looks the prompt up in the prefix cache and adds it to the cache. It returns the number of
+// tokens to prefill and the number of cached tokens. The tokens to prefill include the part of the answer that the caller of
+// a resumed request already has.
 func (e *Engine) lookUpPrompt(in completionRequest) (uncached, cached int) {
 	promptTokens := CountTokens(in.Messages)
 	e.mu.Lock()
@@ -408,8 +411,7 @@
 	fmt.Fprint(w, "data: [DONE]\n\n")
 }
 
-// takeBreakFault reports whether this stream must break before its first token. If so, it decrements the number of streams to
-// break.
+// takeBreakFault reports whether this stream must break before its first token, and counts it off the streams to break.
 func (e *Engine) takeBreakFault() bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -420,8 +422,8 @@
 	return true
 }
 
-// runPrefill waits for a prefill of duration d; it returns false if ctx is done or the engine goes down first. Prefills of one
-// engine run one at a time, because they share its compute.
+// runPrefill waits for a prefill of duration d. Prefills of one engine run one at a time, because they share its compute. It
+// returns false if ctx is done or the engine goes down first.
 func (e *Engine) runPrefill(ctx context.Context, down chan struct{}, d time.Duration) bool {
 	select {
 	case e.prefillSlot <- struct{}{}:
--- a/emulator/link.go
+++ b/emulator/link.go
@@ -42,7 +42,8 @@
 	return listener.Addr().String(), nil
 }
 
-// ReceivedBytes returns the number of bytes received from all targets, including those that still wait for bandwidth.
+// ReceivedBytes returns the number of bytes received from all targets, including those that have not been passed on yet
+// because they wait for bandwidth.
 func (l *BandwidthProxy) ReceivedBytes() int64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -129,7 +130,7 @@
 	}
 }
 
-// reserve reserves bandwidth for n bytes and returns the time at which they have arrived.
+// reserve reserves bandwidth for n bytes and returns the time at which the last of them has arrived.
 func (l *BandwidthProxy) reserve(n int) time.Time {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/emulator/network.go
+++ b/emulator/network.go
@@ -21,23 +21,23 @@
 	changed chan struct{}
 }
 
-// NewNetwork returns a network without partitions; delay returns the one-way latency between two zones.
+// NewNetwork returns a network without partitions. delay returns the one-way delay between two zones.
 func NewNetwork(delay func(from, to string) time.Duration) *Network {
 	return &Network{processes: map[string]string{}, delay: delay, partitions: map[[2]string]bool{}, changed: make(chan struct{})}
 }
 
-// RegisterAddress records which process listens on an address. Partitions and delays need this, because they are between
-// processes.
+// RegisterAddress records which process listens on an address. Dialers need this, because delays and partitions are defined
+// between processes.
 func (n *Network) RegisterAddress(address, process string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.processes[address] = process
 }
 
-// Partition partitions two processes, or a from all others if b is "*".
+// Partition cuts the connections between two processes, or between a and all others if b is "*".
 func (n *Network) Partition(a, b string) { n.setPartition(a, b, true) }
 
-// Heal ends a partition that was started with the same arguments.
+// Heal ends a partition. Its arguments must be those of the call of Partition.
 func (n *Network) Heal(a, b string) { n.setPartition(a, b, false) }
 
 func (n *Network) setPartition(a, b string, partitioned bool) {
@@ -60,8 +60,8 @@
 	return partitioned, n.changed
 }
 
-// Dialer returns a dial function for a process in a zone; zoneOf returns the zone of a process. Dialing waits while the two
-// processes are partitioned. The bytes of its connections are delayed, but the connection itself is opened without delay.
+// Dialer returns a dial function for a process in a zone. zoneOf returns the zone of a process. Dialing waits while the two
+// processes are partitioned. The bytes of the connection are delayed, but the connection is opened without delay.
 func (n *Network) Dialer(process, zone string, zoneOf func(process string) string) func(ctx context.Context, network, address string) (net.Conn, error) {
 	return func(ctx context.Context, network, address string) (net.Conn, error) {
 		n.mu.Lock()
@@ -93,7 +93,7 @@
 	}
 }
 
-// packet has bytes and the time before which they must not be delivered.
+// packet holds bytes and the earliest time at which they may be delivered.
 type packet struct {
 	data []byte
 	due  time.Time
@@ -132,8 +132,8 @@
 	return s
 }
 
-// awaitDelivery waits until a packet is due and no partition holds it back. It reports false if the connection is closed during a
-// partition.
+// awaitDelivery waits until a packet is due and no partition holds it back. It returns false if the connection is closed
+// during a partition.
 func (s *shapedConn) awaitDelivery(p packet) bool {
 	if wait := time.Until(p.due); wait > 0 {
 		time.Sleep(wait)
@@ -239,8 +239,8 @@
 	return n, nil
 }
 
-// deadlineTimer returns a channel that receives at the read deadline, or nil if there is none, and one that is closed when the
-// deadline changes.
+// deadlineTimer returns two channels. The first receives a value at the read deadline, and is nil if there is no deadline.
+// The second is closed when the deadline changes.
 func (s *shapedConn) deadlineTimer() (<-chan time.Time, chan struct{}) {
 	s.deadlineMu.Lock()
 	defer s.deadlineMu.Unlock()
--- a/emulator/opaque.go
+++ b/emulator/opaque.go
@@ -12,7 +12,7 @@
 	"time"
 )
 
-// signaturePrefix is the prefix of a server's signature; the server's ID follows.
+// signaturePrefix is the prefix of a server's signature. The server's ID follows it.
 const signaturePrefix = "signed-by-"
 
 // OpaqueFault is a fault that is injected into an opaque server for one request.
@@ -33,7 +33,7 @@
 	// OpaqueTruncated runs the request and closes the connection in the middle of the answer. It has no effect on a stream that
 	// has only one event left.
 	OpaqueTruncated OpaqueFault = "cut"
-	// OpaqueHang runs the request and never answers; it waits until the caller closes the connection.
+	// OpaqueHang runs the request and never answers. The server waits until the caller closes the connection.
 	OpaqueHang OpaqueFault = "hang"
 	// OpaqueUnsigned runs the request and answers without its signature.
 	OpaqueUnsigned OpaqueFault = "forged"
@@ -41,38 +41,39 @@
 	OpaqueWrongRequest OpaqueFault = "foreign"
 	// OpaqueStrayAnswer runs the request and sends another request's answer before its own.
 	OpaqueStrayAnswer OpaqueFault = "extra"
-	// OpaqueCrash crashes the server crashDelay after it has started to run the request, which breaks all its other requests too.
+	// OpaqueCrash crashes the server crashDelay after it has started to run the request. This breaks all its other requests
+	// too.
 	OpaqueCrash OpaqueFault = "crash"
 )
 
-// crashDelay is the time between the start of a request that crashes the server and the crash.
+// crashDelay is the time from the start of a request that crashes the server to the crash.
 const crashDelay = 20 * time.Millisecond
 
 // OpaqueRun is one request that a server has started to run.
 type OpaqueRun struct {
-	// ID is the request's ID, Server that of the server. LastEvent is the ID of the last event that the caller already has, or
-	// empty if the request resumes no answer.
+	// ID is the ID of the request, and Server that of the server. LastEvent is the ID of the last event that the caller
+	// already has. It is empty if the request resumes no answer.
 	ID, Server, Workspace, LastEvent, Path string
-	// TimeLeft is the remaining time that the request grants.
+	// TimeLeft is the time that the request grants the server to answer.
 	TimeLeft time.Duration
 	// HasKey is set if the request carries an API key, which routers must remove.
 	HasKey bool
 	Body   string
-	// StartedAt is when the server started to run the request, Fault the fault that was injected.
+	// StartedAt is when the server started to run the request. Fault is the fault that was injected for it.
 	StartedAt time.Time
 	Fault     OpaqueFault
-	// CallerDisconnected is set if an event of a stream could not be written because the connection had ended, or when the
-	// connection ends during OpaqueHang.
+	// CallerDisconnected is set if an event of a stream could not be written because the connection had ended. Under
+	// OpaqueHang it is set when the connection ends.
 	CallerDisconnected bool
 }
 
-// OpaqueRunLog records the requests that the servers that share it have started to run, across restarts.
+// OpaqueRunLog records the requests that servers have started to run. Several servers can share it, and it outlives them.
 type OpaqueRunLog struct {
 	mu   sync.Mutex
 	runs []OpaqueRun
 }
 
-// Runs returns the requests that servers have started to run, in the order of their starts.
+// Runs returns the recorded requests in the order of their starts.
 func (l *OpaqueRunLog) Runs() []OpaqueRun {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -97,32 +98,32 @@
 type OpaqueArrival struct {
 	ID         string
 	ReceivedAt time.Time
-	// RetryAfter is the Retry-After value, in seconds, that a rejected request was answered with. It is empty if there was none.
+	// RetryAfter is the Retry-After value, in seconds, in the rejection of the request. It is empty if there was none.
 	RetryAfter string
 }
 
-// OpaqueServer emulates a server of the users: it implements their protocol and can inject the faults of type OpaqueFault.
-// Routers cannot look into such a server; they see only its row and its answers.
+// OpaqueServer emulates a server of the users. It implements their protocol and injects faults of type OpaqueFault. Routers
+// cannot look into such a server: they see only its row and its answers.
 type OpaqueServer struct {
 	ID       string
 	runLog   *OpaqueRunLog
 	listener net.Listener
 
 	mu sync.Mutex
-	// faults are the faults of the next requests.
+	// faults holds the faults of the next requests, one for each.
 	faults []OpaqueFault
-	// events is the number of events in a stream, pause the time before each.
+	// events is the number of events in a stream. pause is the time before each event.
 	events int
 	pause  time.Duration
-	// echo makes answers repeat the request; plain answers come after workTime.
+	// echo makes answers repeat the request. Plain answers are then sent after workTime.
 	echo     bool
 	workTime time.Duration
 	conns    map[net.Conn]bool
-	// A request whose body contains crashText crashes the server; onCrash is called before it closes.
+	// A request crashes the server if its body contains crashText. onCrash is called before the server closes.
 	crashText string
 	onCrash   func(s *OpaqueServer)
-	// rateLimit is the Server-Limit header of answers; draining adds the Server-Leaving header to them. Answers with 421 and those
-	// to another request have neither.
+	// rateLimit is the Server-Limit header of answers. draining adds the Server-Leaving header to them. Answers with status
+	// 421, and answers to a request of another ID, have neither.
 	rateLimit string
 	draining  bool
 	// retryAfter is the Retry-After header of rejections, in seconds.
@@ -149,23 +150,23 @@
 // Address returns the address on which the server listens.
 func (s *OpaqueServer) Address() string { return s.listener.Addr().String() }
 
-// InjectFaults sets the faults of the next requests, one each, replacing earlier ones. Requests after them have no fault. A
-// request that crashes the server (see CrashOn) takes none of them.
+// InjectFaults replaces the faults of the next requests, one for each. Requests after these have no fault. A request that
+// crashes the server (see CrashOn) takes no fault from the list.
 func (s *OpaqueServer) InjectFaults(faults ...OpaqueFault) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.faults = faults
 }
 
-// SetStream sets the number of events in a stream and the time before each.
+// SetStream sets the number of events in a stream and the pause before each event.
 func (s *OpaqueServer) SetStream(events int, pause time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.events, s.pause = events, pause
 }
 
-// CrashOn makes every request whose body contains text crash the server. onCrash is called only for the first crash, before any
-// connection is closed, so that it runs before any caller can notice the crash.
+// CrashOn makes every request with text in its body crash the server. onCrash is called only for the first crash. It runs
+// before any connection is closed, so before a caller can notice the crash.
 func (s *OpaqueServer) CrashOn(text string, onCrash func(s *OpaqueServer)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -185,8 +186,8 @@
 	s.Close()
 }
 
-// EnableEcho makes plain answers repeat the request's ID and body, after workTime, and events repeat its ID, so that a caller
-// that receives another request's answer can detect this from the body.
+// EnableEcho makes answers repeat parts of the request, so that a caller can detect the answer to another request. Plain
+// answers repeat the request's ID and body, and are sent after workTime. Events of streams repeat the ID.
 func (s *OpaqueServer) EnableEcho(workTime time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -199,8 +200,8 @@
 	return s.echo, s.workTime
 }
 
-// SetRateLimit sets the Server-Limit header of answers, in requests per second. An empty string removes it. Answers with 421 and
-// those to another request do not carry it.
+// SetRateLimit sets the Server-Limit header of answers, in requests per second. An empty string removes it. Answers with
+// status 421 do not carry it, nor do those that a fault sends for another request.
 func (s *OpaqueServer) SetRateLimit(perSecond string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -214,7 +215,7 @@
 	s.retryAfter = seconds
 }
 
-// rejectionHeader returns the status line and headers of a rejection, whose request was not run.
+// rejectionHeader returns the status line and headers of an answer that rejects a request without running it.
 func (s *OpaqueServer) rejectionHeader() string {
 	header := "HTTP/1.1 503 Service Unavailable\r\nX-Not-Executed: 1\r\n" + s.serverHeader()
 	s.mu.Lock()
@@ -225,8 +226,8 @@
 	return header
 }
 
-// StartDraining adds the Server-Leaving header to answers until StopDraining is called. Answers with 421 and those to another
-// request do not carry it. The server continues to run requests.
+// StartDraining adds the Server-Leaving header to answers until StopDraining is called. The server continues to run
+// requests. Answers with status 421 do not carry the header, nor do those that a fault sends for another request.
 func (s *OpaqueServer) StartDraining() { s.setDraining(true) }
 
 // StopDraining removes the Server-Leaving header from answers, as after a restart of the server.
@@ -302,8 +303,8 @@
 	}
 }
 
-// recordArrival records the arrival of a request. It takes the request's fault from the queue and returns it with the settings of
-// streams.
+// recordArrival records the arrival of a request and takes the request's fault from the list. It returns the fault and the
+// current settings for streams.
 func (s *OpaqueServer) recordArrival(id, body string) (fault OpaqueFault, events int, pause time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -322,7 +323,7 @@
 	return fault, s.events, s.pause
 }
 
-// serveRequest serves one request and reports whether the connection stays open.
+// serveRequest serves one request. It returns whether the connection stays open.
 func (s *OpaqueServer) serveRequest(c net.Conn, r *http.Request, body string) bool {
 	id := r.Header.Get("X-Attempt-Id")
 	fault, events, pause := s.recordArrival(id, body)
@@ -378,8 +379,9 @@
 	return s.write(c, fmt.Sprintf("HTTP/1.1 200 OK\r\n%sContent-Length: %d\r\n\r\n%s", header, len(text), text))
 }
 
-// streamEvents sends the events after lastEvent, the last one that the caller has received. If cut is set and more than one event
-// is left, the stream ends in the middle of an event. It reports whether the connection stays open.
+// streamEvents sends the events after lastEvent, which is the ID of the last event that the caller has received. If cut is
+// set and more than one event is left, the stream ends in the middle of an event. It returns whether the connection stays
+// open.
 func (s *OpaqueServer) streamEvents(c net.Conn, run int, id, header, lastEvent string, events int, pause time.Duration, cut bool) bool {
 	if !s.write(c, "HTTP/1.1 200 OK\r\n"+header+"Content-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n") {
 		return false
--- a/emulator/platform.go
+++ b/emulator/platform.go
@@ -120,8 +120,8 @@
 	})
 }
 
-// writeError answers with the status for an error: 409 for a conflict, 404 for what does not exist, and 503 otherwise. For an
-// unknown outcome it aborts the connection instead.
+// writeError answers with the status for an error: 409 for a conflict, 404 if something does not exist, and 503 otherwise.
+// If the error is an OutcomeUnknownError, it aborts the connection instead.
 func writeError(w http.ResponseWriter, err error) {
 	if _, ok := errors.AsType[*masticway.OutcomeUnknownError](err); ok {
 		// The outcome must remain unknown to the caller, so abort the connection without an answer.
--- a/emulator/prompt.go
+++ b/emulator/prompt.go
@@ -7,10 +7,10 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// OwnerPrefix is the prefix of a prompt or body that names its owner, as in "ws:tailoring ".
+// OwnerPrefix is the prefix of a prompt or body that names its owner, the workspace that sends it, as in "ws:tailoring ".
 const OwnerPrefix = "ws:"
 
-// Owner returns the owner that text names, or the empty string if there is none.
+// Owner returns the owner that text names. It returns "" if text does not begin with OwnerPrefix.
 func Owner(text string) string {
 	rest, ok := strings.CutPrefix(text, OwnerPrefix)
 	if !ok {
@@ -53,7 +53,7 @@
 	return b.String()
 }
 
-// NaturalLength returns the number of tokens of an answer if the request sets no limit: N if the last message contains
+// NaturalLength returns the number of tokens of an answer if the request sets no limit. It is N if the last message contains
 // [tokens=N], and defaultAnswerTokens otherwise.
 func NaturalLength(messages []Message) int {
 	last := messages[max(0, len(messages)-1):]
--- a/emulator/rows.go
+++ b/emulator/rows.go
@@ -18,10 +18,10 @@
 	Unresponsive bool
 	// Delay is how long every call waits before it is executed.
 	Delay time.Duration
-	// DropAnswers is the number of writes that get no answer although they are executed if the expected versions match.
+	// DropAnswers is the number of writes that are executed as usual but get no answer.
 	DropAnswers int
-	// LateWrites is the number of writes that get no answer and are executed after LateWriteDelay, if the expected
-	// versions still match then.
+	// LateWrites is the number of writes that get no answer and are executed only after LateWriteDelay. Expected versions
+	// are compared at that time.
 	LateWrites     int
 	LateWriteDelay time.Duration
 }
@@ -38,13 +38,13 @@
 	started   time.Time
 	now       func() time.Time
 	changed   chan struct{} // closed and replaced at each commit or compaction
-	// pendingLateWrites is the number of late writes that have not been executed yet.
+	// pendingLateWrites is the number of late writes (RowFaults.LateWrites) that have not been executed yet.
 	pendingLateWrites int
 }
 
 var _ masticway.RowStore = (*RowStore)(nil)
 
-// NewRowStore returns an empty row store; now is the clock from which its store time is taken.
+// NewRowStore returns an empty row store. It takes its store time from the clock now.
 func NewRowStore(now func() time.Time) *RowStore {
 	return &RowStore{rows: map[masticway.RowKey]masticway.StoredRow{}, started: now(), now: now, changed: make(chan struct{})}
 }
@@ -71,7 +71,7 @@
 	s.commit(masticway.RowWrite{Deletes: []masticway.RowKey{key}})
 }
 
-// Row returns a row, or one with version zero if it does not exist.
+// Row returns a row regardless of the faults. If the row does not exist, the result has version zero.
 func (s *RowStore) Row(key masticway.RowKey) masticway.StoredRow {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -81,7 +81,7 @@
 	return masticway.StoredRow{RowKey: key}
 }
 
-// Compact discards the history, so that watches since an earlier version fail, also those that wait already.
+// Compact discards the history. Calls of Watch since an earlier version then fail, including those that already wait.
 func (s *RowStore) Compact() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -90,7 +90,7 @@
 	s.notifyWatchers()
 }
 
-// AwaitLateWrites waits until all late writes have been executed or have failed.
+// AwaitLateWrites waits until all late writes (RowFaults.LateWrites) have been executed or have failed.
 func (s *RowStore) AwaitLateWrites() {
 	for s.pendingWrites() > 0 {
 		time.Sleep(time.Millisecond)
@@ -103,7 +103,7 @@
 	return s.pendingLateWrites
 }
 
-// Read returns the rows of one part (partition) of a table, sorted by key, subject to the faults.
+// Read returns the rows of one part (partition) of a table, sorted by key. The store's faults apply.
 func (s *RowStore) Read(ctx context.Context, table, part string) (masticway.RowReading, error) {
 	if err := s.injectFault(ctx); err != nil {
 		return masticway.RowReading{}, err
@@ -120,7 +120,7 @@
 	return out, nil
 }
 
-// Write commits a write if the expected versions match, subject to the faults. If they do not, it returns a RowConflictError.
+// Write commits a write if the expected versions match, and returns a RowConflictError otherwise. The store's faults apply.
 func (s *RowStore) Write(ctx context.Context, w masticway.RowWrite) (masticway.RowReading, error) {
 	if err := s.injectFault(ctx); err != nil {
 		return masticway.RowReading{}, err
@@ -147,7 +147,8 @@
 	return out, err
 }
 
-// Apply commits a write if the expected versions match, regardless of the faults. Tests use it to choose the answer themselves.
+// Apply commits a write if the expected versions match, regardless of the faults. Tests use it if they choose the answer to
+// the caller themselves.
 func (s *RowStore) Apply(w masticway.RowWrite) (masticway.RowReading, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -191,8 +192,9 @@
 	s.changed = make(chan struct{})
 }
 
-// Watch waits until a table has changes since f.Since, for at most f.MaxWait, and returns them. It fails with a HistoryLostError
-// if the changes are no longer kept or are larger than f.MaxBytes, and with an UnavailableError if ctx is done first.
+// Watch waits until a table has changes since version f.Since, at most for f.MaxWait, and returns them. The store's faults
+// apply. It fails with a HistoryLostError if the changes are no longer kept or are larger than f.MaxBytes. It fails with an
+// UnavailableError if ctx is done first.
 func (s *RowStore) Watch(ctx context.Context, f masticway.WatchRequest) (masticway.RowReading, error) {
 	if err := s.injectFault(ctx); err != nil {
 		return masticway.RowReading{}, err
@@ -214,7 +216,8 @@
 	}
 }
 
-// changes returns the changes of a table since f.Since, and a channel that is closed at the next commit or compaction.
+// changes returns the changes of a table since version f.Since, and a channel that is closed at the next commit or
+// compaction.
 func (s *RowStore) changes(f masticway.WatchRequest) (masticway.RowReading, <-chan struct{}, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -240,7 +243,8 @@
 	return masticway.RowReading{Version: s.version, StoreTime: s.now().Sub(s.started)}
 }
 
-// injectFault applies the faults that concern every call: it waits or returns the error with which the call must fail.
+// injectFault applies the faults that concern every call. It waits as they require, and returns an error if the call must
+// fail.
 func (s *RowStore) injectFault(ctx context.Context) error {
 	s.mu.Lock()
 	f := s.faults
--- a/emulator/rowserver.go
+++ b/emulator/rowserver.go
@@ -93,8 +93,8 @@
 	writeRows(w, out, false, err)
 }
 
-// writeRows answers with rows, or with the status for an error: 412 for a conflict, with the current rows, 410 if the history is
-// lost, and 503 otherwise. For an unknown outcome it aborts the connection instead.
+// writeRows answers with rows, or with the status for an error: 412 and the current rows for a conflict, 410 if the history
+// is lost, and 503 otherwise. If the error is an OutcomeUnknownError, it aborts the connection instead.
 func writeRows(w http.ResponseWriter, out masticway.RowReading, hasMore bool, err error) {
 	status := http.StatusOK
 	conflict, ok := errors.AsType[*masticway.RowConflictError](err)
--- a/emulator/service.go
+++ b/emulator/service.go
@@ -13,9 +13,9 @@
 
 // ServiceFaults are the faults that can be injected into a plain service.
 type ServiceFaults struct {
-	// DelayMillis is how long every call waits between being run and being answered, in milliseconds.
+	// DelayMillis is how long a call waits after it has run and before it is answered, in milliseconds.
 	DelayMillis int `json:"slow_ms"`
-	// DropAnswers is the number of calls whose connection is aborted after they have run.
+	// DropAnswers is the number of calls that run but get no answer, because their connection is aborted.
 	DropAnswers int `json:"drop_answers"`
 	// Down rejects every call with 503 without running it.
 	Down bool `json:"down"`
@@ -46,7 +46,7 @@
 	return maps.Clone(s.runs)
 }
 
-// Record counts a run that no request asked for, so that tests can verify that the checks detect it.
+// Record counts a run that no request asked for. Tests use it to verify that checks detect this.
 func (s *Service) Record(body string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/emulator/table.go
+++ b/emulator/table.go
@@ -19,10 +19,10 @@
 	Down bool `json:"down"`
 	// DelayMillis is how long every call waits before it is executed, in milliseconds.
 	DelayMillis int `json:"slow_ms"`
-	// DropAnswers is the number of commits that take effect without an answer.
+	// DropAnswers is the number of commits that take effect but get no answer.
 	DropAnswers int `json:"lose_answers"`
 	// MaxWritesPerSecond is the maximum number of commits per second, including those that fail because of a conflict. Zero
-	// means no limit, and a negative number allows none.
+	// means no limit. A negative number allows no commits.
 	MaxWritesPerSecond int `json:"writes_per_second"`
 }
 
@@ -52,15 +52,15 @@
 	t.faults = f
 }
 
-// Reads returns the number of executed calls of Get and Scan.
+// Reads returns how many calls of Get and Scan have been executed. Calls that failed because of a fault do not count.
 func (t *Table) Reads() int64 {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.reads
 }
 
-// WritesByKind returns the number of committed transactions by kind: the key prefix, up to the first slash, of the first row that
-// the transaction put.
+// WritesByKind returns the number of committed transactions by kind. The kind of a transaction is the prefix of the key of
+// its first put, up to the first slash.
 func (t *Table) WritesByKind() map[string]int64 {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -76,7 +76,7 @@
 	return kind
 }
 
-// injectFault waits for the injected delay and returns the faults, with an error if the table is down.
+// injectFault waits for the injected delay and returns the faults. It returns an error if the table is down.
 func (t *Table) injectFault() (TableFaults, error) {
 	t.mu.Lock()
 	f := t.faults
@@ -88,7 +88,7 @@
 	return f, nil
 }
 
-// Get returns a row, or one with version zero if it does not exist.
+// Get returns a row. If the row does not exist, the result has version zero.
 func (t *Table) Get(_ context.Context, key string) (masticway.Row, error) {
 	if _, err := t.injectFault(); err != nil {
 		return masticway.Row{}, err
@@ -120,7 +120,7 @@
 	return rows, nil
 }
 
-// Commit commits a transaction if all its conditions are met, and returns a ConflictError otherwise. A put without a value
+// Commit commits a transaction if all its conditions are met. It returns a ConflictError otherwise. A put without a value
 // deletes the row.
 func (t *Table) Commit(_ context.Context, tx masticway.Transaction) error {
 	if _, err := t.injectFault(); err != nil {
@@ -205,7 +205,7 @@
 	return nil
 }
 
-// Get returns an object.
+// Get returns the data of an object. It returns a NotFoundError if the object does not exist.
 func (o *ObjectStore) Get(_ context.Context, name string) ([]byte, error) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -290,8 +290,8 @@
 	return ok
 }
 
-// Instances returns the list with all changes that are at least as old as the lag, or only its version if known is still the
-// current version.
+// Instances returns the list with all changes that are at least as old as the lag. If known is the current version of the
+// list, it returns only the version.
 func (l *InstanceList) Instances(_ context.Context, known string) (masticway.InstanceReading, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
