--- a/commander/account.go
+++ b/commander/account.go
@@ -71,7 +71,7 @@
 	return encoder.Encode(v)
 }
 
-// readLog adds a log file, or standard input if the name is "-", to the account.
+// readLog adds the lines of a log file to the account. The name "-" stands for standard input.
 func readLog(account *accountant.Analyzer, name string) error {
 	if name == "-" {
 		return account.Read(name, os.Stdin)
--- a/commander/client.go
+++ b/commander/client.go
@@ -18,10 +18,10 @@
 )
 
 const (
-	// clientTimeout is the timeout for the start of a router's answer and for each pause in it. The duration of a whole answer
-	// has no timeout, because it grows with the configuration.
+	// clientTimeout is the longest time until a router's answer begins, and the longest pause in it. The duration of a whole
+	// answer is not limited, because it grows with the configuration.
 	clientTimeout = 10 * time.Second
-	// noSizeLimit is a size limit of an answer in bytes that no answer reaches.
+	// noSizeLimit is a limit for the size of an answer in bytes that no answer reaches.
 	noSizeLimit = math.MaxInt64
 )
 
@@ -64,7 +64,7 @@
 	headers []header
 }
 
-// callAndPrint makes a call and prints its answer as printAnswer does.
+// callAndPrint makes a call and prints its answer: as JSON if the output flag says so, and with the function text otherwise.
 func callAndPrint[T any](ctx context.Context, c *client, e env, call apiCall, text func(w io.Writer, v T)) error {
 	data, err := c.call(ctx, call)
 	if err != nil {
@@ -104,7 +104,8 @@
 	return answer.Body, nil
 }
 
-// printAnswer prints an answer as indented JSON if the output flag says so, and decodes it and calls text otherwise.
+// printAnswer prints an answer as indented JSON if the output flag says so. Otherwise it decodes the answer and passes it to
+// text.
 func printAnswer[T any](c *client, e env, data []byte, text func(w io.Writer, v T)) error {
 	if c.output == "json" {
 		var indented bytes.Buffer
--- a/commander/commander.go
+++ b/commander/commander.go
@@ -24,14 +24,14 @@
 // version is the version of the program, as in the changelog.
 const version = "0.1.0"
 
-// usageError reports invalid flags or arguments; the program exits with exitUsage.
+// usageError reports invalid flags or arguments. The program then exits with exitUsage.
 type usageError struct {
 	reason string
 }
 
 func (e *usageError) Error() string { return e.reason }
 
-// env has the writers for a command's output and errors.
+// env holds the writers for a command's output and errors.
 type env struct {
 	out io.Writer
 	err io.Writer
@@ -42,13 +42,13 @@
 	name        string
 	description string
 	example     string
-	// flags declares flags and positional values. It is nil if there are none.
+	// flags declares the flags and positional values of the command. It is nil if there are none.
 	flags func(s *flaggy.Subcommand)
-	// values receives the arguments of a command that takes any number of them but at least one, and valuesHelp describes them.
-	// For other commands values is nil.
+	// values receives the arguments of a command that takes one or more of them. It is nil for other commands. valuesHelp
+	// describes the arguments.
 	values     *[]string
 	valuesHelp string
-	// run runs the command. It is nil for a group that is not itself a command.
+	// run runs the command. It is nil for a group of subcommands that is not itself a command.
 	run         func(ctx context.Context, e env) error
 	subcommands []*command
 }
@@ -69,8 +69,8 @@
 	return exitFailure
 }
 
-// dispatch finds the command that args name and runs it, or prints help. Errors other than a usageError get the command's path as
-// prefix.
+// dispatch finds the command that args name and runs it, or prints help. It puts the command's path before each error that
+// is not a usageError.
 func dispatch(ctx context.Context, e env, args []string) error {
 	c, rest, path := findCommand(commands(), args)
 	if c == nil {
@@ -96,8 +96,8 @@
 	return errorx.Decorate(err, "%s", path)
 }
 
-// findCommand returns the command that the first of args name, the remaining arguments and the command's path, such as
-// "masticway budget show". The command is nil if the first of args names none.
+// findCommand returns the command that the first arguments name, the remaining arguments, and the command's path, such as
+// "masticway budget show". The command is nil if the first argument names none.
 func findCommand(list []*command, args []string) (found *command, rest []string, path string) {
 	path = "masticway"
 	for len(args) > 0 {
@@ -170,7 +170,7 @@
 	return nil
 }
 
-// splitValues separates a command's values from its flags; flags includes the flags' own values.
+// splitValues splits a command's arguments into its values and its flags. flags includes the values of the flags.
 func splitValues(p *flaggy.Parser, args []string) (values, flags []string) {
 	for i := 0; i < len(args); i++ {
 		name, isFlag := strings.CutPrefix(args[i], "--")
@@ -187,7 +187,8 @@
 	return values, flags
 }
 
-// consumesNextArg reports whether a flag's value is the next argument: the flag is not boolean and is not written as NAME=VALUE.
+// consumesNextArg reports whether the value of a flag is the next argument. It is not if the flag is boolean or is written
+// as NAME=VALUE.
 func consumesNextArg(p *flaggy.Parser, name string) bool {
 	if strings.Contains(name, "=") {
 		return false
@@ -200,7 +201,8 @@
 	return true
 }
 
-// validateArgs detects unknown flags and missing or surplus values, for which the parser would exit the process.
+// validateArgs returns a usageError for unknown flags and for missing or surplus values. The parser would exit the process
+// for these.
 func validateArgs(p *flaggy.Parser, path string, args []string) error {
 	values := 0
 	for i := 0; i < len(args); i++ {
--- a/commander/configuration.go
+++ b/commander/configuration.go
@@ -75,14 +75,14 @@
 	}
 }
 
-// configPut returns the command config put, which is the same as catalog put.
+// configPut returns the command "config put", which does what "catalog put" does.
 func configPut() *command {
 	put := catalogPut()
 	put.example = "masticway config put examples/catalog.json --router http://127.0.0.1:8101 --token-file examples/admin.token"
 	return put
 }
 
-// configGet returns the command config get, which is the same as catalog get.
+// configGet returns the command "config get", which does what "catalog get" does.
 func configGet() *command {
 	get := catalogGet()
 	get.example = "masticway config get --router http://127.0.0.1:8101 --token-file examples/admin.token"
--- a/commander/dev.go
+++ b/commander/dev.go
@@ -17,13 +17,13 @@
 )
 
 const (
-	// devReadyTimeout limits the wait until all routers are ready.
+	// devReadyTimeout limits the wait of the dev command until all routers are ready.
 	devReadyTimeout = 20 * time.Second
 	// devPrepaid is the initial amount of each sample budget, in tokens of weight one.
 	devPrepaid = 1_000_000
 )
 
-// sampleCatalog returns a catalog with the models and services of the first two users.
+// sampleCatalog returns a catalog with the models and services that the sample contracts use.
 func sampleCatalog() masticway.Catalog {
 	return masticway.Catalog{
 		Models: []masticway.Model{
@@ -81,7 +81,8 @@
 	}
 }
 
-// runDev runs the fleet until ctx is done and then shuts it down gracefully.
+// runDev runs the fleet until ctx is done. It then drains the routers and stops the fleet. It returns an error if a router
+// could not finish its work in time.
 func runDev(ctx context.Context, e env, level string) error {
 	log, err := logger.New(level, e.err)
 	if err != nil {
@@ -125,8 +126,8 @@
 	return nil
 }
 
-// seedDev writes the sample catalog, the sample contracts and the prepaid budgets to the fleet's platform. Each contract gets one
-// API key: the first gets key, the second key with a suffix.
+// seedDev writes the sample catalog, the sample contracts and the prepaid budgets to the fleet's platform. Each contract
+// gets one API key. That of the first is key, and that of the second is key with a suffix.
 func seedDev(ctx context.Context, fleet *starter.Fleet, key string) error {
 	contracts := sampleContracts()
 	contracts[0] = contracts[0].WithKeyHashes(authenticator.HashKey(key))
--- a/commander/gateway.go
+++ b/commander/gateway.go
@@ -53,8 +53,8 @@
 	}
 }
 
-// reloadOnHangup calls reload on each SIGHUP until stop is called. If reload fails, it prints the error, and the previous
-// settings stay in effect.
+// reloadOnHangup calls reload on each SIGHUP until stop is called. If reload fails, it prints the error. reload must then
+// leave the previous settings in effect.
 func reloadOnHangup(reload func() error, e env) (stop func()) {
 	hangups := make(chan os.Signal, 1)
 	signal.Notify(hangups, syscall.SIGHUP)
--- a/commander/load.go
+++ b/commander/load.go
@@ -71,7 +71,8 @@
 	}
 }
 
-// runLoad runs a scenario once for each seed and prints and writes the reports. It returns a checkError if a report has failures.
+// runLoad runs a scenario once for each seed, prints the reports and writes them to a file. It returns a checkError if a
+// report has failures.
 func runLoad(ctx context.Context, e env, f loadFlags) error {
 	if f.scenario == "" || f.seeds < 1 {
 		return &usageError{reason: "--scenario names a file, and --seeds is at least 1"}
--- a/commander/operators.go
+++ b/commander/operators.go
@@ -14,7 +14,7 @@
 	"github.com/masticway/masticway/router"
 )
 
-// anyRevision is the base of a change that is accepted whatever the current revision is.
+// anyRevision is the base of a change that must be accepted whatever the current revision is.
 const anyRevision = "*"
 
 // formatTokens formats an amount as tokens at weight one.
@@ -22,13 +22,13 @@
 	return strconv.FormatFloat(float64(a)/float64(masticway.PerToken), 'f', -1, 64)
 }
 
-// changeFlags are the common flags of all commands that make a change.
+// changeFlags are the flags that all commands with a change have in common.
 type changeFlags struct {
 	id   string // idempotency key of the change
 	base string // the revision that the change is based on, or empty if the command has no such flag
 }
 
-// flags declares the flags; withBase is set for commands that have a base revision.
+// flags declares the flags. withBase must be set for commands with a base revision.
 func (f *changeFlags) flags(s *flaggy.Subcommand, withBase bool) {
 	s.String(&f.id, "", "change-id", "idempotency key of the change, so that a retry is not a second change")
 	if withBase {
--- a/commander/roles.go
+++ b/commander/roles.go
@@ -82,7 +82,8 @@
 	Drain() bool
 }
 
-// runDaemon starts a daemon, waits until ctx is done and drains the daemon.
+// runDaemon starts a daemon, waits until ctx is done and drains the daemon. It returns a drainTimeoutError if the daemon
+// could not finish its work in time.
 func runDaemon(ctx context.Context, r daemon) error {
 	if err := r.Start(); err != nil {
 		return err
@@ -147,7 +148,7 @@
 	}
 }
 
-// guessKind guesses a document's kind from the fields that it has. The default is router settings.
+// guessKind guesses the kind of a document from its fields. The default is KindRouter.
 func guessKind(data []byte) validator.Kind {
 	var fields map[string]json.RawMessage
 	if json.Unmarshal(data, &fields) != nil {
