--- a/soaker/faults.go
+++ b/soaker/faults.go
@@ -36,7 +36,7 @@
 	maxGap, minDuration = 1400 * time.Millisecond, 150 * time.Millisecond
 	// maxRestartPause is the longest pause, in milliseconds, before a process is started again.
 	maxRestartPause = 1000
-	// maxFailures is above the largest number of requests for which one server_fails fault makes a server fail.
+	// One server_fails fault makes a server fail fewer than maxFailures requests.
 	maxFailures = 20
 	// maxRoutes is the largest number of extra paths of a configuration, so that one call to the store can carry it.
 	// maxTopUp is the largest number of tokens of one top-up.
--- a/soaker/signals.go
+++ b/soaker/signals.go
@@ -11,9 +11,8 @@
 const (
 	// maxBackoff is the longest backoff that a server asks for, beyond minDuration.
 	maxBackoff = 3 * time.Second
-	// backoffDelay is the time after a server's request to back off from which the router must comply, until the backoff
-	// ends. maxSentInBackoff is the number of requests that the router may still send it in this time, as in the users'
-	// deployments.
+	// A server's request to back off must take effect at a router within backoffDelay. From then until the backoff ends, the
+	// router may send the server at most maxSentInBackoff requests, as in the users' deployments.
 	backoffDelay, maxSentInBackoff = 500 * time.Millisecond, 2
 	// refusalsPerBackoff is the number of requests that a server refuses with one backoff.
 	refusalsPerBackoff = 6
--- a/soaker/starvation.go
+++ b/soaker/starvation.go
@@ -80,8 +80,8 @@
 // the threads' schedstat files.
 type threadWaits map[string]time.Duration
 
-// longest returns the longest time that one of a process's threads has waited for a processor since the last poll. For a new
-// thread it is the time since the thread's start.
+// longest returns the longest time that one of a process's threads has waited for a processor since the last poll. If a
+// thread is new, its whole waiting time counts.
 func (w threadWaits) longest(pid int) (d time.Duration) {
 	files, _ := filepath.Glob(fmt.Sprintf("/proc/%d/task/*/schedstat", pid))
 	for _, file := range files {
