--- a/sealer/doc.go
+++ b/sealer/doc.go
@@ -11,4 +11,17 @@
 //
 // Answers are kept in bounded memory for a limited time, so that a caller whose
 // router crashed can get the answer of the same run through another router.
+//
+// Terms of this package:
+//   - Payer: the router incarnation that the grant of a run belongs to.
+//   - Sender: the router incarnation that sent a dispatch.
+//   - Links row: an incarnation's row in the table with the sidecars that may
+//     run work for it, or the mark that it is sealed.
+//   - Verification: the reading of the links row of a payer or sender. A
+//     sidecar runs nothing for an incarnation before it has seen in the row
+//     that it is not sealed and has this sidecar.
+//   - Reader: a router that is sent the answer of a run.
+//   - Identity: what requests have in common that are repetitions of each
+//     other.
+//   - Bound: the maximum cost of a run.
 package sealer
