--- a/keeper/account.go
+++ b/keeper/account.go
@@ -32,7 +32,7 @@
 	state   charter.State
 }
 
-// account is the state of one budget at this router and of the router's grant from it.
+// account is the state of one budget at this router, with the router's grant from the budget.
 type account struct {
 	budget string
 	// grant is the key of the grant. Its number is zero until the first move (see the terms in doc.go).
@@ -41,7 +41,7 @@
 	drawn masticway.Amount
 	// spent is the total of the charges of settled holds.
 	spent masticway.Amount
-	// presumed is the part of spent that was charged at maximum cost because the sidecar was lost and the true cost is
+	// presumed is the part of spent that was charged at maximum cost because a sidecar was lost and the true cost is
 	// unknown.
 	presumed masticway.Amount
 	// returned is the total that the grant has returned to the budget. It includes what a move in progress returns.
--- a/keeper/effects.go
+++ b/keeper/effects.go
@@ -31,7 +31,7 @@
 	Grant masticway.GrantKey
 	// Spent is the total cost charged to the grant.
 	Spent masticway.Amount
-	// Presumed is the part of Spent that was charged at maximum cost because the sidecar was lost and the true cost is
+	// Presumed is the part of Spent that was charged at maximum cost because a sidecar was lost and the true cost is
 	// unknown.
 	Presumed masticway.Amount
 	// Need is the sum of the smallest holds that the waiting requests can run with, less the grant's free money. Want is the
--- a/keeper/keeper.go
+++ b/keeper/keeper.go
@@ -19,7 +19,7 @@
 )
 
 // maxRecent is the maximum length of the list of recently tracked identities. An identity that leaves the list is no longer
-// tracked, unless its hold is open or it is in the list once more.
+// tracked, unless its hold is open or the list holds it again.
 const maxRecent = 50_000
 
 // Settings configure a keeper.
@@ -147,7 +147,7 @@
 }
 
 // track records a request's identity. If the list of recent identities then has more than maxRecent entries, it removes the
-// oldest one and stops to track that identity, unless its hold is open or the list holds it again.
+// oldest entry. It also stops tracking that identity, unless its hold is open or the list holds it again.
 func (k *Keeper) track(r HoldRequest) {
 	k.tracked[r.Identity] = r.ID
 	k.senders[r.ID] = r.Sender
