--- a/bookkeeper/bookkeeper.go
+++ b/bookkeeper/bookkeeper.go
@@ -20,7 +20,8 @@
 	// eight concurrent writers gave up in 8 of 200 runs.
 	minBackoff = 200 * time.Microsecond
 	maxBackoff = 20 * time.Millisecond
-	// extraDrawShare is the share of the money left beyond its need that a draw may take while others have open grants.
+	// extraDrawShare limits a draw while other payers have open grants: beyond its need, the draw takes at most this share
+	// of the money that remains after the need.
 	extraDrawShare = 0.5
 )
 
@@ -81,7 +82,8 @@
 	return fmt.Errorf("updating %s, %d attempts: %w", key, maxCommitAttempts, commitErr)
 }
 
-// backoff waits for a random time whose limit grows with the number of attempts, or until ctx is done.
+// backoff waits for a random time, or until ctx is done. The upper limit of the time grows with the number of attempts (see
+// minBackoff).
 func backoff(ctx context.Context, attempt int) {
 	maxPause := min(maxBackoff, minBackoff<<min(attempt, 10))
 	pause := time.NewTimer(time.Duration(rand.Int64N(int64(maxPause))))
@@ -103,7 +105,7 @@
 }
 
 // DrawSize returns how much of a budget's remaining money a draw takes. It takes need, or all that remains if that is less.
-// Beyond need it takes up to want.
+// If more remains, it takes up to want in total.
 //
 // Unless the payer is the only one with an open grant (onlyPayer), the part beyond need is at most extraDrawShare of what
 // remains after need.
--- a/bookkeeper/fence.go
+++ b/bookkeeper/fence.go
@@ -7,8 +7,8 @@
 	"github.com/masticway/masticway"
 )
 
-// prefixFence is the key prefix of the rows with the latest order to each upstream instance. Each order has a fencing
-// number, which is higher than that of the order before it.
+// prefixFence is the key prefix of the rows with the latest order to each upstream instance. Orders to an instance have
+// increasing fencing numbers.
 const prefixFence = "fence/"
 
 type fenceRow struct {
--- a/bookkeeper/rows.go
+++ b/bookkeeper/rows.go
@@ -148,7 +148,7 @@
 	prefixTopUp  = "topup/"
 	prefixReport = "report/"
 	prefixRefund = "refund/"
-	// prefixChallenge is for challenges, each of which asks a router that seems to have failed to renew its lease.
+	// prefixChallenge is for challenges. A challenge asks a router that seems to have failed to renew its lease.
 	prefixChallenge = "challenge/"
 )
 
