--- a/sealer/answer.go
+++ b/sealer/answer.go
@@ -63,8 +63,8 @@
 	return s.runs[k].status(k)
 }
 
-// Cancel stops a run at the request of its only reader. If the run has other readers, Cancel only removes the one that
-// asked. It does nothing if the run is non-repeatable or has ended.
+// Cancel stops a run at the request of a router, unless another router is a reader of the run. In that case it only removes
+// the requesting router from the readers. It does nothing if the run is non-repeatable or has ended.
 func (s *Sealer) Cancel(k masticway.RunKey, from masticway.Incarnation) []Effect {
 	r, ok := s.runs[k]
 	if !ok || r.final != nil || r.dispatch.NonRepeatable {
--- a/sealer/message.go
+++ b/sealer/message.go
@@ -78,7 +78,8 @@
 	// Changes are the configuration changes that the sender has not applied. They are set for ReasonStale. Old ones may be
 	// missing.
 	Changes []masticway.Change `cbor:"4,keyasint,omitempty"`
-	// Fenced is the incarnation that is sealed, unverified or unlinked, for the reasons of those names.
+	// Fenced is the incarnation that the reason is about, the payer or the sender. It is set for ReasonSealed,
+	// ReasonUnverified and ReasonUnlinked.
 	Fenced masticway.Incarnation `cbor:"5,keyasint,omitempty"`
 }
 
--- a/sealer/sealer.go
+++ b/sealer/sealer.go
@@ -31,19 +31,20 @@
 // Effect is an action that the caller must carry out: a Send, a Start, a Stop or a Verify.
 type Effect interface{ effect() }
 
-// Send sends a message to the router with the incarnation To. If there is no link to it, the message is dropped.
+// Send asks the caller to send a message to the router with the incarnation To. If there is no link to that router, the
+// caller must drop the message.
 type Send struct {
 	To      masticway.Incarnation
 	Message any
 }
 
-// Start starts a run at the upstream.
+// Start asks the caller to start a run at the upstream. When the run ends, the caller must call RecordEnd.
 type Start struct {
 	Run  masticway.RunKey
 	Call masticway.Call
 }
 
-// Stop cancels a run at the upstream. The caller must still call RecordEnd when the run has ended.
+// Stop asks the caller to cancel a run at the upstream. The caller must still call RecordEnd when the run has ended.
 type Stop struct{ Run masticway.RunKey }
 
 // Verify asks the caller to read an incarnation's links row. The caller must pass the resulting status to ApplyVerification.
