--- a/recoverer/recoverer.go
+++ b/recoverer/recoverer.go
@@ -26,7 +26,7 @@
 	stateReturning charter.State = "returning"
 )
 
-// askInterval is the minimum time between two requests for a report to the same sidecar.
+// askInterval is the minimum time between two requests to one sidecar for its report.
 const askInterval = 250 * time.Millisecond
 
 // Effect is an action that the caller must carry out. It is one of the types below.
--- a/recoverer/watch.go
+++ b/recoverer/watch.go
@@ -27,7 +27,7 @@
 
 // Observation is what this router observes of another router apart from its lease row.
 type Observation struct {
-	// IsAlive is set if a message from the other router has arrived recently on a link.
+	// IsAlive is set if this router has a link to the other router and the link is not silent.
 	IsAlive bool
 	// InstanceEnded is set if the platform reports that the other router's instance has ended.
 	InstanceEnded bool
@@ -61,7 +61,7 @@
 func (Challenge) detectorEffect() {}
 func (Recover) detectorEffect()   {}
 
-// phase is the progress of a suspicion.
+// phase is how far the suspicion and the recovery of a router have got.
 type phase int
 
 const (
@@ -87,12 +87,10 @@
 
 // FailureDetector detects failures of other routers. It is not safe for concurrent use.
 //
-// Lease rows are written rarely, so the first sign of a failure is a link that
-// stays down or silent. (There are no links to routers of other regions; for them
-// it is an overdue lease.) The row is then read and its owner challenged through
-// the table. A live router that has only lost its links renews its lease; a
-// router that does not is recovered. If the platform reports that the instance
-// has ended, no challenge is needed.
+// Lease rows are written rarely, so the first sign of a failure is a link that stays down or silent. There are no links to
+// routers of other regions; for them the first sign is an overdue lease. The lease row is then read and its owner challenged
+// through the table. A live router that has only lost its links renews its lease. A router that does not renew it is
+// recovered. If the platform reports that the instance has ended, no challenge is needed.
 type FailureDetector struct {
 	settings DetectorSettings
 	routers  map[masticway.Incarnation]*routerState
@@ -103,7 +101,8 @@
 	return &FailureDetector{settings: s, routers: map[masticway.Incarnation]*routerState{}}
 }
 
-// ApplyRows applies a reading of all lease rows and returns the known incarnations whose rows are gone.
+// ApplyRows applies a reading of all lease rows. It forgets the known incarnations that have no row any more and returns
+// them.
 func (w *FailureDetector) ApplyRows(now time.Time, rows []bookkeeper.RouterLease) (gone []masticway.Incarnation) {
 	present := map[masticway.Incarnation]bool{}
 	for _, d := range rows {
