--- a/linker/conn.go
+++ b/linker/conn.go
@@ -28,9 +28,9 @@
 	// maxBatchBytes is the size, 1 MB, up to which messages are packed into one WebSocket message. A larger message is sent
 	// alone. Without this bound, several large messages together could exceed the reader's limit, maxMessageBytes.
 	maxBatchBytes = 1 << 20
-	// pieceBytes is how much of a message must be read or written within a timeout: 16 KB. A timeout for a whole message would
-	// be too short for a large one on a slow connection. If a link is closed in the middle of a message, the message has to be
-	// sent again from the start.
+	// pieceBytes is the size of a piece of a message: 16 KB. Each piece, not each message, must be written within
+	// writeTimeout and read within readTimeout. A timeout for a whole message would be too short for a large message on a
+	// slow connection. If a link is closed in the middle of a message, the message has to be sent again from the start.
 	pieceBytes = 16 << 10
 	// writeTimeout is the time within which the peer must accept the next piece. Otherwise the link is closed.
 	writeTimeout = 5 * time.Second
@@ -238,7 +238,7 @@
 	writer.Wait()
 }
 
-// readMessage reads one WebSocket message. Each piece of it has its own deadline.
+// readMessage reads one WebSocket message. Each piece of it has its own deadline (readTimeout).
 func (c *Conn) readMessage() ([]byte, error) {
 	c.extendReadDeadline()
 	_, message, err := c.socket.NextReader()
@@ -310,7 +310,7 @@
 	return c.writeMessage(data)
 }
 
-// writeMessage writes one WebSocket message. Each piece of it has its own deadline.
+// writeMessage writes one WebSocket message. Each piece of it has its own deadline (writeTimeout).
 func (c *Conn) writeMessage(data []byte) error {
 	if len(data) <= pieceBytes {
 		_ = c.socket.SetWriteDeadline(time.Now().Add(writeTimeout))
