--- a/accountant/money.go
+++ b/accountant/money.go
@@ -1,6 +1,6 @@
 package accountant
 
-// counterNames are the names of the counters in the event money_status whose increases are summed up by router.
+// counterNames are the counters in the event money_status that are evaluated. Their increases are summed up by router.
 var counterNames = []string{
 	"money_store_calls", "money_store_failures", "money_conflicts", "money_exhausted", "money_unreachable", "money_borrowed",
 	"money_lent", "money_not_repaid", "money_asks_unanswered", "money_statements", "money_recalled",
@@ -16,7 +16,7 @@
 	last map[string]Counts
 }
 
-// addRefusal adds a refusal for lack of money whose cause is k.
+// addRefusal adds the end of a request that was refused for lack of money. k is the key of its cause (causeOf).
 func (m money) addRefusal(l Line, k Key) {
 	kinds := m.workspaces.add(Key{Name: l.Text("workspace")}, l, l.Number("ms"), k.Outcome+"/"+k.Reason).Kinds
 	kinds["prepaid_most"] = max(kinds["prepaid_most"], l.Number("prepaid"))
