--- a/soaker/caller.go
+++ b/soaker/caller.go
@@ -28,7 +28,7 @@
 
 const (
 	// answerSlack is how long a caller waits beyond its time limit, or beyond the route's timeout if that is shorter. It is
-	// twice as long as a router may be late.
+	// twice the delay that a router may add.
 	answerSlack = time.Second
 	// abandonShare is the share of requests whose caller gives up early. maxAbandonDelay is the longest time that such a
 	// caller waits.
--- a/soaker/checks.go
+++ b/soaker/checks.go
@@ -192,8 +192,8 @@
 // checkAnswered checks that a request was answered in time and completely, unless a disturbance, a fault of a server or a
 // shutdown excuses the router.
 func (s *soakRun) checkAnswered(q *request, runs []emulator.OpaqueRun) {
-	// A router that was disturbed by more than a planned restart need not answer. If the answer costs prepaid tokens, neither
-	// need a router whose store was disturbed.
+	// A router that was disturbed by more than a planned restart need not answer. A request that costs prepaid tokens need
+	// not be answered if the store was disturbed.
 	from := q.sentAt.Add(-stabilityPeriod)
 	if !s.isUndisturbed(from, q.endedAt, routerTarget(q.router)) || q.metered && !s.isUndisturbed(from, q.endedAt, storeTarget) {
 		return
--- a/soaker/faults.go
+++ b/soaker/faults.go
@@ -22,8 +22,8 @@
 func (e faultEvent) scaled(max int) int { return 1 + int(e.severity*float64(max)) }
 
 // fault is a kind of fault. weight is its weight in the draw; a kind with weight zero is drawn only if Soak.Kinds names it.
-// maxDuration is its longest duration beyond minDuration. inject injects it. What still lasts when inject returns runs in
-// soakRun.faults.
+// maxDuration is its longest duration beyond minDuration. inject injects the fault. If inject returns before the fault is
+// over, the rest of the fault runs in soakRun.faults.
 type fault struct {
 	weight      int
 	maxDuration time.Duration
@@ -190,7 +190,7 @@
 	s.startServer(slot)
 }
 
-// failures are the faults that failServer injects in turn. Each is a way to fail a request without a crash, but for
+// failures are the faults that failServer injects in turn. Each is a way to fail a request without a crash, except
 // OpaqueNoFault.
 var failures = []emulator.OpaqueFault{
 	emulator.OpaqueReset, emulator.OpaqueOverloaded, emulator.OpaqueTruncated, emulator.OpaqueWrongServer, emulator.OpaqueError, emulator.OpaqueNoFault,
--- a/soaker/soak.go
+++ b/soaker/soak.go
@@ -29,7 +29,8 @@
 	// maxEvents is the largest number of events of a stream, and maxEventPause the longest pause between two events. Each
 	// soak draws its own values.
 	maxEvents, maxEventPause = 10, 250 * time.Millisecond
-	// minGrace is the grace period of routers after SIGTERM. Half of the soaks add extraGrace, which makes it the usual one.
+	// minGrace is the grace period of routers after SIGTERM. Half of the soaks add extraGrace, which gives the usual grace
+	// period.
 	minGrace, extraGrace = 5 * time.Second, 3 * time.Second
 	// maxWork is the longest time that servers usually take for answers that are not streams. It is far shorter than the
 	// time that a router waits before it tries another server.
--- a/soaker/starvation.go
+++ b/soaker/starvation.go
@@ -49,8 +49,8 @@
 	return n
 }
 
-// schedulingDelay is the delay of a router in the poll interval that ended at a time: the longest wait of one of its threads
-// for a processor plus the longest wait of one of the soak's threads.
+// schedulingDelay is the delay of a router in one poll interval, which ended at the time at. It is the longest wait of one
+// of the router's threads for a processor plus the longest wait of one of the soak's threads.
 type schedulingDelay struct {
 	at     time.Time
 	length time.Duration
