--- a/loader/client.go
+++ b/loader/client.go
@@ -64,8 +64,8 @@
 	keys   map[string]string
 }
 
-// send sends a planned request and retries it with the same idempotency key. It stops after an answer that shouldRetry does
-// not allow to retry, after the retries that the traffic allows, or when ctx is done.
+// send sends a planned request and retries it with the same idempotency key. It stops if shouldRetry returns false for the
+// answer, after as many retries as the traffic allows, or if ctx is done.
 func (c *client) send(ctx context.Context, p plannedRequest, arrival time.Time) answer {
 	var a answer
 	for retries := 0; ; retries++ {
