--- a/emulator/network.go
+++ b/emulator/network.go
@@ -37,7 +37,7 @@
 // Partition cuts the connections between two processes, or between a and all others if b is "*".
 func (n *Network) Partition(a, b string) { n.setPartition(a, b, true) }
 
-// Heal ends a partition. Its arguments must be those of the call of Partition.
+// Heal ends a partition. Its arguments must be those that Partition was called with.
 func (n *Network) Heal(a, b string) { n.setPartition(a, b, false) }
 
 func (n *Network) setPartition(a, b string, partitioned bool) {
--- a/emulator/table.go
+++ b/emulator/table.go
@@ -152,7 +152,7 @@
 	return nil
 }
 
-// allowWrite counts a commit and reports whether MaxWritesPerSecond allows it.
+// allowWrite reports whether MaxWritesPerSecond allows one more commit, and counts it if there is a limit.
 func (t *Table) allowWrite() bool {
 	if t.faults.MaxWritesPerSecond == 0 {
 		return true
