--- a/keeper/keeper.go
+++ b/keeper/keeper.go
@@ -46,7 +46,8 @@
 	MaxAmount masticway.Amount `cbor:"Most"`
 	// MinAmount is the smallest hold that the attempt can run with.
 	MinAmount masticway.Amount `cbor:"Least"`
-	// Tracked is set if the keeper must recognize a later request with the same identity as a duplicate.
+	// Tracked is set if the request must not run twice. The keeper then remembers its Identity. If an earlier tracked
+	// request had this identity, the keeper may answer with ResultDuplicate; see Keeper.Hold.
 	Tracked bool
 	// FirstIncomplete is set by a sender that knows that an earlier run with the same Identity ended without a complete
 	// answer. The keeper then does not treat the request as a duplicate of one that has been settled.
--- a/keeper/state.go
+++ b/keeper/state.go
@@ -28,7 +28,7 @@
 	return held
 }
 
-// OldestHold returns when the oldest open hold was taken and whether there is one.
+// OldestHold returns when the oldest open hold was taken. It returns false if no hold is open.
 func (k *Keeper) OldestHold() (time.Time, bool) {
 	var oldest time.Time
 	for _, h := range k.holds {
@@ -39,7 +39,8 @@
 	return oldest, !oldest.IsZero()
 }
 
-// SpentBy returns the settled cost of what one sidecar ran for each open grant, by the number of the grant.
+// SpentBy returns what has been charged for the runs of one sidecar, by the number of the grant. It covers the grants in
+// memory and omits those without charges.
 func (k *Keeper) SpentBy(sidecar masticway.Incarnation) map[int64]masticway.Amount {
 	spent := map[int64]masticway.Amount{}
 	for _, a := range k.accounts {
