--- a/bookkeeper/bookkeeper.go
+++ b/bookkeeper/bookkeeper.go
@@ -13,7 +13,8 @@
 )
 
 const (
-	// maxCommitAttempts limits the attempts of one operation when concurrent writers conflict or answers are lost.
+	// maxCommitAttempts limits how often update tries to commit one change. An attempt fails if another writer conflicts or
+	// the answer is lost.
 	maxCommitAttempts = 40
 	// After a conflict a writer waits for a random time, so that the writers do not conflict again. The time is below
 	// 2*minBackoff at first; this limit doubles with each further attempt up to maxBackoff. Without the random wait,
@@ -246,7 +247,8 @@
 	return DrawSize(b.Remaining(), m.Need, m.Want, b.OpenAmount() == openAmount(b, m.Grant))
 }
 
-// movePuts returns the writes of a move: the budget, and the grant's index row if the grant is new or closed.
+// movePuts returns the rows that a move writes: the budget's row and, if the grant is new or closed, the index row by which
+// GrantsOf finds the grant.
 func movePuts(key string, before, after Budget, m keeper.Move) []masticway.Put {
 	puts := []masticway.Put{{Key: key, Value: encode(after)}}
 	if m.Close {
--- a/bookkeeper/recovery.go
+++ b/bookkeeper/recovery.go
@@ -26,7 +26,8 @@
 	return sealed, nil
 }
 
-// GrantsOf returns the keys of an incarnation's grants, which it reads from the index rows.
+// GrantsOf returns the keys of an incarnation's open grants. It reads them from the index rows, one of which exists for each
+// open grant.
 func (b *Ledger) GrantsOf(ctx context.Context, inc masticway.Incarnation) ([]masticway.GrantKey, error) {
 	rows, err := b.table.Scan(ctx, prefixGrant+string(inc)+"/")
 	if err != nil {
