--- a/sealer/sealer.go
+++ b/sealer/sealer.go
@@ -191,7 +191,8 @@
 	return Refused{}, false
 }
 
-// blocksIdentity reports whether a run prevents another run with its identity.
+// blocksIdentity reports whether a run prevents another run with its identity. It does if it is in progress, has a complete
+// answer, or is non-repeatable and may have run.
 func (s *Sealer) blocksIdentity(k masticway.RunKey) bool {
 	r, ok := s.runs[k]
 	if !ok {
