--- a/recoverer/recoverer.go
+++ b/recoverer/recoverer.go
@@ -29,7 +29,7 @@
 // askInterval is the minimum time between two requests to one sidecar for its report.
 const askInterval = 250 * time.Millisecond
 
-// Effect is an action that the caller must carry out. It is one of the types below.
+// Effect is an action that the caller must carry out: a SealInTable, a SealAtSidecar or a CloseGrants.
 type Effect interface{ effect() }
 
 // SealInTable asks the caller to fence the incarnation in the table. The caller must pass the sealed row and the
@@ -66,7 +66,7 @@
 	links       bookkeeper.Links
 	grants      []masticway.GrantKey
 	reports     map[masticway.Incarnation]*sidecarReport
-	// sealing and closing are set while SealInTable and CloseGrants are being carried out.
+	// sealing is set while the caller carries out SealInTable, and closing while it carries out CloseGrants.
 	sealing bool
 	closing bool
 }
--- a/recoverer/watch.go
+++ b/recoverer/watch.go
@@ -43,7 +43,7 @@
 	Rank int
 }
 
-// DetectorEffect is an action that the caller must carry out. It is one of the types below.
+// DetectorEffect is an action that the caller must carry out: a ReadRow, a Challenge or a Recover.
 type DetectorEffect interface{ detectorEffect() }
 
 // ReadRow asks the caller to read one lease row. The caller must pass the row to ApplyRow.
