--- a/linker/message.go
+++ b/linker/message.go
@@ -128,7 +128,7 @@
 	Amount masticway.Amount `cbor:"2,keyasint"`
 }
 
-// Settle ends a hold and reports its charges. A hold without charges did not run.
+// Settle ends a hold and reports its charges. If there are no charges, nothing ran for the hold.
 type Settle struct {
 	Hold    masticway.HoldID `cbor:"1,keyasint"`
 	Charges []keeper.Charge  `cbor:"3,keyasint"`
@@ -148,7 +148,7 @@
 	Sidecars []masticway.Incarnation `cbor:"1,keyasint"`
 }
 
-// SidecarsRecorded confirms that the sidecars are in the links row of the sender.
+// SidecarsRecorded confirms RecordSidecars: the sidecars are in the links row of the router that sends it.
 type SidecarsRecorded struct{}
 
 // ConfigRequest asks a peer for its whole configuration.
