--- a/accountant/joined.go
+++ b/accountant/joined.go
@@ -26,7 +26,8 @@
 	dropped int64
 }
 
-// add adds the end of a request with its family, or a failed attempt if family is empty.
+// add adds the end of a request, which belongs to a family of outcomes. If family is empty, it adds a failed attempt of the
+// request instead.
 func (j *joinedRequests) add(l Line, family string) {
 	id := l.Text("request")
 	r, ok := j.ids[id]
