--- a/soaker/checks.go
+++ b/soaker/checks.go
@@ -109,8 +109,8 @@
 		s.served++
 	}
 	if q.events > 0 {
-		// A workspace got the events, and with the first of them the prompt; a resumed answer's prompt was counted with the first
-		// request.
+		// The workspace got the events, and with the first event also the prompt. If the request resumes an answer, the
+		// prompt was counted with the first request.
 		s.delivered[q.workspace] += int64(q.events * emulator.DeploymentTokensPerEvent)
 		if q.resumeAfter == 0 {
 			s.delivered[q.workspace] += int64(q.prompt)
--- a/soaker/limits.go
+++ b/soaker/limits.go
@@ -47,8 +47,8 @@
 // counts only requests from routers that had received the limit.
 func (s *soakRun) checkRateLimits() {
 	for _, l := range s.limits {
-		// Of two limits of one server that overlap, the later replaced the earlier, and the end of one removed the other. Neither
-		// is checked.
+		// If two limits of one server overlap, the later replaces the earlier, and the first to end removes both. Neither is
+		// checked.
 		overlaps := func(o limitInterval) bool {
 			return o != l && o.server == l.server && o.from.Before(l.to) && l.from.Before(o.to)
 		}
