--- a/loader/faults.go
+++ b/loader/faults.go
@@ -165,7 +165,8 @@
 	return true
 }
 
-// cutRegion cuts a region off from the platform and from the routers of other regions, and returns the function that ends this.
+// cutRegion cuts a region off from the platform and from the routers of other regions. It returns a function that ends the
+// cut.
 func (f *faultInjector) cutRegion(fault Fault) func() {
 	var inside, outside []string
 	for _, r := range f.fleet.Routers() {
