--- a/emulator/link.go
+++ b/emulator/link.go
@@ -29,7 +29,8 @@
 	return &BandwidthProxy{bytesPerSecond: rate, conns: map[net.Conn]bool{}}
 }
 
-// AddTarget opens a loopback address that forwards to target (host and port), and returns it. The error is the listener's.
+// AddTarget opens a loopback address that forwards to target (host and port), and returns the address. It fails if it cannot
+// listen.
 func (l *BandwidthProxy) AddTarget(target string) (string, error) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
