--- a/keeper/effects.go
+++ b/keeper/effects.go
@@ -67,9 +67,9 @@
 	Move Move
 	// Drawn is the amount moved from the budget to the grant.
 	Drawn masticway.Amount
-	// Remaining is what the budget can still grant.
+	// Remaining is the budget's prepaid money that is neither settled nor in an open grant after the move.
 	Remaining masticway.Amount
-	// OthersOpen is the sum of other payers' open grants.
+	// OthersOpen is the money in all other open grants of the budget.
 	OthersOpen masticway.Amount
 	// OtherPayers lists the payers of the open grants that OthersOpen sums up.
 	OtherPayers []masticway.Incarnation
