--- a/soaker/caller.go
+++ b/soaker/caller.go
@@ -55,17 +55,23 @@
 type request struct {
 	route
 	id, path, workspace, body string
-	prompt, declared, router  int           // tokens of the prompt; declared maximum tokens of the answer; index of the router
-	timeLimit, waitTimeout    time.Duration // the time limit that the caller sends; how long it waits in fact
-	reusedConn                bool          // the connection had carried an earlier request
-	recurringName             string        // the name in path and body of all sends of a deadly request; others use id
-	resumeAfter               int           // number of the last event of an earlier answer; zero if the request resumes none
-	written                   atomic.Bool   // the whole request was written
+	// prompt is the number of tokens of the prompt, declared the maximum number of tokens of the answer, and router the
+	// index of the router.
+	prompt, declared, router int
+	timeLimit, waitTimeout   time.Duration // the time limit that the caller sends; how long the caller waits
+	reusedConn               bool          // the connection had carried an earlier request
+	// recurringName is the name in path and body of all sends of a deadly request. It is empty for other requests, which
+	// have their id there.
+	recurringName string
+	// resumeAfter is the number of the last event of the answer that the request resumes. It is zero if it resumes none.
+	resumeAfter int
+	written     atomic.Bool // the whole request was written
 
 	sentAt, endedAt             time.Time
-	outcome, answerID, signedBy string // answerID and signedBy are the request and the server that the answer names
-	status, events              int    // HTTP status, zero if there was none, or statusWrongBody; number of events received
-	err                         error
+	outcome, answerID, signedBy string // answerID and signedBy: the ids of the request and of the server that the answer names
+	// status is the HTTP status, zero if there was none, or statusWrongBody. events is the number of events received.
+	status, events int
+	err            error
 }
 
 // String describes the request and its outcome.
--- a/soaker/checks.go
+++ b/soaker/checks.go
@@ -34,9 +34,9 @@
 	promiseNoReturn  = "no_return" // a process never returns to an older configuration
 	promiseDrained   = "drained"   // a draining server gets no new requests after a while
 	promiseRecovered = "recovered" // requests are served again after all faults
-	promiseSpared    = "spared"    // a request that crashes servers is withheld from them in time, and no other is
+	promiseSpared    = "spared"    // requests that crash servers are withheld from them in time, and no others are
 	promiseLimited   = "limited"   // all routers together keep to the rate limit that a server advertises, with a tolerance
-	promiseRested    = "rested"    // a router sends a server that asked it to back off at most maxSentInBackoff requests meanwhile
+	promiseRested    = "rested"    // a router keeps to a backoff that a server asks for: at most maxSentInBackoff requests
 	promiseAlive     = "alive"     // a router's process ends only when it is stopped
 )
 
--- a/soaker/prober.go
+++ b/soaker/prober.go
@@ -25,8 +25,10 @@
 // configuration: the newest version, or the newest one that the router must have applied.
 type prober struct {
 	*caller
-	process           *process
-	seen, incarnation int64 // the newest version that the incarnation has served; the router's incarnation at the last probe
+	process *process
+	// incarnation is the number of the router's incarnation at the last probe, and seen the newest version that it has
+	// served.
+	seen, incarnation int64
 	missed            int64 // the newest version for which a violation was reported because the router did not apply it in time
 }
 
--- a/soaker/process.go
+++ b/soaker/process.go
@@ -35,8 +35,8 @@
 	soak        *soakRun
 	settings    forwarder.Settings
 	files       string     // the path of its files without their extensions
-	proxies     [2]*proxy  // from its callers, and to the store
-	lifecycleMu sync.Mutex // held during a restart or reload; faults that find it held skip theirs
+	proxies     [2]*proxy  // indexed by callerProxy and storeProxy
+	lifecycleMu sync.Mutex // held during a restart or reload; a fault that finds it held skips the router
 
 	mu            sync.Mutex
 	command       *exec.Cmd
--- a/soaker/proxy.go
+++ b/soaker/proxy.go
@@ -27,11 +27,11 @@
 type proxy struct {
 	net.Listener
 	target  string
-	usual   condition // when no fault impairs the proxy
+	usual   condition // the condition while no fault impairs the proxy
 	current atomic.Pointer[condition]
 
 	mu     sync.Mutex
-	conns  []*net.TCPConn // both ends of all connections so far, closed ones included
+	conns  []*net.TCPConn // both ends of all connections, including closed ones
 	freeAt [2]time.Time   // when the rate allows each direction its next bytes
 }
 
--- a/soaker/soak.go
+++ b/soaker/soak.go
@@ -42,9 +42,9 @@
 // Soak configures a soak.
 type Soak struct {
 	Seed               uint64
-	Duration           time.Duration // the time in which faults begin; the start and the checks after the faults come on top
+	Duration           time.Duration // the time in which faults begin, without the start and the checks after the faults
 	Routers            int           // the number of routers
-	Program, Directory string        // the built program; the directory for settings and logs
+	Program, Directory string        // the path of the built program; the directory for settings and logs
 	Kinds              []string      // the kinds of faults that are drawn; if empty, all that have a weight
 }
 
@@ -70,18 +70,18 @@
 	store              *http.Server
 	ledger             *emulator.OpaqueRunLog
 	processes          []*process
-	routers            map[string]int // index of the process by each address that callers connect to: its own and its proxy's
+	routers            map[string]int // the index of each process, by its own address for callers and by its proxy's
 	faults             sync.WaitGroup // the faults that still last
 	events             int            // number of events per stream
-	pause, work, grace time.Duration  // between two events; duration of other answers; grace period of routers
+	pause, work, grace time.Duration  // the pause between two events; the duration of other answers; the grace period of routers
 	narrow             bool           // network links to the store are narrow
 
 	mu               sync.Mutex
-	servers          []*emulator.OpaqueServer // the current incarnations, by slot
-	incarnations     int                      // number of incarnations of all servers
-	drainAcceptedAt  map[string]time.Time     // when the store had accepted a server's row as draining, or its removal; by server ID
-	drainAnnouncedAt map[string]time.Time     // when a server started to announce in its answers that it drains; by server ID
-	all              []*emulator.OpaqueServer // all incarnations of servers
+	servers          []*emulator.OpaqueServer // the current server of each slot
+	incarnations     int                      // the number of servers that have been started
+	drainAcceptedAt  map[string]time.Time     // when the store accepted that a server's row is draining or removed, by server ID
+	drainAnnouncedAt map[string]time.Time     // when a server started to announce in its answers that it drains, by server ID
+	all              []*emulator.OpaqueServer // all servers that have been started
 	limits           []limitInterval          // the ended intervals in which servers advertised rate limits
 	versions         []version
 	prepaid          map[string]int64          // tokens by workspace
