--- a/emulator/link.go
+++ b/emulator/link.go
@@ -16,7 +16,7 @@
 	bytesPerSecond int64
 
 	mu            sync.Mutex
-	nextFree      time.Time // when all bytes for which bandwidth is reserved have arrived
+	nextFree      time.Time // when all bytes for which bandwidth has been reserved will have arrived
 	receivedBytes int64
 	listeners     []net.Listener
 	conns         map[net.Conn]bool
--- a/emulator/network.go
+++ b/emulator/network.go
@@ -107,7 +107,7 @@
 	delay   time.Duration
 	out     chan packet
 	in      chan packet
-	unread  []byte // the rest of a packet of which Read has returned a part
+	unread  []byte // what Read has not returned yet of the current packet
 	done    chan struct{}
 	once    sync.Once
 	readMu  sync.Mutex
--- a/emulator/table.go
+++ b/emulator/table.go
@@ -35,7 +35,7 @@
 	reads        int64
 	writesByKind map[string]int64
 	window       time.Time // the current second, for MaxWritesPerSecond
-	windowWrites int       // the commits in it
+	windowWrites int       // the number of commits in window
 }
 
 var _ masticway.Table = (*Table)(nil)
@@ -239,8 +239,8 @@
 // InstanceList is an instance list that shows changes only after a lag.
 type InstanceList struct {
 	mu      sync.Mutex
-	entries map[string]masticway.Instance // as shown, by instance ID
-	changes []instanceChange              // not shown yet, oldest first
+	entries map[string]masticway.Instance // the instances as the list shows them, by instance ID
+	changes []instanceChange              // the changes that the list does not show yet, oldest first
 	version int
 	lag     time.Duration
 	down    bool
