--- a/emulator/link.go
+++ b/emulator/link.go
@@ -16,7 +16,7 @@
 	bytesPerSecond int64
 
 	mu            sync.Mutex
-	nextFree      time.Time // when all bytes for which bandwidth is reserved have arrived
+	nextFree      time.Time // when all bytes for which bandwidth has been reserved will have arrived
 	receivedBytes int64
 	listeners     []net.Listener
 	conns         map[net.Conn]bool
@@ -29,7 +29,8 @@
 	return &BandwidthProxy{bytesPerSecond: rate, conns: map[net.Conn]bool{}}
 }
 
-// AddTarget opens a loopback address that forwards to target (host and port), and returns it. The error is the listener's.
+// AddTarget opens a loopback address that forwards to target (host and port), and returns the address. It fails if it cannot
+// listen.
 func (l *BandwidthProxy) AddTarget(target string) (string, error) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -42,7 +43,8 @@
 	return listener.Addr().String(), nil
 }
 
-// ReceivedBytes returns the number of bytes received from all targets, including those that still wait for bandwidth.
+// ReceivedBytes returns the number of bytes received from all targets, including those that have not been passed on yet
+// because they wait for bandwidth.
 func (l *BandwidthProxy) ReceivedBytes() int64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -129,7 +131,7 @@
 	}
 }
 
-// reserve reserves bandwidth for n bytes and returns the time at which they have arrived.
+// reserve reserves bandwidth for n bytes and returns the time at which the last of them has arrived.
 func (l *BandwidthProxy) reserve(n int) time.Time {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/recoverer/watch.go
+++ b/recoverer/watch.go
@@ -9,24 +9,25 @@
 	"github.com/masticway/masticway/bookkeeper"
 )
 
-// rankDelay is the delay of a recovery per rank of the router that starts it, so that routers do not all start the same one.
+// rankDelay is the time by which each router starts a recovery later than the router of the next lower rank, so that usually
+// only one starts it.
 const rankDelay = 3 * time.Second
 
 // DetectorSettings configure the detection of failures.
 type DetectorSettings struct {
 	Self   masticway.Incarnation
 	Region string
-	// DetectionTime is the time to detect a failure, apart from the delay by rank: for half of it a router must be silent before
-	// it is suspected, and for the other half it can answer a challenge. A router of another region is suspected later; see
-	// suspicionTimeout.
+	// DetectionTime is the time to detect a failure, without the delay by rank. A router is suspected after it has been
+	// silent for the first half, and can answer a challenge during the second half. A router of another region is suspected
+	// later; see suspicionTimeout.
 	DetectionTime time.Duration
-	// HeartbeatInterval is the time between two writes of a lease row.
+	// HeartbeatInterval is the time between two renewals of a lease row by its router.
 	HeartbeatInterval time.Duration
 }
 
 // Observation is what this router observes of another router apart from its lease row.
 type Observation struct {
-	// IsAlive is set if a message from the other router has arrived recently on a link.
+	// IsAlive is set if this router has a link to the other router and the link is not silent.
 	IsAlive bool
 	// InstanceEnded is set if the platform reports that the other router's instance has ended.
 	InstanceEnded bool
@@ -34,33 +35,33 @@
 	SelfDraining bool
 }
 
-// Responsibility determines how soon this router recovers another one. Check does not ask for it if the other router is alive
-// and not suspected.
+// Responsibility determines how soon this router recovers another one.
 type Responsibility struct {
 	// HoldsMoney is set if this router has open holds that the other router requested.
 	HoldsMoney bool
-	// Rank is this router's position in the order in which routers would recover the other one.
+	// Rank is this router's position, from zero, in the order in which routers start the recovery of the other one.
 	Rank int
 }
 
-// DetectorEffect is an action that the caller must carry out. It is one of the types below.
+// DetectorEffect is an action that the caller must carry out: a ReadRow, a Challenge or a Recover.
 type DetectorEffect interface{ detectorEffect() }
 
-// ReadRow reads one lease row. The caller passes the row back.
+// ReadRow asks the caller to read one lease row. The caller must pass the row to ApplyRow.
 type ReadRow struct{ Incarnation masticway.Incarnation }
 
-// Challenge asks a router through the table to renew its lease. The caller reports back whether the challenge was written.
+// Challenge asks the caller to write a challenge to the table, which asks a router to renew its lease. The caller must pass
+// to RecordChallenge whether it was written.
 type Challenge struct{ Incarnation masticway.Incarnation }
 
-// Recover starts a recovery. It is repeated at each Check until Remove is called or the incarnation's row is gone, so the caller
-// must ignore it while the recovery is in progress.
+// Recover asks the caller to start a recovery. Check repeats it until Remove is called or the incarnation's row is gone. The
+// caller must ignore it while the recovery is in progress.
 type Recover struct{ Incarnation masticway.Incarnation }
 
 func (ReadRow) detectorEffect()   {}
 func (Challenge) detectorEffect() {}
 func (Recover) detectorEffect()   {}
 
-// phase is the progress of a suspicion.
+// phase is how far the suspicion and the recovery of a router have got.
 type phase int
 
 const (
@@ -78,7 +79,7 @@
 // routerState is what is known of one other router.
 type routerState struct {
 	row bookkeeper.RouterLease
-	// lastSeenAt is when the router last sent a message or was found to have renewed its lease.
+	// lastSeenAt is when the router was last observed to be alive, or when this router first learned of its current lease.
 	lastSeenAt   time.Time
 	challengedAt time.Time
 	phase        phase
@@ -86,12 +87,10 @@
 
 // FailureDetector detects failures of other routers. It is not safe for concurrent use.
 //
-// Lease rows are written rarely, so the first sign of a failure is a link that
-// stays down or silent. (There are no links to routers of other regions; for them
-// it is an overdue lease.) The row is then read and its owner challenged through
-// the table. A live router that has only lost its links renews its lease; a
-// router that does not is recovered. If the platform reports that the instance
-// has ended, no challenge is needed.
+// Lease rows are written rarely, so the first sign of a failure is a link that stays down or silent. There are no links to
+// routers of other regions; for them the first sign is an overdue lease. The lease row is then read and its owner challenged
+// through the table. A live router that has only lost its links renews its lease. A router that does not renew it is
+// recovered. If the platform reports that the instance has ended, no challenge is needed.
 type FailureDetector struct {
 	settings DetectorSettings
 	routers  map[masticway.Incarnation]*routerState
@@ -102,7 +101,8 @@
 	return &FailureDetector{settings: s, routers: map[masticway.Incarnation]*routerState{}}
 }
 
-// ApplyRows applies a reading of all lease rows and returns the known incarnations whose rows are gone.
+// ApplyRows applies a reading of all lease rows. It forgets the known incarnations that have no row any more and returns
+// them.
 func (w *FailureDetector) ApplyRows(now time.Time, rows []bookkeeper.RouterLease) (gone []masticway.Incarnation) {
 	present := map[masticway.Incarnation]bool{}
 	for _, d := range rows {
@@ -140,7 +140,7 @@
 	}
 }
 
-// ApplyRow applies the result of ReadRow and reports whether the row is gone. failed is set if the table did not answer.
+// ApplyRow applies the result of ReadRow. It returns true if the row is gone. failed is set if the table did not answer.
 func (w *FailureDetector) ApplyRow(now time.Time, inc masticway.Incarnation, d bookkeeper.RouterLease, found, failed bool) (gone bool) {
 	s, ok := w.routers[inc]
 	if !ok {
@@ -188,7 +188,8 @@
 	s.challengedAt = now
 }
 
-// Check checks all known routers and returns the next effects. observe and responsibilityFor get the row of the router to judge.
+// Check checks all known routers and returns the next effects. It passes the lease row of the router to be checked to
+// observe and to responsibilityFor. It does not call responsibilityFor for a router that is alive and not suspected.
 func (w *FailureDetector) Check(now time.Time, observe func(bookkeeper.RouterLease) Observation, responsibilityFor func(bookkeeper.RouterLease) Responsibility) []DetectorEffect {
 	var effects []DetectorEffect
 	for _, inc := range w.incarnations() {
@@ -262,7 +263,8 @@
 	return w.settings.DetectionTime / 2
 }
 
-// recoveryDelay returns how long this router waits for others to start the same recovery first.
+// recoveryDelay returns how long this router waits for routers of lower rank to start the recovery. It is zero for a router
+// that holds money for the failed one.
 func recoveryDelay(r Responsibility) time.Duration {
 	if r.HoldsMoney {
 		return 0
--- a/soaker/soak.go
+++ b/soaker/soak.go
@@ -21,39 +21,42 @@
 	MaxRouters       = 200
 	callersPerRouter = 12
 	// recoveryTimeout is the time after all faults within which requests must be served again, as in the users' deployments.
-	// recoveryTokens are paid to each workspace before it starts.
+	// recoveryTokens is how many tokens are paid to each workspace at its start.
 	recoveryTimeout, recoveryTokens = 12 * time.Second, 5_000_000
-	// narrowBandwidth is the bandwidth in bytes per second (10 Mbit/s) and direction of each router's connections to the store in
-	// one of narrowEvery soaks, on average.
+	// narrowBandwidth is the bandwidth (10 Mbit/s, in bytes per second) of each router's connections to the store, in each
+	// direction, in soaks with narrow links. On average, one of narrowEvery soaks has them.
 	narrowBandwidth, narrowEvery = 10e6 / 8, 3
-	// The largest number of events of a stream, and the longest pause between two events. Each soak draws its own values.
+	// maxEvents is the largest number of events of a stream, and maxEventPause the longest pause between two events. Each
+	// soak draws its own values.
 	maxEvents, maxEventPause = 10, 250 * time.Millisecond
-	// minGrace is the grace period of routers after SIGTERM. Half of the soaks add extraGrace, which makes it the usual one.
+	// minGrace is the grace period of routers after SIGTERM. Half of the soaks add extraGrace, which gives the usual grace
+	// period.
 	minGrace, extraGrace = 5 * time.Second, 3 * time.Second
-	// maxWork is the longest time that servers take for answers that are not streams. It is far shorter than the time that a
-	// router waits before it tries another server.
+	// maxWork is the longest time that servers usually take for answers that are not streams. It is far shorter than the
+	// time that a router waits before it tries another server.
 	maxWork = 250 * time.Millisecond
-	// slowWork is a longer time for these answers, used in one of slowEvery soaks, on average.
+	// slowWork is the time that servers take for answers that are not streams in one of slowEvery soaks, on average.
 	slowWork, slowEvery = time.Second, 8
 )
 
 // Soak configures a soak.
 type Soak struct {
 	Seed               uint64
-	Duration           time.Duration // the time in which faults begin; the start and the checks after the faults come on top
+	Duration           time.Duration // the time in which faults begin, without the start and the checks after the faults
 	Routers            int           // the number of routers
-	Program, Directory string        // the built program; the directory for settings and logs
+	Program, Directory string        // the path of the built program; the directory for settings and logs
 	Kinds              []string      // the kinds of faults that are drawn; if empty, all that have a weight
 }
 
 // Report is the result of a soak.
 type Report struct {
-	// Requests counts the requests that were made, probes and resumed requests included, Served the complete answers with status
-	// 200, Resumed the requests that resumed an answer and got events, Versions the accepted versions of the configuration, and
-	// Faults the faults that were drawn.
+	// Requests counts the requests that were made, including probes and resumed requests. Served counts the complete answers
+	// with status 200. Resumed counts the requests that resumed an answer and got events. Versions counts the accepted
+	// versions of the configuration. Faults counts the faults that were drawn.
 	Requests, Served, Resumed, Versions, Faults int
 	// Starved counts the polls at which a router or the soak had waited too long for a processor, once for each router
-	// concerned. What is late or missing at these times is no violation, except after all faults.
+	// concerned. If something is late or missing at these times, it is no violation. The exception is the check after all
+	// faults.
 	Starved    int
 	Violations []Violation
 }
@@ -67,18 +70,18 @@
 	store              *http.Server
 	ledger             *emulator.OpaqueRunLog
 	processes          []*process
-	routers            map[string]int // index of the process by each address that callers connect to: its own and its proxy's
+	routers            map[string]int // the index of each process, by its own address for callers and by its proxy's
 	faults             sync.WaitGroup // the faults that still last
 	events             int            // number of events per stream
-	pause, work, grace time.Duration  // between two events; duration of other answers; grace period of routers
+	pause, work, grace time.Duration  // the pause between two events; the duration of other answers; the grace period of routers
 	narrow             bool           // network links to the store are narrow
 
 	mu               sync.Mutex
-	servers          []*emulator.OpaqueServer // the current incarnations, by slot
-	incarnations     int                      // number of incarnations of all servers
-	drainAcceptedAt  map[string]time.Time     // when the store had accepted a server's row as draining, or its removal; by server ID
-	drainAnnouncedAt map[string]time.Time     // when a server started to announce in its answers that it drains; by server ID
-	all              []*emulator.OpaqueServer // all incarnations of servers
+	servers          []*emulator.OpaqueServer // the current server of each slot
+	incarnations     int                      // the number of servers that have been started
+	drainAcceptedAt  map[string]time.Time     // when the store accepted that a server's row is draining or removed, by server ID
+	drainAnnouncedAt map[string]time.Time     // when a server started to announce in its answers that it drains, by server ID
+	all              []*emulator.OpaqueServer // all servers that have been started
 	limits           []limitInterval          // the ended intervals in which servers advertised rate limits
 	versions         []version
 	prepaid          map[string]int64          // tokens by workspace
@@ -92,7 +95,7 @@
 	faultsDrawn      int
 }
 
-// Run runs the soak and returns its report. The error is not nil if the soak could not be carried out or ctx ended.
+// Run runs the soak and returns its report. It returns an error if the soak could not be carried out or ctx is done.
 func (o Soak) Run(ctx context.Context) (Report, error) {
 	// If this fails, so does creating the log.
 	_ = os.MkdirAll(o.Directory, 0o755)
@@ -157,7 +160,7 @@
 	return nil
 }
 
-// startLoad starts the callers, the probers and the watch for starvation, all of which end after done is closed.
+// startLoad starts the callers, the probers and the watch for starvation in load. All of them end after done is closed.
 func (s *soakRun) startLoad(load *sync.WaitGroup, done <-chan struct{}) {
 	load.Go(func() { s.watchStarvation(done) })
 	var addresses []string
@@ -172,8 +175,8 @@
 	}
 }
 
-// injectFaults draws faults and starts each at its time until the duration of the soak is over or ctx ends. Faults run
-// concurrently and may still last when it returns.
+// injectFaults draws faults and starts each at its time, until the duration of the soak is over or ctx is done. Faults run
+// concurrently. Some may still last when injectFaults returns.
 func (s *soakRun) injectFaults(ctx context.Context) {
 	var weightedKinds []string
 	for _, name := range Kinds() {
