--- a/treasurer/doc.go
+++ b/treasurer/doc.go
@@ -51,7 +51,7 @@
 // workspace in the table masticway_accounts, a Checkpoint for each instance in masticway_books, and a Presence for each
 // router in masticway_routers.
 //
-// Start. Treasurer.Run first takes over the instance's checkpoint (takeover.go): tryTakeOver reads the row, Planner.TakeOver
+// Start. Treasurer.Run first takes over the instance's checkpoint (begin.go): tryTakeOver reads the row, Planner.TakeOver
 // makes the new one with Checkpoint.successor, and Planner.CompleteTakeOver records that it is written. Planner.Plan returns
 // no call to the store before that, so there is no grant without a checkpoint.
 //
@@ -119,7 +119,7 @@
 // Planner.FinalCheckpoint allows no more than what is taken. A router that crashes leaves the spend limits that it had. In
 // both cases the instance's next incarnation finds them. Checkpoint.successor lists an EndedIncarnation with the most that
 // may have been spent, the part of it that needed no witness, and the witnesses. Treasurer.closePredecessors then closes the
-// grants. Treasurer.presumeSpent (reports.go) asks the witnesses, and EndedIncarnation.PresumedSpent combines their answers
+// grants. Treasurer.presumeSpent (testimony.go) asks the witnesses, and EndedIncarnation.PresumedSpent combines their answers
 // with what the checkpoint says. If too few of them answer, the bound of the limits counts as spent. Treasurer.closeGrant
 // makes the write that CloseGrant returns. In it Account.WithClosed removes the grant and adds what counts as spent to
 // Closed. The rest is in Account.Ungranted then, for any router. The token is settled now: it is in Closed.
