--- a/forwarder/admit.go
+++ b/forwarder/admit.go
@@ -21,7 +21,7 @@
 	retryAfterReconnect = 50 * time.Millisecond
 	// defaultMaxBodyBytes is the maximum size of a request body if the configuration sets none.
 	defaultMaxBodyBytes = 4 << 20
-	// defaultTimeout is the timeout of a request if neither the caller nor the route sets one.
+	// defaultTimeout is the timeout of a request for which the caller and the route set none.
 	defaultTimeout = 30 * time.Second
 	// maxRank is the highest rank that servers support, which is the least urgent.
 	maxRank = 9
@@ -218,8 +218,8 @@
 	return ""
 }
 
-// setDeadline applies the caller's time limit or the route's timeout, whichever is shorter. If neither is set, the deadline set
-// by admit stays.
+// setDeadline applies the caller's time limit or the route's timeout, whichever is shorter. If both are missing, the deadline
+// that admit has set stays.
 func (x *exchange) setDeadline() {
 	left := x.q.TimeLeft
 	if t := x.q.route.Timeout; t > 0 && (left <= 0 || t < left) {
--- a/forwarder/candidates.go
+++ b/forwarder/candidates.go
@@ -54,7 +54,7 @@
 }
 
 // cheapestServer returns the warm server with the least expected cost. If there is no warm one, it returns the cheapest of the
-// cold servers to which this router may send now. It returns false if there is neither.
+// cold servers to which this router may send now. It returns false if there is no such server either.
 func (x *exchange) cheapestServer(servers []masticway.Server) (masticway.Server, bool) {
 	x.f.mu.Lock()
 	defer x.f.mu.Unlock()
--- a/forwarder/settings.go
+++ b/forwarder/settings.go
@@ -54,8 +54,8 @@
 type BudgetSettings struct {
 	// Parts is the number of partitions of the store's tables over which budgets are spread. It must be the same for all routers.
 	Parts int `json:"parts"`
-	// Reserve is how long the tokens that a router keeps in reserve last at its usual demand. The router serves requests from
-	// them while the store cannot be reached.
+	// Reserve is how long the tokens that a router keeps in reserve should last at its mean demand. They last for a shorter time
+	// if the budget does not allow more. The router serves requests from them while the store cannot be reached.
 	Reserve masticway.Duration `json:"reserve"`
 }
 
@@ -72,7 +72,7 @@
 // ColdSettings limits the requests per second that a cold server gets from all routers together. A cold server is slow, and too
 // many requests crash it (see masticway.Server.IsCold).
 type ColdSettings struct {
-	// Overshoot is the factor by which the pool's configured rate for cold servers is multiplied.
+	// Overshoot is a factor. The pool's configured rate for cold servers is multiplied by it.
 	Overshoot float64 `json:"overshoot"`
 	// ExtraRequests is the number of requests per second that are allowed in addition.
 	ExtraRequests float64 `json:"slack"`
--- a/forwarder/suspects.go
+++ b/forwarder/suspects.go
@@ -12,8 +12,9 @@
 )
 
 const (
-	// innocentAfter is how long after the first part of its answer a request is still considered a possible cause of a server's
-	// crash. If this router gave up the run, the time starts when it did. A request that crashes servers does so early.
+	// innocentAfter is the time after the first part of a request's answer in which the request is still considered a possible
+	// cause of a server's crash. If this router gave up the run, the time starts when it did. The time is short, because a
+	// request that crashes servers does so early.
 	innocentAfter = time.Second
 	// crashCheckTimeout is how long a request waits for the result of a check of a server. It allows for a few round trips
 	// between availability zones. A result that comes later takes effect on later requests.
@@ -284,7 +285,8 @@
 	}
 }
 
-// reportCrash reports to the examiner that a server ended under a request, and logs it.
+// reportCrash reports to the examiner that a server crashed while it ran a request, or soon after this router had abandoned the
+// run. It also logs the crash.
 func (f *Forwarder) reportCrash(r serverRun) {
 	f.examiner.ReportCrash(r.digest, r.path, r.crash)
 	fields := logrus.Fields{
--- a/relayer/relayer.go
+++ b/relayer/relayer.go
@@ -196,8 +196,8 @@
 	return p.wait()
 }
 
-// worseOf returns the worse of two results that are not definite: the one with an unknown outcome, because the other attempt's
-// failure does not make that outcome certain. If neither is unknown, it returns b.
+// worseOf returns the worse of two results that are not definite. A result with an unknown outcome is worse, because the other
+// attempt's failure does not make that outcome certain. If a's outcome is not unknown, worseOf returns b.
 func worseOf(a, b result) result {
 	if _, ok := errors.AsType[*masticway.OutcomeUnknownError](a.err); ok {
 		return a
--- a/retrier/allowance.go
+++ b/retrier/allowance.go
@@ -10,9 +10,10 @@
 	usableFraction = 0.8
 )
 
-// Allowance bounds the retries that a router makes to one pool within a sliding window. The bound is the number of requests that
-// this router got for the pool within the window, times a ratio, plus this router's share of a fixed number of retries for all
-// routers together. Of this bound, usableFraction is used. An Allowance is not safe for concurrent use.
+// Allowance bounds the retries that a router makes to one pool within a sliding window. The bound is the sum of two parts. The
+// first is the number of requests that this router got for the pool within the window, times a ratio. The second is this router's
+// share of a fixed number of retries for all routers together. Of this bound, usableFraction is used. An Allowance is not safe
+// for concurrent use.
 type Allowance struct {
 	ratio        float64
 	fixedRetries float64
--- a/retrier/retrier.go
+++ b/retrier/retrier.go
@@ -17,9 +17,9 @@
 	CauseDraining Cause = "leaving"
 	// CauseStale is a refusal because the router's configuration is outdated.
 	CauseStale Cause = "stale"
-	// CauseFenced is a refusal because the sidecar has sealed (fenced off) an incarnation of a router: the one that sent the
-	// request, or the hold's payer, whose grant pays for the request. The sidecar also refuses if it cannot verify that neither
-	// is sealed.
+	// CauseFenced is a refusal because an incarnation of a router is sealed (fenced off) at the sidecar. It is the one that sent
+	// the request, or the hold's payer, whose grant pays for the request. The sidecar also refuses if it cannot verify that both
+	// are unsealed, or if the links row of one of them does not contain the sidecar.
 	CauseFenced Cause = "fenced"
 	// CauseFull is a refusal because the upstream has no capacity.
 	CauseFull Cause = "full"
--- a/sender/sender.go
+++ b/sender/sender.go
@@ -26,8 +26,8 @@
 	defaultIdleTimeout = 4 * time.Second
 	// idleFraction is the part of a server's idle timeout after which a connection is no longer reused.
 	idleFraction = 0.7
-	// sweepThreshold is the number of idle connections to a server above which acquireIdle also checks the one that has been idle
-	// for longest, and closes it if it has expired.
+	// sweepThreshold is a number of idle connections to a server. If there are more, acquireIdle also checks the one that has
+	// been idle for longest, and closes it if it has expired.
 	sweepThreshold = 4
 )
 
@@ -321,8 +321,8 @@
 	return time.Duration(float64(keep) * idleFraction)
 }
 
-// hasNoInput reports whether nothing has arrived on an idle connection, neither the end of the connection nor unexpected bytes.
-// It can check only TCP connections; for others it returns true unless bytes are buffered.
+// hasNoInput reports whether nothing has arrived on an idle connection. Unexpected bytes and the end of the connection both count
+// as input. hasNoInput can check only TCP connections. For others it returns true unless bytes are buffered.
 func (c *conn) hasNoInput() bool {
 	if c.reader.Buffered() > 0 {
 		return false
--- a/starter/callers.go
+++ b/starter/callers.go
@@ -12,9 +12,9 @@
 var pastDeadline = time.Unix(1, 0)
 
 // callerListener accepts the connections of a gateway's callers and counts their open requests. A request is open from when its
-// first byte is read until net/http has written the end of its response. Neither the connection states that net/http reports nor
-// the running handlers show this: net/http reports a connection as idle until the next request's header has been parsed, and
-// writes the end of a response after the handler has returned.
+// first byte is read until net/http has written the end of its response. The connection states of net/http do not show this,
+// because a connection stays idle there until the next request's header has been parsed. The running handlers do not show it
+// either, because net/http writes the end of a response after the handler has returned.
 type callerListener struct {
 	net.Listener
 	openRequests atomic.Int64
--- a/starter/fleet.go
+++ b/starter/fleet.go
@@ -22,7 +22,7 @@
 )
 
 const (
-	// PlatformProcess is the name by which network faults refer to the platform's process.
+	// PlatformProcess is the name of the platform's process in network faults.
 	PlatformProcess = "platform"
 	loopbackAddress = "127.0.0.1:0"
 	// readyPollInterval is the pause between two checks by AwaitReady.
@@ -43,7 +43,7 @@
 	// InstanceLag is how long it takes until a change of an instance appears in the platform's instance list.
 	InstanceLag time.Duration
 	// Router and Sidecar are JSON objects with settings of all routers and all sidecars. Their fields replace those that the
-	// fleet sets. Settings that are in neither have their defaults.
+	// fleet sets. Settings that neither these objects nor the fleet set have their defaults.
 	Router  json.RawMessage
 	Sidecar json.RawMessage
 	Log     *logrus.Logger
--- a/starter/router.go
+++ b/starter/router.go
@@ -31,7 +31,7 @@
 	wg        sync.WaitGroup
 }
 
-// incarnation is one incarnation of a router with its handlers. The handlers must be created only once for an incarnation.
+// incarnation is one incarnation of a router with its handlers. The handlers must be created only once per incarnation.
 type incarnation struct {
 	router        *router.Router
 	callerHandler http.Handler
