--- a/bookkeeper/bookkeeper.go
+++ b/bookkeeper/bookkeeper.go
@@ -247,8 +247,8 @@
 	return DrawSize(b.Remaining(), m.Need, m.Want, b.OpenAmount() == openAmount(b, m.Grant))
 }
 
-// movePuts returns the rows that a move writes: the budget's row and, if the grant is new or closed, the index row by which
-// GrantsOf finds the grant.
+// movePuts returns the rows that a move writes: the budget's row, and the grant's index row if the grant is new or closed.
+// GrantsOf finds grants by their index rows.
 func movePuts(key string, before, after Budget, m keeper.Move) []masticway.Put {
 	puts := []masticway.Put{{Key: key, Value: encode(after)}}
 	if m.Close {
--- a/bookkeeper/recovery.go
+++ b/bookkeeper/recovery.go
@@ -26,8 +26,7 @@
 	return sealed, nil
 }
 
-// GrantsOf returns the keys of an incarnation's open grants. It reads them from the index rows, one of which exists for each
-// open grant.
+// GrantsOf returns the keys of an incarnation's open grants. It reads them from the index rows. Each open grant has one.
 func (b *Ledger) GrantsOf(ctx context.Context, inc masticway.Incarnation) ([]masticway.GrantKey, error) {
 	rows, err := b.table.Scan(ctx, prefixGrant+string(inc)+"/")
 	if err != nil {
@@ -47,7 +46,7 @@
 // GrantClosure is what the recovery of an incarnation has found out about one of its grants.
 type GrantClosure struct {
 	Grant masticway.GrantKey
-	// Spent is the cost of the finished runs, as far as the sidecars reported it.
+	// Spent is the cost of the finished runs. It includes only what the sidecars reported.
 	Spent masticway.Amount
 	// Running is the maximum cost of the runs that are still in progress.
 	Running masticway.Amount
--- a/chooser/chooser.go
+++ b/chooser/chooser.go
@@ -9,7 +9,7 @@
 	"github.com/masticway/masticway"
 )
 
-// Policy is the method by which upstreams are compared.
+// Policy is the method for comparing upstreams.
 type Policy string
 
 // The routing policies.
--- a/chooser/observations.go
+++ b/chooser/observations.go
@@ -125,7 +125,7 @@
 // prefill.
 const usualFirstEvent = 60.0
 
-// Result is how a request ended, as far as it concerns the health of its server.
+// Result classifies the end of a request by what it says about the health of its server.
 type Result int
 
 // The results of a request.
--- a/chooser/prefixes.go
+++ b/chooser/prefixes.go
@@ -18,8 +18,8 @@
 	return hashes
 }
 
-// prefixSet is a set of prefix hashes, each of which expires prefixTTL after it was last added. If it would grow beyond limit,
-// old hashes are evicted. A single prompt may exceed limit.
+// prefixSet is a set of prefix hashes. A hash expires prefixTTL after it was last added. If the set would grow beyond limit, old
+// hashes are evicted. A single prompt may exceed limit.
 type prefixSet struct {
 	limit    int
 	lastSeen map[uint64]time.Time
--- a/chooser/servers.go
+++ b/chooser/servers.go
@@ -18,7 +18,7 @@
 	Tokens int
 	// Output is the maximum number of tokens in the answer.
 	Output int
-	// Parts are the leading parts of the prompt in order, as far as the router knows them.
+	// Parts are the leading parts of the prompt that the router knows, in order.
 	Parts []masticway.PromptPart
 	// Zone is the router's availability zone.
 	Zone string
@@ -76,8 +76,8 @@
 }
 
 // rankServers returns the ranks of servers by their rendezvous weights for a prompt part, starting with zero for the highest
-// weight. Routers with the same servers thus agree without communication on the part's home, which has rank zero, and on the
-// order in which other servers are used if the home is overloaded.
+// weight. Routers with the same servers thus agree without communication on the part's home, which has rank zero. They also
+// agree on the order in which other servers are used if the home is overloaded.
 func rankServers(part string, servers []masticway.Server) []int {
 	hash := xxhash.Sum64String(part)
 	weights := make([]uint64, len(servers))
--- a/keeper/account.go
+++ b/keeper/account.go
@@ -77,7 +77,7 @@
 	bySidecar map[masticway.Incarnation]masticway.Amount
 }
 
-// free returns the part of the grant that is neither spent, returned nor held.
+// free returns the part of the grant that is not spent, returned or held.
 func (a *account) free() masticway.Amount { return a.drawn - a.spent - a.returned - a.held }
 
 // recordDemand adds the maximum cost of a hold request to the demand rate and takes over the horizon of the request.
--- a/keeper/doc.go
+++ b/keeper/doc.go
@@ -17,7 +17,7 @@
 //   - Payer: the router incarnation that a grant belongs to.
 //   - Move: one write to the table that draws money into a grant, returns money
 //     to the budget, closes the grant, or does several of these.
-//   - Free money: money in a grant that is neither spent, held nor returned.
+//   - Free money: money in a grant that is not spent, held or returned.
 //   - Horizon: how far ahead a draw covers the forecast demand.
 //   - Tracked identity: the identity of a request that must not run twice. The
 //     keeper answers a later request with the same identity as a duplicate.
--- a/keeper/effects.go
+++ b/keeper/effects.go
@@ -67,7 +67,7 @@
 	Move Move
 	// Drawn is the amount moved from the budget to the grant.
 	Drawn masticway.Amount
-	// Remaining is the budget's prepaid money that is neither settled nor in an open grant after the move.
+	// Remaining is the budget's prepaid money that, after the move, is neither settled nor in an open grant.
 	Remaining masticway.Amount
 	// OthersOpen is the money in all other open grants of the budget.
 	OthersOpen masticway.Amount
--- a/keeper/return.go
+++ b/keeper/return.go
@@ -88,8 +88,8 @@
 	return []Effect{k.startMove(now, a, Move{Return: a.free()})}
 }
 
-// Drain starts moves that return all money that is not held, and that close the grants without open holds. It does so even
-// for budgets for which requests wait. The caller must call it repeatedly until IsEmpty returns true.
+// Drain starts moves that return all money that is not held, and that close the grants without open holds. Budgets
+// with waiting requests are no exception. The caller must call it repeatedly until IsEmpty returns true.
 func (k *Keeper) Drain(now time.Time) []Effect {
 	var effects []Effect
 	for _, budget := range k.sortedBudgets() {
--- a/router/attempt.go
+++ b/router/attempt.go
@@ -224,8 +224,8 @@
 }
 
 // handleCounted records the prompt's token count as the engine counted it. If the upper bound of the cost that follows from the
-// count is below the amount of the hold, it shrinks the hold to this bound. It does not do so if the run was started by another
-// request.
+// count is below the amount of the hold, it shrinks the hold to this bound. If another request started the run, it leaves the
+// hold unchanged.
 func (x *exchange) handleCounted(c sealer.PromptCount) {
 	x.promptTokens = c.Prompt
 	if x.hold == nil || x.found != nil {
--- a/router/claims.go
+++ b/router/claims.go
@@ -34,8 +34,8 @@
 	claimDone claimState = "done"
 )
 
-// claimRow is the table row by which a non-repeatable request claims its identity, so that no other request with the identity
-// runs. The outcome of the request is recorded in the row.
+// claimRow is the table row by which a non-repeatable request claims its identity. The claim prevents other requests with the
+// identity from running. The outcome of the request is recorded in the row.
 type claimRow struct {
 	Request     string                `json:"request"`
 	Sender      masticway.Incarnation `json:"sender"`
--- a/router/configuration.go
+++ b/router/configuration.go
@@ -101,7 +101,8 @@
 	_ = c.Send(linker.Message{ChangesRequest: &linker.ChangesRequest{After: applied}})
 }
 
-// sendChanges sends a peer or sidecar the configuration changes after a revision, as far as this router still stores them.
+// sendChanges sends a peer or sidecar the configuration changes after a revision. Changes that this router no longer stores are
+// missing.
 func (r *Router) sendChanges(c *linker.Conn, after masticway.Revision) {
 	r.configMu.Lock()
 	changes := r.config.ChangesAfter(after)
--- a/router/exchange.go
+++ b/router/exchange.go
@@ -243,7 +243,7 @@
 	return refused
 }
 
-// unknownOutcome returns the error for a request of which it is unknown whether it ran.
+// unknownOutcome returns the error for a request that may or may not have run.
 func unknownOutcome() *masticway.RefusalError {
 	return &masticway.RefusalError{
 		Status: http.StatusGatewayTimeout, Code: "outcome_unknown", Fate: masticway.FateUnknown,
@@ -348,9 +348,9 @@
 		x.r.budgets.sleep(wait)
 	}
 	if x.hold != nil && x.outputTokens == 0 && x.hold.spent() > 0 {
-		// The lost attempt has paid for the prompt without any output. Its hold covers the prompt only once, so a retry under it
-		// would have to shorten the answer. Therefore the attempt is billed as superseded, which refunds it later, and the next
-		// attempt gets its own hold.
+		// The lost attempt has paid for the prompt without any output. Its hold covers the prompt only once. A retry under
+		// the same hold would have to shorten the answer. Therefore the attempt is billed as superseded, which refunds it later,
+		// and the next attempt gets its own hold.
 		x.settleAs(biller.KindSuperseded)
 	}
 	if x.hold == nil || e.needsNewHold {
--- a/router/peer_money.go
+++ b/router/peer_money.go
@@ -58,7 +58,7 @@
 	return h, request.ID
 }
 
-// resize asks the payer of a hold to reduce the hold to an amount. It sends the message only once, even if this fails.
+// resize asks the payer of a hold to reduce the hold to an amount. It sends the message once, and does not retry if this fails.
 func (p *peers) resize(payer masticway.Incarnation, id masticway.HoldID, amount masticway.Amount) {
 	if payer == p.router.self {
 		p.router.budgets.resize(id, amount)
@@ -69,8 +69,8 @@
 	}
 }
 
-// settle reports a hold's charges to its payer. If the payer is another router, it does so in the background, and retries until
-// the payer has acknowledged the charges or has been recovered, or this router stops.
+// settle reports a hold's charges to its payer. If the payer is another router, it does so in the background. It retries until
+// the payer has acknowledged the charges or has been recovered, or until this router stops.
 func (p *peers) settle(payer masticway.Incarnation, s linker.Settle) {
 	if payer == p.router.self {
 		p.router.budgets.settle(s)
@@ -135,7 +135,7 @@
 	}
 }
 
-// requestReturnByDialing sends a request for the return of money to a router to which this one keeps no link. It tries only once.
+// requestReturnByDialing sends a request for the return of money to a router to which this one keeps no link. It does not retry.
 func (p *peers) requestReturnByDialing(payer masticway.Incarnation, m linker.Message) {
 	ctx, cancel := context.WithTimeout(p.router.ctx, platformTimeout)
 	defer cancel()
--- a/router/peers.go
+++ b/router/peers.go
@@ -24,9 +24,9 @@
 	configIdleTimeout = 5 * time.Second
 )
 
-// peers holds the links to the other routers of the region, and determines the keeper of each budget: the router that draws and
-// holds the budget's money for all of them. The keepers are the routers that can be chosen: this one and the peers in conns that
-// are neither draining nor silent.
+// peers holds the links to the other routers of the region, and determines the keeper of each budget. The keeper of a budget
+// draws and holds its money for all routers of the region. The routers that can be chosen are called the keepers. They are this
+// router and all peers in conns except those that are draining or silent.
 type peers struct {
 	router   *Router
 	listener *linker.Listener
@@ -112,7 +112,7 @@
 		}
 		p.router.recovery.watchPeer(c.Peer())
 		p.addKeeper(c)
-		// This heartbeat informs the peer that it is one of the keepers here.
+		// A heartbeat after the registration tells the peer that this router now counts it among the keepers (see inbound).
 		_ = c.Send(p.heartbeatMessage())
 	})
 }
@@ -204,7 +204,7 @@
 	return p.conns[inc]
 }
 
-// keeperNames returns the incarnations of this router and the peers that are neither draining nor silent, sorted.
+// keeperNames returns the sorted incarnations of the keepers. See peers for which routers these are.
 func (p *peers) keeperNames() []string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/router/router.go
+++ b/router/router.go
@@ -416,7 +416,8 @@
 	}
 }
 
-// audit refunds bills that are duplicates or superseded. It does nothing if another router of the region is the one that audits.
+// audit refunds bills that are duplicates or superseded. It does nothing unless this router is the one of its region that audits
+// (see peers.keeperFor).
 func (r *Router) audit() {
 	if r.peers.keeperFor("audit") != r.self {
 		return
--- a/router/upstreams.go
+++ b/router/upstreams.go
@@ -136,7 +136,7 @@
 	u.mu.Lock()
 	for _, t := range u.tracker.All() {
 		if t.Instance.ID == instance && t.Incarnation != "" && t.Incarnation != inc {
-			// An instance runs one process at a time, so the one that the tracker knows has ended.
+			// An instance runs one process at a time. Therefore the earlier process, which the tracker still knows, has ended.
 			u.router.budgets.markGone(t.Incarnation)
 		}
 	}
