--- a/bookkeeper/recovery.go
+++ b/bookkeeper/recovery.go
@@ -46,7 +46,8 @@
 // GrantClosure is what the recovery of an incarnation has found out about one of its grants.
 type GrantClosure struct {
 	Grant masticway.GrantKey
-	// Spent is the cost of the finished runs. It includes only what the sidecars reported.
+	// Spent is the known cost of the finished runs: what the sidecars reported, and what the links row records for removed
+	// sidecars (see Links.SpentByRemoved).
 	Spent masticway.Amount
 	// Running is the maximum cost of the runs that are still in progress.
 	Running masticway.Amount
