--- a/lender/lender.go
+++ b/lender/lender.go
@@ -80,9 +80,9 @@
 	Lend(ctx context.Context, request treasurer.LoanRequest) int64
 	// AcceptRepayment takes back tokens that another router has borrowed, or cancels its loan request.
 	AcceptRepayment(r treasurer.Repayment)
-	// AcceptReport records another router's report and returns true. It returns false, without recording it, if the report
-	// is meant for another incarnation than this one, if FinalReports was called for the report's sender, or if this router
-	// no longer spends because it has itself been succeeded.
+	// AcceptReport records another router's report and returns true. It returns false, without recording the report, in three
+	// cases: the report is meant for another incarnation than this one, FinalReports was called for the report's sender, or
+	// this router is sealed (it must not spend any more).
 	AcceptReport(s treasurer.SpendReport) bool
 	// FinalReports returns what an ended incarnation reported to a witness. The record is empty if the witness is another
 	// incarnation than this one; otherwise AcceptReport refuses later reports of the ended incarnation.
--- a/limiter/contract.go
+++ b/limiter/contract.go
@@ -38,8 +38,8 @@
 }
 
 // Admit counts a request of the contract's workspace as in flight and, if there is a rate limit, takes a token from the bucket.
-// If the request exceeds a limit, it does neither, and returns the limit and how long to wait before a retry. The caller must
-// call Done when an admitted request has ended.
+// If the request exceeds a limit, Admit does neither. It then returns the limit and how long to wait before a retry. The caller
+// must call Done when an admitted request has ended.
 func (l *ContractLimiter) Admit(now time.Time, c masticway.Contract) (Limit, time.Duration) {
 	u, ok := l.usage[c.Workspace]
 	if !ok {
--- a/treasurer/doc.go
+++ b/treasurer/doc.go
@@ -20,8 +20,8 @@
 // # Terms
 //
 //   - workspace: the owner of one prepaid budget; it has one row, its Account.
-//   - instance: the place that a router runs at, for example one of a set of replicas. An incarnation is one process there.
-//     Its predecessors are the earlier incarnations of the instance, its successors the later ones.
+//   - instance: the machine that a router runs on. An incarnation is one process of the router there. Its predecessors are the
+//     earlier incarnations of the instance, its successors the later ones.
 //   - grant: the tokens of a workspace that one incarnation may spend. Ungranted tokens are prepaid and neither closed nor
 //     granted. Tokens of a grant are taken if they are held for a request, used, or lent, and free otherwise.
 //   - closed: what ended incarnations have spent or are presumed to have spent of a workspace, for which there are no grants
@@ -60,11 +60,11 @@
 // change of a grant writes a newer version's amount to the Account (account.newestRow).
 //
 // Requested. A request calls Treasurer.Hold with the most that it may use. Planner.Hold (holds.go) adds it to the demand (the
-// mean rate of requested tokens, by account.observeDemand), queues it, and calls serveQueue, in which decide answers it at
-// once if the router's own grant and its loans cover it. Planner.maxTaken is how much of its grant the router may have taken:
-// all of it while the store answers in time, otherwise only what the spend limits also allow. If there is too little,
-// Treasurer.runOnce does what the planner returns: calls to the store (Plan), rounds of asking for loans (DueBorrowRounds),
-// and reports to witnesses (DueReports).
+// mean rate of requested tokens) with account.observeDemand, queues the request, and calls serveQueue. There decide answers the
+// request at once if the router's own grant and its loans cover it. Planner.maxTaken is how much of its grant the router may have
+// taken: all of it while the store answers in time, otherwise only what the spend limits also allow. If there is too little,
+// Treasurer.runOnce does what the planner returns: calls to the store (Plan), rounds of asking for loans (DueBorrowRounds), and
+// reports to witnesses (DueReports).
 //
 // Limited. If a request waits for tokens of a workspace that the checkpoint does not name, and this router may draw a grant
 // of it, a checkpoint is due (isCheckpointDue in plan.go). writeCheckpoint adds a SpendLimit: Taken, Burst, and a Rate with
@@ -86,10 +86,10 @@
 // unconfirmed (failChange) until applyRow gets a newer row. Until then, what the write may have returned is not spent
 // (account.usableGrant). Treasurer.watchAccounts (watch.go) passes other routers' changes of rows to Planner.ApplyChanges.
 //
-// Held. serveQueue adds the token to the account's taken and answers VerdictHeld. It answers VerdictExhausted if a recent
-// row shows that the need exceeds what is ungranted and what the router has, and if all routers that were asked for a loan
-// have answered. It does not do so within startupGrace of the router's start, when grants of predecessors may still be open.
-// It answers VerdictUnreachable if there may be tokens that cannot be obtained in time.
+// Held. serveQueue adds the token to the account's taken and answers VerdictHeld. It answers VerdictExhausted on two conditions.
+// A recent row must show that the need exceeds the sum of what is ungranted and what the router has. All routers that were asked
+// for a loan must have answered. VerdictExhausted is not given within startupGrace of the router's start, when grants of
+// predecessors may still be open. It answers VerdictUnreachable if there may be tokens that cannot be obtained in time.
 //
 // Lent, at other routers. The token comes from a holder (loans.go and lending.go). Planner.DueBorrowRounds starts a round of
 // asking for it. It starts the round at once if this router borrows from holders (borrowsFromHolders) or if the row has too
@@ -103,10 +103,10 @@
 // whatever it lent (borrowers.go).
 //
 // Cleared. The upstream has answered. Before any part of the response is sent to the caller, Treasurer.Clear waits for
-// Planner.clearHolds. What is cleared of the router's own grant may not exceed Planner.currentLimit. A checkpoint is due
-// when more is taken than the spend limits cover, so usually the next checkpoint clears the hold. While the store does not
-// answer, the rate of the spend limit clears it (SpendLimit.bound). A part of what the rate allows needs no witnesses
-// (SpendLimit.unwitnessedBound). The rest counts as far as a quorum of the checkpoint's witnesses has acknowledged it
+// Planner.clearHolds. What is cleared of the router's own grant may not exceed Planner.currentLimit. A checkpoint is due when
+// more is taken than the spend limits cover, so usually the next checkpoint clears the hold. While the store does not answer, the
+// rate of the spend limit clears it (SpendLimit.bound). A part of what the rate allows needs no witnesses
+// (SpendLimit.unwitnessedBound). Of the rest, only what a quorum of the checkpoint's witnesses has acknowledged counts
 // (witness.go). Planner.DueReports returns what to report, and Treasurer.sendReport sends it to the witnesses. There
 // Planner.AcceptReport records it. Planner.CompleteReport counts the acknowledgements.
 //
--- a/treasurer/holders.go
+++ b/treasurer/holders.go
@@ -32,7 +32,7 @@
 	unresponsiveTTL = time.Second
 )
 
-// Peer describes another router, as far as its presence does.
+// Peer is what the presence of another router says about it.
 type Peer struct {
 	Witness
 	// Zone is the router's availability zone; empty if unknown.
@@ -142,8 +142,8 @@
 	return !p.keepsReserve(a) && now.Sub(a.noAnswerAt) > borrowBackoff
 }
 
-// fleetDemand returns the demand for a workspace at this router and at all routers that have a grant of it, in tokens a
-// second. The demand at another router is the one that it wrote into the row when it last changed its grant.
+// fleetDemand returns the demand for a workspace at this router and at all routers that have a grant of it, in tokens a second.
+// Another router's demand is taken from the row: that router wrote it there when it last changed its grant.
 func (a *account) fleetDemand(self masticway.Incarnation) float64 {
 	all := a.demand.rate
 	for i, g := range a.row.Grants {
--- a/treasurer/holds.go
+++ b/treasurer/holds.go
@@ -73,8 +73,8 @@
 	return p.clearHolds(now, h.account)
 }
 
-// clearHolds clears the holds of a workspace that wait for clearance, as far as currentLimit allows. A hold that does not
-// fit does not stop smaller ones behind it.
+// clearHolds clears those holds of a workspace that wait for clearance and fit within currentLimit. A hold that does not fit does
+// not stop smaller ones behind it.
 func (p *Planner) clearHolds(now time.Time, a *account) []Reply {
 	var replies []Reply
 	var blocked []HoldID
@@ -145,9 +145,9 @@
 	return p.decideUnreachable(now, a, w)
 }
 
-// decideUnreachable returns VerdictUnreachable and true if the request's deadline has passed, or if waiting is pointless.
-// Waiting is pointless at a router that draws its own grant while the store is unavailable. It is not at a router that
-// borrows from holders: what they may lend grows with time.
+// decideUnreachable returns VerdictUnreachable and true if the request's deadline has passed, or if waiting is pointless. While
+// the store is unavailable, waiting is pointless, except at a router that borrows from holders: its holders can lend more as time
+// passes, because their spend limits grow.
 func (p *Planner) decideUnreachable(now time.Time, a *account, w waiter) (Verdict, bool) {
 	if p.isStoreUnavailable(now) && !p.borrowsFromHolders(now, a) || !now.Before(w.deadline) {
 		return VerdictUnreachable, true
@@ -155,8 +155,8 @@
 	return "", false
 }
 
-// exceedsBudget reports whether a need exceeds what is ungranted plus what this router has free in its grant or borrowed, as
-// far as the known row shows. It returns false while a change of the grant is in flight or of unknown outcome.
+// exceedsBudget reports whether a need exceeds the sum of what is ungranted by the known row, what is free in this router's
+// grant, and what is left of its loans. It returns false while a change of the grant is in flight or of unknown outcome.
 func (p *Planner) exceedsBudget(a *account, need int64) bool {
 	return need > a.ungranted()+max(0, a.free())+a.loanBalance() && a.isGrantKnown()
 }
--- a/treasurer/loans.go
+++ b/treasurer/loans.go
@@ -57,7 +57,7 @@
 }
 
 // Repayment returns what was borrowed and not used, or cancels a loan request. Number identifies it among the rounds and
-// repayments of the borrower. The lender applies it only once even if it is sent several times.
+// repayments of the borrower. The lender applies it only once, even if it arrives several times.
 type Repayment struct {
 	Number    int64                 `cbor:"1,keyasint"`
 	Borrower  masticway.Incarnation `cbor:"2,keyasint"`
@@ -223,8 +223,8 @@
 }
 
 // AcceptRepayment takes back what another router did not use of a loan, or what was lent for a request that it cancels. It
-// does so only once for each number of a borrower. It ignores repayments that are meant for another incarnation, except
-// cancellations.
+// applies only the first repayment with a given number from a borrower. It ignores repayments that are meant for another
+// incarnation, except cancellations.
 func (p *Planner) AcceptRepayment(now time.Time, r Repayment) []Reply {
 	a, ok := p.accounts[r.Workspace]
 	if !ok || r.Lender != p.settings.Incarnation && r.CanceledRequest == 0 || !p.borrower(r.Borrower).repayments.add(r.Number) {
--- a/treasurer/plan.go
+++ b/treasurer/plan.go
@@ -24,9 +24,9 @@
 	sentAt   time.Time
 }
 
-// Plan returns the calls to make to the store now. It counts them as in flight until CompleteStoreCall is called for them.
-// While a checkpoint, a change of a workspace's grant or a read of a part is in flight, it returns no other checkpoint,
-// change of that grant or read of that part. While the store fails, it returns only checkpoints.
+// Plan returns the calls to make to the store now. It counts them as in flight until CompleteStoreCall is called for them. It
+// returns no checkpoint while another is in flight. The same holds for changes of one workspace's grant, and for reads of one
+// part. While the store fails, it returns only checkpoints.
 func (p *Planner) Plan(now time.Time) []StoreCall {
 	if !p.started {
 		return nil
@@ -120,9 +120,9 @@
 	return checkpointPause + time.Duration(p.members)*checkpointPausePerRouter
 }
 
-// currentLimit returns the most that may be cleared of a workspace now, including what is cleared already. It is the lowest
-// of the bounds that the checkpoints in force set. If a checkpoint has witnesses, its bound counts what needs witnesses only
-// as far as a quorum of them has acknowledged it. The grant is not considered.
+// currentLimit returns the most that may be cleared of a workspace now, including what is cleared already. It is the lowest of
+// the bounds that the checkpoints in force set. If a checkpoint has witnesses, its bound includes, of what needs witnesses, only
+// what a quorum of them has acknowledged. The grant is not considered.
 func (p *Planner) currentLimit(now time.Time, a *account) int64 {
 	return p.minLimit(a, func(f checkpointLimits, limit SpendLimit) int64 {
 		elapsed := now.Sub(f.basis)
--- a/treasurer/presence.go
+++ b/treasurer/presence.go
@@ -39,7 +39,7 @@
 	maxCountRate = 4 << 10
 )
 
-// presenceInterval returns how often each router writes its presence in a fleet of the given number of routers.
+// presenceInterval returns the usual time between two writes of a router's presence, in a fleet with the given number of routers.
 func presenceInterval(routers int) time.Duration {
 	return max(basePresenceInterval, time.Duration(routers)*presenceIntervalPerRouter)
 }
--- a/treasurer/purse.go
+++ b/treasurer/purse.go
@@ -20,7 +20,7 @@
 	// burstWindow is the demand, as a duration, that the burst of a spend limit covers unless the store is slow or other
 	// routers borrow. It is three of a busy router's checkpoint intervals. unwitnessedWindow is the demand, as a duration,
 	// that a router may clear at least without the acknowledgement of witnesses. MaxEarly bounds both. With all of MaxEarly
-	// in the burst, a holder that crashed took 8% of a large budget with it and 9.2% of a day's requests were refused,
+	// in the burst, a holder that crashed took 8% of a large budget with it. Then 9.2% of a day's requests were refused,
 	// against 0.5% with these windows.
 	burstWindow       = 750 * time.Millisecond
 	unwitnessedWindow = 1500 * time.Millisecond
@@ -54,8 +54,8 @@
 	highWatermark = 2.5
 	// surplusTTL is how long a surplus must have lasted before it is returned (see highWatermark).
 	surplusTTL = 250 * time.Millisecond
-	// unavailableAfter is how long the store must have failed before a router refuses requests at once if neither its grant
-	// nor its loans cover them. A router that borrows from holders does not: it lets requests wait until their deadlines.
+	// unavailableAfter is how long the store must have failed before a router refuses at once what neither its grant nor its
+	// loans cover. A router that borrows from holders does not: it lets requests wait until their deadlines.
 	unavailableAfter = 400 * time.Millisecond
 	// startupGrace is how long after its start a router reports no budget as exhausted. If many routers start together, the
 	// grants of their predecessors are still being closed during this time. For as long after its start, or after a change
@@ -81,7 +81,7 @@
 	checkpointPause          = 20 * time.Millisecond
 	checkpointPausePerRouter = 300 * time.Microsecond
 	// maxCheckpointCredit is the maximum number of checkpoints that a router may write in a row only checkpointPause apart.
-	// It can do so after a time without checkpoints.
+	// The credit for this grows while the router writes no checkpoints.
 	maxCheckpointCredit = 4.0
 	// changeRetryInterval is the minimum time after a failed change of a workspace's grant until the next change of that
 	// grant. It does not apply after a conflict.
@@ -123,8 +123,8 @@
 	Verdict Verdict
 	// Waited is how long the request waited for the verdict.
 	Waited time.Duration
-	// Prepaid is all of the workspace's budget, and Ungranted the part of it that was granted to no router, as far as this
-	// router knew.
+	// Prepaid is all of the workspace's budget. Ungranted is the part of it that was neither closed nor granted. Both are
+	// what this router knew.
 	Prepaid   int64
 	Ungranted int64
 	// Free is what was left of this router's grant after the verdict. Available is how much the next request could be held
@@ -152,10 +152,10 @@
 	// 0.565.
 	EarlyShare float64
 	// Holders is the minimum number of routers that hold grants of a workspace, unless its budget is low. Zero means all
-	// routers. Each availability zone contributes equally many as far as it has them, so there are more holders if the
-	// number of zones does not divide Holders. When one of six holders crashes, a sixth of what is in reserve cannot be
-	// reached until its successor has closed its grant. With a reserve at each of 103 routers, more than half of a budget
-	// was in reserves, and keeping it there took four of five calls to the store and 0.2 of a heavy day's score.
+	// routers. Each availability zone contributes the same number, or all its routers if it has fewer. So there can be more
+	// holders than Holders, if the number of zones does not divide it. When one of six holders crashes, a sixth of what is in
+	// reserve cannot be reached until its successor has closed its grant. With a reserve at each of 103 routers, more than
+	// half of a budget was in reserves. Keeping it there took four of five calls to the store and 0.2 of a heavy day's score.
 	Holders int
 	// Zone is the availability zone of the router.
 	Zone string
@@ -425,8 +425,8 @@
 	}
 }
 
-// ServeQueues answers the waiting requests of all workspaces that can be answered now, and clears the holds that wait for
-// clearance as far as the spend limits allow.
+// ServeQueues answers the waiting requests of all workspaces that can be answered now, and clears the waiting holds that the
+// spend limits cover.
 func (p *Planner) ServeQueues(now time.Time) []Reply {
 	var replies []Reply
 	for _, a := range p.sortedAccounts {
--- a/treasurer/testimony.go
+++ b/treasurer/testimony.go
@@ -33,9 +33,9 @@
 	t.deliver(t.planner.CompleteReport(t.clock.Now(), s, accepted))
 }
 
-// AcceptReport records another router's report, as its witness, and returns true. It returns false, without recording it, if
-// a successor of the sender has asked for the record, if the report is meant for another incarnation than this one, or if
-// this router is sealed.
+// AcceptReport records another router's report, as its witness, and returns true. It returns false, without recording the report,
+// in three cases: a successor of the sender has asked for the record, the report is meant for another incarnation than this one,
+// or this router is sealed.
 func (t *Treasurer) AcceptReport(s SpendReport) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/treasurer/treasurer.go
+++ b/treasurer/treasurer.go
@@ -26,7 +26,7 @@
 
 // These constants are timeouts, intervals and bounds of the treasurer's calls.
 const (
-	// tickInterval is how often Run checks waiting requests and plans calls if nothing wakes it up earlier. Close does so
+	// tickInterval is how often Run checks waiting requests and plans calls if nothing wakes it up earlier. Close does both
 	// five times as often.
 	tickInterval = 50 * time.Millisecond
 	// callTimeout bounds one call to the store that reads or writes accounts or checkpoints. A takeover's read and write
@@ -41,8 +41,8 @@
 	// each write that is tried again after a conflict, and also the first write if the row has contendedGrants or more. The
 	// write closes one grant. The store needs 10 ms for two writes to one part.
 	closingInterval = 10 * time.Millisecond
-	// contendedGrants is the number of grants in a workspace's row from which on writes to it conflict so often that a row
-	// that was returned with a conflict is probably outdated already.
+	// contendedGrants is the number of grants in a workspace's row from which on writes to it conflict often. A row that was
+	// returned with a conflict is then probably outdated already.
 	contendedGrants = 8
 	// watchWait is how long one call of the accounts' watch may wait for changes. After each call the watch pauses for
 	// watchInterval plus watchIntervalPerRouter times the number of routers.
@@ -418,9 +418,10 @@
 	t.log.WithFields(logrus.Fields{"event": "money_step_failed", "part": s.Part, "workspace": s.Workspace, "error": err}).Debug("store call failed")
 }
 
-// seal makes this incarnation spend no more, because another incarnation has taken over its instance or because a row cannot
-// be decoded. It replaces the planner by one without grants, so that later requests are refused. Requests that wait already
-// get no reply. t.mu must be held.
+// seal makes this incarnation spend no more, because another incarnation has taken over its instance or because a row cannot be
+// decoded. It replaces the planner by one without accounts, so that nothing more is granted, lent or cleared. Calls of Hold and
+// Clear that are waiting get no reply from the new planner and fail when their context is done. Later calls of Hold fail, at once
+// or when their context is done. t.mu must be held.
 func (t *Treasurer) seal(err error) {
 	if t.sealed {
 		return
--- a/treasurer/watch.go
+++ b/treasurer/watch.go
@@ -113,8 +113,8 @@
 	t.wakeUp()
 }
 
-// readParts reads the given parts of the accounts one after the other. The version that it returns, from which the watch
-// starts, is that of the first read, so that the watch misses no change made during the later reads.
+// readParts reads the given parts of the accounts one after the other. It returns the version of the first read. The watch starts
+// from that version, so that it misses no change made during the later reads.
 func (t *Treasurer) readParts(ctx context.Context, parts []string) (masticway.RowReading, error) {
 	var all masticway.RowReading
 	for i, part := range parts {
--- a/treasurer/witness.go
+++ b/treasurer/witness.go
@@ -16,10 +16,10 @@
 	// A router that was restarted during a partition at the same time as one of its two witnesses cost its workspace 10% of
 	// the budget.
 	maxWitnesses = 3
-	// unackedTimeout is how long reports may lack a quorum, while the store is late, until requests are held only within
-	// what is already cleared or can be cleared now (currentLimit), and no longer within what acknowledgements are expected
-	// to clear soon (expectedLimit). Without this, requests would hold tokens that are not cleared in time. It is twice
-	// reportTimeout.
+	// unackedTimeout is how long reports may lack a quorum while the store is late. Until then, requests are held within what
+	// acknowledgements are expected to clear soon (expectedLimit). After it, they are held only within what is already
+	// cleared or can be cleared now (currentLimit). Without this, requests would hold tokens that are not cleared in time. It
+	// is twice reportTimeout.
 	unackedTimeout = 300 * time.Millisecond
 )
 
@@ -235,7 +235,8 @@
 	return amounts[len(amounts)-needed]
 }
 
-// quorum returns how many of a checkpoint's witnesses must acknowledge an amount before it is cleared.
+// quorum returns the size of a majority of a checkpoint's witnesses. An amount that needs witnesses is cleared only once that
+// many have acknowledged it.
 func quorum(witnesses int) int { return witnesses/2 + 1 }
 
 // isCovered reports whether all amounts of a report may be cleared now.
