--- a/treasurer/doc.go
+++ b/treasurer/doc.go
@@ -86,10 +86,10 @@
 // unconfirmed (failChange) until applyRow gets a newer row. Until then, what the write may have returned is not spent
 // (account.usableGrant). Treasurer.watchAccounts (watch.go) passes other routers' changes of rows to Planner.ApplyChanges.
 //
-// Held. serveQueue adds the token to the account's taken and answers VerdictHeld. It answers VerdictExhausted on two conditions.
-// A recent row must show that the need exceeds the sum of what is ungranted and what the router has. All routers that were asked
-// for a loan must have answered. VerdictExhausted is not given within startupGrace of the router's start, when grants of
-// predecessors may still be open. It answers VerdictUnreachable if there may be tokens that cannot be obtained in time.
+// Held. serveQueue adds the token to the account's taken and answers VerdictHeld. It answers VerdictExhausted on two conditions:
+// a recent row must show that the need exceeds the sum of what is ungranted and what the router has, and all routers that were
+// asked for a loan must have answered. VerdictExhausted is not given within startupGrace of the router's start, when grants of
+// predecessors may still be open. serveQueue answers VerdictUnreachable if there may be tokens that cannot be obtained in time.
 //
 // Lent, at other routers. The token comes from a holder (loans.go and lending.go). Planner.DueBorrowRounds starts a round of
 // asking for it. It starts the round at once if this router borrows from holders (borrowsFromHolders) or if the row has too
--- a/treasurer/purse.go
+++ b/treasurer/purse.go
@@ -20,8 +20,8 @@
 	// burstWindow is the demand, as a duration, that the burst of a spend limit covers unless the store is slow or other
 	// routers borrow. It is three of a busy router's checkpoint intervals. unwitnessedWindow is the demand, as a duration,
 	// that a router may clear at least without the acknowledgement of witnesses. MaxEarly bounds both. With all of MaxEarly
-	// in the burst, a holder that crashed took 8% of a large budget with it. Then 9.2% of a day's requests were refused,
-	// against 0.5% with these windows.
+	// in the burst, a holder that crashed took 8% of a large budget with it. In that case, 9.2% of a day's requests were
+	// refused, against 0.5% with these windows.
 	burstWindow       = 750 * time.Millisecond
 	unwitnessedWindow = 1500 * time.Millisecond
 	// rateDeviations is by how many standard deviations the rate of a spend limit exceeds the mean demand, because demand is
@@ -123,8 +123,8 @@
 	Verdict Verdict
 	// Waited is how long the request waited for the verdict.
 	Waited time.Duration
-	// Prepaid is all of the workspace's budget. Ungranted is the part of it that was neither closed nor granted. Both are
-	// what this router knew.
+	// Prepaid is all of the workspace's budget. Ungranted is the part of it that was neither closed nor granted. Both are the
+	// values that this router knew.
 	Prepaid   int64
 	Ungranted int64
 	// Free is what was left of this router's grant after the verdict. Available is how much the next request could be held
--- a/treasurer/rows.go
+++ b/treasurer/rows.go
@@ -156,8 +156,8 @@
 	// Address is where the incarnation listens; no other process on the machine can listen there at the same time.
 	Address string `json:"address,omitempty"`
 	// Basis is the time from which SpendLimit.Rate counts, by the store's clock. It is the time of an earlier write of this
-	// row by the incarnation: the latest one whose success and time it knew when it sent this checkpoint. In an incarnation's
-	// first checkpoint, which has no limits, it is when the predecessor's checkpoint was read.
+	// row by the incarnation: the latest one whose success and time the incarnation knew when it sent this checkpoint. In an
+	// incarnation's first checkpoint, which has no limits, it is when the predecessor's checkpoint was read.
 	Basis  time.Duration         `json:"basis_ns"`
 	Limits map[string]SpendLimit `json:"promises,omitempty"`
 	// Witnesses remember what the incarnation reports to them, which it must do before it clears tokens beyond the
--- a/treasurer/treasurer.go
+++ b/treasurer/treasurer.go
@@ -27,7 +27,7 @@
 // These constants are timeouts, intervals and bounds of the treasurer's calls.
 const (
 	// tickInterval is how often Run checks waiting requests and plans calls if nothing wakes it up earlier. Close does both
-	// five times as often.
+	// every fifth of tickInterval.
 	tickInterval = 50 * time.Millisecond
 	// callTimeout bounds one call to the store that reads or writes accounts or checkpoints. A takeover's read and write
 	// share it. It does not apply to the watch and to the reads that precede the watch.
--- a/treasurer/witness.go
+++ b/treasurer/witness.go
@@ -16,10 +16,10 @@
 	// A router that was restarted during a partition at the same time as one of its two witnesses cost its workspace 10% of
 	// the budget.
 	maxWitnesses = 3
-	// unackedTimeout is how long reports may lack a quorum while the store is late. Until then, requests are held within what
-	// acknowledgements are expected to clear soon (expectedLimit). After it, they are held only within what is already
-	// cleared or can be cleared now (currentLimit). Without this, requests would hold tokens that are not cleared in time. It
-	// is twice reportTimeout.
+	// unackedTimeout is how long reports may lack a quorum while a checkpoint is late. It matters while the store is not
+	// timely (isStoreTimely). Before the timeout, requests are held within what acknowledgements are expected to clear soon
+	// (expectedLimit). After it, they are held only within what is already cleared or can be cleared now (currentLimit).
+	// Without the timeout, requests would hold tokens that are not cleared in time. It is twice reportTimeout.
 	unackedTimeout = 300 * time.Millisecond
 )
 
