--- a/clock.go
+++ b/clock.go
@@ -46,9 +46,9 @@
 }
 
 const (
-	// minDrift is the minimum change of the difference between the time of day and the monotonic clock that causes the uptime to
-	// be read. Without suspensions, the two clocks advance at the same rate, except for corrections of some parts in ten
-	// thousand.
+	// minDrift is a threshold for the difference between the time of day and the monotonic clock: the uptime is read if this
+	// difference has changed by at least minDrift. Unless the machine was suspended or the time of day was set, the two advance
+	// at the same rate, except for corrections of some parts in ten thousand.
 	minDrift = 5 * time.Millisecond
 	// maxReadingGap is the maximum time between the readings of the monotonic clock before and after a reading of the uptime.
 	maxReadingGap = time.Millisecond
--- a/configurer/store.go
+++ b/configurer/store.go
@@ -111,7 +111,7 @@
 const AnyRevision masticway.Revision = -1
 
 // Put commits a change of a contract or of the catalog, unless that contract, or the catalog, has changed since revision base. A
-// change ID is accepted only once: if a change with the ID of c has already been accepted, Put returns the accepted change.
+// change ID is accepted only once. If a change with the ID of c has already been accepted, Put returns the accepted change.
 //
 // Put fails with RevisionConflictError if base is not the revision of the last change of the contract or catalog. It fails with
 // UnavailableError if the table is unavailable, and with OutcomeUnknownError if the table's answer was lost and the outcome
--- a/connector/upstream.go
+++ b/connector/upstream.go
@@ -24,8 +24,8 @@
 	lineLimit = 1 << 20
 	// noTimeout is longer than any process runs. It is for calls such as orders, which may take as long as loading a model.
 	noTimeout = 100 * 365 * 24 * time.Hour
-	// probeTimeout is the timeout of the connection attempt by which a sidecar checks, after a run broke off, whether its
-	// upstream still listens.
+	// probeTimeout is the timeout of a connection attempt to the upstream. A sidecar makes it after a run has broken off, to
+	// check whether the upstream still listens.
 	probeTimeout = 100 * time.Millisecond
 )
 
--- a/examiner/doc.go
+++ b/examiner/doc.go
@@ -5,12 +5,12 @@
 // crashes alone would blame the requests that ran beside the one at fault. A
 // request becomes a suspect if its server crashes before the answer has begun,
 // or if more than one server crashes during it. It is still sent to servers,
-// but runs in quarantine: only once at a time in the whole fleet, on a server
-// where no other suspect runs. A successful answer clears it. If servers keep
-// crashing during its quarantined runs, the suspicion is proven, and the
-// request is blocked: it is not sent to servers for a time. When the block
-// ends, the request runs in quarantine again, and each further crash blocks it
-// for longer.
+// but runs in quarantine: the whole fleet runs it only once at a time, and only
+// on a server where no other suspect runs. A successful answer clears it. If
+// servers keep crashing during its quarantined runs, the suspicion is proven,
+// and the request is blocked: it is not sent to servers for a time. When the
+// block ends, the request runs in quarantine again, and each further crash
+// blocks it for longer.
 //
 // The evidence is a set of server crashes for each request. The evidence of two
 // routers is merged by the union of the sets, which is commutative and
@@ -19,6 +19,7 @@
 // for one router. While the store is unavailable, routers send evidence to each
 // other directly.
 //
-// Registry makes the decisions and uses neither a clock nor the network. Examiner
-// provides both.
+// Registry makes the decisions. It uses neither a clock nor the network:
+// Examiner passes it the time, and exchanges evidence with the store and the
+// other routers.
 package examiner
--- a/examiner/examiner.go
+++ b/examiner/examiner.go
@@ -175,8 +175,8 @@
 	e.update(func(time.Time) { e.registry.Clear(d) })
 }
 
-// Release records that this router's quarantined run of a suspect is over and gave no evidence, neither a crash nor a complete
-// answer. The caller must check that.
+// Release records that this router's quarantined run of a suspect is over and gave no evidence. The caller must check that the
+// run gave neither a crash nor a complete answer.
 func (e *Examiner) Release(d masticway.RequestDigest) {
 	e.update(func(time.Time) { e.registry.Release(d) })
 }
--- a/examiner/record.go
+++ b/examiner/record.go
@@ -109,7 +109,7 @@
 }
 
 // crashWeight returns the weight of a server crash as evidence against the only suspect on the server. A crash before the answer
-// weighs more, because requests that crash servers usually do so as soon as they begin.
+// weighs more. Requests that crash servers usually do so as soon as they begin.
 func crashWeight(crash masticway.ServerCrash) int {
 	if crash.Answered {
 		return weightAnswered
--- a/examiner/register.go
+++ b/examiner/register.go
@@ -22,8 +22,8 @@
 	// longer, see ExpiredChanges.
 	suspectTTL = 2 * time.Minute
 	// runLease is how long a quarantined run of one router keeps other routers from running the request, if no result is
-	// reported. It is short, because a server that crashes because of a request does so soon after the start of the run. The
-	// router may have crashed too, so that it never reports a result.
+	// reported. It is short: if the request crashes the server, it does so soon after the start of the run. The router may have
+	// crashed too, and then never reports a result.
 	runLease = 1500 * time.Millisecond
 	// maxEvidenceDelay is how long after a crash a router waits for evidence that another suspect ran on the same server. This
 	// happens if two routers choose the server at the same time, because both consider it free. The time is a few times the
@@ -52,8 +52,8 @@
 	pendingSince time.Time
 	writeAt      time.Time
 	sharedAt     time.Time
-	// retried is the number of times that the request has run in quarantine again after it had been blocked, as far as this
-	// router knows without the store.
+	// retried is the number of times that the request has run in quarantine again after a block. It may exceed the number in
+	// stored, because the store may not have the latest runs.
 	retried int
 	// run is this router's current quarantined run. It is nil if there is none.
 	run *Run
@@ -271,8 +271,9 @@
 	return true
 }
 
-// Claim starts a quarantined run. It returns the record by which the caller must reserve the run in the store, and the version of
-// the row that the record replaces. It returns false if a run is in progress or if the request must not run in quarantine.
+// Claim starts a quarantined run. The caller must write the returned record to the store, which reserves the run for this router.
+// version is the version of the row that the record replaces. Claim returns false if a run is in progress or if the request must
+// not run in quarantine.
 func (r *Registry) Claim(now time.Time, d masticway.RequestDigest, server masticway.ServerIncarnation) (record Record, version int64, ok bool) {
 	s := r.Status(now, d)
 	if s.Suspicion != masticway.SuspicionQuarantined || s.Running {
--- a/examiner/tell.go
+++ b/examiner/tell.go
@@ -11,7 +11,7 @@
 	"github.com/masticway/masticway/messenger"
 )
 
-// pathSuspects is the path of the requests by which routers exchange evidence.
+// pathSuspects is the path at which a router accepts evidence from other routers, and sends them its own on request.
 const pathSuspects = "/peer/suspects"
 
 const (
--- a/follower/beliefs.go
+++ b/follower/beliefs.go
@@ -10,9 +10,8 @@
 )
 
 const (
-	// outageThreshold is how long the store must not have answered about the servers for this to count as an outage. It is
-	// shorter than the time in which the registrations of live servers can expire: three heartbeats, sent at least a second
-	// apart.
+	// outageThreshold is how long the store may fail to answer about the servers before this counts as an outage. It is shorter
+	// than the time in which the registrations of live servers can expire: three heartbeats, sent at least a second apart.
 	outageThreshold = 1500 * time.Millisecond
 	// recoveryGrace is the grace period: how long after an outage the registrations that expired during it may take to reappear.
 	recoveryGrace = 2 * time.Second
--- a/follower/cold.go
+++ b/follower/cold.go
@@ -14,8 +14,8 @@
 
 // coldUntil returns the time from which a server counts as warm, and the source of that time. Usually it is the time in the
 // server's registration. If the server's zone was reopened after the registration was written, the server counts as cold for the
-// pool's full warm-up time from the reopening, or longer if its registration says so. The servers of an evacuated zone may have
-// been restarted or have lost their caches, and report this only with their next heartbeat.
+// pool's full warm-up time from the reopening. It counts as cold for longer if its registration says so. The servers of an
+// evacuated zone may have been restarted or have lost their caches, and report this only with their next heartbeat.
 func (r *Registry) coldUntil(e entry) (until time.Time, source string) {
 	reopening, ok := r.reopenings[e.server.Zone]
 	if !ok || e.version > reopening.version {
--- a/follower/follower.go
+++ b/follower/follower.go
@@ -78,10 +78,10 @@
 // AddTable adds a table to watch; it must be called before Run.
 func (f *Follower) AddTable(t Table) { f.tables = append(f.tables, t) }
 
-// New returns a follower that calls onChange whenever the snapshot changes, from one goroutine at a time. onChange must not call
-// MarkDraining. fallback is the same store with a longer timeout. The usual timeout is short, because money operations cannot
-// wait longer. Calls exceed it when the router's link is congested, but configuration changes must take effect and draining
-// servers must be avoided then too.
+// New returns a follower that calls onChange with each new snapshot, one call at a time. onChange must not call MarkDraining,
+// because it runs with the follower's lock held. fallback is the same store with a longer timeout. The timeout of store is short,
+// because budget calls, which also use it, cannot wait longer. When the router's link is congested, calls exceed that timeout.
+// The follower then reads through fallback, so that it still learns of new configurations and draining servers.
 func New(store, fallback masticway.RowStore, d masticway.DeploymentDecoder, clock masticway.Clock, log *logrus.Entry, metrics *measurer.Set, onChange func(Snapshot)) *Follower {
 	f := &Follower{store: store, fallback: fallback, decoder: d, clock: clock, log: log, metrics: metrics, onChange: onChange, registry: NewRegistry(d), reportedCold: map[string]time.Time{}}
 	f.snapshot.Store(&Snapshot{})
--- a/messenger/messenger.go
+++ b/messenger/messenger.go
@@ -70,8 +70,8 @@
 	}}}
 }
 
-// ObserveCalls sets a function that is called with the duration of each Call that succeeded, and of each Call that failed because
-// the deadline of its context or the dial timeout passed. answered is set if the Call succeeded. Other failed calls, and calls of
+// ObserveCalls sets a function that is called with the duration of each Call that succeeded or timed out. A Call times out if the
+// deadline of its context or the dial timeout passes. answered is set if the Call succeeded. Other failed calls, and calls of
 // Fetch, are not observed. ObserveCalls must be called before the first call.
 func (c *Client) ObserveCalls(observe func(took time.Duration, answered bool)) { c.observe = observe }
 
--- a/platform.go
+++ b/platform.go
@@ -143,7 +143,7 @@
 	Path        string `cbor:"9,keyasint,omitempty"`
 	ContentType string `cbor:"10,keyasint,omitempty"`
 	Body        []byte `cbor:"11,keyasint,omitempty"`
-	// Key is the idempotency key, by which an upstream that supports such keys recognizes a retry.
+	// Key is the idempotency key. An upstream that supports such keys recognizes a retry by it.
 	Key string `cbor:"12,keyasint,omitempty"`
 }
 
--- a/rotator/delays.go
+++ b/rotator/delays.go
@@ -9,7 +9,7 @@
 	buckets    = 6
 	// minCalls is the minimum number of recent calls of one kind that is needed to compute their excess over the baseline.
 	minCalls = 3
-	// baselineGrowth is how much the baseline grows per second until a faster call resets it. The baseline thereby adapts to a
+	// baselineGrowth is how much the baseline grows per second until a faster call resets it. The growth adapts the baseline to a
 	// network path that has become longer permanently.
 	baselineGrowth = time.Millisecond
 )
--- a/rotator/doc.go
+++ b/rotator/doc.go
@@ -3,13 +3,13 @@
 //
 // A load balancer that selects routers by a hash of the caller may send most of
 // an availability zone's traffic to one router while the others are idle. The
-// calls that the router itself makes, for budgets, registrations and
-// connections to servers, share the link with the requests of its callers, so a
-// saturated link delays all of these calls. Load measures this delay: by how
-// much the shortest recent call of each kind exceeds the kind's baseline. A
-// slow store, an unavailable server or a lossy link delays one kind of call, or
-// some calls of each kind. Only a saturated link or a router without CPU time
-// delays every call of several kinds.
+// router makes calls of its own, for budgets, registrations and connections to
+// servers. They share the link with the requests of its callers, so a saturated
+// link delays all of these calls. Load measures this delay: by how much the
+// shortest recent call of each kind exceeds the kind's baseline. A slow store,
+// an unavailable server or a lossy link delays one kind of call, or some calls
+// of each kind. Only a saturated link or a router without CPU time delays every
+// call of several kinds.
 //
 // An overloaded router asks some routers of its availability zone, the voters, for
 // a lease. Each voter grants a limited number of leases for a limited time. A
@@ -24,6 +24,7 @@
 //
 // While a router is overloaded, Rotator also limits the number of requests
 // without an answer, and pauses the listener for a time. Load, grantedLeases,
-// admission and absence make the decisions and use neither a clock nor the
-// network. Rotator provides both.
+// admission and absence make the decisions. They use neither a clock nor the
+// network: Rotator passes them the time, and exchanges messages with the other
+// routers.
 package rotator
--- a/rows.go
+++ b/rows.go
@@ -80,8 +80,8 @@
 	// Read returns the rows of one part of a table in key order. It fails with UnavailableError.
 	Read(ctx context.Context, table, part string) (RowReading, error)
 	// Write commits a write and returns its version and the store's time. It fails with RowConflictError if an expected version
-	// does not match, with UnavailableError if nothing was written, and with OutcomeUnknownError if the write may have been
-	// made or may still be made.
+	// does not match, and with UnavailableError if nothing was written. It fails with OutcomeUnknownError if the write may have
+	// been made or may still be made.
 	Write(ctx context.Context, w RowWrite) (RowReading, error)
 	// Watch returns the changes of a table after version f.Since, with all versions of each row. If there are none yet, it waits
 	// for the first one, and returns no rows after f.MaxWait. It fails with HistoryLostError if the changes are no longer stored
@@ -118,9 +118,9 @@
 type DeploymentDecoder interface {
 	// ConfigurationKey returns the key of the row with the newest configuration.
 	ConfigurationKey() RowKey
-	// EvacuatedZone returns the availability zone named in the key of a row by which an operator evacuates the zone. While such a
-	// row exists in the configuration's table and part, the servers of the zone must get no new requests. EvacuatedZone returns
-	// false for other keys.
+	// EvacuatedZone returns the availability zone that a key names, or false if the key names none. An operator evacuates a zone
+	// by writing a row with such a key. While the row exists in the configuration's table and part, the servers of the zone must
+	// get no new requests.
 	EvacuatedZone(key RowKey) (zone string, ok bool)
 	// ServerTable returns the name of the table in which servers register, with their IDs as keys.
 	ServerTable() string
@@ -141,7 +141,7 @@
 	ParseAnswer(status int, h http.Header) ServerAnswer
 	// CallerHeaders returns the headers of a server's answer that are forwarded to the caller.
 	CallerHeaders(h http.Header) http.Header
-	// SetRefusal sets the headers of an answer by which the fleet refuses a request. id is the ID of the request that the caller
+	// SetRefusal sets the headers of an answer in which the fleet refuses a request. id is the ID of the request that the caller
 	// sent. If wait is positive, the headers ask the caller to retry after that time.
 	SetRefusal(h http.Header, id string, wait time.Duration)
 }
--- a/suspect.go
+++ b/suspect.go
@@ -78,7 +78,7 @@
 	ReportCrash(d RequestDigest, path string, crash ServerCrash)
 	// Clear records that a server has served a request without crashing, so that the request is no longer a suspect.
 	Clear(d RequestDigest)
-	// Release records that this router's run of a request in quarantine is over and gave no evidence, neither a server crash nor
-	// a complete answer. The caller must check that.
+	// Release records that this router's run of a request in quarantine is over and gave no evidence. The caller must check that
+	// the run gave neither a server crash nor a complete answer.
 	Release(d RequestDigest)
 }
--- a/throttler/doc.go
+++ b/throttler/doc.go
@@ -24,6 +24,7 @@
 // A backoff time, for which a server asks to get no requests, applies only to
 // the router that received the answer.
 //
-// Limits and Backoffs make the decisions and use neither a clock nor the network.
-// Throttler provides both.
+// Limits and Backoffs make the decisions. They use neither a clock nor the
+// network: Throttler passes them the time, and exchanges messages with the
+// other routers.
 package throttler
--- a/throttler/limits.go
+++ b/throttler/limits.go
@@ -22,8 +22,8 @@
 	minAskInterval = 10 * time.Millisecond
 	// maxAskInterval is the maximum wait time that a router accepts from a refusal.
 	maxAskInterval = 2 * time.Second
-	// unansweredBackoff is how long a router sends a server no requests after neither the owner of its limit nor the backup has
-	// replied to a permit request.
+	// unansweredBackoff is how long a router sends a server no requests after a permit request to which neither the owner of the
+	// limit nor the backup has replied.
 	unansweredBackoff = 250 * time.Millisecond
 	// unregisteredTTL is how long the limit of a server is kept after its registration has disappeared.
 	unregisteredTTL = time.Minute
@@ -55,7 +55,7 @@
 	Granted  int         `cbor:"2,keyasint,omitempty"`
 	// Wait is the time until the next permit is due. It is set if none was granted.
 	Wait time.Duration `cbor:"3,keyasint,omitempty"`
-	// NotOwner is set if the replying router is neither the owner of the limit nor the backup, and so grants no permits.
+	// NotOwner is set if the replying router is neither the owner of the limit nor the backup. Such a router grants no permits.
 	NotOwner bool `cbor:"4,keyasint,omitempty"`
 }
 
@@ -80,7 +80,7 @@
 	permitsUntil time.Time
 	refusedUntil time.Time
 	// askDone is closed when the current permit request has been answered or has failed. It is nil if there is none. waiters is
-	// the number of requests to the server that wait for it, not counting the one that sent it.
+	// the number of requests to the server that wait for the current permit request. The request that sent it is not counted.
 	askDone chan struct{}
 	waiters int
 	// lastRetryAt is when the caller that was refused last was told to retry.
@@ -173,7 +173,8 @@
 	DecisionRefused  Decision = "refused"
 	// DecisionAsk is for the request that must ask the owner for permits. The caller must then call HandleReply with the reply.
 	DecisionAsk Decision = "ask"
-	// DecisionWait is for requests that must wait until the current permit request is answered, and then call Acquire again.
+	// DecisionWait is for a request while a permit request for its server is in progress. The caller must wait until the permit
+	// request ends, and then call Acquire again.
 	DecisionWait Decision = "asked"
 )
 
@@ -207,7 +208,8 @@
 	return 1
 }
 
-// IsRefused reports whether this router must not send requests to a server now, as far as it knows without asking the owner.
+// IsRefused reports whether this router must not send requests to a server now. It uses only what the router already knows, and
+// does not ask the owner.
 func (s *Limits) IsRefused(now time.Time, server masticway.ServerIncarnation) bool {
 	l, ok := s.servers[server]
 	return ok && l.limit.IsSet && now.Before(l.refusedUntil) && (l.permits == 0 || !now.Before(l.permitsUntil))
@@ -238,8 +240,8 @@
 	return change
 }
 
-// ReturnPermit gives an unused permit back to this router's permits, all of which may then be used for another permitTTL. It does
-// nothing if the server has no limit.
+// ReturnPermit gives an unused permit back to this router's permits. All of its permits that have not expired may then be used
+// for another permitTTL. ReturnPermit does nothing if the server has no limit.
 func (s *Limits) ReturnPermit(now time.Time, server masticway.ServerIncarnation) {
 	l, ok := s.servers[server]
 	if !ok || !l.limit.IsSet {
--- a/throttler/rests.go
+++ b/throttler/rests.go
@@ -20,7 +20,7 @@
 // NewBackoffs returns an empty Backoffs.
 func NewBackoffs() *Backoffs { return &Backoffs{until: map[masticway.ServerIncarnation]time.Time{}} }
 
-// Start records that a server has asked for no requests for the requested time, of which at most maxBackoff is accepted. It
+// Start records that a server has asked for no requests for the requested time. At most maxBackoff of it is accepted. Start
 // returns how much longer the server gets none. An earlier backoff that ends later stays in effect.
 func (r *Backoffs) Start(now time.Time, server masticway.ServerIncarnation, requested time.Duration) time.Duration {
 	if until := now.Add(min(requested, maxBackoff)); until.After(r.until[server]) {
--- a/throttler/throttler.go
+++ b/throttler/throttler.go
@@ -163,8 +163,8 @@
 	return len(ranked) > 0 && ranked[0] == t.Address
 }
 
-// Available returns the servers that may get a request now, as far as this router knows without asking others. A request to them
-// must still be admitted by Admit.
+// Available returns the servers that may get a request now, as far as this router knows. It asks no other router, so a request to
+// them must still be admitted by Admit.
 func (t *Throttler) Available(servers []masticway.Server) []masticway.Server {
 	now := t.Clock.Now()
 	return t.exclude(servers, func(s masticway.ServerIncarnation) bool {
