--- a/accountant/account.go
+++ b/accountant/account.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// listedEvents maps each event that the table of changes lists to the fields by which its lines are grouped.
+// listedEvents holds the events that the table of changes lists. Each is mapped to the fields by which its lines are grouped.
 var listedEvents = map[string][]string{
 	"started": nil, "stopping": nil, "stopped": {"cut_off"}, "reloaded": {"needs_restart"}, "reload_refused": nil, "server_ended": nil,
 	"configuration_in_force": {"version"}, "configuration_unreadable": {"row_version"}, "registration_unreadable": nil,
@@ -88,8 +88,8 @@
 	a.times.add(Key{At: a.bucketStart(l)}, l, ms, key.Family)
 }
 
-// addEvent adds an event that is neither the end of a request, a failed attempt nor a money_status. outageMS is the duration
-// in milliseconds of the outage of the store that the event ends, or zero if it ends none.
+// addEvent adds an event other than the end of a request, a failed attempt or a money_status. If the event ends an outage of the
+// store, outageMS is the duration of the outage in milliseconds. Otherwise it is zero.
 func (a *Analyzer) addEvent(l Line, outageMS int64) {
 	a.versions.add(l)
 	a.money.add(l)
--- a/accountant/cause.go
+++ b/accountant/cause.go
@@ -80,7 +80,7 @@
 // neverReadAge is the age in milliseconds that is logged for a row that was never read: the maximum time.Duration.
 const neverReadAge = int64(math.MaxInt64 / time.Millisecond)
 
-// Reasons for refusals for lack of money, by how much of the budget was left as far as the router knew.
+// Reasons for refusals for lack of money. They tell how much of the budget was left, as far as the router knew.
 const (
 	reasonUnread  = "row_never_read"
 	reasonEnough  = "enough_left"
--- a/accountant/line.go
+++ b/accountant/line.go
@@ -62,8 +62,8 @@
 	return n
 }
 
-// withoutPrefix returns the text from its first field time on, or if there is none, from its field level on. A text with
-// neither is returned as it is.
+// withoutPrefix returns the text from its first field time on. If there is none, it returns the text from its first field level
+// on. It returns a text without these fields unchanged.
 func withoutPrefix(text string) string {
 	for _, start := range []string{"time=", "level="} {
 		if strings.HasPrefix(text, start) {
--- a/accountant/reader.go
+++ b/accountant/reader.go
@@ -11,8 +11,8 @@
 const (
 	// maxLineBytes limits the length of a line. A longer line ends the reading of its source with a ReadError.
 	maxLineBytes = 1 << 20
-	// maxDisorder is the time by which a line may be older than the newest line of its router. A line that is still older
-	// counts as out of order.
+	// maxDisorder is how much older a line may be than the newest line of its router. A line that is even older counts as out of
+	// order.
 	maxDisorder = time.Second
 	// eventDropped is the event that a router logs, without a time, when it has dropped log lines because its log could not
 	// keep up.
--- a/commander/gateway.go
+++ b/commander/gateway.go
@@ -16,8 +16,8 @@
 	"github.com/masticway/masticway/validator"
 )
 
-// gcPercent is the percentage by which a gateway's heap may grow over its live heap before the next garbage collection (GOGC).
-// The live heap is small, so collecting more often than by default costs hardly any CPU time.
+// gcPercent (GOGC) is how much a gateway's heap may grow before the next garbage collection, in percent of the live heap. The
+// live heap is small, so collecting more often than by default costs hardly any CPU time.
 const gcPercent = 25
 
 func gatewayCommand() *command {
--- a/emulator/engine.go
+++ b/emulator/engine.go
@@ -27,7 +27,8 @@
 	// ReportLag is the minimum age of the load reports that the engine returns. Until a report has this age, the engine
 	// returns the oldest one that it has.
 	ReportLag time.Duration
-	// IgnoreFences makes the engine execute orders even if their fencing numbers are outdated.
+	// IgnoreFences makes the engine execute an order (see masticway.Order) even if its fencing number is lower than that of an
+	// earlier order.
 	IgnoreFences bool
 }
 
--- a/emulator/link.go
+++ b/emulator/link.go
@@ -80,7 +80,7 @@
 			return
 		}
 		l.wg.Go(func() {
-			// Whichever side ends first closes both connections; neither side needs the error.
+			// Whichever side ends first closes both connections. Neither side needs the error.
 			_, _ = io.Copy(upstream, caller)
 			l.closeConns(caller, upstream)
 		})
--- a/emulator/opaque.go
+++ b/emulator/opaque.go
@@ -122,8 +122,8 @@
 	// A request crashes the server if its body contains crashText. onCrash is called before the server closes.
 	crashText string
 	onCrash   func(s *OpaqueServer)
-	// rateLimit is the Server-Limit header of answers. draining adds the Server-Leaving header to them. Answers with status
-	// 421, and answers to a request of another ID, have neither.
+	// rateLimit is the Server-Limit header of answers. draining adds the Server-Leaving header to them. Answers with status 421
+	// have neither header, nor do those that a fault sends for another request.
 	rateLimit string
 	draining  bool
 	// retryAfter is the Retry-After header of rejections, in seconds.
--- a/linker/conn.go
+++ b/linker/conn.go
@@ -48,8 +48,8 @@
 // Error returns a text that names the peer and the reason.
 func (e *DownError) Error() string { return fmt.Sprintf("link to %s is down: %s", e.Peer, e.Reason) }
 
-// IdleTimeoutError reports that CallLarge gave up, because for the idle timeout neither the reply nor a whole piece of any
-// message had arrived.
+// IdleTimeoutError reports that CallLarge gave up. Neither the reply nor a whole piece of any message had arrived for the idle
+// timeout.
 type IdleTimeoutError struct {
 	Peer    string
 	Timeout time.Duration
@@ -63,7 +63,8 @@
 // pendingCall is a request whose reply has not arrived yet.
 type pendingCall struct {
 	reply chan Message
-	// timer cancels the call after timeout. It is nil if only the context bounds the call.
+	// timer cancels the call if neither the reply nor a whole piece of any message arrives for timeout. It is nil if only the
+	// context bounds the call.
 	timer   *time.Timer
 	timeout time.Duration
 }
--- a/linker/message.go
+++ b/linker/message.go
@@ -109,8 +109,8 @@
 	Result keeper.HoldResult  `cbor:"1,keyasint"`
 	Grant  masticway.GrantKey `cbor:"2,keyasint"`
 	Amount masticway.Amount   `cbor:"3,keyasint"`
-	// DetectsDuplicates is set if the answering router is the budget's keeper, the router that keeps its grants, and has run
-	// for long enough to recognize every earlier request with the request's identity.
+	// DetectsDuplicates is set if the answering router recognizes every earlier request with the request's identity. For that it
+	// must be the budget's keeper, the router that keeps its grants, and must have run for long enough.
 	DetectsDuplicates bool `cbor:"4,keyasint"`
 	// Waited is how long the request waited for money.
 	Waited time.Duration `cbor:"5,keyasint"`
--- a/loader/client.go
+++ b/loader/client.go
@@ -176,8 +176,8 @@
 	Usage *masticway.Usage `json:"usage"`
 }
 
-// readEvents reads a stream of events into an answer. If the stream neither is complete nor ends with an error event, the
-// outcome is outcomeBroken.
+// readEvents reads a stream of events into an answer. The outcome is outcomeBroken unless the stream is complete or ends with an
+// error event.
 func readEvents(body io.Reader, a *answer, arrival time.Time) {
 	a.outcome = outcomeBroken
 	a.code = "stream"
--- a/loader/oracle.go
+++ b/loader/oracle.go
@@ -63,15 +63,15 @@
 	Overbilled float64 `json:"overbilled_tokens"`
 	// Crossed counts answers that were wrong: not the answer to their own request (plannedRequest.isCorrect).
 	Crossed int `json:"crossed_answers"`
-	// Doubled counts non-repeatable requests to services that ran more than once.
+	// Doubled counts non-repeatable requests that services ran more than once.
 	Doubled int `json:"doubled_runs"`
-	// FalseNotRun counts requests to services that ran although they were refused as not run.
+	// FalseNotRun counts requests that services ran although they were refused as not run.
 	FalseNotRun int `json:"false_not_run"`
 	// CutOff counts graceful shutdowns of routers and sidecars that cut off requests.
 	CutOff int `json:"cut_off"`
 	// BrokenRows counts budget rows that are inconsistent or whose prepaid amount differs from what was paid.
 	BrokenRows int `json:"broken_rows"`
-	// LostAnswers counts non-repeatable requests to services that ran, but got neither a whole answer nor a refusal.
+	// LostAnswers counts non-repeatable requests that services ran, but that got neither a whole answer nor a refusal.
 	LostAnswers int `json:"lost_answers"`
 }
 
--- a/receiver/receiver.go
+++ b/receiver/receiver.go
@@ -71,9 +71,10 @@
 // progressKey is the context key of the function passed to WithProgress.
 type progressKey struct{}
 
-// WithProgress returns a context for requests with which Do reports that a body is arriving. It does so only for a response
-// with status 200 and a body of more than 16 KB (pieceBytes): it calls progress when the body begins to arrive and after
-// each piece. Smaller bodies are complete almost as soon as they begin.
+// WithProgress returns a context for requests with which Do reports that a body is arriving. Do does so only for a response with
+// status 200 and a body of more than 16 KB (pieceBytes). Smaller bodies are complete almost as soon as they begin. Do calls
+// progress as soon as it knows that the body is that large, and then after each piece. It knows this from the Content-Length
+// header, or without that header once more than 16 KB have arrived.
 func WithProgress(ctx context.Context, progress func()) context.Context {
 	return context.WithValue(ctx, progressKey{}, progress)
 }
@@ -118,8 +119,8 @@
 		if response.StatusCode == http.StatusOK && max(int64(len(body)), response.ContentLength) > pieceBytes {
 			ReportProgress(ctx)
 		}
-		// slack is the time by which the body is ahead of minRate. It is negative if the body arrives more slowly. Then it
-		// shortens the timeout, and the call is canceled when the body is a whole idle timeout behind.
+		// slack is how far, in time, the body is ahead of minRate. It is negative if the body arrives more slowly. A negative
+		// slack shortens the timeout, so the call is canceled when the body is a whole idle timeout behind.
 		slack := time.Duration(len(body))*time.Second/minRate - time.Since(start)
 		timer.Reset(min(l.IdleTimeout, l.IdleTimeout+slack))
 		body = slices.Grow(body, pieceBytes)
--- a/recoverer/watch.go
+++ b/recoverer/watch.go
@@ -9,8 +9,8 @@
 	"github.com/masticway/masticway/bookkeeper"
 )
 
-// rankDelay is the time by which each router starts a recovery later than the router of the next lower rank, so that usually
-// only one starts it.
+// rankDelay delays recoveries by rank: each router starts a recovery this much later than the router of the next lower rank.
+// Usually, therefore, only one router starts it. A router that holds money for the failed one does not wait (see recoveryDelay).
 const rankDelay = 3 * time.Second
 
 // DetectorSettings configure the detection of failures.
@@ -248,7 +248,7 @@
 			return ReadRow{Incarnation: inc}
 		}
 	case phaseRecovering:
-		// The caller starts each recovery only once, so this can be repeated.
+		// The caller starts each recovery only once, so this effect can be returned again.
 		return Recover{Incarnation: inc}
 	}
 	return nil
--- a/sealer/message.go
+++ b/sealer/message.go
@@ -144,7 +144,8 @@
 	ResumedText string `cbor:"5,keyasint,omitempty"`
 }
 
-// Cancel asks a sidecar to stop a run because its caller has disconnected. See Sealer.Cancel for the exceptions.
+// Cancel asks a sidecar to stop a run whose answer the sending router no longer needs. For example, the caller has disconnected,
+// or the request has another attempt. See Sealer.Cancel for when the run goes on.
 type Cancel struct {
 	Run masticway.RunKey `cbor:"1,keyasint"`
 }
@@ -161,8 +162,8 @@
 	Running bool             `cbor:"3,keyasint,omitempty"`
 }
 
-// SealReport reports what a sidecar ran for a sealed incarnation. Totals covers the grants of the incarnation. Holds covers
-// the runs that the incarnation dispatched, as far as the sidecar still has them in memory.
+// SealReport reports what a sidecar ran for a sealed incarnation. Totals covers the grants of the incarnation. Holds covers the
+// runs that the incarnation dispatched and that the sidecar still has in memory.
 type SealReport struct {
 	Incarnation masticway.Incarnation `cbor:"1,keyasint"`
 	// Sidecar is the incarnation of the reporting sidecar.
--- a/soaker/words.go
+++ b/soaker/words.go
@@ -72,9 +72,9 @@
 	}
 }
 
-// checkAnnouncedDrain checks a run at a server that announced in its answers that it drains. The router that sent the run
-// must not have forwarded such an answer more than maxDrainDelay earlier. This must hold even for routers without contact
-// with the store.
+// checkAnnouncedDrain checks a run at a server that announced in its answers that it drains. It is a violation if the caller sent
+// the request more than maxDrainDelay after the same router had completely forwarded an answer with the announcement. Missing
+// contact with the store is no excuse, but a disturbance of the router itself is (see isRouterUndisturbed).
 func (s *soakRun) checkAnnouncedDrain(r emulator.OpaqueRun, q *request) {
 	announcedAt, ok := s.drainAnnouncedAt[r.Server]
 	if !ok || r.StartedAt.Sub(announcedAt) <= maxDrainDelay+timingSlack {
