--- a/accountant/cause.go
+++ b/accountant/cause.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// The families of request ends that the code treats differently.
+// Names of the families (see families) that the code refers to. familyOther is the family of unknown outcomes.
 const (
 	familyServed      = "served"
 	familyExhausted   = "money_exhausted"
--- a/chooser/chooser.go
+++ b/chooser/chooser.go
@@ -302,8 +302,8 @@
 	}
 }
 
-// RecordReport records an upstream's report on its load and its cache. The report may be delayed. A report with the time of the
-// last one does not change the average load from other routers again.
+// RecordReport records an upstream's report on its load and its cache. The report may be delayed. If a report has the same
+// ReportedAt as the previous one, it is not added to the average load from other routers a second time.
 func (c *Chooser) RecordReport(now time.Time, instance string, r masticway.LoadReport) {
 	u := c.upstream(instance)
 	fresh := !r.ReportedAt.Equal(u.report.ReportedAt)
--- a/deployment.go
+++ b/deployment.go
@@ -77,7 +77,7 @@
 // Account is the configuration of a workspace: its keys, its priority and its prepaid tokens.
 type Account struct {
 	Workspace string
-	// Keys are the caller keys.
+	// Keys are the keys, in plain text, with which the workspace's callers authenticate themselves.
 	Keys     []string
 	Priority int
 	// HasPriority is set if Priority overrides the priority of the route. Zero is the most urgent priority.
--- a/examiner/digest.go
+++ b/examiner/digest.go
@@ -24,8 +24,8 @@
 	Body   []byte
 }
 
-// Digest returns the request's digest. It does not depend on the request's ID, keys and time limit, so all attempts at the same
-// request have the same digest.
+// Digest returns the request's digest. It does not depend on headers other than Host, such as those with the request's ID and
+// time limit, and of the caller's key only the workspace counts. So all attempts at the same request have the same digest.
 func Digest(s DigestInput) masticway.RequestDigest {
 	sum := sha256.New()
 	for _, field := range []string{s.Workspace, s.Method, s.Host, s.Target} {
--- a/examiner/writes.go
+++ b/examiner/writes.go
@@ -91,7 +91,8 @@
 		}
 		ttl := suspectTTL
 		if record := state.record(); r.isProven(d, record) {
-			// A proven request is kept for some time after its block ends, because it then runs in quarantine.
+			// The evidence on a proven request is kept for some time after its block ends. Without it, the request would not run
+			// in quarantine then, and another crash would not lengthen the block.
 			ttl = 2 * max(repeatBlockTime, blockTime(record))
 		}
 		switch {
--- a/follower/mirror.go
+++ b/follower/mirror.go
@@ -17,8 +17,9 @@
 	// that the watch missed.
 	relistInterval = 2500 * time.Millisecond
 	// maxRelistRate bounds the bandwidth that regular full reads of a table take on a router's link, in bytes per second: half of
-	// the 8 KB per second allowed for control traffic at the target fleet size. Reading a configuration of 0.8 MB every 2.5 s
-	// took a third of a 10 Mbit/s link from callers, and reads that timed out and restarted took all of it.
+	// the 8 KB per second allowed for control traffic at the target fleet size. Without the bound, reading a configuration of 0.8
+	// MB (1.1 MB in base64) every 2.5 s took a third of a 10 Mbit/s link from callers, and reads that timed out and restarted
+	// took all of it.
 	maxRelistRate = 4 << 10
 	// maxWatchBytes is the approximate size of the largest set of changes that is read as changes, 16 KB, enough for some tens of
 	// servers. Changes contain every version of a row: a router that was four versions of a 0.3 MB configuration behind took 3 s
--- a/forwarder/abandoned.go
+++ b/forwarder/abandoned.go
@@ -62,7 +62,7 @@
 	return taken
 }
 
-// remove removes a run and reports whether it was present. It is absent if it has been taken for a report or dropped by add.
+// remove removes a run and reports whether it was present. It is absent if takeRecent or add has already removed it.
 func (a *abandonedRuns) remove(r serverRun) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/forwarder/exchange.go
+++ b/forwarder/exchange.go
@@ -163,8 +163,8 @@
 	x.finish(ctx, refused)
 }
 
-// holdBudget takes a hold of maxTokens, or returns a refusal. It may block until the wait limited by holdWaitFraction is over. It
-// does nothing for a request that consumes no budget.
+// holdBudget takes a hold of maxTokens, or returns a refusal. It may wait for the hold for as long as holdWaitFraction and
+// minHoldWait allow. It does nothing for a request that consumes no budget.
 func (x *exchange) holdBudget(ctx context.Context) *masticway.RefusalError {
 	if !x.q.hasBudget() {
 		return nil
--- a/loader/faults.go
+++ b/loader/faults.go
@@ -34,7 +34,7 @@
 	mu     sync.Mutex
 	// cutOff counts the graceful shutdowns of routers and sidecars that cut off requests.
 	cutOff int
-	// drainTimes holds, for each draining sidecar, the time for which its upstream still got new work.
+	// drainTimes holds, for each drained sidecar, the time for which its upstream still got new work.
 	drainTimes []time.Duration
 	// applyTimes holds, for each configuration change, the time until all ready routers had applied it, or at least
 	// applyTimeout.
--- a/receiver/receiver.go
+++ b/receiver/receiver.go
@@ -71,10 +71,10 @@
 // progressKey is the context key of the function passed to WithProgress.
 type progressKey struct{}
 
-// WithProgress returns a context for requests with which Do reports that a body is arriving. Do does so only for a response with
-// status 200 and a body of more than 16 KB (pieceBytes). Smaller bodies are complete almost as soon as they begin. Do calls
-// progress as soon as it knows that the body is that large, and then after each piece. It knows this from the Content-Length
-// header, or without that header once more than 16 KB have arrived.
+// WithProgress returns a context that makes Do call progress while the body of a response is arriving, but only if the response
+// has status 200 and its body has more than 16 KB (pieceBytes). Smaller bodies are complete almost as soon as they begin. Do
+// calls progress as soon as it knows that the body is that large, and then after each piece. It knows this from the
+// Content-Length header, or without that header once more than 16 KB have arrived.
 func WithProgress(ctx context.Context, progress func()) context.Context {
 	return context.WithValue(ctx, progressKey{}, progress)
 }
--- a/rotator/rotator.go
+++ b/rotator/rotator.go
@@ -19,8 +19,8 @@
 	// checkInterval is the interval at which the load is checked.
 	checkInterval = 100 * time.Millisecond
 	// minOutTime is how long a router stays out of rotation the first time, and maxOutTime the maximum. The time doubles if the
-	// router leaves the rotation again soon, before it has been back for as long as it was out. The same callers have then
-	// returned to it.
+	// router leaves the rotation again soon, before it has been back for as long as it was out. An overload that soon means that
+	// the same callers have returned to it, so it must stay out for longer.
 	minOutTime = 20 * time.Second
 	maxOutTime = 160 * time.Second
 	// leaseTimeout is the timeout of an election. It is long enough for a saturated link.
--- a/soaker/prober.go
+++ b/soaker/prober.go
@@ -103,7 +103,8 @@
 		switch q.status {
 		case 0, http.StatusNotFound, http.StatusServiceUnavailable:
 		default:
-			// The router has the route, even if no server answered in time.
+			// Any other status shows that the router has the route: with 502 or 504, a server may have got the request but gave
+			// no complete answer. A 503 shows nothing: a router without a configuration answers it too.
 			return
 		}
 		if time.Now().After(until) {
--- a/treasurer/purse.go
+++ b/treasurer/purse.go
@@ -307,9 +307,10 @@
 	// limitsInForce has the spend limits of all checkpoints in force, oldest first: the last one that the store certainly
 	// has, and all later ones that the store may have.
 	limitsInForce []checkpointLimits
-	// checkpoint is the last checkpoint that was sent; its Basis is that of the next one once a write has succeeded.
-	// checkpointVersion is the row's version at the last write that the store is known to have made. checkpointBasis is when
-	// this router learned of the last successful write.
+	// checkpoint is what the next checkpoint is made from: the last one that was sent, changed by what has been learned since. A
+	// successful write sets its Basis to the store's time of that write. checkpointVersion is the row's version at the last write
+	// that the store is known to have made. checkpointBasis is when, by this router's clock, the last response arrived that
+	// reported the success of a write. It is not changed if a conflict shows that a write of unknown outcome had succeeded.
 	checkpoint         Checkpoint
 	checkpointVersion  int64
 	checkpointInFlight bool
--- a/treasurer/treasurer.go
+++ b/treasurer/treasurer.go
@@ -330,8 +330,8 @@
 	if !t.takeOver(ctx) {
 		return
 	}
-	// The routers are counted before the first grant. Otherwise a hundred routers that start at the same time would all draw
-	// grants of every workspace.
+	// Try to learn the other routers before the first grant. A router that knows no others keeps a reserve of every workspace
+	// (see keepsReserve), so a hundred routers that start at the same time would all draw grants of each.
 	t.tryCount(ctx)
 	t.tasks.Go(func() { t.closePredecessors(ctx) })
 	t.tasks.Go(func() { t.watchAccounts(ctx) })
--- a/treasurer/witness.go
+++ b/treasurer/witness.go
@@ -10,11 +10,11 @@
 )
 
 const (
-	// maxWitnesses is the maximum number of other routers that a checkpoint names as witnesses. While the store cannot be
-	// reached, a majority of them must accept a report before tokens are cleared that need witnesses. A successor then needs
-	// the answers of only some: both numbers are two of three. With two witnesses, one had to accept and both had to answer.
-	// A router that was restarted during a partition at the same time as one of its two witnesses cost its workspace 10% of
-	// the budget.
+	// maxWitnesses is the maximum number of other routers that a checkpoint names as witnesses. With three witnesses, two must
+	// accept a report before tokens that need witnesses are cleared while the store cannot be reached, and a successor needs the
+	// answers of two (see quorum and HasQuorum). So one witness may be lost in either case. Under an earlier rule with two
+	// witnesses, one had to accept and both had to answer. A router that was restarted during a partition at the same time as one
+	// of its two witnesses then cost its workspace 10% of the budget.
 	maxWitnesses = 3
 	// unackedTimeout is how long reports may lack a quorum while a checkpoint is late. It matters while the store is not
 	// timely (isStoreTimely). Before the timeout, requests are held within what acknowledgements are expected to clear soon
